--- a/internal/adapter/backendhttp/client.go
+++ b/internal/adapter/backendhttp/client.go
@@ -122,7 +122,7 @@
 	case ctx.Err() != nil:
 		return backend.Abandoned
 	}
-	return backend.Broken
+	return backend.Interrupted
 }
 
 func (c *Client) build(ctx context.Context, r Request) (*http.Request, error) {
@@ -158,7 +158,7 @@
 	if response.Header.Get(caller.HeaderOutcome) == caller.NotRun.String() {
 		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, BufferedBytes))
 		_ = response.Body.Close()
-		return Response{Result: backend.Refused, Report: report}
+		return Response{Result: backend.Rejected, Report: report}
 	}
 	head, err := io.ReadAll(io.LimitReader(response.Body, BufferedBytes))
 	if err != nil {
@@ -200,7 +200,7 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return backend.Health{Refusing: serverhttp.Refusing(err)}
+		return backend.Health{ConnectionRefused: serverhttp.Refusing(err)}
 	}
 	defer func() { _ = response.Body.Close() }()
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxHeaderBytes))
--- a/internal/adapter/backendhttp/client_test.go
+++ b/internal/adapter/backendhttp/client_test.go
@@ -107,13 +107,13 @@
 		want    backend.Result
 	}{
 		{"nobody listens", nobody, backend.Unreachable},
-		{"closed after reading", closed.address, backend.Broken},
+		{"closed after reading", closed.address, backend.Interrupted},
 		{"whole answer", startRaw(t, write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")).address, backend.Answered},
-		{"answer cut in the body", startRaw(t, write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")).address, backend.Broken},
-		{"answer cut in a chunk", startRaw(t, write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")).address, backend.Broken},
-		{"answer cut in the header", startRaw(t, write("HTTP/1.1 200 OK\r\nContent-Le")).address, backend.Broken},
-		{"garbage", startRaw(t, write("SSH-2.0-x\r\n")).address, backend.Broken},
-		{"shed", startRaw(t, write("HTTP/1.1 503 X\r\nGypsumquay-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")).address, backend.Refused},
+		{"answer cut in the body", startRaw(t, write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")).address, backend.Interrupted},
+		{"answer cut in a chunk", startRaw(t, write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")).address, backend.Interrupted},
+		{"answer cut in the header", startRaw(t, write("HTTP/1.1 200 OK\r\nContent-Le")).address, backend.Interrupted},
+		{"garbage", startRaw(t, write("SSH-2.0-x\r\n")).address, backend.Interrupted},
+		{"shed", startRaw(t, write("HTTP/1.1 503 X\r\nGypsumquay-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")).address, backend.Rejected},
 		{"plain 503", startRaw(t, write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")).address, backend.Answered},
 		{"silence", startRaw(t, func(int, net.Conn) bool { time.Sleep(time.Second); return false }).address, backend.Abandoned},
 	}
@@ -144,8 +144,8 @@
 	if got := sendWith(ctx, client, s.address, http.MethodPost, header).Result; got != backend.Answered {
 		t.Fatalf("first request: got result %d, want %d", got, backend.Answered)
 	}
-	if got := sendWith(ctx, client, s.address, http.MethodPost, header).Result; got != backend.Broken {
-		t.Errorf("second request: got result %d, want %d", got, backend.Broken)
+	if got := sendWith(ctx, client, s.address, http.MethodPost, header).Result; got != backend.Interrupted {
+		t.Errorf("second request: got result %d, want %d", got, backend.Interrupted)
 	}
 	if got, want := s.requests(), 2; got != want {
 		t.Errorf("got %d requests at the backend server, want %d", got, want)
--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -76,7 +76,7 @@
 
 	// Server answers callers.
 	Server struct {
-		kernel   core.Access
+		kernel   core.Executor
 		run      func(context.Context, Request) Reply
 		limits   Limits
 		memory   *bodies.Memory
@@ -111,7 +111,7 @@
 )
 
 // NewServer makes a server. run takes a request to its final result; observed is told of each final result.
-func NewServer(k core.Access, run func(context.Context, Request) Reply, l Limits, now func() time.Time, observed func(string, caller.Result, time.Duration)) *Server {
+func NewServer(k core.Executor, run func(context.Context, Request) Reply, l Limits, now func() time.Time, observed func(string, caller.Result, time.Duration)) *Server {
 	return &Server{
 		kernel: k, run: run, limits: l, memory: bodies.NewMemory(l.Total),
 		observed: observed, now: now,
@@ -152,17 +152,17 @@
 	s.kernel(func(k *core.Kernel, now time.Time) {
 		answer, found = k.Lookup(now, r.URL.Query().Get("service"), client)
 		if r.URL.Query().Has("explain") {
-			why = k.Explain(client)
+			why = k.ExplainRouting(client)
 		}
 	})
 	if !found {
 		writeJSON(w, http.StatusNotFound, refusal{Text: "service: must be the name of a service that has a live proxy"})
 		return
 	}
-	w.Header().Set("Cache-Control", "private, max-age="+strconv.Itoa(int(answer.Lifetime.Seconds())))
+	w.Header().Set("Cache-Control", "private, max-age="+strconv.Itoa(int(answer.TTL.Seconds())))
 	reply := lookupReply{
-		Service: answer.Service, Home: answer.Home,
-		Lifetime: answer.Lifetime.String(), Why: why, Proxies: proxies(answer.Proxies),
+		Service: answer.Service, Home: answer.HomeRegion,
+		Lifetime: answer.TTL.String(), Why: why, Proxies: proxies(answer.Proxies),
 	}
 	writeJSON(w, http.StatusOK, reply)
 }
--- a/internal/adapter/operatorhttp/server.go
+++ b/internal/adapter/operatorhttp/server.go
@@ -28,7 +28,7 @@
 	// Server answers operators. Nothing here needs a login: reading shows no
 	// secret, and whatever changes something carries its signatures.
 	Server struct {
-		Kernel   core.Access
+		Kernel   core.Executor
 		Trust    operator.Trust
 		Platform kv.Store
 		List     func(context.Context, kv.Key) (map[kv.Key]kv.Value, error)
@@ -173,7 +173,7 @@
 	}
 	verdict, current := kv.Rollout(r.Context(), s.Platform, b, e)
 	if verdict == kv.Accepted {
-		s.Kernel(func(k *core.Kernel, now time.Time) { k.HearBundle(now, e.Encode()) })
+		s.Kernel(func(k *core.Kernel, now time.Time) { k.ApplyBundle(now, e.Encode()) })
 	}
 	reply(w, http.StatusOK, Rollout{Verdict: verdict, Current: current})
 }
--- a/internal/fake/simnet/callers.go
+++ b/internal/fake/simnet/callers.go
@@ -238,7 +238,7 @@
 		}
 		if answer, ok := p.kernel.Lookup(p.now(), service, g.address); ok {
 			g.proxies = answer.Proxies
-			g.until = s.now.Add(answer.Lifetime)
+			g.until = s.now.Add(answer.TTL)
 			return true
 		}
 	}
--- a/internal/fake/simnet/message.go
+++ b/internal/fake/simnet/message.go
@@ -55,35 +55,37 @@
 	asked := p.now()
 	p.call(a.To.PeerAddress, callTimeout, func(target *Proxy, reply func(func())) {
 		began := time.Now()
-		answer := target.kernel.HearExchange(target.now(), a.Message)
+		answer := target.kernel.HandleExchange(target.now(), a.Message)
 		p.sim.KernelTime += time.Since(began)
 		p.sim.checks.exchanged(a.Message, answer)
 		reply(func() {
 			began := time.Now()
-			p.kernel.HearReply(p.now(), asked, answer)
+			p.kernel.HandleExchangeReply(p.now(), asked, answer)
 			p.sim.KernelTime += time.Since(began)
 		})
-	}, func() { p.kernel.ExchangeLost(p.now(), a.To.Name) })
+	}, func() { p.kernel.HandleExchangeFailure(p.now(), a.To.Name) })
 }
 
 func (p *Proxy) borrow(a core.SendBorrow) {
 	p.call(a.To.PeerAddress, callTimeout, func(target *Proxy, reply func(func())) {
-		answer := target.kernel.HearBorrow(target.now(), a.Message)
-		reply(func() { p.kernel.BorrowAnswered(p.now(), a, &answer) })
-	}, func() { p.kernel.BorrowAnswered(p.now(), a, nil) })
+		answer := target.kernel.HandleBorrow(target.now(), a.Message)
+		reply(func() { p.kernel.HandleBorrowReply(p.now(), a, &answer) })
+	}, func() { p.kernel.HandleBorrowReply(p.now(), a, nil) })
 }
 
 func (p *Proxy) probe(a core.SendProbe) {
 	w := p.sim.workers[a.Server]
 	d, ok := p.sim.delay(p.place, w.place)
 	if !ok {
-		p.after(callTimeout, func() { p.kernel.ProbeEnded(p.now(), a.Server, backend.Health{}) })
+		p.after(callTimeout, func() { p.kernel.HandleProbeResult(p.now(), a.Server, backend.Health{}) })
 		return
 	}
 	p.sim.After(d, func() {
 		up := !w.down
 		report := w.load()
-		p.after(d, func() { p.kernel.ProbeEnded(p.now(), a.Server, backend.Health{OK: up, Refusing: !up, Report: report}) })
+		p.after(d, func() {
+			p.kernel.HandleProbeResult(p.now(), a.Server, backend.Health{OK: up, ConnectionRefused: !up, Report: report})
+		})
 	})
 }
 
@@ -94,13 +96,13 @@
 			return
 		}
 		stored, err := kv.ParseAssignment(value.Data)
-		if err == nil && stored.Version != a.Expect {
-			p.kernel.HearAssignment(p.now(), stored)
+		if err == nil && stored.Version != a.ExpectedVersion {
+			p.kernel.ApplyAssignment(p.now(), stored)
 			return
 		}
 		p.after(platformDelay, func() {
 			if ok, answered := p.sim.platform.swap(keyAssignment, value.Revision, a.Value.Encode()); ok && answered {
-				p.kernel.HearAssignment(p.now(), a.Value)
+				p.kernel.ApplyAssignment(p.now(), a.Value)
 			}
 		})
 	})
@@ -124,7 +126,7 @@
 }
 
 func (p *Proxy) read(key kv.Key) {
-	if !p.kernel.Relay() || p.sim.platform.down {
+	if !p.kernel.IsRelay() || p.sim.platform.down {
 		return
 	}
 	asked := p.now()
@@ -140,14 +142,14 @@
 func (p *Proxy) hear(key kv.Key, value kv.Value, asked time.Time) {
 	var repair []byte
 	if key == keyBundle {
-		p.kernel.HearBundle(p.now(), value.Data)
+		p.kernel.ApplyBundle(p.now(), value.Data)
 		repair = p.kernel.RepairBundle(value.Data)
 	} else {
 		a, err := kv.ParseAssignment(value.Data)
 		if err == nil {
-			p.kernel.HearAssignment(p.now(), a)
+			p.kernel.ApplyAssignment(p.now(), a)
 		}
-		p.kernel.HeardPlatform(p.now(), asked)
+		p.kernel.HandlePlatformReply(p.now(), asked)
 		repair = p.kernel.RepairAssignment(a)
 	}
 	if repair != nil {
@@ -161,12 +163,12 @@
 	}
 	p.after(platformDelay, func() {
 		list := p.sim.platform.machines
-		if list.Version == p.listSeen || !p.kernel.Relay() {
+		if list.Version == p.listSeen || !p.kernel.IsRelay() {
 			return
 		}
 		p.listSeen = list.Version
 		p.sim.platform.Calls++
 		list.List = append([]kv.Machine(nil), list.List...)
-		p.kernel.HearMachines(p.now(), &list)
+		p.kernel.ApplyMachines(p.now(), &list)
 	})
 }
--- a/internal/fake/simnet/proxy.go
+++ b/internal/fake/simnet/proxy.go
@@ -96,8 +96,8 @@
 			Name: p.name, Address: p.address(), PeerAddress: p.address(), Region: p.place.region,
 			Domain: p.place.domain, Incarnation: uint64(p.sim.now.UnixMilli())<<8 | uint64(p.life),
 		},
-		Trust: p.sim.trust,
-		Break: p.sim.config.Break,
+		Trust:  p.sim.trust,
+		Faults: p.sim.config.Break,
 	}
 	binary.BigEndian.PutUint64(c.Seed[:], p.sim.random.Uint64())
 	binary.BigEndian.PutUint64(c.TokenKey[:], p.sim.random.Uint64())
@@ -138,7 +138,7 @@
 		p.sim.KernelTime += time.Since(began)
 		p.perform(actions)
 		p.sim.checks.proxyTicked(p)
-		p.after(core.TickEvery, func() { p.tick(life) })
+		p.after(core.TickInterval, func() { p.tick(life) })
 	})
 }
 
--- a/internal/fake/simnet/scenario.go
+++ b/internal/fake/simnet/scenario.go
@@ -125,16 +125,16 @@
 }
 
 // Breakages maps names in scenario files to guards taken out.
-func Breakages() map[string]core.Breakage {
-	return map[string]core.Breakage{
+func Breakages() map[string]core.InjectedFaults {
+	return map[string]core.InjectedFaults{
 		"":                {},
 		"token-reuse":     {TokenReuse: true},
-		"loan-doubled":    {LoanDoubled: true},
+		"loan-doubled":    {LoanCountedTwice: true},
 		"shift-uncapped":  {ShiftUncapped: true},
-		"bundle-revert":   {BundleRevert: true},
-		"leaving-serves":  {LeavingServes: true},
-		"fence-off":       {FenceOff: true},
-		"no-region-quota": {QuotaOff: true},
+		"bundle-revert":   {BundleRollback: true},
+		"leaving-serves":  {LeavingServerUsed: true},
+		"fence-off":       {FenceDisabled: true},
+		"no-region-quota": {QuotaDisabled: true},
 	}
 }
 
@@ -277,7 +277,7 @@
 	edit(&b)
 	s.Rollout(&b)
 	data := s.platform.values[keyBundle].Data
-	through.after(platformDelay, func() { through.kernel.HearBundle(through.now(), data) })
+	through.after(platformDelay, func() { through.kernel.ApplyBundle(through.now(), data) })
 }
 
 func (s *Sim) drain(kind operator.DrainKind, target string) {
--- a/internal/fake/simnet/serve.go
+++ b/internal/fake/simnet/serve.go
@@ -19,16 +19,16 @@
 			reply(result, token)
 		}
 	}
-	p.step(r, p.kernel.Begin(p.now(), r.Request))
+	p.step(r, p.kernel.BeginRequest(p.now(), r.Request))
 }
 
 func (p *Proxy) step(r request, d core.Decision) {
 	switch d.Step {
-	case core.Finish:
+	case core.StepFinish:
 		r.reply(d.Result, d.NewToken)
-	case core.Forward:
+	case core.StepForward:
 		p.forward(r, d)
-	case core.Dispatch:
+	case core.StepDispatch:
 		p.dispatch(r, d)
 	}
 }
@@ -43,7 +43,7 @@
 			reply(func() { r.reply(result, "") })
 		}})
 	}, func() {
-		r.reply(p.kernel.ForwardLost(p.now(), r.Service, d.ID, d.Peer.Name), "")
+		r.reply(p.kernel.HandleForwardFailure(p.now(), r.Service, d.ID, d.Peer.Name), "")
 	})
 }
 
@@ -64,8 +64,8 @@
 			if result == backend.Answered {
 				answer = &caller.Answer{Status: 200, Body: []byte(r.key)}
 			}
-			p.step(r, p.kernel.End(p.now(), core.AttemptEnd{
-				Attempt: d.Attempt, Result: result, Answer: answer, Report: report, Refusing: result == backend.Unreachable && w.down,
+			p.step(r, p.kernel.EndAttempt(p.now(), core.AttemptEnd{
+				Attempt: d.Attempt, Result: result, Answer: answer, Report: report, ConnectionRefused: result == backend.Unreachable && w.down,
 			}))
 		})
 	}
@@ -77,10 +77,10 @@
 	}
 	p.after(left, func() {
 		if !ended {
-			r.reply(p.kernel.Overdue(p.now(), d.Attempt), "")
+			r.reply(p.kernel.HandleDeadlineExceeded(p.now(), d.Attempt), "")
 		}
 	})
-	p.sim.After(left+core.AnswerGrace, func() { end(backend.Abandoned, nil) })
+	p.sim.After(left+core.AnswerGracePeriod, func() { end(backend.Abandoned, nil) })
 }
 
 func (p *Proxy) sendToWorker(w *Worker, r request, d core.Decision, end func(backend.Result, *backend.Report)) {
@@ -114,13 +114,13 @@
 // half after it has run.
 func (p *Proxy) reset(w *Worker, j *job, end func(backend.Result, *backend.Report)) {
 	if p.sim.random.IntN(2) == 0 {
-		end(backend.Broken, nil)
+		end(backend.Interrupted, nil)
 		return
 	}
 	answer := j.reply
 	j.reply = func(result backend.Result, report *backend.Report) {
 		if result == backend.Answered {
-			result = backend.Broken
+			result = backend.Interrupted
 		}
 		answer(result, report)
 	}
--- a/internal/fake/simnet/sim.go
+++ b/internal/fake/simnet/sim.go
@@ -32,7 +32,7 @@
 		Load []float64
 		// BookShare of the requests are non-idempotent, in thousandths.
 		BookShare int
-		Break     core.Breakage
+		Break     core.InjectedFaults
 		// Warm is how long after the start measuring begins.
 		Warm time.Duration
 		// Exchanged sees every exchange between proxies; nil for none.
@@ -177,7 +177,7 @@
 func (s *Sim) Relays() int {
 	relays := 0
 	for _, p := range s.proxies {
-		if p.alive && p.kernel.Relay() {
+		if p.alive && p.kernel.IsRelay() {
 			relays++
 		}
 	}
@@ -187,7 +187,7 @@
 // FirstRelay is the number of the first proxy that watches the platform.
 func (s *Sim) FirstRelay() int {
 	for i, p := range s.proxies {
-		if p.alive && p.kernel.Relay() {
+		if p.alive && p.kernel.IsRelay() {
 			return i
 		}
 	}
--- a/internal/fake/simnet/stop.go
+++ b/internal/fake/simnet/stop.go
@@ -14,7 +14,7 @@
 	}
 	s.trace("planned stop %s", p.name)
 	p.kernel.BeginStop(p.now())
-	p.until(func() bool { return p.kernel.StopServing(p.now()) }, func() {
+	p.until(func() bool { return p.kernel.MayStopServing(p.now()) }, func() {
 		p.serving = false
 		p.until(func() bool { return p.pending == 0 && p.kernel.Drained() }, p.handOver)
 	})
@@ -39,9 +39,9 @@
 		return
 	}
 	p.call(heirs[0].PeerAddress, callTimeout, func(target *Proxy, reply func(func())) {
-		target.kernel.HearHandover(target.now(), p.name, p.kernel.Stamp(p.now()), records)
+		target.kernel.HandleHandover(target.now(), p.name, p.kernel.Stamp(p.now()), records)
 		reply(func() {
-			p.perform(p.kernel.HandedOver(p.now(), heirs[0].Name))
+			p.perform(p.kernel.FinishHandover(p.now(), heirs[0].Name))
 			p.release()
 		})
 	}, func() { p.leaveTo(records, heirs[1:]) })
@@ -52,7 +52,7 @@
 	p.until(func() bool {
 		next := p.kernel.ReleaseSlots(p.now())
 		if next != nil {
-			p.store(core.StoreAssignment{Expect: next.Version - 1, Value: next})
+			p.store(core.StoreAssignment{ExpectedVersion: next.Version - 1, Value: next})
 		}
 		return next == nil || p.now().After(limit)
 	}, func() {
--- a/internal/fake/simnet/worker.go
+++ b/internal/fake/simnet/worker.go
@@ -61,7 +61,7 @@
 		w.began = w.sim.now
 	}
 	for _, j := range queued {
-		j.reply(backend.Broken, nil)
+		j.reply(backend.Interrupted, nil)
 	}
 }
 
@@ -74,7 +74,7 @@
 		w.sim.checks.sheds++
 		report := w.load()
 		report.Signal.Pause = w.pause
-		j.reply(backend.Refused, report)
+		j.reply(backend.Rejected, report)
 	case w.busy >= w.config.Slots:
 		w.queue = append(w.queue, j)
 	default:
@@ -87,7 +87,7 @@
 func (w *Worker) start(j *job) {
 	if !w.sim.now.Before(j.deadline) {
 		w.sim.checks.late++
-		j.reply(backend.Refused, w.load())
+		j.reply(backend.Rejected, w.load())
 		w.next()
 		return
 	}
@@ -100,7 +100,7 @@
 	}
 	w.sim.After(w.serviceTime(), func() {
 		if w.life != life {
-			j.reply(backend.Broken, nil)
+			j.reply(backend.Interrupted, nil)
 			return
 		}
 		w.busy--
@@ -111,7 +111,7 @@
 
 // endBy ends the server under a deadly request, and has it back some time later.
 func (w *Worker) endBy(j *job, life int) {
-	j.reply(backend.Broken, nil)
+	j.reply(backend.Interrupted, nil)
 	if w.life != life {
 		return
 	}
--- a/internal/kernel/backend/budget.go
+++ b/internal/kernel/backend/budget.go
@@ -8,21 +8,21 @@
 )
 
 type (
-	// Budget permits retries as a share of requests. Each request earns a
+	// RetryBudget permits retries as a share of requests. Each request earns a
 	// fraction of a retry; a failing region thus sees at most that share more
 	// load, never a multiple.
-	Budget struct {
+	RetryBudget struct {
 		earned int
 	}
 )
 
-// Earn credits one first attempt at the given rate in thousandths.
-func (b *Budget) Earn(rate int) {
+// Deposit credits one first attempt at the given rate in thousandths.
+func (b *RetryBudget) Deposit(rate int) {
 	b.earned = min(b.earned+rate, budgetDepth*permille)
 }
 
-// Spend takes one retry, or reports false.
-func (b *Budget) Spend() bool {
+// TryWithdraw takes one retry, or reports false.
+func (b *RetryBudget) TryWithdraw() bool {
 	if b.earned < permille {
 		return false
 	}
--- a/internal/kernel/backend/server.go
+++ b/internal/kernel/backend/server.go
@@ -28,12 +28,12 @@
 const (
 	// Answered means that a whole answer arrived.
 	Answered Result = iota + 1
-	// Refused means that the server shed the request before running it.
-	Refused
+	// Rejected means that the server shed the request before running it.
+	Rejected
 	// Unreachable means that no byte of the request was sent.
 	Unreachable
-	// Broken means that the exchange broke after the first byte was sent.
-	Broken
+	// Interrupted means that the exchange broke after the first byte was sent.
+	Interrupted
 	// Abandoned means that the proxy gave the attempt up.
 	Abandoned
 )
@@ -45,9 +45,9 @@
 	// Health is what a probe found.
 	Health struct {
 		OK bool
-		// Refusing is set if nothing listens there.
-		Refusing bool
-		Report   *Report
+		// ConnectionRefused is set if nothing listens there.
+		ConnectionRefused bool
+		Report            *Report
 	}
 
 	// Report is a server's own word on its load. It lags and may be wrong, so
@@ -123,9 +123,9 @@
 	return s.drained || !s.listed || s.leaves
 }
 
-// LeavesByItsWord reports whether the server has said that it is leaving. The word stands
+// ReportsLeaving reports whether the server has said that it is leaving. The word stands
 // until its health says otherwise: it has one name for all its starts.
-func (s *Server) LeavesByItsWord() bool { return s.leaves }
+func (s *Server) ReportsLeaving() bool { return s.leaves }
 
 // Usable reports whether the server may be chosen.
 func (s *Server) Usable(now time.Time) bool {
@@ -141,10 +141,10 @@
 	switch r {
 	case Answered:
 		s.answered(took, now)
-	case Refused:
+	case Rejected:
 		s.failures = 0
 		s.outUntil = now.Add(shedPause)
-	case Unreachable, Broken:
+	case Unreachable, Interrupted:
 		s.failed(now)
 	}
 }
@@ -176,12 +176,12 @@
 	s.failures = ejectAfter - 1
 }
 
-// Out reports whether failures have taken the server out and no answer has
+// Ejected reports whether failures have taken the server out and no answer has
 // brought it back yet.
-func (s *Server) Out() bool { return s.ejected > 0 }
+func (s *Server) Ejected() bool { return s.ejected > 0 }
 
-// Learn takes in a load report.
-func (s *Server) Learn(r Report) {
+// ApplyReport takes in a load report.
+func (s *Server) ApplyReport(r Report) {
 	if r.Leaving {
 		s.leaves = true
 	}
@@ -226,10 +226,10 @@
 	return true
 }
 
-// Probed takes in a probe's result. A good one brings a server back that was
+// ApplyProbe takes in a probe's result. A good one brings a server back that was
 // taken out, cold, or that was leaving and no longer says so; a bad one counts like a
 // failed request.
-func (s *Server) Probed(h Health, now time.Time) {
+func (s *Server) ApplyProbe(h Health, now time.Time) {
 	if !h.OK {
 		if !s.leaves {
 			s.failed(now)
--- a/internal/kernel/core/action.go
+++ b/internal/kernel/core/action.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// Dispatch sends the request to Server under Attempt.
-	Dispatch Step = iota + 1
-	// Forward hands the request to Peer, the minter of its token.
-	Forward
-	// Finish gives the caller Result.
-	Finish
+	// StepDispatch sends the request to Server under Attempt.
+	StepDispatch Step = iota + 1
+	// StepForward hands the request to Peer, the minter of its token.
+	StepForward
+	// StepFinish gives the caller Result.
+	StepFinish
 )
 
 type (
@@ -67,41 +67,41 @@
 		Result  backend.Result
 		Answer  *caller.Answer
 		Report  *backend.Report
-		// Final means that no other attempt may follow: the caller has got
+		// NoRetry means that no other attempt may follow: the caller has got
 		// bytes of this answer, or has gone.
-		Final bool
-		// Refusing is set if nothing listens at the server's address.
-		Refusing bool
+		NoRetry bool
+		// ConnectionRefused is set if nothing listens at the server's address.
+		ConnectionRefused bool
 	}
 
 	// Action is something for the driver to do; its outcome comes back
 	// through the kernel's method named with it.
 	Action interface{ action() }
 
-	// SendExchange asks for a call to a peer; see HearReply and ExchangeLost.
+	// SendExchange asks for a call to a peer; see HandleExchangeReply and HandleExchangeFailure.
 	SendExchange struct {
 		To      peer.Member
 		Message peer.Exchange
 	}
 
-	// SendBorrow asks a peer for quota; see BorrowAnswered.
+	// SendBorrow asks a peer for quota; see HandleBorrowReply.
 	SendBorrow struct {
 		To      peer.Member
 		Message peer.BorrowRequest
-		Asked   time.Time
+		SentAt  time.Time
 	}
 
-	// SendProbe asks a backend server for its health; see ProbeEnded.
+	// SendProbe asks a backend server for its health; see HandleProbeResult.
 	SendProbe struct {
 		Server  string
 		Address netip.AddrPort
 	}
 
 	// StoreAssignment asks for a compare-and-swap; the new value is heard
-	// back through HearAssignment like any other.
+	// back through ApplyAssignment like any other.
 	StoreAssignment struct {
-		Expect uint64
-		Value  *kv.Assignment
+		ExpectedVersion uint64
+		Value           *kv.Assignment
 	}
 )
 
--- a/internal/kernel/core/assign.go
+++ b/internal/kernel/core/assign.go
@@ -14,8 +14,8 @@
 	storeEvery = 200 * time.Millisecond
 )
 
-// HearAssignment takes in an assignment of quota slots; versions only go up.
-func (k *Kernel) HearAssignment(now time.Time, a *kv.Assignment) {
+// ApplyAssignment takes in an assignment of quota slots; versions only go up.
+func (k *Kernel) ApplyAssignment(now time.Time, a *kv.Assignment) {
 	if k.assignment != nil && a.Version <= k.assignment.Version {
 		return
 	}
@@ -26,9 +26,9 @@
 	k.spreadNews(now)
 }
 
-// HeardPlatform notes an answer of the platform, asked for at the given time,
+// HandlePlatformReply notes an answer of the platform, asked for at the given time,
 // after which this proxy knows the newest assignment.
-func (k *Kernel) HeardPlatform(now, asked time.Time) { k.heardAnyone(now, asked) }
+func (k *Kernel) HandlePlatformReply(now, asked time.Time) { k.heardAnyone(now, asked) }
 
 // applyQuota sets the own share of each resource: the lower of what the
 // settled figures and the bundle in force here give. A slot that is being
@@ -122,7 +122,7 @@
 	if next == nil {
 		return actions
 	}
-	return append(actions, StoreAssignment{Expect: next.Version - 1, Value: next})
+	return append(actions, StoreAssignment{ExpectedVersion: next.Version - 1, Value: next})
 }
 
 // mayTakeMore reports whether this proxy need not wait for others to turn up:
--- a/internal/kernel/core/bench_test.go
+++ b/internal/kernel/core/bench_test.go
@@ -44,12 +44,12 @@
 		Self:  peer.Member{Name: "proxy-1", Region: "palermo", Domain: "palermo-a", Incarnation: 1, Address: netip.MustParseAddrPort("127.0.0.1:80")},
 		Trust: operator.Trust{anna.Trusted(), bruno.Trusted()},
 	}, now)
-	k.HearBundle(now, e.Encode())
+	k.ApplyBundle(now, e.Encode())
 	a := &kv.Assignment{Version: 1, Settled: 1, Base: kv.CapacitiesOf(b)}
 	for range b.QuotaSlots() {
 		a.Slots = append(a.Slots, k.holder())
 	}
-	k.HearAssignment(now, a)
+	k.ApplyAssignment(now, a)
 	k.Tick(now)
 	if got, want := k.BundleVersion(), uint64(1); got != want {
 		tb.Fatalf("got bundle %d, want %d", got, want)
@@ -64,11 +64,11 @@
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
 		k.lastTick = now
-		d := k.Begin(now, r)
-		if d.Step != Dispatch {
+		d := k.BeginRequest(now, r)
+		if d.Step != StepDispatch {
 			b.Fatalf("got step %d (%s), want a dispatch", d.Step, d.Result.Reason)
 		}
-		k.End(now, AttemptEnd{Attempt: d.Attempt, Result: backend.Answered})
+		k.EndAttempt(now, AttemptEnd{Attempt: d.Attempt, Result: backend.Answered})
 	}
 }
 
--- a/internal/kernel/core/borrow.go
+++ b/internal/kernel/core/borrow.go
@@ -64,8 +64,8 @@
 
 func (k *Kernel) borrowFrom(now time.Time, lender peer.Member, name peer.Resource, want int, renew peer.LoanID) SendBorrow {
 	return SendBorrow{
-		To:    lender,
-		Asked: now,
+		To:     lender,
+		SentAt: now,
 		Message: peer.BorrowRequest{
 			From:     k.config.Self.Name,
 			Stamp:    k.clock.Now(now),
@@ -76,9 +76,9 @@
 	}
 }
 
-// HearBorrow answers a peer that runs short. A proxy that is giving slots back
+// HandleBorrow answers a peer that runs short. A proxy that is giving slots back
 // lends nothing, or it would wait for loans for ever.
-func (k *Kernel) HearBorrow(now time.Time, m peer.BorrowRequest) peer.BorrowReply {
+func (k *Kernel) HandleBorrow(now time.Time, m peer.BorrowRequest) peer.BorrowReply {
 	k.clock.Hear(m.Stamp)
 	reply := peer.BorrowReply{Stamp: k.clock.Now(now)}
 	q := k.quota(m.Resource)
@@ -91,14 +91,14 @@
 		return reply
 	}
 	reply.Loan, reply.Amount = q.Lend(m.From, m.Want, now)
-	if k.config.Break.LoanDoubled {
+	if k.config.Faults.LoanCountedTwice {
 		q.ForgetLent()
 	}
 	return reply
 }
 
-// BorrowAnswered takes in a loan, or its refusal as nil.
-func (k *Kernel) BorrowAnswered(now time.Time, sent SendBorrow, reply *peer.BorrowReply) {
+// HandleBorrowReply takes in a loan, or its refusal as nil.
+func (k *Kernel) HandleBorrowReply(now time.Time, sent SendBorrow, reply *peer.BorrowReply) {
 	name := sent.Message.Resource
 	if sent.Message.Renew == 0 {
 		k.borrowing[name] = now.Add(borrowEvery)
@@ -109,12 +109,12 @@
 	}
 	k.clock.Hear(reply.Stamp)
 	if sent.Message.Renew != 0 {
-		q.Renewed(sent.To.Name, reply.Loan, reply.Amount, sent.Asked)
+		q.Renewed(sent.To.Name, reply.Loan, reply.Amount, sent.SentAt)
 		return
 	}
 	if reply.Amount <= 0 {
 		return
 	}
-	q.Borrow(sent.To.Name, reply.Loan, reply.Amount, sent.Asked, now)
-	k.log(now, Event{Kind: EventLoan, Target: string(name), Detail: strconv.Itoa(reply.Amount) + " from " + sent.To.Name})
+	q.Borrow(sent.To.Name, reply.Loan, reply.Amount, sent.SentAt, now)
+	k.log(now, Event{Kind: EventBorrowed, Target: string(name), Detail: strconv.Itoa(reply.Amount) + " from " + sent.To.Name})
 }
--- a/internal/kernel/core/bundle.go
+++ b/internal/kernel/core/bundle.go
@@ -15,11 +15,11 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/region"
 )
 
-// HearBundle takes in a bundle from whatever source: platform, peer or
+// ApplyBundle takes in a bundle from whatever source: platform, peer or
 // operator. Versions only go up, so that a stale read, a slow peer or a
 // platform restored to an older value cannot bring an old one back; and each
 // proxy checks both signatures itself, so that no source has to be trusted.
-func (k *Kernel) HearBundle(now time.Time, data []byte) {
+func (k *Kernel) ApplyBundle(now time.Time, data []byte) {
 	e, err := operator.ParseEnvelope(data)
 	if err != nil {
 		k.reject(now, 0, err)
@@ -30,7 +30,7 @@
 		k.reject(now, 0, err)
 		return
 	}
-	if b.Version <= k.BundleVersion() && !k.config.Break.BundleRevert {
+	if b.Version <= k.BundleVersion() && !k.config.Faults.BundleRollback {
 		return
 	}
 	planner, ok := region.FindPlanner(b.Shift.Planner)
--- a/internal/kernel/core/gossip.go
+++ b/internal/kernel/core/gossip.go
@@ -119,8 +119,8 @@
 	return m
 }
 
-// HearExchange answers a peer's message with whatever it lacks.
-func (k *Kernel) HearExchange(now time.Time, m peer.Exchange) peer.Exchange {
+// HandleExchange answers a peer's message with whatever it lacks.
+func (k *Kernel) HandleExchange(now time.Time, m peer.Exchange) peer.Exchange {
 	k.learn(now, m)
 	if k.behind(m.Versions) {
 		k.urgent[m.From] = true
@@ -163,21 +163,21 @@
 	return v.Bundle > own.Bundle || v.Assignment > own.Assignment || v.Machines > own.Machines
 }
 
-// HearReply takes in the answer to an exchange asked for at the given time. Documents come before the
+// HandleExchangeReply takes in the answer to an exchange asked for at the given time. Documents come before the
 // fence is lifted, so a thawed proxy learns first that its slot is gone.
-func (k *Kernel) HearReply(now, asked time.Time, m peer.Exchange) {
+func (k *Kernel) HandleExchangeReply(now, asked time.Time, m peer.Exchange) {
 	k.members.Answered(m.From)
 	if len(m.Machines) > 0 {
 		if list, err := kv.ParseMachines(m.Machines); err == nil {
-			k.HearMachines(now, list)
+			k.ApplyMachines(now, list)
 		}
 	}
 	if len(m.Bundle) > 0 {
-		k.HearBundle(now, m.Bundle)
+		k.ApplyBundle(now, m.Bundle)
 	}
 	if len(m.Assignment) > 0 {
 		if a, err := kv.ParseAssignment(m.Assignment); err == nil {
-			k.HearAssignment(now, a)
+			k.ApplyAssignment(now, a)
 		}
 	}
 	k.learn(now, m)
@@ -185,8 +185,8 @@
 	k.heardAnyone(now, asked)
 }
 
-// ExchangeLost notes that a peer did not answer.
-func (k *Kernel) ExchangeLost(now time.Time, name string) {
+// HandleExchangeFailure notes that a peer did not answer.
+func (k *Kernel) HandleExchangeFailure(now time.Time, name string) {
 	if k.members.Failed(name, now) {
 		k.log(now, Event{Kind: EventMember, Target: name, Detail: peer.Suspect.String()})
 		k.spreadNews(now)
@@ -209,8 +209,8 @@
 	}
 }
 
-// HearMachines takes in a version of the platform's list of VMs.
-func (k *Kernel) HearMachines(now time.Time, list *kv.Machines) {
+// ApplyMachines takes in a version of the platform's list of VMs.
+func (k *Kernel) ApplyMachines(now time.Time, list *kv.Machines) {
 	if k.machines != nil && list.Version <= k.machines.Version {
 		return
 	}
@@ -218,8 +218,8 @@
 	k.spreadNews(now)
 }
 
-// HearHandover takes over a stopping minter's records.
-func (k *Kernel) HearHandover(now time.Time, from string, stamp peer.Stamp, records []caller.Handover) {
+// HandleHandover takes over a stopping minter's records.
+func (k *Kernel) HandleHandover(now time.Time, from string, stamp peer.Stamp, records []caller.Handover) {
 	k.clock.Hear(stamp)
 	for _, h := range records {
 		k.records.Inherit(h)
@@ -227,8 +227,8 @@
 	}
 }
 
-// ForwardHeard notes the stamp of a forwarded request.
-func (k *Kernel) ForwardHeard(s peer.Stamp) { k.clock.Hear(s) }
+// ObserveStamp notes the stamp of a forwarded request.
+func (k *Kernel) ObserveStamp(s peer.Stamp) { k.clock.Hear(s) }
 
 // Stamp issues a stamp for an outgoing message.
 func (k *Kernel) Stamp(now time.Time) peer.Stamp { return k.clock.Now(now) }
--- a/internal/kernel/core/kernel.go
+++ b/internal/kernel/core/kernel.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// TickEvery is how often a driver calls Tick.
-	TickEvery = 50 * time.Millisecond
+	// TickInterval is how often a driver calls Tick.
+	TickInterval = 50 * time.Millisecond
 	// ClockTolerance is how far a driver's clock may lag before it catches up.
 	// A smaller jump must not happen: it would age the admissions of the last
 	// window, and only a jump that counts as a freeze fences the quota.
@@ -46,33 +46,33 @@
 		// Seeds are peer addresses to ask while no member is known.
 		Seeds       []netip.AddrPort
 		MaxInFlight int
-		// Observe sees every event; nil for none.
-		Observe func(Event)
-		// Break takes guards out, for tests that show what they are for.
-		Break Breakage
+		// OnEvent sees every event; nil for none.
+		OnEvent func(Event)
+		// Faults takes guards out, for tests that show what they are for.
+		Faults InjectedFaults
 	}
 
-	// Breakage names guards that a test takes out to show that the
+	// InjectedFaults names guards that a test takes out to show that the
 	// invariant they protect is watched.
-	Breakage struct {
-		TokenReuse    bool
-		LoanDoubled   bool
-		ShiftUncapped bool
-		BundleRevert  bool
-		LeavingServes bool
-		FenceOff      bool
-		QuotaOff      bool
+	InjectedFaults struct {
+		TokenReuse        bool
+		LoanCountedTwice  bool
+		ShiftUncapped     bool
+		BundleRollback    bool
+		LeavingServerUsed bool
+		FenceDisabled     bool
+		QuotaDisabled     bool
 	}
 
-	// Access runs a function with a kernel, one at a time.
-	Access func(func(k *Kernel, now time.Time))
+	// Executor runs a function with a kernel, one at a time.
+	Executor func(func(k *Kernel, now time.Time))
 
 	// Kernel is one proxy's state and decisions.
 	Kernel struct {
 		config  Config
 		random  *rand.Rand
 		clock   peer.Clock
-		events  *Ring[Event]
+		events  *RingBuffer[Event]
 		members *peer.Members
 		records *caller.Records
 
@@ -136,7 +136,7 @@
 		servers  []*backend.Server
 		byRegion [][]*backend.Server
 		picker   *backend.Picker
-		budget   backend.Budget
+		budget   backend.RetryBudget
 	}
 
 	linkKey struct {
@@ -169,7 +169,7 @@
 	k := &Kernel{
 		config:    c,
 		random:    rand.New(rand.NewChaCha8(c.Seed)),
-		events:    NewRing[Event](eventRing),
+		events:    NewRingBuffer[Event](eventRing),
 		members:   peer.NewMembers(c.Self, now),
 		records:   caller.NewRecords(c.Self.Minter(), c.TokenKey),
 		started:   now,
@@ -248,7 +248,7 @@
 // The fence lifts when a peer or the platform has been heard after the pause,
 // for their news of the assignment comes first.
 func (k *Kernel) noticeFreeze(now time.Time) {
-	if now.Sub(k.lastTick) < freezeGap || k.fenced || k.config.Break.FenceOff {
+	if now.Sub(k.lastTick) < freezeGap || k.fenced || k.config.Faults.FenceDisabled {
 		return
 	}
 	k.fenced = true
@@ -271,7 +271,7 @@
 // mayUseQuota is false while fenced, and also between a pause and the first
 // tick after it, when a request may come before the tick.
 func (k *Kernel) mayUseQuota(now time.Time) bool {
-	return !k.fenced && now.Sub(k.lastTick) < freezeGap || k.config.Break.FenceOff
+	return !k.fenced && now.Sub(k.lastTick) < freezeGap || k.config.Faults.FenceDisabled
 }
 
 // Self is the own member record.
--- a/internal/kernel/core/lookup.go
+++ b/internal/kernel/core/lookup.go
@@ -20,10 +20,10 @@
 	// LookupAnswer ranks the proxies that a caller may use. It may be cached
 	// for Lifetime.
 	LookupAnswer struct {
-		Service  string
-		Home     string
-		Proxies  []peer.Member
-		Lifetime time.Duration
+		Service    string
+		HomeRegion string
+		Proxies    []peer.Member
+		TTL        time.Duration
 	}
 )
 
@@ -41,15 +41,15 @@
 	}
 	home := k.home(client)
 	answer := LookupAnswer{
-		Service:  service,
-		Home:     k.regions[home].Name,
-		Lifetime: k.bundle.Lookup.Lifetime.Std(),
+		Service:    service,
+		HomeRegion: k.regions[home].Name,
+		TTL:        k.bundle.Lookup.Lifetime.Std(),
 	}
 	key := xxhash.Sum64(client.AsSlice())
 	candidates := k.candidates(now)
-	answer.Proxies = nearest(nil, candidates[answer.Home], key, k.bundle.Lookup.Answers)
+	answer.Proxies = nearest(nil, candidates[answer.HomeRegion], key, k.bundle.Lookup.Answers)
 	for _, r := range k.regions {
-		if r.Name != answer.Home && len(answer.Proxies) < k.bundle.Lookup.Answers {
+		if r.Name != answer.HomeRegion && len(answer.Proxies) < k.bundle.Lookup.Answers {
 			answer.Proxies = nearest(answer.Proxies, candidates[r.Name], key, k.bundle.Lookup.Answers)
 		}
 	}
@@ -105,8 +105,8 @@
 	return x ^ x>>31
 }
 
-// Explain tells an operator what a client's answers and dispatches go by.
-func (k *Kernel) Explain(client netip.Addr) []string {
+// ExplainRouting tells an operator what a client's answers and dispatches go by.
+func (k *Kernel) ExplainRouting(client netip.Addr) []string {
 	if k.bundle == nil {
 		return nil
 	}
--- a/internal/kernel/core/quarantine.go
+++ b/internal/kernel/core/quarantine.go
@@ -49,21 +49,21 @@
 	q := k.quarantine
 	q.Stopped(f.work)
 	switch e.Result {
-	case backend.Answered, backend.Refused:
+	case backend.Answered, backend.Rejected:
 		q.Answered(k.starts[f.server.Name], f.sent)
 		if e.Answer != nil && e.Answer.Status < http.StatusBadRequest {
 			// A server that fails or rejects a request may not have come to what
 			// ends it.
 			q.RanWell(now, f.work)
 		}
-	case backend.Broken:
+	case backend.Interrupted:
 		f.breaks++
 		if !f.server.Leaving() {
 			// A server that leaves as planned may cut what it still has.
 			q.Broke(now, f.work, k.startOf(now, f.server.Name))
 		}
 	case backend.Unreachable:
-		if e.Refusing {
+		if e.ConnectionRefused {
 			k.serverEnded(now, f.server.Name)
 		}
 	}
@@ -125,5 +125,5 @@
 	if n.Change == quarantine.ChangeEnded {
 		detail = strconv.Itoa(len(n.Works)) + " works there"
 	}
-	k.log(k.lastTick, Event{Kind: Kind(n.Change), Detail: detail})
+	k.log(k.lastTick, Event{Kind: EventKind(n.Change), Detail: detail})
 }
--- a/internal/kernel/core/relay.go
+++ b/internal/kernel/core/relay.go
@@ -13,9 +13,9 @@
 	relaysPerDomain = 2
 )
 
-// Relay reports whether this proxy watches the platform for its failure
+// IsRelay reports whether this proxy watches the platform for its failure
 // domain: the highest rendezvous hashes among the live members there.
-func (k *Kernel) Relay() bool {
+func (k *Kernel) IsRelay() bool {
 	var names []string
 	for _, m := range k.members.Serving() {
 		if m.Domain == k.config.Self.Domain {
--- a/internal/kernel/core/request.go
+++ b/internal/kernel/core/request.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// AnswerGrace is how long after its deadline a non-idempotent request's
+	// AnswerGracePeriod is how long after its deadline a non-idempotent request's
 	// answer is still waited for, so that a repeat can be told the outcome.
-	AnswerGrace = 5 * time.Second
+	AnswerGracePeriod = 5 * time.Second
 	// youngFor after its start a proxy may not have heard of every minter, so
 	// it does not call one gone that it does not know.
 	youngFor = 10 * time.Second
@@ -42,8 +42,8 @@
 	}
 )
 
-// Begin decides the first step of a caller's request.
-func (k *Kernel) Begin(now time.Time, r Request) Decision {
+// BeginRequest decides the first step of a caller's request.
+func (k *Kernel) BeginRequest(now time.Time, r Request) Decision {
 	if k.bundle == nil {
 		return k.refuse(now, r, caller.ReasonNoBundle, time.Second)
 	}
@@ -66,7 +66,7 @@
 		}
 	}
 	k.regions[f.home].demand.count++
-	s.budget.Earn(k.bundle.Retry.BudgetPermille)
+	s.budget.Deposit(k.bundle.Retry.BudgetPermille)
 	return k.dispatch(now, f, nil)
 }
 
@@ -88,9 +88,9 @@
 		return k.forward(now, r, t, f.deadline), true
 	}
 	claim, result := k.records.Use(t, r.Service, now)
-	reuse := k.config.Break.TokenReuse && result.Outcome != caller.NotRun
+	reuse := k.config.Faults.TokenReuse && result.Outcome != caller.NotRun
 	if claim == caller.Settled && !reuse {
-		d := Decision{Step: Finish, ID: t.ID(), Result: result}
+		d := Decision{Step: StepFinish, ID: t.ID(), Result: result}
 		k.log(now, Event{Kind: EventFinished, Service: r.Service, Request: d.ID, Outcome: result.Outcome, Reason: result.Reason, Detail: "kept"})
 		return d, true
 	}
@@ -115,7 +115,7 @@
 		return k.unknown(now, r, t, caller.ReasonMinterGone, 0)
 	}
 	k.log(now, Event{Kind: EventForwarded, Service: r.Service, Request: t.ID(), Target: heir.Name})
-	return Decision{Step: Forward, ID: t.ID(), Peer: heir, Deadline: deadline}
+	return Decision{Step: StepForward, ID: t.ID(), Peer: heir, Deadline: deadline}
 }
 
 // unlisted reports whether the platform's list is known and lacks a VM.
@@ -127,11 +127,11 @@
 func (k *Kernel) unknown(now time.Time, r Request, t *caller.Token, reason caller.Reason, after time.Duration) Decision {
 	result := caller.Result{Outcome: caller.Unknown, Reason: reason, RetryAfter: after}
 	k.log(now, Event{Kind: EventFinished, Service: r.Service, Request: t.ID(), Outcome: result.Outcome, Reason: reason})
-	return Decision{Step: Finish, ID: t.ID(), Result: result}
+	return Decision{Step: StepFinish, ID: t.ID(), Result: result}
 }
 
-// ForwardLost is the result when the minter did not answer a forward.
-func (k *Kernel) ForwardLost(now time.Time, service, id, minter string) caller.Result {
+// HandleForwardFailure is the result when the minter did not answer a forward.
+func (k *Kernel) HandleForwardFailure(now time.Time, service, id, minter string) caller.Result {
 	k.members.Failed(minter, now)
 	result := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonMinterSlow, RetryAfter: forwardRetry}
 	k.log(now, Event{Kind: EventFinished, Service: service, Request: id, Target: minter, Outcome: result.Outcome, Reason: result.Reason})
@@ -173,7 +173,7 @@
 		return k.turnAway(now, f, caller.ReasonNoServer, k.bundle.Shift.FailoverInterval.Std())
 	}
 	r := k.regions[at]
-	if !k.mayUseQuota(now) || !r.quota.Take(now) && !k.config.Break.QuotaOff {
+	if !k.mayUseQuota(now) || !r.quota.Take(now) && !k.config.Faults.QuotaDisabled {
 		r.refused.count++
 		return k.turnAway(now, f, caller.ReasonCapacity, k.comeBack(now, &r.quota))
 	}
@@ -197,7 +197,7 @@
 // has not moved yet. It spends from the retry budget, so the traffic that
 // jumps ahead of the paced failover stays within that share.
 func (k *Kernel) alternative(now time.Time, f flight, lost int) int {
-	if !f.service.budget.Spend() {
+	if !f.service.budget.TryWithdraw() {
 		return -1
 	}
 	best, room := -1, 0
@@ -234,7 +234,7 @@
 	k.log(now, Event{Kind: kind, Service: f.service.Name, Request: f.id, Target: server.Name})
 	handle := k.flights.Put(f)
 	return Decision{
-		Step:       Dispatch,
+		Step:       StepDispatch,
 		Attempt:    Attempt{flight: handle, serial: f.serial},
 		Server:     server,
 		Idempotent: f.idempotent,
@@ -259,9 +259,9 @@
 	return max(1, s.Connections/max(1, k.quotaSlots))
 }
 
-// End takes in how an attempt ended and decides the next step. An attempt
+// EndAttempt takes in how an attempt ended and decides the next step. An attempt
 // that was ended before gets a zero decision: late news changes nothing.
-func (k *Kernel) End(now time.Time, e AttemptEnd) Decision {
+func (k *Kernel) EndAttempt(now time.Time, e AttemptEnd) Decision {
 	entry := k.flights.Get(e.Attempt.flight)
 	if entry == nil || entry.serial != e.Attempt.serial {
 		return Decision{}
@@ -270,27 +270,27 @@
 	k.flights.Free(e.Attempt.flight)
 	k.inFlight--
 	k.learnEnd(now, &f, e)
-	wasOut := f.server.Out()
+	wasOut := f.server.Ejected()
 	if e.Report != nil {
-		f.server.Learn(*e.Report)
+		f.server.ApplyReport(*e.Report)
 		k.hearSignal(now, f.sent, f.server, *e.Report)
 	}
 	f.server.End(e.Result, now.Sub(f.sent), now)
-	if f.server.Out() && !wasOut {
-		k.log(now, Event{Kind: EventServerOut, Target: f.server.Name})
+	if f.server.Ejected() && !wasOut {
+		k.log(now, Event{Kind: EventServerEjected, Target: f.server.Name})
 	}
 	switch e.Result {
 	case backend.Answered:
 		return k.finish(now, f, caller.Result{Outcome: caller.Done, Answer: e.Answer})
-	case backend.Refused:
-		return k.again(now, f, e.Final, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonShed})
+	case backend.Rejected:
+		return k.again(now, f, e.NoRetry, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonShed})
 	case backend.Unreachable:
-		return k.again(now, f, e.Final, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonNoServer})
+		return k.again(now, f, e.NoRetry, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonNoServer})
 	case backend.Abandoned:
 		return k.finish(now, f, caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetry})
 	}
 	broken := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonBroken, RetryAfter: forwardRetry}
-	if !f.idempotent || e.Final {
+	if !f.idempotent || e.NoRetry {
 		// Bytes were sent and no whole answer came: it may have run. A second
 		// dispatch could run it twice, so there is none.
 		return k.finish(now, f, broken)
@@ -298,9 +298,9 @@
 	return k.again(now, f, false, broken)
 }
 
-// Overdue is what the caller is told at the deadline while the attempt still
-// runs. The attempt goes on for AnswerGrace where its outcome is worth keeping.
-func (k *Kernel) Overdue(now time.Time, a Attempt) caller.Result {
+// HandleDeadlineExceeded is what the caller is told at the deadline while the attempt still
+// runs. The attempt goes on for AnswerGracePeriod where its outcome is worth keeping.
+func (k *Kernel) HandleDeadlineExceeded(now time.Time, a Attempt) caller.Result {
 	result := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetry}
 	if f := k.flights.Get(a.flight); f != nil && f.serial == a.serial {
 		k.log(now, Event{Kind: EventOverdue, Service: f.service.Name, Request: f.id, Target: f.server.Name})
@@ -311,14 +311,14 @@
 // again tries another server if the request may be repeated in time and the
 // budget allows; otherwise the result stands.
 func (k *Kernel) again(now time.Time, f flight, final bool, result caller.Result) Decision {
-	if final || f.attempts >= k.bundle.Retry.Attempts || !now.Before(f.deadline) || !f.service.budget.Spend() {
+	if final || f.attempts >= k.bundle.Retry.Attempts || !now.Before(f.deadline) || !f.service.budget.TryWithdraw() {
 		if result.Outcome == caller.NotRun {
 			result.RetryAfter = k.jitter(time.Second)
 		}
 		return k.finish(now, f, result)
 	}
 	d := k.dispatch(now, f, f.server)
-	if d.Step == Finish && result.Outcome == caller.Unknown {
+	if d.Step == StepFinish && result.Outcome == caller.Unknown {
 		// The retry was not run, but the attempt before may have been.
 		d.Result.Outcome = caller.Unknown
 	}
@@ -330,12 +330,12 @@
 	if f.token != nil {
 		if result.Outcome == caller.NotRun {
 			k.records.Release(f.token.Nonce)
-		} else if err := k.records.Finish(f.token.Nonce, result); err != nil && !k.config.Break.TokenReuse {
+		} else if err := k.records.Finish(f.token.Nonce, result); err != nil && !k.config.Faults.TokenReuse {
 			k.broken(err.Error() + " " + f.id)
 		}
 	}
 	k.log(now, Event{Kind: EventFinished, Service: f.service.Name, Request: f.id, Target: f.server.Name, Outcome: result.Outcome, Reason: result.Reason})
-	return Decision{Step: Finish, ID: f.id, Idempotent: f.idempotent, Result: result}
+	return Decision{Step: StepFinish, ID: f.id, Idempotent: f.idempotent, Result: result}
 }
 
 // turnAway refuses an attempt before its dispatch. After a first attempt that
@@ -347,11 +347,11 @@
 	}
 	result := caller.Result{Outcome: caller.NotRun, Reason: reason, RetryAfter: k.jitter(after)}
 	k.log(now, Event{Kind: EventRefused, Service: f.service.Name, Request: f.id, Outcome: result.Outcome, Reason: result.Reason})
-	return Decision{Step: Finish, ID: f.id, Idempotent: f.idempotent, Result: result}
+	return Decision{Step: StepFinish, ID: f.id, Idempotent: f.idempotent, Result: result}
 }
 
 func (k *Kernel) refuse(now time.Time, r Request, reason caller.Reason, after time.Duration) Decision {
 	result := caller.Result{Outcome: caller.NotRun, Reason: reason, RetryAfter: after}
 	k.log(now, Event{Kind: EventRefused, Service: r.Service, Outcome: result.Outcome, Reason: result.Reason})
-	return Decision{Step: Finish, Result: result}
+	return Decision{Step: StepFinish, Result: result}
 }
--- a/internal/kernel/core/route.go
+++ b/internal/kernel/core/route.go
@@ -65,7 +65,7 @@
 	}
 	targets := k.planner.Target(k.planInput(now))
 	planned, failover := k.paces()
-	if k.config.Break.ShiftUncapped {
+	if k.config.Faults.ShiftUncapped {
 		planned.Cap = region.Full
 		failover.Cap = region.Full
 	}
@@ -132,7 +132,7 @@
 			continue
 		}
 		total++
-		if s.Out() {
+		if s.Ejected() {
 			out++
 		}
 	}
@@ -155,13 +155,13 @@
 // then one that leaves by its own word whether it still does.
 func (k *Kernel) probe(now time.Time, actions []Action) []Action {
 	for _, r := range k.regions {
-		suspicious := slices.ContainsFunc(r.servers, (*backend.Server).Out)
+		suspicious := slices.ContainsFunc(r.servers, (*backend.Server).Ejected)
 		for _, s := range r.servers {
 			every := leavingProbeEvery
-			if !s.LeavesByItsWord() {
+			if !s.ReportsLeaving() {
 				every = probeEvery
 			}
-			if !suspicious && !s.LeavesByItsWord() || !k.permits(now, s) || !s.ProbeDue(now, every) {
+			if !suspicious && !s.ReportsLeaving() || !k.permits(now, s) || !s.ProbeDue(now, every) {
 				continue
 			}
 			k.signalsOf(s).Sent(now)
@@ -171,9 +171,9 @@
 	return actions
 }
 
-// ProbeEnded takes in a probe's result.
-func (k *Kernel) ProbeEnded(now time.Time, name string, h backend.Health) {
-	if h.Refusing {
+// HandleProbeResult takes in a probe's result.
+func (k *Kernel) HandleProbeResult(now time.Time, name string, h backend.Health) {
+	if h.ConnectionRefused {
 		k.serverEnded(now, name)
 	}
 	for _, r := range k.regions {
@@ -182,11 +182,11 @@
 				continue
 			}
 			if h.Report != nil {
-				s.Learn(*h.Report)
+				s.ApplyReport(*h.Report)
 				// When it was asked is not known, so it lifts no limit.
 				k.signals.Heard(now, now, signalKey(s.Name), h.Report.Signal, false)
 			}
-			s.Probed(h, now)
+			s.ApplyProbe(h, now)
 		}
 	}
 }
@@ -196,7 +196,7 @@
 	for _, r := range k.regions {
 		for _, s := range r.servers {
 			was := s.Leaving()
-			s.SetDrained(k.bundle.Drained(operator.DrainServer, s.Name, now) && !k.config.Break.LeavingServes)
+			s.SetDrained(k.bundle.Drained(operator.DrainServer, s.Name, now) && !k.config.Faults.LeavingServerUsed)
 			state, listed := k.machines.State(s.Name)
 			s.SetListed(!listed || state == kv.MachineLive, now)
 			if !was && s.Leaving() {
--- a/internal/kernel/core/status.go
+++ b/internal/kernel/core/status.go
@@ -37,14 +37,14 @@
 
 	// ServerStatus is one backend server as one proxy sees it.
 	ServerStatus struct {
-		Name      string        `json:"name"`
-		Service   string        `json:"service"`
-		Region    string        `json:"region"`
-		InFlight  int           `json:"in-flight"`
-		Leaving   bool          `json:"leaving"`
-		Out       bool          `json:"out"`
-		Latency   time.Duration `json:"latency-ns"`
-		Connected int           `json:"connection-limit"`
+		Name            string        `json:"name"`
+		Service         string        `json:"service"`
+		Region          string        `json:"region"`
+		InFlight        int           `json:"in-flight"`
+		Leaving         bool          `json:"leaving"`
+		Ejected         bool          `json:"out"`
+		Latency         time.Duration `json:"latency-ns"`
+		ConnectionLimit int           `json:"connection-limit"`
 	}
 )
 
@@ -80,14 +80,14 @@
 		name := k.bundle.Services[i].Name
 		for _, server := range k.services[name].servers {
 			s.Servers = append(s.Servers, ServerStatus{
-				Name:      server.Name,
-				Service:   name,
-				Region:    server.Region,
-				InFlight:  server.InFlight(),
-				Leaving:   server.Leaving(),
-				Out:       server.Out(),
-				Latency:   server.Latency(),
-				Connected: k.connectionLimit(server),
+				Name:            server.Name,
+				Service:         name,
+				Region:          server.Region,
+				InFlight:        server.InFlight(),
+				Leaving:         server.Leaving(),
+				Ejected:         server.Ejected(),
+				Latency:         server.Latency(),
+				ConnectionLimit: k.connectionLimit(server),
 			})
 		}
 	}
--- a/internal/kernel/core/stop.go
+++ b/internal/kernel/core/stop.go
@@ -27,9 +27,9 @@
 	k.spreadNews(now)
 }
 
-// StopServing reports whether a stopping proxy may refuse new requests:
+// MayStopServing reports whether a stopping proxy may refuse new requests:
 // every cached answer that names it has run out.
-func (k *Kernel) StopServing(now time.Time) bool {
+func (k *Kernel) MayStopServing(now time.Time) bool {
 	if !k.stopping {
 		return false
 	}
@@ -63,8 +63,8 @@
 	return k.records.Export(), append(far, near...)
 }
 
-// HandedOver notes who holds the records now, and leaves the membership.
-func (k *Kernel) HandedOver(now time.Time, successor string) []Action {
+// FinishHandover notes who holds the records now, and leaves the membership.
+func (k *Kernel) FinishHandover(now time.Time, successor string) []Action {
 	k.members.UpdateSelf(now, func(m *peer.Member) {
 		m.State = peer.Gone
 		m.Successor = successor
--- a/internal/kernel/core/stop_test.go
+++ b/internal/kernel/core/stop_test.go
@@ -14,17 +14,17 @@
 	k.BeginStop(now)
 	next := *k.assignment
 	next.Version++
-	k.HearAssignment(now, &next)
-	now = now.Add(TickEvery)
+	k.ApplyAssignment(now, &next)
+	now = now.Add(TickInterval)
 	k.Tick(now)
-	if k.StopServing(now) {
-		t.Fatalf("got the end of serving after %s, want it later", TickEvery)
+	if k.MayStopServing(now) {
+		t.Fatalf("got the end of serving after %s, want it later", TickInterval)
 	}
-	d := k.Begin(now, Request{
+	d := k.BeginRequest(now, Request{
 		Service: "notice-board", Method: "GET", Path: "/", Client: netip.MustParseAddr("10.10.1.1"),
 		Deadline: now.Add(time.Second),
 	})
-	if got, want := d.Step, Dispatch; got != want {
+	if got, want := d.Step, StepDispatch; got != want {
 		t.Errorf("got step %d (%s), want a dispatch", got, d.Result.Reason)
 	}
 }
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	config.Observe = d.meters.event
+	config.OnEvent = d.meters.event
 	var backends *backendhttp.Client
 	d.driver = driver.New(config, driver.Seams{
 		Exchange: d.peers.Exchange,
@@ -124,7 +124,7 @@
 
 func (d *Daemon) storeAssignment(ctx context.Context, a core.StoreAssignment) {
 	driver.StoreAssignment(ctx, d.platform.Store(), a, func(stored *kv.Assignment) {
-		d.driver.Do(func(k *core.Kernel, now time.Time) { k.HearAssignment(now, stored) })
+		d.driver.Do(func(k *core.Kernel, now time.Time) { k.ApplyAssignment(now, stored) })
 	})
 }
 
@@ -198,17 +198,17 @@
 func (d *Daemon) handlers() peerdrpc.Handlers {
 	return peerdrpc.Handlers{
 		Exchange: func(m peer.Exchange) (reply peer.Exchange) {
-			d.driver.Do(func(k *core.Kernel, now time.Time) { reply = k.HearExchange(now, m) })
+			d.driver.Do(func(k *core.Kernel, now time.Time) { reply = k.HandleExchange(now, m) })
 			return reply
 		},
 		Borrow: func(m peer.BorrowRequest) (reply peer.BorrowReply) {
-			d.driver.Do(func(k *core.Kernel, now time.Time) { reply = k.HearBorrow(now, m) })
+			d.driver.Do(func(k *core.Kernel, now time.Time) { reply = k.HandleBorrow(now, m) })
 			return reply
 		},
 		Forward: d.runner.HandleForward,
 		Handover: func(m peer.HandoverRequest) (stamp peer.Stamp) {
 			d.driver.Do(func(k *core.Kernel, now time.Time) {
-				k.HearHandover(now, m.From, m.Stamp, m.Records)
+				k.HandleHandover(now, m.From, m.Stamp, m.Records)
 				stamp = k.Stamp(now)
 			})
 			return stamp
--- a/internal/proxy/daemon/meters.go
+++ b/internal/proxy/daemon/meters.go
@@ -19,7 +19,7 @@
 		set      *metrics.Set
 		sent     *metrics.Counter
 		received *metrics.Counter
-		events   map[core.Kind]*metrics.Counter
+		events   map[core.EventKind]*metrics.Counter
 	}
 )
 
@@ -29,7 +29,7 @@
 		set:      set,
 		sent:     set.NewCounter("gypsumquay_peer_sent_bytes_total"),
 		received: set.NewCounter("gypsumquay_peer_received_bytes_total"),
-		events:   make(map[core.Kind]*metrics.Counter),
+		events:   make(map[core.EventKind]*metrics.Counter),
 	}
 }
 
--- a/internal/proxy/daemon/stop.go
+++ b/internal/proxy/daemon/stop.go
@@ -25,7 +25,7 @@
 func (d *Daemon) stop(ctx context.Context) {
 	klog.InfoS("planned stop begun")
 	d.driver.Do(func(k *core.Kernel, now time.Time) { k.BeginStop(now) })
-	d.until(func(k *core.Kernel, now time.Time) bool { return k.StopServing(now) })
+	d.until(func(k *core.Kernel, now time.Time) bool { return k.MayStopServing(now) })
 	// Shutdown refuses new connections and ends idle ones; requests that are
 	// in flight finish.
 	if err := d.callers.Shutdown(ctx); err != nil {
@@ -65,7 +65,7 @@
 			continue
 		}
 		var actions []core.Action
-		d.driver.Do(func(k *core.Kernel, now time.Time) { actions = k.HandedOver(now, heir.Name) })
+		d.driver.Do(func(k *core.Kernel, now time.Time) { actions = k.FinishHandover(now, heir.Name) })
 		d.driver.Perform(ctx, actions)
 		klog.InfoS("records handed over", "peer", heir.Name, "minters", len(records))
 		return
@@ -82,6 +82,6 @@
 		if next == nil {
 			return
 		}
-		d.storeAssignment(ctx, core.StoreAssignment{Expect: next.Version - 1, Value: next})
+		d.storeAssignment(ctx, core.StoreAssignment{ExpectedVersion: next.Version - 1, Value: next})
 	}
 }
--- a/internal/proxy/driver/driver.go
+++ b/internal/proxy/driver/driver.go
@@ -75,7 +75,7 @@
 
 // Run ticks until the context ends, then waits for actions under way.
 func (d *Driver) Run(ctx context.Context) {
-	ticker := time.NewTicker(core.TickEvery)
+	ticker := time.NewTicker(core.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -113,10 +113,10 @@
 		if err != nil {
 			answer = nil
 		}
-		d.Do(func(k *core.Kernel, now time.Time) { k.BorrowAnswered(now, a, answer) })
+		d.Do(func(k *core.Kernel, now time.Time) { k.HandleBorrowReply(now, a, answer) })
 	case core.SendProbe:
 		health := d.seams.Probe(ctx, a.Address)
-		d.Do(func(k *core.Kernel, now time.Time) { k.ProbeEnded(now, a.Server, health) })
+		d.Do(func(k *core.Kernel, now time.Time) { k.HandleProbeResult(now, a.Server, health) })
 	case core.StoreAssignment:
 		d.seams.Store(ctx, a)
 	}
@@ -127,8 +127,8 @@
 	reply, err := d.seams.Exchange(ctx, a.To, a.Message)
 	if err != nil {
 		klog.V(1).InfoS("peer did not answer", "peer", a.To.Name, "address", a.To.PeerAddress, "error", err.Error())
-		d.Do(func(k *core.Kernel, now time.Time) { k.ExchangeLost(now, a.To.Name) })
+		d.Do(func(k *core.Kernel, now time.Time) { k.HandleExchangeFailure(now, a.To.Name) })
 		return
 	}
-	d.Do(func(k *core.Kernel, now time.Time) { k.HearReply(now, asked, reply) })
+	d.Do(func(k *core.Kernel, now time.Time) { k.HandleExchangeReply(now, asked, reply) })
 }
--- a/internal/proxy/driver/platform.go
+++ b/internal/proxy/driver/platform.go
@@ -74,7 +74,7 @@
 
 func (w *Watcher) relay() bool {
 	relay := false
-	w.driver.Do(func(k *core.Kernel, _ time.Time) { relay = k.Relay() })
+	w.driver.Do(func(k *core.Kernel, _ time.Time) { relay = k.IsRelay() })
 	return relay
 }
 
@@ -110,7 +110,7 @@
 	var repair []byte
 	w.driver.Do(func(k *core.Kernel, now time.Time) {
 		if len(data) > 0 {
-			k.HearBundle(now, data)
+			k.ApplyBundle(now, data)
 		}
 		repair = k.RepairBundle(data)
 	})
@@ -122,9 +122,9 @@
 	w.driver.Do(func(k *core.Kernel, now time.Time) {
 		a, err := kv.ParseAssignment(data)
 		if err == nil {
-			k.HearAssignment(now, a)
+			k.ApplyAssignment(now, a)
 		}
-		k.HeardPlatform(now, asked)
+		k.HandlePlatformReply(now, asked)
 		repair = k.RepairAssignment(a)
 	})
 	return repair
@@ -138,7 +138,7 @@
 			return err
 		}
 		after = list.Version
-		w.driver.Do(func(k *core.Kernel, now time.Time) { k.HearMachines(now, list) })
+		w.driver.Do(func(k *core.Kernel, now time.Time) { k.ApplyMachines(now, list) })
 		return nil
 	}
 }
@@ -151,11 +151,11 @@
 		return
 	}
 	if stored, err := kv.ParseAssignment(value.Data); err == nil {
-		if stored.Version != a.Expect {
+		if stored.Version != a.ExpectedVersion {
 			hear(stored)
 			return
 		}
-	} else if a.Expect != 0 {
+	} else if a.ExpectedVersion != 0 {
 		return
 	}
 	if _, err := s.Swap(ctx, kv.KeyAssignment, value.Revision, a.Value.Encode()); err == nil {
--- a/internal/proxy/forward/journal.go
+++ b/internal/proxy/forward/journal.go
@@ -44,7 +44,7 @@
 		meters *meters
 
 		mu     sync.Mutex
-		ring   *core.Ring[steeringhttp.Event]
+		ring   *core.RingBuffer[steeringhttp.Event]
 		served uint64
 		second time.Time
 		full   int
@@ -65,7 +65,7 @@
 )
 
 func newJournal(vm string, now func() time.Time, m *meters) *journal {
-	return &journal{vm: vm, now: now, meters: m, ring: core.NewRing[steeringhttp.Event](recordsKept), leftOut: make(map[string]int), toldAt: now()}
+	return &journal{vm: vm, now: now, meters: m, ring: core.NewRingBuffer[steeringhttp.Event](recordsKept), leftOut: make(map[string]int), toldAt: now()}
 }
 
 // event takes in what the kernel tells.
@@ -180,7 +180,7 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.ring.Put(steeringhttp.EventOf(j.vm, e))
+	j.ring.Add(steeringhttp.EventOf(j.vm, e))
 }
 
 // events lists what is kept, of one request or all.
--- a/internal/proxy/runner/runner.go
+++ b/internal/proxy/runner/runner.go
@@ -22,7 +22,7 @@
 	// Runner serves requests.
 	Runner struct {
 		Name    string
-		Kernel  core.Access
+		Kernel  core.Executor
 		Send    func(context.Context, backendhttp.Request) backendhttp.Response
 		Forward func(context.Context, peer.Member, peer.ForwardRequest) (peer.ForwardReply, error)
 		late    sync.WaitGroup
@@ -37,12 +37,12 @@
 // Run serves one request to its final result.
 func (r *Runner) Run(ctx context.Context, q callerhttp.Request) callerhttp.Reply {
 	var d core.Decision
-	r.Kernel(func(k *core.Kernel, now time.Time) { d = k.Begin(now, q.Request) })
+	r.Kernel(func(k *core.Kernel, now time.Time) { d = k.BeginRequest(now, q.Request) })
 	for {
 		switch d.Step {
-		case core.Finish:
+		case core.StepFinish:
 			return callerhttp.Reply{Result: d.Result, ID: d.ID, NewToken: d.NewToken}
-		case core.Forward:
+		case core.StepForward:
 			return r.forward(ctx, q, d)
 		}
 		a, ended := r.attempt(ctx, q, d)
@@ -69,7 +69,7 @@
 	done := make(chan attempt, 1)
 	gone := make(chan struct{})
 	r.late.Go(func() {
-		a := attempt{decision: d, response: r.send(context.WithoutCancel(ctx), q, d, d.Deadline.Add(core.AnswerGrace))}
+		a := attempt{decision: d, response: r.send(context.WithoutCancel(ctx), q, d, d.Deadline.Add(core.AnswerGracePeriod))}
 		select {
 		case done <- a:
 		default:
@@ -130,14 +130,14 @@
 func (r *Runner) end(a attempt, final bool) core.Decision {
 	var next core.Decision
 	r.Kernel(func(k *core.Kernel, now time.Time) {
-		next = k.End(now, core.AttemptEnd{
+		next = k.EndAttempt(now, core.AttemptEnd{
 			Attempt: a.decision.Attempt,
 			Result:  a.response.Result,
 			Answer:  a.response.Answer,
 			Report:  a.response.Report,
-			Final:   final,
+			NoRetry: final,
 
-			Refusing: a.response.Refusing,
+			ConnectionRefused: a.response.Refusing,
 		})
 	})
 	return next
@@ -145,7 +145,7 @@
 
 func (r *Runner) overdue(d core.Decision) callerhttp.Reply {
 	reply := callerhttp.Reply{ID: d.ID}
-	r.Kernel(func(k *core.Kernel, now time.Time) { reply.Result = k.Overdue(now, d.Attempt) })
+	r.Kernel(func(k *core.Kernel, now time.Time) { reply.Result = k.HandleDeadlineExceeded(now, d.Attempt) })
 	return reply
 }
 
@@ -159,7 +159,7 @@
 			_, err = io.Copy(w, a.response.Rest)
 		}
 		if err != nil {
-			a.response.Result = backend.Broken
+			a.response.Result = backend.Interrupted
 		}
 		a.response.Answer.NotKept = true
 		r.end(a, true)
@@ -184,19 +184,19 @@
 	r.Kernel(func(k *core.Kernel, now time.Time) { message.Stamp = k.Stamp(now) })
 	answer, err := r.Forward(ctx, d.Peer, message)
 	if err == nil {
-		r.Kernel(func(k *core.Kernel, _ time.Time) { k.ForwardHeard(answer.Stamp) })
+		r.Kernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(answer.Stamp) })
 		return callerhttp.Reply{Result: answer.Result, ID: d.ID}
 	}
 	reply := callerhttp.Reply{ID: d.ID}
 	r.Kernel(func(k *core.Kernel, now time.Time) {
-		reply.Result = k.ForwardLost(now, q.Service, d.ID, d.Peer.Name)
+		reply.Result = k.HandleForwardFailure(now, q.Service, d.ID, d.Peer.Name)
 	})
 	return reply
 }
 
 // HandleForward serves a request that a peer handed on.
 func (r *Runner) HandleForward(ctx context.Context, f peer.ForwardRequest) peer.ForwardReply {
-	r.Kernel(func(k *core.Kernel, _ time.Time) { k.ForwardHeard(f.Stamp) })
+	r.Kernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(f.Stamp) })
 	client, _ := netip.ParseAddr(f.Client)
 	reply := r.Run(ctx, callerhttp.Request{
 		Request: core.Request{
