--- a/internal/kernel/backend/balancer.go
+++ b/internal/kernel/backend/balancer.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// reportHorizon is the age at which a load report says nothing any more.
-	reportHorizon = 300 * time.Millisecond
+	// maxReportAge is the age at which a load report says nothing any more.
+	maxReportAge = 300 * time.Millisecond
 )
 
 var (
@@ -27,10 +27,10 @@
 
 	// Picker is one proxy's own state of choosing.
 	Picker struct {
-		balancer Balancer
-		random   *rand.Rand
-		turn     int
-		scratch  []*Server
+		balancer  Balancer
+		random    *rand.Rand
+		nextIndex int
+		usable    []*Server
 	}
 )
 
@@ -62,18 +62,18 @@
 // Pick chooses a server that is usable, is not in avoid and has a connection
 // to spare under limit, or returns nil. It allocates nothing once warm.
 func (p *Picker) Pick(now time.Time, servers []*Server, avoid *Server, limit func(*Server) int) *Server {
-	p.scratch = p.scratch[:0]
+	p.usable = p.usable[:0]
 	for _, s := range servers {
 		if s == avoid || !s.Usable(now) || s.inFlight >= limit(s) {
 			continue
 		}
-		p.scratch = append(p.scratch, s)
+		p.usable = append(p.usable, s)
 	}
-	switch len(p.scratch) {
+	switch len(p.usable) {
 	case 0:
 		return nil
 	case 1:
-		return p.scratch[0]
+		return p.usable[0]
 	}
-	return p.scratch[p.balancer.Pick(p, now, p.scratch)]
+	return p.usable[p.balancer.Pick(p, now, p.usable)]
 }
--- a/internal/kernel/backend/balancers.go
+++ b/internal/kernel/backend/balancers.go
@@ -39,13 +39,13 @@
 }
 
 func pickRoundRobin(p *Picker, _ time.Time, candidates []*Server) int {
-	p.turn++
-	return p.turn % len(candidates)
+	p.nextIndex++
+	return p.nextIndex % len(candidates)
 }
 
-// pickLeast finds the lowest score, starting at a random place so that ties
+// pickLowestScore finds the lowest score, starting at a random place so that ties
 // do not send every proxy to the first server of the list.
-func pickLeast(p *Picker, candidates []*Server, score func(*Server) float64) int {
+func pickLowestScore(p *Picker, candidates []*Server, score func(*Server) float64) int {
 	offset := p.random.IntN(len(candidates))
 	best := offset
 	lowest := score(candidates[offset])
@@ -60,7 +60,7 @@
 }
 
 func pickLeastInFlight(p *Picker, _ time.Time, candidates []*Server) int {
-	return pickLeast(p, candidates, func(s *Server) float64 { return float64(s.inFlight) })
+	return pickLowestScore(p, candidates, func(s *Server) float64 { return float64(s.inFlight) })
 }
 
 // pickSpareSlots goes by what this proxy knows for certain. Load reports would
@@ -68,13 +68,13 @@
 // proxies would avoid the same server by them at once: in the benchmark that
 // costs more than not knowing (docs/design/balancer.md).
 func pickSpareSlots(p *Picker, now time.Time, candidates []*Server) int {
-	return pickLeast(p, candidates, func(s *Server) float64 {
-		return (float64(s.inFlight) + 1) / s.capacity(now)
+	return pickLowestScore(p, candidates, func(s *Server) float64 {
+		return (float64(s.inFlight) + 1) / s.effectiveSlots(now)
 	})
 }
 
 func pickAgedLoad(p *Picker, now time.Time, candidates []*Server) int {
-	return pickLeast(p, candidates, func(s *Server) float64 { return s.score(now) })
+	return pickLowestScore(p, candidates, func(s *Server) float64 { return s.expectedOccupancy(now) })
 }
 
 func pickTwoChoices(p *Picker, now time.Time, candidates []*Server) int {
@@ -83,13 +83,13 @@
 	if b >= a {
 		b++
 	}
-	if candidates[b].score(now) < candidates[a].score(now) {
+	if candidates[b].expectedOccupancy(now) < candidates[a].expectedOccupancy(now) {
 		return b
 	}
 	return a
 }
 
-// score is the expected occupancy of the server's slots with one more request.
-func (s *Server) score(now time.Time) float64 {
-	return (s.load(now, reportHorizon) + 1) / s.capacity(now)
+// expectedOccupancy is the expected occupancy of the server's slots with one more request.
+func (s *Server) expectedOccupancy(now time.Time) float64 {
+	return (s.estimatedLoad(now, maxReportAge) + 1) / s.effectiveSlots(now)
 }
--- a/internal/kernel/backend/budget.go
+++ b/internal/kernel/backend/budget.go
@@ -1,10 +1,10 @@
 package backend
 
 const (
-	// budgetDepth bounds saved-up retries, so that a quiet hour does not
+	// maxSavedRetries bounds saved-up retries, so that a quiet hour does not
 	// license a storm.
-	budgetDepth = 10
-	permille    = 1000
+	maxSavedRetries = 10
+	permille        = 1000
 )
 
 type (
@@ -12,20 +12,20 @@
 	// fraction of a retry; a failing region thus sees at most that share more
 	// load, never a multiple.
 	RetryBudget struct {
-		earned int
+		balance int
 	}
 )
 
 // Deposit credits one first attempt at the given rate in thousandths.
 func (b *RetryBudget) Deposit(rate int) {
-	b.earned = min(b.earned+rate, budgetDepth*permille)
+	b.balance = min(b.balance+rate, maxSavedRetries*permille)
 }
 
 // TryWithdraw takes one retry, or reports false.
 func (b *RetryBudget) TryWithdraw() bool {
-	if b.earned < permille {
+	if b.balance < permille {
 		return false
 	}
-	b.earned -= permille
+	b.balance -= permille
 	return true
 }
--- a/internal/kernel/backend/server.go
+++ b/internal/kernel/backend/server.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// ejectAfter consecutive failures take a server out for a while.
-	ejectAfter = 3
-	ejectBase  = 500 * time.Millisecond
-	ejectMost  = 10 * time.Second
-	// shedPause is how long a server that shed is passed over, if others can
+	// ejectionThreshold consecutive failures take a server out for a while.
+	ejectionThreshold = 3
+	baseEjectionTime  = 500 * time.Millisecond
+	maxEjectionTime   = 10 * time.Second
+	// shedBackoff is how long a server that shed is passed over, if others can
 	// take the request. Short: it refuses because its slots are full now.
-	shedPause = 25 * time.Millisecond
-	// warmFloor is the share of its slots that a cold server starts with.
-	warmFloor = 0.1
-	// latencyWeight is the weight of one sample in the moving average.
-	latencyWeight = 0.1
+	shedBackoff = 25 * time.Millisecond
+	// minWarmShare is the share of its slots that a cold server starts with.
+	minWarmShare = 0.1
+	// latencySampleWeight is the weight of one sample in the moving average.
+	latencySampleWeight = 0.1
 )
 
 const (
@@ -69,19 +69,19 @@
 		Slots       int
 		Connections int
 
-		inFlight   int
-		others     float64
-		reportedAt time.Time
-		latency    time.Duration
-		failures   int
-		ejected    int
-		outUntil   time.Time
-		leaves     bool
-		drained    bool
-		listed     bool
-		warmFrom   time.Time
-		slowStart  time.Duration
-		probeAt    time.Time
+		inFlight       int
+		otherLoad      float64
+		reportedAt     time.Time
+		latency        time.Duration
+		failures       int
+		ejections      int
+		unusableUntil  time.Time
+		reportsLeaving bool
+		drained        bool
+		listed         bool
+		warmupStart    time.Time
+		slowStart      time.Duration
+		nextProbe      time.Time
 	}
 )
 
@@ -112,7 +112,7 @@
 // that comes back begins cold.
 func (s *Server) SetListed(listed bool, now time.Time) {
 	if listed && !s.listed {
-		s.warmFrom = now
+		s.warmupStart = now
 	}
 	s.listed = listed
 }
@@ -120,16 +120,16 @@
 // Leaving reports whether the server must get no new work: a drain planned by
 // bundle, the VM list, or its own word, whichever comes first.
 func (s *Server) Leaving() bool {
-	return s.drained || !s.listed || s.leaves
+	return s.drained || !s.listed || s.reportsLeaving
 }
 
 // ReportsLeaving reports whether the server has said that it is leaving. The word stands
 // until its health says otherwise: it has one name for all its starts.
-func (s *Server) ReportsLeaving() bool { return s.leaves }
+func (s *Server) ReportsLeaving() bool { return s.reportsLeaving }
 
 // Usable reports whether the server may be chosen.
 func (s *Server) Usable(now time.Time) bool {
-	return !s.Leaving() && !now.Before(s.outUntil)
+	return !s.Leaving() && !now.Before(s.unusableUntil)
 }
 
 // Start counts a request in.
@@ -140,89 +140,89 @@
 	s.inFlight--
 	switch r {
 	case Answered:
-		s.answered(took, now)
+		s.recordSuccess(took, now)
 	case Rejected:
 		s.failures = 0
-		s.outUntil = now.Add(shedPause)
+		s.unusableUntil = now.Add(shedBackoff)
 	case Unreachable, Interrupted:
-		s.failed(now)
+		s.recordFailure(now)
 	}
 }
 
-func (s *Server) answered(took time.Duration, now time.Time) {
-	if s.ejected > 0 {
-		s.warmFrom = now
+func (s *Server) recordSuccess(took time.Duration, now time.Time) {
+	if s.ejections > 0 {
+		s.warmupStart = now
 	}
 	s.failures = 0
-	s.ejected = 0
+	s.ejections = 0
 	if s.latency == 0 {
 		s.latency = took
 		return
 	}
-	s.latency += time.Duration(latencyWeight * float64(took-s.latency))
+	s.latency += time.Duration(latencySampleWeight * float64(took-s.latency))
 }
 
-// failed takes a server out after several failures in a row, for a time that
+// recordFailure takes a server out after several failures in a row, for a time that
 // doubles. The first request after that is the probe: one failure more puts
 // the server out again at once.
-func (s *Server) failed(now time.Time) {
+func (s *Server) recordFailure(now time.Time) {
 	s.failures++
-	if s.failures < ejectAfter {
+	if s.failures < ejectionThreshold {
 		return
 	}
-	pause := min(ejectBase<<min(s.ejected, 8), ejectMost)
-	s.outUntil = now.Add(pause)
-	s.ejected++
-	s.failures = ejectAfter - 1
+	pause := min(baseEjectionTime<<min(s.ejections, 8), maxEjectionTime)
+	s.unusableUntil = now.Add(pause)
+	s.ejections++
+	s.failures = ejectionThreshold - 1
 }
 
 // Ejected reports whether failures have taken the server out and no answer has
 // brought it back yet.
-func (s *Server) Ejected() bool { return s.ejected > 0 }
+func (s *Server) Ejected() bool { return s.ejections > 0 }
 
 // ApplyReport takes in a load report.
 func (s *Server) ApplyReport(r Report) {
 	if r.Leaving {
-		s.leaves = true
+		s.reportsLeaving = true
 	}
 	if r.At.Before(s.reportedAt) {
 		return
 	}
 	s.reportedAt = r.At
-	s.others = max(0, float64(r.Running-s.inFlight))
+	s.otherLoad = max(0, float64(r.Running-s.inFlight))
 }
 
-// load estimates how many requests the server runs. What other proxies add is
+// estimatedLoad estimates how many requests the server runs. What other proxies add is
 // only known from the last report, whose weight fades with age.
-func (s *Server) load(now time.Time, horizon time.Duration) float64 {
+func (s *Server) estimatedLoad(now time.Time, horizon time.Duration) float64 {
 	age := now.Sub(s.reportedAt)
 	if age >= horizon {
 		return float64(s.inFlight)
 	}
-	return float64(s.inFlight) + s.others*(1-float64(age)/float64(horizon))
+	return float64(s.inFlight) + s.otherLoad*(1-float64(age)/float64(horizon))
 }
 
-// capacity is the number of slots that may be counted on, less while cold.
-func (s *Server) capacity(now time.Time) float64 {
-	if s.warmFrom.IsZero() {
+// effectiveSlots is the number of slots that may be counted on, less while cold.
+func (s *Server) effectiveSlots(now time.Time) float64 {
+	if s.warmupStart.IsZero() {
 		return float64(s.Slots)
 	}
-	age := now.Sub(s.warmFrom)
+	age := now.Sub(s.warmupStart)
 	if age >= s.slowStart {
-		s.warmFrom = time.Time{}
+		s.warmupStart = time.Time{}
 		return float64(s.Slots)
 	}
-	warm := max(warmFloor, float64(age)/float64(s.slowStart))
+	warm := max(minWarmShare, float64(age)/float64(s.slowStart))
 	return float64(s.Slots) * warm
 }
 
 // ProbeDue reports whether a health probe should be sent now, and counts it
 // as sent.
 func (s *Server) ProbeDue(now time.Time, every time.Duration) bool {
-	if now.Before(s.probeAt) {
+	if now.Before(s.nextProbe) {
 		return false
 	}
-	s.probeAt = now.Add(every)
+	s.nextProbe = now.Add(every)
 	return true
 }
 
@@ -231,21 +231,21 @@
 // failed request.
 func (s *Server) ApplyProbe(h Health, now time.Time) {
 	if !h.OK {
-		if !s.leaves {
-			s.failed(now)
+		if !s.reportsLeaving {
+			s.recordFailure(now)
 		}
 		return
 	}
-	if s.leaves && (h.Report == nil || !h.Report.Leaving) {
-		s.leaves = false
-		s.warmFrom = now
+	if s.reportsLeaving && (h.Report == nil || !h.Report.Leaving) {
+		s.reportsLeaving = false
+		s.warmupStart = now
 	}
-	if s.ejected > 0 {
-		s.warmFrom = now
-		s.outUntil = now
+	if s.ejections > 0 {
+		s.warmupStart = now
+		s.unusableUntil = now
 	}
 	s.failures = 0
-	s.ejected = 0
+	s.ejections = 0
 }
 
 // Reconfigure takes in a new bundle's figures and keeps what was learnt.
--- a/internal/kernel/core/action.go
+++ b/internal/kernel/core/action.go
@@ -27,7 +27,7 @@
 	// Attempt identifies one dispatch. A late answer carries the attempt it
 	// belongs to and can never be taken for another's.
 	Attempt struct {
-		flight int
+		handle int
 		serial uint64
 	}
 
--- a/internal/kernel/core/assign.go
+++ b/internal/kernel/core/assign.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// storeEvery is the least time between two tries to store an assignment,
+	// minStoreInterval is the least time between two tries to store an assignment,
 	// stretched at random so that proxies that want the same do not collide.
-	storeEvery = 200 * time.Millisecond
+	minStoreInterval = 200 * time.Millisecond
 )
 
 // ApplyAssignment takes in an assignment of quota slots; versions only go up.
@@ -20,15 +20,15 @@
 		return
 	}
 	k.assignment = a
-	k.assignedSince = now
+	k.assignmentChangedAt = now
 	k.applyQuota(now)
 	k.log(now, Event{Kind: EventAssignment, Version: a.Version})
-	k.spreadNews(now)
+	k.scheduleGossip(now)
 }
 
 // HandlePlatformReply notes an answer of the platform, asked for at the given time,
 // after which this proxy knows the newest assignment.
-func (k *Kernel) HandlePlatformReply(now, asked time.Time) { k.heardAnyone(now, asked) }
+func (k *Kernel) HandlePlatformReply(now, asked time.Time) { k.maybeLiftFence(now, asked) }
 
 // applyQuota sets the own share of each resource: the lower of what the
 // settled figures and the bundle in force here give. A slot that is being
@@ -38,10 +38,10 @@
 		return
 	}
 	var owned []int
-	if !k.givingUp {
+	if !k.releasingAll {
 		owned = k.assignment.Owned(k.holder())
 	}
-	if k.releasing && len(owned) > 1 {
+	if k.releasingOne && len(owned) > 1 {
 		owned = owned[:len(owned)-1]
 	}
 	current := kv.CapacitiesOf(k.bundle)
@@ -49,7 +49,7 @@
 	if k.assignment != nil {
 		settled = k.assignment.Base
 	}
-	clean := k.raisesCleanly(owned)
+	clean := k.canRaiseImmediately(owned)
 	for _, r := range k.regions {
 		share := 0
 		for _, slot := range owned {
@@ -60,33 +60,33 @@
 	for key, q := range k.links {
 		share := 0
 		if k.regions[key.from].Name == k.config.Self.Region {
-			share = linkShare(&current, &settled, k.regions[key.from].Name, k.regions[key.to].Name, owned)
+			share = linkQuotaShare(&current, &settled, k.regions[key.from].Name, k.regions[key.to].Name, owned)
 		}
 		q.SetBase(share, clean, now)
 	}
 }
 
-// raisesCleanly reports whether a higher share may be used at once: figures
+// canRaiseImmediately reports whether a higher share may be used at once: figures
 // are the settled ones, and each slot that is new here was given back by its
 // last holder.
-func (k *Kernel) raisesCleanly(owned []int) bool {
+func (k *Kernel) canRaiseImmediately(owned []int) bool {
 	if k.assignment == nil || !k.assignment.Base.Equal(kv.CapacitiesOf(k.bundle)) {
 		return false
 	}
-	clean := k.shareFigures == k.assignment.Settled || k.shareFigures == 0
+	clean := k.sharesBundle == k.assignment.Settled || k.sharesBundle == 0
 	for _, slot := range owned {
 		if !slices.Contains(k.ownedSlots, slot) && k.assignment.Slots[slot].Seized {
 			clean = false
 		}
 	}
-	k.shareFigures = k.assignment.Settled
+	k.sharesBundle = k.assignment.Settled
 	k.ownedSlots = owned
 	return clean
 }
 
-// linkShare sums the own slots' parts of a link's limit. A limit that the
+// linkQuotaShare sums the own slots' parts of a link's limit. A limit that the
 // settled bundle lacks was no limit then.
-func linkShare(current, settled *kv.Capacities, from, to string, owned []int) int {
+func linkQuotaShare(current, settled *kv.Capacities, from, to string, owned []int) int {
 	total := 0
 	for _, slot := range owned {
 		share, _ := current.LinkShare(from, to, slot)
@@ -98,13 +98,13 @@
 	return total
 }
 
-// store looks for a useful change of the assignment and asks for it.
-func (k *Kernel) store(now time.Time, actions []Action) []Action {
+// proposeAssignment looks for a useful change of the assignment and asks for it.
+func (k *Kernel) proposeAssignment(now time.Time, actions []Action) []Action {
 	if k.bundle == nil || !k.mayUseQuota(now) || k.stopping || now.Before(k.nextStore) {
 		return actions
 	}
-	k.nextStore = now.Add(storeEvery + time.Duration(k.random.Int64N(int64(storeEvery))))
-	unseated := k.unseated()
+	k.nextStore = now.Add(minStoreInterval + time.Duration(k.random.Int64N(int64(minStoreInterval))))
+	unseated := k.hasPeerWithoutSlots()
 	if k.prepareRelease(now, unseated) {
 		return actions
 	}
@@ -114,10 +114,10 @@
 		Bundle:       k.bundle,
 		Assignment:   k.assignment,
 		Machines:     k.machines,
-		Using:        k.bundleOf,
+		Using:        k.capacityBundleOf,
 		Unseated:     unseated,
-		MayTakeMore:  k.mayTakeMore(now),
-		MayTakeOther: now.Sub(k.assignedSince) > settleAfter,
+		MayTakeMore:  k.mayClaimMoreSlots(now),
+		MayTakeOther: now.Sub(k.assignmentChangedAt) > assignmentSettleTime,
 	})
 	if next == nil {
 		return actions
@@ -125,10 +125,10 @@
 	return append(actions, StoreAssignment{ExpectedVersion: next.Version - 1, Value: next})
 }
 
-// mayTakeMore reports whether this proxy need not wait for others to turn up:
+// mayClaimMoreSlots reports whether this proxy need not wait for others to turn up:
 // it has run for a while, or nobody has taken a slot lately.
-func (k *Kernel) mayTakeMore(now time.Time) bool {
-	return now.Sub(k.started) > youngFor || now.Sub(k.assignedSince) > settleAfter
+func (k *Kernel) mayClaimMoreSlots(now time.Time) bool {
+	return now.Sub(k.startedAt) > startupPeriod || now.Sub(k.assignmentChangedAt) > assignmentSettleTime
 }
 
 // prepareRelease stops using and lending quota of a slot that is to be given
@@ -136,16 +136,16 @@
 // next holder counts the whole slot as its own.
 func (k *Kernel) prepareRelease(now time.Time, unseated bool) bool {
 	releasing := unseated && len(k.assignment.Owned(k.holder())) > 1
-	if releasing != k.releasing {
-		k.releasing = releasing
-		k.releasingSince = now
+	if releasing != k.releasingOne {
+		k.releasingOne = releasing
+		k.releaseStartedAt = now
 		k.applyQuota(now)
 	}
-	return releasing && (k.lent(now) || now.Sub(k.releasingSince) < peer.WindowSpan)
+	return releasing && (k.hasLentQuota(now) || now.Sub(k.releaseStartedAt) < peer.WindowSpan)
 }
 
-// lent reports whether a peer may still use quota of this proxy.
-func (k *Kernel) lent(now time.Time) bool {
+// hasLentQuota reports whether a peer may still use quota of this proxy.
+func (k *Kernel) hasLentQuota(now time.Time) bool {
 	lent := false
 	k.eachQuota(func(_ peer.Resource, q *peer.Quota) {
 		q.Limit(now)
@@ -154,15 +154,15 @@
 	return lent
 }
 
-// used reports whether the last window still counts an admission.
-func (k *Kernel) used(now time.Time) bool {
+// hasUsedQuota reports whether the last window still counts an admission.
+func (k *Kernel) hasUsedQuota(now time.Time) bool {
 	used := false
 	k.eachQuota(func(_ peer.Resource, q *peer.Quota) { used = used || q.Used(now) > 0 })
 	return used
 }
 
-// bundleOf is the bundle whose capacities a holder is known to go by.
-func (k *Kernel) bundleOf(h kv.Holder) uint64 {
+// capacityBundleOf is the bundle whose capacities a holder is known to go by.
+func (k *Kernel) capacityBundleOf(h kv.Holder) uint64 {
 	m, ok := k.members.Get(h.Name)
 	if !ok || m.Incarnation != h.Incarnation {
 		return 0
@@ -170,8 +170,8 @@
 	return m.Figures
 }
 
-// unseated reports whether another live proxy owns no slot.
-func (k *Kernel) unseated() bool {
+// hasPeerWithoutSlots reports whether another live proxy owns no slot.
+func (k *Kernel) hasPeerWithoutSlots() bool {
 	for _, m := range k.members.All() {
 		if m.Name == k.config.Self.Name || (m.State != peer.Live && m.State != peer.Joining) {
 			continue
--- a/internal/kernel/core/borrow.go
+++ b/internal/kernel/core/borrow.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// borrowEvery is the least time between two requests for one resource.
-	borrowEvery = 100 * time.Millisecond
+	// minBorrowInterval is the least time between two requests for one resource.
+	minBorrowInterval = 100 * time.Millisecond
 	// borrowTimeout is when an unanswered request no longer blocks the next.
 	borrowTimeout = time.Second
 )
@@ -30,10 +30,10 @@
 	return nil
 }
 
-// borrow asks a random peer for quota of each resource that runs short, and
+// borrowQuota asks a random peer for quota of each resource that runs short, and
 // lenders to keep loans up. Asking at random and often finds idle quota
 // without anyone keeping count of who has some.
-func (k *Kernel) borrow(now time.Time, actions []Action) []Action {
+func (k *Kernel) borrowQuota(now time.Time, actions []Action) []Action {
 	if !k.mayUseQuota(now) {
 		return actions
 	}
@@ -42,11 +42,11 @@
 		q.Sample(now)
 		for _, r := range q.Renewals(now) {
 			if lender, ok := k.members.Get(r.Lender); ok {
-				actions = append(actions, k.borrowFrom(now, lender, name, r.Keep, r.ID))
+				actions = append(actions, k.newBorrowRequest(now, lender, name, r.Keep, r.ID))
 			}
 		}
 		short := q.Need() - q.Limit(now)
-		if until := k.borrowing[name]; short <= 0 || now.Before(until) {
+		if until := k.borrowBlockedUntil[name]; short <= 0 || now.Before(until) {
 			return
 		}
 		if peers == nil {
@@ -55,14 +55,14 @@
 		if len(peers) == 0 {
 			return
 		}
-		k.borrowing[name] = now.Add(borrowTimeout)
+		k.borrowBlockedUntil[name] = now.Add(borrowTimeout)
 		lender := peers[k.random.IntN(len(peers))]
-		actions = append(actions, k.borrowFrom(now, lender, name, short, 0))
+		actions = append(actions, k.newBorrowRequest(now, lender, name, short, 0))
 	})
 	return actions
 }
 
-func (k *Kernel) borrowFrom(now time.Time, lender peer.Member, name peer.Resource, want int, renew peer.LoanID) SendBorrow {
+func (k *Kernel) newBorrowRequest(now time.Time, lender peer.Member, name peer.Resource, want int, renew peer.LoanID) SendBorrow {
 	return SendBorrow{
 		To:     lender,
 		SentAt: now,
@@ -82,7 +82,7 @@
 	k.clock.Hear(m.Stamp)
 	reply := peer.BorrowReply{Stamp: k.clock.Now(now)}
 	q := k.quota(m.Resource)
-	if q == nil || !k.mayUseQuota(now) || k.releasing || k.givingUp {
+	if q == nil || !k.mayUseQuota(now) || k.releasingOne || k.releasingAll {
 		return reply
 	}
 	if m.Renew != 0 {
@@ -101,7 +101,7 @@
 func (k *Kernel) HandleBorrowReply(now time.Time, sent SendBorrow, reply *peer.BorrowReply) {
 	name := sent.Message.Resource
 	if sent.Message.Renew == 0 {
-		k.borrowing[name] = now.Add(borrowEvery)
+		k.borrowBlockedUntil[name] = now.Add(minBorrowInterval)
 	}
 	q := k.quota(name)
 	if reply == nil || q == nil {
--- a/internal/kernel/core/bundle.go
+++ b/internal/kernel/core/bundle.go
@@ -22,12 +22,12 @@
 func (k *Kernel) ApplyBundle(now time.Time, data []byte) {
 	e, err := operator.ParseEnvelope(data)
 	if err != nil {
-		k.reject(now, 0, err)
+		k.logBundleRejection(now, 0, err)
 		return
 	}
 	b, err := k.config.Trust.Verify(e)
 	if err != nil {
-		k.reject(now, 0, err)
+		k.logBundleRejection(now, 0, err)
 		return
 	}
 	if b.Version <= k.BundleVersion() && !k.config.Faults.BundleRollback {
@@ -39,37 +39,37 @@
 		// client may know more than this proxy does. Serving with the default
 		// keeps the bundle in force everywhere.
 		planner, _ = region.FindPlanner(region.Headroom)
-		k.reject(now, b.Version, &operator.FieldError{Field: "shift.planner", Want: "a known planner", Got: b.Shift.Planner})
+		k.logBundleRejection(now, b.Version, &operator.FieldError{Field: "shift.planner", Want: "a known planner", Got: b.Shift.Planner})
 	}
 	k.planner = planner
 	k.envelope = data
-	k.install(now, b)
+	k.installBundle(now, b)
 	k.log(now, Event{Kind: EventBundleApplied, Version: b.Version, Detail: string(e.Digest)[:12]})
-	k.spreadNews(now)
+	k.scheduleGossip(now)
 }
 
-func (k *Kernel) reject(now time.Time, version uint64, err error) {
+func (k *Kernel) logBundleRejection(now time.Time, version uint64, err error) {
 	k.log(now, Event{Kind: EventBundleRejected, Version: version, Detail: err.Error()})
 }
 
-// install builds the state of a bundle and carries over what was learnt of
+// installBundle builds the state of a bundle and carries over what was learnt of
 // regions and servers that stay.
-func (k *Kernel) install(now time.Time, b *operator.Bundle) {
+func (k *Kernel) installBundle(now time.Time, b *operator.Bundle) {
 	oldRegions := k.regions
 	oldServers := k.serversByName()
 	before := k.bundle
 	k.bundle = b
 	k.quotaSlots = b.QuotaSlots()
-	k.capChanged = now
+	k.capsChangedAt = now
 	k.installRegions(b, oldRegions)
 	k.services = make(map[string]*service)
 	for i := range b.Services {
 		k.installService(b, &b.Services[i], oldServers)
 	}
 	k.installLinks(b)
-	k.nameResources()
-	k.figureQuota(now, b, before)
-	k.prefixes = homePrefixes(b)
+	k.listResources()
+	k.reconfigureQuotas(now, b, before)
+	k.prefixes = clientPrefixTable(b)
 	k.applyQuota(now)
 	k.applyLeaving(now)
 }
@@ -141,8 +141,8 @@
 	}
 }
 
-// nameResources lists the quotas once a bundle, since every tick visits them.
-func (k *Kernel) nameResources() {
+// listResources lists the quotas once a bundle, since every tick visits them.
+func (k *Kernel) listResources() {
 	k.resources = nil
 	for _, r := range k.regions {
 		k.resources = append(k.resources, resource{name: peer.Resource("region/" + r.Name), quota: &r.quota})
@@ -156,9 +156,9 @@
 	}
 }
 
-// figureQuota tells all quotas the bundle's longest deadline, and gives loans
+// reconfigureQuotas tells all quotas the bundle's longest deadline, and gives loans
 // up if shares are figured anew.
-func (k *Kernel) figureQuota(now time.Time, b, before *operator.Bundle) {
+func (k *Kernel) reconfigureQuotas(now time.Time, b, before *operator.Bundle) {
 	longest := time.Duration(0)
 	for i := range b.Services {
 		longest = max(longest, b.Services[i].Deadline.Std())
@@ -175,9 +175,9 @@
 	}
 }
 
-// homePrefixes is the table of the bundle's own client prefixes, whose sites
+// clientPrefixTable is the table of the bundle's own client prefixes, whose sites
 // are the regions' numbers.
-func homePrefixes(b *operator.Bundle) *caller.PrefixTable {
+func clientPrefixTable(b *operator.Bundle) *caller.PrefixTable {
 	var list []caller.PrefixSite
 	for i, r := range b.Regions {
 		for _, p := range r.Prefixes {
--- a/internal/kernel/core/event.go
+++ b/internal/kernel/core/event.go
@@ -55,7 +55,7 @@
 )
 
 const (
-	eventRing = 4096
+	eventLogSize = 4096
 )
 
 type (
--- a/internal/kernel/core/gossip.go
+++ b/internal/kernel/core/gossip.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// exchangeEvery is how often a proxy compares versions with a random peer.
+	// exchangeInterval is how often a proxy compares versions with a random peer.
 	// News reaches all in about log2(n) rounds even if every urgent message
 	// is lost.
-	exchangeEvery = 400 * time.Millisecond
-	// seedEvery is how often a seed is asked although members are known.
-	seedEvery = 10 * time.Second
-	// newsFanout is how many peers are told of news at once.
-	newsFanout = 3
-	// smallFleet members fit into any message.
-	smallFleet = 24
-	// settledViews without a change should be alike everywhere.
-	settledViews = 5 * time.Second
-	// newsLife is how long a changed record goes along with exchanges. In that
+	exchangeInterval = 400 * time.Millisecond
+	// seedExchangeInterval is how often a seed is asked although members are known.
+	seedExchangeInterval = 10 * time.Second
+	// gossipFanout is how many peers are told of news at once.
+	gossipFanout = 3
+	// smallFleetSize members fit into any message.
+	smallFleetSize = 24
+	// viewSettleTime without a change should be alike everywhere.
+	viewSettleTime = 5 * time.Second
+	// updateTTL is how long a changed record goes along with exchanges. In that
 	// time it has been offered to more peers than the spread takes rounds.
-	newsLife = 10 * time.Second
-	// newestMembers is how many member records an exchange carries.
-	newestMembers = 8
+	updateTTL = 10 * time.Second
+	// maxMembersPerExchange is how many member records an exchange carries.
+	maxMembersPerExchange = 8
 )
 
-// versions sums up what this proxy knows.
-func (k *Kernel) versions() peer.Versions {
+// documentVersions sums up what this proxy knows.
+func (k *Kernel) documentVersions() peer.Versions {
 	v := peer.Versions{Bundle: k.BundleVersion(), Members: k.members.Digest(), Known: k.members.Len()}
 	if k.assignment != nil {
 		v.Assignment = k.assignment.Version
@@ -41,38 +41,38 @@
 	return v
 }
 
-// exchange sends the periodic message to one random peer, and one to each
+// sendExchanges sends the periodic message to one random peer, and one to each
 // peer in urgent, who was found to know more or is to be told news.
-func (k *Kernel) exchange(now time.Time, actions []Action) []Action {
+func (k *Kernel) sendExchanges(now time.Time, actions []Action) []Action {
 	due := !now.Before(k.nextExchange)
-	if !due && len(k.urgent) == 0 {
+	if !due && len(k.gossipTargets) == 0 {
 		return actions
 	}
 	peers := k.members.Reachable(now)
 	if due {
-		k.nextExchange = now.Add(exchangeEvery + time.Duration(k.random.Int64N(int64(exchangeEvery/4))))
+		k.nextExchange = now.Add(exchangeInterval + time.Duration(k.random.Int64N(int64(exchangeInterval/4))))
 	}
 	chosen := -1
 	if due && len(peers) > 0 {
 		chosen = k.random.IntN(len(peers))
 	}
 	for i, p := range peers {
-		if i == chosen || k.urgent[p.Name] {
-			actions = append(actions, SendExchange{To: p, Message: k.question(now)})
+		if i == chosen || k.gossipTargets[p.Name] {
+			actions = append(actions, SendExchange{To: p, Message: k.exchangeRequest(now)})
 		}
 	}
-	clear(k.urgent)
-	if due && (len(peers) == 0 || now.Sub(k.lastSeed) >= seedEvery) {
-		actions = k.askSeed(now, actions)
+	clear(k.gossipTargets)
+	if due && (len(peers) == 0 || now.Sub(k.lastSeedExchange) >= seedExchangeInterval) {
+		actions = k.exchangeWithSeed(now, actions)
 	}
 	return actions
 }
 
-// askSeed sends an exchange to a seed address. It is the only way in for a
+// exchangeWithSeed sends an exchange to a seed address. It is the only way in for a
 // new proxy, and repeated now and then it joins two groups that each took the
 // other for dead.
-func (k *Kernel) askSeed(now time.Time, actions []Action) []Action {
-	k.lastSeed = now
+func (k *Kernel) exchangeWithSeed(now time.Time, actions []Action) []Action {
+	k.lastSeedExchange = now
 	if len(k.config.Seeds) == 0 {
 		return actions
 	}
@@ -84,34 +84,34 @@
 		return actions
 	}
 	seed := peer.Member{PeerAddress: k.config.Seeds[at]}
-	return append(actions, SendExchange{To: seed, Message: k.question(now)})
+	return append(actions, SendExchange{To: seed, Message: k.exchangeRequest(now)})
 }
 
-// spreadNews marks a few random peers to be told at the next tick.
-func (k *Kernel) spreadNews(now time.Time) {
+// scheduleGossip marks a few random peers to be told at the next tick.
+func (k *Kernel) scheduleGossip(now time.Time) {
 	peers := k.members.Reachable(now)
-	for range min(newsFanout, len(peers)) {
-		k.urgent[peers[k.random.IntN(len(peers))].Name] = true
+	for range min(gossipFanout, len(peers)) {
+		k.gossipTargets[peers[k.random.IntN(len(peers))].Name] = true
 	}
 }
 
-func (k *Kernel) message(now time.Time) peer.Exchange {
+func (k *Kernel) exchangeMessage(now time.Time) peer.Exchange {
 	return peer.Exchange{
 		From:     k.config.Self.Name,
 		Stamp:    k.clock.Now(now),
-		Versions: k.versions(),
-		Members:  k.members.Newest(newestMembers, now.Add(-newsLife)),
+		Versions: k.documentVersions(),
+		Members:  k.members.Newest(maxMembersPerExchange, now.Add(-updateTTL)),
 
 		Suspicions: k.quarantine.Reports(now, false),
-		Signals:    k.signals.Reports(now, false),
+		Signals:    k.backpressure.Reports(now, false),
 	}
 }
 
-// question is a message that a peer is asked with. It always carries the own
+// exchangeRequest is a message that a peer is asked with. It always carries the own
 // record: a peer that does not know this proxy could not ask it back, and two
 // groups that found each other through a seed would stay apart.
-func (k *Kernel) question(now time.Time) peer.Exchange {
-	m := k.message(now)
+func (k *Kernel) exchangeRequest(now time.Time) peer.Exchange {
+	m := k.exchangeMessage(now)
 	own := k.members.Self()
 	if !slices.ContainsFunc(m.Members, func(n peer.Member) bool { return n.Name == own.Name }) {
 		m.Members = append(m.Members, own)
@@ -121,17 +121,17 @@
 
 // HandleExchange answers a peer's message with whatever it lacks.
 func (k *Kernel) HandleExchange(now time.Time, m peer.Exchange) peer.Exchange {
-	k.learn(now, m)
-	if k.behind(m.Versions) {
-		k.urgent[m.From] = true
+	k.mergeExchange(now, m)
+	if k.isBehind(m.Versions) {
+		k.gossipTargets[m.From] = true
 	}
-	reply := k.message(now)
-	if k.tellAllMembers(now, m.Versions) {
+	reply := k.exchangeMessage(now)
+	if k.needsFullMemberList(now, m.Versions) {
 		reply.Members = k.members.All()
 	}
 	if asker, _ := k.members.Get(m.From); asker.State == peer.Joining && k.members.Self().State == peer.Live {
-		reply.Rows = k.rows()
-		reply.Suspicions, reply.Signals = k.quarantine.Reports(now, true), k.signals.Reports(now, true)
+		reply.Rows = k.currentRows()
+		reply.Suspicions, reply.Signals = k.quarantine.Reports(now, true), k.backpressure.Reports(now, true)
 	}
 	if reply.Versions.Bundle > m.Versions.Bundle {
 		reply.Bundle = k.envelope
@@ -145,21 +145,21 @@
 	return reply
 }
 
-// tellAllMembers reports whether a peer needs the whole list of members. News
+// needsFullMemberList reports whether a peer needs the whole list of members. News
 // travels with the newest records of every exchange; the whole list is for a
 // newcomer, and for views that differ although nothing has changed for a
 // while. Sent at each difference, it would cost a large fleet more than its
 // budget, because views differ for seconds after each of many changes.
-func (k *Kernel) tellAllMembers(now time.Time, v peer.Versions) bool {
+func (k *Kernel) needsFullMemberList(now time.Time, v peer.Versions) bool {
 	if v.Members == k.members.Digest() {
 		return false
 	}
 	own := k.members.Len()
-	return own <= smallFleet || 2*v.Known < own || now.Sub(k.members.Changed()) > settledViews
+	return own <= smallFleetSize || 2*v.Known < own || now.Sub(k.members.Changed()) > viewSettleTime
 }
 
-func (k *Kernel) behind(v peer.Versions) bool {
-	own := k.versions()
+func (k *Kernel) isBehind(v peer.Versions) bool {
+	own := k.documentVersions()
 	return v.Bundle > own.Bundle || v.Assignment > own.Assignment || v.Machines > own.Machines
 }
 
@@ -180,23 +180,23 @@
 			k.ApplyAssignment(now, a)
 		}
 	}
-	k.learn(now, m)
+	k.mergeExchange(now, m)
 	k.adoptRows(m)
-	k.heardAnyone(now, asked)
+	k.maybeLiftFence(now, asked)
 }
 
 // HandleExchangeFailure notes that a peer did not answer.
 func (k *Kernel) HandleExchangeFailure(now time.Time, name string) {
 	if k.members.Failed(name, now) {
 		k.log(now, Event{Kind: EventMember, Target: name, Detail: peer.Suspect.String()})
-		k.spreadNews(now)
+		k.scheduleGossip(now)
 	}
 }
 
-func (k *Kernel) learn(now time.Time, m peer.Exchange) {
+func (k *Kernel) mergeExchange(now time.Time, m peer.Exchange) {
 	k.clock.Hear(m.Stamp)
 	k.quarantine.Hear(now, m.Suspicions)
-	k.signals.Hear(now, m.Signals)
+	k.backpressure.Hear(now, m.Signals)
 	news := false
 	for _, member := range m.Members {
 		if k.members.Hear(member, now) {
@@ -205,7 +205,7 @@
 		}
 	}
 	if news {
-		k.spreadNews(now)
+		k.scheduleGossip(now)
 	}
 }
 
@@ -215,14 +215,14 @@
 		return
 	}
 	k.machines = list
-	k.spreadNews(now)
+	k.scheduleGossip(now)
 }
 
 // HandleHandover takes over a stopping minter's records.
 func (k *Kernel) HandleHandover(now time.Time, from string, stamp peer.Stamp, records []caller.Handover) {
 	k.clock.Hear(stamp)
 	for _, h := range records {
-		k.records.Inherit(h)
+		k.tokenRecords.Inherit(h)
 		k.log(now, Event{Kind: EventInherited, Target: h.Minter.Name, Detail: from})
 	}
 }
--- a/internal/kernel/core/kernel.go
+++ b/internal/kernel/core/kernel.go
@@ -21,16 +21,16 @@
 	// ClockTolerance is how far a driver's clock may lag before it catches up.
 	// A smaller jump must not happen: it would age the admissions of the last
 	// window, and only a jump that counts as a freeze fences the quota.
-	ClockTolerance = freezeGap
-	// freezeGap without a tick means that the process did not run.
-	freezeGap = 2 * time.Second
-	// settleAfter without a change of the assignment a proxy takes a second
+	ClockTolerance = freezeThreshold
+	// freezeThreshold without a tick means that the process did not run.
+	freezeThreshold = 2 * time.Second
+	// assignmentSettleTime without a change of the assignment a proxy takes a second
 	// slot, or one of another region.
-	settleAfter = 3 * time.Second
-	// joinPatience is how long a proxy without quota stays out of look-ups.
-	joinPatience = 15 * time.Second
-	// forgetEvery is how often members that nobody renews are looked for.
-	forgetEvery = time.Minute
+	assignmentSettleTime = 3 * time.Second
+	// joinTimeout is how long a proxy without quota stays out of look-ups.
+	joinTimeout = 15 * time.Second
+	// forgetInterval is how often members that nobody renews are looked for.
+	forgetInterval = time.Minute
 	// DefaultMaxInFlight bounds the requests that one proxy holds.
 	DefaultMaxInFlight = 4096
 )
@@ -69,12 +69,12 @@
 
 	// Kernel is one proxy's state and decisions.
 	Kernel struct {
-		config  Config
-		random  *rand.Rand
-		clock   peer.Clock
-		events  *RingBuffer[Event]
-		members *peer.Members
-		records *caller.Records
+		config       Config
+		random       *rand.Rand
+		clock        peer.Clock
+		events       *RingBuffer[Event]
+		members      *peer.Members
+		tokenRecords *caller.Records
 
 		bundle     *operator.Bundle
 		quotaSlots int
@@ -90,53 +90,53 @@
 		resources []resource
 		planner   region.Planner
 
-		named     map[string][]candidate
-		namedAt   time.Time
-		namedView uint64
-
-		flights  Slab[flight]
-		serial   uint64
-		inFlight int
-
-		started       time.Time
-		lastTick      time.Time
-		nextExchange  time.Time
-		nextStore     time.Time
-		nextForget    time.Time
-		nextPlan      time.Time
-		assignedSince time.Time
-		urgent        map[string]bool
-		fenced        bool
-		fencedAt      time.Time
-		stopping      bool
-		releasing     bool
-		// givingUp means that a stop has come to its end and all slots go back.
+		candidateCache    map[string][]candidate
+		candidatesBuiltAt time.Time
+		candidatesDigest  uint64
+
+		requests   Slab[inFlightRequest]
+		lastSerial uint64
+		inFlight   int
+
+		startedAt           time.Time
+		lastTick            time.Time
+		nextExchange        time.Time
+		nextStore           time.Time
+		nextForget          time.Time
+		nextPlan            time.Time
+		assignmentChangedAt time.Time
+		gossipTargets       map[string]bool
+		fenced              bool
+		fencedAt            time.Time
+		stopping            bool
+		releasingOne        bool
+		// releasingAll means that a stop has come to its end and all slots go back.
 		// It must not be read off the requests in flight: a stopping proxy may hold
 		// none for a moment and still has callers to serve.
-		givingUp       bool
-		releasingSince time.Time
-		// shareFigures is the settled bundle that the own shares follow.
-		shareFigures uint64
-		ownedSlots   []int
-		stopBegan    time.Time
-		capChanged   time.Time
-		rowsKnown    bool
-		lastSeed     time.Time
-		borrowing    map[peer.Resource]time.Time
+		releasingAll     bool
+		releaseStartedAt time.Time
+		// sharesBundle is the settled bundle that the own shares follow.
+		sharesBundle       uint64
+		ownedSlots         []int
+		stopStartedAt      time.Time
+		capsChangedAt      time.Time
+		rowsAdopted        bool
+		lastSeedExchange   time.Time
+		borrowBlockedUntil map[peer.Resource]time.Time
 		// quarantine knows the work that ends servers; starts names the present starts
 		// of servers at which exchanges broke.
-		quarantine *quarantine.Ledger
-		starts     map[string]quarantine.Server
-		// signals are what servers ask of their senders.
-		signals *backpressure.Ledger
+		quarantine   *quarantine.Ledger
+		incarnations map[string]quarantine.Server
+		// backpressure are what servers ask of their senders.
+		backpressure *backpressure.Ledger
 	}
 
 	service struct {
 		operator.Service
-		servers  []*backend.Server
-		byRegion [][]*backend.Server
-		picker   *backend.Picker
-		budget   backend.RetryBudget
+		servers     []*backend.Server
+		byRegion    [][]*backend.Server
+		picker      *backend.Picker
+		retryBudget backend.RetryBudget
 	}
 
 	linkKey struct {
@@ -156,7 +156,7 @@
 		servers  []*backend.Server
 		lost     bool
 		demand   rateMeter
-		refused  rateMeter
+		rejected rateMeter
 	}
 )
 
@@ -167,56 +167,56 @@
 	}
 	c.Self.State = peer.Joining
 	k := &Kernel{
-		config:    c,
-		random:    rand.New(rand.NewChaCha8(c.Seed)),
-		events:    NewRingBuffer[Event](eventRing),
-		members:   peer.NewMembers(c.Self, now),
-		records:   caller.NewRecords(c.Self.Minter(), c.TokenKey),
-		started:   now,
-		lastTick:  now,
-		urgent:    make(map[string]bool),
-		borrowing: make(map[peer.Resource]time.Time),
-
-		quarantine: quarantine.NewLedger(),
-		starts:     make(map[string]quarantine.Server),
-		signals:    backpressure.NewLedger(),
+		config:             c,
+		random:             rand.New(rand.NewChaCha8(c.Seed)),
+		events:             NewRingBuffer[Event](eventLogSize),
+		members:            peer.NewMembers(c.Self, now),
+		tokenRecords:       caller.NewRecords(c.Self.Minter(), c.TokenKey),
+		startedAt:          now,
+		lastTick:           now,
+		gossipTargets:      make(map[string]bool),
+		borrowBlockedUntil: make(map[peer.Resource]time.Time),
+
+		quarantine:   quarantine.NewLedger(),
+		incarnations: make(map[string]quarantine.Server),
+		backpressure: backpressure.NewLedger(),
 	}
-	k.quarantine.Observe, k.quarantine.Rank = k.observeWork, k.trialRank
-	k.signals.Observe = k.observeSignal
+	k.quarantine.Observe, k.quarantine.Rank = k.logWorkChange, k.trialRank
+	k.backpressure.Observe = k.logSignalChange
 	return k
 }
 
 // Tick does what is due and returns the actions for the driver.
 func (k *Kernel) Tick(now time.Time) []Action {
-	k.noticeFreeze(now)
+	k.detectFreeze(now)
 	k.lastTick = now
 	var actions []Action
-	k.records.Expire(now)
+	k.tokenRecords.Expire(now)
 	if !now.Before(k.nextForget) {
-		k.nextForget = now.Add(forgetEvery)
+		k.nextForget = now.Add(forgetInterval)
 		k.members.Forget(now)
 	}
 	if k.bundle != nil {
-		k.join(now)
+		k.joinIfReady(now)
 		k.applyLeaving(now)
 		if k.members.Self().State != peer.Joining {
-			k.plan(now)
+			k.advanceShifts(now)
 		}
-		actions = k.borrow(now, actions)
-		actions = k.probe(now, actions)
-		actions = k.probeDoubted(actions)
-		k.followSuspicions(now)
-		k.signals.Tick(now)
+		actions = k.borrowQuota(now, actions)
+		actions = k.probeServers(now, actions)
+		actions = k.probeSuspectServers(actions)
+		k.propagateSuspicions(now)
+		k.backpressure.Tick(now)
 	}
-	actions = k.exchange(now, actions)
-	actions = k.store(now, actions)
+	actions = k.sendExchanges(now, actions)
+	actions = k.proposeAssignment(now, actions)
 	k.checkInvariants(now)
 	return actions
 }
 
-// join lets look-ups name this proxy once it has quota of its own, or when
+// joinIfReady lets look-ups name this proxy once it has quota of its own, or when
 // none has come for long: loans may still carry it.
-func (k *Kernel) join(now time.Time) {
+func (k *Kernel) joinIfReady(now time.Time) {
 	if k.members.Self().State != peer.Joining {
 		return
 	}
@@ -224,16 +224,16 @@
 	for _, r := range k.regions {
 		quota += r.quota.Base(now)
 	}
-	ready := quota > 0 && (k.rowsKnown || !k.othersServe())
-	if !ready && now.Sub(k.started) < joinPatience {
+	ready := quota > 0 && (k.rowsAdopted || !k.hasServingPeer())
+	if !ready && now.Sub(k.startedAt) < joinTimeout {
 		return
 	}
 	k.members.UpdateSelf(now, func(m *peer.Member) { m.State = peer.Live })
-	k.spreadNews(now)
+	k.scheduleGossip(now)
 }
 
-// othersServe reports whether a live peer is known, whose rows to begin with.
-func (k *Kernel) othersServe() bool {
+// hasServingPeer reports whether a live peer is known, whose rows to begin with.
+func (k *Kernel) hasServingPeer() bool {
 	for _, m := range k.members.Serving() {
 		if m.Name != k.config.Self.Name {
 			return true
@@ -242,13 +242,13 @@
 	return false
 }
 
-// noticeFreeze fences the own quota after a pause in which this process did
+// detectFreeze fences the own quota after a pause in which this process did
 // not run. Meanwhile the platform may have dropped the VM and another proxy
 // may hold its slots; used here too, the region's capacity would be exceeded.
 // The fence lifts when a peer or the platform has been heard after the pause,
 // for their news of the assignment comes first.
-func (k *Kernel) noticeFreeze(now time.Time) {
-	if now.Sub(k.lastTick) < freezeGap || k.fenced || k.config.Faults.FenceDisabled {
+func (k *Kernel) detectFreeze(now time.Time) {
+	if now.Sub(k.lastTick) < freezeThreshold || k.fenced || k.config.Faults.FenceDisabled {
 		return
 	}
 	k.fenced = true
@@ -257,12 +257,12 @@
 	k.log(now, Event{Kind: EventFenced, Detail: now.Sub(k.lastTick).Round(time.Millisecond).String()})
 }
 
-// heardAnyone lifts the fence if what was heard was asked for after the pause.
+// maybeLiftFence lifts the fence if what was heard was asked for after the pause.
 // An answer from before may have waited in a socket meanwhile.
 //
 // The fence lasts one window at the least: if not the process but only its
 // clock jumped, what it admitted just before still counts.
-func (k *Kernel) heardAnyone(now, asked time.Time) {
+func (k *Kernel) maybeLiftFence(now, asked time.Time) {
 	if !asked.Before(k.fencedAt) && now.Sub(k.fencedAt) >= peer.WindowSpan {
 		k.fenced = false
 	}
@@ -271,7 +271,7 @@
 // mayUseQuota is false while fenced, and also between a pause and the first
 // tick after it, when a request may come before the tick.
 func (k *Kernel) mayUseQuota(now time.Time) bool {
-	return !k.fenced && now.Sub(k.lastTick) < freezeGap || k.config.Faults.FenceDisabled
+	return !k.fenced && now.Sub(k.lastTick) < freezeThreshold || k.config.Faults.FenceDisabled
 }
 
 // Self is the own member record.
@@ -307,8 +307,8 @@
 	return -1
 }
 
-// home is the region that a client's requests count for.
-func (k *Kernel) home(client netip.Addr) int {
+// homeRegion is the region that a client's requests count for.
+func (k *Kernel) homeRegion(client netip.Addr) int {
 	if k.prefixes != nil {
 		site := k.prefixes.Lookup(client)
 		if int(site) < len(k.regions) {
--- a/internal/kernel/core/lookup.go
+++ b/internal/kernel/core/lookup.go
@@ -39,7 +39,7 @@
 	if k.bundle == nil || k.services[service] == nil {
 		return LookupAnswer{}, false
 	}
-	home := k.home(client)
+	home := k.homeRegion(client)
 	answer := LookupAnswer{
 		Service:    service,
 		HomeRegion: k.regions[home].Name,
@@ -47,10 +47,10 @@
 	}
 	key := xxhash.Sum64(client.AsSlice())
 	candidates := k.candidates(now)
-	answer.Proxies = nearest(nil, candidates[answer.HomeRegion], key, k.bundle.Lookup.Answers)
+	answer.Proxies = appendHighestRanked(nil, candidates[answer.HomeRegion], key, k.bundle.Lookup.Answers)
 	for _, r := range k.regions {
 		if r.Name != answer.HomeRegion && len(answer.Proxies) < k.bundle.Lookup.Answers {
-			answer.Proxies = nearest(answer.Proxies, candidates[r.Name], key, k.bundle.Lookup.Answers)
+			answer.Proxies = appendHighestRanked(answer.Proxies, candidates[r.Name], key, k.bundle.Lookup.Answers)
 		}
 	}
 	return answer, len(answer.Proxies) > 0
@@ -60,30 +60,30 @@
 // anew when the view of members changes, and each tick, for drains begin by
 // the clock; a look-up then hashes the few of one region and not the fleet.
 func (k *Kernel) candidates(now time.Time) map[string][]candidate {
-	if k.named != nil && k.namedAt.Equal(k.lastTick) && k.namedView == k.members.Digest() {
-		return k.named
+	if k.candidateCache != nil && k.candidatesBuiltAt.Equal(k.lastTick) && k.candidatesDigest == k.members.Digest() {
+		return k.candidateCache
 	}
-	k.named = make(map[string][]candidate)
-	k.namedAt = k.lastTick
-	k.namedView = k.members.Digest()
+	k.candidateCache = make(map[string][]candidate)
+	k.candidatesBuiltAt = k.lastTick
+	k.candidatesDigest = k.members.Digest()
 	for _, m := range k.members.Serving() {
-		if !k.leavingProxy(now, m.Name) {
-			k.named[m.Region] = append(k.named[m.Region], candidate{Member: m, hash: xxhash.Sum64String(m.Name)})
+		if !k.isProxyLeaving(now, m.Name) {
+			k.candidateCache[m.Region] = append(k.candidateCache[m.Region], candidate{Member: m, hash: xxhash.Sum64String(m.Name)})
 		}
 	}
-	return k.named
+	return k.candidateCache
 }
 
-// nearest appends the candidates with the highest rendezvous hashes, up to
+// appendHighestRanked appends the candidates with the highest rendezvous hashes, up to
 // most in all.
-func nearest(list []peer.Member, candidates []candidate, key uint64, most int) []peer.Member {
+func appendHighestRanked(list []peer.Member, candidates []candidate, key uint64, most int) []peer.Member {
 	const none = -1
 	below := ^uint64(0)
 	for len(list) < most {
 		best := none
 		var highest uint64
 		for i := range candidates {
-			score := mix(key ^ candidates[i].hash)
+			score := mixBits(key ^ candidates[i].hash)
 			if score < below && (best == none || score > highest) {
 				best = i
 				highest = score
@@ -98,8 +98,8 @@
 	return list
 }
 
-// mix spreads the bits of a hash; the constants are those of splitmix64.
-func mix(x uint64) uint64 {
+// mixBits spreads the bits of a hash; the constants are those of splitmix64.
+func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
@@ -110,13 +110,13 @@
 	if k.bundle == nil {
 		return nil
 	}
-	home := k.home(client)
+	home := k.homeRegion(client)
 	why := []string{"home region " + k.regions[home].Name + ": its proxies come first"}
 	for i, share := range k.regions[home].mover.Row() {
 		if share == 0 {
 			continue
 		}
-		line := "backend servers in " + k.regions[i].Name + " get " + permilleText(share) + " of its requests"
+		line := "backend servers in " + k.regions[i].Name + " get " + formatPermille(share) + " of its requests"
 		if k.regions[i].lost {
 			line += ", lost"
 		}
@@ -125,9 +125,9 @@
 	return why
 }
 
-// leavingProxy reports whether callers should no longer be sent to a proxy: it
+// isProxyLeaving reports whether callers should no longer be sent to a proxy: it
 // stops, a drain planned for it holds, or its VM is about to go.
-func (k *Kernel) leavingProxy(now time.Time, name string) bool {
+func (k *Kernel) isProxyLeaving(now time.Time, name string) bool {
 	if name == k.config.Self.Name && k.stopping {
 		return true
 	}
--- a/internal/kernel/core/quarantine.go
+++ b/internal/kernel/core/quarantine.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// startSpan tells the starts of a server apart, which has one name for good: ends of
+	// incarnationResolution tells the starts of a server apart, which has one name for good: ends of
 	// one name within it count once, since all proxies must name an end alike.
-	startSpan = 8 * time.Second
+	incarnationResolution = 8 * time.Second
 )
 
-// mayRun says whether a request's work may run now; a reason and a time to come back are
+// checkQuarantine says whether a request's work may run now; a reason and a time to come back are
 // given if not.
-func (k *Kernel) mayRun(now time.Time, f *flight) (caller.Reason, time.Duration) {
+func (k *Kernel) checkQuarantine(now time.Time, f *inFlightRequest) (caller.Reason, time.Duration) {
 	if f.work.None() {
 		return caller.ReasonNone, 0
 	}
@@ -26,7 +26,7 @@
 	switch {
 	case ruling == quarantine.Condemned:
 		return caller.ReasonEndsServers, min(left, quarantine.AwayMost)
-	case ruling == quarantine.Busy, ruling == quarantine.Suspected && f.breaks > 0, f.breaks >= quarantine.BreaksMost:
+	case ruling == quarantine.Busy, ruling == quarantine.Suspected && f.interruptions > 0, f.interruptions >= quarantine.BreaksMost:
 		return caller.ReasonMayEndServers, time.Second
 	}
 	return caller.ReasonNone, 0
@@ -44,51 +44,51 @@
 	return (before + int(w[0])) % max(1, len(members))
 }
 
-// learnEnd takes in what an attempt tells of whether its server has ended.
-func (k *Kernel) learnEnd(now time.Time, f *flight, e AttemptEnd) {
+// recordAttemptEnd takes in what an attempt tells of whether its server has ended.
+func (k *Kernel) recordAttemptEnd(now time.Time, f *inFlightRequest, e AttemptEnd) {
 	q := k.quarantine
 	q.Stopped(f.work)
 	switch e.Result {
 	case backend.Answered, backend.Rejected:
-		q.Answered(k.starts[f.server.Name], f.sent)
+		q.Answered(k.incarnations[f.server.Name], f.sentAt)
 		if e.Answer != nil && e.Answer.Status < http.StatusBadRequest {
 			// A server that fails or rejects a request may not have come to what
 			// ends it.
 			q.RanWell(now, f.work)
 		}
 	case backend.Interrupted:
-		f.breaks++
+		f.interruptions++
 		if !f.server.Leaving() {
 			// A server that leaves as planned may cut what it still has.
-			q.Broke(now, f.work, k.startOf(now, f.server.Name))
+			q.Broke(now, f.work, k.incarnationOf(now, f.server.Name))
 		}
 	case backend.Unreachable:
 		if e.ConnectionRefused {
-			k.serverEnded(now, f.server.Name)
+			k.recordServerExit(now, f.server.Name)
 		}
 	}
 }
 
-// startOf names the present start of a server, as all proxies do that see it end now.
-func (k *Kernel) startOf(now time.Time, server string) quarantine.Server {
-	s, known := k.starts[server]
+// incarnationOf names the present start of a server, as all proxies do that see it end now.
+func (k *Kernel) incarnationOf(now time.Time, server string) quarantine.Server {
+	s, known := k.incarnations[server]
 	if !known {
-		s = quarantine.ServerOf(server, k.clock.Now(now).Time().Truncate(startSpan))
-		k.starts[server] = s
+		s = quarantine.ServerOf(server, k.clock.Now(now).Time().Truncate(incarnationResolution))
+		k.incarnations[server] = s
 	}
 	return s
 }
 
-// serverEnded notes that nothing listens where a server was.
-func (k *Kernel) serverEnded(now time.Time, server string) {
-	if s, known := k.starts[server]; known {
+// recordServerExit notes that nothing listens where a server was.
+func (k *Kernel) recordServerExit(now time.Time, server string) {
+	if s, known := k.incarnations[server]; known {
 		k.quarantine.HasEnded(now, s)
-		delete(k.starts, server)
+		delete(k.incarnations, server)
 	}
 }
 
-// probeDoubted asks servers at which exchanges broke whether they are still there.
-func (k *Kernel) probeDoubted(actions []Action) []Action {
+// probeSuspectServers asks servers at which exchanges broke whether they are still there.
+func (k *Kernel) probeSuspectServers(actions []Action) []Action {
 	wanted := make(map[quarantine.Server]bool)
 	for _, s := range k.quarantine.Doubtful() {
 		wanted[s] = true
@@ -98,7 +98,7 @@
 	}
 	for _, r := range k.regions {
 		for _, s := range r.servers {
-			if wanted[k.starts[s.Name]] {
+			if wanted[k.incarnations[s.Name]] {
 				actions = append(actions, SendProbe{Server: s.Name, Address: s.Address})
 			}
 		}
@@ -106,21 +106,21 @@
 	return actions
 }
 
-// followSuspicions spreads what other proxies should hear at once.
-func (k *Kernel) followSuspicions(now time.Time) {
+// propagateSuspicions spreads what other proxies should hear at once.
+func (k *Kernel) propagateSuspicions(now time.Time) {
 	k.quarantine.Tick(now)
-	for name, s := range k.starts {
+	for name, s := range k.incarnations {
 		if !k.quarantine.Awaits(s) {
-			delete(k.starts, name)
+			delete(k.incarnations, name)
 		}
 	}
 	if k.quarantine.Urgent() {
-		k.spreadNews(now)
+		k.scheduleGossip(now)
 	}
 }
 
-// observeWork tells of what has become of a work.
-func (k *Kernel) observeWork(n quarantine.Notice) {
+// logWorkChange tells of what has become of a work.
+func (k *Kernel) logWorkChange(n quarantine.Notice) {
 	detail := n.Work.String()
 	if n.Change == quarantine.ChangeEnded {
 		detail = strconv.Itoa(len(n.Works)) + " works there"
--- a/internal/kernel/core/request.go
+++ b/internal/kernel/core/request.go
@@ -15,66 +15,66 @@
 	// AnswerGracePeriod is how long after its deadline a non-idempotent request's
 	// answer is still waited for, so that a repeat can be told the outcome.
 	AnswerGracePeriod = 5 * time.Second
-	// youngFor after its start a proxy may not have heard of every minter, so
+	// startupPeriod after its start a proxy may not have heard of every minter, so
 	// it does not call one gone that it does not know.
-	youngFor = 10 * time.Second
-	// forwardRetry is when to ask again for a token whose minter is silent.
-	forwardRetry = time.Second
+	startupPeriod = 10 * time.Second
+	// forwardRetryAfter is when to ask again for a token whose minter is silent.
+	forwardRetryAfter = time.Second
 )
 
 type (
-	flight struct {
-		serial     uint64
-		id         string
-		service    *service
-		server     *backend.Server
-		regionAt   int
-		home       int
-		idempotent bool
-		token      *caller.Token
-		attempts   int
-		work       quarantine.Work
-		// breaks counts the exchanges that broke.
-		breaks   int
-		began    time.Time
-		sent     time.Time
-		deadline time.Time
+	inFlightRequest struct {
+		serial      uint64
+		id          string
+		service     *service
+		server      *backend.Server
+		regionIndex int
+		homeRegion  int
+		idempotent  bool
+		token       *caller.Token
+		attempts    int
+		work        quarantine.Work
+		// interruptions counts the exchanges that broke.
+		interruptions int
+		startedAt     time.Time
+		sentAt        time.Time
+		deadline      time.Time
 	}
 )
 
 // BeginRequest decides the first step of a caller's request.
 func (k *Kernel) BeginRequest(now time.Time, r Request) Decision {
 	if k.bundle == nil {
-		return k.refuse(now, r, caller.ReasonNoBundle, time.Second)
+		return k.rejectRequest(now, r, caller.ReasonNoBundle, time.Second)
 	}
 	s := k.services[r.Service]
 	if s == nil {
-		return k.refuse(now, r, caller.ReasonNoService, 0)
+		return k.rejectRequest(now, r, caller.ReasonNoService, 0)
 	}
 	deadline := now.Add(s.Deadline.Std())
 	if !r.Deadline.IsZero() && r.Deadline.Before(deadline) {
 		deadline = r.Deadline
 	}
 	if !now.Before(deadline) {
-		return k.refuse(now, r, caller.ReasonDeadline, 0)
+		return k.rejectRequest(now, r, caller.ReasonDeadline, 0)
 	}
-	f := flight{service: s, work: r.Work, began: now, deadline: deadline, home: k.home(r.Client)}
+	f := inFlightRequest{service: s, work: r.Work, startedAt: now, deadline: deadline, homeRegion: k.homeRegion(r.Client)}
 	f.idempotent = s.IsIdempotent(r.Method, r.Path)
 	if !f.idempotent {
-		if d, settled := k.claim(now, r, &f); settled {
+		if d, settled := k.claimToken(now, r, &f); settled {
 			return d
 		}
 	}
-	k.regions[f.home].demand.count++
-	s.budget.Deposit(k.bundle.Retry.BudgetPermille)
+	k.regions[f.homeRegion].demand.count++
+	s.retryBudget.Deposit(k.bundle.Retry.BudgetPermille)
 	return k.dispatch(now, f, nil)
 }
 
-// claim settles who may dispatch a non-idempotent request. It reports true
+// claimToken settles who may dispatch a non-idempotent request. It reports true
 // when the decision is made without a dispatch here.
-func (k *Kernel) claim(now time.Time, r Request, f *flight) (Decision, bool) {
+func (k *Kernel) claimToken(now time.Time, r Request, f *inFlightRequest) (Decision, bool) {
 	if r.Token == "" {
-		d := k.refuse(now, r, caller.ReasonTokenNeeded, 0)
+		d := k.rejectRequest(now, r, caller.ReasonTokenNeeded, 0)
 		if t, ok := k.Mint(now, r.Service); ok {
 			d.NewToken = t
 		}
@@ -82,12 +82,12 @@
 	}
 	t, err := caller.ParseToken(r.Token)
 	if err != nil {
-		return k.refuse(now, r, caller.ReasonTokenInvalid, 0), true
+		return k.rejectRequest(now, r, caller.ReasonTokenInvalid, 0), true
 	}
-	if !k.records.Owner(t) {
-		return k.forward(now, r, t, f.deadline), true
+	if !k.tokenRecords.Owner(t) {
+		return k.forwardToMinter(now, r, t, f.deadline), true
 	}
-	claim, result := k.records.Use(t, r.Service, now)
+	claim, result := k.tokenRecords.Use(t, r.Service, now)
 	reuse := k.config.Faults.TokenReuse && result.Outcome != caller.NotRun
 	if claim == caller.Settled && !reuse {
 		d := Decision{Step: StepFinish, ID: t.ID(), Result: result}
@@ -99,32 +99,32 @@
 	return Decision{}, false
 }
 
-// forward hands the request to whoever decides over its token. When that
+// forwardToMinter hands the request to whoever decides over its token. When that
 // process is gone, the request may have run before it went: unknown, for ever.
-func (k *Kernel) forward(now time.Time, r Request, t *caller.Token, deadline time.Time) Decision {
+func (k *Kernel) forwardToMinter(now time.Time, r Request, t *caller.Token, deadline time.Time) Decision {
 	heir, ok := k.members.Heir(t.Minter)
-	if !ok && now.Sub(k.started) < youngFor {
-		return k.unknown(now, r, t, caller.ReasonMinterSlow, forwardRetry)
+	if !ok && now.Sub(k.startedAt) < startupPeriod {
+		return k.finishUnknown(now, r, t, caller.ReasonMinterSlow, forwardRetryAfter)
 	}
-	if ok && heir.State == peer.Suspect && k.unlisted(heir.Name) {
+	if ok && heir.State == peer.Suspect && k.isVMUnlisted(heir.Name) {
 		// It does not answer and the platform says that its VM is gone: the
 		// answer will not change any more, and the caller need not come back.
 		ok = false
 	}
 	if !ok || r.Forwarded || heir.Name == k.config.Self.Name {
-		return k.unknown(now, r, t, caller.ReasonMinterGone, 0)
+		return k.finishUnknown(now, r, t, caller.ReasonMinterGone, 0)
 	}
 	k.log(now, Event{Kind: EventForwarded, Service: r.Service, Request: t.ID(), Target: heir.Name})
 	return Decision{Step: StepForward, ID: t.ID(), Peer: heir, Deadline: deadline}
 }
 
-// unlisted reports whether the platform's list is known and lacks a VM.
-func (k *Kernel) unlisted(name string) bool {
+// isVMUnlisted reports whether the platform's list is known and lacks a VM.
+func (k *Kernel) isVMUnlisted(name string) bool {
 	_, listed := k.machines.State(name)
 	return k.machines != nil && !listed
 }
 
-func (k *Kernel) unknown(now time.Time, r Request, t *caller.Token, reason caller.Reason, after time.Duration) Decision {
+func (k *Kernel) finishUnknown(now time.Time, r Request, t *caller.Token, reason caller.Reason, after time.Duration) Decision {
 	result := caller.Result{Outcome: caller.Unknown, Reason: reason, RetryAfter: after}
 	k.log(now, Event{Kind: EventFinished, Service: r.Service, Request: t.ID(), Outcome: result.Outcome, Reason: reason})
 	return Decision{Step: StepFinish, ID: t.ID(), Result: result}
@@ -133,7 +133,7 @@
 // HandleForwardFailure is the result when the minter did not answer a forward.
 func (k *Kernel) HandleForwardFailure(now time.Time, service, id, minter string) caller.Result {
 	k.members.Failed(minter, now)
-	result := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonMinterSlow, RetryAfter: forwardRetry}
+	result := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonMinterSlow, RetryAfter: forwardRetryAfter}
 	k.log(now, Event{Kind: EventFinished, Service: service, Request: id, Target: minter, Outcome: result.Outcome, Reason: result.Reason})
 	return result
 }
@@ -147,7 +147,7 @@
 	for i := range nonce {
 		nonce[i] = byte(k.random.Uint32())
 	}
-	t, ok := k.records.Mint(service, nonce, now, k.bundle.Token.Lifetime.Std(), k.bundle.Token.Retention.Std())
+	t, ok := k.tokenRecords.Mint(service, nonce, now, k.bundle.Token.Lifetime.Std(), k.bundle.Token.Retention.Std())
 	if !ok {
 		return "", false
 	}
@@ -158,46 +158,46 @@
 // dispatch admits one attempt: the proxy's own bound, the region, its quota,
 // the link's, and a server. Whatever turns it away leaves no trace in the
 // counts. avoid is the server of the attempt before.
-func (k *Kernel) dispatch(now time.Time, f flight, avoid *backend.Server) Decision {
-	if reason, after := k.mayRun(now, &f); reason != caller.ReasonNone {
-		return k.turnAway(now, f, reason, after)
+func (k *Kernel) dispatch(now time.Time, f inFlightRequest, avoid *backend.Server) Decision {
+	if reason, after := k.checkQuarantine(now, &f); reason != caller.ReasonNone {
+		return k.rejectAttempt(now, f, reason, after)
 	}
 	if k.inFlight >= k.config.MaxInFlight {
-		return k.turnAway(now, f, caller.ReasonBusy, time.Second)
+		return k.rejectAttempt(now, f, caller.ReasonBusy, time.Second)
 	}
-	at := k.regions[f.home].spreader.Next(k.regions[f.home].mover.Row())
+	at := k.regions[f.homeRegion].spreader.Next(k.regions[f.homeRegion].mover.Row())
 	if k.regions[at].lost {
-		at = k.alternative(now, f, at)
+		at = k.failoverRegion(now, f, at)
 	}
 	if at < 0 {
-		return k.turnAway(now, f, caller.ReasonNoServer, k.bundle.Shift.FailoverInterval.Std())
+		return k.rejectAttempt(now, f, caller.ReasonNoServer, k.bundle.Shift.FailoverInterval.Std())
 	}
 	r := k.regions[at]
 	if !k.mayUseQuota(now) || !r.quota.Take(now) && !k.config.Faults.QuotaDisabled {
-		r.refused.count++
-		return k.turnAway(now, f, caller.ReasonCapacity, k.comeBack(now, &r.quota))
+		r.rejected.count++
+		return k.rejectAttempt(now, f, caller.ReasonCapacity, k.retryAfter(now, &r.quota))
 	}
 	link := k.links[linkKey{k.regionIndex(k.config.Self.Region), at}]
 	if link != nil && !link.Take(now) {
 		r.quota.Undo()
-		return k.turnAway(now, f, caller.ReasonLink, k.comeBack(now, link))
+		return k.rejectAttempt(now, f, caller.ReasonLink, k.retryAfter(now, link))
 	}
-	server := f.service.picker.Pick(now, f.service.byRegion[at], avoid, k.room(now))
+	server := f.service.picker.Pick(now, f.service.byRegion[at], avoid, k.serverLimit(now))
 	if server == nil {
 		r.quota.Undo()
 		if link != nil {
 			link.Undo()
 		}
-		return k.turnAway(now, f, caller.ReasonNoServer, k.pausedFor(now, f.service.byRegion[at]))
+		return k.rejectAttempt(now, f, caller.ReasonNoServer, k.pauseRetryAfter(now, f.service.byRegion[at]))
 	}
-	return k.send(now, f, at, server)
+	return k.startAttempt(now, f, at, server)
 }
 
-// alternative is a region for one request whose region is lost and whose row
+// failoverRegion is a region for one request whose region is lost and whose row
 // has not moved yet. It spends from the retry budget, so the traffic that
 // jumps ahead of the paced failover stays within that share.
-func (k *Kernel) alternative(now time.Time, f flight, lost int) int {
-	if !f.service.budget.TryWithdraw() {
+func (k *Kernel) failoverRegion(now time.Time, f inFlightRequest, lost int) int {
+	if !f.service.retryBudget.TryWithdraw() {
 		return -1
 	}
 	best, room := -1, 0
@@ -213,18 +213,18 @@
 	return best
 }
 
-func (k *Kernel) send(now time.Time, f flight, at int, server *backend.Server) Decision {
-	k.serial++
-	f.serial = k.serial
+func (k *Kernel) startAttempt(now time.Time, f inFlightRequest, at int, server *backend.Server) Decision {
+	k.lastSerial++
+	f.serial = k.lastSerial
 	f.server = server
-	f.regionAt = at
+	f.regionIndex = at
 	f.attempts++
-	f.sent = now
+	f.sentAt = now
 	if f.id == "" {
-		f.id = k.config.Self.Name + "-" + strconv.FormatUint(k.serial, 36)
+		f.id = k.config.Self.Name + "-" + strconv.FormatUint(k.lastSerial, 36)
 	}
 	server.Start()
-	k.signalsOf(server).Sent(now)
+	k.backpressureOf(server).Sent(now)
 	k.quarantine.Started(f.work)
 	k.inFlight++
 	kind := EventAdmitted
@@ -232,10 +232,10 @@
 		kind = EventRetried
 	}
 	k.log(now, Event{Kind: kind, Service: f.service.Name, Request: f.id, Target: server.Name})
-	handle := k.flights.Put(f)
+	handle := k.requests.Put(f)
 	return Decision{
 		Step:       StepDispatch,
-		Attempt:    Attempt{flight: handle, serial: f.serial},
+		Attempt:    Attempt{handle: handle, serial: f.serial},
 		Server:     server,
 		Idempotent: f.idempotent,
 		ID:         f.id,
@@ -243,11 +243,11 @@
 	}
 }
 
-// room tells how many requests this proxy may have at a server now: its part of the
+// serverLimit tells how many requests this proxy may have at a server now: its part of the
 // server's connections, or none if the server asks for less.
-func (k *Kernel) room(now time.Time) func(*backend.Server) int {
+func (k *Kernel) serverLimit(now time.Time) func(*backend.Server) int {
 	return func(s *backend.Server) int {
-		if !k.permits(now, s) {
+		if !k.serverAccepts(now, s) {
 			return 0
 		}
 		return k.connectionLimit(s)
@@ -262,20 +262,20 @@
 // EndAttempt takes in how an attempt ended and decides the next step. An attempt
 // that was ended before gets a zero decision: late news changes nothing.
 func (k *Kernel) EndAttempt(now time.Time, e AttemptEnd) Decision {
-	entry := k.flights.Get(e.Attempt.flight)
+	entry := k.requests.Get(e.Attempt.handle)
 	if entry == nil || entry.serial != e.Attempt.serial {
 		return Decision{}
 	}
 	f := *entry
-	k.flights.Free(e.Attempt.flight)
+	k.requests.Free(e.Attempt.handle)
 	k.inFlight--
-	k.learnEnd(now, &f, e)
+	k.recordAttemptEnd(now, &f, e)
 	wasOut := f.server.Ejected()
 	if e.Report != nil {
 		f.server.ApplyReport(*e.Report)
-		k.hearSignal(now, f.sent, f.server, *e.Report)
+		k.recordSignal(now, f.sentAt, f.server, *e.Report)
 	}
-	f.server.End(e.Result, now.Sub(f.sent), now)
+	f.server.End(e.Result, now.Sub(f.sentAt), now)
 	if f.server.Ejected() && !wasOut {
 		k.log(now, Event{Kind: EventServerEjected, Target: f.server.Name})
 	}
@@ -283,35 +283,35 @@
 	case backend.Answered:
 		return k.finish(now, f, caller.Result{Outcome: caller.Done, Answer: e.Answer})
 	case backend.Rejected:
-		return k.again(now, f, e.NoRetry, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonShed})
+		return k.retryOrFinish(now, f, e.NoRetry, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonShed})
 	case backend.Unreachable:
-		return k.again(now, f, e.NoRetry, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonNoServer})
+		return k.retryOrFinish(now, f, e.NoRetry, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonNoServer})
 	case backend.Abandoned:
-		return k.finish(now, f, caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetry})
+		return k.finish(now, f, caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetryAfter})
 	}
-	broken := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonBroken, RetryAfter: forwardRetry}
+	broken := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonBroken, RetryAfter: forwardRetryAfter}
 	if !f.idempotent || e.NoRetry {
 		// Bytes were sent and no whole answer came: it may have run. A second
 		// dispatch could run it twice, so there is none.
 		return k.finish(now, f, broken)
 	}
-	return k.again(now, f, false, broken)
+	return k.retryOrFinish(now, f, false, broken)
 }
 
 // HandleDeadlineExceeded is what the caller is told at the deadline while the attempt still
 // runs. The attempt goes on for AnswerGracePeriod where its outcome is worth keeping.
 func (k *Kernel) HandleDeadlineExceeded(now time.Time, a Attempt) caller.Result {
-	result := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetry}
-	if f := k.flights.Get(a.flight); f != nil && f.serial == a.serial {
+	result := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetryAfter}
+	if f := k.requests.Get(a.handle); f != nil && f.serial == a.serial {
 		k.log(now, Event{Kind: EventOverdue, Service: f.service.Name, Request: f.id, Target: f.server.Name})
 	}
 	return result
 }
 
-// again tries another server if the request may be repeated in time and the
+// retryOrFinish tries another server if the request may be repeated in time and the
 // budget allows; otherwise the result stands.
-func (k *Kernel) again(now time.Time, f flight, final bool, result caller.Result) Decision {
-	if final || f.attempts >= k.bundle.Retry.Attempts || !now.Before(f.deadline) || !f.service.budget.TryWithdraw() {
+func (k *Kernel) retryOrFinish(now time.Time, f inFlightRequest, final bool, result caller.Result) Decision {
+	if final || f.attempts >= k.bundle.Retry.Attempts || !now.Before(f.deadline) || !f.service.retryBudget.TryWithdraw() {
 		if result.Outcome == caller.NotRun {
 			result.RetryAfter = k.jitter(time.Second)
 		}
@@ -326,31 +326,31 @@
 }
 
 // finish settles a request that was dispatched.
-func (k *Kernel) finish(now time.Time, f flight, result caller.Result) Decision {
+func (k *Kernel) finish(now time.Time, f inFlightRequest, result caller.Result) Decision {
 	if f.token != nil {
 		if result.Outcome == caller.NotRun {
-			k.records.Release(f.token.Nonce)
-		} else if err := k.records.Finish(f.token.Nonce, result); err != nil && !k.config.Faults.TokenReuse {
-			k.broken(err.Error() + " " + f.id)
+			k.tokenRecords.Release(f.token.Nonce)
+		} else if err := k.tokenRecords.Finish(f.token.Nonce, result); err != nil && !k.config.Faults.TokenReuse {
+			k.invariantViolated(err.Error() + " " + f.id)
 		}
 	}
 	k.log(now, Event{Kind: EventFinished, Service: f.service.Name, Request: f.id, Target: f.server.Name, Outcome: result.Outcome, Reason: result.Reason})
 	return Decision{Step: StepFinish, ID: f.id, Idempotent: f.idempotent, Result: result}
 }
 
-// turnAway refuses an attempt before its dispatch. After a first attempt that
+// rejectAttempt refuses an attempt before its dispatch. After a first attempt that
 // was itself not run the request as a whole was not run either; again keeps
 // the other case apart.
-func (k *Kernel) turnAway(now time.Time, f flight, reason caller.Reason, after time.Duration) Decision {
+func (k *Kernel) rejectAttempt(now time.Time, f inFlightRequest, reason caller.Reason, after time.Duration) Decision {
 	if f.token != nil {
-		k.records.Release(f.token.Nonce)
+		k.tokenRecords.Release(f.token.Nonce)
 	}
 	result := caller.Result{Outcome: caller.NotRun, Reason: reason, RetryAfter: k.jitter(after)}
 	k.log(now, Event{Kind: EventRefused, Service: f.service.Name, Request: f.id, Outcome: result.Outcome, Reason: result.Reason})
 	return Decision{Step: StepFinish, ID: f.id, Idempotent: f.idempotent, Result: result}
 }
 
-func (k *Kernel) refuse(now time.Time, r Request, reason caller.Reason, after time.Duration) Decision {
+func (k *Kernel) rejectRequest(now time.Time, r Request, reason caller.Reason, after time.Duration) Decision {
 	result := caller.Result{Outcome: caller.NotRun, Reason: reason, RetryAfter: after}
 	k.log(now, Event{Kind: EventRefused, Service: r.Service, Outcome: result.Outcome, Reason: result.Reason})
 	return Decision{Step: StepFinish, Result: result}
--- a/internal/kernel/core/route.go
+++ b/internal/kernel/core/route.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// planEvery is how often target rows are computed.
-	planEvery = 500 * time.Millisecond
-	// probeEvery is how often a server taken out is asked for its health.
-	probeEvery = 500 * time.Millisecond
-	// leavingProbeEvery is how often a server that leaves by its own word is asked whether
+	// planInterval is how often target rows are computed.
+	planInterval = 500 * time.Millisecond
+	// probeInterval is how often a server taken out is asked for its health.
+	probeInterval = 500 * time.Millisecond
+	// leavingProbeInterval is how often a server that leaves by its own word is asked whether
 	// it still does.
-	leavingProbeEvery = 5 * time.Second
-	// rateWeight is the weight of one sample of a rate.
-	rateWeight = 0.2
-	// lostShare of a region's servers out means that the region is lost.
-	lostShare = 0.8
-	// comeBackMost bounds the time after which a refused caller returns.
-	comeBackMost = 30 * time.Second
+	leavingProbeInterval = 5 * time.Second
+	// rateSampleWeight is the weight of one sample of a rate.
+	rateSampleWeight = 0.2
+	// lostRegionThreshold of a region's servers out means that the region is lost.
+	lostRegionThreshold = 0.8
+	// maxRetryAfter bounds the time after which a refused caller returns.
+	maxRetryAfter = 30 * time.Second
 )
 
 type (
@@ -41,30 +41,30 @@
 		return
 	}
 	rate := float64(m.count) / over.Seconds()
-	m.rate += rateWeight * (rate - m.rate)
+	m.rate += rateSampleWeight * (rate - m.rate)
 	m.count = 0
 }
 
-// plan recomputes the target rows now and then, and moves the rows in force
+// advanceShifts recomputes the target rows now and then, and moves the rows in force
 // towards them at the bundle's pace.
-func (k *Kernel) plan(now time.Time) {
+func (k *Kernel) advanceShifts(now time.Time) {
 	if now.Before(k.nextPlan) {
 		return
 	}
-	over := planEvery
+	over := planInterval
 	if !k.nextPlan.IsZero() {
 		over += now.Sub(k.nextPlan)
 	}
-	k.nextPlan = now.Add(planEvery)
+	k.nextPlan = now.Add(planInterval)
 	lost := make([]bool, len(k.regions))
 	for i, r := range k.regions {
 		r.demand.sample(over)
-		r.refused.sample(over)
-		k.judgeRegion(now, r)
+		r.rejected.sample(over)
+		k.updateRegionHealth(now, r)
 		lost[i] = r.lost
 	}
-	targets := k.planner.Target(k.planInput(now))
-	planned, failover := k.paces()
+	targets := k.planner.Target(k.plannerInput(now))
+	planned, failover := k.shiftPaces()
 	if k.config.Faults.ShiftUncapped {
 		planned.Cap = region.Full
 		failover.Cap = region.Full
@@ -76,13 +76,13 @@
 	}
 }
 
-func (k *Kernel) paces() (planned, failover region.Pace) {
+func (k *Kernel) shiftPaces() (planned, failover region.Pace) {
 	s := k.bundle.Shift
 	return region.Pace{Cap: s.CapPermille, Interval: s.Interval.Std()},
 		region.Pace{Cap: s.FailoverCapPermille, Interval: s.FailoverInterval.Std()}
 }
 
-func (k *Kernel) planInput(now time.Time) region.Input {
+func (k *Kernel) plannerInput(now time.Time) region.Input {
 	n := len(k.regions)
 	in := region.Input{
 		Preferred: preferredRows(k.bundle),
@@ -99,9 +99,9 @@
 		in.Demand[i] = r.demand.rate
 		in.Capacity[i] = r.Capacity
 		in.Quota[i] = max(0, r.quota.Limit(now))
-		if now.Sub(k.started) > youngFor {
+		if now.Sub(k.startedAt) > startupPeriod {
 			// At a start quota is only on its way, and refusals say nothing.
-			in.Refused[i] = r.refused.rate
+			in.Refused[i] = r.rejected.rate
 		}
 	}
 	return in
@@ -123,9 +123,9 @@
 	return rows
 }
 
-// judgeRegion decides whether a region is lost: nearly all its servers were
+// updateRegionHealth decides whether a region is lost: nearly all its servers were
 // taken out for failures. One server that answers brings it back.
-func (k *Kernel) judgeRegion(now time.Time, r *regionState) {
+func (k *Kernel) updateRegionHealth(now time.Time, r *regionState) {
 	out, total := 0, 0
 	for _, s := range r.servers {
 		if s.Leaving() {
@@ -136,7 +136,7 @@
 			out++
 		}
 	}
-	lost := total > 0 && float64(out) >= lostShare*float64(total)
+	lost := total > 0 && float64(out) >= lostRegionThreshold*float64(total)
 	if lost == r.lost {
 		return
 	}
@@ -148,23 +148,23 @@
 	k.log(now, Event{Kind: kind, Target: r.Name})
 }
 
-// probe asks servers that were taken out whether they are back. Without it a
+// probeServers asks servers that were taken out whether they are back. Without it a
 // lost region, which gets no requests, would never be found to have returned.
 // It also asks one more server of a region in which some are out, so that a
 // region's loss is noticed before each server has failed three requests, and now and
 // then one that leaves by its own word whether it still does.
-func (k *Kernel) probe(now time.Time, actions []Action) []Action {
+func (k *Kernel) probeServers(now time.Time, actions []Action) []Action {
 	for _, r := range k.regions {
 		suspicious := slices.ContainsFunc(r.servers, (*backend.Server).Ejected)
 		for _, s := range r.servers {
-			every := leavingProbeEvery
+			every := leavingProbeInterval
 			if !s.ReportsLeaving() {
-				every = probeEvery
+				every = probeInterval
 			}
-			if !suspicious && !s.ReportsLeaving() || !k.permits(now, s) || !s.ProbeDue(now, every) {
+			if !suspicious && !s.ReportsLeaving() || !k.serverAccepts(now, s) || !s.ProbeDue(now, every) {
 				continue
 			}
-			k.signalsOf(s).Sent(now)
+			k.backpressureOf(s).Sent(now)
 			actions = append(actions, SendProbe{Server: s.Name, Address: s.Address})
 		}
 	}
@@ -174,7 +174,7 @@
 // HandleProbeResult takes in a probe's result.
 func (k *Kernel) HandleProbeResult(now time.Time, name string, h backend.Health) {
 	if h.ConnectionRefused {
-		k.serverEnded(now, name)
+		k.recordServerExit(now, name)
 	}
 	for _, r := range k.regions {
 		for _, s := range r.servers {
@@ -184,7 +184,7 @@
 			if h.Report != nil {
 				s.ApplyReport(*h.Report)
 				// When it was asked is not known, so it lifts no limit.
-				k.signals.Heard(now, now, signalKey(s.Name), h.Report.Signal, false)
+				k.backpressure.Heard(now, now, signalKey(s.Name), h.Report.Signal, false)
 			}
 			s.ApplyProbe(h, now)
 		}
@@ -206,12 +206,12 @@
 	}
 }
 
-// comeBack spreads refused callers over the time that the excess needs: the
+// retryAfter spreads refused callers over the time that the excess needs: the
 // more were refused in this window, the later and the wider.
-func (k *Kernel) comeBack(now time.Time, q *peer.Quota) time.Duration {
+func (k *Kernel) retryAfter(now time.Time, q *peer.Quota) time.Duration {
 	limit := max(1, q.Limit(now))
 	windows := 1 + q.RefusedRecently(now)/limit
-	return min(time.Duration(windows)*peer.WindowSpan, comeBackMost)
+	return min(time.Duration(windows)*peer.WindowSpan, maxRetryAfter)
 }
 
 // jitter spreads a time to come back over one to two times itself, so that
@@ -223,8 +223,8 @@
 	return d + time.Duration(k.random.Int64N(int64(d)))
 }
 
-// rows lists the rows in force, for a newcomer.
-func (k *Kernel) rows() [][]int {
+// currentRows lists the rows in force, for a newcomer.
+func (k *Kernel) currentRows() [][]int {
 	var rows [][]int
 	for _, r := range k.regions {
 		rows = append(rows, r.mover.Row())
@@ -248,5 +248,5 @@
 		}
 		k.regions[i].mover = region.NewMover(row)
 	}
-	k.rowsKnown = true
+	k.rowsAdopted = true
 }
--- a/internal/kernel/core/signals.go
+++ b/internal/kernel/core/signals.go
@@ -10,59 +10,59 @@
 )
 
 const (
-	// noServerFor is after how long a caller may come back if no server could take its
+	// noServerRetryAfter is after how long a caller may come back if no server could take its
 	// request.
-	noServerFor = time.Second
+	noServerRetryAfter = time.Second
 )
 
 // signalKey names a server among all proxies. It has one name for good, so what an earlier
 // start has asked ends with the first answers of the next.
 func signalKey(server string) quarantine.Server { return quarantine.ServerOf(server, time.Time{}) }
 
-// signalsOf is what a server asks of its senders, nil for nothing.
-func (k *Kernel) signalsOf(s *backend.Server) *backpressure.State {
-	if k.signals.Empty() {
+// backpressureOf is what a server asks of its senders, nil for nothing.
+func (k *Kernel) backpressureOf(s *backend.Server) *backpressure.State {
+	if k.backpressure.Empty() {
 		return nil
 	}
-	return k.signals.Of(signalKey(s.Name))
+	return k.backpressure.Of(signalKey(s.Name))
 }
 
-// hearSignal takes in what a server's answer asks.
-func (k *Kernel) hearSignal(now, sent time.Time, s *backend.Server, r backend.Report) {
-	k.signals.Heard(now, sent, signalKey(s.Name), r.Signal, true)
+// recordSignal takes in what a server's answer asks.
+func (k *Kernel) recordSignal(now, sent time.Time, s *backend.Server, r backend.Report) {
+	k.backpressure.Heard(now, sent, signalKey(s.Name), r.Signal, true)
 }
 
-// permits reports whether a server takes a request of this proxy now, by what it asks of
+// serverAccepts reports whether a server takes a request of this proxy now, by what it asks of
 // its senders. Requests and probes ask this.
-func (k *Kernel) permits(now time.Time, s *backend.Server) bool {
-	state := k.signalsOf(s)
+func (k *Kernel) serverAccepts(now time.Time, s *backend.Server) bool {
+	state := k.backpressureOf(s)
 	if state.Paused(now) {
 		return false
 	}
 	window, limited := state.Window(now)
-	return !limited || state.Room(now, k.rankAt(s.Region).Share(window))
+	return !limited || state.Room(now, k.backpressureRank(s.Region).Share(window))
 }
 
-// pausedFor is after how long a caller may come back that no server takes: if all of them
+// pauseRetryAfter is after how long a caller may come back that no server takes: if all of them
 // pause, when the first of them takes requests again.
-func (k *Kernel) pausedFor(now time.Time, servers []*backend.Server) time.Duration {
+func (k *Kernel) pauseRetryAfter(now time.Time, servers []*backend.Server) time.Duration {
 	first := time.Duration(0)
 	for _, s := range servers {
-		left := k.signalsOf(s).PausedFor(now)
+		left := k.backpressureOf(s).PausedFor(now)
 		if left == 0 {
-			return noServerFor
+			return noServerRetryAfter
 		}
 		if first == 0 || left < first {
 			first = left
 		}
 	}
-	return max(first, noServerFor)
+	return max(first, noServerRetryAfter)
 }
 
-// rankAt is this proxy's place among all proxies at the servers of a region. Their numbers
+// backpressureRank is this proxy's place among all proxies at the servers of a region. Their numbers
 // are the bundle's, so that parts of a fleet that are cut off from each other do not each
 // take a whole limit; in an unlisted region, or beyond its number, there is no place.
-func (k *Kernel) rankAt(server string) backpressure.Rank {
+func (k *Kernel) backpressureRank(server string) backpressure.Rank {
 	self := k.config.Self
 	rank, own := backpressure.Rank{}, -1
 	for _, r := range k.regions {
@@ -70,7 +70,7 @@
 			rank.Near = r.Proxies
 		}
 		if r.Name == self.Region {
-			own = k.placeInRegion()
+			own = k.rankInRegion()
 			if own >= r.Proxies {
 				own = -1
 			}
@@ -96,8 +96,8 @@
 	return rank
 }
 
-// placeInRegion counts the proxies of the own region before this one.
-func (k *Kernel) placeInRegion() (place int) {
+// rankInRegion counts the proxies of the own region before this one.
+func (k *Kernel) rankInRegion() (place int) {
 	for _, m := range k.members.All() {
 		if m.State != peer.Gone && m.Region == k.config.Self.Region && m.Name < k.config.Self.Name {
 			place++
@@ -106,9 +106,9 @@
 	return place
 }
 
-// observeSignal tells of the limit that a server names from now on. That it leaves is told
+// logSignalChange tells of the limit that a server names from now on. That it leaves is told
 // with the other reasons for it.
-func (k *Kernel) observeSignal(n backpressure.Notice) {
+func (k *Kernel) logSignalChange(n backpressure.Notice) {
 	if n.Change != backpressure.ChangeLimit {
 		return
 	}
--- a/internal/kernel/core/status.go
+++ b/internal/kernel/core/status.go
@@ -54,7 +54,7 @@
 		Self:     k.members.Self(),
 		Bundle:   k.BundleVersion(),
 		InFlight: k.inFlight,
-		Records:  k.records.Len(),
+		Records:  k.tokenRecords.Len(),
 		Fenced:   k.fenced,
 		Stopping: k.stopping,
 	}
@@ -94,6 +94,6 @@
 	return s
 }
 
-func permilleText(share int) string {
+func formatPermille(share int) string {
 	return fmt.Sprintf("%d.%d%%", share/10, share%10)
 }
--- a/internal/kernel/core/stop.go
+++ b/internal/kernel/core/stop.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// stopMargin covers the time in which peers learn of the stop and may
+	// stopGracePeriod covers the time in which peers learn of the stop and may
 	// still name this proxy in answers.
-	stopMargin = 2 * time.Second
+	stopGracePeriod = 2 * time.Second
 )
 
 // BeginStop starts a planned stop: peers are told, look-ups leave this proxy
@@ -21,10 +21,10 @@
 		return
 	}
 	k.stopping = true
-	k.stopBegan = now
+	k.stopStartedAt = now
 	k.members.UpdateSelf(now, func(m *peer.Member) { m.State = peer.Leaving })
 	k.log(now, Event{Kind: EventStopping})
-	k.spreadNews(now)
+	k.scheduleGossip(now)
 }
 
 // MayStopServing reports whether a stopping proxy may refuse new requests:
@@ -37,17 +37,17 @@
 	if k.bundle != nil {
 		lifetime = k.bundle.Lookup.Lifetime.Std()
 	}
-	return !now.Before(k.stopBegan.Add(lifetime + stopMargin))
+	return !now.Before(k.stopStartedAt.Add(lifetime + stopGracePeriod))
 }
 
 // Drained reports whether no request is in flight.
-func (k *Kernel) Drained() bool { return k.inFlight == 0 && k.records.Running() == 0 }
+func (k *Kernel) Drained() bool { return k.inFlight == 0 && k.tokenRecords.Running() == 0 }
 
 // CloseRecords ends dispatching and returns what a peer should take over, and
 // the peers to try in order: same failure domain last, for it may go as a
 // whole.
 func (k *Kernel) CloseRecords() ([]caller.Handover, []peer.Member) {
-	k.records.Close()
+	k.tokenRecords.Close()
 	self := k.config.Self
 	var near, far []peer.Member
 	for _, m := range k.members.Serving() {
@@ -60,7 +60,7 @@
 		}
 	}
 	k.random.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	return k.records.Export(), append(far, near...)
+	return k.tokenRecords.Export(), append(far, near...)
 }
 
 // FinishHandover notes who holds the records now, and leaves the membership.
@@ -72,7 +72,7 @@
 	k.log(now, Event{Kind: EventHandover, Target: successor})
 	var actions []Action
 	for _, p := range k.members.Reachable(now) {
-		actions = append(actions, SendExchange{To: p, Message: k.message(now)})
+		actions = append(actions, SendExchange{To: p, Message: k.exchangeMessage(now)})
 	}
 	return actions
 }
@@ -84,13 +84,13 @@
 	if k.bundle == nil || k.assignment == nil {
 		return nil
 	}
-	k.givingUp = true
+	k.releasingAll = true
 	k.applyQuota(now)
 	return kv.Step(kv.View{
 		Self:       k.holder(),
 		Bundle:     k.bundle,
 		Assignment: k.assignment,
-		Lent:       k.lent(now) || k.used(now),
+		Lent:       k.hasLentQuota(now) || k.hasUsedQuota(now),
 		Leaving:    true,
 	})
 }
