--- a/internal/kernel/backend/balancer.go
+++ b/internal/kernel/backend/balancer.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxReportAge is the age at which a load report says nothing any more.
+	// maxReportAge is the age at which a load report is no longer used.
 	maxReportAge = 300 * time.Millisecond
 )
 
@@ -17,15 +17,15 @@
 )
 
 type (
-	// Balancer chooses among servers that may all take the request.
-	// Candidates are never empty; Pick returns an index into them.
+	// Balancer is a load balancing algorithm, which chooses among servers that can all take the
+	// request. The candidates are never empty; Pick returns an index into them.
 	Balancer struct {
 		Name string
 		Help string
 		Pick func(p *Picker, now time.Time, candidates []*Server) int
 	}
 
-	// Picker is one proxy's own state of choosing.
+	// Picker is the balancing state of one proxy.
 	Picker struct {
 		balancer  Balancer
 		random    *rand.Rand
@@ -34,16 +34,16 @@
 	}
 )
 
-// RegisterBalancer adds a balancer to the registry. It is called from init
-// functions only, so the registry is constant once main runs.
+// RegisterBalancer adds a balancer to the registry. It is called from init functions only, so that
+// the registry is constant once main runs.
 func RegisterBalancer(b Balancer) {
-	if _, taken := balancers[b.Name]; taken {
+	if _, registered := balancers[b.Name]; registered {
 		panic(fmt.Sprintf("backend: balancer %q registered twice", b.Name))
 	}
 	balancers[b.Name] = b
 }
 
-// Balancers lists the registered names in order.
+// Balancers returns the sorted names of the registered balancers.
 func Balancers() []string {
 	names := make([]string, 0, len(balancers))
 	for name := range balancers {
@@ -53,14 +53,14 @@
 	return names
 }
 
-// NewPicker makes a picker with a registered balancer.
+// NewPicker creates a picker with a registered balancer. It returns false if the name is unknown.
 func NewPicker(name string, random *rand.Rand) (*Picker, bool) {
 	b, ok := balancers[name]
 	return &Picker{balancer: b, random: random}, ok
 }
 
-// Pick chooses a server that is usable, is not in avoid and has a connection
-// to spare under limit, or returns nil. It allocates nothing once warm.
+// Pick chooses a usable server other than avoid that has fewer requests in flight than limit
+// allows, or returns nil. It does not allocate once its buffer has grown.
 func (p *Picker) Pick(now time.Time, servers []*Server, avoid *Server, limit func(*Server) int) *Server {
 	p.usable = p.usable[:0]
 	for _, s := range servers {
--- a/internal/kernel/backend/balancers.go
+++ b/internal/kernel/backend/balancers.go
@@ -12,12 +12,12 @@
 func init() {
 	RegisterBalancer(Balancer{
 		Name: SpareSlots,
-		Help: "most spare slots by own requests in flight; cold servers count for less",
+		Help: "most spare slots by own requests in flight; cold servers have fewer slots",
 		Pick: pickSpareSlots,
 	})
 	RegisterBalancer(Balancer{
 		Name: "aged-load",
-		Help: "lowest expected wait by own in-flight requests and fading load reports",
+		Help: "lowest expected wait by own in-flight requests and load reports weighted by age",
 		Pick: pickAgedLoad,
 	})
 	RegisterBalancer(Balancer{
@@ -31,7 +31,7 @@
 		Pick: pickLeastInFlight,
 	})
 	RegisterBalancer(Balancer{Name: "random", Help: "any server", Pick: pickRandom})
-	RegisterBalancer(Balancer{Name: "round-robin", Help: "each server in turn", Pick: pickRoundRobin})
+	RegisterBalancer(Balancer{Name: "round-robin", Help: "the servers in rotation", Pick: pickRoundRobin})
 }
 
 func pickRandom(p *Picker, _ time.Time, candidates []*Server) int {
@@ -43,16 +43,16 @@
 	return p.nextIndex % len(candidates)
 }
 
-// pickLowestScore finds the lowest score, starting at a random place so that ties
-// do not send every proxy to the first server of the list.
+// pickLowestScore returns the index of the lowest score. The search starts at a random index so
+// that ties do not send the requests of all proxies to the first server of the list.
 func pickLowestScore(p *Picker, candidates []*Server, score func(*Server) float64) int {
 	offset := p.random.IntN(len(candidates))
 	best := offset
 	lowest := score(candidates[offset])
 	for i := 1; i < len(candidates); i++ {
-		at := (offset + i) % len(candidates)
-		if s := score(candidates[at]); s < lowest {
-			best = at
+		index := (offset + i) % len(candidates)
+		if s := score(candidates[index]); s < lowest {
+			best = index
 			lowest = s
 		}
 	}
@@ -63,10 +63,10 @@
 	return pickLowestScore(p, candidates, func(s *Server) float64 { return float64(s.inFlight) })
 }
 
-// pickSpareSlots goes by what this proxy knows for certain. Load reports would
-// add what other proxies do, but they are several service times old, and all
-// proxies would avoid the same server by them at once: in the benchmark that
-// costs more than not knowing (docs/design/balancer.md).
+// pickSpareSlots uses only what this proxy knows for certain. Load reports would add the requests
+// of other proxies, but they are several service times old and would make all proxies avoid the
+// same server at once. In the benchmark, using them costs more than ignoring the other proxies
+// (docs/design/balancer.md).
 func pickSpareSlots(p *Picker, now time.Time, candidates []*Server) int {
 	return pickLowestScore(p, candidates, func(s *Server) float64 {
 		return (float64(s.inFlight) + 1) / s.effectiveSlots(now)
--- a/internal/kernel/backend/server.go
+++ b/internal/kernel/backend/server.go
@@ -1,6 +1,6 @@
-// Package backend decides which backend server gets a request: the state an
-// own proxy knows of each server, the registry of balancers, and the budget
-// that keeps retries from amplifying an overload.
+// Package backend selects the backend server for a request. It contains the state that one proxy
+// keeps about each server, the registry of balancers, and the budget that keeps retries from
+// amplifying an overload.
 package backend
 
 import (
@@ -12,55 +12,55 @@
 )
 
 const (
-	// ejectionThreshold consecutive failures take a server out for a while.
+	// ejectionThreshold is the number of consecutive failures that eject a server.
 	ejectionThreshold = 3
 	baseEjectionTime  = 500 * time.Millisecond
 	maxEjectionTime   = 10 * time.Second
-	// shedBackoff is how long a server that shed is passed over, if others can
-	// take the request. Short: it refuses because its slots are full now.
+	// shedBackoff is how long a server that shed a request is skipped, if others can take the
+	// request. It is short because the server sheds requests only while its slots are full.
 	shedBackoff = 25 * time.Millisecond
 	// minWarmShare is the share of its slots that a cold server starts with.
 	minWarmShare = 0.1
-	// latencySampleWeight is the weight of one sample in the moving average.
+	// latencySampleWeight is the weight of a new sample in the moving average of the latency.
 	latencySampleWeight = 0.1
 )
 
 const (
-	// Answered means that a whole answer arrived.
+	// Answered means that a complete answer was received.
 	Answered Result = iota + 1
 	// Rejected means that the server shed the request before running it.
 	Rejected
 	// Unreachable means that no byte of the request was sent.
 	Unreachable
-	// Interrupted means that the exchange broke after the first byte was sent.
+	// Interrupted means that the exchange failed after the first byte was sent.
 	Interrupted
-	// Abandoned means that the proxy gave the attempt up.
+	// Abandoned means that the proxy gave up the attempt.
 	Abandoned
 )
 
 type (
-	// Result is how one attempt ended.
+	// Result is how an attempt ended.
 	Result uint8
 
-	// Health is what a probe found.
+	// Health is the result of a health probe.
 	Health struct {
 		OK bool
-		// ConnectionRefused is set if nothing listens there.
+		// ConnectionRefused is set if nothing listens on the server's address.
 		ConnectionRefused bool
 		Report            *Report
 	}
 
-	// Report is a server's own word on its load. It lags and may be wrong, so
-	// it only ever weighs a choice and never permits a request.
+	// Report is the load that a server reports about itself. It lags and may be wrong, so it only
+	// influences the choice among servers and never permits a request.
 	Report struct {
 		Running int
 		Leaving bool
-		// Signal is what it asks of its senders.
+		// Signal is the backpressure signal of the server.
 		Signal backpressure.Signal
 		At     time.Time
 	}
 
-	// Server is what this proxy knows of one backend server.
+	// Server is the state that this proxy keeps about a backend server.
 	Server struct {
 		Name        string
 		Address     netip.AddrPort
@@ -85,7 +85,7 @@
 	}
 )
 
-// NewServer begins with no knowledge of a configured server.
+// NewServer creates the state of a configured server about which nothing is known yet.
 func NewServer(s operator.Server, slowStart time.Duration) *Server {
 	return &Server{
 		Name:        s.Name,
@@ -99,17 +99,17 @@
 	}
 }
 
-// InFlight is the number of this proxy's requests on the server.
+// InFlight returns the number of this proxy's requests on the server.
 func (s *Server) InFlight() int { return s.inFlight }
 
-// Latency is the moving average of whole answers' times.
+// Latency returns the moving average of the time to a complete answer.
 func (s *Server) Latency() time.Duration { return s.latency }
 
-// SetDrained notes whether a drain of the bundle holds for the server.
+// SetDrained sets whether a drain in the bundle applies to the server.
 func (s *Server) SetDrained(drained bool) { s.drained = drained }
 
-// SetListed notes whether the VM list shows the server's VM as live. A server
-// that comes back begins cold.
+// SetListed sets whether the VM list shows the server's VM as live. A server that is listed again
+// starts cold.
 func (s *Server) SetListed(listed bool, now time.Time) {
 	if listed && !s.listed {
 		s.warmupStart = now
@@ -117,14 +117,14 @@
 	s.listed = listed
 }
 
-// Leaving reports whether the server must get no new work: a drain planned by
-// bundle, the VM list, or its own word, whichever comes first.
+// Leaving reports whether the server must get no new requests, because of a drain in the bundle,
+// the VM list or its own report.
 func (s *Server) Leaving() bool {
 	return s.drained || !s.listed || s.reportsLeaving
 }
 
-// ReportsLeaving reports whether the server has said that it is leaving. The word stands
-// until its health says otherwise: it has one name for all its starts.
+// ReportsLeaving reports whether the server has announced that it is leaving. This holds until a
+// health probe finds otherwise, since the server keeps its name across restarts.
 func (s *Server) ReportsLeaving() bool { return s.reportsLeaving }
 
 // Usable reports whether the server may be chosen.
@@ -132,15 +132,15 @@
 	return !s.Leaving() && !now.Before(s.unusableUntil)
 }
 
-// Start counts a request in.
+// Start counts a request as in flight.
 func (s *Server) Start() { s.inFlight++ }
 
-// End counts a request out and learns from how it went.
-func (s *Server) End(r Result, took time.Duration, now time.Time) {
+// End removes a request from the count in flight and updates the server's state with its result.
+func (s *Server) End(r Result, elapsed time.Duration, now time.Time) {
 	s.inFlight--
 	switch r {
 	case Answered:
-		s.recordSuccess(took, now)
+		s.recordSuccess(elapsed, now)
 	case Rejected:
 		s.failures = 0
 		s.unusableUntil = now.Add(shedBackoff)
@@ -149,38 +149,37 @@
 	}
 }
 
-func (s *Server) recordSuccess(took time.Duration, now time.Time) {
+func (s *Server) recordSuccess(elapsed time.Duration, now time.Time) {
 	if s.ejections > 0 {
 		s.warmupStart = now
 	}
 	s.failures = 0
 	s.ejections = 0
 	if s.latency == 0 {
-		s.latency = took
+		s.latency = elapsed
 		return
 	}
-	s.latency += time.Duration(latencySampleWeight * float64(took-s.latency))
+	s.latency += time.Duration(latencySampleWeight * float64(elapsed-s.latency))
 }
 
-// recordFailure takes a server out after several failures in a row, for a time that
-// doubles. The first request after that is the probe: one failure more puts
-// the server out again at once.
+// recordFailure ejects the server after several consecutive failures, for a time that doubles with
+// each ejection. The first request after the ejection serves as a probe: a single further failure
+// ejects the server again.
 func (s *Server) recordFailure(now time.Time) {
 	s.failures++
 	if s.failures < ejectionThreshold {
 		return
 	}
-	pause := min(baseEjectionTime<<min(s.ejections, 8), maxEjectionTime)
-	s.unusableUntil = now.Add(pause)
+	ejectionTime := min(baseEjectionTime<<min(s.ejections, 8), maxEjectionTime)
+	s.unusableUntil = now.Add(ejectionTime)
 	s.ejections++
 	s.failures = ejectionThreshold - 1
 }
 
-// Ejected reports whether failures have taken the server out and no answer has
-// brought it back yet.
+// Ejected reports whether failures have ejected the server and no success has reinstated it yet.
 func (s *Server) Ejected() bool { return s.ejections > 0 }
 
-// ApplyReport takes in a load report.
+// ApplyReport updates the state with a load report.
 func (s *Server) ApplyReport(r Report) {
 	if r.Leaving {
 		s.reportsLeaving = true
@@ -192,17 +191,18 @@
 	s.otherLoad = max(0, float64(r.Running-s.inFlight))
 }
 
-// estimatedLoad estimates how many requests the server runs. What other proxies add is
-// only known from the last report, whose weight fades with age.
-func (s *Server) estimatedLoad(now time.Time, horizon time.Duration) float64 {
+// estimatedLoad estimates how many requests the server runs. The load from other proxies is known
+// only from the last report, whose weight decreases linearly with age.
+func (s *Server) estimatedLoad(now time.Time, maxAge time.Duration) float64 {
 	age := now.Sub(s.reportedAt)
-	if age >= horizon {
+	if age >= maxAge {
 		return float64(s.inFlight)
 	}
-	return float64(s.inFlight) + s.otherLoad*(1-float64(age)/float64(horizon))
+	return float64(s.inFlight) + s.otherLoad*(1-float64(age)/float64(maxAge))
 }
 
-// effectiveSlots is the number of slots that may be counted on, less while cold.
+// effectiveSlots returns the number of slots that can be used now, which is reduced while the
+// server is cold.
 func (s *Server) effectiveSlots(now time.Time) float64 {
 	if s.warmupStart.IsZero() {
 		return float64(s.Slots)
@@ -212,23 +212,22 @@
 		s.warmupStart = time.Time{}
 		return float64(s.Slots)
 	}
-	warm := max(minWarmShare, float64(age)/float64(s.slowStart))
-	return float64(s.Slots) * warm
+	share := max(minWarmShare, float64(age)/float64(s.slowStart))
+	return float64(s.Slots) * share
 }
 
-// ProbeDue reports whether a health probe should be sent now, and counts it
-// as sent.
-func (s *Server) ProbeDue(now time.Time, every time.Duration) bool {
+// ProbeDue reports whether a health probe should be sent now, and if so schedules the next one.
+func (s *Server) ProbeDue(now time.Time, interval time.Duration) bool {
 	if now.Before(s.nextProbe) {
 		return false
 	}
-	s.nextProbe = now.Add(every)
+	s.nextProbe = now.Add(interval)
 	return true
 }
 
-// ApplyProbe takes in a probe's result. A good one brings a server back that was
-// taken out, cold, or that was leaving and no longer says so; a bad one counts like a
-// failed request.
+// ApplyProbe updates the state with the result of a health probe. A successful probe reinstates an
+// ejected server, which then starts cold, and a leaving one that no longer reports that it is
+// leaving. A failed probe counts like a failed request.
 func (s *Server) ApplyProbe(h Health, now time.Time) {
 	if !h.OK {
 		if !s.reportsLeaving {
@@ -248,7 +247,7 @@
 	s.ejections = 0
 }
 
-// Reconfigure takes in a new bundle's figures and keeps what was learnt.
+// Reconfigure applies the configuration of a new bundle and keeps the observed state.
 func (s *Server) Reconfigure(c operator.Server, slowStart time.Duration) {
 	s.Region = c.Region
 	s.Domain = c.Domain
--- a/internal/kernel/core/action.go
+++ b/internal/kernel/core/action.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	// StepDispatch sends the request to Server under Attempt.
+	// StepDispatch sends the request to Decision.Server as Decision.Attempt.
 	StepDispatch Step = iota + 1
-	// StepForward hands the request to Peer, the minter of its token.
+	// StepForward forwards the request to Decision.Peer, the minter of its token.
 	StepForward
-	// StepFinish gives the caller Result.
+	// StepFinish returns Decision.Result to the caller.
 	StepFinish
 )
 
 type (
-	// Step says what to do next with a request.
+	// Step is the next step in processing a request.
 	Step uint8
 
-	// Attempt identifies one dispatch. A late answer carries the attempt it
-	// belongs to and can never be taken for another's.
+	// Attempt identifies one dispatch. The serial number keeps a late answer from being attributed
+	// to a newer attempt that reuses the handle.
 	Attempt struct {
 		handle int
 		serial uint64
 	}
 
-	// Request is what a decision needs to know of a caller's request.
+	// Request holds the properties of a caller's request that decisions depend on.
 	Request struct {
 		Service string
 		Method  string
 		Path    string
 		Client  netip.Addr
-		// Work names what a server would run.
+		// Work identifies what a backend server would run for the request.
 		Work     quarantine.Work
 		Token    string
 		Deadline time.Time
-		// Forwarded requests came from a peer and are not forwarded again,
-		// or two proxies with unlike views could pass one on for ever.
+		// Forwarded is set for a request received from a peer. It is not forwarded again, since two
+		// proxies with different membership views could otherwise forward it in a loop.
 		Forwarded bool
 	}
 
@@ -52,12 +52,12 @@
 		Attempt    Attempt
 		Server     *backend.Server
 		Idempotent bool
-		// ID names the request towards the backend server and in events.
+		// ID identifies the request to the backend server and in events.
 		ID       string
 		Deadline time.Time
 		Peer     peer.Member
 		Result   caller.Result
-		// NewToken is offered with a refusal for want of a token.
+		// NewToken is a fresh token, returned with the rejection of a request that lacks one.
 		NewToken string
 	}
 
@@ -67,38 +67,39 @@
 		Result  backend.Result
 		Answer  *caller.Answer
 		Report  *backend.Report
-		// NoRetry means that no other attempt may follow: the caller has got
-		// bytes of this answer, or has gone.
+		// NoRetry is set if no further attempt may follow, because the caller has received part of
+		// this answer or has disconnected.
 		NoRetry bool
-		// ConnectionRefused is set if nothing listens at the server's address.
+		// ConnectionRefused is set if nothing listens on the server's address.
 		ConnectionRefused bool
 	}
 
-	// Action is something for the driver to do; its outcome comes back
-	// through the kernel's method named with it.
+	// Action is an operation that the driver performs. The driver passes its outcome back through
+	// the Kernel method that the concrete type names.
 	Action interface{ action() }
 
-	// SendExchange asks for a call to a peer; see HandleExchangeReply and HandleExchangeFailure.
+	// SendExchange sends an exchange to a peer. The outcome goes to HandleExchangeReply or
+	// HandleExchangeFailure.
 	SendExchange struct {
 		To      peer.Member
 		Message peer.Exchange
 	}
 
-	// SendBorrow asks a peer for quota; see HandleBorrowReply.
+	// SendBorrow asks a peer for quota. The outcome goes to HandleBorrowReply.
 	SendBorrow struct {
 		To      peer.Member
 		Message peer.BorrowRequest
 		SentAt  time.Time
 	}
 
-	// SendProbe asks a backend server for its health; see HandleProbeResult.
+	// SendProbe probes the health of a backend server. The outcome goes to HandleProbeResult.
 	SendProbe struct {
 		Server  string
 		Address netip.AddrPort
 	}
 
-	// StoreAssignment asks for a compare-and-swap; the new value is heard
-	// back through ApplyAssignment like any other.
+	// StoreAssignment stores an assignment by compare-and-swap on ExpectedVersion. The driver
+	// passes the stored value to ApplyAssignment, like any other version.
 	StoreAssignment struct {
 		ExpectedVersion uint64
 		Value           *kv.Assignment
@@ -110,5 +111,5 @@
 func (SendProbe) action()       {}
 func (StoreAssignment) action() {}
 
-// Serial numbers the dispatches of one process.
+// Serial returns the number of the dispatch, counted per process.
 func (a Attempt) Serial() uint64 { return a.serial }
--- a/internal/kernel/core/assign.go
+++ b/internal/kernel/core/assign.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// minStoreInterval is the least time between two tries to store an assignment,
-	// stretched at random so that proxies that want the same do not collide.
+	// minStoreInterval is the minimum time between two attempts to store an assignment. It is
+	// extended at random so that proxies that want the same change do not collide.
 	minStoreInterval = 200 * time.Millisecond
 )
 
-// ApplyAssignment takes in an assignment of quota slots; versions only go up.
+// ApplyAssignment applies an assignment of quota slots. Older versions are ignored.
 func (k *Kernel) ApplyAssignment(now time.Time, a *kv.Assignment) {
 	if k.assignment != nil && a.Version <= k.assignment.Version {
 		return
@@ -26,13 +26,12 @@
 	k.scheduleGossip(now)
 }
 
-// HandlePlatformReply notes an answer of the platform, asked for at the given time,
-// after which this proxy knows the newest assignment.
-func (k *Kernel) HandlePlatformReply(now, asked time.Time) { k.maybeLiftFence(now, asked) }
+// HandlePlatformReply records a reply of the platform to a request sent at sentAt. This proxy then
+// knows the latest assignment.
+func (k *Kernel) HandlePlatformReply(now, sentAt time.Time) { k.maybeLiftFence(now, sentAt) }
 
-// applyQuota sets the own share of each resource: the lower of what the
-// settled figures and the bundle in force here give. A slot that is being
-// given back counts no more.
+// applyQuota sets this proxy's share of each resource: the lower of the shares by the settled
+// capacities and by the bundle in force here. A slot that is being released no longer counts.
 func (k *Kernel) applyQuota(now time.Time) {
 	if k.bundle == nil {
 		return
@@ -49,63 +48,63 @@
 	if k.assignment != nil {
 		settled = k.assignment.Base
 	}
-	clean := k.canRaiseImmediately(owned)
+	immediate := k.canRaiseImmediately(owned)
 	for _, r := range k.regions {
 		share := 0
 		for _, slot := range owned {
 			share += min(current.RegionShare(r.Name, slot), settled.RegionShare(r.Name, slot))
 		}
-		r.quota.SetBase(share, clean, now)
+		r.quota.SetBase(share, immediate, now)
 	}
 	for key, q := range k.links {
 		share := 0
 		if k.regions[key.from].Name == k.config.Self.Region {
 			share = linkQuotaShare(&current, &settled, k.regions[key.from].Name, k.regions[key.to].Name, owned)
 		}
-		q.SetBase(share, clean, now)
+		q.SetBase(share, immediate, now)
 	}
 }
 
-// canRaiseImmediately reports whether a higher share may be used at once: figures
-// are the settled ones, and each slot that is new here was given back by its
-// last holder.
+// canRaiseImmediately reports whether a higher share may be used at once: the capacities are the
+// settled ones, and every newly owned slot was released by its previous holder.
 func (k *Kernel) canRaiseImmediately(owned []int) bool {
 	if k.assignment == nil || !k.assignment.Base.Equal(kv.CapacitiesOf(k.bundle)) {
 		return false
 	}
-	clean := k.sharesBundle == k.assignment.Settled || k.sharesBundle == 0
+	immediate := k.sharesBundle == k.assignment.Settled || k.sharesBundle == 0
 	for _, slot := range owned {
 		if !slices.Contains(k.ownedSlots, slot) && k.assignment.Slots[slot].Seized {
-			clean = false
+			immediate = false
 		}
 	}
 	k.sharesBundle = k.assignment.Settled
 	k.ownedSlots = owned
-	return clean
+	return immediate
 }
 
-// linkQuotaShare sums the own slots' parts of a link's limit. A limit that the
-// settled bundle lacks was no limit then.
+// linkQuotaShare sums the shares of a link's limit over the owned slots. A link without a limit in
+// the settled capacities was unlimited under them.
 func linkQuotaShare(current, settled *kv.Capacities, from, to string, owned []int) int {
 	total := 0
 	for _, slot := range owned {
 		share, _ := current.LinkShare(from, to, slot)
-		if before, ok := settled.LinkShare(from, to, slot); ok {
-			share = min(share, before)
+		if settledShare, ok := settled.LinkShare(from, to, slot); ok {
+			share = min(share, settledShare)
 		}
 		total += share
 	}
 	return total
 }
 
-// proposeAssignment looks for a useful change of the assignment and asks for it.
+// proposeAssignment determines whether the assignment should change and, if so, requests that the
+// change be stored.
 func (k *Kernel) proposeAssignment(now time.Time, actions []Action) []Action {
 	if k.bundle == nil || !k.mayUseQuota(now) || k.stopping || now.Before(k.nextStore) {
 		return actions
 	}
 	k.nextStore = now.Add(minStoreInterval + time.Duration(k.random.Int64N(int64(minStoreInterval))))
-	unseated := k.hasPeerWithoutSlots()
-	if k.prepareRelease(now, unseated) {
+	peerWithoutSlots := k.hasPeerWithoutSlots()
+	if k.prepareRelease(now, peerWithoutSlots) {
 		return actions
 	}
 	next := kv.Step(kv.View{
@@ -115,7 +114,7 @@
 		Assignment:   k.assignment,
 		Machines:     k.machines,
 		Using:        k.capacityBundleOf,
-		Unseated:     unseated,
+		Unseated:     peerWithoutSlots,
 		MayTakeMore:  k.mayClaimMoreSlots(now),
 		MayTakeOther: now.Sub(k.assignmentChangedAt) > assignmentSettleTime,
 	})
@@ -125,17 +124,17 @@
 	return append(actions, StoreAssignment{ExpectedVersion: next.Version - 1, Value: next})
 }
 
-// mayClaimMoreSlots reports whether this proxy need not wait for others to turn up:
-// it has run for a while, or nobody has taken a slot lately.
+// mayClaimMoreSlots reports whether this proxy need not wait for other proxies to join: it has run
+// for startupPeriod, or the assignment has not changed for assignmentSettleTime.
 func (k *Kernel) mayClaimMoreSlots(now time.Time) bool {
 	return now.Sub(k.startedAt) > startupPeriod || now.Sub(k.assignmentChangedAt) > assignmentSettleTime
 }
 
-// prepareRelease stops using and lending quota of a slot that is to be given
-// to a proxy without one, and reports true until all loans have ended. The
-// next holder counts the whole slot as its own.
-func (k *Kernel) prepareRelease(now time.Time, unseated bool) bool {
-	releasing := unseated && len(k.assignment.Owned(k.holder())) > 1
+// prepareRelease stops using and lending the quota of a slot that is to be released to a proxy
+// without slots. It returns true until all loans have ended, since the next holder uses the whole
+// slot.
+func (k *Kernel) prepareRelease(now time.Time, peerWithoutSlots bool) bool {
+	releasing := peerWithoutSlots && len(k.assignment.Owned(k.holder())) > 1
 	if releasing != k.releasingOne {
 		k.releasingOne = releasing
 		k.releaseStartedAt = now
@@ -154,14 +153,15 @@
 	return lent
 }
 
-// hasUsedQuota reports whether the last window still counts an admission.
+// hasUsedQuota reports whether any admission is counted in the last window.
 func (k *Kernel) hasUsedQuota(now time.Time) bool {
 	used := false
 	k.eachQuota(func(_ peer.Resource, q *peer.Quota) { used = used || q.Used(now) > 0 })
 	return used
 }
 
-// capacityBundleOf is the bundle whose capacities a holder is known to go by.
+// capacityBundleOf returns the version of the bundle whose capacities a slot holder is known to
+// use, or 0.
 func (k *Kernel) capacityBundleOf(h kv.Holder) uint64 {
 	m, ok := k.members.Get(h.Name)
 	if !ok || m.Incarnation != h.Incarnation {
@@ -170,7 +170,7 @@
 	return m.Figures
 }
 
-// hasPeerWithoutSlots reports whether another live proxy owns no slot.
+// hasPeerWithoutSlots reports whether another live or joining proxy owns no slot.
 func (k *Kernel) hasPeerWithoutSlots() bool {
 	for _, m := range k.members.All() {
 		if m.Name == k.config.Self.Name || (m.State != peer.Live && m.State != peer.Joining) {
--- a/internal/kernel/core/bench_test.go
+++ b/internal/kernel/core/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/peer"
 )
 
-// readyKernel is a kernel with the example bundle and all quota slots.
+// readyKernel returns a kernel with the example bundle that holds all quota slots.
 func readyKernel(tb testing.TB) (*Kernel, time.Time) {
 	tb.Helper()
 	data, err := os.ReadFile(filepath.Join("..", "..", "..", "examples", "trinacria.json"))
--- a/internal/kernel/core/borrow.go
+++ b/internal/kernel/core/borrow.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// minBorrowInterval is the least time between two requests for one resource.
+	// minBorrowInterval is the minimum time between two borrow requests for one resource.
 	minBorrowInterval = 100 * time.Millisecond
-	// borrowTimeout is when an unanswered request no longer blocks the next.
+	// borrowTimeout is how long an unanswered borrow request blocks the next one.
 	borrowTimeout = time.Second
 )
 
-// eachQuota visits every quota in a fixed order.
+// eachQuota calls visit with every quota in a fixed order.
 func (k *Kernel) eachQuota(visit func(peer.Resource, *peer.Quota)) {
 	for _, r := range k.resources {
 		visit(r.name, r.quota)
@@ -30,9 +30,9 @@
 	return nil
 }
 
-// borrowQuota asks a random peer for quota of each resource that runs short, and
-// lenders to keep loans up. Asking at random and often finds idle quota
-// without anyone keeping count of who has some.
+// borrowQuota asks a random peer for quota of each resource that is short, and asks lenders to
+// renew loans. Frequent requests to random peers find unused quota without tracking which peer has
+// it.
 func (k *Kernel) borrowQuota(now time.Time, actions []Action) []Action {
 	if !k.mayUseQuota(now) {
 		return actions
@@ -76,8 +76,8 @@
 	}
 }
 
-// HandleBorrow answers a peer that runs short. A proxy that is giving slots back
-// lends nothing, or it would wait for loans for ever.
+// HandleBorrow answers a borrow request of a peer. A proxy that is releasing slots lends nothing,
+// since it would otherwise never stop waiting for loans to end.
 func (k *Kernel) HandleBorrow(now time.Time, m peer.BorrowRequest) peer.BorrowReply {
 	k.clock.Hear(m.Stamp)
 	reply := peer.BorrowReply{Stamp: k.clock.Now(now)}
@@ -97,7 +97,8 @@
 	return reply
 }
 
-// HandleBorrowReply takes in a loan, or its refusal as nil.
+// HandleBorrowReply processes the reply to a borrow request. A nil reply means that the peer did
+// not answer.
 func (k *Kernel) HandleBorrowReply(now time.Time, sent SendBorrow, reply *peer.BorrowReply) {
 	name := sent.Message.Resource
 	if sent.Message.Renew == 0 {
--- a/internal/kernel/core/bundle.go
+++ b/internal/kernel/core/bundle.go
@@ -15,10 +15,10 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/region"
 )
 
-// ApplyBundle takes in a bundle from whatever source: platform, peer or
-// operator. Versions only go up, so that a stale read, a slow peer or a
-// platform restored to an older value cannot bring an old one back; and each
-// proxy checks both signatures itself, so that no source has to be trusted.
+// ApplyBundle applies a bundle from any source: the platform, a peer or an operator. Older versions
+// are ignored, so that a stale read, a slow peer or a platform restored from a backup cannot bring
+// back an old bundle. Each proxy verifies both signatures itself, so that no source has to be
+// trusted.
 func (k *Kernel) ApplyBundle(now time.Time, data []byte) {
 	e, err := operator.ParseEnvelope(data)
 	if err != nil {
@@ -35,9 +35,9 @@
 	}
 	planner, ok := region.FindPlanner(b.Shift.Planner)
 	if !ok {
-		// The signers' client checks names against its own registry; a newer
-		// client may know more than this proxy does. Serving with the default
-		// keeps the bundle in force everywhere.
+		// The client that signs bundles validates names against its own registry, and a newer
+		// client may know planners that this proxy does not. Falling back to the default planner
+		// keeps the bundle in force on all proxies.
 		planner, _ = region.FindPlanner(region.Headroom)
 		k.logBundleRejection(now, b.Version, &operator.FieldError{Field: "shift.planner", Want: "a known planner", Got: b.Shift.Planner})
 	}
@@ -48,16 +48,17 @@
 	k.scheduleGossip(now)
 }
 
+// logBundleRejection logs that a bundle, or a part of it, was rejected.
 func (k *Kernel) logBundleRejection(now time.Time, version uint64, err error) {
 	k.log(now, Event{Kind: EventBundleRejected, Version: version, Detail: err.Error()})
 }
 
-// installBundle builds the state of a bundle and carries over what was learnt of
-// regions and servers that stay.
+// installBundle builds the state for a bundle. The state of regions and servers that remain is
+// kept.
 func (k *Kernel) installBundle(now time.Time, b *operator.Bundle) {
 	oldRegions := k.regions
 	oldServers := k.serversByName()
-	before := k.bundle
+	previous := k.bundle
 	k.bundle = b
 	k.quotaSlots = b.QuotaSlots()
 	k.capsChangedAt = now
@@ -68,7 +69,7 @@
 	}
 	k.installLinks(b)
 	k.listResources()
-	k.reconfigureQuotas(now, b, before)
+	k.reconfigureQuotas(now, b, previous)
 	k.prefixes = clientPrefixTable(b)
 	k.applyQuota(now)
 	k.applyLeaving(now)
@@ -86,19 +87,19 @@
 
 func (k *Kernel) installRegions(b *operator.Bundle, old []*regionState) {
 	rows := preferredRows(b)
-	same := len(old) == len(b.Regions)
+	sameRegions := len(old) == len(b.Regions)
 	for i := range old {
-		same = same && old[i].Name == b.Regions[i].Name
+		sameRegions = sameRegions && old[i].Name == b.Regions[i].Name
 	}
 	k.regions = make([]*regionState, len(b.Regions))
 	for i := range b.Regions {
 		state := &regionState{}
-		if same {
+		if sameRegions {
 			state = old[i]
 			state.servers = nil
 		} else {
-			// A proxy that starts, or whose regions were renumbered, has no
-			// row to move from; it begins where its peers are heading.
+			// A proxy that has just started, or whose regions have changed, has no previous row to
+			// shift from. It starts with the row that its peers shift towards.
 			state.mover = region.NewMover(rows[i])
 		}
 		state.Region = b.Regions[i]
@@ -116,14 +117,14 @@
 	state.picker = picker
 	for i := range s.Servers {
 		server := backend.NewServer(s.Servers[i], s.SlowStart.Std())
-		if known := old[server.Name]; known != nil && known.Address == server.Address {
-			known.Reconfigure(s.Servers[i], s.SlowStart.Std())
-			server = known
+		if existing := old[server.Name]; existing != nil && existing.Address == server.Address {
+			existing.Reconfigure(s.Servers[i], s.SlowStart.Std())
+			server = existing
 		}
-		at := k.regionIndex(server.Region)
+		regionIndex := k.regionIndex(server.Region)
 		state.servers = append(state.servers, server)
-		state.byRegion[at] = append(state.byRegion[at], server)
-		k.regions[at].servers = append(k.regions[at].servers, server)
+		state.byRegion[regionIndex] = append(state.byRegion[regionIndex], server)
+		k.regions[regionIndex].servers = append(k.regions[regionIndex].servers, server)
 	}
 	k.services[s.Name] = state
 }
@@ -141,7 +142,7 @@
 	}
 }
 
-// listResources lists the quotas once a bundle, since every tick visits them.
+// listResources lists the quotas once per bundle, since every tick iterates over them.
 func (k *Kernel) listResources() {
 	k.resources = nil
 	for _, r := range k.regions {
@@ -156,27 +157,27 @@
 	}
 }
 
-// reconfigureQuotas tells all quotas the bundle's longest deadline, and gives loans
-// up if shares are figured anew.
-func (k *Kernel) reconfigureQuotas(now time.Time, b, before *operator.Bundle) {
+// reconfigureQuotas sets the bundle's longest deadline on all quotas, and drops borrowed quota if
+// the capacities have changed.
+func (k *Kernel) reconfigureQuotas(now time.Time, b, previous *operator.Bundle) {
 	longest := time.Duration(0)
 	for i := range b.Services {
 		longest = max(longest, b.Services[i].Deadline.Std())
 	}
-	same := before != nil && kv.CapacitiesOf(before).Equal(kv.CapacitiesOf(b))
+	sameCapacities := previous != nil && kv.CapacitiesOf(previous).Equal(kv.CapacitiesOf(b))
 	k.eachQuota(func(_ peer.Resource, q *peer.Quota) {
 		q.SetDeadline(longest)
-		if !same {
+		if !sameCapacities {
 			q.DropBorrowed()
 		}
 	})
-	if !same {
+	if !sameCapacities {
 		k.members.UpdateSelf(now, func(m *peer.Member) { m.Figures = b.Version })
 	}
 }
 
-// clientPrefixTable is the table of the bundle's own client prefixes, whose sites
-// are the regions' numbers.
+// clientPrefixTable returns the table that maps the client prefixes of the bundle to region
+// indexes.
 func clientPrefixTable(b *operator.Bundle) *caller.PrefixTable {
 	var list []caller.PrefixSite
 	for i, r := range b.Regions {
--- a/internal/kernel/core/event.go
+++ b/internal/kernel/core/event.go
@@ -8,49 +8,50 @@
 )
 
 const (
-	// EventAdmitted marks a request's first dispatch.
+	// EventAdmitted marks the first dispatch of a request.
 	EventAdmitted EventKind = "request-admitted"
-	// EventRetried marks a further attempt.
+	// EventRetried marks a further dispatch of a request.
 	EventRetried EventKind = "request-retried"
-	// EventFinished marks the final outcome.
+	// EventFinished marks the final outcome of a request.
 	EventFinished EventKind = "request-finished"
-	// EventOverdue marks a caller told "unknown" while its request still runs.
+	// EventOverdue marks a request that is still running at its deadline, and whose caller is told
+	// "unknown".
 	EventOverdue EventKind = "request-overdue"
-	// EventRefused marks a request refused before any dispatch.
+	// EventRefused marks a request or an attempt that was rejected before its dispatch.
 	EventRefused EventKind = "request-refused"
-	// EventForwarded marks a request handed to its token's minter.
+	// EventForwarded marks a request forwarded to the minter of its token.
 	EventForwarded EventKind = "request-forwarded"
 	// EventTokenMinted marks a new idempotency token.
 	EventTokenMinted EventKind = "token-minted"
-	// EventBundleApplied marks a bundle that came into force here.
+	// EventBundleApplied marks a bundle coming into force on this proxy.
 	EventBundleApplied EventKind = "bundle-applied"
-	// EventBundleRejected marks a bundle that was not believed.
+	// EventBundleRejected marks a bundle that failed validation, wholly or in part.
 	EventBundleRejected EventKind = "bundle-rejected"
 	// EventAssignment marks a new assignment of quota slots.
 	EventAssignment EventKind = "assignment-applied"
-	// EventMember marks news of a peer.
+	// EventMember marks a change of a peer's member record.
 	EventMember EventKind = "member-changed"
-	// EventShift marks a step of traffic between regions.
+	// EventShift marks a step of a traffic shift between regions.
 	EventShift EventKind = "traffic-shifted"
-	// EventRegionLost marks a region that stopped answering.
+	// EventRegionLost marks a region of which nearly all servers are ejected.
 	EventRegionLost EventKind = "region-lost"
-	// EventRegionBack marks a region that answers again.
+	// EventRegionBack marks a lost region of which enough servers respond again.
 	EventRegionBack EventKind = "region-back"
-	// EventServerLimit marks a backend server that names a limit, another one, or none.
+	// EventServerLimit marks a backend server that sets, changes or removes a limit.
 	EventServerLimit EventKind = "backend-server-limit"
-	// EventServerEjected marks a backend server taken out after failures.
+	// EventServerEjected marks a backend server ejected after failures.
 	EventServerEjected EventKind = "backend-server-out"
-	// EventServerLeaving marks a backend server that gets no new work.
+	// EventServerLeaving marks a backend server that gets no new requests.
 	EventServerLeaving EventKind = "backend-server-leaving"
-	// EventBorrowed marks quota borrowed.
+	// EventBorrowed marks quota borrowed from a peer.
 	EventBorrowed EventKind = "quota-borrowed"
-	// EventFenced marks a proxy that stopped using its quota after a pause.
+	// EventFenced marks a proxy that stopped using its quota after a pause of its process.
 	EventFenced EventKind = "quota-fenced"
-	// EventStopping marks the begin of a planned stop.
+	// EventStopping marks the start of a planned stop.
 	EventStopping EventKind = "stop-begun"
-	// EventHandover marks records left to a peer.
+	// EventHandover marks token records handed over to a peer.
 	EventHandover EventKind = "records-handed-over"
-	// EventInherited marks records taken over.
+	// EventInherited marks token records taken over from a peer.
 	EventInherited EventKind = "records-inherited"
 )
 
@@ -59,10 +60,10 @@
 )
 
 type (
-	// EventKind names a type of event.
+	// EventKind is the type of an event.
 	EventKind string
 
-	// Event is one line of the event log.
+	// Event is an entry of the event log.
 	Event struct {
 		Stamp   peer.Stamp     `json:"stamp"`
 		VM      string         `json:"vm"`
@@ -76,8 +77,8 @@
 		Detail  string         `json:"detail,omitempty"`
 	}
 
-	// RingBuffer keeps the newest items of a fixed number. It allocates its room as
-	// items come and never more.
+	// RingBuffer keeps the latest items up to a limit. It grows as items are added and never beyond
+	// the limit.
 	RingBuffer[T any] struct {
 		items []T
 		next  int
@@ -85,10 +86,10 @@
 	}
 )
 
-// NewRingBuffer makes a ring of limit items.
+// NewRingBuffer creates a ring buffer for up to limit items.
 func NewRingBuffer[T any](limit int) *RingBuffer[T] { return &RingBuffer[T]{limit: limit} }
 
-// Add adds an item in place of the oldest when full.
+// Add adds an item, replacing the oldest when the buffer is full.
 func (r *RingBuffer[T]) Add(item T) {
 	if len(r.items) < r.limit {
 		r.items = append(r.items, item)
@@ -98,14 +99,14 @@
 	r.next = (r.next + 1) % r.limit
 }
 
-// All lists the items from oldest to newest.
+// All returns the items from oldest to newest.
 func (r *RingBuffer[T]) All() []T {
 	list := make([]T, 0, len(r.items))
 	list = append(list, r.items[r.next:]...)
 	return append(list, r.items[:r.next]...)
 }
 
-// Events lists the events kept, oldest first.
+// Events returns the logged events, oldest first.
 func (k *Kernel) Events() []Event { return k.events.All() }
 
 func (k *Kernel) log(now time.Time, e Event) {
--- a/internal/kernel/core/gossip.go
+++ b/internal/kernel/core/gossip.go
@@ -10,26 +10,28 @@
 )
 
 const (
-	// exchangeInterval is how often a proxy compares versions with a random peer.
-	// News reaches all in about log2(n) rounds even if every urgent message
-	// is lost.
+	// exchangeInterval is how often a proxy compares versions with a random peer. An update reaches
+	// all n proxies in about log2(n) rounds even if every urgent message is lost.
 	exchangeInterval = 400 * time.Millisecond
-	// seedExchangeInterval is how often a seed is asked although members are known.
+	// seedExchangeInterval is how often a proxy exchanges with a seed although it knows other
+	// members.
 	seedExchangeInterval = 10 * time.Second
-	// gossipFanout is how many peers are told of news at once.
+	// gossipFanout is the number of peers that are sent an update at once.
 	gossipFanout = 3
-	// smallFleetSize members fit into any message.
+	// smallFleetSize is the number of members whose complete list fits into any message.
 	smallFleetSize = 24
-	// viewSettleTime without a change should be alike everywhere.
+	// viewSettleTime is the time without a membership change after which all views should be equal.
 	viewSettleTime = 5 * time.Second
-	// updateTTL is how long a changed record goes along with exchanges. In that
-	// time it has been offered to more peers than the spread takes rounds.
+	// updateTTL is how long a changed member record is included in exchanges. In that time it has
+	// been offered to more peers than gossip takes rounds to reach all.
 	updateTTL = 10 * time.Second
-	// maxMembersPerExchange is how many member records an exchange carries.
+	// maxMembersPerExchange bounds the member records that an exchange carries, unless it carries
+	// the full list.
 	maxMembersPerExchange = 8
 )
 
-// documentVersions sums up what this proxy knows.
+// documentVersions returns the versions of the documents and the digest of the membership known to
+// this proxy.
 func (k *Kernel) documentVersions() peer.Versions {
 	v := peer.Versions{Bundle: k.BundleVersion(), Members: k.members.Digest(), Known: k.members.Len()}
 	if k.assignment != nil {
@@ -41,8 +43,8 @@
 	return v
 }
 
-// sendExchanges sends the periodic message to one random peer, and one to each
-// peer in urgent, who was found to know more or is to be told news.
+// sendExchanges sends the periodic exchange to one random peer, and an exchange to each peer in
+// gossipTargets: peers that have newer versions or are to be sent an update.
 func (k *Kernel) sendExchanges(now time.Time, actions []Action) []Action {
 	due := !now.Before(k.nextExchange)
 	if !due && len(k.gossipTargets) == 0 {
@@ -68,26 +70,25 @@
 	return actions
 }
 
-// exchangeWithSeed sends an exchange to a seed address. It is the only way in for a
-// new proxy, and repeated now and then it joins two groups that each took the
-// other for dead.
+// exchangeWithSeed sends an exchange to a seed address. This is how a new proxy joins. Repeated
+// from time to time, it also merges two groups of proxies that have each declared the other dead.
 func (k *Kernel) exchangeWithSeed(now time.Time, actions []Action) []Action {
 	k.lastSeedExchange = now
 	if len(k.config.Seeds) == 0 {
 		return actions
 	}
-	at := k.random.IntN(len(k.config.Seeds))
-	if k.config.Seeds[at] == k.config.Self.PeerAddress {
-		at = (at + 1) % len(k.config.Seeds)
+	index := k.random.IntN(len(k.config.Seeds))
+	if k.config.Seeds[index] == k.config.Self.PeerAddress {
+		index = (index + 1) % len(k.config.Seeds)
 	}
-	if k.config.Seeds[at] == k.config.Self.PeerAddress {
+	if k.config.Seeds[index] == k.config.Self.PeerAddress {
 		return actions
 	}
-	seed := peer.Member{PeerAddress: k.config.Seeds[at]}
+	seed := peer.Member{PeerAddress: k.config.Seeds[index]}
 	return append(actions, SendExchange{To: seed, Message: k.exchangeRequest(now)})
 }
 
-// scheduleGossip marks a few random peers to be told at the next tick.
+// scheduleGossip selects a few random peers to exchange with at the next tick.
 func (k *Kernel) scheduleGossip(now time.Time) {
 	peers := k.members.Reachable(now)
 	for range min(gossipFanout, len(peers)) {
@@ -95,6 +96,7 @@
 	}
 }
 
+// exchangeMessage builds the content common to exchange requests and replies.
 func (k *Kernel) exchangeMessage(now time.Time) peer.Exchange {
 	return peer.Exchange{
 		From:     k.config.Self.Name,
@@ -107,9 +109,9 @@
 	}
 }
 
-// exchangeRequest is a message that a peer is asked with. It always carries the own
-// record: a peer that does not know this proxy could not ask it back, and two
-// groups that found each other through a seed would stay apart.
+// exchangeRequest builds an exchange request. It always includes this proxy's own member record: a
+// peer that does not know this proxy could not contact it in return, and two groups that find each
+// other through a seed would stay separate.
 func (k *Kernel) exchangeRequest(now time.Time) peer.Exchange {
 	m := k.exchangeMessage(now)
 	own := k.members.Self()
@@ -119,7 +121,8 @@
 	return m
 }
 
-// HandleExchange answers a peer's message with whatever it lacks.
+// HandleExchange processes a peer's exchange and returns a reply with the documents for which the
+// peer has an older version.
 func (k *Kernel) HandleExchange(now time.Time, m peer.Exchange) peer.Exchange {
 	k.mergeExchange(now, m)
 	if k.isBehind(m.Versions) {
@@ -129,7 +132,7 @@
 	if k.needsFullMemberList(now, m.Versions) {
 		reply.Members = k.members.All()
 	}
-	if asker, _ := k.members.Get(m.From); asker.State == peer.Joining && k.members.Self().State == peer.Live {
+	if sender, _ := k.members.Get(m.From); sender.State == peer.Joining && k.members.Self().State == peer.Live {
 		reply.Rows = k.currentRows()
 		reply.Suspicions, reply.Signals = k.quarantine.Reports(now, true), k.backpressure.Reports(now, true)
 	}
@@ -145,11 +148,11 @@
 	return reply
 }
 
-// needsFullMemberList reports whether a peer needs the whole list of members. News
-// travels with the newest records of every exchange; the whole list is for a
-// newcomer, and for views that differ although nothing has changed for a
-// while. Sent at each difference, it would cost a large fleet more than its
-// budget, because views differ for seconds after each of many changes.
+// needsFullMemberList reports whether a peer needs the full member list. Changes propagate with the
+// newest records of every exchange. The full list is for new proxies, and for views that differ
+// although nothing has changed for viewSettleTime. In a large fleet, views differ for seconds after
+// each of many changes, and sending the full list at each difference would exceed the bandwidth
+// budget.
 func (k *Kernel) needsFullMemberList(now time.Time, v peer.Versions) bool {
 	if v.Members == k.members.Digest() {
 		return false
@@ -158,14 +161,16 @@
 	return own <= smallFleetSize || 2*v.Known < own || now.Sub(k.members.Changed()) > viewSettleTime
 }
 
+// isBehind reports whether the versions include a newer document than this proxy has.
 func (k *Kernel) isBehind(v peer.Versions) bool {
 	own := k.documentVersions()
 	return v.Bundle > own.Bundle || v.Assignment > own.Assignment || v.Machines > own.Machines
 }
 
-// HandleExchangeReply takes in the answer to an exchange asked for at the given time. Documents come before the
-// fence is lifted, so a thawed proxy learns first that its slot is gone.
-func (k *Kernel) HandleExchangeReply(now, asked time.Time, m peer.Exchange) {
+// HandleExchangeReply processes the reply to an exchange sent at sentAt. Documents are applied
+// before the fence is lifted, so that a proxy resuming after a freeze first learns that it has lost
+// its slots.
+func (k *Kernel) HandleExchangeReply(now, sentAt time.Time, m peer.Exchange) {
 	k.members.Answered(m.From)
 	if len(m.Machines) > 0 {
 		if list, err := kv.ParseMachines(m.Machines); err == nil {
@@ -182,10 +187,10 @@
 	}
 	k.mergeExchange(now, m)
 	k.adoptRows(m)
-	k.maybeLiftFence(now, asked)
+	k.maybeLiftFence(now, sentAt)
 }
 
-// HandleExchangeFailure notes that a peer did not answer.
+// HandleExchangeFailure records that a peer did not answer an exchange.
 func (k *Kernel) HandleExchangeFailure(now time.Time, name string) {
 	if k.members.Failed(name, now) {
 		k.log(now, Event{Kind: EventMember, Target: name, Detail: peer.Suspect.String()})
@@ -193,23 +198,25 @@
 	}
 }
 
+// mergeExchange merges the clock, backpressure, quarantine and member records of an exchange or its
+// reply.
 func (k *Kernel) mergeExchange(now time.Time, m peer.Exchange) {
 	k.clock.Hear(m.Stamp)
 	k.quarantine.Hear(now, m.Suspicions)
 	k.backpressure.Hear(now, m.Signals)
-	news := false
+	changed := false
 	for _, member := range m.Members {
 		if k.members.Hear(member, now) {
-			news = true
+			changed = true
 			k.log(now, Event{Kind: EventMember, Target: member.Name, Detail: member.State.String()})
 		}
 	}
-	if news {
+	if changed {
 		k.scheduleGossip(now)
 	}
 }
 
-// ApplyMachines takes in a version of the platform's list of VMs.
+// ApplyMachines applies a version of the platform's VM list. Older versions are ignored.
 func (k *Kernel) ApplyMachines(now time.Time, list *kv.Machines) {
 	if k.machines != nil && list.Version <= k.machines.Version {
 		return
@@ -218,7 +225,7 @@
 	k.scheduleGossip(now)
 }
 
-// HandleHandover takes over a stopping minter's records.
+// HandleHandover takes over the token records of a stopping proxy.
 func (k *Kernel) HandleHandover(now time.Time, from string, stamp peer.Stamp, records []caller.Handover) {
 	k.clock.Hear(stamp)
 	for _, h := range records {
@@ -227,8 +234,8 @@
 	}
 }
 
-// ObserveStamp notes the stamp of a forwarded request.
+// ObserveStamp advances the clock with the stamp of a forwarded request or its answer.
 func (k *Kernel) ObserveStamp(s peer.Stamp) { k.clock.Hear(s) }
 
-// Stamp issues a stamp for an outgoing message.
+// Stamp returns a stamp for an outgoing message.
 func (k *Kernel) Stamp(now time.Time) peer.Stamp { return k.clock.Now(now) }
--- a/internal/kernel/core/invariant.go
+++ b/internal/kernel/core/invariant.go
@@ -6,12 +6,12 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/region"
 )
 
-// checkInvariants stops the process when its state contradicts itself. Every
-// one of these would mean a promise broken silently, so going on is worse
-// than a restart: tokens of a stopped process are answered "unknown".
+// checkInvariants stops the process if its state is inconsistent. Each of these violations would
+// silently break a guarantee, so continuing is worse than a restart: requests with tokens of a
+// stopped process are answered "unknown".
 func (k *Kernel) checkInvariants(now time.Time) {
 	if k.inFlight < 0 || k.inFlight > k.config.MaxInFlight {
-		k.invariantViolated("in-flight count outside its bounds")
+		k.invariantViolated("in-flight count out of range")
 	}
 	if k.bundle == nil {
 		return
@@ -28,24 +28,24 @@
 		}
 		for _, s := range r.servers {
 			if s.InFlight() < 0 {
-				k.invariantViolated("backend server " + s.Name + " has fewer than no requests")
+				k.invariantViolated("backend server " + s.Name + " has a negative number of requests in flight")
 			}
 			onServers += s.InFlight()
 		}
 	}
 	if onServers > k.inFlight {
-		k.invariantViolated("backend servers hold more requests than the proxy")
+		k.invariantViolated("more requests in flight on backend servers than on the proxy")
 	}
 }
 
-// shiftCapsSettled reports whether all moves within the intervals were made under
-// the bundle in force. A new one may set a cap below what moved before it.
+// shiftCapsSettled reports whether all shifts within the current intervals were made under the
+// current bundle. A new bundle may set a cap below what has already shifted.
 func (k *Kernel) shiftCapsSettled(now time.Time) bool {
 	planned, failover := k.shiftPaces()
 	return now.Sub(k.capsChangedAt) >= max(planned.Interval, failover.Interval)
 }
 
-// invariantViolated stops the process.
-func (k *Kernel) invariantViolated(what string) {
-	panic("core: invariant broken on " + k.config.Self.Name + ": " + what)
+// invariantViolated panics, which stops the process.
+func (k *Kernel) invariantViolated(violation string) {
+	panic("core: invariant violated on " + k.config.Self.Name + ": " + violation)
 }
--- a/internal/kernel/core/kernel.go
+++ b/internal/kernel/core/kernel.go
@@ -18,42 +18,43 @@
 const (
 	// TickInterval is how often a driver calls Tick.
 	TickInterval = 50 * time.Millisecond
-	// ClockTolerance is how far a driver's clock may lag before it catches up.
-	// A smaller jump must not happen: it would age the admissions of the last
-	// window, and only a jump that counts as a freeze fences the quota.
+	// ClockTolerance is how far a driver's clock may lag before it is corrected. A smaller jump
+	// must not happen: it would age the admissions of the last window, and only a jump that counts
+	// as a freeze fences the quota.
 	ClockTolerance = freezeThreshold
-	// freezeThreshold without a tick means that the process did not run.
+	// freezeThreshold is the time without a tick after which the process is considered to have been
+	// frozen.
 	freezeThreshold = 2 * time.Second
-	// assignmentSettleTime without a change of the assignment a proxy takes a second
-	// slot, or one of another region.
+	// assignmentSettleTime is the time without a change of the assignment after which a proxy
+	// claims a second slot, or a slot of another region.
 	assignmentSettleTime = 3 * time.Second
-	// joinTimeout is how long a proxy without quota stays out of look-ups.
+	// joinTimeout is how long a proxy without quota is excluded from lookups.
 	joinTimeout = 15 * time.Second
-	// forgetInterval is how often members that nobody renews are looked for.
+	// forgetInterval is how often expired member records are removed.
 	forgetInterval = time.Minute
-	// DefaultMaxInFlight bounds the requests that one proxy holds.
+	// DefaultMaxInFlight is the default limit of requests in flight per proxy.
 	DefaultMaxInFlight = 4096
 )
 
 type (
-	// Config is what a kernel is made of. Two kernels made of equal configs
-	// and fed the same calls decide alike.
+	// Config configures a kernel. Two kernels with equal configs and the same sequence of calls
+	// make the same decisions.
 	Config struct {
 		Self     peer.Member
 		Trust    operator.Trust
 		Seed     [32]byte
 		TokenKey caller.TokenKey
-		// Seeds are peer addresses to ask while no member is known.
+		// Seeds are the peer addresses to contact while no member is known.
 		Seeds       []netip.AddrPort
 		MaxInFlight int
-		// OnEvent sees every event; nil for none.
+		// OnEvent is called for every event, if not nil.
 		OnEvent func(Event)
-		// Faults takes guards out, for tests that show what they are for.
+		// Faults disables safeguards in tests.
 		Faults InjectedFaults
 	}
 
-	// InjectedFaults names guards that a test takes out to show that the
-	// invariant they protect is watched.
+	// InjectedFaults selects safeguards that a test disables, to show that a violation of the
+	// invariant they protect is detected.
 	InjectedFaults struct {
 		TokenReuse        bool
 		LoanCountedTwice  bool
@@ -64,10 +65,10 @@
 		QuotaDisabled     bool
 	}
 
-	// Executor runs a function with a kernel, one at a time.
+	// Executor runs a function with exclusive access to a kernel.
 	Executor func(func(k *Kernel, now time.Time))
 
-	// Kernel is one proxy's state and decisions.
+	// Kernel holds the state of one proxy and makes its decisions.
 	Kernel struct {
 		config       Config
 		random       *rand.Rand
@@ -86,7 +87,7 @@
 		services map[string]*service
 		regions  []*regionState
 		links    map[linkKey]*peer.Quota
-		// resources names every quota, in a fixed order.
+		// resources lists all quotas in a fixed order.
 		resources []resource
 		planner   region.Planner
 
@@ -110,12 +111,13 @@
 		fencedAt            time.Time
 		stopping            bool
 		releasingOne        bool
-		// releasingAll means that a stop has come to its end and all slots go back.
-		// It must not be read off the requests in flight: a stopping proxy may hold
-		// none for a moment and still has callers to serve.
+		// releasingAll is set at the end of a stop, when all slots are released. It must not be
+		// derived from the requests in flight: a stopping proxy may have none for a moment and
+		// still has callers to serve.
 		releasingAll     bool
 		releaseStartedAt time.Time
-		// sharesBundle is the settled bundle that the own shares follow.
+		// sharesBundle is the version of the settled bundle that this proxy's shares were computed
+		// from.
 		sharesBundle       uint64
 		ownedSlots         []int
 		stopStartedAt      time.Time
@@ -123,14 +125,15 @@
 		rowsAdopted        bool
 		lastSeedExchange   time.Time
 		borrowBlockedUntil map[peer.Resource]time.Time
-		// quarantine knows the work that ends servers; starts names the present starts
-		// of servers at which exchanges broke.
+		// quarantine tracks the work that makes servers exit. incarnations holds the current
+		// incarnations of the servers at which attempts were interrupted.
 		quarantine   *quarantine.Ledger
 		incarnations map[string]quarantine.Server
-		// backpressure are what servers ask of their senders.
+		// backpressure holds the signals that servers send about the load they accept.
 		backpressure *backpressure.Ledger
 	}
 
+	// service is a service of the bundle with its servers and balancing state.
 	service struct {
 		operator.Service
 		servers     []*backend.Server
@@ -139,6 +142,7 @@
 		retryBudget backend.RetryBudget
 	}
 
+	// linkKey identifies a link by the indexes of its regions.
 	linkKey struct {
 		from, to int
 	}
@@ -148,6 +152,7 @@
 		quota *peer.Quota
 	}
 
+	// regionState is a region of the bundle with its quota, traffic shift and rates.
 	regionState struct {
 		operator.Region
 		quota    peer.Quota
@@ -160,7 +165,7 @@
 	}
 )
 
-// New makes a kernel that knows nothing but its own process.
+// New creates a kernel that knows only its own proxy.
 func New(c Config, now time.Time) *Kernel {
 	if c.MaxInFlight == 0 {
 		c.MaxInFlight = DefaultMaxInFlight
@@ -186,7 +191,7 @@
 	return k
 }
 
-// Tick does what is due and returns the actions for the driver.
+// Tick performs the periodic work and returns the actions for the driver.
 func (k *Kernel) Tick(now time.Time) []Action {
 	k.detectFreeze(now)
 	k.lastTick = now
@@ -214,8 +219,9 @@
 	return actions
 }
 
-// joinIfReady lets look-ups name this proxy once it has quota of its own, or when
-// none has come for long: loans may still carry it.
+// joinIfReady lets lookups return this proxy once it has quota of its own and has adopted the rows
+// of a serving peer, if there is one. After joinTimeout it joins without quota, since it may be
+// able to borrow.
 func (k *Kernel) joinIfReady(now time.Time) {
 	if k.members.Self().State != peer.Joining {
 		return
@@ -232,7 +238,7 @@
 	k.scheduleGossip(now)
 }
 
-// hasServingPeer reports whether a live peer is known, whose rows to begin with.
+// hasServingPeer reports whether a serving peer is known, whose rows this proxy can adopt.
 func (k *Kernel) hasServingPeer() bool {
 	for _, m := range k.members.Serving() {
 		if m.Name != k.config.Self.Name {
@@ -242,11 +248,11 @@
 	return false
 }
 
-// detectFreeze fences the own quota after a pause in which this process did
-// not run. Meanwhile the platform may have dropped the VM and another proxy
-// may hold its slots; used here too, the region's capacity would be exceeded.
-// The fence lifts when a peer or the platform has been heard after the pause,
-// for their news of the assignment comes first.
+// detectFreeze fences this proxy's quota after a pause in which the process did not run. During the
+// pause the platform may have removed the VM and another proxy may have been assigned its slots.
+// Using them here too would exceed the capacity of the region. The fence is lifted by a reply from
+// a peer or the platform to a request sent after the pause, since such a reply includes the latest
+// assignment.
 func (k *Kernel) detectFreeze(now time.Time) {
 	if now.Sub(k.lastTick) < freezeThreshold || k.fenced || k.config.Faults.FenceDisabled {
 		return
@@ -257,30 +263,30 @@
 	k.log(now, Event{Kind: EventFenced, Detail: now.Sub(k.lastTick).Round(time.Millisecond).String()})
 }
 
-// maybeLiftFence lifts the fence if what was heard was asked for after the pause.
-// An answer from before may have waited in a socket meanwhile.
+// maybeLiftFence lifts the fence if the reply belongs to a request sent after the pause. An earlier
+// reply may have been waiting in a socket buffer.
 //
-// The fence lasts one window at the least: if not the process but only its
-// clock jumped, what it admitted just before still counts.
-func (k *Kernel) maybeLiftFence(now, asked time.Time) {
-	if !asked.Before(k.fencedAt) && now.Sub(k.fencedAt) >= peer.WindowSpan {
+// The fence lasts at least one window: if only the clock jumped and the process kept running, the
+// requests it admitted just before still count.
+func (k *Kernel) maybeLiftFence(now, sentAt time.Time) {
+	if !sentAt.Before(k.fencedAt) && now.Sub(k.fencedAt) >= peer.WindowSpan {
 		k.fenced = false
 	}
 }
 
-// mayUseQuota is false while fenced, and also between a pause and the first
-// tick after it, when a request may come before the tick.
+// mayUseQuota returns false while the quota is fenced, and also between a pause and the first tick
+// after it, since a request may be processed before that tick.
 func (k *Kernel) mayUseQuota(now time.Time) bool {
 	return !k.fenced && now.Sub(k.lastTick) < freezeThreshold || k.config.Faults.FenceDisabled
 }
 
-// Self is the own member record.
+// Self returns this proxy's own member record.
 func (k *Kernel) Self() peer.Member { return k.members.Self() }
 
-// Members lists all known proxies.
+// Members returns all known proxies.
 func (k *Kernel) Members() []peer.Member { return k.members.All() }
 
-// BundleVersion is the version in force here, zero for none.
+// BundleVersion returns the version of the bundle in force here, or 0 if there is none.
 func (k *Kernel) BundleVersion() uint64 {
 	if k.bundle == nil {
 		return 0
@@ -288,10 +294,10 @@
 	return k.bundle.Version
 }
 
-// Bundle is the bundle in force here; callers must not change it.
+// Bundle returns the bundle in force here. Callers must not modify it.
 func (k *Kernel) Bundle() *operator.Bundle { return k.bundle }
 
-// Envelope is the signed form of the bundle in force.
+// Envelope returns the signed form of the bundle in force.
 func (k *Kernel) Envelope() []byte { return k.envelope }
 
 func (k *Kernel) holder() kv.Holder {
@@ -307,7 +313,8 @@
 	return -1
 }
 
-// homeRegion is the region that a client's requests count for.
+// homeRegion returns the index of the region that a client's requests are attributed to: the region
+// of its address prefix, or else the region of this proxy.
 func (k *Kernel) homeRegion(client netip.Addr) int {
 	if k.prefixes != nil {
 		site := k.prefixes.Lookup(client)
--- a/internal/kernel/core/lookup.go
+++ b/internal/kernel/core/lookup.go
@@ -12,13 +12,14 @@
 )
 
 type (
+	// candidate is a proxy that lookups may return, with the hash of its name.
 	candidate struct {
 		peer.Member
 		hash uint64
 	}
 
-	// LookupAnswer ranks the proxies that a caller may use. It may be cached
-	// for Lifetime.
+	// LookupAnswer lists the proxies that a caller may use, in order of preference. It may be
+	// cached for TTL.
 	LookupAnswer struct {
 		Service    string
 		HomeRegion string
@@ -27,14 +28,14 @@
 	}
 )
 
-// Lookup ranks proxies for a client: those of its home region first, then the
-// rest, each group by rendezvous hash of the client, so that the loss of one
-// proxy moves only its own callers. Proxies that leave are not named.
+// Lookup ranks proxies for a client: those of its home region first, then those of the other
+// regions. Each region's proxies are ordered by rendezvous hash of the client address, so that the
+// loss of one proxy moves only its own callers. Proxies that are leaving are not returned.
 //
-// The answer does not follow the rows that spread traffic over regions: each
-// proxy applies those itself, at once and for every request. Were callers
-// sent by them too, a shift would be counted twice, once late by the lifetime
-// of cached answers, and a request could cross between regions and back.
+// The answer does not depend on the rows that distribute traffic over regions, because each proxy
+// applies those itself, immediately and to every request. If lookups applied them too, a shift
+// would count twice, the second time delayed by the TTL of cached answers, and a request could
+// cross between regions and back.
 func (k *Kernel) Lookup(now time.Time, service string, client netip.Addr) (LookupAnswer, bool) {
 	if k.bundle == nil || k.services[service] == nil {
 		return LookupAnswer{}, false
@@ -56,9 +57,9 @@
 	return answer, len(answer.Proxies) > 0
 }
 
-// candidates lists the proxies that look-ups may name, by region. It is made
-// anew when the view of members changes, and each tick, for drains begin by
-// the clock; a look-up then hashes the few of one region and not the fleet.
+// candidates returns the proxies that lookups may return, by region. The result is cached and
+// rebuilt when the membership view changes and on each tick, since drains start at a set time. A
+// lookup then hashes only the proxies of some regions and not the whole fleet.
 func (k *Kernel) candidates(now time.Time) map[string][]candidate {
 	if k.candidateCache != nil && k.candidatesBuiltAt.Equal(k.lastTick) && k.candidatesDigest == k.members.Digest() {
 		return k.candidateCache
@@ -74,44 +75,45 @@
 	return k.candidateCache
 }
 
-// appendHighestRanked appends the candidates with the highest rendezvous hashes, up to
-// most in all.
-func appendHighestRanked(list []peer.Member, candidates []candidate, key uint64, most int) []peer.Member {
+// appendHighestRanked appends the candidates with the highest rendezvous hashes for key until the
+// list has maxLen entries.
+func appendHighestRanked(list []peer.Member, candidates []candidate, key uint64, maxLen int) []peer.Member {
 	const none = -1
-	below := ^uint64(0)
-	for len(list) < most {
+	scoreBound := ^uint64(0)
+	for len(list) < maxLen {
 		best := none
-		var highest uint64
+		var bestScore uint64
 		for i := range candidates {
 			score := mixBits(key ^ candidates[i].hash)
-			if score < below && (best == none || score > highest) {
+			if score < scoreBound && (best == none || score > bestScore) {
 				best = i
-				highest = score
+				bestScore = score
 			}
 		}
 		if best == none {
 			break
 		}
 		list = append(list, candidates[best].Member)
-		below = highest
+		scoreBound = bestScore
 	}
 	return list
 }
 
-// mixBits spreads the bits of a hash; the constants are those of splitmix64.
+// mixBits is the finalizer of splitmix64.
 func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// ExplainRouting tells an operator what a client's answers and dispatches go by.
+// ExplainRouting describes to an operator how a client's lookups are answered and its requests
+// distributed.
 func (k *Kernel) ExplainRouting(client netip.Addr) []string {
 	if k.bundle == nil {
 		return nil
 	}
 	home := k.homeRegion(client)
-	why := []string{"home region " + k.regions[home].Name + ": its proxies come first"}
+	lines := []string{"home region " + k.regions[home].Name + ": its proxies come first"}
 	for i, share := range k.regions[home].mover.Row() {
 		if share == 0 {
 			continue
@@ -120,13 +122,13 @@
 		if k.regions[i].lost {
 			line += ", lost"
 		}
-		why = append(why, line)
+		lines = append(lines, line)
 	}
-	return why
+	return lines
 }
 
-// isProxyLeaving reports whether callers should no longer be sent to a proxy: it
-// stops, a drain planned for it holds, or its VM is about to go.
+// isProxyLeaving reports whether callers should no longer be sent to a proxy because it is
+// stopping, it is drained by the bundle, or its VM is about to be removed.
 func (k *Kernel) isProxyLeaving(now time.Time, name string) bool {
 	if name == k.config.Self.Name && k.stopping {
 		return true
--- a/internal/kernel/core/quarantine.go
+++ b/internal/kernel/core/quarantine.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// incarnationResolution tells the starts of a server apart, which has one name for good: ends of
-	// one name within it count once, since all proxies must name an end alike.
+	// incarnationResolution is the granularity of the time that identifies an incarnation of a
+	// server, which keeps its name across restarts. All proxies must identify an incarnation alike,
+	// so exits of one server within this time count once.
 	incarnationResolution = 8 * time.Second
 )
 
-// checkQuarantine says whether a request's work may run now; a reason and a time to come back are
-// given if not.
-func (k *Kernel) checkQuarantine(now time.Time, f *inFlightRequest) (caller.Reason, time.Duration) {
-	if f.work.None() {
+// checkQuarantine returns caller.ReasonNone if the request's work may run now. Otherwise it returns
+// the reason for the rejection and the time after which the caller may retry.
+func (k *Kernel) checkQuarantine(now time.Time, inflight *inFlightRequest) (caller.Reason, time.Duration) {
+	if inflight.work.None() {
 		return caller.ReasonNone, 0
 	}
-	ruling, left := k.quarantine.Rule(now, f.work)
+	ruling, remaining := k.quarantine.Rule(now, inflight.work)
 	switch {
 	case ruling == quarantine.Condemned:
-		return caller.ReasonEndsServers, min(left, quarantine.AwayMost)
-	case ruling == quarantine.Busy, ruling == quarantine.Suspected && f.interruptions > 0, f.interruptions >= quarantine.BreaksMost:
+		return caller.ReasonEndsServers, min(remaining, quarantine.AwayMost)
+	case ruling == quarantine.Busy, ruling == quarantine.Suspected && inflight.interruptions > 0, inflight.interruptions >= quarantine.BreaksMost:
 		return caller.ReasonMayEndServers, time.Second
 	}
 	return caller.ReasonNone, 0
 }
 
-// trialRank is this proxy's place in the order in which proxies try refused work again.
+// trialRank returns this proxy's position in the order in which proxies retry rejected work.
 func (k *Kernel) trialRank(w quarantine.Work) int {
 	members := k.members.All()
 	before := 0
@@ -44,61 +45,64 @@
 	return (before + int(w[0])) % max(1, len(members))
 }
 
-// recordAttemptEnd takes in what an attempt tells of whether its server has ended.
-func (k *Kernel) recordAttemptEnd(now time.Time, f *inFlightRequest, e AttemptEnd) {
+// recordAttemptEnd updates the quarantine with what the end of an attempt tells about its work and
+// its server.
+func (k *Kernel) recordAttemptEnd(now time.Time, inflight *inFlightRequest, e AttemptEnd) {
 	q := k.quarantine
-	q.Stopped(f.work)
+	q.Stopped(inflight.work)
 	switch e.Result {
 	case backend.Answered, backend.Rejected:
-		q.Answered(k.incarnations[f.server.Name], f.sentAt)
+		q.Answered(k.incarnations[inflight.server.Name], inflight.sentAt)
 		if e.Answer != nil && e.Answer.Status < http.StatusBadRequest {
-			// A server that fails or rejects a request may not have come to what
-			// ends it.
-			q.RanWell(now, f.work)
+			// A server that fails or rejects a request may not have reached the point at which the
+			// work makes it exit.
+			q.RanWell(now, inflight.work)
 		}
 	case backend.Interrupted:
-		f.interruptions++
-		if !f.server.Leaving() {
-			// A server that leaves as planned may cut what it still has.
-			q.Broke(now, f.work, k.incarnationOf(now, f.server.Name))
+		inflight.interruptions++
+		if !inflight.server.Leaving() {
+			// A server that is leaving may cut the connections of its remaining requests.
+			q.Broke(now, inflight.work, k.incarnationOf(now, inflight.server.Name))
 		}
 	case backend.Unreachable:
 		if e.ConnectionRefused {
-			k.recordServerExit(now, f.server.Name)
+			k.recordServerExit(now, inflight.server.Name)
 		}
 	}
 }
 
-// incarnationOf names the present start of a server, as all proxies do that see it end now.
+// incarnationOf returns the identifier of a server's current incarnation, which all proxies that
+// see it exit now derive alike.
 func (k *Kernel) incarnationOf(now time.Time, server string) quarantine.Server {
-	s, known := k.incarnations[server]
+	incarnation, known := k.incarnations[server]
 	if !known {
-		s = quarantine.ServerOf(server, k.clock.Now(now).Time().Truncate(incarnationResolution))
-		k.incarnations[server] = s
+		incarnation = quarantine.ServerOf(server, k.clock.Now(now).Time().Truncate(incarnationResolution))
+		k.incarnations[server] = incarnation
 	}
-	return s
+	return incarnation
 }
 
-// recordServerExit notes that nothing listens where a server was.
+// recordServerExit records that nothing listens on the server's address any more.
 func (k *Kernel) recordServerExit(now time.Time, server string) {
-	if s, known := k.incarnations[server]; known {
-		k.quarantine.HasEnded(now, s)
+	if incarnation, known := k.incarnations[server]; known {
+		k.quarantine.HasEnded(now, incarnation)
 		delete(k.incarnations, server)
 	}
 }
 
-// probeSuspectServers asks servers at which exchanges broke whether they are still there.
+// probeSuspectServers probes the servers with interrupted attempts to find out whether they have
+// exited.
 func (k *Kernel) probeSuspectServers(actions []Action) []Action {
-	wanted := make(map[quarantine.Server]bool)
+	suspects := make(map[quarantine.Server]bool)
 	for _, s := range k.quarantine.Doubtful() {
-		wanted[s] = true
+		suspects[s] = true
 	}
-	if len(wanted) == 0 {
+	if len(suspects) == 0 {
 		return actions
 	}
 	for _, r := range k.regions {
 		for _, s := range r.servers {
-			if wanted[k.incarnations[s.Name]] {
+			if suspects[k.incarnations[s.Name]] {
 				actions = append(actions, SendProbe{Server: s.Name, Address: s.Address})
 			}
 		}
@@ -106,7 +110,8 @@
 	return actions
 }
 
-// propagateSuspicions spreads what other proxies should hear at once.
+// propagateSuspicions advances the quarantine, drops incarnations that it no longer tracks, and
+// schedules gossip for urgent suspicions.
 func (k *Kernel) propagateSuspicions(now time.Time) {
 	k.quarantine.Tick(now)
 	for name, s := range k.incarnations {
@@ -119,7 +124,7 @@
 	}
 }
 
-// logWorkChange tells of what has become of a work.
+// logWorkChange logs a change in the quarantine state of a work.
 func (k *Kernel) logWorkChange(n quarantine.Notice) {
 	detail := n.Work.String()
 	if n.Change == quarantine.ChangeEnded {
--- a/internal/kernel/core/relay.go
+++ b/internal/kernel/core/relay.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// relaysPerDomain watch the platform for their failure domain. Two, so
-	// that the loss of one costs nothing; the number of calls then grows with
-	// the failure domains and not with the proxies.
+	// relaysPerDomain is the number of proxies per failure domain that watch the platform. Two
+	// tolerate the loss of one, and the number of platform calls grows with the number of failure
+	// domains instead of the number of proxies.
 	relaysPerDomain = 2
 )
 
-// IsRelay reports whether this proxy watches the platform for its failure
-// domain: the highest rendezvous hashes among the live members there.
+// IsRelay reports whether this proxy watches the platform for its failure domain: whether it is
+// among the relaysPerDomain serving members of the domain with the highest rendezvous hashes.
 func (k *Kernel) IsRelay() bool {
 	var names []string
 	for _, m := range k.members.Serving() {
@@ -31,8 +31,8 @@
 	return len(ranked) == 0
 }
 
-// RepairBundle returns what to write in place of the platform's value when
-// that is older than the bundle in force here, or nil.
+// RepairBundle returns the envelope to write to the platform if the stored bundle is invalid or
+// older than the one in force here, or nil if the stored value is current.
 func (k *Kernel) RepairBundle(stored []byte) []byte {
 	if k.bundle == nil {
 		return nil
@@ -45,7 +45,8 @@
 	return k.envelope
 }
 
-// RepairAssignment is the same for the assignment of quota slots.
+// RepairAssignment returns the assignment to write to the platform if the stored one is missing or
+// older than the one known here, or nil if the stored value is current.
 func (k *Kernel) RepairAssignment(stored *kv.Assignment) []byte {
 	if k.assignment == nil || stored != nil && stored.Version >= k.assignment.Version {
 		return nil
--- a/internal/kernel/core/request.go
+++ b/internal/kernel/core/request.go
@@ -12,17 +12,19 @@
 )
 
 const (
-	// AnswerGracePeriod is how long after its deadline a non-idempotent request's
-	// answer is still waited for, so that a repeat can be told the outcome.
+	// AnswerGracePeriod is how long after the deadline the proxy still waits for the answer to a
+	// non-idempotent request, so that it can tell the outcome to a caller that repeats the request.
 	AnswerGracePeriod = 5 * time.Second
-	// startupPeriod after its start a proxy may not have heard of every minter, so
-	// it does not call one gone that it does not know.
+	// startupPeriod is how long after its start a proxy may not have learned of every minter.
+	// During it, an unknown minter is not reported as gone.
 	startupPeriod = 10 * time.Second
-	// forwardRetryAfter is when to ask again for a token whose minter is silent.
+	// forwardRetryAfter is the retry delay given to a caller whose outcome is not known yet, for
+	// example because the minter of its token does not respond.
 	forwardRetryAfter = time.Second
 )
 
 type (
+	// inFlightRequest is a request with an attempt in progress.
 	inFlightRequest struct {
 		serial      uint64
 		id          string
@@ -34,7 +36,7 @@
 		token       *caller.Token
 		attempts    int
 		work        quarantine.Work
-		// interruptions counts the exchanges that broke.
+		// interruptions counts the attempts that ended with backend.Interrupted.
 		interruptions int
 		startedAt     time.Time
 		sentAt        time.Time
@@ -42,7 +44,7 @@
 	}
 )
 
-// BeginRequest decides the first step of a caller's request.
+// BeginRequest decides the first step for a caller's request.
 func (k *Kernel) BeginRequest(now time.Time, r Request) Decision {
 	if k.bundle == nil {
 		return k.rejectRequest(now, r, caller.ReasonNoBundle, time.Second)
@@ -58,21 +60,21 @@
 	if !now.Before(deadline) {
 		return k.rejectRequest(now, r, caller.ReasonDeadline, 0)
 	}
-	f := inFlightRequest{service: s, work: r.Work, startedAt: now, deadline: deadline, homeRegion: k.homeRegion(r.Client)}
-	f.idempotent = s.IsIdempotent(r.Method, r.Path)
-	if !f.idempotent {
-		if d, settled := k.claimToken(now, r, &f); settled {
+	inflight := inFlightRequest{service: s, work: r.Work, startedAt: now, deadline: deadline, homeRegion: k.homeRegion(r.Client)}
+	inflight.idempotent = s.IsIdempotent(r.Method, r.Path)
+	if !inflight.idempotent {
+		if d, settled := k.claimToken(now, r, &inflight); settled {
 			return d
 		}
 	}
-	k.regions[f.homeRegion].demand.count++
+	k.regions[inflight.homeRegion].demand.count++
 	s.retryBudget.Deposit(k.bundle.Retry.BudgetPermille)
-	return k.dispatch(now, f, nil)
+	return k.dispatch(now, inflight, nil)
 }
 
-// claimToken settles who may dispatch a non-idempotent request. It reports true
-// when the decision is made without a dispatch here.
-func (k *Kernel) claimToken(now time.Time, r Request, f *inFlightRequest) (Decision, bool) {
+// claimToken determines whether this proxy may dispatch a non-idempotent request. It returns true
+// if the decision is final without a dispatch by this proxy.
+func (k *Kernel) claimToken(now time.Time, r Request, inflight *inFlightRequest) (Decision, bool) {
 	if r.Token == "" {
 		d := k.rejectRequest(now, r, caller.ReasonTokenNeeded, 0)
 		if t, ok := k.Mint(now, r.Service); ok {
@@ -85,7 +87,7 @@
 		return k.rejectRequest(now, r, caller.ReasonTokenInvalid, 0), true
 	}
 	if !k.tokenRecords.Owner(t) {
-		return k.forwardToMinter(now, r, t, f.deadline), true
+		return k.forwardToMinter(now, r, t, inflight.deadline), true
 	}
 	claim, result := k.tokenRecords.Use(t, r.Service, now)
 	reuse := k.config.Faults.TokenReuse && result.Outcome != caller.NotRun
@@ -94,43 +96,46 @@
 		k.log(now, Event{Kind: EventFinished, Service: r.Service, Request: d.ID, Outcome: result.Outcome, Reason: result.Reason, Detail: "kept"})
 		return d, true
 	}
-	f.token = t
-	f.id = t.ID()
+	inflight.token = t
+	inflight.id = t.ID()
 	return Decision{}, false
 }
 
-// forwardToMinter hands the request to whoever decides over its token. When that
-// process is gone, the request may have run before it went: unknown, for ever.
+// forwardToMinter forwards the request to the proxy that holds the record of its token. If the
+// minter and its successors are gone, the outcome stays unknown for good, since the request may
+// have run before the minter stopped.
 func (k *Kernel) forwardToMinter(now time.Time, r Request, t *caller.Token, deadline time.Time) Decision {
-	heir, ok := k.members.Heir(t.Minter)
+	owner, ok := k.members.Heir(t.Minter)
 	if !ok && now.Sub(k.startedAt) < startupPeriod {
 		return k.finishUnknown(now, r, t, caller.ReasonMinterSlow, forwardRetryAfter)
 	}
-	if ok && heir.State == peer.Suspect && k.isVMUnlisted(heir.Name) {
-		// It does not answer and the platform says that its VM is gone: the
-		// answer will not change any more, and the caller need not come back.
+	if ok && owner.State == peer.Suspect && k.isVMUnlisted(owner.Name) {
+		// The peer does not respond and the platform no longer lists its VM, so the outcome will
+		// never become known and the caller gets no retry time.
 		ok = false
 	}
-	if !ok || r.Forwarded || heir.Name == k.config.Self.Name {
+	if !ok || r.Forwarded || owner.Name == k.config.Self.Name {
 		return k.finishUnknown(now, r, t, caller.ReasonMinterGone, 0)
 	}
-	k.log(now, Event{Kind: EventForwarded, Service: r.Service, Request: t.ID(), Target: heir.Name})
-	return Decision{Step: StepForward, ID: t.ID(), Peer: heir, Deadline: deadline}
+	k.log(now, Event{Kind: EventForwarded, Service: r.Service, Request: t.ID(), Target: owner.Name})
+	return Decision{Step: StepForward, ID: t.ID(), Peer: owner, Deadline: deadline}
 }
 
-// isVMUnlisted reports whether the platform's list is known and lacks a VM.
+// isVMUnlisted reports whether the VM list is known and does not contain the VM.
 func (k *Kernel) isVMUnlisted(name string) bool {
 	_, listed := k.machines.State(name)
 	return k.machines != nil && !listed
 }
 
-func (k *Kernel) finishUnknown(now time.Time, r Request, t *caller.Token, reason caller.Reason, after time.Duration) Decision {
-	result := caller.Result{Outcome: caller.Unknown, Reason: reason, RetryAfter: after}
+// finishUnknown ends a request with an unknown outcome.
+func (k *Kernel) finishUnknown(now time.Time, r Request, t *caller.Token, reason caller.Reason, retryAfter time.Duration) Decision {
+	result := caller.Result{Outcome: caller.Unknown, Reason: reason, RetryAfter: retryAfter}
 	k.log(now, Event{Kind: EventFinished, Service: r.Service, Request: t.ID(), Outcome: result.Outcome, Reason: reason})
 	return Decision{Step: StepFinish, ID: t.ID(), Result: result}
 }
 
-// HandleForwardFailure is the result when the minter did not answer a forward.
+// HandleForwardFailure returns the result for a request whose forward to the minter was not
+// answered.
 func (k *Kernel) HandleForwardFailure(now time.Time, service, id, minter string) caller.Result {
 	k.members.Failed(minter, now)
 	result := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonMinterSlow, RetryAfter: forwardRetryAfter}
@@ -138,7 +143,8 @@
 	return result
 }
 
-// Mint makes an idempotency token for a service.
+// Mint creates an idempotency token for a service. It returns false if the service is unknown, the
+// proxy is stopping or the token cannot be recorded.
 func (k *Kernel) Mint(now time.Time, service string) (string, bool) {
 	if k.bundle == nil || k.services[service] == nil || k.stopping {
 		return "", false
@@ -155,96 +161,98 @@
 	return t.Text(), true
 }
 
-// dispatch admits one attempt: the proxy's own bound, the region, its quota,
-// the link's, and a server. Whatever turns it away leaves no trace in the
-// counts. avoid is the server of the attempt before.
-func (k *Kernel) dispatch(now time.Time, f inFlightRequest, avoid *backend.Server) Decision {
-	if reason, after := k.checkQuarantine(now, &f); reason != caller.ReasonNone {
-		return k.rejectAttempt(now, f, reason, after)
+// dispatch admits one attempt. It checks the quarantine, the proxy's limit of requests in flight,
+// the quotas of the region and of the link, and picks a server. A rejected attempt is removed from
+// all quota counts. The server avoid, which handled the previous attempt, is not picked.
+func (k *Kernel) dispatch(now time.Time, inflight inFlightRequest, avoid *backend.Server) Decision {
+	if reason, retryAfter := k.checkQuarantine(now, &inflight); reason != caller.ReasonNone {
+		return k.rejectAttempt(now, inflight, reason, retryAfter)
 	}
 	if k.inFlight >= k.config.MaxInFlight {
-		return k.rejectAttempt(now, f, caller.ReasonBusy, time.Second)
+		return k.rejectAttempt(now, inflight, caller.ReasonBusy, time.Second)
 	}
-	at := k.regions[f.homeRegion].spreader.Next(k.regions[f.homeRegion].mover.Row())
-	if k.regions[at].lost {
-		at = k.failoverRegion(now, f, at)
+	regionIndex := k.regions[inflight.homeRegion].spreader.Next(k.regions[inflight.homeRegion].mover.Row())
+	if k.regions[regionIndex].lost {
+		regionIndex = k.failoverRegion(now, inflight, regionIndex)
 	}
-	if at < 0 {
-		return k.rejectAttempt(now, f, caller.ReasonNoServer, k.bundle.Shift.FailoverInterval.Std())
+	if regionIndex < 0 {
+		return k.rejectAttempt(now, inflight, caller.ReasonNoServer, k.bundle.Shift.FailoverInterval.Std())
 	}
-	r := k.regions[at]
+	r := k.regions[regionIndex]
 	if !k.mayUseQuota(now) || !r.quota.Take(now) && !k.config.Faults.QuotaDisabled {
 		r.rejected.count++
-		return k.rejectAttempt(now, f, caller.ReasonCapacity, k.retryAfter(now, &r.quota))
+		return k.rejectAttempt(now, inflight, caller.ReasonCapacity, k.retryAfter(now, &r.quota))
 	}
-	link := k.links[linkKey{k.regionIndex(k.config.Self.Region), at}]
+	link := k.links[linkKey{k.regionIndex(k.config.Self.Region), regionIndex}]
 	if link != nil && !link.Take(now) {
 		r.quota.Undo()
-		return k.rejectAttempt(now, f, caller.ReasonLink, k.retryAfter(now, link))
+		return k.rejectAttempt(now, inflight, caller.ReasonLink, k.retryAfter(now, link))
 	}
-	server := f.service.picker.Pick(now, f.service.byRegion[at], avoid, k.serverLimit(now))
+	server := inflight.service.picker.Pick(now, inflight.service.byRegion[regionIndex], avoid, k.serverLimit(now))
 	if server == nil {
 		r.quota.Undo()
 		if link != nil {
 			link.Undo()
 		}
-		return k.rejectAttempt(now, f, caller.ReasonNoServer, k.pauseRetryAfter(now, f.service.byRegion[at]))
+		return k.rejectAttempt(now, inflight, caller.ReasonNoServer, k.pauseRetryAfter(now, inflight.service.byRegion[regionIndex]))
 	}
-	return k.startAttempt(now, f, at, server)
+	return k.startAttempt(now, inflight, regionIndex, server)
 }
 
-// failoverRegion is a region for one request whose region is lost and whose row
-// has not moved yet. It spends from the retry budget, so the traffic that
-// jumps ahead of the paced failover stays within that share.
-func (k *Kernel) failoverRegion(now time.Time, f inFlightRequest, lost int) int {
-	if !f.service.retryBudget.TryWithdraw() {
+// failoverRegion returns another region for a request whose region is lost but whose row has not
+// shifted yet, or -1. Each use is charged to the retry budget, which bounds the traffic that fails
+// over ahead of the paced shift.
+func (k *Kernel) failoverRegion(now time.Time, inflight inFlightRequest, lostIndex int) int {
+	if !inflight.service.retryBudget.TryWithdraw() {
 		return -1
 	}
-	best, room := -1, 0
+	best, mostFree := -1, 0
 	for i, r := range k.regions {
-		if i == lost || r.lost || k.bundle.Drained(operator.DrainRegion, r.Name, now) {
+		if i == lostIndex || r.lost || k.bundle.Drained(operator.DrainRegion, r.Name, now) {
 			continue
 		}
-		if free := r.quota.Free(now); free > room {
+		if free := r.quota.Free(now); free > mostFree {
 			best = i
-			room = free
+			mostFree = free
 		}
 	}
 	return best
 }
 
-func (k *Kernel) startAttempt(now time.Time, f inFlightRequest, at int, server *backend.Server) Decision {
+// startAttempt records the attempt as in flight and returns the decision to dispatch it.
+func (k *Kernel) startAttempt(now time.Time, inflight inFlightRequest, regionIndex int, server *backend.Server) Decision {
 	k.lastSerial++
-	f.serial = k.lastSerial
-	f.server = server
-	f.regionIndex = at
-	f.attempts++
-	f.sentAt = now
-	if f.id == "" {
-		f.id = k.config.Self.Name + "-" + strconv.FormatUint(k.lastSerial, 36)
+	inflight.serial = k.lastSerial
+	inflight.server = server
+	inflight.regionIndex = regionIndex
+	inflight.attempts++
+	inflight.sentAt = now
+	if inflight.id == "" {
+		inflight.id = k.config.Self.Name + "-" + strconv.FormatUint(k.lastSerial, 36)
 	}
 	server.Start()
 	k.backpressureOf(server).Sent(now)
-	k.quarantine.Started(f.work)
+	k.quarantine.Started(inflight.work)
 	k.inFlight++
 	kind := EventAdmitted
-	if f.attempts > 1 {
+	if inflight.attempts > 1 {
 		kind = EventRetried
 	}
-	k.log(now, Event{Kind: kind, Service: f.service.Name, Request: f.id, Target: server.Name})
-	handle := k.requests.Put(f)
+	k.log(now, Event{Kind: kind, Service: inflight.service.Name, Request: inflight.id, Target: server.Name})
+	handle := k.requests.Put(inflight)
 	return Decision{
 		Step:       StepDispatch,
-		Attempt:    Attempt{handle: handle, serial: f.serial},
+		Attempt:    Attempt{handle: handle, serial: inflight.serial},
 		Server:     server,
-		Idempotent: f.idempotent,
-		ID:         f.id,
-		Deadline:   f.deadline,
+		Idempotent: inflight.idempotent,
+		ID:         inflight.id,
+		Deadline:   inflight.deadline,
 	}
 }
 
-// serverLimit tells how many requests this proxy may have at a server now: its part of the
-// server's connections, or none if the server asks for less.
+// serverLimit returns a function that gives the number of requests this proxy may have in flight at
+// a server now: its share of the server's connections, or 0 if backpressure from the server allows
+// no further request.
 func (k *Kernel) serverLimit(now time.Time) func(*backend.Server) int {
 	return func(s *backend.Server) int {
 		if !k.serverAccepts(now, s) {
@@ -254,104 +262,106 @@
 	}
 }
 
-// connectionLimit is this proxy's part of a server's connections.
+// connectionLimit returns this proxy's share of a server's connections.
 func (k *Kernel) connectionLimit(s *backend.Server) int {
 	return max(1, s.Connections/max(1, k.quotaSlots))
 }
 
-// EndAttempt takes in how an attempt ended and decides the next step. An attempt
-// that was ended before gets a zero decision: late news changes nothing.
+// EndAttempt processes the end of an attempt and decides the next step. If the attempt has already
+// ended, it changes nothing and returns a zero decision.
 func (k *Kernel) EndAttempt(now time.Time, e AttemptEnd) Decision {
 	entry := k.requests.Get(e.Attempt.handle)
 	if entry == nil || entry.serial != e.Attempt.serial {
 		return Decision{}
 	}
-	f := *entry
+	inflight := *entry
 	k.requests.Free(e.Attempt.handle)
 	k.inFlight--
-	k.recordAttemptEnd(now, &f, e)
-	wasOut := f.server.Ejected()
+	k.recordAttemptEnd(now, &inflight, e)
+	wasEjected := inflight.server.Ejected()
 	if e.Report != nil {
-		f.server.ApplyReport(*e.Report)
-		k.recordSignal(now, f.sentAt, f.server, *e.Report)
+		inflight.server.ApplyReport(*e.Report)
+		k.recordSignal(now, inflight.sentAt, inflight.server, *e.Report)
 	}
-	f.server.End(e.Result, now.Sub(f.sentAt), now)
-	if f.server.Ejected() && !wasOut {
-		k.log(now, Event{Kind: EventServerEjected, Target: f.server.Name})
+	inflight.server.End(e.Result, now.Sub(inflight.sentAt), now)
+	if inflight.server.Ejected() && !wasEjected {
+		k.log(now, Event{Kind: EventServerEjected, Target: inflight.server.Name})
 	}
 	switch e.Result {
 	case backend.Answered:
-		return k.finish(now, f, caller.Result{Outcome: caller.Done, Answer: e.Answer})
+		return k.finish(now, inflight, caller.Result{Outcome: caller.Done, Answer: e.Answer})
 	case backend.Rejected:
-		return k.retryOrFinish(now, f, e.NoRetry, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonShed})
+		return k.retryOrFinish(now, inflight, e.NoRetry, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonShed})
 	case backend.Unreachable:
-		return k.retryOrFinish(now, f, e.NoRetry, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonNoServer})
+		return k.retryOrFinish(now, inflight, e.NoRetry, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonNoServer})
 	case backend.Abandoned:
-		return k.finish(now, f, caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetryAfter})
+		return k.finish(now, inflight, caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetryAfter})
 	}
-	broken := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonBroken, RetryAfter: forwardRetryAfter}
-	if !f.idempotent || e.NoRetry {
-		// Bytes were sent and no whole answer came: it may have run. A second
-		// dispatch could run it twice, so there is none.
-		return k.finish(now, f, broken)
+	interrupted := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonBroken, RetryAfter: forwardRetryAfter}
+	if !inflight.idempotent || e.NoRetry {
+		// Bytes were sent and no complete answer was received, so the request may have run. A
+		// second dispatch could run it twice.
+		return k.finish(now, inflight, interrupted)
 	}
-	return k.retryOrFinish(now, f, false, broken)
+	return k.retryOrFinish(now, inflight, false, interrupted)
 }
 
-// HandleDeadlineExceeded is what the caller is told at the deadline while the attempt still
-// runs. The attempt goes on for AnswerGracePeriod where its outcome is worth keeping.
+// HandleDeadlineExceeded returns the result for a caller whose deadline passes while the attempt is
+// still running. The attempt of a non-idempotent request continues for up to AnswerGracePeriod, so
+// that its outcome can be recorded.
 func (k *Kernel) HandleDeadlineExceeded(now time.Time, a Attempt) caller.Result {
 	result := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetryAfter}
-	if f := k.requests.Get(a.handle); f != nil && f.serial == a.serial {
-		k.log(now, Event{Kind: EventOverdue, Service: f.service.Name, Request: f.id, Target: f.server.Name})
+	if inflight := k.requests.Get(a.handle); inflight != nil && inflight.serial == a.serial {
+		k.log(now, Event{Kind: EventOverdue, Service: inflight.service.Name, Request: inflight.id, Target: inflight.server.Name})
 	}
 	return result
 }
 
-// retryOrFinish tries another server if the request may be repeated in time and the
-// budget allows; otherwise the result stands.
-func (k *Kernel) retryOrFinish(now time.Time, f inFlightRequest, final bool, result caller.Result) Decision {
-	if final || f.attempts >= k.bundle.Retry.Attempts || !now.Before(f.deadline) || !f.service.retryBudget.TryWithdraw() {
+// retryOrFinish dispatches the request to another server if a retry is allowed, the deadline has
+// not passed and the retry budget permits it. Otherwise it finishes the request with the given
+// result.
+func (k *Kernel) retryOrFinish(now time.Time, inflight inFlightRequest, noRetry bool, result caller.Result) Decision {
+	if noRetry || inflight.attempts >= k.bundle.Retry.Attempts || !now.Before(inflight.deadline) || !inflight.service.retryBudget.TryWithdraw() {
 		if result.Outcome == caller.NotRun {
 			result.RetryAfter = k.jitter(time.Second)
 		}
-		return k.finish(now, f, result)
+		return k.finish(now, inflight, result)
 	}
-	d := k.dispatch(now, f, f.server)
+	d := k.dispatch(now, inflight, inflight.server)
 	if d.Step == StepFinish && result.Outcome == caller.Unknown {
-		// The retry was not run, but the attempt before may have been.
+		// The retry was not dispatched, but the previous attempt may have run.
 		d.Result.Outcome = caller.Unknown
 	}
 	return d
 }
 
-// finish settles a request that was dispatched.
-func (k *Kernel) finish(now time.Time, f inFlightRequest, result caller.Result) Decision {
-	if f.token != nil {
+// finish completes a request that was dispatched at least once.
+func (k *Kernel) finish(now time.Time, inflight inFlightRequest, result caller.Result) Decision {
+	if inflight.token != nil {
 		if result.Outcome == caller.NotRun {
-			k.tokenRecords.Release(f.token.Nonce)
-		} else if err := k.tokenRecords.Finish(f.token.Nonce, result); err != nil && !k.config.Faults.TokenReuse {
-			k.invariantViolated(err.Error() + " " + f.id)
+			k.tokenRecords.Release(inflight.token.Nonce)
+		} else if err := k.tokenRecords.Finish(inflight.token.Nonce, result); err != nil && !k.config.Faults.TokenReuse {
+			k.invariantViolated(err.Error() + " " + inflight.id)
 		}
 	}
-	k.log(now, Event{Kind: EventFinished, Service: f.service.Name, Request: f.id, Target: f.server.Name, Outcome: result.Outcome, Reason: result.Reason})
-	return Decision{Step: StepFinish, ID: f.id, Idempotent: f.idempotent, Result: result}
+	k.log(now, Event{Kind: EventFinished, Service: inflight.service.Name, Request: inflight.id, Target: inflight.server.Name, Outcome: result.Outcome, Reason: result.Reason})
+	return Decision{Step: StepFinish, ID: inflight.id, Idempotent: inflight.idempotent, Result: result}
 }
 
-// rejectAttempt refuses an attempt before its dispatch. After a first attempt that
-// was itself not run the request as a whole was not run either; again keeps
-// the other case apart.
-func (k *Kernel) rejectAttempt(now time.Time, f inFlightRequest, reason caller.Reason, after time.Duration) Decision {
-	if f.token != nil {
-		k.tokenRecords.Release(f.token.Nonce)
-	}
-	result := caller.Result{Outcome: caller.NotRun, Reason: reason, RetryAfter: k.jitter(after)}
-	k.log(now, Event{Kind: EventRefused, Service: f.service.Name, Request: f.id, Outcome: result.Outcome, Reason: result.Reason})
-	return Decision{Step: StepFinish, ID: f.id, Idempotent: f.idempotent, Result: result}
+// rejectAttempt rejects an attempt before its dispatch, with the outcome "not run". If a previous
+// attempt may have run, retryOrFinish changes the outcome to "unknown".
+func (k *Kernel) rejectAttempt(now time.Time, inflight inFlightRequest, reason caller.Reason, retryAfter time.Duration) Decision {
+	if inflight.token != nil {
+		k.tokenRecords.Release(inflight.token.Nonce)
+	}
+	result := caller.Result{Outcome: caller.NotRun, Reason: reason, RetryAfter: k.jitter(retryAfter)}
+	k.log(now, Event{Kind: EventRefused, Service: inflight.service.Name, Request: inflight.id, Outcome: result.Outcome, Reason: result.Reason})
+	return Decision{Step: StepFinish, ID: inflight.id, Idempotent: inflight.idempotent, Result: result}
 }
 
-func (k *Kernel) rejectRequest(now time.Time, r Request, reason caller.Reason, after time.Duration) Decision {
-	result := caller.Result{Outcome: caller.NotRun, Reason: reason, RetryAfter: after}
+// rejectRequest rejects a request before its first attempt.
+func (k *Kernel) rejectRequest(now time.Time, r Request, reason caller.Reason, retryAfter time.Duration) Decision {
+	result := caller.Result{Outcome: caller.NotRun, Reason: reason, RetryAfter: retryAfter}
 	k.log(now, Event{Kind: EventRefused, Service: r.Service, Outcome: result.Outcome, Reason: result.Reason})
 	return Decision{Step: StepFinish, Result: result}
 }
--- a/internal/kernel/core/route.go
+++ b/internal/kernel/core/route.go
@@ -15,51 +15,51 @@
 const (
 	// planInterval is how often target rows are computed.
 	planInterval = 500 * time.Millisecond
-	// probeInterval is how often a server taken out is asked for its health.
+	// probeInterval is how often an ejected server is probed for its health.
 	probeInterval = 500 * time.Millisecond
-	// leavingProbeInterval is how often a server that leaves by its own word is asked whether
-	// it still does.
+	// leavingProbeInterval is how often a server that reports itself as leaving is probed to find
+	// out whether it still does.
 	leavingProbeInterval = 5 * time.Second
-	// rateSampleWeight is the weight of one sample of a rate.
+	// rateSampleWeight is the weight of a new sample in the moving average of a rate.
 	rateSampleWeight = 0.2
-	// lostRegionThreshold of a region's servers out means that the region is lost.
+	// lostRegionThreshold is the share of ejected servers at which a region counts as lost.
 	lostRegionThreshold = 0.8
-	// maxRetryAfter bounds the time after which a refused caller returns.
+	// maxRetryAfter bounds the retry delay given to rejected callers.
 	maxRetryAfter = 30 * time.Second
 )
 
 type (
-	// rateMeter smooths a number per second.
+	// rateMeter is a moving average of events per second.
 	rateMeter struct {
 		count int
 		rate  float64
 	}
 )
 
-func (m *rateMeter) sample(over time.Duration) {
-	if over <= 0 {
+func (m *rateMeter) sample(elapsed time.Duration) {
+	if elapsed <= 0 {
 		return
 	}
-	rate := float64(m.count) / over.Seconds()
+	rate := float64(m.count) / elapsed.Seconds()
 	m.rate += rateSampleWeight * (rate - m.rate)
 	m.count = 0
 }
 
-// advanceShifts recomputes the target rows now and then, and moves the rows in force
-// towards them at the bundle's pace.
+// advanceShifts recomputes the target rows every planInterval and moves the current rows towards
+// them at the pace that the bundle permits.
 func (k *Kernel) advanceShifts(now time.Time) {
 	if now.Before(k.nextPlan) {
 		return
 	}
-	over := planInterval
+	elapsed := planInterval
 	if !k.nextPlan.IsZero() {
-		over += now.Sub(k.nextPlan)
+		elapsed += now.Sub(k.nextPlan)
 	}
 	k.nextPlan = now.Add(planInterval)
 	lost := make([]bool, len(k.regions))
 	for i, r := range k.regions {
-		r.demand.sample(over)
-		r.rejected.sample(over)
+		r.demand.sample(elapsed)
+		r.rejected.sample(elapsed)
 		k.updateRegionHealth(now, r)
 		lost[i] = r.lost
 	}
@@ -76,6 +76,7 @@
 	}
 }
 
+// shiftPaces returns the bundle's limits on planned shifts and on failover.
 func (k *Kernel) shiftPaces() (planned, failover region.Pace) {
 	s := k.bundle.Shift
 	return region.Pace{Cap: s.CapPermille, Interval: s.Interval.Std()},
@@ -100,14 +101,15 @@
 		in.Capacity[i] = r.Capacity
 		in.Quota[i] = max(0, r.quota.Limit(now))
 		if now.Sub(k.startedAt) > startupPeriod {
-			// At a start quota is only on its way, and refusals say nothing.
+			// Shortly after the start, quota has not arrived yet and rejections do not indicate a
+			// shortage.
 			in.Refused[i] = r.rejected.rate
 		}
 	}
 	return in
 }
 
-// preferredRows are the rows that the bundle asks for.
+// preferredRows returns the rows that the bundle configures.
 func preferredRows(b *operator.Bundle) []region.Row {
 	rows := make([]region.Row, len(b.Regions))
 	index := make(map[string]int)
@@ -123,20 +125,20 @@
 	return rows
 }
 
-// updateRegionHealth decides whether a region is lost: nearly all its servers were
-// taken out for failures. One server that answers brings it back.
+// updateRegionHealth marks a region as lost once lostRegionThreshold of its servers are ejected,
+// and as back as soon as fewer are. Leaving servers do not count.
 func (k *Kernel) updateRegionHealth(now time.Time, r *regionState) {
-	out, total := 0, 0
+	ejected, total := 0, 0
 	for _, s := range r.servers {
 		if s.Leaving() {
 			continue
 		}
 		total++
 		if s.Ejected() {
-			out++
+			ejected++
 		}
 	}
-	lost := total > 0 && float64(out) >= lostRegionThreshold*float64(total)
+	lost := total > 0 && float64(ejected) >= lostRegionThreshold*float64(total)
 	if lost == r.lost {
 		return
 	}
@@ -148,20 +150,19 @@
 	k.log(now, Event{Kind: kind, Target: r.Name})
 }
 
-// probeServers asks servers that were taken out whether they are back. Without it a
-// lost region, which gets no requests, would never be found to have returned.
-// It also asks one more server of a region in which some are out, so that a
-// region's loss is noticed before each server has failed three requests, and now and
-// then one that leaves by its own word whether it still does.
+// probeServers probes ejected servers, since a lost region gets no requests and its recovery would
+// go unnoticed. If any server of a region is ejected, it probes the others of the region too, so
+// that the loss of the region is detected before each server has failed three requests. It also
+// probes servers that report themselves as leaving, at a longer interval.
 func (k *Kernel) probeServers(now time.Time, actions []Action) []Action {
 	for _, r := range k.regions {
-		suspicious := slices.ContainsFunc(r.servers, (*backend.Server).Ejected)
+		anyEjected := slices.ContainsFunc(r.servers, (*backend.Server).Ejected)
 		for _, s := range r.servers {
-			every := leavingProbeInterval
+			interval := leavingProbeInterval
 			if !s.ReportsLeaving() {
-				every = probeInterval
+				interval = probeInterval
 			}
-			if !suspicious && !s.ReportsLeaving() || !k.serverAccepts(now, s) || !s.ProbeDue(now, every) {
+			if !anyEjected && !s.ReportsLeaving() || !k.serverAccepts(now, s) || !s.ProbeDue(now, interval) {
 				continue
 			}
 			k.backpressureOf(s).Sent(now)
@@ -171,7 +172,7 @@
 	return actions
 }
 
-// HandleProbeResult takes in a probe's result.
+// HandleProbeResult processes the result of a health probe.
 func (k *Kernel) HandleProbeResult(now time.Time, name string, h backend.Health) {
 	if h.ConnectionRefused {
 		k.recordServerExit(now, name)
@@ -183,7 +184,7 @@
 			}
 			if h.Report != nil {
 				s.ApplyReport(*h.Report)
-				// When it was asked is not known, so it lifts no limit.
+				// The time at which the probe was sent is not known, so its result lifts no limit.
 				k.backpressure.Heard(now, now, signalKey(s.Name), h.Report.Signal, false)
 			}
 			s.ApplyProbe(h, now)
@@ -191,31 +192,32 @@
 	}
 }
 
-// applyLeaving marks servers that drains or the VM list take out of service.
+// applyLeaving marks the servers that are taken out of service by a drain or by the VM list.
 func (k *Kernel) applyLeaving(now time.Time) {
 	for _, r := range k.regions {
 		for _, s := range r.servers {
-			was := s.Leaving()
+			wasLeaving := s.Leaving()
 			s.SetDrained(k.bundle.Drained(operator.DrainServer, s.Name, now) && !k.config.Faults.LeavingServerUsed)
 			state, listed := k.machines.State(s.Name)
 			s.SetListed(!listed || state == kv.MachineLive, now)
-			if !was && s.Leaving() {
+			if !wasLeaving && s.Leaving() {
 				k.log(now, Event{Kind: EventServerLeaving, Target: s.Name})
 			}
 		}
 	}
 }
 
-// retryAfter spreads refused callers over the time that the excess needs: the
-// more were refused in this window, the later and the wider.
+// retryAfter returns the retry delay for callers rejected by a quota. It grows with the number of
+// rejections in the current window, which spreads the retries over the time needed to serve the
+// excess.
 func (k *Kernel) retryAfter(now time.Time, q *peer.Quota) time.Duration {
 	limit := max(1, q.Limit(now))
 	windows := 1 + q.RefusedRecently(now)/limit
 	return min(time.Duration(windows)*peer.WindowSpan, maxRetryAfter)
 }
 
-// jitter spreads a time to come back over one to two times itself, so that
-// callers refused together do not return together.
+// jitter returns a random duration between d and 2*d, so that callers rejected together do not
+// retry together.
 func (k *Kernel) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
@@ -223,7 +225,7 @@
 	return d + time.Duration(k.random.Int64N(int64(d)))
 }
 
-// currentRows lists the rows in force, for a newcomer.
+// currentRows returns the current rows, for a joining proxy.
 func (k *Kernel) currentRows() [][]int {
 	var rows [][]int
 	for _, r := range k.regions {
@@ -232,9 +234,9 @@
 	return rows
 }
 
-// adoptRows begins where a serving peer is. A newcomer that began at the
-// bundle's rows in the middle of a shift would move its whole part of the
-// traffic at once; the others are only as far as the cap let them.
+// adoptRows starts a joining proxy with the rows of a serving peer. If it joined in the middle of a
+// shift with the rows of the bundle, it would move its entire share of the traffic at once, while
+// the other proxies have only moved as far as the cap permits.
 func (k *Kernel) adoptRows(m peer.Exchange) {
 	if k.bundle == nil || m.Versions.Bundle != k.bundle.Version || len(m.Rows) != len(k.regions) {
 		return
--- a/internal/kernel/core/slab.go
+++ b/internal/kernel/core/slab.go
@@ -1,8 +1,8 @@
 package core
 
 type (
-	// Slab keeps values under small integer handles and reuses the room of
-	// freed ones, so that a steady load allocates nothing.
+	// Slab stores values under small integer handles. Freed slots are reused, so that a steady load
+	// does not allocate.
 	Slab[T any] struct {
 		items []T
 		free  []int
@@ -12,27 +12,26 @@
 // Put stores a value and returns its handle.
 func (s *Slab[T]) Put(value T) int {
 	if n := len(s.free); n > 0 {
-		at := s.free[n-1]
+		handle := s.free[n-1]
 		s.free = s.free[:n-1]
-		s.items[at] = value
-		return at
+		s.items[handle] = value
+		return handle
 	}
 	s.items = append(s.items, value)
 	return len(s.items) - 1
 }
 
-// Get finds the value of a handle, or nil for one that was never given out.
-func (s *Slab[T]) Get(at int) *T {
-	if at < 0 || at >= len(s.items) {
+// Get returns a pointer to the value of a handle, or nil if the handle is out of range.
+func (s *Slab[T]) Get(handle int) *T {
+	if handle < 0 || handle >= len(s.items) {
 		return nil
 	}
-	return &s.items[at]
+	return &s.items[handle]
 }
 
-// Free gives a handle back. The value is zeroed, so that what it points to can
-// be collected.
-func (s *Slab[T]) Free(at int) {
+// Free releases a handle. The value is zeroed so that what it references can be garbage collected.
+func (s *Slab[T]) Free(handle int) {
 	var zero T
-	s.items[at] = zero
-	s.free = append(s.free, at)
+	s.items[handle] = zero
+	s.free = append(s.free, handle)
 }
--- a/internal/kernel/core/status.go
+++ b/internal/kernel/core/status.go
@@ -9,7 +9,7 @@
 )
 
 type (
-	// Status is what one proxy tells operators about itself.
+	// Status is the state of one proxy, as reported to operators.
 	Status struct {
 		Self       peer.Member    `json:"self"`
 		Bundle     uint64         `json:"bundle-version"`
@@ -24,8 +24,8 @@
 		Servers    []ServerStatus `json:"backend-servers"`
 	}
 
-	// RegionStatus is one region as one proxy sees it; rates are requests per
-	// second of this proxy alone.
+	// RegionStatus is the state of a region as seen by one proxy. Rates are requests per second of
+	// this proxy alone.
 	RegionStatus struct {
 		Name     string     `json:"name"`
 		Capacity int        `json:"capacity-per-second"`
@@ -35,7 +35,7 @@
 		Row      region.Row `json:"row-permille"`
 	}
 
-	// ServerStatus is one backend server as one proxy sees it.
+	// ServerStatus is the state of a backend server as seen by one proxy.
 	ServerStatus struct {
 		Name            string        `json:"name"`
 		Service         string        `json:"service"`
@@ -48,7 +48,7 @@
 	}
 )
 
-// Status describes the proxy at one moment.
+// Status returns the state of the proxy.
 func (k *Kernel) Status(now time.Time) Status {
 	s := Status{
 		Self:     k.members.Self(),
--- a/internal/kernel/core/stop.go
+++ b/internal/kernel/core/stop.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// stopGracePeriod covers the time in which peers learn of the stop and may
-	// still name this proxy in answers.
+	// stopGracePeriod is added to the lookup TTL for the time in which peers learn of the stop and
+	// may still return this proxy in lookups.
 	stopGracePeriod = 2 * time.Second
 )
 
-// BeginStop starts a planned stop: peers are told, look-ups leave this proxy
-// out, and it serves on until no cached answer names it any more.
+// BeginStop starts a planned stop. Peers are notified, lookups exclude this proxy, and it continues
+// to serve until no cached lookup answer names it.
 func (k *Kernel) BeginStop(now time.Time) {
 	if k.stopping {
 		return
@@ -27,43 +27,42 @@
 	k.scheduleGossip(now)
 }
 
-// MayStopServing reports whether a stopping proxy may refuse new requests:
-// every cached answer that names it has run out.
+// MayStopServing reports whether a stopping proxy may reject new requests because every cached
+// lookup answer that names it has expired.
 func (k *Kernel) MayStopServing(now time.Time) bool {
 	if !k.stopping {
 		return false
 	}
-	lifetime := time.Duration(0)
+	lookupTTL := time.Duration(0)
 	if k.bundle != nil {
-		lifetime = k.bundle.Lookup.Lifetime.Std()
+		lookupTTL = k.bundle.Lookup.Lifetime.Std()
 	}
-	return !now.Before(k.stopStartedAt.Add(lifetime + stopGracePeriod))
+	return !now.Before(k.stopStartedAt.Add(lookupTTL + stopGracePeriod))
 }
 
 // Drained reports whether no request is in flight.
 func (k *Kernel) Drained() bool { return k.inFlight == 0 && k.tokenRecords.Running() == 0 }
 
-// CloseRecords ends dispatching and returns what a peer should take over, and
-// the peers to try in order: same failure domain last, for it may go as a
-// whole.
+// CloseRecords stops dispatching and returns the token records to hand over and the peers to try in
+// order. Peers in the same failure domain come last, since the whole domain may fail.
 func (k *Kernel) CloseRecords() ([]caller.Handover, []peer.Member) {
 	k.tokenRecords.Close()
 	self := k.config.Self
-	var near, far []peer.Member
+	var sameDomain, otherDomains []peer.Member
 	for _, m := range k.members.Serving() {
 		switch {
 		case m.Name == self.Name:
 		case m.Domain == self.Domain:
-			near = append(near, m)
+			sameDomain = append(sameDomain, m)
 		default:
-			far = append(far, m)
+			otherDomains = append(otherDomains, m)
 		}
 	}
-	k.random.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	return k.tokenRecords.Export(), append(far, near...)
+	k.random.Shuffle(len(otherDomains), func(i, j int) { otherDomains[i], otherDomains[j] = otherDomains[j], otherDomains[i] })
+	return k.tokenRecords.Export(), append(otherDomains, sameDomain...)
 }
 
-// FinishHandover notes who holds the records now, and leaves the membership.
+// FinishHandover records which peer holds the token records now and leaves the membership.
 func (k *Kernel) FinishHandover(now time.Time, successor string) []Action {
 	k.members.UpdateSelf(now, func(m *peer.Member) {
 		m.State = peer.Gone
@@ -77,9 +76,9 @@
 	return actions
 }
 
-// ReleaseSlots is the assignment without this proxy's slots, or nil when it
-// has none. Loans from them need not have ended: whoever takes the slots next
-// waits for that, and the VM need not.
+// ReleaseSlots returns the assignment without this proxy's slots, or nil if it has none.
+// Outstanding loans need not have ended: the next holder of the slots waits for that, and the VM
+// need not.
 func (k *Kernel) ReleaseSlots(now time.Time) *kv.Assignment {
 	if k.bundle == nil || k.assignment == nil {
 		return nil
--- a/internal/kernel/core/stop_test.go
+++ b/internal/kernel/core/stop_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestStoppingProxyKeepsItsQuota: a proxy is told to stop and happens to hold no
-// request when news of the quota slots comes. Callers with cached answers still
-// come for seconds; they must be served and not refused for want of quota.
+// TestStoppingProxyKeepsItsQuota guards against a stopping proxy that releases its quota when an
+// assignment arrives while it has no request in flight. Callers with cached lookup answers keep
+// coming for some seconds and must be served, not rejected for lack of quota.
 func TestStoppingProxyKeepsItsQuota(t *testing.T) {
 	k, now := readyKernel(t)
 	k.BeginStop(now)
