--- a/internal/kernel/backend/budget.go
+++ b/internal/kernel/backend/budget.go
@@ -1,31 +1,31 @@
 package backend
 
 const (
-	// budgetDepth bounds saved-up retries, so that a quiet hour does not
-	// license a storm.
-	budgetDepth = 10
-	permille    = 1000
+	// maxSavedRetries bounds the balance, so that retries saved up in a quiet hour do not allow a
+	// retry storm.
+	maxSavedRetries = 10
+	permille        = 1000
 )
 
 type (
-	// Budget permits retries as a share of requests. Each request earns a
-	// fraction of a retry; a failing region thus sees at most that share more
-	// load, never a multiple.
-	Budget struct {
-		earned int
+	// RetryBudget limits retries to a share of requests. Each request adds a fraction of a retry to
+	// the balance, so that a failing region gets at most that share of additional load and never a
+	// multiple of its load.
+	RetryBudget struct {
+		balance int
 	}
 )
 
-// Earn credits one first attempt at the given rate in thousandths.
-func (b *Budget) Earn(rate int) {
-	b.earned = min(b.earned+rate, budgetDepth*permille)
+// Deposit credits one first attempt at the given rate in permille.
+func (b *RetryBudget) Deposit(rate int) {
+	b.balance = min(b.balance+rate, maxSavedRetries*permille)
 }
 
-// Spend takes one retry, or reports false.
-func (b *Budget) Spend() bool {
-	if b.earned < permille {
+// TryWithdraw takes one retry from the balance and reports whether there was one.
+func (b *RetryBudget) TryWithdraw() bool {
+	if b.balance < permille {
 		return false
 	}
-	b.earned -= permille
+	b.balance -= permille
 	return true
 }
--- a/internal/kernel/backend/server.go
+++ b/internal/kernel/backend/server.go
@@ -1,6 +1,6 @@
-// Package backend decides which backend server gets a request: the state an
-// own proxy knows of each server, the registry of balancers, and the budget
-// that keeps retries from amplifying an overload.
+// Package backend selects the backend server for a request. It contains the state that one proxy
+// keeps about each server, the registry of balancers, and the budget that keeps retries from
+// amplifying an overload.
 package backend
 
 import (
@@ -12,55 +12,55 @@
 )
 
 const (
-	// ejectAfter consecutive failures take a server out for a while.
-	ejectAfter = 3
-	ejectBase  = 500 * time.Millisecond
-	ejectMost  = 10 * time.Second
-	// shedPause is how long a server that shed is passed over, if others can
-	// take the request. Short: it refuses because its slots are full now.
-	shedPause = 25 * time.Millisecond
-	// warmFloor is the share of its slots that a cold server starts with.
-	warmFloor = 0.1
-	// latencyWeight is the weight of one sample in the moving average.
-	latencyWeight = 0.1
+	// ejectionThreshold is the number of consecutive failures that eject a server.
+	ejectionThreshold = 3
+	baseEjectionTime  = 500 * time.Millisecond
+	maxEjectionTime   = 10 * time.Second
+	// shedBackoff is how long a server that shed a request is skipped, if others can take the
+	// request. It is short because the server sheds requests only while its slots are full.
+	shedBackoff = 25 * time.Millisecond
+	// minWarmShare is the share of its slots that a cold server starts with.
+	minWarmShare = 0.1
+	// latencySampleWeight is the weight of a new sample in the moving average of the latency.
+	latencySampleWeight = 0.1
 )
 
 const (
-	// Answered means that a whole answer arrived.
+	// Answered means that a complete answer was received.
 	Answered Result = iota + 1
-	// Refused means that the server shed the request before running it.
-	Refused
+	// Rejected means that the server shed the request before running it.
+	Rejected
 	// Unreachable means that no byte of the request was sent.
 	Unreachable
-	// Broken means that the exchange broke after the first byte was sent.
-	Broken
-	// Abandoned means that the proxy gave the attempt up.
+	// Interrupted means that the exchange failed after the first byte was sent.
+	Interrupted
+	// Abandoned means that the proxy gave up the attempt.
 	Abandoned
 )
 
 type (
-	// Result is how one attempt ended.
+	// Result is how an attempt ended.
 	Result uint8
 
-	// Health is what a probe found.
+	// Health is the result of a health probe.
 	Health struct {
 		OK bool
-		// Refusing is set if nothing listens there.
-		Refusing bool
-		Report   *Report
+		// ConnectionRefused is set if nothing listens on the server's address.
+		ConnectionRefused bool
+		Report            *Report
 	}
 
-	// Report is a server's own word on its load. It lags and may be wrong, so
-	// it only ever weighs a choice and never permits a request.
+	// Report is the load that a server reports about itself. It lags and may be wrong, so it only
+	// influences the choice among servers and never permits a request.
 	Report struct {
 		Running int
 		Leaving bool
-		// Signal is what it asks of its senders.
+		// Signal is the backpressure signal of the server.
 		Signal backpressure.Signal
 		At     time.Time
 	}
 
-	// Server is what this proxy knows of one backend server.
+	// Server is the state that this proxy keeps about a backend server.
 	Server struct {
 		Name        string
 		Address     netip.AddrPort
@@ -69,23 +69,23 @@
 		Slots       int
 		Connections int
 
-		inFlight   int
-		others     float64
-		reportedAt time.Time
-		latency    time.Duration
-		failures   int
-		ejected    int
-		outUntil   time.Time
-		leaves     bool
-		drained    bool
-		listed     bool
-		warmFrom   time.Time
-		slowStart  time.Duration
-		probeAt    time.Time
+		inFlight       int
+		otherLoad      float64
+		reportedAt     time.Time
+		latency        time.Duration
+		failures       int
+		ejections      int
+		unusableUntil  time.Time
+		reportsLeaving bool
+		drained        bool
+		listed         bool
+		warmupStart    time.Time
+		slowStart      time.Duration
+		nextProbe      time.Time
 	}
 )
 
-// NewServer begins with no knowledge of a configured server.
+// NewServer creates the state of a configured server about which nothing is known yet.
 func NewServer(s operator.Server, slowStart time.Duration) *Server {
 	return &Server{
 		Name:        s.Name,
@@ -99,156 +99,155 @@
 	}
 }
 
-// InFlight is the number of this proxy's requests on the server.
+// InFlight returns the number of this proxy's requests on the server.
 func (s *Server) InFlight() int { return s.inFlight }
 
-// Latency is the moving average of whole answers' times.
+// Latency returns the moving average of the time to a complete answer.
 func (s *Server) Latency() time.Duration { return s.latency }
 
-// SetDrained notes whether a drain of the bundle holds for the server.
+// SetDrained sets whether a drain in the bundle applies to the server.
 func (s *Server) SetDrained(drained bool) { s.drained = drained }
 
-// SetListed notes whether the VM list shows the server's VM as live. A server
-// that comes back begins cold.
+// SetListed sets whether the VM list shows the server's VM as live. A server that is listed again
+// starts cold.
 func (s *Server) SetListed(listed bool, now time.Time) {
 	if listed && !s.listed {
-		s.warmFrom = now
+		s.warmupStart = now
 	}
 	s.listed = listed
 }
 
-// Leaving reports whether the server must get no new work: a drain planned by
-// bundle, the VM list, or its own word, whichever comes first.
+// Leaving reports whether the server must get no new requests, because of a drain in the bundle,
+// the VM list or its own report.
 func (s *Server) Leaving() bool {
-	return s.drained || !s.listed || s.leaves
+	return s.drained || !s.listed || s.reportsLeaving
 }
 
-// LeavesByItsWord reports whether the server has said that it is leaving. The word stands
-// until its health says otherwise: it has one name for all its starts.
-func (s *Server) LeavesByItsWord() bool { return s.leaves }
+// ReportsLeaving reports whether the server has announced that it is leaving. This holds until a
+// health probe finds otherwise, since the server keeps its name across restarts.
+func (s *Server) ReportsLeaving() bool { return s.reportsLeaving }
 
 // Usable reports whether the server may be chosen.
 func (s *Server) Usable(now time.Time) bool {
-	return !s.Leaving() && !now.Before(s.outUntil)
+	return !s.Leaving() && !now.Before(s.unusableUntil)
 }
 
-// Start counts a request in.
+// Start counts a request as in flight.
 func (s *Server) Start() { s.inFlight++ }
 
-// End counts a request out and learns from how it went.
-func (s *Server) End(r Result, took time.Duration, now time.Time) {
+// End removes a request from the count in flight and updates the server's state with its result.
+func (s *Server) End(r Result, elapsed time.Duration, now time.Time) {
 	s.inFlight--
 	switch r {
 	case Answered:
-		s.answered(took, now)
-	case Refused:
+		s.recordSuccess(elapsed, now)
+	case Rejected:
 		s.failures = 0
-		s.outUntil = now.Add(shedPause)
-	case Unreachable, Broken:
-		s.failed(now)
+		s.unusableUntil = now.Add(shedBackoff)
+	case Unreachable, Interrupted:
+		s.recordFailure(now)
 	}
 }
 
-func (s *Server) answered(took time.Duration, now time.Time) {
-	if s.ejected > 0 {
-		s.warmFrom = now
+func (s *Server) recordSuccess(elapsed time.Duration, now time.Time) {
+	if s.ejections > 0 {
+		s.warmupStart = now
 	}
 	s.failures = 0
-	s.ejected = 0
+	s.ejections = 0
 	if s.latency == 0 {
-		s.latency = took
+		s.latency = elapsed
 		return
 	}
-	s.latency += time.Duration(latencyWeight * float64(took-s.latency))
+	s.latency += time.Duration(latencySampleWeight * float64(elapsed-s.latency))
 }
 
-// failed takes a server out after several failures in a row, for a time that
-// doubles. The first request after that is the probe: one failure more puts
-// the server out again at once.
-func (s *Server) failed(now time.Time) {
+// recordFailure ejects the server after several consecutive failures, for a time that doubles with
+// each ejection. The first request after the ejection serves as a probe: a single further failure
+// ejects the server again.
+func (s *Server) recordFailure(now time.Time) {
 	s.failures++
-	if s.failures < ejectAfter {
+	if s.failures < ejectionThreshold {
 		return
 	}
-	pause := min(ejectBase<<min(s.ejected, 8), ejectMost)
-	s.outUntil = now.Add(pause)
-	s.ejected++
-	s.failures = ejectAfter - 1
+	ejectionTime := min(baseEjectionTime<<min(s.ejections, 8), maxEjectionTime)
+	s.unusableUntil = now.Add(ejectionTime)
+	s.ejections++
+	s.failures = ejectionThreshold - 1
 }
 
-// Out reports whether failures have taken the server out and no answer has
-// brought it back yet.
-func (s *Server) Out() bool { return s.ejected > 0 }
+// Ejected reports whether failures have ejected the server and no success has reinstated it yet.
+func (s *Server) Ejected() bool { return s.ejections > 0 }
 
-// Learn takes in a load report.
-func (s *Server) Learn(r Report) {
+// ApplyReport updates the state with a load report.
+func (s *Server) ApplyReport(r Report) {
 	if r.Leaving {
-		s.leaves = true
+		s.reportsLeaving = true
 	}
 	if r.At.Before(s.reportedAt) {
 		return
 	}
 	s.reportedAt = r.At
-	s.others = max(0, float64(r.Running-s.inFlight))
+	s.otherLoad = max(0, float64(r.Running-s.inFlight))
 }
 
-// load estimates how many requests the server runs. What other proxies add is
-// only known from the last report, whose weight fades with age.
-func (s *Server) load(now time.Time, horizon time.Duration) float64 {
+// estimatedLoad estimates how many requests the server runs. The load from other proxies is known
+// only from the last report, whose weight decreases linearly with age.
+func (s *Server) estimatedLoad(now time.Time, maxAge time.Duration) float64 {
 	age := now.Sub(s.reportedAt)
-	if age >= horizon {
+	if age >= maxAge {
 		return float64(s.inFlight)
 	}
-	return float64(s.inFlight) + s.others*(1-float64(age)/float64(horizon))
+	return float64(s.inFlight) + s.otherLoad*(1-float64(age)/float64(maxAge))
 }
 
-// capacity is the number of slots that may be counted on, less while cold.
-func (s *Server) capacity(now time.Time) float64 {
-	if s.warmFrom.IsZero() {
+// effectiveSlots returns the number of slots that can be used now, which is reduced while the
+// server is cold.
+func (s *Server) effectiveSlots(now time.Time) float64 {
+	if s.warmupStart.IsZero() {
 		return float64(s.Slots)
 	}
-	age := now.Sub(s.warmFrom)
+	age := now.Sub(s.warmupStart)
 	if age >= s.slowStart {
-		s.warmFrom = time.Time{}
+		s.warmupStart = time.Time{}
 		return float64(s.Slots)
 	}
-	warm := max(warmFloor, float64(age)/float64(s.slowStart))
-	return float64(s.Slots) * warm
+	share := max(minWarmShare, float64(age)/float64(s.slowStart))
+	return float64(s.Slots) * share
 }
 
-// ProbeDue reports whether a health probe should be sent now, and counts it
-// as sent.
-func (s *Server) ProbeDue(now time.Time, every time.Duration) bool {
-	if now.Before(s.probeAt) {
+// ProbeDue reports whether a health probe should be sent now, and if so schedules the next one.
+func (s *Server) ProbeDue(now time.Time, interval time.Duration) bool {
+	if now.Before(s.nextProbe) {
 		return false
 	}
-	s.probeAt = now.Add(every)
+	s.nextProbe = now.Add(interval)
 	return true
 }
 
-// Probed takes in a probe's result. A good one brings a server back that was
-// taken out, cold, or that was leaving and no longer says so; a bad one counts like a
-// failed request.
-func (s *Server) Probed(h Health, now time.Time) {
+// ApplyProbe updates the state with the result of a health probe. A successful probe reinstates an
+// ejected server, which then starts cold, and a leaving one that no longer reports that it is
+// leaving. A failed probe counts like a failed request.
+func (s *Server) ApplyProbe(h Health, now time.Time) {
 	if !h.OK {
-		if !s.leaves {
-			s.failed(now)
+		if !s.reportsLeaving {
+			s.recordFailure(now)
 		}
 		return
 	}
-	if s.leaves && (h.Report == nil || !h.Report.Leaving) {
-		s.leaves = false
-		s.warmFrom = now
+	if s.reportsLeaving && (h.Report == nil || !h.Report.Leaving) {
+		s.reportsLeaving = false
+		s.warmupStart = now
 	}
-	if s.ejected > 0 {
-		s.warmFrom = now
-		s.outUntil = now
+	if s.ejections > 0 {
+		s.warmupStart = now
+		s.unusableUntil = now
 	}
 	s.failures = 0
-	s.ejected = 0
+	s.ejections = 0
 }
 
-// Reconfigure takes in a new bundle's figures and keeps what was learnt.
+// Reconfigure applies the configuration of a new bundle and keeps the observed state.
 func (s *Server) Reconfigure(c operator.Server, slowStart time.Duration) {
 	s.Region = c.Region
 	s.Domain = c.Domain
--- a/internal/kernel/core/borrow.go
+++ b/internal/kernel/core/borrow.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// borrowEvery is the least time between two requests for one resource.
-	borrowEvery = 100 * time.Millisecond
-	// borrowTimeout is when an unanswered request no longer blocks the next.
+	// minBorrowInterval is the minimum time between two borrow requests for one resource.
+	minBorrowInterval = 100 * time.Millisecond
+	// borrowTimeout is how long an unanswered borrow request blocks the next one.
 	borrowTimeout = time.Second
 )
 
-// eachQuota visits every quota in a fixed order.
+// eachQuota calls visit with every quota in a fixed order.
 func (k *Kernel) eachQuota(visit func(peer.Resource, *peer.Quota)) {
 	for _, r := range k.resources {
 		visit(r.name, r.quota)
@@ -30,10 +30,10 @@
 	return nil
 }
 
-// borrow asks a random peer for quota of each resource that runs short, and
-// lenders to keep loans up. Asking at random and often finds idle quota
-// without anyone keeping count of who has some.
-func (k *Kernel) borrow(now time.Time, actions []Action) []Action {
+// borrowQuota asks a random peer for quota of each resource that is short, and asks lenders to
+// renew loans. Frequent requests to random peers find unused quota without tracking which peer has
+// it.
+func (k *Kernel) borrowQuota(now time.Time, actions []Action) []Action {
 	if !k.mayUseQuota(now) {
 		return actions
 	}
@@ -42,11 +42,11 @@
 		q.Sample(now)
 		for _, r := range q.Renewals(now) {
 			if lender, ok := k.members.Get(r.Lender); ok {
-				actions = append(actions, k.borrowFrom(now, lender, name, r.Keep, r.ID))
+				actions = append(actions, k.newBorrowRequest(now, lender, name, r.Keep, r.ID))
 			}
 		}
 		short := q.Need() - q.Limit(now)
-		if until := k.borrowing[name]; short <= 0 || now.Before(until) {
+		if until := k.borrowBlockedUntil[name]; short <= 0 || now.Before(until) {
 			return
 		}
 		if peers == nil {
@@ -55,17 +55,17 @@
 		if len(peers) == 0 {
 			return
 		}
-		k.borrowing[name] = now.Add(borrowTimeout)
+		k.borrowBlockedUntil[name] = now.Add(borrowTimeout)
 		lender := peers[k.random.IntN(len(peers))]
-		actions = append(actions, k.borrowFrom(now, lender, name, short, 0))
+		actions = append(actions, k.newBorrowRequest(now, lender, name, short, 0))
 	})
 	return actions
 }
 
-func (k *Kernel) borrowFrom(now time.Time, lender peer.Member, name peer.Resource, want int, renew peer.LoanID) SendBorrow {
+func (k *Kernel) newBorrowRequest(now time.Time, lender peer.Member, name peer.Resource, want int, renew peer.LoanID) SendBorrow {
 	return SendBorrow{
-		To:    lender,
-		Asked: now,
+		To:     lender,
+		SentAt: now,
 		Message: peer.BorrowRequest{
 			From:     k.config.Self.Name,
 			Stamp:    k.clock.Now(now),
@@ -76,13 +76,13 @@
 	}
 }
 
-// HearBorrow answers a peer that runs short. A proxy that is giving slots back
-// lends nothing, or it would wait for loans for ever.
-func (k *Kernel) HearBorrow(now time.Time, m peer.BorrowRequest) peer.BorrowReply {
+// HandleBorrow answers a borrow request of a peer. A proxy that is releasing slots lends nothing,
+// since it would otherwise never stop waiting for loans to end.
+func (k *Kernel) HandleBorrow(now time.Time, m peer.BorrowRequest) peer.BorrowReply {
 	k.clock.Hear(m.Stamp)
 	reply := peer.BorrowReply{Stamp: k.clock.Now(now)}
 	q := k.quota(m.Resource)
-	if q == nil || !k.mayUseQuota(now) || k.releasing || k.givingUp {
+	if q == nil || !k.mayUseQuota(now) || k.releasingOne || k.releasingAll {
 		return reply
 	}
 	if m.Renew != 0 {
@@ -91,17 +91,18 @@
 		return reply
 	}
 	reply.Loan, reply.Amount = q.Lend(m.From, m.Want, now)
-	if k.config.Break.LoanDoubled {
+	if k.config.Faults.LoanCountedTwice {
 		q.ForgetLent()
 	}
 	return reply
 }
 
-// BorrowAnswered takes in a loan, or its refusal as nil.
-func (k *Kernel) BorrowAnswered(now time.Time, sent SendBorrow, reply *peer.BorrowReply) {
+// HandleBorrowReply processes the reply to a borrow request. A nil reply means that the peer did
+// not answer.
+func (k *Kernel) HandleBorrowReply(now time.Time, sent SendBorrow, reply *peer.BorrowReply) {
 	name := sent.Message.Resource
 	if sent.Message.Renew == 0 {
-		k.borrowing[name] = now.Add(borrowEvery)
+		k.borrowBlockedUntil[name] = now.Add(minBorrowInterval)
 	}
 	q := k.quota(name)
 	if reply == nil || q == nil {
@@ -109,12 +110,12 @@
 	}
 	k.clock.Hear(reply.Stamp)
 	if sent.Message.Renew != 0 {
-		q.Renewed(sent.To.Name, reply.Loan, reply.Amount, sent.Asked)
+		q.Renewed(sent.To.Name, reply.Loan, reply.Amount, sent.SentAt)
 		return
 	}
 	if reply.Amount <= 0 {
 		return
 	}
-	q.Borrow(sent.To.Name, reply.Loan, reply.Amount, sent.Asked, now)
-	k.log(now, Event{Kind: EventLoan, Target: string(name), Detail: strconv.Itoa(reply.Amount) + " from " + sent.To.Name})
+	q.Borrow(sent.To.Name, reply.Loan, reply.Amount, sent.SentAt, now)
+	k.log(now, Event{Kind: EventBorrowed, Target: string(name), Detail: strconv.Itoa(reply.Amount) + " from " + sent.To.Name})
 }
--- a/internal/kernel/core/gossip.go
+++ b/internal/kernel/core/gossip.go
@@ -10,27 +10,29 @@
 )
 
 const (
-	// exchangeEvery is how often a proxy compares versions with a random peer.
-	// News reaches all in about log2(n) rounds even if every urgent message
-	// is lost.
-	exchangeEvery = 400 * time.Millisecond
-	// seedEvery is how often a seed is asked although members are known.
-	seedEvery = 10 * time.Second
-	// newsFanout is how many peers are told of news at once.
-	newsFanout = 3
-	// smallFleet members fit into any message.
-	smallFleet = 24
-	// settledViews without a change should be alike everywhere.
-	settledViews = 5 * time.Second
-	// newsLife is how long a changed record goes along with exchanges. In that
-	// time it has been offered to more peers than the spread takes rounds.
-	newsLife = 10 * time.Second
-	// newestMembers is how many member records an exchange carries.
-	newestMembers = 8
+	// exchangeInterval is how often a proxy compares versions with a random peer. An update reaches
+	// all n proxies in about log2(n) rounds even if every urgent message is lost.
+	exchangeInterval = 400 * time.Millisecond
+	// seedExchangeInterval is how often a proxy exchanges with a seed although it knows other
+	// members.
+	seedExchangeInterval = 10 * time.Second
+	// gossipFanout is the number of peers that are sent an update at once.
+	gossipFanout = 3
+	// smallFleetSize is the number of members whose complete list fits into any message.
+	smallFleetSize = 24
+	// viewSettleTime is the time without a membership change after which all views should be equal.
+	viewSettleTime = 5 * time.Second
+	// updateTTL is how long a changed member record is included in exchanges. In that time it has
+	// been offered to more peers than gossip takes rounds to reach all.
+	updateTTL = 10 * time.Second
+	// maxMembersPerExchange bounds the member records that an exchange carries, unless it carries
+	// the full list.
+	maxMembersPerExchange = 8
 )
 
-// versions sums up what this proxy knows.
-func (k *Kernel) versions() peer.Versions {
+// documentVersions returns the versions of the documents and the digest of the membership known to
+// this proxy.
+func (k *Kernel) documentVersions() peer.Versions {
 	v := peer.Versions{Bundle: k.BundleVersion(), Members: k.members.Digest(), Known: k.members.Len()}
 	if k.assignment != nil {
 		v.Assignment = k.assignment.Version
@@ -41,77 +43,77 @@
 	return v
 }
 
-// exchange sends the periodic message to one random peer, and one to each
-// peer in urgent, who was found to know more or is to be told news.
-func (k *Kernel) exchange(now time.Time, actions []Action) []Action {
+// sendExchanges sends the periodic exchange to one random peer, and an exchange to each peer in
+// gossipTargets: peers that have newer versions or are to be sent an update.
+func (k *Kernel) sendExchanges(now time.Time, actions []Action) []Action {
 	due := !now.Before(k.nextExchange)
-	if !due && len(k.urgent) == 0 {
+	if !due && len(k.gossipTargets) == 0 {
 		return actions
 	}
 	peers := k.members.Reachable(now)
 	if due {
-		k.nextExchange = now.Add(exchangeEvery + time.Duration(k.random.Int64N(int64(exchangeEvery/4))))
+		k.nextExchange = now.Add(exchangeInterval + time.Duration(k.random.Int64N(int64(exchangeInterval/4))))
 	}
 	chosen := -1
 	if due && len(peers) > 0 {
 		chosen = k.random.IntN(len(peers))
 	}
 	for i, p := range peers {
-		if i == chosen || k.urgent[p.Name] {
-			actions = append(actions, SendExchange{To: p, Message: k.question(now)})
+		if i == chosen || k.gossipTargets[p.Name] {
+			actions = append(actions, SendExchange{To: p, Message: k.exchangeRequest(now)})
 		}
 	}
-	clear(k.urgent)
-	if due && (len(peers) == 0 || now.Sub(k.lastSeed) >= seedEvery) {
-		actions = k.askSeed(now, actions)
+	clear(k.gossipTargets)
+	if due && (len(peers) == 0 || now.Sub(k.lastSeedExchange) >= seedExchangeInterval) {
+		actions = k.exchangeWithSeed(now, actions)
 	}
 	return actions
 }
 
-// askSeed sends an exchange to a seed address. It is the only way in for a
-// new proxy, and repeated now and then it joins two groups that each took the
-// other for dead.
-func (k *Kernel) askSeed(now time.Time, actions []Action) []Action {
-	k.lastSeed = now
+// exchangeWithSeed sends an exchange to a seed address. This is how a new proxy joins. Repeated
+// from time to time, it also merges two groups of proxies that have each declared the other dead.
+func (k *Kernel) exchangeWithSeed(now time.Time, actions []Action) []Action {
+	k.lastSeedExchange = now
 	if len(k.config.Seeds) == 0 {
 		return actions
 	}
-	at := k.random.IntN(len(k.config.Seeds))
-	if k.config.Seeds[at] == k.config.Self.PeerAddress {
-		at = (at + 1) % len(k.config.Seeds)
+	index := k.random.IntN(len(k.config.Seeds))
+	if k.config.Seeds[index] == k.config.Self.PeerAddress {
+		index = (index + 1) % len(k.config.Seeds)
 	}
-	if k.config.Seeds[at] == k.config.Self.PeerAddress {
+	if k.config.Seeds[index] == k.config.Self.PeerAddress {
 		return actions
 	}
-	seed := peer.Member{PeerAddress: k.config.Seeds[at]}
-	return append(actions, SendExchange{To: seed, Message: k.question(now)})
+	seed := peer.Member{PeerAddress: k.config.Seeds[index]}
+	return append(actions, SendExchange{To: seed, Message: k.exchangeRequest(now)})
 }
 
-// spreadNews marks a few random peers to be told at the next tick.
-func (k *Kernel) spreadNews(now time.Time) {
+// scheduleGossip selects a few random peers to exchange with at the next tick.
+func (k *Kernel) scheduleGossip(now time.Time) {
 	peers := k.members.Reachable(now)
-	for range min(newsFanout, len(peers)) {
-		k.urgent[peers[k.random.IntN(len(peers))].Name] = true
+	for range min(gossipFanout, len(peers)) {
+		k.gossipTargets[peers[k.random.IntN(len(peers))].Name] = true
 	}
 }
 
-func (k *Kernel) message(now time.Time) peer.Exchange {
+// exchangeMessage builds the content common to exchange requests and replies.
+func (k *Kernel) exchangeMessage(now time.Time) peer.Exchange {
 	return peer.Exchange{
 		From:     k.config.Self.Name,
 		Stamp:    k.clock.Now(now),
-		Versions: k.versions(),
-		Members:  k.members.Newest(newestMembers, now.Add(-newsLife)),
+		Versions: k.documentVersions(),
+		Members:  k.members.Newest(maxMembersPerExchange, now.Add(-updateTTL)),
 
 		Suspicions: k.quarantine.Reports(now, false),
-		Signals:    k.signals.Reports(now, false),
+		Signals:    k.backpressure.Reports(now, false),
 	}
 }
 
-// question is a message that a peer is asked with. It always carries the own
-// record: a peer that does not know this proxy could not ask it back, and two
-// groups that found each other through a seed would stay apart.
-func (k *Kernel) question(now time.Time) peer.Exchange {
-	m := k.message(now)
+// exchangeRequest builds an exchange request. It always includes this proxy's own member record: a
+// peer that does not know this proxy could not contact it in return, and two groups that find each
+// other through a seed would stay separate.
+func (k *Kernel) exchangeRequest(now time.Time) peer.Exchange {
+	m := k.exchangeMessage(now)
 	own := k.members.Self()
 	if !slices.ContainsFunc(m.Members, func(n peer.Member) bool { return n.Name == own.Name }) {
 		m.Members = append(m.Members, own)
@@ -119,19 +121,20 @@
 	return m
 }
 
-// HearExchange answers a peer's message with whatever it lacks.
-func (k *Kernel) HearExchange(now time.Time, m peer.Exchange) peer.Exchange {
-	k.learn(now, m)
-	if k.behind(m.Versions) {
-		k.urgent[m.From] = true
+// HandleExchange processes a peer's exchange and returns a reply with the documents for which the
+// peer has an older version.
+func (k *Kernel) HandleExchange(now time.Time, m peer.Exchange) peer.Exchange {
+	k.mergeExchange(now, m)
+	if k.isBehind(m.Versions) {
+		k.gossipTargets[m.From] = true
 	}
-	reply := k.message(now)
-	if k.tellAllMembers(now, m.Versions) {
+	reply := k.exchangeMessage(now)
+	if k.needsFullMemberList(now, m.Versions) {
 		reply.Members = k.members.All()
 	}
-	if asker, _ := k.members.Get(m.From); asker.State == peer.Joining && k.members.Self().State == peer.Live {
-		reply.Rows = k.rows()
-		reply.Suspicions, reply.Signals = k.quarantine.Reports(now, true), k.signals.Reports(now, true)
+	if sender, _ := k.members.Get(m.From); sender.State == peer.Joining && k.members.Self().State == peer.Live {
+		reply.Rows = k.currentRows()
+		reply.Suspicions, reply.Signals = k.quarantine.Reports(now, true), k.backpressure.Reports(now, true)
 	}
 	if reply.Versions.Bundle > m.Versions.Bundle {
 		reply.Bundle = k.envelope
@@ -145,90 +148,94 @@
 	return reply
 }
 
-// tellAllMembers reports whether a peer needs the whole list of members. News
-// travels with the newest records of every exchange; the whole list is for a
-// newcomer, and for views that differ although nothing has changed for a
-// while. Sent at each difference, it would cost a large fleet more than its
-// budget, because views differ for seconds after each of many changes.
-func (k *Kernel) tellAllMembers(now time.Time, v peer.Versions) bool {
+// needsFullMemberList reports whether a peer needs the full member list. Changes propagate with the
+// newest records of every exchange. The full list is for new proxies, and for views that differ
+// although nothing has changed for viewSettleTime. In a large fleet, views differ for seconds after
+// each of many changes, and sending the full list at each difference would exceed the bandwidth
+// budget.
+func (k *Kernel) needsFullMemberList(now time.Time, v peer.Versions) bool {
 	if v.Members == k.members.Digest() {
 		return false
 	}
 	own := k.members.Len()
-	return own <= smallFleet || 2*v.Known < own || now.Sub(k.members.Changed()) > settledViews
+	return own <= smallFleetSize || 2*v.Known < own || now.Sub(k.members.Changed()) > viewSettleTime
 }
 
-func (k *Kernel) behind(v peer.Versions) bool {
-	own := k.versions()
+// isBehind reports whether the versions include a newer document than this proxy has.
+func (k *Kernel) isBehind(v peer.Versions) bool {
+	own := k.documentVersions()
 	return v.Bundle > own.Bundle || v.Assignment > own.Assignment || v.Machines > own.Machines
 }
 
-// HearReply takes in the answer to an exchange asked for at the given time. Documents come before the
-// fence is lifted, so a thawed proxy learns first that its slot is gone.
-func (k *Kernel) HearReply(now, asked time.Time, m peer.Exchange) {
+// HandleExchangeReply processes the reply to an exchange sent at sentAt. Documents are applied
+// before the fence is lifted, so that a proxy resuming after a freeze first learns that it has lost
+// its slots.
+func (k *Kernel) HandleExchangeReply(now, sentAt time.Time, m peer.Exchange) {
 	k.members.Answered(m.From)
 	if len(m.Machines) > 0 {
 		if list, err := kv.ParseMachines(m.Machines); err == nil {
-			k.HearMachines(now, list)
+			k.ApplyMachines(now, list)
 		}
 	}
 	if len(m.Bundle) > 0 {
-		k.HearBundle(now, m.Bundle)
+		k.ApplyBundle(now, m.Bundle)
 	}
 	if len(m.Assignment) > 0 {
 		if a, err := kv.ParseAssignment(m.Assignment); err == nil {
-			k.HearAssignment(now, a)
+			k.ApplyAssignment(now, a)
 		}
 	}
-	k.learn(now, m)
+	k.mergeExchange(now, m)
 	k.adoptRows(m)
-	k.heardAnyone(now, asked)
+	k.maybeLiftFence(now, sentAt)
 }
 
-// ExchangeLost notes that a peer did not answer.
-func (k *Kernel) ExchangeLost(now time.Time, name string) {
+// HandleExchangeFailure records that a peer did not answer an exchange.
+func (k *Kernel) HandleExchangeFailure(now time.Time, name string) {
 	if k.members.Failed(name, now) {
 		k.log(now, Event{Kind: EventMember, Target: name, Detail: peer.Suspect.String()})
-		k.spreadNews(now)
+		k.scheduleGossip(now)
 	}
 }
 
-func (k *Kernel) learn(now time.Time, m peer.Exchange) {
+// mergeExchange merges the clock, backpressure, quarantine and member records of an exchange or its
+// reply.
+func (k *Kernel) mergeExchange(now time.Time, m peer.Exchange) {
 	k.clock.Hear(m.Stamp)
 	k.quarantine.Hear(now, m.Suspicions)
-	k.signals.Hear(now, m.Signals)
-	news := false
+	k.backpressure.Hear(now, m.Signals)
+	changed := false
 	for _, member := range m.Members {
 		if k.members.Hear(member, now) {
-			news = true
+			changed = true
 			k.log(now, Event{Kind: EventMember, Target: member.Name, Detail: member.State.String()})
 		}
 	}
-	if news {
-		k.spreadNews(now)
+	if changed {
+		k.scheduleGossip(now)
 	}
 }
 
-// HearMachines takes in a version of the platform's list of VMs.
-func (k *Kernel) HearMachines(now time.Time, list *kv.Machines) {
+// ApplyMachines applies a version of the platform's VM list. Older versions are ignored.
+func (k *Kernel) ApplyMachines(now time.Time, list *kv.Machines) {
 	if k.machines != nil && list.Version <= k.machines.Version {
 		return
 	}
 	k.machines = list
-	k.spreadNews(now)
+	k.scheduleGossip(now)
 }
 
-// HearHandover takes over a stopping minter's records.
-func (k *Kernel) HearHandover(now time.Time, from string, stamp peer.Stamp, records []caller.Handover) {
+// HandleHandover takes over the token records of a stopping proxy.
+func (k *Kernel) HandleHandover(now time.Time, from string, stamp peer.Stamp, records []caller.Handover) {
 	k.clock.Hear(stamp)
 	for _, h := range records {
-		k.records.Inherit(h)
+		k.tokenRecords.Inherit(h)
 		k.log(now, Event{Kind: EventInherited, Target: h.Minter.Name, Detail: from})
 	}
 }
 
-// ForwardHeard notes the stamp of a forwarded request.
-func (k *Kernel) ForwardHeard(s peer.Stamp) { k.clock.Hear(s) }
+// ObserveStamp advances the clock with the stamp of a forwarded request or its answer.
+func (k *Kernel) ObserveStamp(s peer.Stamp) { k.clock.Hear(s) }
 
-// Stamp issues a stamp for an outgoing message.
+// Stamp returns a stamp for an outgoing message.
 func (k *Kernel) Stamp(now time.Time) peer.Stamp { return k.clock.Now(now) }
--- a/internal/kernel/core/invariant.go
+++ b/internal/kernel/core/invariant.go
@@ -6,46 +6,46 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/region"
 )
 
-// checkInvariants stops the process when its state contradicts itself. Every
-// one of these would mean a promise broken silently, so going on is worse
-// than a restart: tokens of a stopped process are answered "unknown".
+// checkInvariants stops the process if its state is inconsistent. Each of these violations would
+// silently break a guarantee, so continuing is worse than a restart: requests with tokens of a
+// stopped process are answered "unknown".
 func (k *Kernel) checkInvariants(now time.Time) {
 	if k.inFlight < 0 || k.inFlight > k.config.MaxInFlight {
-		k.broken("in-flight count outside its bounds")
+		k.invariantViolated("in-flight count out of range")
 	}
 	if k.bundle == nil {
 		return
 	}
 	onServers := 0
-	planned, failover := k.paces()
+	planned, failover := k.shiftPaces()
 	for _, r := range k.regions {
 		if r.mover.Row().Sum() != region.Full {
-			k.broken("row of region " + r.Name + " does not sum to 1000")
+			k.invariantViolated("row of region " + r.Name + " does not sum to 1000")
 		}
 		p, f := r.mover.Moved(now, planned, failover)
-		if settled := k.paceSettled(now); settled && (p > planned.Cap || f > failover.Cap) {
-			k.broken("region " + r.Name + " shifted more than its cap")
+		if settled := k.shiftCapsSettled(now); settled && (p > planned.Cap || f > failover.Cap) {
+			k.invariantViolated("region " + r.Name + " shifted more than its cap")
 		}
 		for _, s := range r.servers {
 			if s.InFlight() < 0 {
-				k.broken("backend server " + s.Name + " has fewer than no requests")
+				k.invariantViolated("backend server " + s.Name + " has a negative number of requests in flight")
 			}
 			onServers += s.InFlight()
 		}
 	}
 	if onServers > k.inFlight {
-		k.broken("backend servers hold more requests than the proxy")
+		k.invariantViolated("more requests in flight on backend servers than on the proxy")
 	}
 }
 
-// paceSettled reports whether all moves within the intervals were made under
-// the bundle in force. A new one may set a cap below what moved before it.
-func (k *Kernel) paceSettled(now time.Time) bool {
-	planned, failover := k.paces()
-	return now.Sub(k.capChanged) >= max(planned.Interval, failover.Interval)
+// shiftCapsSettled reports whether all shifts within the current intervals were made under the
+// current bundle. A new bundle may set a cap below what has already shifted.
+func (k *Kernel) shiftCapsSettled(now time.Time) bool {
+	planned, failover := k.shiftPaces()
+	return now.Sub(k.capsChangedAt) >= max(planned.Interval, failover.Interval)
 }
 
-// broken stops the process.
-func (k *Kernel) broken(what string) {
-	panic("core: invariant broken on " + k.config.Self.Name + ": " + what)
+// invariantViolated panics, which stops the process.
+func (k *Kernel) invariantViolated(violation string) {
+	panic("core: invariant violated on " + k.config.Self.Name + ": " + violation)
 }
--- a/internal/kernel/core/kernel.go
+++ b/internal/kernel/core/kernel.go
@@ -16,65 +16,66 @@
 )
 
 const (
-	// TickEvery is how often a driver calls Tick.
-	TickEvery = 50 * time.Millisecond
-	// ClockTolerance is how far a driver's clock may lag before it catches up.
-	// A smaller jump must not happen: it would age the admissions of the last
-	// window, and only a jump that counts as a freeze fences the quota.
-	ClockTolerance = freezeGap
-	// freezeGap without a tick means that the process did not run.
-	freezeGap = 2 * time.Second
-	// settleAfter without a change of the assignment a proxy takes a second
-	// slot, or one of another region.
-	settleAfter = 3 * time.Second
-	// joinPatience is how long a proxy without quota stays out of look-ups.
-	joinPatience = 15 * time.Second
-	// forgetEvery is how often members that nobody renews are looked for.
-	forgetEvery = time.Minute
-	// DefaultMaxInFlight bounds the requests that one proxy holds.
+	// TickInterval is how often a driver calls Tick.
+	TickInterval = 50 * time.Millisecond
+	// ClockTolerance is how far a driver's clock may lag before it is corrected. A smaller jump
+	// must not happen: it would age the admissions of the last window, and only a jump that counts
+	// as a freeze fences the quota.
+	ClockTolerance = freezeThreshold
+	// freezeThreshold is the time without a tick after which the process is considered to have been
+	// frozen.
+	freezeThreshold = 2 * time.Second
+	// assignmentSettleTime is the time without a change of the assignment after which a proxy
+	// claims a second slot, or a slot of another region.
+	assignmentSettleTime = 3 * time.Second
+	// joinTimeout is how long a proxy without quota is excluded from lookups.
+	joinTimeout = 15 * time.Second
+	// forgetInterval is how often expired member records are removed.
+	forgetInterval = time.Minute
+	// DefaultMaxInFlight is the default limit of requests in flight per proxy.
 	DefaultMaxInFlight = 4096
 )
 
 type (
-	// Config is what a kernel is made of. Two kernels made of equal configs
-	// and fed the same calls decide alike.
+	// Config configures a kernel. Two kernels with equal configs and the same sequence of calls
+	// make the same decisions.
 	Config struct {
 		Self     peer.Member
 		Trust    operator.Trust
 		Seed     [32]byte
 		TokenKey caller.TokenKey
-		// Seeds are peer addresses to ask while no member is known.
+		// Seeds are the peer addresses to contact while no member is known.
 		Seeds       []netip.AddrPort
 		MaxInFlight int
-		// Observe sees every event; nil for none.
-		Observe func(Event)
-		// Break takes guards out, for tests that show what they are for.
-		Break Breakage
+		// OnEvent is called for every event, if not nil.
+		OnEvent func(Event)
+		// Faults disables safeguards in tests.
+		Faults InjectedFaults
 	}
 
-	// Breakage names guards that a test takes out to show that the
-	// invariant they protect is watched.
-	Breakage struct {
-		TokenReuse    bool
-		LoanDoubled   bool
-		ShiftUncapped bool
-		BundleRevert  bool
-		LeavingServes bool
-		FenceOff      bool
-		QuotaOff      bool
+	// InjectedFaults selects safeguards that a test disables, to show that a violation of the
+	// invariant they protect is detected.
+	InjectedFaults struct {
+		TokenReuse        bool
+		LoanCountedTwice  bool
+		ShiftUncapped     bool
+		BundleRollback    bool
+		LeavingServerUsed bool
+		FenceDisabled     bool
+		QuotaDisabled     bool
 	}
 
-	// Access runs a function with a kernel, one at a time.
-	Access func(func(k *Kernel, now time.Time))
+	// Executor runs a function with exclusive access to a kernel.
+	Executor func(func(k *Kernel, now time.Time))
 
-	// Kernel is one proxy's state and decisions.
+	// Kernel holds the state of one proxy and makes its decisions.
 	Kernel struct {
-		config  Config
-		random  *rand.Rand
-		clock   peer.Clock
-		events  *Ring[Event]
-		members *peer.Members
-		records *caller.Records
+		config       Config
+		random       *rand.Rand
+		clock        peer.Clock
+		events       *RingBuffer[Event]
+		members      *peer.Members
+		tokenRecords *caller.Records
 
 		bundle     *operator.Bundle
 		quotaSlots int
@@ -86,59 +87,62 @@
 		services map[string]*service
 		regions  []*regionState
 		links    map[linkKey]*peer.Quota
-		// resources names every quota, in a fixed order.
+		// resources lists all quotas in a fixed order.
 		resources []resource
 		planner   region.Planner
 
-		named     map[string][]candidate
-		namedAt   time.Time
-		namedView uint64
-
-		flights  Slab[flight]
-		serial   uint64
-		inFlight int
-
-		started       time.Time
-		lastTick      time.Time
-		nextExchange  time.Time
-		nextStore     time.Time
-		nextForget    time.Time
-		nextPlan      time.Time
-		assignedSince time.Time
-		urgent        map[string]bool
-		fenced        bool
-		fencedAt      time.Time
-		stopping      bool
-		releasing     bool
-		// givingUp means that a stop has come to its end and all slots go back.
-		// It must not be read off the requests in flight: a stopping proxy may hold
-		// none for a moment and still has callers to serve.
-		givingUp       bool
-		releasingSince time.Time
-		// shareFigures is the settled bundle that the own shares follow.
-		shareFigures uint64
-		ownedSlots   []int
-		stopBegan    time.Time
-		capChanged   time.Time
-		rowsKnown    bool
-		lastSeed     time.Time
-		borrowing    map[peer.Resource]time.Time
-		// quarantine knows the work that ends servers; starts names the present starts
-		// of servers at which exchanges broke.
-		quarantine *quarantine.Ledger
-		starts     map[string]quarantine.Server
-		// signals are what servers ask of their senders.
-		signals *backpressure.Ledger
+		candidateCache    map[string][]candidate
+		candidatesBuiltAt time.Time
+		candidatesDigest  uint64
+
+		requests   Slab[inFlightRequest]
+		lastSerial uint64
+		inFlight   int
+
+		startedAt           time.Time
+		lastTick            time.Time
+		nextExchange        time.Time
+		nextStore           time.Time
+		nextForget          time.Time
+		nextPlan            time.Time
+		assignmentChangedAt time.Time
+		gossipTargets       map[string]bool
+		fenced              bool
+		fencedAt            time.Time
+		stopping            bool
+		releasingOne        bool
+		// releasingAll is set at the end of a stop, when all slots are released. It must not be
+		// derived from the requests in flight: a stopping proxy may have none for a moment and
+		// still has callers to serve.
+		releasingAll     bool
+		releaseStartedAt time.Time
+		// sharesBundle is the version of the settled bundle that this proxy's shares were computed
+		// from.
+		sharesBundle       uint64
+		ownedSlots         []int
+		stopStartedAt      time.Time
+		capsChangedAt      time.Time
+		rowsAdopted        bool
+		lastSeedExchange   time.Time
+		borrowBlockedUntil map[peer.Resource]time.Time
+		// quarantine tracks the work that makes servers exit. incarnations holds the current
+		// incarnations of the servers at which attempts were interrupted.
+		quarantine   *quarantine.Ledger
+		incarnations map[string]quarantine.Server
+		// backpressure holds the signals that servers send about the load they accept.
+		backpressure *backpressure.Ledger
 	}
 
+	// service is a service of the bundle with its servers and balancing state.
 	service struct {
 		operator.Service
-		servers  []*backend.Server
-		byRegion [][]*backend.Server
-		picker   *backend.Picker
-		budget   backend.Budget
+		servers     []*backend.Server
+		byRegion    [][]*backend.Server
+		picker      *backend.Picker
+		retryBudget backend.RetryBudget
 	}
 
+	// linkKey identifies a link by the indexes of its regions.
 	linkKey struct {
 		from, to int
 	}
@@ -148,6 +152,7 @@
 		quota *peer.Quota
 	}
 
+	// regionState is a region of the bundle with its quota, traffic shift and rates.
 	regionState struct {
 		operator.Region
 		quota    peer.Quota
@@ -156,67 +161,68 @@
 		servers  []*backend.Server
 		lost     bool
 		demand   rateMeter
-		refused  rateMeter
+		rejected rateMeter
 	}
 )
 
-// New makes a kernel that knows nothing but its own process.
+// New creates a kernel that knows only its own proxy.
 func New(c Config, now time.Time) *Kernel {
 	if c.MaxInFlight == 0 {
 		c.MaxInFlight = DefaultMaxInFlight
 	}
 	c.Self.State = peer.Joining
 	k := &Kernel{
-		config:    c,
-		random:    rand.New(rand.NewChaCha8(c.Seed)),
-		events:    NewRing[Event](eventRing),
-		members:   peer.NewMembers(c.Self, now),
-		records:   caller.NewRecords(c.Self.Minter(), c.TokenKey),
-		started:   now,
-		lastTick:  now,
-		urgent:    make(map[string]bool),
-		borrowing: make(map[peer.Resource]time.Time),
-
-		quarantine: quarantine.NewLedger(),
-		starts:     make(map[string]quarantine.Server),
-		signals:    backpressure.NewLedger(),
+		config:             c,
+		random:             rand.New(rand.NewChaCha8(c.Seed)),
+		events:             NewRingBuffer[Event](eventLogSize),
+		members:            peer.NewMembers(c.Self, now),
+		tokenRecords:       caller.NewRecords(c.Self.Minter(), c.TokenKey),
+		startedAt:          now,
+		lastTick:           now,
+		gossipTargets:      make(map[string]bool),
+		borrowBlockedUntil: make(map[peer.Resource]time.Time),
+
+		quarantine:   quarantine.NewLedger(),
+		incarnations: make(map[string]quarantine.Server),
+		backpressure: backpressure.NewLedger(),
 	}
-	k.quarantine.Observe, k.quarantine.Rank = k.observeWork, k.trialRank
-	k.signals.Observe = k.observeSignal
+	k.quarantine.Observe, k.quarantine.Rank = k.logWorkChange, k.trialRank
+	k.backpressure.Observe = k.logSignalChange
 	return k
 }
 
-// Tick does what is due and returns the actions for the driver.
+// Tick performs the periodic work and returns the actions for the driver.
 func (k *Kernel) Tick(now time.Time) []Action {
-	k.noticeFreeze(now)
+	k.detectFreeze(now)
 	k.lastTick = now
 	var actions []Action
-	k.records.Expire(now)
+	k.tokenRecords.Expire(now)
 	if !now.Before(k.nextForget) {
-		k.nextForget = now.Add(forgetEvery)
+		k.nextForget = now.Add(forgetInterval)
 		k.members.Forget(now)
 	}
 	if k.bundle != nil {
-		k.join(now)
+		k.joinIfReady(now)
 		k.applyLeaving(now)
 		if k.members.Self().State != peer.Joining {
-			k.plan(now)
+			k.advanceShifts(now)
 		}
-		actions = k.borrow(now, actions)
-		actions = k.probe(now, actions)
-		actions = k.probeDoubted(actions)
-		k.followSuspicions(now)
-		k.signals.Tick(now)
+		actions = k.borrowQuota(now, actions)
+		actions = k.probeServers(now, actions)
+		actions = k.probeSuspectServers(actions)
+		k.propagateSuspicions(now)
+		k.backpressure.Tick(now)
 	}
-	actions = k.exchange(now, actions)
-	actions = k.store(now, actions)
+	actions = k.sendExchanges(now, actions)
+	actions = k.proposeAssignment(now, actions)
 	k.checkInvariants(now)
 	return actions
 }
 
-// join lets look-ups name this proxy once it has quota of its own, or when
-// none has come for long: loans may still carry it.
-func (k *Kernel) join(now time.Time) {
+// joinIfReady lets lookups return this proxy once it has quota of its own and has adopted the rows
+// of a serving peer, if there is one. After joinTimeout it joins without quota, since it may be
+// able to borrow.
+func (k *Kernel) joinIfReady(now time.Time) {
 	if k.members.Self().State != peer.Joining {
 		return
 	}
@@ -224,16 +230,16 @@
 	for _, r := range k.regions {
 		quota += r.quota.Base(now)
 	}
-	ready := quota > 0 && (k.rowsKnown || !k.othersServe())
-	if !ready && now.Sub(k.started) < joinPatience {
+	ready := quota > 0 && (k.rowsAdopted || !k.hasServingPeer())
+	if !ready && now.Sub(k.startedAt) < joinTimeout {
 		return
 	}
 	k.members.UpdateSelf(now, func(m *peer.Member) { m.State = peer.Live })
-	k.spreadNews(now)
+	k.scheduleGossip(now)
 }
 
-// othersServe reports whether a live peer is known, whose rows to begin with.
-func (k *Kernel) othersServe() bool {
+// hasServingPeer reports whether a serving peer is known, whose rows this proxy can adopt.
+func (k *Kernel) hasServingPeer() bool {
 	for _, m := range k.members.Serving() {
 		if m.Name != k.config.Self.Name {
 			return true
@@ -242,13 +248,13 @@
 	return false
 }
 
-// noticeFreeze fences the own quota after a pause in which this process did
-// not run. Meanwhile the platform may have dropped the VM and another proxy
-// may hold its slots; used here too, the region's capacity would be exceeded.
-// The fence lifts when a peer or the platform has been heard after the pause,
-// for their news of the assignment comes first.
-func (k *Kernel) noticeFreeze(now time.Time) {
-	if now.Sub(k.lastTick) < freezeGap || k.fenced || k.config.Break.FenceOff {
+// detectFreeze fences this proxy's quota after a pause in which the process did not run. During the
+// pause the platform may have removed the VM and another proxy may have been assigned its slots.
+// Using them here too would exceed the capacity of the region. The fence is lifted by a reply from
+// a peer or the platform to a request sent after the pause, since such a reply includes the latest
+// assignment.
+func (k *Kernel) detectFreeze(now time.Time) {
+	if now.Sub(k.lastTick) < freezeThreshold || k.fenced || k.config.Faults.FenceDisabled {
 		return
 	}
 	k.fenced = true
@@ -257,30 +263,30 @@
 	k.log(now, Event{Kind: EventFenced, Detail: now.Sub(k.lastTick).Round(time.Millisecond).String()})
 }
 
-// heardAnyone lifts the fence if what was heard was asked for after the pause.
-// An answer from before may have waited in a socket meanwhile.
+// maybeLiftFence lifts the fence if the reply belongs to a request sent after the pause. An earlier
+// reply may have been waiting in a socket buffer.
 //
-// The fence lasts one window at the least: if not the process but only its
-// clock jumped, what it admitted just before still counts.
-func (k *Kernel) heardAnyone(now, asked time.Time) {
-	if !asked.Before(k.fencedAt) && now.Sub(k.fencedAt) >= peer.WindowSpan {
+// The fence lasts at least one window: if only the clock jumped and the process kept running, the
+// requests it admitted just before still count.
+func (k *Kernel) maybeLiftFence(now, sentAt time.Time) {
+	if !sentAt.Before(k.fencedAt) && now.Sub(k.fencedAt) >= peer.WindowSpan {
 		k.fenced = false
 	}
 }
 
-// mayUseQuota is false while fenced, and also between a pause and the first
-// tick after it, when a request may come before the tick.
+// mayUseQuota returns false while the quota is fenced, and also between a pause and the first tick
+// after it, since a request may be processed before that tick.
 func (k *Kernel) mayUseQuota(now time.Time) bool {
-	return !k.fenced && now.Sub(k.lastTick) < freezeGap || k.config.Break.FenceOff
+	return !k.fenced && now.Sub(k.lastTick) < freezeThreshold || k.config.Faults.FenceDisabled
 }
 
-// Self is the own member record.
+// Self returns this proxy's own member record.
 func (k *Kernel) Self() peer.Member { return k.members.Self() }
 
-// Members lists all known proxies.
+// Members returns all known proxies.
 func (k *Kernel) Members() []peer.Member { return k.members.All() }
 
-// BundleVersion is the version in force here, zero for none.
+// BundleVersion returns the version of the bundle in force here, or 0 if there is none.
 func (k *Kernel) BundleVersion() uint64 {
 	if k.bundle == nil {
 		return 0
@@ -288,10 +294,10 @@
 	return k.bundle.Version
 }
 
-// Bundle is the bundle in force here; callers must not change it.
+// Bundle returns the bundle in force here. Callers must not modify it.
 func (k *Kernel) Bundle() *operator.Bundle { return k.bundle }
 
-// Envelope is the signed form of the bundle in force.
+// Envelope returns the signed form of the bundle in force.
 func (k *Kernel) Envelope() []byte { return k.envelope }
 
 func (k *Kernel) holder() kv.Holder {
@@ -307,8 +313,9 @@
 	return -1
 }
 
-// home is the region that a client's requests count for.
-func (k *Kernel) home(client netip.Addr) int {
+// homeRegion returns the index of the region that a client's requests are attributed to: the region
+// of its address prefix, or else the region of this proxy.
+func (k *Kernel) homeRegion(client netip.Addr) int {
 	if k.prefixes != nil {
 		site := k.prefixes.Lookup(client)
 		if int(site) < len(k.regions) {
--- a/internal/kernel/core/lookup.go
+++ b/internal/kernel/core/lookup.go
@@ -12,122 +12,124 @@
 )
 
 type (
+	// candidate is a proxy that lookups may return, with the hash of its name.
 	candidate struct {
 		peer.Member
 		hash uint64
 	}
 
-	// LookupAnswer ranks the proxies that a caller may use. It may be cached
-	// for Lifetime.
+	// LookupAnswer lists the proxies that a caller may use, in order of preference. It may be
+	// cached for TTL.
 	LookupAnswer struct {
-		Service  string
-		Home     string
-		Proxies  []peer.Member
-		Lifetime time.Duration
+		Service    string
+		HomeRegion string
+		Proxies    []peer.Member
+		TTL        time.Duration
 	}
 )
 
-// Lookup ranks proxies for a client: those of its home region first, then the
-// rest, each group by rendezvous hash of the client, so that the loss of one
-// proxy moves only its own callers. Proxies that leave are not named.
+// Lookup ranks proxies for a client: those of its home region first, then those of the other
+// regions. Each region's proxies are ordered by rendezvous hash of the client address, so that the
+// loss of one proxy moves only its own callers. Proxies that are leaving are not returned.
 //
-// The answer does not follow the rows that spread traffic over regions: each
-// proxy applies those itself, at once and for every request. Were callers
-// sent by them too, a shift would be counted twice, once late by the lifetime
-// of cached answers, and a request could cross between regions and back.
+// The answer does not depend on the rows that distribute traffic over regions, because each proxy
+// applies those itself, immediately and to every request. If lookups applied them too, a shift
+// would count twice, the second time delayed by the TTL of cached answers, and a request could
+// cross between regions and back.
 func (k *Kernel) Lookup(now time.Time, service string, client netip.Addr) (LookupAnswer, bool) {
 	if k.bundle == nil || k.services[service] == nil {
 		return LookupAnswer{}, false
 	}
-	home := k.home(client)
+	home := k.homeRegion(client)
 	answer := LookupAnswer{
-		Service:  service,
-		Home:     k.regions[home].Name,
-		Lifetime: k.bundle.Lookup.Lifetime.Std(),
+		Service:    service,
+		HomeRegion: k.regions[home].Name,
+		TTL:        k.bundle.Lookup.Lifetime.Std(),
 	}
 	key := xxhash.Sum64(client.AsSlice())
 	candidates := k.candidates(now)
-	answer.Proxies = nearest(nil, candidates[answer.Home], key, k.bundle.Lookup.Answers)
+	answer.Proxies = appendHighestRanked(nil, candidates[answer.HomeRegion], key, k.bundle.Lookup.Answers)
 	for _, r := range k.regions {
-		if r.Name != answer.Home && len(answer.Proxies) < k.bundle.Lookup.Answers {
-			answer.Proxies = nearest(answer.Proxies, candidates[r.Name], key, k.bundle.Lookup.Answers)
+		if r.Name != answer.HomeRegion && len(answer.Proxies) < k.bundle.Lookup.Answers {
+			answer.Proxies = appendHighestRanked(answer.Proxies, candidates[r.Name], key, k.bundle.Lookup.Answers)
 		}
 	}
 	return answer, len(answer.Proxies) > 0
 }
 
-// candidates lists the proxies that look-ups may name, by region. It is made
-// anew when the view of members changes, and each tick, for drains begin by
-// the clock; a look-up then hashes the few of one region and not the fleet.
+// candidates returns the proxies that lookups may return, by region. The result is cached and
+// rebuilt when the membership view changes and on each tick, since drains start at a set time. A
+// lookup then hashes only the proxies of some regions and not the whole fleet.
 func (k *Kernel) candidates(now time.Time) map[string][]candidate {
-	if k.named != nil && k.namedAt.Equal(k.lastTick) && k.namedView == k.members.Digest() {
-		return k.named
+	if k.candidateCache != nil && k.candidatesBuiltAt.Equal(k.lastTick) && k.candidatesDigest == k.members.Digest() {
+		return k.candidateCache
 	}
-	k.named = make(map[string][]candidate)
-	k.namedAt = k.lastTick
-	k.namedView = k.members.Digest()
+	k.candidateCache = make(map[string][]candidate)
+	k.candidatesBuiltAt = k.lastTick
+	k.candidatesDigest = k.members.Digest()
 	for _, m := range k.members.Serving() {
-		if !k.leavingProxy(now, m.Name) {
-			k.named[m.Region] = append(k.named[m.Region], candidate{Member: m, hash: xxhash.Sum64String(m.Name)})
+		if !k.isProxyLeaving(now, m.Name) {
+			k.candidateCache[m.Region] = append(k.candidateCache[m.Region], candidate{Member: m, hash: xxhash.Sum64String(m.Name)})
 		}
 	}
-	return k.named
+	return k.candidateCache
 }
 
-// nearest appends the candidates with the highest rendezvous hashes, up to
-// most in all.
-func nearest(list []peer.Member, candidates []candidate, key uint64, most int) []peer.Member {
+// appendHighestRanked appends the candidates with the highest rendezvous hashes for key until the
+// list has maxLen entries.
+func appendHighestRanked(list []peer.Member, candidates []candidate, key uint64, maxLen int) []peer.Member {
 	const none = -1
-	below := ^uint64(0)
-	for len(list) < most {
+	scoreBound := ^uint64(0)
+	for len(list) < maxLen {
 		best := none
-		var highest uint64
+		var bestScore uint64
 		for i := range candidates {
-			score := mix(key ^ candidates[i].hash)
-			if score < below && (best == none || score > highest) {
+			score := mixBits(key ^ candidates[i].hash)
+			if score < scoreBound && (best == none || score > bestScore) {
 				best = i
-				highest = score
+				bestScore = score
 			}
 		}
 		if best == none {
 			break
 		}
 		list = append(list, candidates[best].Member)
-		below = highest
+		scoreBound = bestScore
 	}
 	return list
 }
 
-// mix spreads the bits of a hash; the constants are those of splitmix64.
-func mix(x uint64) uint64 {
+// mixBits is the finalizer of splitmix64.
+func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// Explain tells an operator what a client's answers and dispatches go by.
-func (k *Kernel) Explain(client netip.Addr) []string {
+// ExplainRouting describes to an operator how a client's lookups are answered and its requests
+// distributed.
+func (k *Kernel) ExplainRouting(client netip.Addr) []string {
 	if k.bundle == nil {
 		return nil
 	}
-	home := k.home(client)
-	why := []string{"home region " + k.regions[home].Name + ": its proxies come first"}
+	home := k.homeRegion(client)
+	lines := []string{"home region " + k.regions[home].Name + ": its proxies come first"}
 	for i, share := range k.regions[home].mover.Row() {
 		if share == 0 {
 			continue
 		}
-		line := "backend servers in " + k.regions[i].Name + " get " + permilleText(share) + " of its requests"
+		line := "backend servers in " + k.regions[i].Name + " get " + formatPermille(share) + " of its requests"
 		if k.regions[i].lost {
 			line += ", lost"
 		}
-		why = append(why, line)
+		lines = append(lines, line)
 	}
-	return why
+	return lines
 }
 
-// leavingProxy reports whether callers should no longer be sent to a proxy: it
-// stops, a drain planned for it holds, or its VM is about to go.
-func (k *Kernel) leavingProxy(now time.Time, name string) bool {
+// isProxyLeaving reports whether callers should no longer be sent to a proxy because it is
+// stopping, it is drained by the bundle, or its VM is about to be removed.
+func (k *Kernel) isProxyLeaving(now time.Time, name string) bool {
 	if name == k.config.Self.Name && k.stopping {
 		return true
 	}
--- a/internal/kernel/core/quarantine.go
+++ b/internal/kernel/core/quarantine.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// startSpan tells the starts of a server apart, which has one name for good: ends of
-	// one name within it count once, since all proxies must name an end alike.
-	startSpan = 8 * time.Second
+	// incarnationResolution is the granularity of the time that identifies an incarnation of a
+	// server, which keeps its name across restarts. All proxies must identify an incarnation alike,
+	// so exits of one server within this time count once.
+	incarnationResolution = 8 * time.Second
 )
 
-// mayRun says whether a request's work may run now; a reason and a time to come back are
-// given if not.
-func (k *Kernel) mayRun(now time.Time, f *flight) (caller.Reason, time.Duration) {
-	if f.work.None() {
+// checkQuarantine returns caller.ReasonNone if the request's work may run now. Otherwise it returns
+// the reason for the rejection and the time after which the caller may retry.
+func (k *Kernel) checkQuarantine(now time.Time, inflight *inFlightRequest) (caller.Reason, time.Duration) {
+	if inflight.work.None() {
 		return caller.ReasonNone, 0
 	}
-	ruling, left := k.quarantine.Rule(now, f.work)
+	ruling, remaining := k.quarantine.Rule(now, inflight.work)
 	switch {
 	case ruling == quarantine.Condemned:
-		return caller.ReasonEndsServers, min(left, quarantine.AwayMost)
-	case ruling == quarantine.Busy, ruling == quarantine.Suspected && f.breaks > 0, f.breaks >= quarantine.BreaksMost:
+		return caller.ReasonEndsServers, min(remaining, quarantine.AwayMost)
+	case ruling == quarantine.Busy, ruling == quarantine.Suspected && inflight.interruptions > 0, inflight.interruptions >= quarantine.BreaksMost:
 		return caller.ReasonMayEndServers, time.Second
 	}
 	return caller.ReasonNone, 0
 }
 
-// trialRank is this proxy's place in the order in which proxies try refused work again.
+// trialRank returns this proxy's position in the order in which proxies retry rejected work.
 func (k *Kernel) trialRank(w quarantine.Work) int {
 	members := k.members.All()
 	before := 0
@@ -44,61 +45,64 @@
 	return (before + int(w[0])) % max(1, len(members))
 }
 
-// learnEnd takes in what an attempt tells of whether its server has ended.
-func (k *Kernel) learnEnd(now time.Time, f *flight, e AttemptEnd) {
+// recordAttemptEnd updates the quarantine with what the end of an attempt tells about its work and
+// its server.
+func (k *Kernel) recordAttemptEnd(now time.Time, inflight *inFlightRequest, e AttemptEnd) {
 	q := k.quarantine
-	q.Stopped(f.work)
+	q.Stopped(inflight.work)
 	switch e.Result {
-	case backend.Answered, backend.Refused:
-		q.Answered(k.starts[f.server.Name], f.sent)
+	case backend.Answered, backend.Rejected:
+		q.Answered(k.incarnations[inflight.server.Name], inflight.sentAt)
 		if e.Answer != nil && e.Answer.Status < http.StatusBadRequest {
-			// A server that fails or rejects a request may not have come to what
-			// ends it.
-			q.RanWell(now, f.work)
+			// A server that fails or rejects a request may not have reached the point at which the
+			// work makes it exit.
+			q.RanWell(now, inflight.work)
 		}
-	case backend.Broken:
-		f.breaks++
-		if !f.server.Leaving() {
-			// A server that leaves as planned may cut what it still has.
-			q.Broke(now, f.work, k.startOf(now, f.server.Name))
+	case backend.Interrupted:
+		inflight.interruptions++
+		if !inflight.server.Leaving() {
+			// A server that is leaving may cut the connections of its remaining requests.
+			q.Broke(now, inflight.work, k.incarnationOf(now, inflight.server.Name))
 		}
 	case backend.Unreachable:
-		if e.Refusing {
-			k.serverEnded(now, f.server.Name)
+		if e.ConnectionRefused {
+			k.recordServerExit(now, inflight.server.Name)
 		}
 	}
 }
 
-// startOf names the present start of a server, as all proxies do that see it end now.
-func (k *Kernel) startOf(now time.Time, server string) quarantine.Server {
-	s, known := k.starts[server]
+// incarnationOf returns the identifier of a server's current incarnation, which all proxies that
+// see it exit now derive alike.
+func (k *Kernel) incarnationOf(now time.Time, server string) quarantine.Server {
+	incarnation, known := k.incarnations[server]
 	if !known {
-		s = quarantine.ServerOf(server, k.clock.Now(now).Time().Truncate(startSpan))
-		k.starts[server] = s
+		incarnation = quarantine.ServerOf(server, k.clock.Now(now).Time().Truncate(incarnationResolution))
+		k.incarnations[server] = incarnation
 	}
-	return s
+	return incarnation
 }
 
-// serverEnded notes that nothing listens where a server was.
-func (k *Kernel) serverEnded(now time.Time, server string) {
-	if s, known := k.starts[server]; known {
-		k.quarantine.HasEnded(now, s)
-		delete(k.starts, server)
+// recordServerExit records that nothing listens on the server's address any more.
+func (k *Kernel) recordServerExit(now time.Time, server string) {
+	if incarnation, known := k.incarnations[server]; known {
+		k.quarantine.HasEnded(now, incarnation)
+		delete(k.incarnations, server)
 	}
 }
 
-// probeDoubted asks servers at which exchanges broke whether they are still there.
-func (k *Kernel) probeDoubted(actions []Action) []Action {
-	wanted := make(map[quarantine.Server]bool)
+// probeSuspectServers probes the servers with interrupted attempts to find out whether they have
+// exited.
+func (k *Kernel) probeSuspectServers(actions []Action) []Action {
+	suspects := make(map[quarantine.Server]bool)
 	for _, s := range k.quarantine.Doubtful() {
-		wanted[s] = true
+		suspects[s] = true
 	}
-	if len(wanted) == 0 {
+	if len(suspects) == 0 {
 		return actions
 	}
 	for _, r := range k.regions {
 		for _, s := range r.servers {
-			if wanted[k.starts[s.Name]] {
+			if suspects[k.incarnations[s.Name]] {
 				actions = append(actions, SendProbe{Server: s.Name, Address: s.Address})
 			}
 		}
@@ -106,24 +110,25 @@
 	return actions
 }
 
-// followSuspicions spreads what other proxies should hear at once.
-func (k *Kernel) followSuspicions(now time.Time) {
+// propagateSuspicions advances the quarantine, drops incarnations that it no longer tracks, and
+// schedules gossip for urgent suspicions.
+func (k *Kernel) propagateSuspicions(now time.Time) {
 	k.quarantine.Tick(now)
-	for name, s := range k.starts {
+	for name, s := range k.incarnations {
 		if !k.quarantine.Awaits(s) {
-			delete(k.starts, name)
+			delete(k.incarnations, name)
 		}
 	}
 	if k.quarantine.Urgent() {
-		k.spreadNews(now)
+		k.scheduleGossip(now)
 	}
 }
 
-// observeWork tells of what has become of a work.
-func (k *Kernel) observeWork(n quarantine.Notice) {
+// logWorkChange logs a change in the quarantine state of a work.
+func (k *Kernel) logWorkChange(n quarantine.Notice) {
 	detail := n.Work.String()
 	if n.Change == quarantine.ChangeEnded {
 		detail = strconv.Itoa(len(n.Works)) + " works there"
 	}
-	k.log(k.lastTick, Event{Kind: Kind(n.Change), Detail: detail})
+	k.log(k.lastTick, Event{Kind: EventKind(n.Change), Detail: detail})
 }
--- a/internal/kernel/core/status.go
+++ b/internal/kernel/core/status.go
@@ -9,7 +9,7 @@
 )
 
 type (
-	// Status is what one proxy tells operators about itself.
+	// Status is the state of one proxy, as reported to operators.
 	Status struct {
 		Self       peer.Member    `json:"self"`
 		Bundle     uint64         `json:"bundle-version"`
@@ -24,8 +24,8 @@
 		Servers    []ServerStatus `json:"backend-servers"`
 	}
 
-	// RegionStatus is one region as one proxy sees it; rates are requests per
-	// second of this proxy alone.
+	// RegionStatus is the state of a region as seen by one proxy. Rates are requests per second of
+	// this proxy alone.
 	RegionStatus struct {
 		Name     string     `json:"name"`
 		Capacity int        `json:"capacity-per-second"`
@@ -35,26 +35,26 @@
 		Row      region.Row `json:"row-permille"`
 	}
 
-	// ServerStatus is one backend server as one proxy sees it.
+	// ServerStatus is the state of a backend server as seen by one proxy.
 	ServerStatus struct {
-		Name      string        `json:"name"`
-		Service   string        `json:"service"`
-		Region    string        `json:"region"`
-		InFlight  int           `json:"in-flight"`
-		Leaving   bool          `json:"leaving"`
-		Out       bool          `json:"out"`
-		Latency   time.Duration `json:"latency-ns"`
-		Connected int           `json:"connection-limit"`
+		Name            string        `json:"name"`
+		Service         string        `json:"service"`
+		Region          string        `json:"region"`
+		InFlight        int           `json:"in-flight"`
+		Leaving         bool          `json:"leaving"`
+		Ejected         bool          `json:"out"`
+		Latency         time.Duration `json:"latency-ns"`
+		ConnectionLimit int           `json:"connection-limit"`
 	}
 )
 
-// Status describes the proxy at one moment.
+// Status returns the state of the proxy.
 func (k *Kernel) Status(now time.Time) Status {
 	s := Status{
 		Self:     k.members.Self(),
 		Bundle:   k.BundleVersion(),
 		InFlight: k.inFlight,
-		Records:  k.records.Len(),
+		Records:  k.tokenRecords.Len(),
 		Fenced:   k.fenced,
 		Stopping: k.stopping,
 	}
@@ -80,20 +80,20 @@
 		name := k.bundle.Services[i].Name
 		for _, server := range k.services[name].servers {
 			s.Servers = append(s.Servers, ServerStatus{
-				Name:      server.Name,
-				Service:   name,
-				Region:    server.Region,
-				InFlight:  server.InFlight(),
-				Leaving:   server.Leaving(),
-				Out:       server.Out(),
-				Latency:   server.Latency(),
-				Connected: k.connectionLimit(server),
+				Name:            server.Name,
+				Service:         name,
+				Region:          server.Region,
+				InFlight:        server.InFlight(),
+				Leaving:         server.Leaving(),
+				Ejected:         server.Ejected(),
+				Latency:         server.Latency(),
+				ConnectionLimit: k.connectionLimit(server),
 			})
 		}
 	}
 	return s
 }
 
-func permilleText(share int) string {
+func formatPermille(share int) string {
 	return fmt.Sprintf("%d.%d%%", share/10, share%10)
 }
