--- a/internal/adapter/forwardhttp/server.go
+++ b/internal/adapter/forwardhttp/server.go
@@ -82,7 +82,7 @@
 		GiveBack func(steering.Release)
 		// AskPool asks a proxy for one request of an account's limit; it reports false if
 		// there is no answer.
-		AskPool func(ctx context.Context, pool, account string) (ratelimit.Token, bool)
+		AskPool func(ctx context.Context, pool, account string) (ratelimit.TokenReply, bool)
 		// Stopping reports whether callers should go elsewhere.
 		Stopping func() bool
 		// Configured is closed once the first configuration is known.
--- a/internal/adapter/peerdrpc/limits.go
+++ b/internal/adapter/peerdrpc/limits.go
@@ -37,25 +37,25 @@
 }
 
 // TakeToken asks a pool for one request of an account.
-func (c *Client) TakeToken(ctx context.Context, to netip.AddrPort, account string) (ratelimit.Token, error) {
+func (c *Client) TakeToken(ctx context.Context, to netip.AddrPort, account string) (ratelimit.TokenReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
 	out, err := peerpb.NewDRPCReplicaClient(c.pool.Get(ctx, to, c.dial)).TakeToken(ctx, &peerpb.TokenRequest{Account: account})
 	if err != nil {
-		return ratelimit.Token{}, errors.Wrap(err, "ask the pool of limits")
+		return ratelimit.TokenReply{}, errors.Wrap(err, "ask the pool of limits")
 	}
-	return ratelimit.Token{Granted: out.GetGranted(), Wait: micro(out.GetWaitMicro())}, nil
+	return ratelimit.TokenReply{Granted: out.GetGranted(), Wait: micro(out.GetWaitMicro())}, nil
 }
 
 // ReportLimits implements the generated interface.
 func (s *syncService) ReportLimits(_ context.Context, in *peerpb.LimitReport) (*peerpb.LimitGrants, error) {
-	if in.GetFrom() == "" || in.GetClockMicro() < 0 || in.GetPart() > uint32(ratelimit.Whole) {
+	if in.GetFrom() == "" || in.GetClockMicro() < 0 || in.GetPart() > uint32(ratelimit.FullShare) {
 		return nil, errors.New("report of limits: sender, clock or part is wrong")
 	}
 	g := s.handlers.ReportLimits(ratelimit.Report{
 		From: in.GetFrom(), Part: ratelimit.Share(in.GetPart()), Pool: in.GetPool(), Echo: micro(in.GetClockMicro()),
 		Applied: in.GetApplied(), Wants: sharesIn(in.GetWants()), Withdraws: in.GetWithdraws(), Lends: in.GetLends(),
-		Starter: min(ratelimit.Share(in.GetStarter()), ratelimit.Whole), Start: in.GetStart(),
+		Starter: min(ratelimit.Share(in.GetStarter()), ratelimit.FullShare), Start: in.GetStart(),
 	})
 	return &peerpb.LimitGrants{
 		Pool: g.Pool, ClockMicro: g.Clock.Microseconds(), Id: g.ID, Shares: sharesOut(g.Shares),
@@ -69,7 +69,7 @@
 	return &peerpb.TokenReply{Granted: t.Granted, WaitMicro: t.Wait.Microseconds()}, nil
 }
 
-func sharesOut(list []ratelimit.Want) []*peerpb.LimitShare {
+func sharesOut(list []ratelimit.AccountShare) []*peerpb.LimitShare {
 	out := make([]*peerpb.LimitShare, 0, len(list))
 	for _, w := range list {
 		out = append(out, &peerpb.LimitShare{Account: w.Account, Share: uint32(w.Share)})
@@ -77,10 +77,10 @@
 	return out
 }
 
-func sharesIn(list []*peerpb.LimitShare) []ratelimit.Want {
-	in := make([]ratelimit.Want, 0, len(list))
+func sharesIn(list []*peerpb.LimitShare) []ratelimit.AccountShare {
+	in := make([]ratelimit.AccountShare, 0, len(list))
 	for _, w := range list {
-		in = append(in, ratelimit.Want{Account: w.GetAccount(), Share: min(ratelimit.Share(w.GetShare()), ratelimit.Whole)})
+		in = append(in, ratelimit.AccountShare{Account: w.GetAccount(), Share: min(ratelimit.Share(w.GetShare()), ratelimit.FullShare)})
 	}
 	return in
 }
--- a/internal/adapter/peerdrpc/server.go
+++ b/internal/adapter/peerdrpc/server.go
@@ -45,7 +45,7 @@
 		// ReportLimits answers proxies whose pool of limits is here, TakeToken those that
 		// ask it for one request of an account.
 		ReportLimits func(ratelimit.Report) ratelimit.Grants
-		TakeToken    func(account string) ratelimit.Token
+		TakeToken    func(account string) ratelimit.TokenReply
 		// Now is the clock by which moments are told.
 		Now func() time.Time
 	}
--- a/internal/adapter/peerdrpc/sync.go
+++ b/internal/adapter/peerdrpc/sync.go
@@ -78,8 +78,8 @@
 
 func syncOut(m SyncMessage) (*peerpb.SyncMessage, error) {
 	out := &peerpb.SyncMessage{
-		From: m.From, StartedUnixMilli: m.Started, Leaving: m.Leaving, Revision: m.Revision, AgeMilli: m.Age.Milliseconds(), Base: m.Base, Whole: m.Whole,
-		Unsure: m.Unsure, Keys: m.Keys,
+		From: m.From, StartedUnixMilli: m.Started, Leaving: m.Leaving, Revision: m.Revision, AgeMilli: m.Age.Milliseconds(), Base: m.Base, Whole: m.Full,
+		Unsure: m.MayMissRemovals, Keys: m.KeyDigest,
 	}
 	for _, a := range m.Others {
 		out.Others = append(out.Others, a.String())
@@ -90,7 +90,7 @@
 	out.Suspicions, out.Signals = suspicionsOut(m.Suspicions), signalsOut(m.Signals)
 	entries := make([]*peerpb.Entry, 0, len(m.Entries))
 	for _, e := range m.Entries {
-		entries = append(entries, &peerpb.Entry{Key: e.Key, Value: e.Value, Revision: e.Revision, Removed: e.Removed, Doubtful: e.Doubtful})
+		entries = append(entries, &peerpb.Entry{Key: e.Key, Value: e.Value, Revision: e.Revision, Removed: e.Removed, Doubtful: e.Tentative})
 	}
 	if m.Size() < packFrom {
 		out.Entries = entries
@@ -103,8 +103,8 @@
 
 func syncIn(in *peerpb.SyncMessage) (SyncMessage, error) {
 	m := SyncMessage{From: in.GetFrom(), Started: in.GetStartedUnixMilli(), Leaving: in.GetLeaving()}
-	m.Base, m.Revision, m.Whole = in.GetBase(), in.GetRevision(), in.GetWhole()
-	m.Unsure, m.Keys = in.GetUnsure(), in.GetKeys()
+	m.Base, m.Revision, m.Full = in.GetBase(), in.GetRevision(), in.GetWhole()
+	m.MayMissRemovals, m.KeyDigest = in.GetUnsure(), in.GetKeys()
 	m.Age = time.Duration(in.GetAgeMilli()) * time.Millisecond
 	for _, text := range in.GetOthers() {
 		a, err := netip.ParseAddrPort(text)
@@ -131,7 +131,7 @@
 	}
 	for _, e := range entries {
 		m.Entries = append(m.Entries, replica.Entry{
-			Key: e.GetKey(), Value: e.GetValue(), Revision: e.GetRevision(), Removed: e.GetRemoved(), Doubtful: e.GetDoubtful(),
+			Key: e.GetKey(), Value: e.GetValue(), Revision: e.GetRevision(), Removed: e.GetRemoved(), Tentative: e.GetDoubtful(),
 		})
 	}
 	return m, nil
--- a/internal/adapter/peerdrpc/sync_test.go
+++ b/internal/adapter/peerdrpc/sync_test.go
@@ -15,7 +15,7 @@
 
 // registrations is a whole copy of a fleet's servers, as they are registered.
 func registrations(n int) SyncMessage {
-	m := SyncMessage{From: "proxy-a", Delta: replica.Delta{Revision: uint64(n), Whole: true, Age: time.Second, Keys: 1 << 63}}
+	m := SyncMessage{From: "proxy-a", Delta: replica.Delta{Revision: uint64(n), Full: true, Age: time.Second, KeyDigest: 1 << 63}}
 	r := rand.New(rand.NewPCG(1, 1))
 	for i := range n {
 		m.Entries = append(m.Entries, replica.Entry{
@@ -31,9 +31,9 @@
 func TestSyncMessagesSurviveTheWire(t *testing.T) {
 	for _, n := range []int{0, 3, 500} {
 		want := registrations(n)
-		want.Unsure, want.Leaving, want.Others = true, true, []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:7001")}
+		want.MayMissRemovals, want.Leaving, want.Others = true, true, []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:7001")}
 		for i := range want.Entries {
-			want.Entries[i].Removed, want.Entries[i].Doubtful = i%3 == 1, i%6 == 1
+			want.Entries[i].Removed, want.Entries[i].Tentative = i%3 == 1, i%6 == 1
 		}
 		out, err := syncOut(want)
 		if err != nil {
--- a/internal/fake/limitnet/load.go
+++ b/internal/fake/limitnet/load.go
@@ -67,7 +67,7 @@
 )
 
 // allowance is what operators allow beyond limits.
-var allowance = ratelimit.Allowance{Window: 5 * time.Second, Ratio: 0.1, Requests: 20}
+var allowance = ratelimit.Overage{Window: 5 * time.Second, Ratio: 0.1, Requests: 20}
 
 // rates are what the accounts send in a second, the largest first.
 func (l Load) rates() []float64 {
--- a/internal/fake/limitnet/play.go
+++ b/internal/fake/limitnet/play.go
@@ -51,7 +51,7 @@
 		name   string
 		region int
 		domain int
-		holder *ratelimit.Holder
+		holder *ratelimit.Limiter
 		pool   *ratelimit.Pool
 		cut    bool
 		down   bool
@@ -103,12 +103,12 @@
 func (w *world) begin(p *proxy) {
 	p.start++
 	p.down, p.silent = false, make(map[string]time.Duration)
-	p.holder = ratelimit.NewHolder(p.name, w.clock())
+	p.holder = ratelimit.NewLimiter(p.name, w.clock())
 	p.pool = ratelimit.NewPool(uint64(p.start), w.clock())
-	limits := func(account string) ratelimit.Limit { return w.limits[account].With(allowance) }
+	limits := func(account string) ratelimit.Limit { return w.limits[account].WithOverage(allowance) }
 	p.holder.Limits, p.pool.Limits = limits, limits
-	p.pool.Starter = func(account string) float64 { return w.limits[account].Starter(allowance) }
-	p.holder.SetPart(ratelimit.Part(w.load.Proxies))
+	p.pool.StartupBurst = func(account string) float64 { return w.limits[account].StartupBurst(allowance) }
+	p.holder.SetBaseShare(ratelimit.EqualShare(w.load.Proxies))
 	if w.way != Even {
 		w.report(p, p.start)
 	}
@@ -119,7 +119,7 @@
 	if p.start != start || p.down {
 		return
 	}
-	pause := ratelimit.ReportEvery*9/10 + time.Duration(w.random.Int64N(int64(ratelimit.ReportEvery/5)))
+	pause := ratelimit.ReportInterval*9/10 + time.Duration(w.random.Int64N(int64(ratelimit.ReportInterval/5)))
 	w.After(pause, func() { w.report(p, start) })
 	if best := w.poolOf(p, p.region); best != nil {
 		w.reportOnce(p, start, best)
@@ -129,20 +129,20 @@
 
 func (w *world) reportOnce(p *proxy, start int, best *proxy) {
 	asked := w.clock()
-	to, r := p.holder.Report(asked, best.name, w.others(p))
+	to, r := p.holder.NextReport(asked, best.name, w.others(p))
 	if w.way == Owner {
 		r.Wants = nil
 	}
 	pool := w.byName[to]
 	w.reports++
 	var g ratelimit.Grants
-	w.call(p, pool, reportLost, func() { g = pool.pool.Hear(w.clock(), r) }, func(answered bool) {
+	w.call(p, pool, reportLost, func() { g = pool.pool.HandleReport(w.clock(), r) }, func(answered bool) {
 		switch {
 		case p.start != start || p.down:
 		case !answered:
 			p.silent[to] = w.Now + pauseAfter
-			p.holder.Unanswered(w.clock(), to)
-		case p.holder.Granted(w.clock(), asked, to, g):
+			p.holder.MarkUnresponsive(w.clock(), to)
+		case p.holder.ApplyGrants(w.clock(), asked, to, g):
 			if next := w.poolOf(p, p.region); next != nil {
 				w.reportOnce(p, start, next)
 			}
@@ -151,16 +151,16 @@
 }
 
 func (w *world) borrow(p *proxy, start int) {
-	if w.way != Pools || !p.pool.Serves(w.clock()) {
+	if w.way != Pools || !p.pool.HasDeposits(w.clock()) {
 		return
 	}
 	asked := w.clock()
-	for _, l := range p.pool.Borrow(asked, p.name+"/pool", w.others(p)) {
+	for _, l := range p.pool.LoanRequests(asked, p.name+"/pool", w.others(p)) {
 		lender := w.byName[l.Lender]
 		var g ratelimit.Grants
-		w.call(p, lender, reportLost, func() { g = lender.pool.Hear(w.clock(), l.Report) }, func(answered bool) {
+		w.call(p, lender, reportLost, func() { g = lender.pool.HandleReport(w.clock(), l.Report) }, func(answered bool) {
 			if answered && p.start == start && !p.down {
-				p.pool.Lent(w.clock(), asked, l.Lender, g)
+				p.pool.ApplyLoan(w.clock(), asked, l.Lender, g)
 			}
 		})
 	}
@@ -272,18 +272,18 @@
 	} else {
 		w.out.Owed++
 	}
-	w.try(account, c, func(r ratelimit.Ruling) {
+	w.try(account, c, func(r ratelimit.Decision) {
 		if r.Verdict == ratelimit.Admitted || !owed {
 			return
 		}
 		w.out.RefusedAtFirst++
-		if r.Wait > returnFor {
+		if r.RetryAfter > returnFor {
 			w.out.Refused++
 			return
 		}
 		c.last = nil
-		w.After(max(80*time.Millisecond, r.Wait+time.Duration(w.random.Int64N(int64(r.Wait)+1))), func() {
-			w.try(account, c, func(r ratelimit.Ruling) {
+		w.After(max(80*time.Millisecond, r.RetryAfter+time.Duration(w.random.Int64N(int64(r.RetryAfter)+1))), func() {
+			w.try(account, c, func(r ratelimit.Decision) {
 				if r.Verdict != ratelimit.Admitted {
 					w.out.Refused++
 				}
@@ -293,17 +293,17 @@
 }
 
 // try sends a request to a proxy of the client's failure domain.
-func (w *world) try(account string, c *client, done func(ratelimit.Ruling)) {
+func (w *world) try(account string, c *client, done func(ratelimit.Decision)) {
 	p := w.proxyFor(c)
 	if p == nil {
-		done(ratelimit.Ruling{Verdict: ratelimit.Denied, Wait: returnFor / 2})
+		done(ratelimit.Decision{Verdict: ratelimit.Denied, RetryAfter: returnFor / 2})
 		return
 	}
 	w.settle(account, p, p.holder.Take(w.clock(), account), done)
 }
 
 // settle asks pools for a request until one rules on it.
-func (w *world) settle(account string, p *proxy, r ratelimit.Ruling, done func(ratelimit.Ruling)) {
+func (w *world) settle(account string, p *proxy, r ratelimit.Decision, done func(ratelimit.Decision)) {
 	if r.Verdict != ratelimit.AskPool {
 		if r.Verdict == ratelimit.Admitted {
 			w.admitted(account)
@@ -315,13 +315,13 @@
 	if pool != p {
 		w.asks++
 	}
-	var t ratelimit.Token
+	var t ratelimit.TokenReply
 	w.call(p, pool, tokenLost, func() { t = pool.pool.Take(w.clock(), account) }, func(answered bool) {
 		if p.start != start || p.down {
-			done(ratelimit.Ruling{Verdict: ratelimit.Denied, Wait: returnFor / 2})
+			done(ratelimit.Decision{Verdict: ratelimit.Denied, RetryAfter: returnFor / 2})
 			return
 		}
-		w.settle(account, p, p.holder.Asked(w.clock(), account, r, t, answered), done)
+		w.settle(account, p, p.holder.HandlePoolReply(w.clock(), account, r, t, answered), done)
 	})
 }
 
@@ -346,7 +346,7 @@
 // admitted checks what all proxies have let through.
 func (w *world) admitted(account string) {
 	l := w.limits[account]
-	w.out.Excess = max(w.out.Excess, -w.kept[account].take(w.Now, l.With(allowance)))
+	w.out.Excess = max(w.out.Excess, -w.kept[account].take(w.Now, l.WithOverage(allowance)))
 	bound := ratelimit.Limit{
 		PerSecond: l.PerSecond * (1 + allowance.Ratio), Burst: l.Burst*(1+allowance.Ratio) + allowance.Requests,
 	}
--- a/internal/kernel/account/table.go
+++ b/internal/kernel/account/table.go
@@ -45,7 +45,7 @@
 	var conflicts []Conflict
 	for _, a := range sorted(accounts) {
 		t.byName[a.Name] = a
-		t.limited = t.limited || !a.Limit.None()
+		t.limited = t.limited || !a.Limit.Unlimited()
 		for _, key := range a.Keys {
 			other, claimed := t.byKey[key]
 			if claimed && other != a {
--- a/internal/kernel/placing/deal.go
+++ b/internal/kernel/placing/deal.go
@@ -7,25 +7,25 @@
 )
 
 type (
-	// class are the servers of one class and weight, in order.
-	class struct {
+	// serverClass are the servers of one class and weight, in order.
+	serverClass struct {
 		weight  int
 		servers []int32
 		// ranked are the same servers in a ranking, nil without one; indexes tells
 		// their places in Homes by their numbers there.
-		ranked  *ranked
+		ranked  *classRanking
 		indexes []int32
 	}
 
-	// hashed is a server with its hash for one object, without the spare bits.
-	hashed struct {
+	// serverHash is a server with its hash for one object, without the spare bits.
+	serverHash struct {
 		hash   uint64
 		server int32
 	}
 
-	// line is the servers of one class for one object, the nearest first.
-	line struct {
-		servers []hashed
+	// candidateList is the servers of one class for one object, the nearest first.
+	candidateList struct {
+		servers []serverHash
 		// indexes translates the servers' numbers, if they are a ranking's.
 		indexes []int32
 		// whole is set if all servers of the class are there.
@@ -37,28 +37,28 @@
 		left     bool
 	}
 
-	// dealer deals the objects of a window out. One serves all windows of Homes, so
+	// assigner deals the objects of a window out. One serves all windows of Homes, so
 	// that nothing is allocated for each.
-	dealer struct {
-		homes *Homes
+	assigner struct {
+		homes *Placement
 		// short is how many servers of a class are looked at before all are.
 		short int
 		first int
 		// lines are the classes' for each object of the window, after each other.
-		lines []line
-		heads [window]pair
+		lines []candidateList
+		heads [window]candidate
 		// fellShort is set if some object had all servers of a class looked at.
 		fellShort bool
 	}
 
-	pair struct {
+	candidate struct {
 		distance float64
 		server   int32
 	}
 )
 
-func newDealer(h *Homes, short int) *dealer {
-	return &dealer{homes: h, short: short, lines: make([]line, window*len(h.classes))}
+func newAssigner(h *Placement, short int) *assigner {
+	return &assigner{homes: h, short: short, lines: make([]candidateList, window*len(h.classes))}
 }
 
 // deal gives each object of the window from first on its servers: among the pairs of
@@ -66,7 +66,7 @@
 // one server has every object of the service dealt out anew at every proxy while
 // requests wait, so pairs are weighed only as far as they are needed: the best pair of
 // all objects is the best of each object's next one.
-func (d *dealer) deal(first int) (homes [window][Choices]int32) {
+func (d *assigner) deal(first int) (homes [window][ChoicesPerObject]int32) {
 	d.first = first
 	for n := range window {
 		d.begin(n)
@@ -92,7 +92,7 @@
 }
 
 // best is the object that is left with the best next pair.
-func (d *dealer) best(dealt *[window]bool) int {
+func (d *assigner) best(dealt *[window]bool) int {
 	best := -1
 	for n := range window {
 		if !dealt[n] && (best < 0 || comparePairs(d.heads[n], d.heads[best]) < 0) {
@@ -104,9 +104,9 @@
 
 // fill names the nearest servers beside an object's home, which is there already; -1
 // where there are no more.
-func (d *dealer) fill(n int, choices *[Choices]int32) {
+func (d *assigner) fill(n int, choices *[ChoicesPerObject]int32) {
 	d.restart(n)
-	for i := 1; i < Choices; i++ {
+	for i := 1; i < ChoicesPerObject; i++ {
 		p := d.next(n)
 		if p.server == choices[0] {
 			p = d.next(n)
@@ -115,17 +115,17 @@
 	}
 }
 
-func (d *dealer) linesOf(n int) []line {
+func (d *assigner) linesOf(n int) []candidateList {
 	classes := len(d.homes.classes)
 	return d.lines[n*classes : (n+1)*classes]
 }
 
 // begin lines the nearest servers of an object up.
-func (d *dealer) begin(n int) {
+func (d *assigner) begin(n int) {
 	lines := d.linesOf(n)
 	for i := range lines {
 		c := &d.homes.classes[i]
-		l := line{}
+		l := candidateList{}
 		if c.ranked != nil && d.short <= shortList {
 			l.servers, l.indexes = c.ranked.of(d.first+n), c.indexes
 		} else {
@@ -138,7 +138,7 @@
 	}
 }
 
-func (d *dealer) restart(n int) {
+func (d *assigner) restart(n int) {
 	lines := d.linesOf(n)
 	for i := range lines {
 		lines[i].at = 0
@@ -147,11 +147,11 @@
 }
 
 // next takes an object's nearest server that is left; -1 if there is none.
-func (d *dealer) next(n int) pair {
+func (d *assigner) next(n int) candidate {
 	lines := d.linesOf(n)
-	best, from := pair{server: -1}, -1
+	best, from := candidate{server: -1}, -1
 	for i := range lines {
-		p := pair{lines[i].distance, lines[i].server}
+		p := candidate{lines[i].distance, lines[i].server}
 		if lines[i].left && (from < 0 || comparePairs(p, best) < 0) {
 			best, from = p, i
 		}
@@ -165,7 +165,7 @@
 
 // weigh reckons the distance of the next server of a class, and lines all of the class
 // up where those at hand don't suffice.
-func (d *dealer) weigh(n, class int) {
+func (d *assigner) weigh(n, class int) {
 	l, c := &d.linesOf(n)[class], &d.homes.classes[class]
 	if l.at == len(l.servers) && !l.whole {
 		l.servers, l.indexes, l.whole = d.homes.all(c, d.first+n), nil, true
@@ -184,12 +184,12 @@
 
 // all lists all servers of a class, the nearest to an object first: among servers of
 // one weight these are those with the largest hashes.
-func (h *Homes) all(c *class, object int) []hashed {
-	list := make([]hashed, 0, len(c.servers))
+func (h *Placement) all(c *serverClass, object int) []serverHash {
+	list := make([]serverHash, 0, len(c.servers))
 	for _, server := range c.servers {
-		list = append(list, hashed{mix(h.hashes[server], object) >> hashSpare, server})
+		list = append(list, serverHash{mix(h.hashes[server], object) >> hashSpare, server})
 	}
-	slices.SortFunc(list, func(a, b hashed) int {
+	slices.SortFunc(list, func(a, b serverHash) int {
 		return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.server, b.server))
 	})
 	return list
@@ -197,11 +197,11 @@
 
 // room is how many objects a server may have at the end of a window: its share of all
 // that are dealt out by then, rounded up, so that there is always room for each.
-func (h *Homes) room(server int32, first int) int {
+func (h *Placement) room(server int32, first int) int {
 	return (h.servers[server].Weight*(first+window) + h.weight - 1) / h.weight
 }
 
-func comparePairs(a, b pair) int {
+func comparePairs(a, b candidate) int {
 	if a.distance != b.distance {
 		return cmp.Compare(a.distance, b.distance)
 	}
--- a/internal/kernel/placing/demand.go
+++ b/internal/kernel/placing/demand.go
@@ -24,32 +24,32 @@
 	// Demand counts how often objects are asked for, as one proxy sees it.
 	Demand struct {
 		began   time.Time
-		objects map[string]asked
+		objects map[string]decayingCount
 	}
 
-	// asked is an object's count, which fades, as it was at a moment.
-	asked struct {
+	// decayingCount is an object's count, which fades, as it was at a moment.
+	decayingCount struct {
 		count float64
 		at    time.Time
 	}
 )
 
-// Heard counts one request for an object.
-func (d *Demand) Heard(now time.Time, object string) {
+// Record counts one request for an object.
+func (d *Demand) Record(now time.Time, object string) {
 	if d.objects == nil {
-		d.began, d.objects = now, make(map[string]asked)
+		d.began, d.objects = now, make(map[string]decayingCount)
 	}
 	a, known := d.objects[object]
 	if !known && len(d.objects) >= demandMost && !d.sweep(now) {
 		return
 	}
-	d.objects[object] = asked{count: a.faded(now) + 1, at: now}
+	d.objects[object] = decayingCount{count: a.faded(now) + 1, at: now}
 }
 
-// Least is how often the object is asked for in a second, at the least that the count
+// LowerBound is how often the object is asked for in a second, at the least that the count
 // makes likely: its standard deviation is taken off. One request by chance must not
 // pass for a hundred at a hundred proxies.
-func (d *Demand) Least(now time.Time, object string) float64 {
+func (d *Demand) LowerBound(now time.Time, object string) float64 {
 	count := d.objects[object].faded(now)
 	if count <= 1 {
 		return 0
@@ -70,7 +70,7 @@
 }
 
 // faded is the count as it is now.
-func (a asked) faded(now time.Time) float64 {
+func (a decayingCount) faded(now time.Time) float64 {
 	if a.count == 0 {
 		return 0
 	}
--- a/internal/kernel/placing/home.go
+++ b/internal/kernel/placing/home.go
@@ -17,8 +17,8 @@
 	// maxNumber is the largest object number that gets a place of its own.
 	// Larger numbers and other names are spread over this many places.
 	maxNumber = 4096
-	// Choices is how many servers are named for an object, best first.
-	Choices = 3
+	// ChoicesPerObject is how many servers are named for an object, best first.
+	ChoicesPerObject = 3
 	// window is how many consecutive objects are dealt out evenly.
 	window = 24
 	// shortList is how many servers of each object are looked at first. Where an
@@ -39,25 +39,25 @@
 		Class string
 	}
 
-	// Homes names the servers of each object for one list of servers. The
+	// Placement names the servers of each object for one list of servers. The
 	// same list gives the same homes in every process.
-	Homes struct {
+	Placement struct {
 		servers []Server
 		hashes  []uint64
 		weight  int
-		classes []class
+		classes []serverClass
 		// taken counts the objects placed on each server so far.
 		taken []int
 		// homes holds the choices of object i at i.
-		homes  [][Choices]int32
-		dealer *dealer
+		homes  [][ChoicesPerObject]int32
+		dealer *assigner
 	}
 )
 
-// NewHomes prepares homes over servers. A ranking of them makes it cheaper; without
+// NewPlacement prepares homes over servers. A ranking of them makes it cheaper; without
 // one, nil, the homes are the same.
-func NewHomes(servers []Server, r *Ranking) *Homes {
-	h := &Homes{servers: slices.Clone(servers)}
+func NewPlacement(servers []Server, r *Ranking) *Placement {
+	h := &Placement{servers: slices.Clone(servers)}
 	slices.SortFunc(h.servers, func(a, b Server) int { return cmp.Compare(a.ID, b.ID) })
 	h.taken = make([]int, len(h.servers))
 	for _, s := range h.servers {
@@ -69,7 +69,7 @@
 }
 
 // classify sorts the servers by class and weight.
-func (h *Homes) classify(r *Ranking) {
+func (h *Placement) classify(r *Ranking) {
 	type kind struct {
 		class  string
 		weight int
@@ -80,7 +80,7 @@
 		if !found {
 			n = len(h.classes)
 			known[kind{s.Class, s.Weight}] = n
-			h.classes = append(h.classes, class{weight: s.Weight})
+			h.classes = append(h.classes, serverClass{weight: s.Weight})
 			if r != nil && r.classes[s.Class] != nil {
 				h.classes[n].ranked = r.classes[s.Class]
 				h.classes[n].indexes = make([]int32, len(r.classes[s.Class].ids))
@@ -100,16 +100,16 @@
 	}
 }
 
-// Of lists the servers for an object, best first.
-func (h *Homes) Of(object string) []string {
+// ServersFor lists the servers for an object, best first.
+func (h *Placement) ServersFor(object string) []string {
 	if len(h.servers) == 0 {
 		return nil
 	}
-	place := Number(object)
+	place := ObjectIndex(object)
 	for len(h.homes) <= place {
 		h.place(len(h.homes))
 	}
-	ids := make([]string, 0, Choices)
+	ids := make([]string, 0, ChoicesPerObject)
 	for _, i := range h.homes[place] {
 		if i >= 0 {
 			ids = append(ids, h.servers[i].ID)
@@ -118,10 +118,10 @@
 	return ids
 }
 
-// Number is an object's place in the order in which objects are dealt out.
+// ObjectIndex is an object's place in the order in which objects are dealt out.
 // Objects that number themselves densely, in decimal or hexadecimal digits,
 // are spread evenly, which a hash does not do for a few dozen.
-func Number(object string) int {
+func ObjectIndex(object string) int {
 	n, err := strconv.ParseUint(object, 16, 63)
 	if err == nil && n < maxNumber {
 		return int(n)
@@ -133,9 +133,9 @@
 // its share of all objects dealt out so far, rounded up; among the pairs of
 // object and server the best weighted rendezvous scores come first. A server
 // that comes or goes moves the objects it takes or leaves and few others.
-func (h *Homes) place(first int) {
+func (h *Placement) place(first int) {
 	if h.dealer == nil {
-		h.dealer = newDealer(h, shortList)
+		h.dealer = newAssigner(h, shortList)
 	}
 	homes := h.dealer.deal(first)
 	h.homes = append(h.homes, homes[:]...)
--- a/internal/kernel/placing/home_test.go
+++ b/internal/kernel/placing/home_test.go
@@ -20,11 +20,11 @@
 // hash gave one of twelve servers twice the mean, its queue grew and its
 // callers waited while others idled.
 func TestDenseNumbersAreDealtEvenly(t *testing.T) {
-	h := NewHomes(servers(12), nil)
+	h := NewPlacement(servers(12), nil)
 	for first := 0; first < 72; first += 24 {
 		count := make(map[string]int)
 		for n := first; n < first+24; n++ {
-			count[h.Of(strconv.FormatInt(int64(n), 16))[0]]++
+			count[h.ServersFor(strconv.FormatInt(int64(n), 16))[0]]++
 		}
 		for id, got := range count {
 			if got > 3 {
@@ -41,16 +41,16 @@
 // homes, each object would run cold on two servers.
 func TestHomesDoNotDependOnOrder(t *testing.T) {
 	list := servers(12)
-	a := NewHomes(list, nil)
+	a := NewPlacement(list, nil)
 	slices.Reverse(list)
-	b := NewHomes(list, nil)
+	b := NewPlacement(list, nil)
 	for n := range 200 {
 		object := strconv.FormatInt(int64(n), 16)
-		if got, want := b.Of(object), a.Of(object); !slices.Equal(got, want) {
+		if got, want := b.ServersFor(object), a.ServersFor(object); !slices.Equal(got, want) {
 			t.Fatalf("object %s: got %v, want %v", object, got, want)
 		}
 	}
-	if got, want := a.Of("7"), b.Of("7"); !slices.Equal(got, want) {
+	if got, want := a.ServersFor("7"), b.ServersFor("7"); !slices.Equal(got, want) {
 		t.Errorf("an object placed early: got %v, want %v", got, want)
 	}
 }
@@ -59,12 +59,12 @@
 // service would be cold at once.
 func TestFewObjectsMoveWhenAServerLeaves(t *testing.T) {
 	list := servers(12)
-	before := NewHomes(list, nil)
-	after := NewHomes(list[:11], nil)
+	before := NewPlacement(list, nil)
+	after := NewPlacement(list[:11], nil)
 	moved, lost := 0, 0
 	for n := range 72 {
 		object := strconv.FormatInt(int64(n), 16)
-		was, is := before.Of(object)[0], after.Of(object)[0]
+		was, is := before.ServersFor(object)[0], after.ServersFor(object)[0]
 		switch {
 		case was == list[11].ID:
 			lost++
@@ -79,19 +79,21 @@
 
 // dealAll deals a window out by the definition: from all pairs of object and server, the
 // best first.
-func dealAll(h *Homes, first int) (homes [window][Choices]int32) {
+func dealAll(h *Placement, first int) (homes [window][ChoicesPerObject]int32) {
 	type weighed struct {
-		pair
+		candidate
 		object int
 	}
 	var list []weighed
 	for n := range window {
-		homes[n] = [Choices]int32{-1, -1, -1}
+		homes[n] = [ChoicesPerObject]int32{-1, -1, -1}
 		for i, s := range h.servers {
-			list = append(list, weighed{pair{weigh(mix(h.hashes[i], first+n)>>hashSpare, s.Weight), int32(i)}, n})
+			list = append(list, weighed{candidate{weigh(mix(h.hashes[i], first+n)>>hashSpare, s.Weight), int32(i)}, n})
 		}
 	}
-	slices.SortFunc(list, func(a, b weighed) int { return cmp.Or(comparePairs(a.pair, b.pair), cmp.Compare(a.object, b.object)) })
+	slices.SortFunc(list, func(a, b weighed) int {
+		return cmp.Or(comparePairs(a.candidate, b.candidate), cmp.Compare(a.object, b.object))
+	})
 	counted := make(map[int32]int)
 	for _, p := range list {
 		if homes[p.object][0] < 0 && h.taken[p.server]+counted[p.server] < h.room(p.server, first) {
@@ -119,11 +121,11 @@
 		for i := range list {
 			list[i].Weight = 1 + i%5*i%7
 		}
-		h, fromTwo := NewHomes(list, nil), NewHomes(list, nil)
-		fromTwo.dealer = newDealer(fromTwo, 2)
+		h, fromTwo := NewPlacement(list, nil), NewPlacement(list, nil)
+		fromTwo.dealer = newAssigner(fromTwo, 2)
 		for first := 0; first < 10*window; first += window {
 			want := dealAll(h, first)
-			if slices.ContainsFunc(want[:], func(c [Choices]int32) bool { return c[0] < 0 }) {
+			if slices.ContainsFunc(want[:], func(c [ChoicesPerObject]int32) bool { return c[0] < 0 }) {
 				t.Fatalf("%d servers, objects from %d: not all have a home", n, first)
 			}
 			h.place(first)
@@ -145,10 +147,10 @@
 }
 
 func TestWeightsAreKept(t *testing.T) {
-	h := NewHomes([]Server{{ID: "large", Weight: 30}, {ID: "small", Weight: 10}}, nil)
+	h := NewPlacement([]Server{{ID: "large", Weight: 30}, {ID: "small", Weight: 10}}, nil)
 	count := make(map[string]int)
 	for n := range 3 * window {
-		count[h.Of(strconv.FormatInt(int64(n), 16))[0]]++
+		count[h.ServersFor(strconv.FormatInt(int64(n), 16))[0]]++
 	}
 	if got, want := count["large"], 54; got != want {
 		t.Errorf("the server with three quarters of the weight holds %d, want %d", got, want)
@@ -160,23 +162,23 @@
 		object string
 		want   int
 	}{{"0", 0}, {"1b", 27}, {"1B", 27}, {"fff", 4095}} {
-		if got := Number(c.object); got != c.want {
+		if got := ObjectIndex(c.object); got != c.want {
 			t.Errorf("Number(%q) = %d, want %d", c.object, got, c.want)
 		}
 	}
 	for _, object := range []string{"", "order-17", "ffffffff", "-1"} {
-		if got := Number(object); got < 0 || got >= maxNumber {
+		if got := ObjectIndex(object); got < 0 || got >= maxNumber {
 			t.Errorf("Number(%q) = %d, want within %d", object, got, maxNumber)
 		}
 	}
-	if got := NewHomes(nil, nil).Of("1"); got != nil {
+	if got := NewPlacement(nil, nil).ServersFor("1"); got != nil {
 		t.Errorf("homes among no servers: got %v, want none", got)
 	}
 }
 
-func ExampleHomes() {
-	h := NewHomes([]Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}, nil)
-	fmt.Println(len(h.Of("1f")))
+func ExamplePlacement() {
+	h := NewPlacement([]Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}, nil)
+	fmt.Println(len(h.ServersFor("1f")))
 	// Output: 2
 }
 
@@ -185,9 +187,9 @@
 // other regions idled; if objects were dealt out regardless of the region, two
 // thirds of all requests would travel.
 func TestSpreadKeepsObjectsNearAsFarAsThereIsRoom(t *testing.T) {
-	rooms := []Room{{"few", 8, 1, 0}, {"some", 16, 1, 0}, {"many", 24, 1, 0}}
+	rooms := []RegionCapacity{{"few", 8, 1, 0}, {"some", 16, 1, 0}, {"many", 24, 1, 0}}
 	share := func(from string) map[string]float64 {
-		weights := Spread(rooms, from, RoomShare)
+		weights := RegionWeights(rooms, from, MaxLoadFactor)
 		total := 0.0
 		of := make(map[string]float64)
 		for _, r := range rooms {
@@ -203,7 +205,7 @@
 		t.Errorf("the region with room keeps %.2f of its objects, want all", got)
 	}
 	few := share("few")
-	if want := RoomShare * 8 / 48 * 3; few["few"] < want-0.01 || few["few"] > want+0.01 {
+	if want := MaxLoadFactor * 8 / 48 * 3; few["few"] < want-0.01 || few["few"] > want+0.01 {
 		t.Errorf("the region short of room keeps %.2f, want %.2f", few["few"], want)
 	}
 	if few["many"] <= few["some"] {
@@ -214,10 +216,10 @@
 // Guards against a region that takes its part of all objects on top of requests that may
 // run nowhere else.
 func TestSpreadLeavesRoomForBoundRequests(t *testing.T) {
-	rooms := []Room{{"few", 8, 1, 0.1}, {"some", 16, 1, 0}, {"many", 24, 1, 0}}
+	rooms := []RegionCapacity{{"few", 8, 1, 0.1}, {"some", 16, 1, 0}, {"many", 24, 1, 0}}
 	load := make(map[string]float64)
 	for _, from := range rooms {
-		weights, total := Spread(rooms, from.Region, RoomShare), 0.0
+		weights, total := RegionWeights(rooms, from.Region, MaxLoadFactor), 0.0
 		for _, r := range rooms {
 			total += float64(weights[r.Region] * r.Slots)
 		}
@@ -227,31 +229,31 @@
 	}
 	load["few"] += 0.1
 	for _, r := range rooms {
-		if most := RoomShare * float64(r.Slots) / 48; load[r.Region] > most+0.01 {
+		if most := MaxLoadFactor * float64(r.Slots) / 48; load[r.Region] > most+0.01 {
 			t.Errorf("%s has %.2f of all requests, want at most %.2f", r.Region, load[r.Region], most)
 		}
 	}
-	alone := []Room{{"few", 8, 1, 0.9}, {"none", 0, 1, 0}}
-	if got := Spread(alone, "few", RoomShare); got["few"] == 0 {
+	alone := []RegionCapacity{{"few", 8, 1, 0.9}, {"none", 0, 1, 0}}
+	if got := RegionWeights(alone, "few", MaxLoadFactor); got["few"] == 0 {
 		t.Error("a region alone gives its objects no home, want them at home though there is no room")
 	}
 }
 
 func TestSpreadWithoutServersOrOwnRegion(t *testing.T) {
-	if got := Spread([]Room{{"a", 0, 1, 0}}, "a", RoomShare); len(got) != 0 {
+	if got := RegionWeights([]RegionCapacity{{"a", 0, 1, 0}}, "a", MaxLoadFactor); len(got) != 0 {
 		t.Errorf("no slots: got %v, want none", got)
 	}
-	got := Spread([]Room{{"a", 4, 1, 0}, {"b", 8, 1, 0}}, "elsewhere", RoomShare)
+	got := RegionWeights([]RegionCapacity{{"a", 4, 1, 0}, {"b", 8, 1, 0}}, "elsewhere", MaxLoadFactor)
 	if got["a"] == 0 || got["a"] != got["b"] {
 		t.Errorf("callers of another region: got %v, want equal weights", got)
 	}
 }
 
-func BenchmarkOf(b *testing.B) {
-	h := NewHomes(servers(138), nil)
-	h.Of("fff")
+func BenchmarkServersFor(b *testing.B) {
+	h := NewPlacement(servers(138), nil)
+	h.ServersFor("fff")
 	b.ReportAllocs()
 	for b.Loop() {
-		h.Of("1b")
+		h.ServersFor("1b")
 	}
 }
--- a/internal/kernel/placing/ranking.go
+++ b/internal/kernel/placing/ranking.go
@@ -20,11 +20,11 @@
 	// second of a small VM, at every proxy, whose requests waited, several times a second
 	// in a release.
 	Ranking struct {
-		classes map[string]*ranked
+		classes map[string]*classRanking
 	}
 
-	// ranked are the servers of one class.
-	ranked struct {
+	// classRanking are the servers of one class.
+	classRanking struct {
 		// hashes and ids are by a server's number, which another gets when it has left.
 		hashes  []uint64
 		ids     []string
@@ -32,12 +32,12 @@
 		free    []int32
 		// nearest lists for each object the servers with the largest hashes, the
 		// largest first.
-		nearest [][]hashed
+		nearest [][]serverHash
 	}
 )
 
 // NewRanking makes a ranking of no servers.
-func NewRanking() *Ranking { return &Ranking{classes: make(map[string]*ranked)} }
+func NewRanking() *Ranking { return &Ranking{classes: make(map[string]*classRanking)} }
 
 // Update takes in which servers there are.
 func (r *Ranking) Update(servers []Server) {
@@ -58,7 +58,7 @@
 	for _, s := range servers {
 		c := r.classes[s.Class]
 		if c == nil {
-			c = &ranked{numbers: make(map[string]int32)}
+			c = &classRanking{numbers: make(map[string]int32)}
 			r.classes[s.Class] = c
 		}
 		if _, known := c.numbers[s.ID]; !known {
@@ -74,7 +74,7 @@
 	if c == nil {
 		return nil
 	}
-	list := c.of(Number(object))
+	list := c.of(ObjectIndex(object))
 	ids := make([]string, 0, len(list))
 	for _, s := range list {
 		ids = append(ids, c.ids[s.server])
@@ -82,7 +82,7 @@
 	return ids
 }
 
-func (c *ranked) add(id string) {
+func (c *classRanking) add(id string) {
 	number := int32(len(c.ids))
 	if n := len(c.free); n > 0 {
 		number, c.free = c.free[n-1], c.free[:n-1]
@@ -96,12 +96,12 @@
 		list := c.nearest[object]
 		hash := mix(c.hashes[number], object) >> hashSpare
 		if len(list) == whole || hash > list[len(list)-1].hash {
-			c.nearest[object] = insert(list, hashed{hash, number}, rankedMost)
+			c.nearest[object] = insert(list, serverHash{hash, number}, rankedMost)
 		}
 	}
 }
 
-func (c *ranked) remove(id string) {
+func (c *classRanking) remove(id string) {
 	number := c.numbers[id]
 	delete(c.numbers, id)
 	c.ids[number] = ""
@@ -110,7 +110,7 @@
 		if len(list) == 0 || hash < list[len(list)-1].hash {
 			continue
 		}
-		list = slices.DeleteFunc(list, func(h hashed) bool { return h.server == number })
+		list = slices.DeleteFunc(list, func(h serverHash) bool { return h.server == number })
 		c.nearest[object] = list
 		if len(list) < shortList && len(list) < len(c.numbers) {
 			c.nearest[object] = c.rank(object)
@@ -120,7 +120,7 @@
 }
 
 // of lists the servers nearest to an object by their numbers, as many as are dealt from.
-func (c *ranked) of(object int) []hashed {
+func (c *classRanking) of(object int) []serverHash {
 	for len(c.nearest) <= object {
 		c.nearest = append(c.nearest, c.rank(len(c.nearest)))
 	}
@@ -128,8 +128,8 @@
 	return list[:min(len(list), shortList)]
 }
 
-func (c *ranked) rank(object int) []hashed {
-	list := make([]hashed, 0, min(rankedMost, len(c.numbers)))
+func (c *classRanking) rank(object int) []serverHash {
+	list := make([]serverHash, 0, min(rankedMost, len(c.numbers)))
 	for number, id := range c.ids {
 		if id == "" {
 			continue
@@ -138,19 +138,19 @@
 		if len(list) == rankedMost && hash <= list[rankedMost-1].hash {
 			continue
 		}
-		list = insert(list, hashed{hash, int32(number)}, rankedMost)
+		list = insert(list, serverHash{hash, int32(number)}, rankedMost)
 	}
 	return list
 }
 
 // insert puts a server into a list, the largest hash first, and keeps the most first.
-func insert(list []hashed, h hashed, most int) []hashed {
+func insert(list []serverHash, h serverHash, most int) []serverHash {
 	i := len(list)
 	for i > 0 && list[i-1].hash < h.hash {
 		i--
 	}
 	if len(list) < most {
-		list = append(list, hashed{})
+		list = append(list, serverHash{})
 	}
 	if i == len(list) {
 		return list
--- a/internal/kernel/placing/ranking_test.go
+++ b/internal/kernel/placing/ranking_test.go
@@ -23,10 +23,10 @@
 	r := NewRanking()
 	for step := range 60 {
 		r.Update(list)
-		ranked, plain := NewHomes(list, r), NewHomes(list, nil)
+		ranked, plain := NewPlacement(list, r), NewPlacement(list, nil)
 		for n := 0; n < 8*window; n += 5 {
 			object := fmt.Sprintf("%x", n)
-			if got, want := ranked.Of(object), plain.Of(object); !slices.Equal(got, want) {
+			if got, want := ranked.ServersFor(object), plain.ServersFor(object); !slices.Equal(got, want) {
 				t.Fatalf("after %d changes of %d servers, object %s: got %v, want %v", step, len(list), object, got, want)
 			}
 		}
@@ -46,10 +46,10 @@
 	list := servers(30)
 	r := NewRanking()
 	r.Update(list[:20])
-	got, want := NewHomes(list, r), NewHomes(list, nil)
+	got, want := NewPlacement(list, r), NewPlacement(list, nil)
 	for n := range 3 * window {
-		if object := fmt.Sprintf("%x", n); !slices.Equal(got.Of(object), want.Of(object)) {
-			t.Fatalf("object %s: got %v, want %v", object, got.Of(object), want.Of(object))
+		if object := fmt.Sprintf("%x", n); !slices.Equal(got.ServersFor(object), want.ServersFor(object)) {
+			t.Fatalf("object %s: got %v, want %v", object, got.ServersFor(object), want.ServersFor(object))
 		}
 	}
 }
--- a/internal/kernel/placing/replica_test.go
+++ b/internal/kernel/placing/replica_test.go
@@ -22,11 +22,11 @@
 		{9, work, 4, 1},
 		{16, work, 4, 2},
 		{80, work, 4, 9},
-		{10_000, work, 4, ReplicasMost},
+		{10_000, work, 4, MaxReplicas},
 		{16, 0, 4, 1},
 		{16, work, 0, 1},
 	} {
-		if got := Replicas(c.perSecond, c.work, c.slots); got != c.want {
+		if got := ReplicaCount(c.perSecond, c.work, c.slots); got != c.want {
 			t.Errorf("Replicas(%v, %v, %d) = %d, want %d", c.perSecond, c.work, c.slots, got, c.want)
 		}
 	}
@@ -69,21 +69,21 @@
 func TestOneRequestIsNoDemand(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var d Demand
-	d.Heard(now, "rare")
+	d.Record(now, "rare")
 	for i := range 40 {
-		d.Heard(now.Add(time.Duration(i)*250*time.Millisecond), "often")
+		d.Record(now.Add(time.Duration(i)*250*time.Millisecond), "often")
 	}
 	now = now.Add(10 * time.Second)
-	if got := d.Least(now, "rare"); got != 0 {
+	if got := d.LowerBound(now, "rare"); got != 0 {
 		t.Errorf("an object asked for once: %v a second, want 0", got)
 	}
-	if got := d.Least(now, "often"); got < 2.5 || got > 4 {
+	if got := d.LowerBound(now, "often"); got < 2.5 || got > 4 {
 		t.Errorf("an object asked for four times a second: %.2f at least, want 2.5 to 4", got)
 	}
-	if got := d.Least(now.Add(time.Minute), "often"); got != 0 {
+	if got := d.LowerBound(now.Add(time.Minute), "often"); got != 0 {
 		t.Errorf("a minute after its last request: %v a second, want 0", got)
 	}
-	if got := d.Least(now, "never"); got != 0 {
+	if got := d.LowerBound(now, "never"); got != 0 {
 		t.Errorf("an object never asked for: %v a second, want 0", got)
 	}
 }
@@ -95,15 +95,15 @@
 	var d Demand
 	for i := range 3 * demandMost {
 		now = now.Add(10 * time.Millisecond)
-		d.Heard(now, fmt.Sprint("object-", i))
+		d.Record(now, fmt.Sprint("object-", i))
 		if i%25 == 0 {
-			d.Heard(now, "often")
+			d.Record(now, "often")
 		}
 	}
 	if got := len(d.objects); got > demandMost {
 		t.Errorf("%d objects are kept, want %d at most", got, demandMost)
 	}
-	if got := d.Least(now, "often"); got < 2 {
+	if got := d.LowerBound(now, "often"); got < 2 {
 		t.Errorf("the object asked for four times a second shows %.2f, want 2 at least", got)
 	}
 }
--- a/internal/kernel/placing/spread.go
+++ b/internal/kernel/placing/spread.go
@@ -6,47 +6,47 @@
 )
 
 const (
-	// RoomShare is how much more than the mean load a region's servers may be
+	// MaxLoadFactor is how much more than the mean load a region's servers may be
 	// given before objects of its callers live elsewhere. At less, objects
 	// travel though there is room; at more, the region with the fewest
 	// servers queues while others idle when its callers' wave comes.
-	RoomShare = 1.15
+	MaxLoadFactor = 1.15
 	// weightScale turns shares into whole weights.
 	weightScale = 100000
 )
 
 type (
-	// Room is a region's part in a service.
-	Room struct {
+	// RegionCapacity is a region's part in a service.
+	RegionCapacity struct {
 		Region string
 		// Slots of the service's servers there.
 		Slots int
 		// Demand is the region's share of the callers, in any unit.
 		Demand float64
-		// Bound is the part of all requests that must run there, wherever their callers
+		// Pinned is the part of all requests that must run there, wherever their callers
 		// are.
-		Bound float64
+		Pinned float64
 	}
 )
 
-// Spread says how many of a region's objects live in each region, as a weight
+// RegionWeights says how many of a region's objects live in each region, as a weight
 // for one slot there. Objects live where their callers are as far as there is
 // room; the rest goes to the regions with room to spare, by how much they
 // have, up to a share of the mean load. All proxies of a region come to the same
 // answer from the same list.
-func Spread(rooms []Room, from string, share float64) map[string]int {
+func RegionWeights(rooms []RegionCapacity, from string, share float64) map[string]int {
 	weights := make(map[string]int)
 	slots, demand, bound := 0.0, 0.0, 0.0
 	for _, r := range rooms {
 		slots += float64(r.Slots)
 		demand += r.Demand
-		bound += r.Bound
+		bound += r.Pinned
 	}
 	if slots == 0 || demand == 0 {
 		return weights
 	}
 	free := max(0, 1-bound)
-	most := func(r Room) float64 { return max(0, share*float64(r.Slots)/slots-r.Bound) }
+	most := func(r RegionCapacity) float64 { return max(0, share*float64(r.Slots)/slots-r.Pinned) }
 	spare, own := 0.0, 0.0
 	for _, r := range rooms {
 		spare += max(0, most(r)-free*r.Demand/demand)
@@ -54,7 +54,7 @@
 			own = free * r.Demand / demand
 		}
 	}
-	i := slices.IndexFunc(rooms, func(r Room) bool { return r.Region == from })
+	i := slices.IndexFunc(rooms, func(r RegionCapacity) bool { return r.Region == from })
 	if i < 0 || own == 0 {
 		// Callers of a region that is not listed: by room alone.
 		for _, r := range rooms {
--- a/internal/kernel/ratelimit/arrivals.go
+++ b/internal/kernel/ratelimit/arrivals.go
@@ -11,21 +11,21 @@
 )
 
 type (
-	// Arrivals is how many requests come in a second, of late.
-	Arrivals struct {
+	// RequestRate is how many requests come in a second, of late.
+	RequestRate struct {
 		perSecond float64
 		at        time.Time
 	}
 )
 
-// Heard counts one request.
-func (a *Arrivals) Heard(now time.Time) {
+// Record counts one request.
+func (a *RequestRate) Record(now time.Time) {
 	a.perSecond = a.PerSecond(now) + 1/arrivalSpan.Seconds()
 	a.at = now
 }
 
 // PerSecond is the rate at a moment.
-func (a *Arrivals) PerSecond(now time.Time) float64 {
+func (a *RequestRate) PerSecond(now time.Time) float64 {
 	if a.perSecond == 0 {
 		return 0
 	}
--- a/internal/kernel/ratelimit/holder.go
+++ b/internal/kernel/ratelimit/holder.go
@@ -36,21 +36,21 @@
 	// Verdict says what is to become of a request.
 	Verdict uint8
 
-	// Ruling is the verdict on one request.
-	Ruling struct {
+	// Decision is the verdict on one request.
+	Decision struct {
 		Verdict Verdict
 		// Pool is who is to be asked, Next where to go on if it has no token.
-		Pool string
-		Next int
-		// Wait is when there may be a token, Elsewhere is set if another proxy may have
+		Pool      string
+		NextIndex int
+		// RetryAfter is when there may be a token, Elsewhere is set if another proxy may have
 		// one now.
-		Wait      time.Duration
-		Elsewhere bool
+		RetryAfter     time.Duration
+		RetryElsewhere bool
 	}
 
-	// Holder is one proxy's side of all limits: its own part, which it gives to the pool
+	// Limiter is one proxy's side of all limits: its own part, which it gives to the pool
 	// of its region while there is one, and what the pool has granted it.
-	Holder struct {
+	Limiter struct {
 		// Limits tells the limit of an account; none for one that has none.
 		Limits func(account string) Limit
 
@@ -64,16 +64,16 @@
 		// been here undiminished.
 		awayUntil time.Time
 		ownSince  time.Time
-		pool      link
+		pool      poolSession
 		// others are the pools of some other regions.
 		others []string
 		// silent is until when pools that did not answer are not asked.
 		silent   map[string]time.Time
-		accounts map[string]*holding
+		accounts map[string]*accountState
 	}
 
-	// link is what is known of the pool that this proxy reports to.
-	link struct {
+	// poolSession is what is known of the pool that this proxy reports to.
+	poolSession struct {
 		name string
 		// id and clock are the pool's, as told last; no id if it has not answered yet.
 		id      uint64
@@ -85,19 +85,19 @@
 		leaving bool
 	}
 
-	// holding is an account's limit as held here.
-	holding struct {
+	// accountState is an account's limit as held here.
+	accountState struct {
 		bucket      Bucket
-		granted     right
+		granted     shareLease
 		from        string
-		arrivals    Arrivals
+		arrivals    RequestRate
 		deniedUntil time.Time
 		admitted    uint64
 		denied      uint64
 	}
 
-	// Held is an account's state here, for operators.
-	Held struct {
+	// AccountStatus is an account's state here, for operators.
+	AccountStatus struct {
 		Account string
 		Share   Share
 		// PerSecond is the rate of requests here, of late.
@@ -108,49 +108,49 @@
 	}
 )
 
-// NewHolder makes the holder of a process that started at a moment. What the process
+// NewLimiter makes the holder of a process that started at a moment. What the process
 // before it on this VM gave away may still be in use.
-func NewHolder(name string, start time.Time) *Holder {
-	return &Holder{name: name, start: uint64(start.UnixMilli()), awayUntil: start.Add(depositFor + guard), silent: make(map[string]time.Time), accounts: make(map[string]*holding)}
+func NewLimiter(name string, start time.Time) *Limiter {
+	return &Limiter{name: name, start: uint64(start.UnixMilli()), awayUntil: start.Add(depositFor + guard), silent: make(map[string]time.Time), accounts: make(map[string]*accountState)}
 }
 
-// SetPart sets the own part of all limits.
-func (h *Holder) SetPart(part Share) {
+// SetBaseShare sets the own part of all limits.
+func (h *Limiter) SetBaseShare(part Share) {
 	if part > h.part {
 		h.ownSince = time.Time{}
 	}
 	h.part = part
 }
 
-// Resume forgets what was granted and given: this process did not run for a while, and
+// ResetAfterPause forgets what was granted and given: this process did not run for a while, and
 // shares may have ended meanwhile by others' clocks.
-func (h *Holder) Resume(now time.Time) {
-	h.pool = link{}
+func (h *Limiter) ResetAfterPause(now time.Time) {
+	h.pool = poolSession{}
 	h.awayUntil = now.Add(depositFor + guard)
 	for _, a := range h.accounts {
-		a.granted = right{}
+		a.granted = shareLease{}
 	}
 }
 
 // Take rules on one request of an account.
-func (h *Holder) Take(now time.Time, account string) Ruling {
+func (h *Limiter) Take(now time.Time, account string) Decision {
 	l := h.Limits(account)
-	if l.None() {
-		return Ruling{Verdict: Admitted}
+	if l.Unlimited() {
+		return Decision{Verdict: Admitted}
 	}
 	a := h.account(account)
 	if a.bucket.at.IsZero() && !now.Before(h.awayUntil) {
 		a.bucket = Bucket{at: h.heldSince(now), share: h.part}
 	}
-	a.arrivals.Heard(now)
-	a.bucket.Fill(now, l, h.share(now, a))
+	a.arrivals.Record(now)
+	a.bucket.Refill(now, l, h.share(now, a))
 	switch {
 	case a.bucket.Take():
 		a.admitted++
-		return Ruling{Verdict: Admitted}
+		return Decision{Verdict: Admitted}
 	case now.Before(a.deniedUntil):
 		a.denied++
-		return Ruling{Verdict: Denied, Wait: a.deniedUntil.Sub(now)}
+		return Decision{Verdict: Denied, RetryAfter: a.deniedUntil.Sub(now)}
 	}
 	if ruling, found := h.ask(now, 0); found {
 		return ruling
@@ -161,19 +161,19 @@
 
 // alone denies a request because no pool can be asked. Another proxy may serve it, unless
 // all may have just started.
-func (h *Holder) alone(now time.Time) Ruling {
+func (h *Limiter) alone(now time.Time) Decision {
 	if young := h.awayUntil.Sub(now); !h.started && young > 0 {
-		return Ruling{Verdict: Denied, Wait: young + rampUp}
+		return Decision{Verdict: Denied, RetryAfter: young + rampUp}
 	}
-	return Ruling{Verdict: Denied, Wait: aloneWait, Elsewhere: true}
+	return Decision{Verdict: Denied, RetryAfter: aloneWait, RetryElsewhere: true}
 }
 
 // Tick notes since when the own part has been here.
-func (h *Holder) Tick(now time.Time) { h.heldSince(now) }
+func (h *Limiter) Tick(now time.Time) { h.heldSince(now) }
 
 // heldSince is since when the own part has been here. An account that was not used since
 // then has the tokens that came in meanwhile.
-func (h *Holder) heldSince(now time.Time) time.Time {
+func (h *Limiter) heldSince(now time.Time) time.Time {
 	if h.ownSince.IsZero() {
 		h.ownSince = now
 	}
@@ -181,30 +181,30 @@
 }
 
 // ask names the next pool to ask: that of the own region first, then some others.
-func (h *Holder) ask(now time.Time, from int) (Ruling, bool) {
+func (h *Limiter) ask(now time.Time, from int) (Decision, bool) {
 	for i := from; i <= len(h.others); i++ {
 		pool := h.pool.name
 		if i > 0 {
 			pool = h.others[i-1]
 		}
 		if pool != "" && !now.Before(h.silent[pool]) {
-			return Ruling{Verdict: AskPool, Pool: pool, Next: i + 1}, true
+			return Decision{Verdict: AskPool, Pool: pool, NextIndex: i + 1}, true
 		}
 	}
-	return Ruling{}, false
+	return Decision{}, false
 }
 
-// Asked takes in the answer to a ruling that a pool is to be asked; there may be none.
-func (h *Holder) Asked(now time.Time, account string, asked Ruling, t Token, answered bool) Ruling {
+// HandlePoolReply takes in the answer to a ruling that a pool is to be asked; there may be none.
+func (h *Limiter) HandlePoolReply(now time.Time, account string, asked Decision, t TokenReply, answered bool) Decision {
 	a := h.account(account)
 	if answered && t.Granted {
 		a.admitted++
-		return Ruling{Verdict: Admitted}
+		return Decision{Verdict: Admitted}
 	}
 	if !answered {
-		h.Unanswered(now, asked.Pool)
+		h.MarkUnresponsive(now, asked.Pool)
 	}
-	if next, found := h.ask(now, asked.Next); found {
+	if next, found := h.ask(now, asked.NextIndex); found {
 		return next
 	}
 	a.denied++
@@ -213,27 +213,27 @@
 	}
 	wait := max(deniedLeast, min(t.Wait, deniedMost))
 	a.deniedUntil = later(a.deniedUntil, now.Add(wait))
-	return Ruling{Verdict: Denied, Wait: wait}
+	return Decision{Verdict: Denied, RetryAfter: wait}
 }
 
 // Charge counts a request that is sent again, and may have run before.
-func (h *Holder) Charge(account string) {
+func (h *Limiter) Charge(account string) {
 	if a := h.accounts[account]; a != nil {
 		a.bucket.Charge()
 	}
 }
 
-// Return takes back that a request was admitted, if it was not sent.
-func (h *Holder) Return(account string) {
+// Refund takes back that a request was admitted, if it was not sent.
+func (h *Limiter) Refund(account string) {
 	if a := h.accounts[account]; a != nil {
-		a.bucket.Return()
+		a.bucket.Refund()
 	}
 }
 
-// Report tells what the pool must hear now, and who that is. best is the proxy that
+// NextReport tells what the pool must hear now, and who that is. best is the proxy that
 // should be the pool; while the part is taken back from another one that answers, it is
 // that one still. others are pools of other regions that may be asked for requests.
-func (h *Holder) Report(now time.Time, best string, others []string) (to string, r Report) {
+func (h *Limiter) NextReport(now time.Time, best string, others []string) (to string, r Report) {
 	h.others = others
 	h.choose(now, best)
 	r = Report{From: h.name, Pool: h.pool.id, Echo: h.pool.clock, Applied: h.pool.applied, Withdraws: h.pool.leaving}
@@ -254,7 +254,7 @@
 }
 
 // choose settles which pool is reported to.
-func (h *Holder) choose(now time.Time, best string) {
+func (h *Limiter) choose(now time.Time, best string) {
 	p := &h.pool
 	switch {
 	case p.name == best:
@@ -262,33 +262,33 @@
 	case p.given && !now.Before(h.silent[p.name]) && now.Before(h.awayUntil):
 		p.leaving = true
 		for _, a := range h.accounts {
-			a.granted = right{}
+			a.granted = shareLease{}
 		}
 	default:
-		*p = link{name: best}
+		*p = poolSession{name: best}
 	}
 }
 
 // wants lists the shares that are wanted, and forgets accounts that are idle.
-func (h *Holder) wants(now time.Time) []Want {
-	var list []Want
+func (h *Limiter) wants(now time.Time) []AccountShare {
+	var list []AccountShare
 	for name, a := range h.accounts {
 		rate := a.arrivals.PerSecond(now)
 		if share := wanted(rate, h.Limits(name)); rate >= wantLeast && share > 0 {
-			list = append(list, Want{Account: name, Share: share})
+			list = append(list, AccountShare{Account: name, Share: share})
 			continue
 		}
 		if rate < idleBelow && !a.granted.live(now) && !now.Before(a.deniedUntil) && a.bucket.Full(h.Limits(name)) {
 			delete(h.accounts, name)
 		}
 	}
-	slices.SortFunc(list, func(a, b Want) int { return cmp.Compare(a.Account, b.Account) })
+	slices.SortFunc(list, func(a, b AccountShare) int { return cmp.Compare(a.Account, b.Account) })
 	return list
 }
 
-// Granted takes in a pool's answer to a report made at a moment. It reports whether the
+// ApplyGrants takes in a pool's answer to a report made at a moment. It reports whether the
 // next one should follow at once: the pool has not been given the part yet.
-func (h *Holder) Granted(now, asked time.Time, pool string, g Grants) bool {
+func (h *Limiter) ApplyGrants(now, asked time.Time, pool string, g Grants) bool {
 	p := &h.pool
 	if p.name != pool {
 		return false
@@ -296,7 +296,7 @@
 	delete(h.silent, pool)
 	if g.Withdrawn {
 		h.awayUntil = now
-		*p = link{}
+		*p = poolSession{}
 		return true
 	}
 	h.started = h.started || h.part > 0
@@ -314,45 +314,45 @@
 
 // replace brings the shares that a pool grants into force, in place of those that it
 // granted before.
-func (h *Holder) replace(now time.Time, pool string, shares []Want, until time.Time) {
+func (h *Limiter) replace(now time.Time, pool string, shares []AccountShare, until time.Time) {
 	for _, a := range h.accounts {
 		if a.from == pool {
-			a.granted = right{}
+			a.granted = shareLease{}
 		}
 	}
 	for _, s := range shares {
 		a := h.account(s.Account)
 		if !a.granted.live(now) || s.Share >= a.granted.share {
-			a.granted, a.from = right{share: s.Share, until: until}, pool
+			a.granted, a.from = shareLease{share: s.Share, until: until}, pool
 		}
 	}
 	for name, a := range h.accounts {
-		a.bucket.Fill(now, h.Limits(name), h.share(now, a))
+		a.bucket.Refill(now, h.Limits(name), h.share(now, a))
 	}
 }
 
-// Unanswered notes that a pool did not answer. Callers must not wait for it again.
-func (h *Holder) Unanswered(now time.Time, pool string) {
+// MarkUnresponsive notes that a pool did not answer. Callers must not wait for it again.
+func (h *Limiter) MarkUnresponsive(now time.Time, pool string) {
 	h.silent[pool] = now.Add(silentFor)
 }
 
-// Held describes the accounts that are in use here, by name.
-func (h *Holder) Held(now time.Time) []Held {
-	list := make([]Held, 0, len(h.accounts))
+// AccountStatuses describes the accounts that are in use here, by name.
+func (h *Limiter) AccountStatuses(now time.Time) []AccountStatus {
+	list := make([]AccountStatus, 0, len(h.accounts))
 	for name, a := range h.accounts {
-		list = append(list, Held{
+		list = append(list, AccountStatus{
 			Account: name, Share: h.share(now, a), PerSecond: a.arrivals.PerSecond(now), Admitted: a.admitted, Denied: a.denied,
 		})
 	}
-	slices.SortFunc(list, func(a, b Held) int { return cmp.Compare(a.Account, b.Account) })
+	slices.SortFunc(list, func(a, b AccountStatus) int { return cmp.Compare(a.Account, b.Account) })
 	return list
 }
 
 // Pool is the proxy that is reported to, empty for none.
-func (h *Holder) Pool() string { return h.pool.name }
+func (h *Limiter) Pool() string { return h.pool.name }
 
 // share is what is held of an account's limit at a moment.
-func (h *Holder) share(now time.Time, a *holding) Share {
+func (h *Limiter) share(now time.Time, a *accountState) Share {
 	share := Share(0)
 	if a.granted.live(now) {
 		share = a.granted.share
@@ -360,13 +360,13 @@
 	if !now.Before(h.awayUntil) {
 		share += h.part
 	}
-	return min(share, Whole)
+	return min(share, FullShare)
 }
 
-func (h *Holder) account(name string) *holding {
+func (h *Limiter) account(name string) *accountState {
 	a := h.accounts[name]
 	if a == nil {
-		a = &holding{}
+		a = &accountState{}
 		h.accounts[name] = a
 	}
 	return a
--- a/internal/kernel/ratelimit/limit.go
+++ b/internal/kernel/ratelimit/limit.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// Whole is all of a limit.
-	Whole Share = 1_000_000
+	// FullShare is all of a limit.
+	FullShare Share = 1_000_000
 	// allowanceUsed is the part in use of what operators allow beyond a limit. The rest
 	// covers requests that are sent again and views of the fleet that differ.
 	allowanceUsed = 0.5
@@ -37,8 +37,8 @@
 		Burst float64
 	}
 
-	// Allowance is what operators allow beyond a limit in any window.
-	Allowance struct {
+	// Overage is what operators allow beyond a limit in any window.
+	Overage struct {
 		Window time.Duration
 		// Ratio is a part of what the limit allows in the window, Requests a number on
 		// top.
@@ -57,47 +57,47 @@
 	}
 )
 
-// None reports whether there is no limit.
-func (l Limit) None() bool { return l.PerSecond <= 0 }
+// Unlimited reports whether there is no limit.
+func (l Limit) Unlimited() bool { return l.PerSecond <= 0 }
 
-// With is the limit that is kept to: a part of the allowance comes on top, so that what
+// WithOverage is the limit that is kept to: a part of the allowance comes on top, so that what
 // is within the limit need not be refused because shares are uneven.
-func (l Limit) With(a Allowance) Limit {
-	if l.None() {
+func (l Limit) WithOverage(a Overage) Limit {
+	if l.Unlimited() {
 		return l
 	}
 	more := 1 + allowanceUsed*a.Ratio
 	return Limit{PerSecond: l.PerSecond * more, Burst: max(1, l.Burst*more+allowanceUsed*a.Requests)}
 }
 
-// Starter is how many requests all processes together may let through at their start,
+// StartupBurst is how many requests all processes together may let through at their start,
 // before they can know what the processes before them have given away: a part of what is
 // allowed beyond the limit and not in use.
-func (l Limit) Starter(a Allowance) float64 {
-	if l.None() {
+func (l Limit) StartupBurst(a Overage) float64 {
+	if l.Unlimited() {
 		return 0
 	}
 	return starterShare * (a.Ratio*(l.PerSecond*a.Window.Seconds()+l.Burst) + a.Requests)
 }
 
-// Part is the share of each of a number of equal holders.
-func Part(holders int) Share { return Whole / Share(max(1, holders)) }
+// EqualShare is the share of each of a number of equal holders.
+func EqualShare(holders int) Share { return FullShare / Share(max(1, holders)) }
 
 // rate is a share's part of the rate, burst its part of the burst.
-func (s Share) rate(l Limit) float64  { return float64(s) / float64(Whole) * l.PerSecond }
-func (s Share) burst(l Limit) float64 { return float64(s) / float64(Whole) * l.Burst }
+func (s Share) rate(l Limit) float64  { return float64(s) / float64(FullShare) * l.PerSecond }
+func (s Share) burst(l Limit) float64 { return float64(s) / float64(FullShare) * l.Burst }
 
 // wanted is the share that lets requests through that arrive at a rate.
 func wanted(perSecond float64, l Limit) Share {
-	if l.None() || perSecond <= 0 {
+	if l.Unlimited() || perSecond <= 0 {
 		return 0
 	}
-	return Share(min(float64(Whole), math.Ceil(room*perSecond/l.PerSecond*float64(Whole))))
+	return Share(min(float64(FullShare), math.Ceil(room*perSecond/l.PerSecond*float64(FullShare))))
 }
 
-// Fill brings the tokens up to a moment, at which a share is held. A share that has
+// Refill brings the tokens up to a moment, at which a share is held. A share that has
 // grown brings no tokens: whoever held it before may have used them.
-func (b *Bucket) Fill(now time.Time, l Limit, s Share) {
+func (b *Bucket) Refill(now time.Time, l Limit, s Share) {
 	kept := min(b.share, s)
 	if now.After(b.at) {
 		if !b.at.IsZero() {
@@ -121,8 +121,8 @@
 // Charge takes a token though there may be none: later requests wait for it.
 func (b *Bucket) Charge() { b.tokens-- }
 
-// Return gives a token back that was not used.
-func (b *Bucket) Return() { b.tokens++ }
+// Refund gives a token back that was not used.
+func (b *Bucket) Refund() { b.tokens++ }
 
 // Full reports whether the bucket holds all that its share allows.
 func (b *Bucket) Full(l Limit) bool { return b.tokens >= b.share.burst(l) }
--- a/internal/kernel/ratelimit/message.go
+++ b/internal/kernel/ratelimit/message.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// ReportEvery is how often a proxy tells its pool what it needs.
-	ReportEvery = 100 * time.Millisecond
+	// ReportInterval is how often a proxy tells its pool what it needs.
+	ReportInterval = 100 * time.Millisecond
 	// grantFor is how long a granted share lasts, counted by its holder from before it
 	// asked. Two reports may be lost before it ends.
 	grantFor = 300 * time.Millisecond
@@ -35,7 +35,7 @@
 		Echo time.Duration
 		// Applied is the last answer that was taken in.
 		Applied uint64
-		Wants   []Want
+		Wants   []AccountShare
 		// Starter is the part of a process that has just started, told until it is answered;
 		// Start tells the starts of the process apart.
 		Starter Share
@@ -47,8 +47,8 @@
 		Lends bool
 	}
 
-	// Want is a share that is wanted of an account's limit.
-	Want struct {
+	// AccountShare is a share that is wanted of an account's limit.
+	AccountShare struct {
 		Account string
 		Share   Share
 	}
@@ -60,14 +60,14 @@
 		Clock time.Duration
 		ID    uint64
 		// Shares last For from before the report was made.
-		Shares []Want
+		Shares []AccountShare
 		For    time.Duration
 		// Withdrawn is set if the part is the proxy's own again.
 		Withdrawn bool
 	}
 
-	// Token is a pool's answer to a proxy that asks for one request.
-	Token struct {
+	// TokenReply is a pool's answer to a proxy that asks for one request.
+	TokenReply struct {
 		Granted bool
 		// Wait is when there may be one, if not.
 		Wait time.Duration
--- a/internal/kernel/ratelimit/pool.go
+++ b/internal/kernel/ratelimit/pool.go
@@ -20,17 +20,17 @@
 	Pool struct {
 		// Limits tells the limit of an account; none for one that is not known.
 		Limits func(account string) Limit
-		// Starter tells how many requests of an account all processes together may let
+		// StartupBurst tells how many requests of an account all processes together may let
 		// through at their start.
-		Starter func(account string) float64
+		StartupBurst func(account string) float64
 
 		id       uint64
 		start    time.Time
 		answers  uint64
 		members  map[string]*member
-		accounts map[string]*pooled
+		accounts map[string]*pooledAccount
 		// lenders are the last answers of other regions' pools.
-		lenders map[string]applied
+		lenders map[string]appliedAnswer
 		// share is what was here at the moment settled; accrued is what has come in by
 		// time since it last fell, in shares times seconds.
 		share   Share
@@ -41,8 +41,8 @@
 		starterUntil time.Time
 	}
 
-	// round is one report being answered.
-	round struct {
+	// reportContext is one report being answered.
+	reportContext struct {
 		now    time.Time
 		from   string
 		member *member
@@ -52,14 +52,14 @@
 		id    uint64
 	}
 
-	// applied is the last answer of a start of a pool that was taken in.
-	applied struct {
+	// appliedAnswer is the last answer of a start of a pool that was taken in.
+	appliedAnswer struct {
 		id      uint64
 		applied uint64
 	}
 
-	// Loan is what another region's pool is asked for.
-	Loan struct {
+	// LoanRequest is what another region's pool is asked for.
+	LoanRequest struct {
 		Lender string
 		Report Report
 	}
@@ -79,24 +79,24 @@
 		borrows bool
 	}
 
-	// pooled is an account's limit at the pool.
-	pooled struct {
+	// pooledAccount is an account's limit at the pool.
+	pooledAccount struct {
 		bucket Bucket
 		// asks are those for single requests.
-		asks Arrivals
+		asks RequestRate
 		// starters are tokens of processes that have just started; counted is how much of
 		// the pool's starter they are made from.
 		starters float64
 		counted  Share
 		// wants and grants are by proxy.
-		wants  map[string]right
+		wants  map[string]shareLease
 		grants map[string]grant
 		// borrowed are shares that other pools have lent.
-		borrowed map[string]right
+		borrowed map[string]shareLease
 	}
 
-	// right is a share until a moment.
-	right struct {
+	// shareLease is a share until a moment.
+	shareLease struct {
 		share Share
 		until time.Time
 	}
@@ -104,14 +104,14 @@
 	// grant is what a proxy was granted. Until it tells that it has heard of the current
 	// grant, it may hold the one before.
 	grant struct {
-		current, before right
+		current, before shareLease
 		id              uint64
 	}
 )
 
 // NewPool makes a pool that has nothing yet. The id tells the starts of the process apart.
 func NewPool(id uint64, start time.Time) *Pool {
-	return &Pool{id: id, start: start, members: make(map[string]*member), accounts: make(map[string]*pooled), lenders: make(map[string]applied)}
+	return &Pool{id: id, start: start, members: make(map[string]*member), accounts: make(map[string]*pooledAccount), lenders: make(map[string]appliedAnswer)}
 }
 
 // Reset forgets all that was given: this process did not run for a while, and the givers
@@ -124,11 +124,11 @@
 	p.start, p.share, p.accrued = now, 0, 0
 }
 
-// Serves reports whether any proxy gives its part to this pool.
-func (p *Pool) Serves(now time.Time) bool { return p.deposited(now, 0) > 0 }
+// HasDeposits reports whether any proxy gives its part to this pool.
+func (p *Pool) HasDeposits(now time.Time) bool { return p.deposited(now, 0) > 0 }
 
-// Hear takes a report in and answers it.
-func (p *Pool) Hear(now time.Time, r Report) Grants {
+// HandleReport takes a report in and answers it.
+func (p *Pool) HandleReport(now time.Time, r Report) Grants {
 	m := p.members[r.From]
 	if m == nil {
 		m = &member{}
@@ -148,13 +148,13 @@
 		return answer
 	}
 	for _, w := range r.Wants {
-		p.account(now, w.Account).wants[r.From] = right{share: w.Share, until: now.Add(grantFor)}
+		p.account(now, w.Account).wants[r.From] = shareLease{share: w.Share, until: now.Add(grantFor)}
 	}
-	d := round{now: now, from: r.From, member: m, have: p.deposited(now, grantLeast), lasts: p.lasts(now), id: answer.ID}
+	d := reportContext{now: now, from: r.From, member: m, have: p.deposited(now, grantLeast), lasts: p.lasts(now), id: answer.ID}
 	answer.For = d.lasts
 	for _, w := range r.Wants {
 		if share := p.grant(d, w); share > 0 {
-			answer.Shares = append(answer.Shares, Want{Account: w.Account, Share: share})
+			answer.Shares = append(answer.Shares, AccountShare{Account: w.Account, Share: share})
 		}
 	}
 	return answer
@@ -186,11 +186,11 @@
 }
 
 // takeStarter takes one of the tokens of processes that have just started.
-func (p *Pool) takeStarter(now time.Time, account string, a *pooled) bool {
+func (p *Pool) takeStarter(now time.Time, account string, a *pooledAccount) bool {
 	if now.After(p.starterUntil) {
 		return false
 	}
-	a.starters += float64(p.starter-a.counted) / float64(Whole) * p.Starter(account)
+	a.starters += float64(p.starter-a.counted) / float64(FullShare) * p.StartupBurst(account)
 	a.counted = p.starter
 	if a.starters < 1 {
 		return false
@@ -202,7 +202,7 @@
 // settle brings all buckets up to a moment if the pool has become larger or smaller.
 func (p *Pool) settle(now time.Time) {
 	if now.After(p.settled) {
-		p.accrued += float64(p.share) / float64(Whole) * now.Sub(p.settled).Seconds()
+		p.accrued += float64(p.share) / float64(FullShare) * now.Sub(p.settled).Seconds()
 		p.settled = now
 	}
 	share := p.deposited(now, 0)
@@ -234,17 +234,17 @@
 
 // grant settles the share of an account that a proxy holds from now on. What another one
 // may still hold is left to it.
-func (p *Pool) grant(d round, w Want) Share {
+func (p *Pool) grant(d reportContext, w AccountShare) Share {
 	l, a := p.Limits(w.Account), p.account(d.now, w.Account)
 	before := a.grants[d.from].heldBy(d)
 	share := min(p.fair(d, a, w), d.have-a.grantedTo(d.now, d.from))
-	if l.None() || share.burst(l) < tokenLeast {
+	if l.Unlimited() || share.burst(l) < tokenLeast {
 		share = 0
 	}
 	if share == 0 && before.share == 0 {
 		delete(a.grants, d.from)
 	} else {
-		a.grants[d.from] = grant{id: d.id, before: before, current: right{share: share, until: d.now.Add(d.lasts)}}
+		a.grants[d.from] = grant{id: d.id, before: before, current: shareLease{share: share, until: d.now.Add(d.lasts)}}
 	}
 	p.fill(d.now, l, a)
 	return share
@@ -253,7 +253,7 @@
 // fair is the share that a proxy should get of what its region has: what it wants, or if
 // that is too much for all, the same part as the others. Other regions get what is to
 // spare.
-func (p *Pool) fair(d round, a *pooled, w Want) Share {
+func (p *Pool) fair(d reportContext, a *pooledAccount, w AccountShare) Share {
 	want := w.Share
 	have := d.have
 	own, others := p.wanted(d.now, w.Account, a)
@@ -269,7 +269,7 @@
 
 // wanted sums what the region's proxies want, for a time or request by request, and what
 // other regions do.
-func (p *Pool) wanted(now time.Time, account string, a *pooled) (own, others Share) {
+func (p *Pool) wanted(now time.Time, account string, a *pooledAccount) (own, others Share) {
 	own = wanted(a.asks.PerSecond(now), p.Limits(account))
 	for name, w := range a.wants {
 		if !w.live(now) {
@@ -303,76 +303,76 @@
 			sum += m.part
 		}
 	}
-	return min(sum, Whole)
+	return min(sum, FullShare)
 }
 
 // Take answers a proxy that asks for a single request of an account.
-func (p *Pool) Take(now time.Time, account string) Token {
+func (p *Pool) Take(now time.Time, account string) TokenReply {
 	l := p.Limits(account)
-	if l.None() {
-		return Token{Wait: waitMost}
+	if l.Unlimited() {
+		return TokenReply{Wait: waitMost}
 	}
 	p.settle(now)
 	a := p.account(now, account)
-	a.asks.Heard(now)
+	a.asks.Record(now)
 	p.fill(now, l, a)
 	if a.bucket.Take() || p.takeStarter(now, account, a) {
-		return Token{Granted: true}
+		return TokenReply{Granted: true}
 	}
 	wait := waitMost
 	if young := p.start.Add(depositFor + guard).Sub(now); p.share == 0 && young > 0 {
 		// Proxies that have started with this one have not given their parts yet.
 		wait = young + rampUp
 	}
-	return Token{Wait: a.bucket.Wait(l, wait)}
+	return TokenReply{Wait: a.bucket.Wait(l, wait)}
 }
 
 // fill brings an account's bucket up to a moment, at the share that the pool keeps.
-func (p *Pool) fill(now time.Time, l Limit, a *pooled) {
-	a.bucket.Fill(now, l, max(0, p.share+a.lent(now)-a.granted(now)))
+func (p *Pool) fill(now time.Time, l Limit, a *pooledAccount) {
+	a.bucket.Refill(now, l, max(0, p.share+a.lent(now)-a.granted(now)))
 }
 
-// Borrow tells other regions' pools what the one here lacks, divided over them; nothing
+// LoanRequests tells other regions' pools what the one here lacks, divided over them; nothing
 // if it lacks nothing.
-func (p *Pool) Borrow(now time.Time, from string, lenders []string) []Loan {
+func (p *Pool) LoanRequests(now time.Time, from string, lenders []string) []LoanRequest {
 	wants := p.short(now, len(lenders))
 	if len(wants) == 0 {
 		return nil
 	}
-	list := make([]Loan, 0, len(lenders))
+	list := make([]LoanRequest, 0, len(lenders))
 	for _, name := range lenders {
 		known := p.lenders[name]
-		list = append(list, Loan{Lender: name, Report: Report{From: from, Pool: known.id, Applied: known.applied, Lends: true, Wants: wants}})
+		list = append(list, LoanRequest{Lender: name, Report: Report{From: from, Pool: known.id, Applied: known.applied, Lends: true, Wants: wants}})
 	}
 	return list
 }
 
 // short lists the shares that are wanted here beyond what there is, divided by a number.
-func (p *Pool) short(now time.Time, lenders int) []Want {
+func (p *Pool) short(now time.Time, lenders int) []AccountShare {
 	have := p.deposited(now, grantLeast)
-	var list []Want
+	var list []AccountShare
 	for name, a := range p.accounts {
 		own, _ := p.wanted(now, name, a)
 		if short := (own - have) / Share(max(1, lenders)); short > 0 {
-			list = append(list, Want{Account: name, Share: short})
+			list = append(list, AccountShare{Account: name, Share: short})
 		}
 	}
-	slices.SortFunc(list, func(a, b Want) int { return cmp.Compare(a.Account, b.Account) })
+	slices.SortFunc(list, func(a, b AccountShare) int { return cmp.Compare(a.Account, b.Account) })
 	return list
 }
 
-// Lent takes in a lender's answer to what was asked at a moment.
-func (p *Pool) Lent(now, asked time.Time, lender string, g Grants) {
+// ApplyLoan takes in a lender's answer to what was asked at a moment.
+func (p *Pool) ApplyLoan(now, asked time.Time, lender string, g Grants) {
 	if known := p.lenders[lender]; known.id == g.Pool && known.applied >= g.ID {
 		// The lender may hold what an older answer granted for ended.
 		return
 	}
-	p.lenders[lender] = applied{id: g.Pool, applied: g.ID}
+	p.lenders[lender] = appliedAnswer{id: g.Pool, applied: g.ID}
 	for _, a := range p.accounts {
 		delete(a.borrowed, lender)
 	}
 	for _, s := range g.Shares {
-		p.account(now, s.Account).borrowed[lender] = right{share: s.Share, until: asked.Add(g.For)}
+		p.account(now, s.Account).borrowed[lender] = shareLease{share: s.Share, until: asked.Add(g.For)}
 	}
 }
 
@@ -381,7 +381,7 @@
 	p.settle(now)
 	maps.DeleteFunc(p.members, func(_ string, m *member) bool { return now.Sub(m.heard) > memberIdle })
 	for name, a := range p.accounts {
-		ended := func(_ string, r right) bool { return !r.live(now) }
+		ended := func(_ string, r shareLease) bool { return !r.live(now) }
 		maps.DeleteFunc(a.wants, ended)
 		maps.DeleteFunc(a.borrowed, ended)
 		maps.DeleteFunc(a.grants, func(_ string, g grant) bool { return !g.current.live(now) && !g.before.live(now) })
@@ -394,10 +394,10 @@
 
 // account is an account's limit here. One that was not used so far has the tokens that
 // came in meanwhile.
-func (p *Pool) account(now time.Time, name string) *pooled {
+func (p *Pool) account(now time.Time, name string) *pooledAccount {
 	a := p.accounts[name]
 	if a == nil {
-		a = &pooled{wants: make(map[string]right), grants: make(map[string]grant), borrowed: make(map[string]right)}
+		a = &pooledAccount{wants: make(map[string]shareLease), grants: make(map[string]grant), borrowed: make(map[string]shareLease)}
 		a.bucket = Bucket{tokens: p.accrued * p.Limits(name).PerSecond, share: p.share, at: now}
 		p.accounts[name] = a
 	}
@@ -405,9 +405,9 @@
 }
 
 // granted is the share that proxies may hold; grantedTo leaves one of them out.
-func (a *pooled) granted(now time.Time) Share { return a.grantedTo(now, "") }
+func (a *pooledAccount) granted(now time.Time) Share { return a.grantedTo(now, "") }
 
-func (a *pooled) grantedTo(now time.Time, without string) Share {
+func (a *pooledAccount) grantedTo(now time.Time, without string) Share {
 	sum := Share(0)
 	for name, g := range a.grants {
 		if name != without {
@@ -418,7 +418,7 @@
 }
 
 // lent is the share that other pools have lent.
-func (a *pooled) lent(now time.Time) Share {
+func (a *pooledAccount) lent(now time.Time) Share {
 	sum := Share(0)
 	for _, r := range a.borrowed {
 		if r.live(now) {
@@ -429,13 +429,13 @@
 }
 
 // heldBy is what the proxy that reports may hold of its grant until it hears of the next.
-func (g grant) heldBy(d round) right {
+func (g grant) heldBy(d reportContext) shareLease {
 	held := g.current
 	if d.member.applied < g.id && g.before.live(d.now) {
-		held = right{share: max(held.share, g.before.share), until: later(held.until, g.before.until)}
+		held = shareLease{share: max(held.share, g.before.share), until: later(held.until, g.before.until)}
 	}
 	if !held.live(d.now) {
-		return right{}
+		return shareLease{}
 	}
 	return held
 }
@@ -443,7 +443,7 @@
 // most is the share that a proxy may hold of a grant.
 func (g grant) most(now time.Time) Share {
 	most := Share(0)
-	for _, r := range []right{g.current, g.before} {
+	for _, r := range []shareLease{g.current, g.before} {
 		if r.live(now) {
 			most = max(most, r.share)
 		}
@@ -451,7 +451,7 @@
 	return most
 }
 
-func (r right) live(now time.Time) bool { return r.share > 0 && now.Before(r.until) }
+func (r shareLease) live(now time.Time) bool { return r.share > 0 && now.Before(r.until) }
 
 // scale is a part of have that is to have as want is to all.
 func scale(want, have, all Share) Share { return want * have / max(1, all) }
--- a/internal/kernel/replica/allowance.go
+++ b/internal/kernel/replica/allowance.go
@@ -17,16 +17,16 @@
 )
 
 type (
-	// Allowance bounds the whole copies that a proxy gives to its peers. One
+	// FullCopyBudget bounds the whole copies that a proxy gives to its peers. One
 	// that is refused asks another peer, or the store.
-	Allowance struct {
+	FullCopyBudget struct {
 		spent float64
 		at    time.Time
 	}
 )
 
-// Take reports whether a copy of a size may be given away now, and counts it.
-func (a *Allowance) Take(now time.Time, bytes int) bool {
+// Allow reports whether a copy of a size may be given away now, and counts it.
+func (a *FullCopyBudget) Allow(now time.Time, bytes int) bool {
 	a.spent = max(0, a.spent-now.Sub(a.at).Seconds()*wholePerSecond)
 	a.at = now
 	if a.spent+float64(bytes) > wholeAtOnce {
@@ -36,8 +36,8 @@
 	return true
 }
 
-// Cost is about how many bytes a whole copy takes on a link.
-func (d Delta) Cost() int { return d.Size() / packing }
+// CompressedSize is about how many bytes a whole copy takes on a link.
+func (d Delta) CompressedSize() int { return d.Size() / packing }
 
 // Size is about how many bytes the delta takes in memory and in a
 // message that is not packed.
--- a/internal/kernel/replica/copy.go
+++ b/internal/kernel/replica/copy.go
@@ -27,10 +27,10 @@
 		Value    []byte
 		Revision uint64
 		Removed  bool
-		// Doubtful is set if a removal may be of an entry that ran out while the
+		// Tentative is set if a removal may be of an entry that ran out while the
 		// store was away, and may be back soon. Who reads the store decides it;
 		// the others pass it on.
-		Doubtful bool
+		Tentative bool
 	}
 
 	// Delta is a part of a copy: the changes after Base up to Revision, or
@@ -38,14 +38,14 @@
 	Delta struct {
 		Base     uint64
 		Revision uint64
-		Whole    bool
+		Full     bool
 		Entries  []Entry
-		// Unsure is set if removals after Base may be missing. The changes are
+		// MayMissRemovals is set if removals after Base may be missing. The changes are
 		// all there are if they lead to Keys, a digest of the keys at Revision.
-		Unsure bool
-		Keys   uint64
-		// Doubtful is set by who reads the store in an outage: all removals are.
-		Doubtful bool
+		MayMissRemovals bool
+		KeyDigest       uint64
+		// TentativeRemovals is set by who reads the store in an outage: all removals are.
+		TentativeRemovals bool
 		// Age is how long ago this was known to be the store's state.
 		Age time.Duration
 	}
@@ -94,13 +94,13 @@
 // A delta that begins after the copy's revision leaves a gap and is refused, and
 // so is one of which removals are missing.
 func (c *Copy) Apply(now time.Time, d Delta) ([]Entry, bool) {
-	if !d.Whole && (c.revision == 0 || d.Base > c.revision) {
+	if !d.Full && (c.revision == 0 || d.Base > c.revision) {
 		return nil, false
 	}
 	if d.Revision < c.revision {
 		return nil, true
 	}
-	if d.Unsure && !d.Whole && c.keysAfter(d) != d.Keys {
+	if d.MayMissRemovals && !d.Full && c.keysAfter(d) != d.KeyDigest {
 		c.mismatches++
 		return nil, false
 	}
@@ -108,7 +108,7 @@
 	var changed, removed []Entry
 	last := lastOfEach(d.Entries)
 	for i, e := range d.Entries {
-		e.Doubtful = e.Removed && (e.Doubtful || d.Doubtful)
+		e.Tentative = e.Removed && (e.Tentative || d.TentativeRemovals)
 		if last[e.Key] != i || !c.put(now, e) {
 			continue
 		}
@@ -118,7 +118,7 @@
 			changed = append(changed, e)
 		}
 	}
-	if d.Whole {
+	if d.Full {
 		removed = append(removed, c.prune(now, d, last)...)
 	}
 	c.revision = d.Revision
@@ -141,9 +141,9 @@
 	return last
 }
 
-// Ask is the revision after which the copy asks peers for changes: its own, or
+// RequestRevision is the revision after which the copy asks peers for changes: its own, or
 // zero if it asks for everything.
-func (c *Copy) Ask() uint64 {
+func (c *Copy) RequestRevision() uint64 {
 	if c.mismatches >= mismatchesMost {
 		return 0
 	}
@@ -194,7 +194,7 @@
 		}
 		delete(c.entries, key)
 		c.keys ^= xxhash.Sum64String(key)
-		gone := Entry{Key: key, Revision: d.Revision, Removed: true, Doubtful: d.Doubtful}
+		gone := Entry{Key: key, Revision: d.Revision, Removed: true, Tentative: d.TentativeRemovals}
 		c.remember(now, gone)
 		removed = append(removed, gone)
 	}
@@ -210,7 +210,7 @@
 		c.floor = e.Revision
 	}
 	r := removal{revision: e.Revision}
-	if e.Doubtful {
+	if e.Tentative {
 		r.doubtUntil = now.Add(doubtFor)
 	}
 	c.removals[e.Key] = r
@@ -220,7 +220,7 @@
 // was doubtful so far.
 func (c *Copy) confirms(now time.Time, e Entry) bool {
 	r, known := c.removals[e.Key]
-	if !known || !e.Removed || e.Doubtful || e.Revision < r.revision || !now.Before(r.doubtUntil) {
+	if !known || !e.Removed || e.Tentative || e.Revision < r.revision || !now.Before(r.doubtUntil) {
 		return false
 	}
 	c.removals[e.Key] = removal{revision: r.revision}
@@ -233,19 +233,19 @@
 func (c *Copy) Since(now time.Time, revision uint64) Delta {
 	d := Delta{
 		Base: revision, Revision: c.revision, Age: c.Age(now),
-		Whole: revision == 0, Unsure: revision < c.floor, Keys: c.keys,
+		Full: revision == 0, MayMissRemovals: revision < c.floor, KeyDigest: c.keys,
 	}
 	for _, e := range c.entries {
-		if d.Whole || e.Revision > revision {
+		if d.Full || e.Revision > revision {
 			d.Entries = append(d.Entries, e)
 		}
 	}
-	if d.Whole {
+	if d.Full {
 		return d
 	}
 	for key, r := range c.removals {
 		if r.revision > revision {
-			d.Entries = append(d.Entries, Entry{Key: key, Revision: r.revision, Removed: true, Doubtful: now.Before(r.doubtUntil)})
+			d.Entries = append(d.Entries, Entry{Key: key, Revision: r.revision, Removed: true, Tentative: now.Before(r.doubtUntil)})
 		}
 	}
 	return d
--- a/internal/kernel/replica/fleet_test.go
+++ b/internal/kernel/replica/fleet_test.go
@@ -25,15 +25,15 @@
 		now      time.Time
 		truth    *Copy
 		copies   []*Copy
-		givers   []Allowance
+		givers   []FullCopyBudget
 		sent     int
 		removals int
 	}
 )
 
 func newFleetStore() *fleetStore {
-	f := &fleetStore{random: rand.New(rand.NewPCG(1, 2)), now: start, truth: NewCopy(), givers: make([]Allowance, fleetSize)}
-	d := Delta{Whole: true}
+	f := &fleetStore{random: rand.New(rand.NewPCG(1, 2)), now: start, truth: NewCopy(), givers: make([]FullCopyBudget, fleetSize)}
+	d := Delta{Full: true}
 	for i := range fleetServers {
 		d.Revision++
 		d.Entries = append(d.Entries, Entry{Key: fmt.Sprintf("servers/%d", i), Value: make([]byte, 200), Revision: d.Revision})
@@ -67,8 +67,8 @@
 
 // exchange lets one proxy ask another for what it lacks.
 func (f *fleetStore) exchange(asks, answers int) {
-	d := f.copies[answers].Since(f.now, f.copies[asks].Ask())
-	if d.Revision <= f.copies[asks].Revision() || d.Whole && !f.givers[answers].Take(f.now, d.Size()) {
+	d := f.copies[answers].Since(f.now, f.copies[asks].RequestRevision())
+	if d.Revision <= f.copies[asks].Revision() || d.Full && !f.givers[answers].Allow(f.now, d.Size()) {
 		return
 	}
 	f.sent += d.Size()
--- a/internal/kernel/replica/outage.go
+++ b/internal/kernel/replica/outage.go
@@ -25,9 +25,9 @@
 	}
 )
 
-// Failed notes that the store has not answered since a moment, and reports
+// RecordFailure notes that the store has not answered since a moment, and reports
 // whether it did before.
-func (o *Outage) Failed(since time.Time) bool {
+func (o *Outage) RecordFailure(since time.Time) bool {
 	if o.lost {
 		return false
 	}
@@ -35,8 +35,8 @@
 	return true
 }
 
-// Answered notes an answer and reports whether the store was lost.
-func (o *Outage) Answered(now time.Time) bool {
+// RecordSuccess notes an answer and reports whether the store was lost.
+func (o *Outage) RecordSuccess(now time.Time) bool {
 	if !o.lost {
 		return false
 	}
@@ -47,8 +47,8 @@
 	return true
 }
 
-// Doubtful reports whether what is missing may be back soon.
-func (o *Outage) Doubtful(now time.Time) bool {
+// RemovalsTentative reports whether what is missing may be back soon.
+func (o *Outage) RemovalsTentative(now time.Time) bool {
 	if o.lost {
 		return now.Sub(o.since) >= awayLeast
 	}
--- a/internal/kernel/replica/outage_test.go
+++ b/internal/kernel/replica/outage_test.go
@@ -10,12 +10,12 @@
 // would send it requests long after it has left.
 func TestOneFailedCallIsNoOutage(t *testing.T) {
 	var o Outage
-	o.Failed(start)
-	if o.Doubtful(start.Add(300 * time.Millisecond)) {
+	o.RecordFailure(start)
+	if o.RemovalsTentative(start.Add(300 * time.Millisecond)) {
 		t.Error("what is missing is doubted 0.3 s after a failed call")
 	}
-	o.Answered(start.Add(400 * time.Millisecond))
-	if o.Doubtful(start.Add(time.Second)) {
+	o.RecordSuccess(start.Add(400 * time.Millisecond))
+	if o.RemovalsTentative(start.Add(time.Second)) {
 		t.Error("what is missing is doubted though the store answered 0.4 s after a failed call")
 	}
 }
@@ -24,7 +24,7 @@
 // return they may come back.
 func TestWhatIsMissingAfterAnOutageIsDoubted(t *testing.T) {
 	var o Outage
-	if !o.Failed(start) || o.Failed(start.Add(time.Second)) {
+	if !o.RecordFailure(start) || o.RecordFailure(start.Add(time.Second)) {
 		t.Error("the loss is told anew at each failed call, want once")
 	}
 	for _, c := range []struct {
@@ -39,9 +39,9 @@
 	} {
 		now := start.Add(c.after)
 		if c.answered {
-			o.Answered(start.Add(5 * time.Second))
+			o.RecordSuccess(start.Add(5 * time.Second))
 		}
-		if got := o.Doubtful(now); got != c.want {
+		if got := o.RemovalsTentative(now); got != c.want {
 			t.Errorf("%s after the store was lost: doubted is %t, want %t", c.after, got, c.want)
 		}
 	}
--- a/internal/kernel/replica/relay.go
+++ b/internal/kernel/replica/relay.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// Relays is how many proxies of a region follow the store themselves. With
+	// RelaysPerRegion is how many proxies of a region follow the store themselves. With
 	// one, a relay whose watch fails just before a change leaves its region
 	// without the news for longer than a drained server may get requests; a
 	// second costs a call every one and a half seconds a region.
-	Relays = 2
+	RelaysPerRegion = 2
 	// takeOver is the age at which a proxy that is no relay asks the store
 	// itself: its relays are cut off or gone. Two rounds of a relay's watch
 	// fit in, and a change is still in force in time.
@@ -35,17 +35,17 @@
 // Rank is a proxy's place among those of its region. A name that is not listed comes
 // last.
 func Rank(name string, region []Candidate) int {
-	ordered := Order(region)
+	ordered := SortCandidates(region)
 	if i := slices.IndexFunc(ordered, func(c Candidate) bool { return c.Name == name }); i >= 0 {
 		return i
 	}
 	return len(ordered)
 }
 
-// Order lists the proxies of a region by what they do for the others: the widest links
+// SortCandidates lists the proxies of a region by what they do for the others: the widest links
 // first, for a relay sends each change to dozens, and among equal ones in an order that
 // spreads the relays over the names.
-func Order(region []Candidate) []Candidate {
+func SortCandidates(region []Candidate) []Candidate {
 	ordered := slices.Clone(region)
 	slices.SortFunc(ordered, func(a, b Candidate) int {
 		return cmp.Or(
@@ -61,9 +61,9 @@
 // to one.
 func Fresh(age time.Duration) bool { return age < takeOver }
 
-// Follows reports whether a proxy of a rank should ask the store itself.
-func Follows(rank int, age time.Duration) bool {
-	if rank < Relays {
+// ShouldFollowStore reports whether a proxy of a rank should ask the store itself.
+func ShouldFollowStore(rank int, age time.Duration) bool {
+	if rank < RelaysPerRegion {
 		return true
 	}
 	return age > takeOver+time.Duration(min(rank, takeOverMost))*takeOverStep
--- a/internal/kernel/replica/replica_test.go
+++ b/internal/kernel/replica/replica_test.go
@@ -13,7 +13,7 @@
 
 // whole is a reading of the store at revision 10.
 func whole(keys ...string) Delta {
-	d := Delta{Revision: 10, Whole: true}
+	d := Delta{Revision: 10, Full: true}
 	for i, key := range keys {
 		d.Entries = append(d.Entries, Entry{Key: key, Revision: uint64(i + 1), Value: []byte(key)})
 	}
@@ -67,7 +67,7 @@
 func TestWholeReadingRemovesWhatIsGone(t *testing.T) {
 	c := NewCopy()
 	c.Apply(start, whole("a", "b", "c"))
-	changed, _ := c.Apply(start, Delta{Revision: 20, Whole: true, Entries: []Entry{
+	changed, _ := c.Apply(start, Delta{Revision: 20, Full: true, Entries: []Entry{
 		{Key: "a", Revision: 1}, {Key: "c", Revision: 15},
 	}})
 	if got, want := names(changed), []string{"-b", "c"}; !slices.Equal(got, want) {
@@ -111,15 +111,15 @@
 		}
 	}
 	for range mismatchesMost {
-		if changed, ok := b.Apply(start, a.Since(start, b.Ask())); ok {
+		if changed, ok := b.Apply(start, a.Since(start, b.RequestRevision())); ok {
 			t.Fatalf("changes without the removal of b were taken (%v)", names(changed))
 		}
 	}
-	changed, _ := b.Apply(start, a.Since(start, b.Ask()))
+	changed, _ := b.Apply(start, a.Since(start, b.RequestRevision()))
 	if got, want := names(changed), []string{"-b"}; !slices.Equal(got, want) {
 		t.Errorf("changed %v, want %v", got, want)
 	}
-	if got, want := b.Ask(), a.Revision(); got != want {
+	if got, want := b.RequestRevision(), a.Revision(); got != want {
 		t.Errorf("asks for changes after %d, want %d", got, want)
 	}
 }
@@ -129,8 +129,8 @@
 func TestAPeerThatLacksNoRemovalGetsOnlyTheChanges(t *testing.T) {
 	lagging, reader := NewCopy(), NewCopy()
 	lagging.Apply(start, whole("a", "b"))
-	reader.Apply(start, Delta{Revision: 11, Whole: true, Entries: append(whole("a", "b").Entries, Entry{Key: "c", Revision: 11})})
-	d := reader.Since(start, lagging.Ask())
+	reader.Apply(start, Delta{Revision: 11, Full: true, Entries: append(whole("a", "b").Entries, Entry{Key: "c", Revision: 11})})
+	d := reader.Since(start, lagging.RequestRevision())
 	if len(d.Entries) != 1 {
 		t.Errorf("%d entries are sent, want 1", len(d.Entries))
 	}
@@ -167,18 +167,18 @@
 	fresh, late := 0, 0
 	for _, c := range list {
 		rank := Rank(c.Name, list)
-		if Follows(rank, 500*time.Millisecond) {
+		if ShouldFollowStore(rank, 500*time.Millisecond) {
 			fresh++
 		}
-		if Follows(rank, 2*time.Second) {
+		if ShouldFollowStore(rank, 2*time.Second) {
 			late++
 		}
 	}
-	if fresh != Relays {
-		t.Errorf("%d proxies follow the store while news arrive, want %d", fresh, Relays)
+	if fresh != RelaysPerRegion {
+		t.Errorf("%d proxies follow the store while news arrive, want %d", fresh, RelaysPerRegion)
 	}
-	if late <= Relays {
-		t.Errorf("%d proxies follow the store after 2 s without news, want more than %d", late, Relays)
+	if late <= RelaysPerRegion {
+		t.Errorf("%d proxies follow the store after 2 s without news, want more than %d", late, RelaysPerRegion)
 	}
 	if got := Rank("stranger", list); got != len(list) {
 		t.Errorf("rank of a name that is not listed is %d, want %d", got, len(list))
@@ -190,23 +190,23 @@
 // operator made was not in force in time.
 func TestWholeCopiesAreGivenWithinAnAllowance(t *testing.T) {
 	const size = 750 << 10
-	var a Allowance
+	var a FullCopyBudget
 	given := 0
 	for i := range 300 {
-		if a.Take(start.Add(time.Duration(i)*10*time.Millisecond), size) {
+		if a.Allow(start.Add(time.Duration(i)*10*time.Millisecond), size) {
 			given++
 		}
 	}
 	if given != 1 {
 		t.Errorf("%d copies of 750 KB were given within three seconds, want 1", given)
 	}
-	if !a.Take(start.Add(time.Minute), size) {
+	if !a.Allow(start.Add(time.Minute), size) {
 		t.Error("none is given after a minute")
 	}
 	given = 0
-	var small Allowance
+	var small FullCopyBudget
 	for range 66 {
-		if small.Take(start, 100<<10) {
+		if small.Allow(start, 100<<10) {
 			given++
 		}
 	}
@@ -258,21 +258,21 @@
 	c := NewCopy()
 	c.Apply(start, whole("a", "b"))
 	gone := func(doubtful bool) Delta {
-		return Delta{Base: 10, Revision: 11, Entries: []Entry{{Key: "b", Revision: 11, Removed: true, Doubtful: doubtful}}}
+		return Delta{Base: 10, Revision: 11, Entries: []Entry{{Key: "b", Revision: 11, Removed: true, Tentative: doubtful}}}
 	}
-	if changed, _ := c.Apply(start, gone(true)); len(changed) != 1 || !changed[0].Doubtful {
+	if changed, _ := c.Apply(start, gone(true)); len(changed) != 1 || !changed[0].Tentative {
 		t.Errorf("a doubtful removal changed %v, want b with doubt", changed)
 	}
 	if changed, _ := c.Apply(start, gone(true)); len(changed) != 0 {
 		t.Errorf("the same word again changed %v, want nothing", changed)
 	}
-	if changed, _ := c.Apply(start, gone(false)); len(changed) != 1 || changed[0].Doubtful {
+	if changed, _ := c.Apply(start, gone(false)); len(changed) != 1 || changed[0].Tentative {
 		t.Errorf("the certain word changed %v, want b without doubt", changed)
 	}
 	if changed, _ := c.Apply(start, gone(true)); len(changed) != 0 {
 		t.Errorf("doubt after the certain word changed %v, want nothing", changed)
 	}
-	if d := c.Since(start, 10); len(d.Entries) != 1 || d.Entries[0].Doubtful {
+	if d := c.Since(start, 10); len(d.Entries) != 1 || d.Entries[0].Tentative {
 		t.Errorf("others are told %v, want b without doubt", d.Entries)
 	}
 }
--- a/internal/kernel/steering/bound.go
+++ b/internal/kernel/steering/bound.go
@@ -32,7 +32,7 @@
 	all, limited := 0.0, 0
 	accounts := t.Accounts.All()
 	for _, a := range accounts {
-		if !a.Limit.None() {
+		if !a.Limit.Unlimited() {
 			all += a.Limit.PerSecond
 			limited++
 		}
@@ -45,7 +45,7 @@
 	parts := make(map[string]float64)
 	for _, a := range accounts {
 		rate := mean
-		if !a.Limit.None() {
+		if !a.Limit.Unlimited() {
 			rate = a.Limit.PerSecond
 		}
 		for _, region := range a.Regions {
--- a/internal/kernel/steering/call.go
+++ b/internal/kernel/steering/call.go
@@ -77,13 +77,13 @@
 		// Signals are what a peer knows of what servers ask.
 		Signals []backpressure.Report `json:"signals,omitempty"`
 		// Accounts are those of a table. What follows is of their limits.
-		Accounts []*account.Account `json:"accounts,omitempty"`
-		Asked    time.Time          `json:"asked,omitzero"`
-		Report   *ratelimit.Report  `json:"report,omitempty"`
-		Grants   *ratelimit.Grants  `json:"grants,omitempty"`
-		Token    *ratelimit.Token   `json:"token,omitempty"`
-		Count    int                `json:"count,omitempty"`
-		IDs      []string           `json:"ids,omitempty"`
+		Accounts []*account.Account    `json:"accounts,omitempty"`
+		Asked    time.Time             `json:"asked,omitzero"`
+		Report   *ratelimit.Report     `json:"report,omitempty"`
+		Grants   *ratelimit.Grants     `json:"grants,omitempty"`
+		Token    *ratelimit.TokenReply `json:"token,omitempty"`
+		Count    int                   `json:"count,omitempty"`
+		IDs      []string              `json:"ids,omitempty"`
 	}
 
 	// Verdict is a decision as it is recorded.
--- a/internal/kernel/steering/choose.go
+++ b/internal/kernel/steering/choose.go
@@ -25,7 +25,7 @@
 	// busyFor is for how many times a route's target a server without an answer may
 	// be busy. Work that the target allows for takes longer on a first run.
 	busyFor = 2
-	// plainShare takes the place of placing.RoomShare for requests without an
+	// plainShare takes the place of placing.MaxLoadFactor for requests without an
 	// object: nothing runs cold in another region, so each gets what its slots are.
 	plainShare = 1.0
 	// otherRegion is charged a request without an object for a region that was not
@@ -161,11 +161,11 @@
 		h = k.newHomes(f, g, r)
 		g.homes[r] = h
 	}
-	return h.Of(f.Object)
+	return h.ServersFor(f.Object)
 }
 
 // newHomes deals the objects of this region's callers out.
-func (k *Kernel) newHomes(f *Flight, g *service, r reach) *placing.Homes {
+func (k *Kernel) newHomes(f *Flight, g *service, r reach) *placing.Placement {
 	candidates, weights := k.spread(f, g, r)
 	list := make([]placing.Server, 0, len(candidates))
 	for _, s := range candidates {
@@ -173,7 +173,7 @@
 			list = append(list, placing.Server{ID: s.id, Weight: w, Class: s.class()})
 		}
 	}
-	return placing.NewHomes(list, g.ranking)
+	return placing.NewPlacement(list, g.ranking)
 }
 
 // spread lists the servers that this region's callers may use and how much of
@@ -184,31 +184,31 @@
 			candidates = append(candidates, s)
 		}
 	}
-	share := placing.RoomShare
+	share := placing.MaxLoadFactor
 	if f.Object == "" {
 		share = plainShare
 	}
-	return candidates, placing.Spread(k.rooms(f, candidates), k.config.Region, share)
+	return candidates, placing.RegionWeights(k.rooms(f, candidates), k.config.Region, share)
 }
 
 // rooms lists the regions that may serve the route. The callers' shares are
 // taken to follow the failure domains; the truth is not known before traffic
 // begins, and homes that moved with each estimate would be cold. Only a region
 // that has lost all its proxies counts elsewhere.
-func (k *Kernel) rooms(f *Flight, candidates []*server) []placing.Room {
+func (k *Kernel) rooms(f *Flight, candidates []*server) []placing.RegionCapacity {
 	slots := make(map[string]int)
 	for _, s := range candidates {
 		slots[s.region] += s.Slots
 	}
-	var list []placing.Room
+	var list []placing.RegionCapacity
 	for region, n := range k.demand(f.allowed) {
-		room := placing.Room{Region: region, Slots: slots[region], Demand: n}
+		room := placing.RegionCapacity{Region: region, Slots: slots[region], Demand: n}
 		if f.allowed == everywhere {
-			room.Bound = k.bound.now[region]
+			room.Pinned = k.bound.now[region]
 		}
 		list = append(list, room)
 	}
-	slices.SortFunc(list, func(a, b placing.Room) int { return strings.Compare(a.Region, b.Region) })
+	slices.SortFunc(list, func(a, b placing.RegionCapacity) int { return strings.Compare(a.Region, b.Region) })
 	return list
 }
 
--- a/internal/kernel/steering/failover.go
+++ b/internal/kernel/steering/failover.go
@@ -45,7 +45,7 @@
 	if k.reachOf(f).near || chance(f.Object) >= k.homeless(now, f, g, home.region) {
 		return homes
 	}
-	for _, id := range k.homesWithout(f, g, home.region).Of(f.Object) {
+	for _, id := range k.homesWithout(f, g, home.region).ServersFor(f.Object) {
 		s := g.members[id]
 		if p := g.pressure[s.region]; s.sound(now) && (p == nil || p.Level(now) <= failoverIdle) {
 			return append([]string{id}, homes...)
@@ -76,7 +76,7 @@
 	if own == ownSound || sound == 0 {
 		return 0
 	}
-	kept := min(1, placing.RoomShare*(ownSound/sound)/(own/all))
+	kept := min(1, placing.MaxLoadFactor*(ownSound/sound)/(own/all))
 	return (1 - kept) / (1 - ownSound/own)
 }
 
@@ -99,7 +99,7 @@
 }
 
 // homesWithout deals all objects out over the servers outside a region.
-func (k *Kernel) homesWithout(f *Flight, g *service, region string) *placing.Homes {
+func (k *Kernel) homesWithout(f *Flight, g *service, region string) *placing.Placement {
 	key := reach{allowed: f.allowed, without: region}
 	if h := g.homes[key]; h != nil {
 		return h
@@ -110,7 +110,7 @@
 			list = append(list, placing.Server{ID: s.id, Weight: s.Slots, Class: s.class()})
 		}
 	}
-	g.homes[key] = placing.NewHomes(list, g.ranking)
+	g.homes[key] = placing.NewPlacement(list, g.ranking)
 	return g.homes[key]
 }
 
--- a/internal/kernel/steering/flight.go
+++ b/internal/kernel/steering/flight.go
@@ -52,7 +52,7 @@
 func (k *Kernel) start(now time.Time, f *Flight) Decision {
 	f.Service = k.splitter.Next(f.Route)
 	if f.Object != "" {
-		k.service(f.Service).demand.Heard(now, f.Object)
+		k.service(f.Service).demand.Record(now, f.Object)
 	}
 	return k.send(now, f)
 }
@@ -222,7 +222,7 @@
 func (k *Kernel) giveUp(now time.Time, f *Flight, reason Reason) Decision {
 	d := Decision{Reason: reason, NotRun: !f.mayHaveRun}
 	if f.Account != nil && len(f.steps) == 0 {
-		k.limits.holder.Return(f.Account.Name)
+		k.limits.holder.Refund(f.Account.Name)
 	}
 	if d.NotRun {
 		d.ComeBack = k.comeBack(now, f)
--- a/internal/kernel/steering/kernel.go
+++ b/internal/kernel/steering/kernel.go
@@ -54,7 +54,7 @@
 		ColdFactor float64
 		ColdSlack  float64
 		// Quota is what is allowed beyond the limits of client accounts.
-		Quota ratelimit.Allowance
+		Quota ratelimit.Overage
 	}
 
 	// RetryBudget bounds repeats over all proxies.
--- a/internal/kernel/steering/limits.go
+++ b/internal/kernel/steering/limits.go
@@ -20,7 +20,7 @@
 	// have given to it as their region's pool.
 	limits struct {
 		kernel *Kernel
-		holder *ratelimit.Holder
+		holder *ratelimit.Limiter
 		pool   *ratelimit.Pool
 		// fleet is among how many proxies limits are divided at least, as all have been
 		// told; zero if this one has not. holders are those that it knows.
@@ -34,21 +34,21 @@
 func newLimits(k *Kernel) *limits {
 	l := &limits{
 		kernel: k,
-		holder: ratelimit.NewHolder(k.config.Name, k.config.Joined),
+		holder: ratelimit.NewLimiter(k.config.Name, k.config.Joined),
 		pool:   ratelimit.NewPool(uint64(max(1, k.config.Joined.UnixMilli())), k.config.Joined),
 	}
-	l.holder.Limits, l.pool.Limits, l.pool.Starter = l.of, l.of, l.starter
+	l.holder.Limits, l.pool.Limits, l.pool.StartupBurst = l.of, l.of, l.starter
 	return l
 }
 
 // starter is how many requests of an account all processes may let through at their start.
 func (l *limits) starter(name string) float64 {
-	return l.account(name).Limit.Starter(l.kernel.config.Quota)
+	return l.account(name).Limit.StartupBurst(l.kernel.config.Quota)
 }
 
 // of is the limit that an account is held to, with a part of what is allowed beyond it.
 func (l *limits) of(name string) ratelimit.Limit {
-	return l.account(name).Limit.With(l.kernel.config.Quota)
+	return l.account(name).Limit.WithOverage(l.kernel.config.Quota)
 }
 
 // account is the account of a name; one that is not known has no limit and no share of one.
@@ -75,9 +75,9 @@
 func (l *limits) divide() {
 	switch {
 	case l.fleet > 0:
-		l.holder.SetPart(ratelimit.Part(max(l.fleet, l.holders)))
+		l.holder.SetBaseShare(ratelimit.EqualShare(max(l.fleet, l.holders)))
 	case l.waited:
-		l.holder.SetPart(ratelimit.Part(2 * l.holders))
+		l.holder.SetBaseShare(ratelimit.EqualShare(2 * l.holders))
 	}
 }
 
@@ -98,13 +98,13 @@
 	}
 	ruling := k.limits.holder.Take(now, f.Account.Name)
 	if ruling.Verdict == ratelimit.AskPool && ruling.Pool == k.config.Name {
-		ruling = k.limits.holder.Asked(now, f.Account.Name, ruling, k.limits.pool.Take(now, f.Account.Name), true)
+		ruling = k.limits.holder.HandlePoolReply(now, f.Account.Name, ruling, k.limits.pool.Take(now, f.Account.Name), true)
 	}
 	return k.ruled(now, f, ruling)
 }
 
 // ruled goes on with a request that is within its limit, has a pool asked, or refuses it.
-func (k *Kernel) ruled(now time.Time, f *Flight, r ratelimit.Ruling) Decision {
+func (k *Kernel) ruled(now time.Time, f *Flight, r ratelimit.Decision) Decision {
 	switch r.Verdict {
 	case ratelimit.Admitted:
 		return k.start(now, f)
@@ -112,7 +112,7 @@
 		f.asked = r
 		return Decision{Pool: r.Pool}
 	}
-	d := Decision{Reason: ReasonRateLimit, NotRun: true, ComeBack: k.returnAfter(r.Wait), Elsewhere: r.Elsewhere}
+	d := Decision{Reason: ReasonRateLimit, NotRun: true, ComeBack: k.returnAfter(r.RetryAfter), Elsewhere: r.RetryElsewhere}
 	return k.finish(now, f, d)
 }
 
@@ -125,8 +125,8 @@
 
 // Token takes in the pool's answer for a request that it was asked about, if there was
 // one, and decides what follows.
-func (k *Kernel) Token(now time.Time, f *Flight, t ratelimit.Token, answered bool) Decision {
-	d := k.ruled(now, f, k.limits.holder.Asked(now, f.Account.Name, f.asked, t, answered))
+func (k *Kernel) Token(now time.Time, f *Flight, t ratelimit.TokenReply, answered bool) Decision {
+	d := k.ruled(now, f, k.limits.holder.HandlePoolReply(now, f.Account.Name, f.asked, t, answered))
 	if k.config.Record != nil {
 		v := verdictOf(d)
 		k.config.Record(Call{Do: callToken, At: now, Flight: f.number, Token: &t, On: answered, Decision: &v})
@@ -135,7 +135,7 @@
 }
 
 // TakeToken answers a proxy that asks the pool here for one request of an account.
-func (k *Kernel) TakeToken(now time.Time, account string) ratelimit.Token {
+func (k *Kernel) TakeToken(now time.Time, account string) ratelimit.TokenReply {
 	k.record(Call{Do: callTakeToken, At: now, ID: account})
 	return k.limits.pool.Take(now, account)
 }
@@ -149,39 +149,39 @@
 // proxy that should be the pool, others are pools of other regions.
 func (k *Kernel) LimitReport(now time.Time, best string, others []string) (string, ratelimit.Report) {
 	k.record(Call{Do: callReport, At: now, ID: best, IDs: others})
-	return k.limits.holder.Report(now, best, others)
+	return k.limits.holder.NextReport(now, best, others)
 }
 
 // HearReport answers a proxy whose pool this is.
 func (k *Kernel) HearReport(now time.Time, r ratelimit.Report) ratelimit.Grants {
 	k.record(Call{Do: callHearReport, At: now, Report: &r})
-	return k.limits.pool.Hear(now, r)
+	return k.limits.pool.HandleReport(now, r)
 }
 
 // HearGrants takes in the pool's answer to a report made at a moment, and tells whether
 // the next one should follow at once.
 func (k *Kernel) HearGrants(now, asked time.Time, pool string, g ratelimit.Grants) bool {
 	k.record(Call{Do: callHearGrants, At: now, Asked: asked, ID: pool, Grants: &g})
-	return k.limits.holder.Granted(now, asked, pool, g)
+	return k.limits.holder.ApplyGrants(now, asked, pool, g)
 }
 
 // ReportUnanswered notes that the pool did not answer a report.
 func (k *Kernel) ReportUnanswered(now time.Time, pool string) {
 	k.record(Call{Do: callUnanswered, At: now, ID: pool})
-	k.limits.holder.Unanswered(now, pool)
+	k.limits.holder.MarkUnresponsive(now, pool)
 }
 
 // Borrow tells what other regions' pools should lend to the one here; nothing if there
 // is none here, or it has enough.
-func (k *Kernel) Borrow(now time.Time, lenders []string) []ratelimit.Loan {
+func (k *Kernel) Borrow(now time.Time, lenders []string) []ratelimit.LoanRequest {
 	k.record(Call{Do: callBorrow, At: now, IDs: lenders})
-	return k.limits.pool.Borrow(now, k.config.Name+poolSuffix, lenders)
+	return k.limits.pool.LoanRequests(now, k.config.Name+poolSuffix, lenders)
 }
 
 // HearLoan takes in what another region's pool lends, as asked for at a moment.
 func (k *Kernel) HearLoan(now, asked time.Time, lender string, g ratelimit.Grants) {
 	k.record(Call{Do: callHearLoan, At: now, Asked: asked, ID: lender, Grants: &g})
-	k.limits.pool.Lent(now, asked, lender, g)
+	k.limits.pool.ApplyLoan(now, asked, lender, g)
 }
 
 // SetFleet tells among how many proxies limits are divided at least, as all are told.
@@ -208,6 +208,6 @@
 // others gave it for a time may have ended.
 func (k *Kernel) Resumed(now time.Time) {
 	k.record(Call{Do: callResumed, At: now})
-	k.limits.holder.Resume(now)
+	k.limits.holder.ResetAfterPause(now)
 	k.limits.pool.Reset(now)
 }
--- a/internal/kernel/steering/replicas.go
+++ b/internal/kernel/steering/replicas.go
@@ -50,6 +50,6 @@
 // replicasNeeded is how many servers the object of a request needs, its home
 // included. This proxy takes the others of its region to see as much as it does.
 func (k *Kernel) replicasNeeded(f *Flight, g *service, slots int) int {
-	rate := g.demand.Least(f.began, f.Object) * float64(max(1, k.neighbours))
-	return placing.Replicas(rate, g.workOn(f.Route).typical(f.Route), slots)
+	rate := g.demand.LowerBound(f.began, f.Object) * float64(max(1, k.neighbours))
+	return placing.ReplicaCount(rate, g.workOn(f.Route).typical(f.Route), slots)
 }
--- a/internal/kernel/steering/request.go
+++ b/internal/kernel/steering/request.go
@@ -137,7 +137,7 @@
 		// allowed are the regions in which the request may run.
 		allowed regionSet
 		// asked is the ruling by which a pool is asked for a token.
-		asked    ratelimit.Ruling
+		asked    ratelimit.Decision
 		began    time.Time
 		server   *server
 		sentAt   time.Time
--- a/internal/kernel/steering/service.go
+++ b/internal/kernel/steering/service.go
@@ -23,7 +23,7 @@
 		holding holding
 		// work is how long the requests of each route take, by its name.
 		work  map[string]*workModel
-		homes map[reach]*placing.Homes
+		homes map[reach]*placing.Placement
 		// knowers are the servers that have handled each object lately.
 		knowers map[string][]*server
 		// ranking keeps what dealing objects out to the servers is made from.
@@ -88,7 +88,7 @@
 	s := k.services[name]
 	if s == nil {
 		s = &service{
-			name: name, homes: make(map[reach]*placing.Homes), regions: make(map[reach]*regionShares), members: make(map[string]*server),
+			name: name, homes: make(map[reach]*placing.Placement), regions: make(map[reach]*regionShares), members: make(map[string]*server),
 			work:     make(map[string]*workModel),
 			ranking:  placing.NewRanking(),
 			pressure: make(map[string]*admission.Pressure),
--- a/internal/kernel/steering/status.go
+++ b/internal/kernel/steering/status.go
@@ -37,7 +37,7 @@
 	// AccountStatus is a client account and what this proxy knows of its use.
 	AccountStatus struct {
 		*account.Account
-		ratelimit.Held
+		ratelimit.AccountStatus
 	}
 
 	// ServerStatus is one backend server as one proxy sees it.
@@ -90,13 +90,13 @@
 	if k.table == nil {
 		return nil
 	}
-	held := make(map[string]ratelimit.Held)
-	for _, h := range k.limits.holder.Held(now) {
+	held := make(map[string]ratelimit.AccountStatus)
+	for _, h := range k.limits.holder.AccountStatuses(now) {
 		held[h.Account] = h
 	}
 	var list []AccountStatus
 	for _, a := range k.table.Accounts.All() {
-		list = append(list, AccountStatus{Account: a, Held: held[a.Name]})
+		list = append(list, AccountStatus{Account: a, AccountStatus: held[a.Name]})
 	}
 	return list
 }
--- a/internal/proxy/forward/daemon.go
+++ b/internal/proxy/forward/daemon.go
@@ -233,7 +233,7 @@
 			d.do(func(k *steering.Kernel, now time.Time) { g = k.HearReport(now, r) })
 			return g
 		},
-		TakeToken: func(account string) (t ratelimit.Token) {
+		TakeToken: func(account string) (t ratelimit.TokenReply) {
 			d.do(func(k *steering.Kernel, now time.Time) { t = k.TakeToken(now, account) })
 			return t
 		},
--- a/internal/proxy/forward/feed.go
+++ b/internal/proxy/forward/feed.go
@@ -33,7 +33,7 @@
 		mu   sync.Mutex
 		copy *replica.Copy
 		// allowance bounds the whole copies given to peers.
-		allowance replica.Allowance
+		allowance replica.FullCopyBudget
 		members   map[string]member
 		// changed counts the changes of members.
 		changed int
@@ -128,7 +128,7 @@
 func (f *feed) tellServer(id string, e replica.Entry) {
 	if e.Removed {
 		f.daemon.do(func(k *steering.Kernel, now time.Time) {
-			if e.Doubtful {
+			if e.Tentative {
 				k.ServerAbsent(id, now.Add(absentFor))
 				return
 			}
@@ -175,12 +175,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.daemon.now()
-	hello := replica.Delta{Base: f.copy.Ask(), Revision: f.copy.Ask(), Age: f.copy.Age(now)}
+	hello := replica.Delta{Base: f.copy.RequestRevision(), Revision: f.copy.RequestRevision(), Age: f.copy.Age(now)}
 	if f.copy.Revision() <= revision {
 		return hello
 	}
 	d := f.copy.Since(now, revision)
-	if d.Whole && !f.allowance.Take(now, d.Cost()) {
+	if d.Full && !f.allowance.Allow(now, d.CompressedSize()) {
 		return hello
 	}
 	return d
@@ -208,7 +208,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	since := f.daemon.now().Sub(f.nearAt)
-	f.alone = replica.Follows(rank, age) || f.alone && replica.Follows(rank, since)
+	f.alone = replica.ShouldFollowStore(rank, age) || f.alone && replica.ShouldFollowStore(rank, since)
 	return f.alone
 }
 
@@ -221,7 +221,7 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		since = began
 	}
-	if f.outage.Failed(since) {
+	if f.outage.RecordFailure(since) {
 		klog.InfoS("store lost", "error", err.Error(), "revision", f.copy.Revision())
 	}
 }
@@ -230,7 +230,7 @@
 func (f *feed) answered() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.outage.Answered(f.daemon.now()) {
+	if f.outage.RecordSuccess(f.daemon.now()) {
 		klog.InfoS("store regained", "revision", f.copy.Revision())
 	}
 }
@@ -240,7 +240,7 @@
 func (f *feed) applyOwn(d replica.Delta) bool {
 	f.answered()
 	f.mu.Lock()
-	d.Doubtful = f.outage.Doubtful(f.daemon.now())
+	d.TentativeRemovals = f.outage.RemovalsTentative(f.daemon.now())
 	f.mu.Unlock()
 	return f.apply(d)
 }
--- a/internal/proxy/forward/follow.go
+++ b/internal/proxy/forward/follow.go
@@ -77,7 +77,7 @@
 
 // retryMost is the longest pause after a failed call.
 func (f *follower) retryMost() time.Duration {
-	if f.feed.rank() < replica.Relays {
+	if f.feed.rank() < replica.RelaysPerRegion {
 		return retryMost
 	}
 	return retryOthers
@@ -138,7 +138,7 @@
 
 // wait is how long this proxy's next watch should wait.
 func (f *follower) wait() time.Duration {
-	if rank := f.feed.rank(); rank > 0 && rank < replica.Relays {
+	if rank := f.feed.rank(); rank > 0 && rank < replica.RelaysPerRegion {
 		return spareWait
 	}
 	return watchWait
@@ -156,7 +156,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	if err := f.readAll(ctx, f.feed.rank() >= replica.Relays); err != nil && f.feed.revision() == 0 {
+	if err := f.readAll(ctx, f.feed.rank() >= replica.RelaysPerRegion); err != nil && f.feed.revision() == 0 {
 		return err
 	}
 	return nil
@@ -171,7 +171,7 @@
 	if err != nil {
 		return errors.Wrap(err, "read all")
 	}
-	d := replica.Delta{Revision: revision, Whole: true, Entries: entriesOf(items)}
+	d := replica.Delta{Revision: revision, Full: true, Entries: entriesOf(items)}
 	if stale {
 		d.Age = staleAge
 	}
--- a/internal/proxy/forward/follow_test.go
+++ b/internal/proxy/forward/follow_test.go
@@ -34,7 +34,7 @@
 		{"any other with an old copy", false, true, true},
 	} {
 		d := seeded(t, c.isSeed)
-		delta := replica.Delta{Revision: 7, Whole: true}
+		delta := replica.Delta{Revision: 7, Full: true}
 		if c.old {
 			delta.Age = 3 * retryMost
 		}
--- a/internal/proxy/forward/gossip.go
+++ b/internal/proxy/forward/gossip.go
@@ -102,7 +102,7 @@
 		g.pass(ctx, before)
 	}
 	answer := g.message(g.feed.since(m.Revision), m.Revision == 0)
-	if m.Revision == 0 && !answer.Whole {
+	if m.Revision == 0 && !answer.Full {
 		answer.Others = g.others()
 	}
 	return answer
@@ -212,7 +212,7 @@
 		g.push(ctx, to, since)
 		return
 	}
-	sleep.For(ctx, time.Duration(min(g.feed.rank(), replica.Relays))*offerPause)
+	sleep.For(ctx, time.Duration(min(g.feed.rank(), replica.RelaysPerRegion))*offerPause)
 	reply, err := g.send(ctx, to, g.message(g.feed.since(g.feed.revision()), false))
 	if err != nil {
 		klog.V(1).InfoS("news not delivered", "peer", to, "error", err.Error())
@@ -259,7 +259,7 @@
 	near, _ := g.peers()
 	most := 0
 	switch {
-	case g.feed.rank() < replica.Relays:
+	case g.feed.rank() < replica.RelaysPerRegion:
 		most = pushesMost
 	case len(near) > pushesMost:
 		most = passesMost
--- a/internal/proxy/forward/gossip_test.go
+++ b/internal/proxy/forward/gossip_test.go
@@ -99,7 +99,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- w.step(context.Background()) }()
 	<-given
-	d.feed.apply(replica.Delta{Revision: 7, Whole: true})
+	d.feed.apply(replica.Delta{Revision: 7, Full: true})
 	select {
 	case err := <-ended:
 		if err != nil {
@@ -129,7 +129,7 @@
 			d.feed.members[name] = member{Name: name, Region: "north", Peers: freePort(t), LinkMbps: 200}
 		}
 		d.feed.members["proxy-a"] = member{Name: "proxy-a", Region: "north"}
-		d.feed.apply(replica.Delta{Revision: 7, Whole: true})
+		d.feed.apply(replica.Delta{Revision: 7, Full: true})
 		news := peerdrpc.SyncMessage{From: "peer-0", Delta: replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8}}}}
 		g.handle(context.Background(), news)
 		g.handle(context.Background(), news)
@@ -164,7 +164,7 @@
 			d.feed.members[name] = member{Name: name, Region: "north", Peers: freePort(t)}
 		}
 		d.feed.members["proxy-a"] = member{Name: "proxy-a", Region: "north", LinkMbps: 200}
-		d.feed.apply(replica.Delta{Revision: 7, Whole: true})
+		d.feed.apply(replica.Delta{Revision: 7, Full: true})
 		w := &follower{feed: d.feed, confirmed: func() { g.confirm(context.Background()) }, store: Store{
 			Watch: func(context.Context, string, uint64, time.Duration) ([]Item, error) { return nil, nil },
 		}}
@@ -194,7 +194,7 @@
 			t.Fatal(err)
 		}
 		revision := uint64(i + 1)
-		d.feed.apply(replica.Delta{Base: revision - 1, Revision: revision, Whole: i == 0, Entries: []replica.Entry{{Key: memberPrefix + name, Value: entry, Revision: revision}}})
+		d.feed.apply(replica.Delta{Base: revision - 1, Revision: revision, Full: i == 0, Entries: []replica.Entry{{Key: memberPrefix + name, Value: entry, Revision: revision}}})
 		if i == 0 && named() != 2 {
 			t.Errorf("%d proxies are named after the first message, want it and this one", named())
 		}
@@ -222,7 +222,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	d.feed.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{{Key: "servers/s1", Value: value, Revision: 1}}})
+	d.feed.apply(replica.Delta{Revision: 1, Full: true, Entries: []replica.Entry{{Key: "servers/s1", Value: value, Revision: 1}}})
 	if !knows(d) {
 		f.t.Fatal("the server is not known")
 	}
@@ -241,7 +241,7 @@
 		d.feed.failed(context.DeadlineExceeded, d.now())
 		d.gossip.take(peerdrpc.SyncMessage{From: "peer", Delta: replica.Delta{
 			Base: removal.Base, Revision: removal.Revision,
-			Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true, Doubtful: doubtful}},
+			Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true, Tentative: doubtful}},
 		}})
 		if got := knows(d); got != doubtful {
 			t.Errorf("removal doubted by the peer %t: the server is still used %t", doubtful, got)
@@ -282,7 +282,7 @@
 		name := fmt.Sprintf("peer-%d", i)
 		d.feed.members[name] = member{Name: name, Region: "north", Peers: freePort(t)}
 	}
-	d.feed.apply(replica.Delta{Revision: 7, Whole: true})
+	d.feed.apply(replica.Delta{Revision: 7, Full: true})
 	g.handle(context.Background(), peerdrpc.SyncMessage{From: "far", Delta: replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8}}}})
 	f.eventually("the region is told", func() bool { return sent.Load() == 4 })
 }
@@ -376,7 +376,7 @@
 func TestLargeNewsAreBroughtToThoseThatLackThem(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.idle()
-	d.feed.apply(replica.Delta{Revision: 7, Whole: true})
+	d.feed.apply(replica.Delta{Revision: 7, Full: true})
 	d.feed.apply(replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8, Value: make([]byte, 2*offerFrom)}}})
 	for name, c := range map[string]struct {
 		has  uint64
--- a/internal/proxy/forward/keeper_test.go
+++ b/internal/proxy/forward/keeper_test.go
@@ -103,7 +103,7 @@
 		d.feed.members[name] = member{Name: name, Region: "north", LinkMbps: 1000}
 	}
 	d.feed.members[d.settings.Name] = member{Name: d.settings.Name, Region: "north"}
-	if d.feed.rank() < replica.Relays {
+	if d.feed.rank() < replica.RelaysPerRegion {
 		t.Fatal("the proxy is a relay beside two with wider links")
 	}
 	if got := w.retryMost(); got != retryOthers {
--- a/internal/proxy/forward/members.go
+++ b/internal/proxy/forward/members.go
@@ -77,7 +77,7 @@
 		if name == f.daemon.settings.Name {
 			f.writeSoon()
 		}
-		if e.Doubtful {
+		if e.Tentative {
 			f.daemon.do(func(k *steering.Kernel, now time.Time) { k.DoubtProxies(now.Add(absentFor)) })
 		}
 		klog.InfoS("proxy gone", "proxy", name)
@@ -201,7 +201,7 @@
 	settings := f.daemon.settings
 	list := f.candidates(func(m member) bool { return m.Region == settings.Region })
 	if len(list) == 0 && len(settings.Seeds) > 0 && !slices.Contains(settings.Seeds, settings.Listen.Peers) {
-		return replica.Relays
+		return replica.RelaysPerRegion
 	}
 	return replica.Rank(settings.Name, list)
 }
--- a/internal/proxy/forward/members_test.go
+++ b/internal/proxy/forward/members_test.go
@@ -26,8 +26,8 @@
 			t.Fatal(err)
 		}
 		entry := farMember(t, func(*member) {})
-		d.feed.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{{Key: memberPrefix + "far", Value: entry, Revision: 1}}})
-		d.feed.apply(replica.Delta{Base: 1, Revision: 2, Entries: []replica.Entry{{Key: memberPrefix + "far", Revision: 2, Removed: true, Doubtful: doubtful}}})
+		d.feed.apply(replica.Delta{Revision: 1, Full: true, Entries: []replica.Entry{{Key: memberPrefix + "far", Value: entry, Revision: 1}}})
+		d.feed.apply(replica.Delta{Base: 1, Revision: 2, Entries: []replica.Entry{{Key: memberPrefix + "far", Revision: 2, Removed: true, Tentative: doubtful}}})
 		var stranded []string
 		d.do(func(k *steering.Kernel, now time.Time) {
 			// The proxy has just started: it believes the list after two seconds and
@@ -90,7 +90,7 @@
 		strings.Replace(string(good), `"started":1000`, `"started":"a while"`, 1): false,
 	} {
 		before := d.feed.revision()
-		d.feed.apply(replica.Delta{Revision: before + 1, Base: before, Whole: before == 0, Entries: []replica.Entry{
+		d.feed.apply(replica.Delta{Revision: before + 1, Base: before, Full: before == 0, Entries: []replica.Entry{
 			{Key: memberPrefix + "far", Value: []byte(text), Revision: before + 1},
 		}})
 		list := d.feed.proxies()
@@ -105,7 +105,7 @@
 // for as long as it lived, and no caller was sent to it.
 func TestLastWordsOfAnEarlierStartDoNotCountAsTheNewOnes(t *testing.T) {
 	d := farFleet(t)
-	d.feed.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{
+	d.feed.apply(replica.Delta{Revision: 1, Full: true, Entries: []replica.Entry{
 		{Key: memberPrefix + "far", Value: farMember(t, func(m *member) { m.Started = 2000 }), Revision: 1},
 	}})
 	d.feed.hear(peerdrpc.SyncMessage{From: "far", Started: 1000, Leaving: true})
--- a/internal/proxy/forward/quotas.go
+++ b/internal/proxy/forward/quotas.go
@@ -117,10 +117,10 @@
 func (q *quotas) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !q.limited() {
-			sleep.For(ctx, ratelimit.ReportEvery)
+			sleep.For(ctx, ratelimit.ReportInterval)
 			continue
 		}
-		next := q.daemon.now().Add(ratelimit.ReportEvery - ratelimit.ReportEvery/10 + rand.N(ratelimit.ReportEvery/5))
+		next := q.daemon.now().Add(ratelimit.ReportInterval - ratelimit.ReportInterval/10 + rand.N(ratelimit.ReportInterval/5))
 		if q.report(ctx) {
 			q.report(ctx)
 		}
@@ -166,7 +166,7 @@
 	if len(lenders) == 0 {
 		return
 	}
-	var loans []ratelimit.Loan
+	var loans []ratelimit.LoanRequest
 	var asked time.Time
 	d.do(func(k *steering.Kernel, now time.Time) {
 		asked = now
@@ -217,10 +217,10 @@
 }
 
 // ask asks a pool for one request of an account.
-func (q *quotas) ask(ctx context.Context, pool, account string) (ratelimit.Token, bool) {
+func (q *quotas) ask(ctx context.Context, pool, account string) (ratelimit.TokenReply, bool) {
 	peer, known := q.daemon.feed.peerOf(pool)
 	if !known {
-		return ratelimit.Token{}, false
+		return ratelimit.TokenReply{}, false
 	}
 	t, err := q.daemon.peers.TakeToken(ctx, peer, account)
 	if err != nil {
@@ -295,7 +295,7 @@
 			g.domain = domain
 			all = f.candidates(func(m member) bool { return m.Domain == domain })
 		}
-		groups[g] = replica.Order(all)
+		groups[g] = replica.SortCandidates(all)
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/proxy/forward/reload.go
+++ b/internal/proxy/forward/reload.go
@@ -78,6 +78,6 @@
 			Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Window: s.Bounds.RetryWindow,
 		},
 		ColdFactor: s.Bounds.ColdFactor, ColdSlack: s.Bounds.ColdSlack,
-		Quota: ratelimit.Allowance{Window: s.Bounds.QuotaWindow, Ratio: s.Bounds.QuotaRatio, Requests: s.Bounds.QuotaRequests},
+		Quota: ratelimit.Overage{Window: s.Bounds.QuotaWindow, Ratio: s.Bounds.QuotaRatio, Requests: s.Bounds.QuotaRequests},
 	}
 }
