--- a/internal/kernel/ratelimit/arrivals.go
+++ b/internal/kernel/ratelimit/arrivals.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// arrivalSpan is how long a request counts for the rate of arrivals.
-	arrivalSpan = 2 * time.Second
+	// rateTimeConstant is how long a request counts for the rate of arrivals.
+	rateTimeConstant = 2 * time.Second
 )
 
 type (
@@ -20,7 +20,7 @@
 
 // Record counts one request.
 func (a *RequestRate) Record(now time.Time) {
-	a.perSecond = a.PerSecond(now) + 1/arrivalSpan.Seconds()
+	a.perSecond = a.PerSecond(now) + 1/rateTimeConstant.Seconds()
 	a.at = now
 }
 
@@ -29,5 +29,5 @@
 	if a.perSecond == 0 {
 		return 0
 	}
-	return a.perSecond * math.Exp(-max(0, now.Sub(a.at).Seconds())/arrivalSpan.Seconds())
+	return a.perSecond * math.Exp(-max(0, now.Sub(a.at).Seconds())/rateTimeConstant.Seconds())
 }
--- a/internal/kernel/ratelimit/holder.go
+++ b/internal/kernel/ratelimit/holder.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// deniedLeast and deniedMost bound how long the pool is not asked for an account
+	// minDenyTime and maxDenyTime bound how long the pool is not asked for an account
 	// again after it had no token.
-	deniedLeast = 50 * time.Millisecond
-	deniedMost  = time.Second
-	// silentFor is how long a pool that did not answer is not asked for requests.
-	silentFor = 500 * time.Millisecond
-	// aloneWait is when a caller may come back whose proxy reaches no pool: another
+	minDenyTime = 50 * time.Millisecond
+	maxDenyTime = time.Second
+	// unresponsivePoolBackoff is how long a pool that did not answer is not asked for requests.
+	unresponsivePoolBackoff = 500 * time.Millisecond
+	// noPoolRetryAfter is when a caller may come back whose proxy reaches no pool: another
 	// proxy can serve it at once.
-	aloneWait = 100 * time.Millisecond
-	// wantLeast is the rate from which a share is wanted, in requests a second. A share
+	noPoolRetryAfter = 100 * time.Millisecond
+	// minRateForShare is the rate from which a share is wanted, in requests a second. A share
 	// that is hardly used is lost to the others; below it the pool is asked each time.
-	wantLeast = 5.0
-	// idleBelow is the rate below which an account is forgotten, in requests a second.
-	idleBelow = 0.05
+	minRateForShare = 5.0
+	// idleRate is the rate below which an account is forgotten, in requests a second.
+	idleRate = 0.05
 )
 
 type (
@@ -54,50 +54,50 @@
 		// Limits tells the limit of an account; none for one that has none.
 		Limits func(account string) Limit
 
-		name string
-		part Share
-		// start tells the starts of the process apart; started is set once the pool has
+		name      string
+		baseShare Share
+		// processStart tells the starts of the process apart; started is set once the pool has
 		// heard of this one.
-		start   uint64
-		started bool
-		// awayUntil is how long others may hold the own part, ownSince since when it has
+		processStart  uint64
+		startReported bool
+		// depositedUntil is how long others may hold the own part, baseShareSince since when it has
 		// been here undiminished.
-		awayUntil time.Time
-		ownSince  time.Time
-		pool      poolSession
-		// others are the pools of some other regions.
-		others []string
-		// silent is until when pools that did not answer are not asked.
-		silent   map[string]time.Time
-		accounts map[string]*accountState
+		depositedUntil time.Time
+		baseShareSince time.Time
+		pool           poolSession
+		// otherPools are the pools of some other regions.
+		otherPools []string
+		// unresponsiveUntil is until when pools that did not answer are not asked.
+		unresponsiveUntil map[string]time.Time
+		accounts          map[string]*accountState
 	}
 
 	// poolSession is what is known of the pool that this proxy reports to.
 	poolSession struct {
 		name string
 		// id and clock are the pool's, as told last; no id if it has not answered yet.
-		id      uint64
-		clock   time.Duration
-		applied uint64
-		// given is set while the own part is with this start of the pool.
-		given bool
-		// leaving is set while the part is taken back.
-		leaving bool
+		id          uint64
+		clock       time.Duration
+		lastApplied uint64
+		// deposited is set while the own part is with this start of the pool.
+		deposited bool
+		// withdrawing is set while the part is taken back.
+		withdrawing bool
 	}
 
 	// accountState is an account's limit as held here.
 	accountState struct {
 		bucket      Bucket
 		granted     shareLease
-		from        string
-		arrivals    RequestRate
+		grantedBy   string
+		requestRate RequestRate
 		deniedUntil time.Time
 		admitted    uint64
 		denied      uint64
 	}
 
-	// AccountStatus is an account's state here, for operators.
-	AccountStatus struct {
+	// AccountUsage is an account's state here, for operators.
+	AccountUsage struct {
 		Account string
 		Share   Share
 		// PerSecond is the rate of requests here, of late.
@@ -111,22 +111,22 @@
 // NewLimiter makes the holder of a process that started at a moment. What the process
 // before it on this VM gave away may still be in use.
 func NewLimiter(name string, start time.Time) *Limiter {
-	return &Limiter{name: name, start: uint64(start.UnixMilli()), awayUntil: start.Add(depositFor + guard), silent: make(map[string]time.Time), accounts: make(map[string]*accountState)}
+	return &Limiter{name: name, processStart: uint64(start.UnixMilli()), depositedUntil: start.Add(depositTTL + clockDriftMargin), unresponsiveUntil: make(map[string]time.Time), accounts: make(map[string]*accountState)}
 }
 
 // SetBaseShare sets the own part of all limits.
-func (h *Limiter) SetBaseShare(part Share) {
-	if part > h.part {
-		h.ownSince = time.Time{}
+func (h *Limiter) SetBaseShare(share Share) {
+	if share > h.baseShare {
+		h.baseShareSince = time.Time{}
 	}
-	h.part = part
+	h.baseShare = share
 }
 
 // ResetAfterPause forgets what was granted and given: this process did not run for a while, and
 // shares may have ended meanwhile by others' clocks.
 func (h *Limiter) ResetAfterPause(now time.Time) {
 	h.pool = poolSession{}
-	h.awayUntil = now.Add(depositFor + guard)
+	h.depositedUntil = now.Add(depositTTL + clockDriftMargin)
 	for _, a := range h.accounts {
 		a.granted = shareLease{}
 	}
@@ -139,11 +139,11 @@
 		return Decision{Verdict: Admitted}
 	}
 	a := h.account(account)
-	if a.bucket.at.IsZero() && !now.Before(h.awayUntil) {
-		a.bucket = Bucket{at: h.heldSince(now), share: h.part}
+	if a.bucket.refilledAt.IsZero() && !now.Before(h.depositedUntil) {
+		a.bucket = Bucket{refilledAt: h.baseShareHeldSince(now), share: h.baseShare}
 	}
-	a.arrivals.Record(now)
-	a.bucket.Refill(now, l, h.share(now, a))
+	a.requestRate.Record(now)
+	a.bucket.Refill(now, l, h.shareHeld(now, a))
 	switch {
 	case a.bucket.Take():
 		a.admitted++
@@ -152,42 +152,42 @@
 		a.denied++
 		return Decision{Verdict: Denied, RetryAfter: a.deniedUntil.Sub(now)}
 	}
-	if ruling, found := h.ask(now, 0); found {
+	if ruling, found := h.nextPool(now, 0); found {
 		return ruling
 	}
 	a.denied++
-	return h.alone(now)
+	return h.denyWithoutPool(now)
 }
 
-// alone denies a request because no pool can be asked. Another proxy may serve it, unless
+// denyWithoutPool denies a request because no pool can be asked. Another proxy may serve it, unless
 // all may have just started.
-func (h *Limiter) alone(now time.Time) Decision {
-	if young := h.awayUntil.Sub(now); !h.started && young > 0 {
-		return Decision{Verdict: Denied, RetryAfter: young + rampUp}
+func (h *Limiter) denyWithoutPool(now time.Time) Decision {
+	if startupLeft := h.depositedUntil.Sub(now); !h.startReported && startupLeft > 0 {
+		return Decision{Verdict: Denied, RetryAfter: startupLeft + poolRampUp}
 	}
-	return Decision{Verdict: Denied, RetryAfter: aloneWait, RetryElsewhere: true}
+	return Decision{Verdict: Denied, RetryAfter: noPoolRetryAfter, RetryElsewhere: true}
 }
 
 // Tick notes since when the own part has been here.
-func (h *Limiter) Tick(now time.Time) { h.heldSince(now) }
+func (h *Limiter) Tick(now time.Time) { h.baseShareHeldSince(now) }
 
-// heldSince is since when the own part has been here. An account that was not used since
+// baseShareHeldSince is since when the own part has been here. An account that was not used since
 // then has the tokens that came in meanwhile.
-func (h *Limiter) heldSince(now time.Time) time.Time {
-	if h.ownSince.IsZero() {
-		h.ownSince = now
+func (h *Limiter) baseShareHeldSince(now time.Time) time.Time {
+	if h.baseShareSince.IsZero() {
+		h.baseShareSince = now
 	}
-	return later(h.ownSince, h.awayUntil)
+	return laterOf(h.baseShareSince, h.depositedUntil)
 }
 
-// ask names the next pool to ask: that of the own region first, then some others.
-func (h *Limiter) ask(now time.Time, from int) (Decision, bool) {
-	for i := from; i <= len(h.others); i++ {
+// nextPool names the next pool to ask: that of the own region first, then some others.
+func (h *Limiter) nextPool(now time.Time, first int) (Decision, bool) {
+	for i := first; i <= len(h.otherPools); i++ {
 		pool := h.pool.name
 		if i > 0 {
-			pool = h.others[i-1]
+			pool = h.otherPools[i-1]
 		}
-		if pool != "" && !now.Before(h.silent[pool]) {
+		if pool != "" && !now.Before(h.unresponsiveUntil[pool]) {
 			return Decision{Verdict: AskPool, Pool: pool, NextIndex: i + 1}, true
 		}
 	}
@@ -195,24 +195,24 @@
 }
 
 // HandlePoolReply takes in the answer to a ruling that a pool is to be asked; there may be none.
-func (h *Limiter) HandlePoolReply(now time.Time, account string, asked Decision, t TokenReply, answered bool) Decision {
+func (h *Limiter) HandlePoolReply(now time.Time, account string, asked Decision, reply TokenReply, answered bool) Decision {
 	a := h.account(account)
-	if answered && t.Granted {
+	if answered && reply.Granted {
 		a.admitted++
 		return Decision{Verdict: Admitted}
 	}
 	if !answered {
 		h.MarkUnresponsive(now, asked.Pool)
 	}
-	if next, found := h.ask(now, asked.NextIndex); found {
+	if next, found := h.nextPool(now, asked.NextIndex); found {
 		return next
 	}
 	a.denied++
 	if !answered {
-		return h.alone(now)
+		return h.denyWithoutPool(now)
 	}
-	wait := max(deniedLeast, min(t.Wait, deniedMost))
-	a.deniedUntil = later(a.deniedUntil, now.Add(wait))
+	wait := max(minDenyTime, min(reply.Wait, maxDenyTime))
+	a.deniedUntil = laterOf(a.deniedUntil, now.Add(wait))
 	return Decision{Verdict: Denied, RetryAfter: wait}
 }
 
@@ -233,52 +233,52 @@
 // NextReport tells what the pool must hear now, and who that is. best is the proxy that
 // should be the pool; while the part is taken back from another one that answers, it is
 // that one still. others are pools of other regions that may be asked for requests.
-func (h *Limiter) NextReport(now time.Time, best string, others []string) (to string, r Report) {
-	h.others = others
-	h.choose(now, best)
-	r = Report{From: h.name, Pool: h.pool.id, Echo: h.pool.clock, Applied: h.pool.applied, Withdraws: h.pool.leaving}
-	if h.pool.leaving {
+func (h *Limiter) NextReport(now time.Time, preferred string, otherPools []string) (to string, r Report) {
+	h.otherPools = otherPools
+	h.choosePool(now, preferred)
+	r = Report{From: h.name, Pool: h.pool.id, Echo: h.pool.clock, Applied: h.pool.lastApplied, Withdraws: h.pool.withdrawing}
+	if h.pool.withdrawing {
 		return h.pool.name, r
 	}
-	if h.pool.id != 0 && (h.pool.given || !now.Before(h.awayUntil)) {
+	if h.pool.id != 0 && (h.pool.deposited || !now.Before(h.depositedUntil)) {
 		// The own share goes down before the pool can hear of it.
-		h.pool.given = true
-		h.awayUntil = later(h.awayUntil, now.Add(depositFor+guard))
-		r.Part = h.part
+		h.pool.deposited = true
+		h.depositedUntil = laterOf(h.depositedUntil, now.Add(depositTTL+clockDriftMargin))
+		r.Part = h.baseShare
 	}
-	if !h.started {
-		r.Starter, r.Start = h.part, h.start
+	if !h.startReported {
+		r.Starter, r.Start = h.baseShare, h.processStart
 	}
-	r.Wants = h.wants(now)
+	r.Wants = h.wantedShares(now)
 	return h.pool.name, r
 }
 
-// choose settles which pool is reported to.
-func (h *Limiter) choose(now time.Time, best string) {
+// choosePool settles which pool is reported to.
+func (h *Limiter) choosePool(now time.Time, preferred string) {
 	p := &h.pool
 	switch {
-	case p.name == best:
-		p.leaving = false
-	case p.given && !now.Before(h.silent[p.name]) && now.Before(h.awayUntil):
-		p.leaving = true
+	case p.name == preferred:
+		p.withdrawing = false
+	case p.deposited && !now.Before(h.unresponsiveUntil[p.name]) && now.Before(h.depositedUntil):
+		p.withdrawing = true
 		for _, a := range h.accounts {
 			a.granted = shareLease{}
 		}
 	default:
-		*p = poolSession{name: best}
+		*p = poolSession{name: preferred}
 	}
 }
 
-// wants lists the shares that are wanted, and forgets accounts that are idle.
-func (h *Limiter) wants(now time.Time) []AccountShare {
+// wantedShares lists the shares that are wanted, and forgets accounts that are idle.
+func (h *Limiter) wantedShares(now time.Time) []AccountShare {
 	var list []AccountShare
 	for name, a := range h.accounts {
-		rate := a.arrivals.PerSecond(now)
-		if share := wanted(rate, h.Limits(name)); rate >= wantLeast && share > 0 {
+		rate := a.requestRate.PerSecond(now)
+		if share := shareForRate(rate, h.Limits(name)); rate >= minRateForShare && share > 0 {
 			list = append(list, AccountShare{Account: name, Share: share})
 			continue
 		}
-		if rate < idleBelow && !a.granted.live(now) && !now.Before(a.deniedUntil) && a.bucket.Full(h.Limits(name)) {
+		if rate < idleRate && !a.granted.live(now) && !now.Before(a.deniedUntil) && a.bucket.Full(h.Limits(name)) {
 			delete(h.accounts, name)
 		}
 	}
@@ -288,77 +288,77 @@
 
 // ApplyGrants takes in a pool's answer to a report made at a moment. It reports whether the
 // next one should follow at once: the pool has not been given the part yet.
-func (h *Limiter) ApplyGrants(now, asked time.Time, pool string, g Grants) bool {
+func (h *Limiter) ApplyGrants(now, reportedAt time.Time, pool string, g Grants) bool {
 	p := &h.pool
 	if p.name != pool {
 		return false
 	}
-	delete(h.silent, pool)
+	delete(h.unresponsiveUntil, pool)
 	if g.Withdrawn {
-		h.awayUntil = now
+		h.depositedUntil = now
 		*p = poolSession{}
 		return true
 	}
-	h.started = h.started || h.part > 0
+	h.startReported = h.startReported || h.baseShare > 0
 	first := p.id != g.Pool
 	if first {
-		p.given = false
+		p.deposited = false
 	}
-	p.id, p.clock, p.applied = g.Pool, g.Clock, g.ID
-	if p.leaving {
+	p.id, p.clock, p.lastApplied = g.Pool, g.Clock, g.ID
+	if p.withdrawing {
 		return false
 	}
-	h.replace(now, pool, g.Shares, asked.Add(g.For))
+	h.replaceGrants(now, pool, g.Shares, reportedAt.Add(g.For))
 	return first
 }
 
-// replace brings the shares that a pool grants into force, in place of those that it
+// replaceGrants brings the shares that a pool grants into force, in place of those that it
 // granted before.
-func (h *Limiter) replace(now time.Time, pool string, shares []AccountShare, until time.Time) {
+func (h *Limiter) replaceGrants(now time.Time, pool string, shares []AccountShare, until time.Time) {
 	for _, a := range h.accounts {
-		if a.from == pool {
+		if a.grantedBy == pool {
 			a.granted = shareLease{}
 		}
 	}
 	for _, s := range shares {
 		a := h.account(s.Account)
 		if !a.granted.live(now) || s.Share >= a.granted.share {
-			a.granted, a.from = shareLease{share: s.Share, until: until}, pool
+			a.granted, a.grantedBy = shareLease{share: s.Share, until: until}, pool
 		}
 	}
 	for name, a := range h.accounts {
-		a.bucket.Refill(now, h.Limits(name), h.share(now, a))
+		a.bucket.Refill(now, h.Limits(name), h.shareHeld(now, a))
 	}
 }
 
 // MarkUnresponsive notes that a pool did not answer. Callers must not wait for it again.
 func (h *Limiter) MarkUnresponsive(now time.Time, pool string) {
-	h.silent[pool] = now.Add(silentFor)
+	h.unresponsiveUntil[pool] = now.Add(unresponsivePoolBackoff)
 }
 
-// AccountStatuses describes the accounts that are in use here, by name.
-func (h *Limiter) AccountStatuses(now time.Time) []AccountStatus {
-	list := make([]AccountStatus, 0, len(h.accounts))
+// AccountUsages describes the accounts that are in use here, by name.
+func (h *Limiter) AccountUsages(now time.Time) []AccountUsage {
+	list := make([]AccountUsage, 0, len(h.accounts))
 	for name, a := range h.accounts {
-		list = append(list, AccountStatus{
-			Account: name, Share: h.share(now, a), PerSecond: a.arrivals.PerSecond(now), Admitted: a.admitted, Denied: a.denied,
+		list = append(list, AccountUsage{
+			Account: name, Share: h.shareHeld(now, a), PerSecond: a.requestRate.PerSecond(now), Admitted: a.admitted, Denied: a.denied,
 		})
 	}
-	slices.SortFunc(list, func(a, b AccountStatus) int { return cmp.Compare(a.Account, b.Account) })
+	slices.SortFunc(list, func(a, b AccountUsage) int { return cmp.Compare(a.Account, b.Account) })
 	return list
 }
 
 // Pool is the proxy that is reported to, empty for none.
 func (h *Limiter) Pool() string { return h.pool.name }
 
-// share is what is held of an account's limit at a moment.
-func (h *Limiter) share(now time.Time, a *accountState) Share {
+// shareHeld is what is held of an account's limit at a moment.
+func (h *Limiter) shareHeld(now time.Time, a *accountState) Share {
 	share := Share(0)
 	if a.granted.live(now) {
 		share = a.granted.share
 	}
-	if !now.Before(h.awayUntil) {
-		share += h.part
+	if !now.Before(h.depositedUntil) {
+		share += h.baseShare
 	}
 	return min(share, FullShare)
 }
--- a/internal/kernel/ratelimit/limit.go
+++ b/internal/kernel/ratelimit/limit.go
@@ -15,17 +15,17 @@
 const (
 	// FullShare is all of a limit.
 	FullShare Share = 1_000_000
-	// allowanceUsed is the part in use of what operators allow beyond a limit. The rest
+	// overageUsed is the part in use of what operators allow beyond a limit. The rest
 	// covers requests that are sent again and views of the fleet that differ.
-	allowanceUsed = 0.5
-	// starterShare is the part of it for processes that start; all may start twice within
+	overageUsed = 0.5
+	// startupFraction is the part of it for processes that start; all may start twice within
 	// a window.
-	starterShare = 0.2
-	// tokenLeast is what counts as a token. Shares are whole millionths, and those of all
+	startupFraction = 0.2
+	// minToken is what counts as a token. Shares are whole millionths, and those of all
 	// add up to a little less than the whole.
-	tokenLeast = 0.999
-	// room is how much more is wanted than what has come of late.
-	room = 1.25
+	minToken = 0.999
+	// headroom is how much more is wanted than what has come of late.
+	headroom = 1.25
 )
 
 type (
@@ -51,9 +51,9 @@
 
 	// Bucket is a token bucket that holds a share of a limit.
 	Bucket struct {
-		tokens float64
-		share  Share
-		at     time.Time
+		tokens     float64
+		share      Share
+		refilledAt time.Time
 	}
 )
 
@@ -66,8 +66,8 @@
 	if l.Unlimited() {
 		return l
 	}
-	more := 1 + allowanceUsed*a.Ratio
-	return Limit{PerSecond: l.PerSecond * more, Burst: max(1, l.Burst*more+allowanceUsed*a.Requests)}
+	factor := 1 + overageUsed*a.Ratio
+	return Limit{PerSecond: l.PerSecond * factor, Burst: max(1, l.Burst*factor+overageUsed*a.Requests)}
 }
 
 // StartupBurst is how many requests all processes together may let through at their start,
@@ -77,7 +77,7 @@
 	if l.Unlimited() {
 		return 0
 	}
-	return starterShare * (a.Ratio*(l.PerSecond*a.Window.Seconds()+l.Burst) + a.Requests)
+	return startupFraction * (a.Ratio*(l.PerSecond*a.Window.Seconds()+l.Burst) + a.Requests)
 }
 
 // EqualShare is the share of each of a number of equal holders.
@@ -87,31 +87,31 @@
 func (s Share) rate(l Limit) float64  { return float64(s) / float64(FullShare) * l.PerSecond }
 func (s Share) burst(l Limit) float64 { return float64(s) / float64(FullShare) * l.Burst }
 
-// wanted is the share that lets requests through that arrive at a rate.
-func wanted(perSecond float64, l Limit) Share {
+// shareForRate is the share that lets requests through that arrive at a rate.
+func shareForRate(perSecond float64, l Limit) Share {
 	if l.Unlimited() || perSecond <= 0 {
 		return 0
 	}
-	return Share(min(float64(FullShare), math.Ceil(room*perSecond/l.PerSecond*float64(FullShare))))
+	return Share(min(float64(FullShare), math.Ceil(headroom*perSecond/l.PerSecond*float64(FullShare))))
 }
 
 // Refill brings the tokens up to a moment, at which a share is held. A share that has
 // grown brings no tokens: whoever held it before may have used them.
 func (b *Bucket) Refill(now time.Time, l Limit, s Share) {
-	kept := min(b.share, s)
-	if now.After(b.at) {
-		if !b.at.IsZero() {
-			b.tokens += now.Sub(b.at).Seconds() * kept.rate(l)
+	unchanged := min(b.share, s)
+	if now.After(b.refilledAt) {
+		if !b.refilledAt.IsZero() {
+			b.tokens += now.Sub(b.refilledAt).Seconds() * unchanged.rate(l)
 		}
-		b.at = now
+		b.refilledAt = now
 	}
 	b.share = s
-	b.tokens = min(b.tokens, kept.burst(l))
+	b.tokens = min(b.tokens, unchanged.burst(l))
 }
 
 // Take takes a token, if there is one.
 func (b *Bucket) Take() bool {
-	if b.tokens < tokenLeast {
+	if b.tokens < minToken {
 		return false
 	}
 	b.tokens--
@@ -128,10 +128,10 @@
 func (b *Bucket) Full(l Limit) bool { return b.tokens >= b.share.burst(l) }
 
 // Wait is the time until the next token, or most if that is longer.
-func (b *Bucket) Wait(l Limit, most time.Duration) time.Duration {
+func (b *Bucket) Wait(l Limit, maxWait time.Duration) time.Duration {
 	rate := b.share.rate(l)
-	if rate <= 0 || b.share.burst(l) < tokenLeast {
-		return most
+	if rate <= 0 || b.share.burst(l) < minToken {
+		return maxWait
 	}
-	return min(most, time.Duration(max(0, 1-b.tokens)/rate*float64(time.Second)))
+	return min(maxWait, time.Duration(max(0, 1-b.tokens)/rate*float64(time.Second)))
 }
--- a/internal/kernel/ratelimit/limit_test.go
+++ b/internal/kernel/ratelimit/limit_test.go
@@ -8,7 +8,7 @@
 
 // Guards against an account whose burst is one request and that is never served: a third of
 // it three times is less than one.
-func TestPartsOfASmallBurstAddUpToARequest(t *testing.T) {
+func TestEqualSharesOfSmallBurstAddUpToOneToken(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	l := Limit{PerSecond: 100, Burst: 1}.WithOverage(Overage{})
 	for _, holders := range []int{1, 3, 7, 77, 1300} {
@@ -24,7 +24,7 @@
 
 // Guards against a share that grows and brings tokens which its former holder has used, and
 // one that shrinks and keeps them.
-func TestSharesThatMoveBringNoTokens(t *testing.T) {
+func TestMovingSharesAddsNoTokens(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	l := Limit{PerSecond: 10, Burst: 10}
 	var b Bucket
--- a/internal/kernel/ratelimit/message.go
+++ b/internal/kernel/ratelimit/message.go
@@ -7,20 +7,20 @@
 const (
 	// ReportInterval is how often a proxy tells its pool what it needs.
 	ReportInterval = 100 * time.Millisecond
-	// grantFor is how long a granted share lasts, counted by its holder from before it
+	// grantTTL is how long a granted share lasts, counted by its holder from before it
 	// asked. Two reports may be lost before it ends.
-	grantFor = 300 * time.Millisecond
-	// grantLeast is the least time for which a deposit must last to back new grants.
-	grantLeast = 200 * time.Millisecond
-	// depositFor is how long a proxy gives its own part away, counted by the pool from
+	grantTTL = 300 * time.Millisecond
+	// minDepositLeft is the least time for which a deposit must last to back new grants.
+	minDepositLeft = 200 * time.Millisecond
+	// depositTTL is how long a proxy gives its own part away, counted by the pool from
 	// before the proxy did.
-	depositFor = 500 * time.Millisecond
-	// rampUp is how long after its parts have come in a pool needs to serve those who were
+	depositTTL = 500 * time.Millisecond
+	// poolRampUp is how long after its parts have come in a pool needs to serve those who were
 	// refused meanwhile.
-	rampUp = 400 * time.Millisecond
-	// guard is added by whoever gave a share away before it is used again, for clocks
+	poolRampUp = 400 * time.Millisecond
+	// clockDriftMargin is added by whoever gave a share away before it is used again, for clocks
 	// that differ in rate.
-	guard = 50 * time.Millisecond
+	clockDriftMargin = 50 * time.Millisecond
 )
 
 type (
--- a/internal/kernel/steering/status.go
+++ b/internal/kernel/steering/status.go
@@ -37,7 +37,7 @@
 	// AccountStatus is a client account and what this proxy knows of its use.
 	AccountStatus struct {
 		*account.Account
-		ratelimit.AccountStatus
+		ratelimit.AccountUsage
 	}
 
 	// ServerStatus is one backend server as one proxy sees it.
@@ -90,13 +90,13 @@
 	if k.table == nil {
 		return nil
 	}
-	held := make(map[string]ratelimit.AccountStatus)
-	for _, h := range k.limits.holder.AccountStatuses(now) {
+	held := make(map[string]ratelimit.AccountUsage)
+	for _, h := range k.limits.holder.AccountUsages(now) {
 		held[h.Account] = h
 	}
 	var list []AccountStatus
 	for _, a := range k.table.Accounts.All() {
-		list = append(list, AccountStatus{Account: a, AccountStatus: held[a.Name]})
+		list = append(list, AccountStatus{Account: a, AccountUsage: held[a.Name]})
 	}
 	return list
 }
