--- a/internal/kernel/placing/home.go
+++ b/internal/kernel/placing/home.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// maxNumber is the largest object number that gets a place of its own.
+	// objectIndexes is the largest object number that gets a place of its own.
 	// Larger numbers and other names are spread over this many places.
-	maxNumber = 4096
+	objectIndexes = 4096
 	// ChoicesPerObject is how many servers are named for an object, best first.
 	ChoicesPerObject = 3
-	// window is how many consecutive objects are dealt out evenly.
-	window = 24
-	// shortList is how many servers of each object are looked at first. Where an
+	// windowSize is how many consecutive objects are dealt out evenly.
+	windowSize = 24
+	// shortListSize is how many servers of each object are looked at first. Where an
 	// object finds room only further down, all are; the result is the same.
-	shortList = 16
-	// hashSpare is how many bits of a hash are left out, so that the rest is exact as
+	shortListSize = 16
+	// hashSpareBits is how many bits of a hash are left out, so that the rest is exact as
 	// a floating-point number.
-	hashSpare = 11
+	hashSpareBits = 11
 )
 
 type (
@@ -42,15 +42,15 @@
 	// Placement names the servers of each object for one list of servers. The
 	// same list gives the same homes in every process.
 	Placement struct {
-		servers []Server
-		hashes  []uint64
-		weight  int
-		classes []serverClass
-		// taken counts the objects placed on each server so far.
-		taken []int
-		// homes holds the choices of object i at i.
-		homes  [][ChoicesPerObject]int32
-		dealer *assigner
+		servers     []Server
+		hashes      []uint64
+		totalWeight int
+		classes     []serverClass
+		// assigned counts the objects placed on each server so far.
+		assigned []int
+		// choices holds the choices of object i at i.
+		choices  [][ChoicesPerObject]int32
+		assigner *assigner
 	}
 )
 
@@ -59,10 +59,10 @@
 func NewPlacement(servers []Server, r *Ranking) *Placement {
 	h := &Placement{servers: slices.Clone(servers)}
 	slices.SortFunc(h.servers, func(a, b Server) int { return cmp.Compare(a.ID, b.ID) })
-	h.taken = make([]int, len(h.servers))
+	h.assigned = make([]int, len(h.servers))
 	for _, s := range h.servers {
 		h.hashes = append(h.hashes, xxhash.Sum64String(s.ID))
-		h.weight += s.Weight
+		h.totalWeight += s.Weight
 	}
 	h.classify(r)
 	return h
@@ -82,20 +82,20 @@
 			known[kind{s.Class, s.Weight}] = n
 			h.classes = append(h.classes, serverClass{weight: s.Weight})
 			if r != nil && r.classes[s.Class] != nil {
-				h.classes[n].ranked = r.classes[s.Class]
+				h.classes[n].ranking = r.classes[s.Class]
 				h.classes[n].indexes = make([]int32, len(r.classes[s.Class].ids))
 			}
 		}
 		c := &h.classes[n]
 		c.servers = append(c.servers, int32(i))
-		if c.ranked != nil {
-			c.indexes[c.ranked.numbers[s.ID]] = int32(i)
+		if c.ranking != nil {
+			c.indexes[c.ranking.numbers[s.ID]] = int32(i)
 		}
 	}
 	for n := range h.classes {
 		// Servers that the ranking lacks, or has besides, would be left out or named.
-		if c := &h.classes[n]; c.ranked != nil && len(c.ranked.numbers) != len(c.servers) {
-			c.ranked = nil
+		if c := &h.classes[n]; c.ranking != nil && len(c.ranking.numbers) != len(c.servers) {
+			c.ranking = nil
 		}
 	}
 }
@@ -106,11 +106,11 @@
 		return nil
 	}
 	place := ObjectIndex(object)
-	for len(h.homes) <= place {
-		h.place(len(h.homes))
+	for len(h.choices) <= place {
+		h.placeWindow(len(h.choices))
 	}
 	ids := make([]string, 0, ChoicesPerObject)
-	for _, i := range h.homes[place] {
+	for _, i := range h.choices[place] {
 		if i >= 0 {
 			ids = append(ids, h.servers[i].ID)
 		}
@@ -123,25 +123,25 @@
 // are spread evenly, which a hash does not do for a few dozen.
 func ObjectIndex(object string) int {
 	n, err := strconv.ParseUint(object, 16, 63)
-	if err == nil && n < maxNumber {
+	if err == nil && n < objectIndexes {
 		return int(n)
 	}
-	return int(xxhash.Sum64String(object) % maxNumber)
+	return int(xxhash.Sum64String(object) % objectIndexes)
 }
 
-// place deals the objects of the next window out. No server takes more than
+// placeWindow deals the objects of the next window out. No server takes more than
 // its share of all objects dealt out so far, rounded up; among the pairs of
 // object and server the best weighted rendezvous scores come first. A server
 // that comes or goes moves the objects it takes or leaves and few others.
-func (h *Placement) place(first int) {
-	if h.dealer == nil {
-		h.dealer = newAssigner(h, shortList)
+func (h *Placement) placeWindow(firstObject int) {
+	if h.assigner == nil {
+		h.assigner = newAssigner(h, shortListSize)
 	}
-	homes := h.dealer.deal(first)
-	h.homes = append(h.homes, homes[:]...)
+	choices := h.assigner.assign(firstObject)
+	h.choices = append(h.choices, choices[:]...)
 }
 
-func mix(server uint64, n int) uint64 {
+func hashPair(server uint64, n int) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], server)
 	binary.LittleEndian.PutUint64(b[8:], uint64(n))
--- a/internal/kernel/placing/home_test.go
+++ b/internal/kernel/placing/home_test.go
@@ -19,7 +19,7 @@
 // Callers of one region ask for two dozen objects, numbered densely. A plain
 // hash gave one of twelve servers twice the mean, its queue grew and its
 // callers waited while others idled.
-func TestDenseNumbersAreDealtEvenly(t *testing.T) {
+func TestDenselyNumberedObjectsAreSpreadEvenly(t *testing.T) {
 	h := NewPlacement(servers(12), nil)
 	for first := 0; first < 72; first += 24 {
 		count := make(map[string]int)
@@ -39,7 +39,7 @@
 
 // Two proxies hear of the servers in different orders. If they named unlike
 // homes, each object would run cold on two servers.
-func TestHomesDoNotDependOnOrder(t *testing.T) {
+func TestPlacementDoesNotDependOnServerOrder(t *testing.T) {
 	list := servers(12)
 	a := NewPlacement(list, nil)
 	slices.Reverse(list)
@@ -77,26 +77,26 @@
 	}
 }
 
-// dealAll deals a window out by the definition: from all pairs of object and server, the
+// assignAllPairs deals a window out by the definition: from all pairs of object and server, the
 // best first.
-func dealAll(h *Placement, first int) (homes [window][ChoicesPerObject]int32) {
+func assignAllPairs(h *Placement, first int) (homes [windowSize][ChoicesPerObject]int32) {
 	type weighed struct {
 		candidate
 		object int
 	}
 	var list []weighed
-	for n := range window {
+	for n := range windowSize {
 		homes[n] = [ChoicesPerObject]int32{-1, -1, -1}
 		for i, s := range h.servers {
-			list = append(list, weighed{candidate{weigh(mix(h.hashes[i], first+n)>>hashSpare, s.Weight), int32(i)}, n})
+			list = append(list, weighed{candidate{weightedDistance(hashPair(h.hashes[i], first+n)>>hashSpareBits, s.Weight), int32(i)}, n})
 		}
 	}
 	slices.SortFunc(list, func(a, b weighed) int {
-		return cmp.Or(comparePairs(a.candidate, b.candidate), cmp.Compare(a.object, b.object))
+		return cmp.Or(compareCandidates(a.candidate, b.candidate), cmp.Compare(a.object, b.object))
 	})
 	counted := make(map[int32]int)
 	for _, p := range list {
-		if homes[p.object][0] < 0 && h.taken[p.server]+counted[p.server] < h.room(p.server, first) {
+		if homes[p.object][0] < 0 && h.assigned[p.server]+counted[p.server] < h.capacity(p.server, first) {
 			homes[p.object][0] = p.server
 			counted[p.server]++
 		}
@@ -114,42 +114,42 @@
 // every pair of object and server took seconds of a small VM, and changes were
 // in force late. Only each object's nearest servers are weighed, and must give
 // the same homes, also where these are full and the others are needed.
-func TestTheNearestServersGiveTheSameHomes(t *testing.T) {
-	fellShort := false
+func TestShortListGivesSamePlacementAsAllPairs(t *testing.T) {
+	shortListExhausted := false
 	for n := 1; n <= 60; n += 7 {
 		list := servers(n)
 		for i := range list {
 			list[i].Weight = 1 + i%5*i%7
 		}
-		h, fromTwo := NewPlacement(list, nil), NewPlacement(list, nil)
-		fromTwo.dealer = newAssigner(fromTwo, 2)
-		for first := 0; first < 10*window; first += window {
-			want := dealAll(h, first)
+		h, shortListOfTwo := NewPlacement(list, nil), NewPlacement(list, nil)
+		shortListOfTwo.assigner = newAssigner(shortListOfTwo, 2)
+		for first := 0; first < 10*windowSize; first += windowSize {
+			want := assignAllPairs(h, first)
 			if slices.ContainsFunc(want[:], func(c [ChoicesPerObject]int32) bool { return c[0] < 0 }) {
 				t.Fatalf("%d servers, objects from %d: not all have a home", n, first)
 			}
-			h.place(first)
-			fromTwo.place(first)
+			h.placeWindow(first)
+			shortListOfTwo.placeWindow(first)
 			for i := range want {
-				if got := h.homes[first+i]; got != want[i] {
+				if got := h.choices[first+i]; got != want[i] {
 					t.Fatalf("%d servers, object %d: homes are %v, want %v", n, first+i, got, want[i])
 				}
-				if got := fromTwo.homes[first+i]; got != want[i] {
+				if got := shortListOfTwo.choices[first+i]; got != want[i] {
 					t.Fatalf("%d servers, object %d, two looked at first: homes are %v, want %v", n, first+i, got, want[i])
 				}
 			}
 		}
-		fellShort = fellShort || fromTwo.dealer.fellShort
+		shortListExhausted = shortListExhausted || shortListOfTwo.assigner.shortListExhausted
 	}
-	if !fellShort {
+	if !shortListExhausted {
 		t.Error("two servers an object always sufficed, so this says nothing of lists that fall short")
 	}
 }
 
-func TestWeightsAreKept(t *testing.T) {
+func TestServersGetObjectsByWeight(t *testing.T) {
 	h := NewPlacement([]Server{{ID: "large", Weight: 30}, {ID: "small", Weight: 10}}, nil)
 	count := make(map[string]int)
-	for n := range 3 * window {
+	for n := range 3 * windowSize {
 		count[h.ServersFor(strconv.FormatInt(int64(n), 16))[0]]++
 	}
 	if got, want := count["large"], 54; got != want {
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestNames(t *testing.T) {
+func TestObjectIndex(t *testing.T) {
 	for _, c := range []struct {
 		object string
 		want   int
@@ -167,8 +167,8 @@
 		}
 	}
 	for _, object := range []string{"", "order-17", "ffffffff", "-1"} {
-		if got := ObjectIndex(object); got < 0 || got >= maxNumber {
-			t.Errorf("Number(%q) = %d, want within %d", object, got, maxNumber)
+		if got := ObjectIndex(object); got < 0 || got >= objectIndexes {
+			t.Errorf("Number(%q) = %d, want within %d", object, got, objectIndexes)
 		}
 	}
 	if got := NewPlacement(nil, nil).ServersFor("1"); got != nil {
@@ -186,7 +186,7 @@
 // callers' objects lived there, its servers would queue while those of the
 // other regions idled; if objects were dealt out regardless of the region, two
 // thirds of all requests would travel.
-func TestSpreadKeepsObjectsNearAsFarAsThereIsRoom(t *testing.T) {
+func TestRegionWeightsKeepObjectsLocalWithinCapacity(t *testing.T) {
 	rooms := []RegionCapacity{{"few", 8, 1, 0}, {"some", 16, 1, 0}, {"many", 24, 1, 0}}
 	share := func(from string) map[string]float64 {
 		weights := RegionWeights(rooms, from, MaxLoadFactor)
@@ -215,7 +215,7 @@
 
 // Guards against a region that takes its part of all objects on top of requests that may
 // run nowhere else.
-func TestSpreadLeavesRoomForBoundRequests(t *testing.T) {
+func TestRegionWeightsReserveCapacityForPinnedRequests(t *testing.T) {
 	rooms := []RegionCapacity{{"few", 8, 1, 0.1}, {"some", 16, 1, 0}, {"many", 24, 1, 0}}
 	load := make(map[string]float64)
 	for _, from := range rooms {
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestSpreadWithoutServersOrOwnRegion(t *testing.T) {
+func TestRegionWeightsWithoutServersOrOwnRegion(t *testing.T) {
 	if got := RegionWeights([]RegionCapacity{{"a", 0, 1, 0}}, "a", MaxLoadFactor); len(got) != 0 {
 		t.Errorf("no slots: got %v, want none", got)
 	}
--- a/internal/kernel/placing/ranking.go
+++ b/internal/kernel/placing/ranking.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// rankedMost is how many servers of a class are kept for an object: a few more than
+	// rankedPerObject is how many servers of a class are kept for an object: a few more than
 	// are dealt from, which may leave before the object's are ranked anew. Each takes
 	// 16 bytes.
-	rankedMost = shortList + 4
+	rankedPerObject = shortListSize + 4
 )
 
 type (
@@ -67,14 +67,14 @@
 	}
 }
 
-// Nearest lists the servers of a class that are nearest to an object, at most shortList of
+// Nearest lists the servers of a class that are nearest to an object, at most shortListSize of
 // them. All proxies that know the same servers name the same ones.
 func (r *Ranking) Nearest(class, object string) []string {
 	c := r.classes[class]
 	if c == nil {
 		return nil
 	}
-	list := c.of(ObjectIndex(object))
+	list := c.nearestTo(ObjectIndex(object))
 	ids := make([]string, 0, len(list))
 	for _, s := range list {
 		ids = append(ids, c.ids[s.server])
@@ -90,13 +90,13 @@
 		c.ids, c.hashes = append(c.ids, ""), append(c.hashes, 0)
 	}
 	c.ids[number], c.hashes[number] = id, xxhash.Sum64String(id)
-	whole := len(c.numbers)
+	complete := len(c.numbers)
 	c.numbers[id] = number
 	for object := range c.nearest {
 		list := c.nearest[object]
-		hash := mix(c.hashes[number], object) >> hashSpare
-		if len(list) == whole || hash > list[len(list)-1].hash {
-			c.nearest[object] = insert(list, serverHash{hash, number}, rankedMost)
+		hash := hashPair(c.hashes[number], object) >> hashSpareBits
+		if len(list) == complete || hash > list[len(list)-1].hash {
+			c.nearest[object] = insertRanked(list, serverHash{hash, number}, rankedPerObject)
 		}
 	}
 }
@@ -106,50 +106,50 @@
 	delete(c.numbers, id)
 	c.ids[number] = ""
 	for object, list := range c.nearest {
-		hash := mix(c.hashes[number], object) >> hashSpare
+		hash := hashPair(c.hashes[number], object) >> hashSpareBits
 		if len(list) == 0 || hash < list[len(list)-1].hash {
 			continue
 		}
 		list = slices.DeleteFunc(list, func(h serverHash) bool { return h.server == number })
 		c.nearest[object] = list
-		if len(list) < shortList && len(list) < len(c.numbers) {
+		if len(list) < shortListSize && len(list) < len(c.numbers) {
 			c.nearest[object] = c.rank(object)
 		}
 	}
 	c.free = append(c.free, number)
 }
 
-// of lists the servers nearest to an object by their numbers, as many as are dealt from.
-func (c *classRanking) of(object int) []serverHash {
+// nearestTo lists the servers nearest to an object by their numbers, as many as are dealt from.
+func (c *classRanking) nearestTo(object int) []serverHash {
 	for len(c.nearest) <= object {
 		c.nearest = append(c.nearest, c.rank(len(c.nearest)))
 	}
 	list := c.nearest[object]
-	return list[:min(len(list), shortList)]
+	return list[:min(len(list), shortListSize)]
 }
 
 func (c *classRanking) rank(object int) []serverHash {
-	list := make([]serverHash, 0, min(rankedMost, len(c.numbers)))
+	list := make([]serverHash, 0, min(rankedPerObject, len(c.numbers)))
 	for number, id := range c.ids {
 		if id == "" {
 			continue
 		}
-		hash := mix(c.hashes[number], object) >> hashSpare
-		if len(list) == rankedMost && hash <= list[rankedMost-1].hash {
+		hash := hashPair(c.hashes[number], object) >> hashSpareBits
+		if len(list) == rankedPerObject && hash <= list[rankedPerObject-1].hash {
 			continue
 		}
-		list = insert(list, serverHash{hash, int32(number)}, rankedMost)
+		list = insertRanked(list, serverHash{hash, int32(number)}, rankedPerObject)
 	}
 	return list
 }
 
-// insert puts a server into a list, the largest hash first, and keeps the most first.
-func insert(list []serverHash, h serverHash, most int) []serverHash {
+// insertRanked puts a server into a list, the largest hash first, and keeps the most first.
+func insertRanked(list []serverHash, h serverHash, maxLen int) []serverHash {
 	i := len(list)
 	for i > 0 && list[i-1].hash < h.hash {
 		i--
 	}
-	if len(list) < most {
+	if len(list) < maxLen {
 		list = append(list, serverHash{})
 	}
 	if i == len(list) {
--- a/internal/kernel/placing/ranking_test.go
+++ b/internal/kernel/placing/ranking_test.go
@@ -10,7 +10,7 @@
 // Servers come and go for a while, some under an id that was there before. Proxies that
 // have seen all of it, and one that has just started, must name the same homes, or every
 // object would run cold on two servers.
-func TestRankingGivesTheSameHomesWhateverHappenedBefore(t *testing.T) {
+func TestPlacementDoesNotDependOnRankingHistory(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	regions := []string{"north/4", "south/4", "west/3"}
 	var list []Server
@@ -24,7 +24,7 @@
 	for step := range 60 {
 		r.Update(list)
 		ranked, plain := NewPlacement(list, r), NewPlacement(list, nil)
-		for n := 0; n < 8*window; n += 5 {
+		for n := 0; n < 8*windowSize; n += 5 {
 			object := fmt.Sprintf("%x", n)
 			if got, want := ranked.ServersFor(object), plain.ServersFor(object); !slices.Equal(got, want) {
 				t.Fatalf("after %d changes of %d servers, object %s: got %v, want %v", step, len(list), object, got, want)
@@ -42,12 +42,12 @@
 
 // The servers of a service are told to be one list and dealt out as another one. What
 // the ranking does not know must not be left out.
-func TestRankingOfOtherServersIsNotUsed(t *testing.T) {
+func TestRankingOfDifferentServersIsIgnored(t *testing.T) {
 	list := servers(30)
 	r := NewRanking()
 	r.Update(list[:20])
 	got, want := NewPlacement(list, r), NewPlacement(list, nil)
-	for n := range 3 * window {
+	for n := range 3 * windowSize {
 		if object := fmt.Sprintf("%x", n); !slices.Equal(got.ServersFor(object), want.ServersFor(object)) {
 			t.Fatalf("object %s: got %v, want %v", object, got.ServersFor(object), want.ServersFor(object))
 		}
--- a/internal/kernel/placing/replica.go
+++ b/internal/kernel/placing/replica.go
@@ -9,10 +9,10 @@
 	// MaxReplicas bounds the servers that one object is spread over. Each is
 	// another one that has to learn the object.
 	MaxReplicas = 12
-	// replicaShare is the part of a server's slots that one object may take before
+	// replicaSlotShare is the part of a server's slots that one object may take before
 	// it gets another replica. The rest is for the other objects of the server and
 	// for requests that come in a bunch: at more, those wait.
-	replicaShare = 0.6
+	replicaSlotShare = 0.6
 )
 
 // ReplicaCount is how many servers an object needs that is asked for so often, with the
@@ -23,6 +23,6 @@
 	if slots < 1 {
 		return 1
 	}
-	need := math.Ceil(perSecond * work.Seconds() / (replicaShare * float64(slots)))
+	need := math.Ceil(perSecond * work.Seconds() / (replicaSlotShare * float64(slots)))
 	return int(min(max(need, 1), MaxReplicas))
 }
--- a/internal/kernel/placing/replica_test.go
+++ b/internal/kernel/placing/replica_test.go
@@ -9,7 +9,7 @@
 
 // An object is asked for five times as often as one server can answer. It needs more
 // servers than that, since each has other objects too; a rare one needs its home only.
-func TestReplicasFollowTheDemand(t *testing.T) {
+func TestReplicaCountFollowsDemand(t *testing.T) {
 	const work = 250 * time.Millisecond
 	for _, c := range []struct {
 		perSecond float64
@@ -34,7 +34,7 @@
 
 // A server leaves. An object's nearest servers, which become its replicas, stay the same
 // but for the one that left.
-func TestReplicasStayWhenAnotherServerLeaves(t *testing.T) {
+func TestNearestServersAreStableWhenOneLeaves(t *testing.T) {
 	list := servers(40)
 	for n := range 50 {
 		object := fmt.Sprintf("%x", n)
@@ -66,7 +66,7 @@
 
 // Each of a hundred proxies sees a hundredth of the requests. One request by chance
 // must not pass for a hundred; an object that is asked for all the time must show.
-func TestOneRequestIsNoDemand(t *testing.T) {
+func TestSingleRequestGivesNoDemand(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var d Demand
 	d.Record(now, "rare")
@@ -90,18 +90,18 @@
 
 // Callers name ever new objects. What is kept of them is bounded, and one that is asked
 // for often is still counted.
-func TestDemandIsBounded(t *testing.T) {
+func TestDemandTracksBoundedNumberOfObjects(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var d Demand
-	for i := range 3 * demandMost {
+	for i := range 3 * maxDemandObjects {
 		now = now.Add(10 * time.Millisecond)
 		d.Record(now, fmt.Sprint("object-", i))
 		if i%25 == 0 {
 			d.Record(now, "often")
 		}
 	}
-	if got := len(d.objects); got > demandMost {
-		t.Errorf("%d objects are kept, want %d at most", got, demandMost)
+	if got := len(d.objects); got > maxDemandObjects {
+		t.Errorf("%d objects are kept, want %d at most", got, maxDemandObjects)
 	}
 	if got := d.LowerBound(now, "often"); got < 2 {
 		t.Errorf("the object asked for four times a second shows %.2f, want 2 at least", got)
--- a/internal/kernel/placing/spread.go
+++ b/internal/kernel/placing/spread.go
@@ -34,49 +34,49 @@
 // room; the rest goes to the regions with room to spare, by how much they
 // have, up to a share of the mean load. All proxies of a region come to the same
 // answer from the same list.
-func RegionWeights(rooms []RegionCapacity, from string, share float64) map[string]int {
+func RegionWeights(regions []RegionCapacity, from string, maxLoad float64) map[string]int {
 	weights := make(map[string]int)
-	slots, demand, bound := 0.0, 0.0, 0.0
-	for _, r := range rooms {
+	slots, demand, pinned := 0.0, 0.0, 0.0
+	for _, r := range regions {
 		slots += float64(r.Slots)
 		demand += r.Demand
-		bound += r.Pinned
+		pinned += r.Pinned
 	}
 	if slots == 0 || demand == 0 {
 		return weights
 	}
-	free := max(0, 1-bound)
-	most := func(r RegionCapacity) float64 { return max(0, share*float64(r.Slots)/slots-r.Pinned) }
+	free := max(0, 1-pinned)
+	limit := func(r RegionCapacity) float64 { return max(0, maxLoad*float64(r.Slots)/slots-r.Pinned) }
 	spare, own := 0.0, 0.0
-	for _, r := range rooms {
-		spare += max(0, most(r)-free*r.Demand/demand)
+	for _, r := range regions {
+		spare += max(0, limit(r)-free*r.Demand/demand)
 		if r.Region == from {
 			own = free * r.Demand / demand
 		}
 	}
-	i := slices.IndexFunc(rooms, func(r RegionCapacity) bool { return r.Region == from })
+	i := slices.IndexFunc(regions, func(r RegionCapacity) bool { return r.Region == from })
 	if i < 0 || own == 0 {
 		// Callers of a region that is not listed: by room alone.
-		for _, r := range rooms {
+		for _, r := range regions {
 			weights[r.Region] = weightScale
 		}
 		return weights
 	}
-	home := min(own, most(rooms[i]))
+	local := min(own, limit(regions[i]))
 	if spare == 0 {
 		// No other region has room either.
-		home = own
+		local = own
 	}
-	for _, r := range rooms {
-		flow := 0.0
-		if room := most(r) - free*r.Demand/demand; room > 0 {
-			flow = (own - home) * room / spare
+	for _, r := range regions {
+		fraction := 0.0
+		if spareHere := limit(r) - free*r.Demand/demand; spareHere > 0 {
+			fraction = (own - local) * spareHere / spare
 		}
 		if r.Region == from {
-			flow = home
+			fraction = local
 		}
 		if r.Slots > 0 {
-			weights[r.Region] = int(math.Round(weightScale * flow / own / float64(r.Slots)))
+			weights[r.Region] = int(math.Round(weightScale * fraction / own / float64(r.Slots)))
 		}
 	}
 	return weights
--- a/internal/kernel/replica/copy.go
+++ b/internal/kernel/replica/copy.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// removalsMost bounds the removals remembered for peers that lag. A peer
+	// maxRemovals bounds the removals remembered for peers that lag. A peer
 	// that lags further gets everything.
-	removalsMost = 2000
-	// mismatchesMost is how many peers may tell of changes that do not lead to
+	maxRemovals = 2000
+	// maxMismatches is how many peers may tell of changes that do not lead to
 	// their keys before the copy asks for everything. One or two may be in the
 	// middle of a reading; everything is a thousand times the size of a change.
-	mismatchesMost = 3
+	maxMismatches = 3
 )
 
 type (
@@ -53,14 +53,14 @@
 	// Copy is a complete copy as of a revision. The zero revision means that
 	// nothing was heard yet.
 	Copy struct {
-		revision  uint64
-		confirmed time.Time
-		entries   map[string]Entry
-		removals  map[string]removal
-		// floor is the revision after which all removals are remembered.
-		floor uint64
-		// keys is the digest of the keys held: the hashes of all, XORed.
-		keys uint64
+		revision    uint64
+		confirmedAt time.Time
+		entries     map[string]Entry
+		removals    map[string]removal
+		// removalsSince is the revision after which all removals are remembered.
+		removalsSince uint64
+		// keyDigest is the digest of the keys held: the hashes of all, XORed.
+		keyDigest uint64
 		// mismatches counts the deltas since the last advance that did not lead
 		// to their keys.
 		mismatches int
@@ -69,8 +69,8 @@
 	// removal is what is remembered of a key that went.
 	removal struct {
 		revision uint64
-		// doubtUntil is how long it is told to others as doubtful.
-		doubtUntil time.Time
+		// tentativeUntil is how long it is told to others as doubtful.
+		tentativeUntil time.Time
 	}
 )
 
@@ -87,7 +87,7 @@
 	if c.revision == 0 {
 		return time.Duration(1<<63 - 1)
 	}
-	return now.Sub(c.confirmed)
+	return now.Sub(c.confirmedAt)
 }
 
 // Apply takes in a delta and returns the entries that changed, removals last.
@@ -100,7 +100,7 @@
 	if d.Revision < c.revision {
 		return nil, true
 	}
-	if d.MayMissRemovals && !d.Full && c.keysAfter(d) != d.KeyDigest {
+	if d.MayMissRemovals && !d.Full && c.keyDigestAfter(d) != d.KeyDigest {
 		c.mismatches++
 		return nil, false
 	}
@@ -122,8 +122,8 @@
 		removed = append(removed, c.prune(now, d, last)...)
 	}
 	c.revision = d.Revision
-	if at := now.Add(-d.Age); at.After(c.confirmed) {
-		c.confirmed = at
+	if at := now.Add(-d.Age); at.After(c.confirmedAt) {
+		c.confirmedAt = at
 	}
 	return append(changed, removed...), true
 }
@@ -144,36 +144,36 @@
 // RequestRevision is the revision after which the copy asks peers for changes: its own, or
 // zero if it asks for everything.
 func (c *Copy) RequestRevision() uint64 {
-	if c.mismatches >= mismatchesMost {
+	if c.mismatches >= maxMismatches {
 		return 0
 	}
 	return c.revision
 }
 
-// keysAfter is the digest of the keys that a delta would lead to.
-func (c *Copy) keysAfter(d Delta) uint64 {
-	keys := c.keys
+// keyDigestAfter is the digest of the keys that a delta would lead to.
+func (c *Copy) keyDigestAfter(d Delta) uint64 {
+	digest := c.keyDigest
 	for _, e := range d.Entries {
-		if _, known := c.entries[e.Key]; c.newer(e) && known == e.Removed {
-			keys ^= xxhash.Sum64String(e.Key)
+		if _, known := c.entries[e.Key]; c.isNewer(e) && known == e.Removed {
+			digest ^= xxhash.Sum64String(e.Key)
 		}
 	}
-	return keys
+	return digest
 }
 
-// newer reports whether an entry is newer than what is known of its key.
-func (c *Copy) newer(e Entry) bool {
+// isNewer reports whether an entry is newer than what is known of its key.
+func (c *Copy) isNewer(e Entry) bool {
 	return e.Revision > c.entries[e.Key].Revision && e.Revision > c.removals[e.Key].revision
 }
 
 // put takes in one entry if it is newer than what is known of its key.
 func (c *Copy) put(now time.Time, e Entry) bool {
-	if !c.newer(e) {
-		return c.confirms(now, e)
+	if !c.isNewer(e) {
+		return c.confirmRemoval(now, e)
 	}
 	_, known := c.entries[e.Key]
 	if known == e.Removed {
-		c.keys ^= xxhash.Sum64String(e.Key)
+		c.keyDigest ^= xxhash.Sum64String(e.Key)
 	}
 	if !e.Removed {
 		delete(c.removals, e.Key)
@@ -181,7 +181,7 @@
 		return true
 	}
 	delete(c.entries, e.Key)
-	c.remember(now, e)
+	c.recordRemoval(now, e)
 	return known
 }
 
@@ -193,34 +193,34 @@
 			continue
 		}
 		delete(c.entries, key)
-		c.keys ^= xxhash.Sum64String(key)
+		c.keyDigest ^= xxhash.Sum64String(key)
 		gone := Entry{Key: key, Revision: d.Revision, Removed: true, Tentative: d.TentativeRemovals}
-		c.remember(now, gone)
+		c.recordRemoval(now, gone)
 		removed = append(removed, gone)
 	}
-	if c.floor == 0 {
-		c.floor = d.Revision
+	if c.removalsSince == 0 {
+		c.removalsSince = d.Revision
 	}
 	return removed
 }
 
-func (c *Copy) remember(now time.Time, e Entry) {
-	if len(c.removals) >= removalsMost {
+func (c *Copy) recordRemoval(now time.Time, e Entry) {
+	if len(c.removals) >= maxRemovals {
 		clear(c.removals)
-		c.floor = e.Revision
+		c.removalsSince = e.Revision
 	}
 	r := removal{revision: e.Revision}
 	if e.Tentative {
-		r.doubtUntil = now.Add(doubtFor)
+		r.tentativeUntil = now.Add(tentativeFor)
 	}
 	c.removals[e.Key] = r
 }
 
-// confirms reports whether an entry says for certain that a key went whose removal
+// confirmRemoval reports whether an entry says for certain that a key went whose removal
 // was doubtful so far.
-func (c *Copy) confirms(now time.Time, e Entry) bool {
+func (c *Copy) confirmRemoval(now time.Time, e Entry) bool {
 	r, known := c.removals[e.Key]
-	if !known || !e.Removed || e.Tentative || e.Revision < r.revision || !now.Before(r.doubtUntil) {
+	if !known || !e.Removed || e.Tentative || e.Revision < r.revision || !now.Before(r.tentativeUntil) {
 		return false
 	}
 	c.removals[e.Key] = removal{revision: r.revision}
@@ -233,7 +233,7 @@
 func (c *Copy) Since(now time.Time, revision uint64) Delta {
 	d := Delta{
 		Base: revision, Revision: c.revision, Age: c.Age(now),
-		Full: revision == 0, MayMissRemovals: revision < c.floor, KeyDigest: c.keys,
+		Full: revision == 0, MayMissRemovals: revision < c.removalsSince, KeyDigest: c.keyDigest,
 	}
 	for _, e := range c.entries {
 		if d.Full || e.Revision > revision {
@@ -245,7 +245,7 @@
 	}
 	for key, r := range c.removals {
 		if r.revision > revision {
-			d.Entries = append(d.Entries, Entry{Key: key, Revision: r.revision, Removed: true, Tentative: now.Before(r.doubtUntil)})
+			d.Entries = append(d.Entries, Entry{Key: key, Revision: r.revision, Removed: true, Tentative: now.Before(r.tentativeUntil)})
 		}
 	}
 	return d
--- a/internal/kernel/replica/outage_test.go
+++ b/internal/kernel/replica/outage_test.go
@@ -8,7 +8,7 @@
 // A waiting watch is cut, as happens at any time, and a server's entry goes
 // shortly after. It was not the outage that dropped it: to wait for its return
 // would send it requests long after it has left.
-func TestOneFailedCallIsNoOutage(t *testing.T) {
+func TestSingleFailedCallIsNotAnOutage(t *testing.T) {
 	var o Outage
 	o.RecordFailure(start)
 	if o.RemovalsTentative(start.Add(300 * time.Millisecond)) {
@@ -22,7 +22,7 @@
 
 // The store is away for seconds and entries run out. Until a while after its
 // return they may come back.
-func TestWhatIsMissingAfterAnOutageIsDoubted(t *testing.T) {
+func TestRemovalsAreTentativeAfterAnOutage(t *testing.T) {
 	var o Outage
 	if !o.RecordFailure(start) || o.RecordFailure(start.Add(time.Second)) {
 		t.Error("the loss is told anew at each failed call, want once")
@@ -34,8 +34,8 @@
 	}{
 		{4 * time.Second, false, true},
 		{5 * time.Second, true, true},
-		{5*time.Second + doubtFor - time.Millisecond, true, true},
-		{5*time.Second + doubtFor, true, false},
+		{5*time.Second + tentativeFor - time.Millisecond, true, true},
+		{5*time.Second + tentativeFor, true, false},
 	} {
 		now := start.Add(c.after)
 		if c.answered {
--- a/internal/kernel/replica/relay.go
+++ b/internal/kernel/replica/relay.go
@@ -14,13 +14,13 @@
 	// without the news for longer than a drained server may get requests; a
 	// second costs a call every one and a half seconds a region.
 	RelaysPerRegion = 2
-	// takeOver is the age at which a proxy that is no relay asks the store
+	// takeoverAge is the age at which a proxy that is no relay asks the store
 	// itself: its relays are cut off or gone. Two rounds of a relay's watch
 	// fit in, and a change is still in force in time.
-	takeOver = 1700 * time.Millisecond
-	// takeOverStep is added for each rank, so that not all ask at once.
-	takeOverStep = 100 * time.Millisecond
-	takeOverMost = 10
+	takeoverAge = 1700 * time.Millisecond
+	// takeoverAgePerRank is added for each rank, so that not all ask at once.
+	takeoverAgePerRank = 100 * time.Millisecond
+	maxTakeoverRank    = 10
 )
 
 type (
@@ -59,12 +59,12 @@
 
 // Fresh reports whether a copy of an age is one that follows the store, or close
 // to one.
-func Fresh(age time.Duration) bool { return age < takeOver }
+func Fresh(age time.Duration) bool { return age < takeoverAge }
 
 // ShouldFollowStore reports whether a proxy of a rank should ask the store itself.
 func ShouldFollowStore(rank int, age time.Duration) bool {
 	if rank < RelaysPerRegion {
 		return true
 	}
-	return age > takeOver+time.Duration(min(rank, takeOverMost))*takeOverStep
+	return age > takeoverAge+time.Duration(min(rank, maxTakeoverRank))*takeoverAgePerRank
 }
--- a/internal/kernel/replica/replica_test.go
+++ b/internal/kernel/replica/replica_test.go
@@ -11,8 +11,8 @@
 	start = time.Unix(1_000_000, 0)
 )
 
-// whole is a reading of the store at revision 10.
-func whole(keys ...string) Delta {
+// fullRead is a reading of the store at revision 10.
+func fullRead(keys ...string) Delta {
 	d := Delta{Revision: 10, Full: true}
 	for i, key := range keys {
 		d.Entries = append(d.Entries, Entry{Key: key, Revision: uint64(i + 1), Value: []byte(key)})
@@ -20,7 +20,7 @@
 	return d
 }
 
-func names(entries []Entry) []string {
+func entryNames(entries []Entry) []string {
 	var list []string
 	for _, e := range entries {
 		text := e.Key
@@ -35,9 +35,9 @@
 
 // A peer's message is overtaken by another one. Taken in out of order it would
 // leave out what lies between, and a drained server would get requests.
-func TestDeltaAfterAGapIsRefused(t *testing.T) {
+func TestDeltaAfterGapIsRejected(t *testing.T) {
 	c := NewCopy()
-	c.Apply(start, whole("a"))
+	c.Apply(start, fullRead("a"))
 	if _, ok := c.Apply(start, Delta{Base: 12, Revision: 13, Entries: []Entry{{Key: "b", Revision: 13}}}); ok {
 		t.Error("a delta from revision 12 was taken into a copy at 10")
 	}
@@ -48,42 +48,42 @@
 
 // A proxy that was cut off comes back and tells its old state. A server that
 // has left in the meantime must not come back to life.
-func TestOldNewsDoNotReviveWhatWasRemoved(t *testing.T) {
+func TestStaleDeltaDoesNotRestoreRemovedEntry(t *testing.T) {
 	c := NewCopy()
-	c.Apply(start, whole("a", "b"))
+	c.Apply(start, fullRead("a", "b"))
 	c.Apply(start, Delta{Base: 10, Revision: 11, Entries: []Entry{{Key: "b", Revision: 11, Removed: true}}})
-	changed, _ := c.Apply(start, whole("a", "b"))
+	changed, _ := c.Apply(start, fullRead("a", "b"))
 	if len(changed) > 0 {
-		t.Errorf("an older whole copy changed %v, want nothing", names(changed))
+		t.Errorf("an older whole copy changed %v, want nothing", entryNames(changed))
 	}
 	changed, _ = c.Apply(start, Delta{Base: 9, Revision: 11, Entries: []Entry{{Key: "b", Revision: 2}}})
 	if len(changed) > 0 {
-		t.Errorf("an older entry changed %v, want nothing", names(changed))
+		t.Errorf("an older entry changed %v, want nothing", entryNames(changed))
 	}
 }
 
 // The store has dropped its history. The whole reading that follows lacks what
 // was removed in between.
-func TestWholeReadingRemovesWhatIsGone(t *testing.T) {
+func TestFullReadRemovesMissingEntries(t *testing.T) {
 	c := NewCopy()
-	c.Apply(start, whole("a", "b", "c"))
+	c.Apply(start, fullRead("a", "b", "c"))
 	changed, _ := c.Apply(start, Delta{Revision: 20, Full: true, Entries: []Entry{
 		{Key: "a", Revision: 1}, {Key: "c", Revision: 15},
 	}})
-	if got, want := names(changed), []string{"-b", "c"}; !slices.Equal(got, want) {
+	if got, want := entryNames(changed), []string{"-b", "c"}; !slices.Equal(got, want) {
 		t.Errorf("changed %v, want %v", got, want)
 	}
 }
 
-func TestSinceBringsAPeerUpToDate(t *testing.T) {
+func TestSinceBringsPeerUpToDate(t *testing.T) {
 	a, b := NewCopy(), NewCopy()
-	a.Apply(start, whole("a", "b"))
+	a.Apply(start, fullRead("a", "b"))
 	b.Apply(start, a.Since(start, 0))
 	a.Apply(start, Delta{Base: 10, Revision: 12, Entries: []Entry{
 		{Key: "a", Revision: 11, Removed: true}, {Key: "c", Revision: 12},
 	}})
 	changed, ok := b.Apply(start, a.Since(start, b.Revision()))
-	if got, want := names(changed), []string{"-a", "c"}; !ok || !slices.Equal(got, want) {
+	if got, want := entryNames(changed), []string{"-a", "c"}; !ok || !slices.Equal(got, want) {
 		t.Errorf("changed %v (taken %t), want %v", got, ok, want)
 	}
 	if b.Revision() != a.Revision() {
@@ -94,12 +94,12 @@
 // So many servers come and go that their removals are no longer remembered. A
 // peer that lags behind must not take the changes alone, or it keeps dead
 // servers; after a few tries it asks for everything.
-func TestALaggingPeerGetsEverything(t *testing.T) {
+func TestLaggingPeerRequestsFullCopy(t *testing.T) {
 	a, b := NewCopy(), NewCopy()
-	a.Apply(start, whole("a", "b"))
+	a.Apply(start, fullRead("a", "b"))
 	b.Apply(start, a.Since(start, 0))
 	revision := uint64(10)
-	for i := range removalsMost + 10 {
+	for i := range maxRemovals + 10 {
 		key := fmt.Sprintf("server-%d", i)
 		a.Apply(start, Delta{Base: revision, Revision: revision + 2, Entries: []Entry{
 			{Key: key, Revision: revision + 1}, {Key: key, Revision: revision + 2, Removed: true},
@@ -110,13 +110,13 @@
 			revision++
 		}
 	}
-	for range mismatchesMost {
+	for range maxMismatches {
 		if changed, ok := b.Apply(start, a.Since(start, b.RequestRevision())); ok {
-			t.Fatalf("changes without the removal of b were taken (%v)", names(changed))
+			t.Fatalf("changes without the removal of b were taken (%v)", entryNames(changed))
 		}
 	}
 	changed, _ := b.Apply(start, a.Since(start, b.RequestRevision()))
-	if got, want := names(changed), []string{"-b"}; !slices.Equal(got, want) {
+	if got, want := entryNames(changed), []string{"-b"}; !slices.Equal(got, want) {
 		t.Errorf("changed %v, want %v", got, want)
 	}
 	if got, want := b.RequestRevision(), a.Revision(); got != want {
@@ -126,25 +126,25 @@
 
 // A proxy has just read the store. A peer that lags by one registration, and by
 // no removal, is brought up to date by that registration alone.
-func TestAPeerThatLacksNoRemovalGetsOnlyTheChanges(t *testing.T) {
+func TestPeerThatMissesNoRemovalGetsOnlyChanges(t *testing.T) {
 	lagging, reader := NewCopy(), NewCopy()
-	lagging.Apply(start, whole("a", "b"))
-	reader.Apply(start, Delta{Revision: 11, Full: true, Entries: append(whole("a", "b").Entries, Entry{Key: "c", Revision: 11})})
+	lagging.Apply(start, fullRead("a", "b"))
+	reader.Apply(start, Delta{Revision: 11, Full: true, Entries: append(fullRead("a", "b").Entries, Entry{Key: "c", Revision: 11})})
 	d := reader.Since(start, lagging.RequestRevision())
 	if len(d.Entries) != 1 {
 		t.Errorf("%d entries are sent, want 1", len(d.Entries))
 	}
 	changed, ok := lagging.Apply(start, d)
-	if got, want := names(changed), []string{"c"}; !ok || !slices.Equal(got, want) {
+	if got, want := entryNames(changed), []string{"c"}; !ok || !slices.Equal(got, want) {
 		t.Errorf("changed %v (taken %t), want %v", got, ok, want)
 	}
 }
 
 // A relay's connection to the store has gone silent. Its copy stays complete
 // but grows old, and that is what the others go by.
-func TestAgeTravelsWithTheCopy(t *testing.T) {
+func TestAgeIsPassedOnWithCopy(t *testing.T) {
 	a, b := NewCopy(), NewCopy()
-	a.Apply(start, whole("a"))
+	a.Apply(start, fullRead("a"))
 	later := start.Add(3 * time.Second)
 	b.Apply(later, a.Since(later, 0))
 	if got, want := b.Age(later), 3*time.Second; got != want {
@@ -159,7 +159,7 @@
 
 // All relays of a region are cut off from the store. The others must ask it
 // themselves well within the time in which a change has to be in force.
-func TestOthersTakeOverWhenNoNewsArrive(t *testing.T) {
+func TestOtherProxiesFollowStoreWhenRelaysAreStale(t *testing.T) {
 	var list []Candidate
 	for i := range 24 {
 		list = append(list, Candidate{Name: fmt.Sprintf("proxy-%d", i)})
@@ -188,7 +188,7 @@
 // A fleet of 300 starts together and all ask three seeds for everything. Given
 // to all, the copies filled the seeds' links for seconds, and a change that the
 // operator made was not in force in time.
-func TestWholeCopiesAreGivenWithinAnAllowance(t *testing.T) {
+func TestFullCopiesAreBoundedByBudget(t *testing.T) {
 	const size = 750 << 10
 	var a FullCopyBudget
 	given := 0
@@ -217,7 +217,7 @@
 
 // A relay sends each change to dozens of peers. On a link of 10 Mbit/s a burst of
 // registrations took seconds, while VMs with twenty times as much stood by.
-func TestRelaysAreThoseWithTheWidestLinks(t *testing.T) {
+func TestProxiesWithWidestLinksAreRelays(t *testing.T) {
 	var list []Candidate
 	for i := range 24 {
 		c := Candidate{Name: fmt.Sprintf("proxy-%d", i), LinkMbps: 10}
@@ -236,14 +236,14 @@
 // A platform takes a server's entry away and the server writes it again at once;
 // one watch tells both. Told as removals after changes, the server would be gone
 // for good though it is alive.
-func TestKeyThatGoesAndComesBackInOneDelta(t *testing.T) {
+func TestKeyRemovedAndRecreatedInOneDelta(t *testing.T) {
 	c := NewCopy()
-	c.Apply(start, whole("a", "b"))
+	c.Apply(start, fullRead("a", "b"))
 	changed, _ := c.Apply(start, Delta{Base: 10, Revision: 14, Entries: []Entry{
 		{Key: "a", Revision: 11, Removed: true}, {Key: "a", Revision: 12, Value: []byte("again")},
 		{Key: "c", Revision: 13}, {Key: "c", Revision: 14, Removed: true},
 	}})
-	if got, want := names(changed), []string{"a"}; !slices.Equal(got, want) {
+	if got, want := entryNames(changed), []string{"a"}; !slices.Equal(got, want) {
 		t.Errorf("changed %v, want %v", got, want)
 	}
 	if len(changed) > 0 && string(changed[0].Value) != "again" {
@@ -254,9 +254,9 @@
 // One peer tells a removal as doubtful, and the store itself, or a peer that read
 // it later, says that the entry is gone. The certain word must be told, or the
 // server would be waited for though it has left.
-func TestCertainWordEndsTheDoubt(t *testing.T) {
+func TestDefiniteRemovalReplacesTentativeOne(t *testing.T) {
 	c := NewCopy()
-	c.Apply(start, whole("a", "b"))
+	c.Apply(start, fullRead("a", "b"))
 	gone := func(doubtful bool) Delta {
 		return Delta{Base: 10, Revision: 11, Entries: []Entry{{Key: "b", Revision: 11, Removed: true, Tentative: doubtful}}}
 	}
