--- a/internal/kernel/ratelimit/limit.go
+++ b/internal/kernel/ratelimit/limit.go
@@ -83,9 +83,9 @@
 // EqualShare is the share of each of a number of equal holders.
 func EqualShare(holders int) Share { return FullShare / Share(max(1, holders)) }
 
-// rate is a share's part of the rate, burst its part of the burst.
-func (s Share) rate(l Limit) float64  { return float64(s) / float64(FullShare) * l.PerSecond }
-func (s Share) burst(l Limit) float64 { return float64(s) / float64(FullShare) * l.Burst }
+// ratePerSecond is a share's part of the rate, burst its part of the burst.
+func (s Share) ratePerSecond(l Limit) float64 { return float64(s) / float64(FullShare) * l.PerSecond }
+func (s Share) burst(l Limit) float64         { return float64(s) / float64(FullShare) * l.Burst }
 
 // shareForRate is the share that lets requests through that arrive at a rate.
 func shareForRate(perSecond float64, l Limit) Share {
@@ -101,7 +101,7 @@
 	unchanged := min(b.share, s)
 	if now.After(b.refilledAt) {
 		if !b.refilledAt.IsZero() {
-			b.tokens += now.Sub(b.refilledAt).Seconds() * unchanged.rate(l)
+			b.tokens += now.Sub(b.refilledAt).Seconds() * unchanged.ratePerSecond(l)
 		}
 		b.refilledAt = now
 	}
@@ -129,7 +129,7 @@
 
 // Wait is the time until the next token, or most if that is longer.
 func (b *Bucket) Wait(l Limit, maxWait time.Duration) time.Duration {
-	rate := b.share.rate(l)
+	rate := b.share.ratePerSecond(l)
 	if rate <= 0 || b.share.burst(l) < minToken {
 		return maxWait
 	}
--- a/internal/kernel/ratelimit/limiter.go
+++ b/internal/kernel/ratelimit/limiter.go
@@ -152,8 +152,8 @@
 		a.denied++
 		return Decision{Verdict: Denied, RetryAfter: a.deniedUntil.Sub(now)}
 	}
-	if ruling, found := h.nextPool(now, 0); found {
-		return ruling
+	if decision, found := h.nextPool(now, 0); found {
+		return decision
 	}
 	a.denied++
 	return h.denyWithoutPool(now)
@@ -278,7 +278,7 @@
 			list = append(list, AccountShare{Account: name, Share: share})
 			continue
 		}
-		if rate < idleRate && !a.granted.live(now) && !now.Before(a.deniedUntil) && a.bucket.Full(h.Limits(name)) {
+		if rate < idleRate && !a.granted.active(now) && !now.Before(a.deniedUntil) && a.bucket.Full(h.Limits(name)) {
 			delete(h.accounts, name)
 		}
 	}
@@ -322,7 +322,7 @@
 	}
 	for _, s := range shares {
 		a := h.account(s.Account)
-		if !a.granted.live(now) || s.Share >= a.granted.share {
+		if !a.granted.active(now) || s.Share >= a.granted.share {
 			a.granted, a.grantedBy = shareLease{share: s.Share, until: until}, pool
 		}
 	}
@@ -354,7 +354,7 @@
 // shareHeld is what is held of an account's limit at a moment.
 func (h *Limiter) shareHeld(now time.Time, a *accountState) Share {
 	share := Share(0)
-	if a.granted.live(now) {
+	if a.granted.active(now) {
 		share = a.granted.share
 	}
 	if !now.Before(h.depositedUntil) {
--- a/internal/kernel/ratelimit/pool.go
+++ b/internal/kernel/ratelimit/pool.go
@@ -31,9 +31,9 @@
 		accounts     map[string]*pooledAccount
 		// lenders are the last answers of other regions' pools.
 		lenders map[string]appliedAnswer
-		// deposits is what was here at the moment settled; accrued is what has come in by
+		// depositedShare is what was here at the moment settled; accrued is what has come in by
 		// time since it last fell, in shares times seconds.
-		deposits            Share
+		depositedShare      Share
 		settledAt           time.Time
 		accruedShareSeconds float64
 		// startupShare are the parts of the processes that have started until a short while ago.
@@ -41,8 +41,8 @@
 		startupUntil time.Time
 	}
 
-	// reportContext is one report being answered.
-	reportContext struct {
+	// grantRequest is one report being answered.
+	grantRequest struct {
 		now    time.Time
 		from   string
 		member *member
@@ -121,7 +121,7 @@
 	clear(p.accounts)
 	clear(p.lenders)
 	p.id++
-	p.start, p.deposits, p.accruedShareSeconds = now, 0, 0
+	p.start, p.depositedShare, p.accruedShareSeconds = now, 0, 0
 }
 
 // HasDeposits reports whether any proxy gives its part to this pool.
@@ -150,10 +150,10 @@
 	for _, w := range r.Wants {
 		p.account(now, w.Account).wants[r.From] = shareLease{share: w.Share, until: now.Add(grantTTL)}
 	}
-	ctx := reportContext{now: now, from: r.From, member: m, available: p.deposited(now, minDepositLeft), ttl: p.grantDuration(now), answerID: answer.ID}
-	answer.For = ctx.ttl
+	req := grantRequest{now: now, from: r.From, member: m, available: p.deposited(now, minDepositLeft), ttl: p.grantDuration(now), answerID: answer.ID}
+	answer.For = req.ttl
 	for _, w := range r.Wants {
-		if share := p.grant(ctx, w); share > 0 {
+		if share := p.grant(req, w); share > 0 {
 			answer.Shares = append(answer.Shares, AccountShare{Account: w.Account, Share: share})
 		}
 	}
@@ -202,17 +202,17 @@
 // settle brings all buckets up to a moment if the pool has become larger or smaller.
 func (p *Pool) settle(now time.Time) {
 	if now.After(p.settledAt) {
-		p.accruedShareSeconds += float64(p.deposits) / float64(FullShare) * now.Sub(p.settledAt).Seconds()
+		p.accruedShareSeconds += float64(p.depositedShare) / float64(FullShare) * now.Sub(p.settledAt).Seconds()
 		p.settledAt = now
 	}
 	share := p.deposited(now, 0)
-	if share == p.deposits {
+	if share == p.depositedShare {
 		return
 	}
-	if share < p.deposits {
+	if share < p.depositedShare {
 		p.accruedShareSeconds = 0
 	}
-	p.deposits = share
+	p.depositedShare = share
 	for name, a := range p.accounts {
 		p.refill(now, p.Limits(name), a)
 	}
@@ -223,7 +223,7 @@
 	for name, a := range p.accounts {
 		delete(a.grants, from)
 		p.refill(now, p.Limits(name), a)
-		if a.totalGranted(now) > p.deposits-m.deposit {
+		if a.totalGranted(now) > p.depositedShare-m.deposit {
 			return false
 		}
 	}
@@ -234,31 +234,31 @@
 
 // grant settles the share of an account that a proxy holds from now on. What another one
 // may still hold is left to it.
-func (p *Pool) grant(ctx reportContext, w AccountShare) Share {
-	l, a := p.Limits(w.Account), p.account(ctx.now, w.Account)
-	previous := a.grants[ctx.from].heldBy(ctx)
-	share := min(p.fairShare(ctx, a, w), ctx.available-a.grantedExcept(ctx.now, ctx.from))
+func (p *Pool) grant(req grantRequest, w AccountShare) Share {
+	l, a := p.Limits(w.Account), p.account(req.now, w.Account)
+	previous := a.grants[req.from].heldBy(req)
+	share := min(p.fairShare(req, a, w), req.available-a.grantedExcept(req.now, req.from))
 	if l.Unlimited() || share.burst(l) < minToken {
 		share = 0
 	}
 	if share == 0 && previous.share == 0 {
-		delete(a.grants, ctx.from)
+		delete(a.grants, req.from)
 	} else {
-		a.grants[ctx.from] = grant{answerID: ctx.answerID, previous: previous, current: shareLease{share: share, until: ctx.now.Add(ctx.ttl)}}
+		a.grants[req.from] = grant{answerID: req.answerID, previous: previous, current: shareLease{share: share, until: req.now.Add(req.ttl)}}
 	}
-	p.refill(ctx.now, l, a)
+	p.refill(req.now, l, a)
 	return share
 }
 
 // fairShare is the share that a proxy should get of what its region has: what it wants, or if
 // that is too much for all, the same part as the others. Other regions get what is to
 // spare.
-func (p *Pool) fairShare(ctx reportContext, a *pooledAccount, w AccountShare) Share {
+func (p *Pool) fairShare(req grantRequest, a *pooledAccount, w AccountShare) Share {
 	want := w.Share
-	available := ctx.available
-	own, remote := p.wanted(ctx.now, w.Account, a)
+	available := req.available
+	own, remote := p.wanted(req.now, w.Account, a)
 	totalWanted := own
-	if ctx.member.isRemotePool {
+	if req.member.isRemotePool {
 		available, totalWanted = max(0, available-own), remote
 	}
 	if totalWanted > available {
@@ -272,7 +272,7 @@
 func (p *Pool) wanted(now time.Time, account string, a *pooledAccount) (own, remote Share) {
 	own = shareForRate(a.tokenRequests.PerSecond(now), p.Limits(account))
 	for name, w := range a.wants {
-		if !w.live(now) {
+		if !w.active(now) {
 			continue
 		}
 		if m := p.members[name]; m != nil && m.isRemotePool {
@@ -320,7 +320,7 @@
 		return TokenReply{Granted: true}
 	}
 	wait := maxTokenWait
-	if startupLeft := p.start.Add(depositTTL + clockDriftMargin).Sub(now); p.deposits == 0 && startupLeft > 0 {
+	if startupLeft := p.start.Add(depositTTL + clockDriftMargin).Sub(now); p.depositedShare == 0 && startupLeft > 0 {
 		// Proxies that have started with this one have not given their parts yet.
 		wait = startupLeft + poolRampUp
 	}
@@ -329,7 +329,7 @@
 
 // refill brings an account's bucket up to a moment, at the share that the pool keeps.
 func (p *Pool) refill(now time.Time, l Limit, a *pooledAccount) {
-	a.bucket.Refill(now, l, max(0, p.deposits+a.totalBorrowed(now)-a.totalGranted(now)))
+	a.bucket.Refill(now, l, max(0, p.depositedShare+a.totalBorrowed(now)-a.totalGranted(now)))
 }
 
 // LoanRequests tells other regions' pools what the one here lacks, divided over them; nothing
@@ -381,10 +381,10 @@
 	p.settle(now)
 	maps.DeleteFunc(p.members, func(_ string, m *member) bool { return now.Sub(m.lastReportAt) > memberTTL })
 	for name, a := range p.accounts {
-		ended := func(_ string, r shareLease) bool { return !r.live(now) }
+		ended := func(_ string, r shareLease) bool { return !r.active(now) }
 		maps.DeleteFunc(a.wants, ended)
 		maps.DeleteFunc(a.borrowed, ended)
-		maps.DeleteFunc(a.grants, func(_ string, g grant) bool { return !g.current.live(now) && !g.previous.live(now) })
+		maps.DeleteFunc(a.grants, func(_ string, g grant) bool { return !g.current.active(now) && !g.previous.active(now) })
 		p.refill(now, p.Limits(name), a)
 		if len(a.wants)+len(a.grants)+len(a.borrowed) == 0 && a.bucket.Full(p.Limits(name)) {
 			delete(p.accounts, name)
@@ -398,7 +398,7 @@
 	a := p.accounts[name]
 	if a == nil {
 		a = &pooledAccount{wants: make(map[string]shareLease), grants: make(map[string]grant), borrowed: make(map[string]shareLease)}
-		a.bucket = Bucket{tokens: p.accruedShareSeconds * p.Limits(name).PerSecond, share: p.deposits, refilledAt: now}
+		a.bucket = Bucket{tokens: p.accruedShareSeconds * p.Limits(name).PerSecond, share: p.depositedShare, refilledAt: now}
 		p.accounts[name] = a
 	}
 	return a
@@ -421,7 +421,7 @@
 func (a *pooledAccount) totalBorrowed(now time.Time) Share {
 	sum := Share(0)
 	for _, r := range a.borrowed {
-		if r.live(now) {
+		if r.active(now) {
 			sum += r.share
 		}
 	}
@@ -429,12 +429,12 @@
 }
 
 // heldBy is what the proxy that reports may hold of its grant until it hears of the next.
-func (g grant) heldBy(ctx reportContext) shareLease {
+func (g grant) heldBy(req grantRequest) shareLease {
 	held := g.current
-	if ctx.member.lastApplied < g.answerID && g.previous.live(ctx.now) {
+	if req.member.lastApplied < g.answerID && g.previous.active(req.now) {
 		held = shareLease{share: max(held.share, g.previous.share), until: laterOf(held.until, g.previous.until)}
 	}
-	if !held.live(ctx.now) {
+	if !held.active(req.now) {
 		return shareLease{}
 	}
 	return held
@@ -444,14 +444,14 @@
 func (g grant) maxHeld(now time.Time) Share {
 	held := Share(0)
 	for _, r := range []shareLease{g.current, g.previous} {
-		if r.live(now) {
+		if r.active(now) {
 			held = max(held, r.share)
 		}
 	}
 	return held
 }
 
-func (r shareLease) live(now time.Time) bool { return r.share > 0 && now.Before(r.until) }
+func (r shareLease) active(now time.Time) bool { return r.share > 0 && now.Before(r.until) }
 
 // proRata is a part of have that is to have as want is to all.
 func proRata(want, available, totalWanted Share) Share { return want * available / max(1, totalWanted) }
