--- a/internal/kernel/ratelimit/limit.go
+++ b/internal/kernel/ratelimit/limit.go
@@ -1,10 +1,10 @@
-// Package ratelimit keeps requests within limits that many proxies share. Each proxy
-// holds a share of every limit, and the shares add up to at most the whole at every
-// moment, whoever can't be heard: a share is handed on for a time, and its giver lowers
-// its own first.
+// Package ratelimit enforces rate limits that many proxies share. Each proxy holds a share of
+// every limit, and the shares add up to at most the full limit at every moment, even if some
+// proxies are unreachable: a share is transferred as a lease with an expiry, and the giver lowers
+// its own share before the receiver can use it.
 //
-// A share is a token bucket of its own. What all admit in a window is therefore at most
-// the rate times the window and one burst, however the shares move.
+// Each share has its own token bucket. All proxies together therefore admit in any window at most
+// the rate times the window plus one burst, however the shares move between them.
 package ratelimit
 
 import (
@@ -13,43 +13,43 @@
 )
 
 const (
-	// FullShare is all of a limit.
+	// FullShare is the whole limit.
 	FullShare Share = 1_000_000
-	// overageUsed is the part in use of what operators allow beyond a limit. The rest
-	// covers requests that are sent again and views of the fleet that differ.
+	// overageUsed is the fraction of the operators' overage by which the enforced limit is
+	// raised. The rest covers retried requests and proxies whose views of the fleet differ.
 	overageUsed = 0.5
-	// startupFraction is the part of it for processes that start; all may start twice within
-	// a window.
+	// startupFraction is the fraction of the overage reserved for processes that have just
+	// started. All processes may start twice within a window.
 	startupFraction = 0.2
-	// minToken is what counts as a token. Shares are whole millionths, and those of all
-	// add up to a little less than the whole.
+	// minToken is the amount that counts as a full token. Shares are integer millionths, so the
+	// shares of all proxies add up to slightly less than the full limit.
 	minToken = 0.999
-	// headroom is how much more is wanted than what has come of late.
+	// headroom is the factor by which a requested share exceeds the recent request rate.
 	headroom = 1.25
 )
 
 type (
-	// Limit is how many requests may be sent, by all together.
+	// Limit is the request rate allowed for all proxies together.
 	Limit struct {
-		// PerSecond is the rate; zero for no limit.
+		// PerSecond is the rate; zero means unlimited.
 		PerSecond float64
-		// Burst is how many may come at once on top.
+		// Burst is the number of requests allowed at once in addition to the rate.
 		Burst float64
 	}
 
-	// Overage is what operators allow beyond a limit in any window.
+	// Overage is how far operators allow a limit to be exceeded in any window.
 	Overage struct {
 		Window time.Duration
-		// Ratio is a part of what the limit allows in the window, Requests a number on
-		// top.
+		// Ratio is a fraction of what the limit allows in the window. Requests is an absolute
+		// number on top of it.
 		Ratio    float64
 		Requests float64
 	}
 
-	// Share is a part of a limit, in millionths.
+	// Share is a fraction of a limit, in millionths.
 	Share int64
 
-	// Bucket is a token bucket that holds a share of a limit.
+	// Bucket is a token bucket for one share of a limit.
 	Bucket struct {
 		tokens     float64
 		share      Share
@@ -57,11 +57,11 @@
 	}
 )
 
-// Unlimited reports whether there is no limit.
+// Unlimited reports whether the limit allows any rate.
 func (l Limit) Unlimited() bool { return l.PerSecond <= 0 }
 
-// WithOverage is the limit that is kept to: a part of the allowance comes on top, so that what
-// is within the limit need not be refused because shares are uneven.
+// WithOverage returns the limit to enforce: the limit plus part of the overage, so that requests
+// within the limit aren't denied because the shares are uneven.
 func (l Limit) WithOverage(a Overage) Limit {
 	if l.Unlimited() {
 		return l
@@ -70,9 +70,9 @@
 	return Limit{PerSecond: l.PerSecond * factor, Burst: max(1, l.Burst*factor+overageUsed*a.Requests)}
 }
 
-// StartupBurst is how many requests all processes together may let through at their start,
-// before they can know what the processes before them have given away: a part of what is
-// allowed beyond the limit and not in use.
+// StartupBurst returns how many requests all processes together may admit at startup, before they
+// know which shares their predecessors have deposited. It is a fraction of the overage, taken
+// from the part that WithOverage leaves unused.
 func (l Limit) StartupBurst(a Overage) float64 {
 	if l.Unlimited() {
 		return 0
@@ -80,14 +80,14 @@
 	return startupFraction * (a.Ratio*(l.PerSecond*a.Window.Seconds()+l.Burst) + a.Requests)
 }
 
-// EqualShare is the share of each of a number of equal holders.
+// EqualShare returns the share of each of a number of equal holders.
 func EqualShare(holders int) Share { return FullShare / Share(max(1, holders)) }
 
-// ratePerSecond is a share's part of the rate, burst its part of the burst.
+// ratePerSecond and burst return the share's fraction of the limit's rate and burst.
 func (s Share) ratePerSecond(l Limit) float64 { return float64(s) / float64(FullShare) * l.PerSecond }
 func (s Share) burst(l Limit) float64         { return float64(s) / float64(FullShare) * l.Burst }
 
-// shareForRate is the share that lets requests through that arrive at a rate.
+// shareForRate returns the share needed to admit requests that arrive at a rate, with headroom.
 func shareForRate(perSecond float64, l Limit) Share {
 	if l.Unlimited() || perSecond <= 0 {
 		return 0
@@ -95,8 +95,8 @@
 	return Share(min(float64(FullShare), math.Ceil(headroom*perSecond/l.PerSecond*float64(FullShare))))
 }
 
-// Refill brings the tokens up to a moment, at which a share is held. A share that has
-// grown brings no tokens: whoever held it before may have used them.
+// Refill adds the tokens accrued until now and sets the share to s. A share that has grown adds
+// no tokens by itself, because its previous holder may have used them.
 func (b *Bucket) Refill(now time.Time, l Limit, s Share) {
 	unchanged := min(b.share, s)
 	if now.After(b.refilledAt) {
@@ -109,7 +109,7 @@
 	b.tokens = min(b.tokens, unchanged.burst(l))
 }
 
-// Take takes a token, if there is one.
+// Take takes a token and reports whether there was one.
 func (b *Bucket) Take() bool {
 	if b.tokens < minToken {
 		return false
@@ -118,16 +118,17 @@
 	return true
 }
 
-// Charge takes a token though there may be none: later requests wait for it.
+// Charge takes a token even if the bucket is empty. Later requests wait until the debt is
+// refilled.
 func (b *Bucket) Charge() { b.tokens-- }
 
-// Refund gives a token back that was not used.
+// Refund returns an unused token to the bucket.
 func (b *Bucket) Refund() { b.tokens++ }
 
-// Full reports whether the bucket holds all that its share allows.
+// Full reports whether the bucket holds as many tokens as its share allows.
 func (b *Bucket) Full(l Limit) bool { return b.tokens >= b.share.burst(l) }
 
-// Wait is the time until the next token, or most if that is longer.
+// Wait returns the time until the next token, at most maxWait.
 func (b *Bucket) Wait(l Limit, maxWait time.Duration) time.Duration {
 	rate := b.share.ratePerSecond(l)
 	if rate <= 0 || b.share.burst(l) < minToken {
--- a/internal/kernel/ratelimit/limit_test.go
+++ b/internal/kernel/ratelimit/limit_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against an account whose burst is one request and that is never served: a third of
-// it three times is less than one.
+// An account with a burst of one request must be served: three thirds of a token, rounded down,
+// add up to less than one.
 func TestEqualSharesOfSmallBurstAddUpToOneToken(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	l := Limit{PerSecond: 100, Burst: 1}.WithOverage(Overage{})
@@ -17,13 +17,13 @@
 		b.Refill(now, l, share)
 		b.Refill(now.Add(time.Second), l, share)
 		if !b.Take() {
-			t.Errorf("%d parts: no token, want one", holders)
+			t.Errorf("%d equal shares: no token, want one", holders)
 		}
 	}
 }
 
-// Guards against a share that grows and brings tokens which its former holder has used, and
-// one that shrinks and keeps them.
+// A share that grows must not add tokens that its previous holder may have used, and a share that
+// shrinks must not keep the tokens of the larger one.
 func TestMovingSharesAddsNoTokens(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	l := Limit{PerSecond: 10, Burst: 10}
@@ -31,7 +31,7 @@
 	b.Refill(now, l, FullShare/10)
 	b.Refill(now.Add(time.Minute), l, FullShare)
 	if b.tokens > 1 {
-		t.Errorf("%.1f tokens when the share has grown, want at most the 1 of before", b.tokens)
+		t.Errorf("%.1f tokens when the share has grown, want at most the 1 from before", b.tokens)
 	}
 	b.Refill(now.Add(2*time.Minute), l, FullShare)
 	b.Refill(now.Add(2*time.Minute), l, FullShare/10)
--- a/internal/kernel/ratelimit/limiter.go
+++ b/internal/kernel/ratelimit/limiter.go
@@ -7,85 +7,88 @@
 )
 
 const (
-	// Admitted means that the request is within the share held here.
+	// Admitted means that the request fits the share held by this proxy.
 	Admitted Verdict = iota + 1
-	// AskPool means that the pool may have a token for the request.
+	// AskPool means that a pool has to be asked for a token.
 	AskPool
-	// Denied means that there is no token.
+	// Denied means that no token is available.
 	Denied
 )
 
 const (
-	// minDenyTime and maxDenyTime bound how long the pool is not asked for an account
-	// again after it had no token.
+	// minDenyTime and maxDenyTime bound how long requests of an account are denied without asking
+	// a pool, after a pool had no token.
 	minDenyTime = 50 * time.Millisecond
 	maxDenyTime = time.Second
-	// unresponsivePoolBackoff is how long a pool that did not answer is not asked for requests.
+	// unresponsivePoolBackoff is how long a pool that didn't answer isn't asked for tokens.
 	unresponsivePoolBackoff = 500 * time.Millisecond
-	// noPoolRetryAfter is when a caller may come back whose proxy reaches no pool: another
-	// proxy can serve it at once.
+	// noPoolRetryAfter is the retry delay for callers of a proxy that reaches no pool. It is
+	// short because another proxy can serve the request at once.
 	noPoolRetryAfter = 100 * time.Millisecond
-	// minRateForShare is the rate from which a share is wanted, in requests a second. A share
-	// that is hardly used is lost to the others; below it the pool is asked each time.
+	// minRateForShare is the minimum request rate, per second, for which a proxy requests a
+	// share. A share that is hardly used is lost to the other proxies; below this rate the pool
+	// is asked for each request.
 	minRateForShare = 5.0
-	// idleRate is the rate below which an account is forgotten, in requests a second.
+	// idleRate is the request rate, per second, below which an idle account is evicted.
 	idleRate = 0.05
 )
 
 type (
-	// Verdict says what is to become of a request.
+	// Verdict is the outcome of a decision on a request.
 	Verdict uint8
 
-	// Decision is the verdict on one request.
+	// Decision is the decision on one request.
 	Decision struct {
 		Verdict Verdict
-		// Pool is who is to be asked, Next where to go on if it has no token.
+		// Pool is the pool to ask. NextIndex is where the search continues if that pool has no
+		// token.
 		Pool      string
 		NextIndex int
-		// RetryAfter is when there may be a token, Elsewhere is set if another proxy may have
-		// one now.
+		// RetryAfter is when a token may be available. RetryElsewhere is set if another proxy may
+		// have one now.
 		RetryAfter     time.Duration
 		RetryElsewhere bool
 	}
 
-	// Limiter is one proxy's side of all limits: its own part, which it gives to the pool
-	// of its region while there is one, and what the pool has granted it.
+	// Limiter is a proxy's local part of all rate limits. It admits requests within the shares
+	// that the proxy holds: its base share, which it deposits with the pool of its region while
+	// there is one, and the shares that the pool has granted it.
 	Limiter struct {
-		// Limits tells the limit of an account; none for one that has none.
+		// Limits returns the limit of an account; unlimited if it has none.
 		Limits func(account string) Limit
 
 		name      string
 		baseShare Share
-		// processStart tells the starts of the process apart; started is set once the pool has
-		// heard of this one.
+		// processStart identifies the run of the process. startReported is set once the pool has
+		// received it.
 		processStart  uint64
 		startReported bool
-		// depositedUntil is how long others may hold the own part, baseShareSince since when it has
-		// been here undiminished.
+		// depositedUntil is until when other proxies may hold the base share. baseShareSince is
+		// since when this proxy has held it undiminished.
 		depositedUntil time.Time
 		baseShareSince time.Time
 		pool           poolSession
-		// otherPools are the pools of some other regions.
+		// otherPools are pools of other regions.
 		otherPools []string
-		// unresponsiveUntil is until when pools that did not answer are not asked.
+		// unresponsiveUntil holds, for each pool that didn't answer, until when it isn't asked.
 		unresponsiveUntil map[string]time.Time
 		accounts          map[string]*accountState
 	}
 
-	// poolSession is what is known of the pool that this proxy reports to.
+	// poolSession is the state shared with the pool that this proxy reports to.
 	poolSession struct {
 		name string
-		// id and clock are the pool's, as told last; no id if it has not answered yet.
+		// id and clock are the last that the pool sent; id is zero before its first answer.
 		id          uint64
 		clock       time.Duration
 		lastApplied uint64
-		// deposited is set while the own part is with this start of the pool.
+		// deposited is set while the base share is deposited with this run of the pool.
 		deposited bool
-		// withdrawing is set while the part is taken back.
+		// withdrawing is set while the deposit is being withdrawn.
 		withdrawing bool
 	}
 
-	// accountState is an account's limit as held here.
+	// accountState is the state of one account's limit at this proxy.
 	accountState struct {
 		bucket      Bucket
 		granted     shareLease
@@ -96,11 +99,11 @@
 		denied      uint64
 	}
 
-	// AccountUsage is an account's state here, for operators.
+	// AccountUsage is an account's share and request counts at this proxy, for operators.
 	AccountUsage struct {
 		Account string
 		Share   Share
-		// PerSecond is the rate of requests here, of late.
+		// PerSecond is the recent request rate at this proxy.
 		PerSecond float64
 		// Admitted and Denied count requests since the account was last idle.
 		Admitted uint64
@@ -108,13 +111,13 @@
 	}
 )
 
-// NewLimiter makes the holder of a process that started at a moment. What the process
-// before it on this VM gave away may still be in use.
+// NewLimiter returns the limiter of a process that started at start. The base share counts as
+// deposited at first, because a deposit of the previous process on this VM may still be in use.
 func NewLimiter(name string, start time.Time) *Limiter {
 	return &Limiter{name: name, processStart: uint64(start.UnixMilli()), depositedUntil: start.Add(depositTTL + clockDriftMargin), unresponsiveUntil: make(map[string]time.Time), accounts: make(map[string]*accountState)}
 }
 
-// SetBaseShare sets the own part of all limits.
+// SetBaseShare sets the base share of all limits.
 func (h *Limiter) SetBaseShare(share Share) {
 	if share > h.baseShare {
 		h.baseShareSince = time.Time{}
@@ -122,8 +125,8 @@
 	h.baseShare = share
 }
 
-// ResetAfterPause forgets what was granted and given: this process did not run for a while, and
-// shares may have ended meanwhile by others' clocks.
+// ResetAfterPause drops all grants and the deposit. It is called when this process was suspended
+// for a while: leases may have expired meanwhile by the clocks of other proxies.
 func (h *Limiter) ResetAfterPause(now time.Time) {
 	h.pool = poolSession{}
 	h.depositedUntil = now.Add(depositTTL + clockDriftMargin)
@@ -132,7 +135,7 @@
 	}
 }
 
-// Take rules on one request of an account.
+// Take decides on one request of an account.
 func (h *Limiter) Take(now time.Time, account string) Decision {
 	l := h.Limits(account)
 	if l.Unlimited() {
@@ -159,8 +162,8 @@
 	return h.denyWithoutPool(now)
 }
 
-// denyWithoutPool denies a request because no pool can be asked. Another proxy may serve it, unless
-// all may have just started.
+// denyWithoutPool denies a request because no pool can be asked. Another proxy may serve it,
+// unless all proxies may have just started.
 func (h *Limiter) denyWithoutPool(now time.Time) Decision {
 	if startupLeft := h.depositedUntil.Sub(now); !h.startReported && startupLeft > 0 {
 		return Decision{Verdict: Denied, RetryAfter: startupLeft + poolRampUp}
@@ -168,11 +171,11 @@
 	return Decision{Verdict: Denied, RetryAfter: noPoolRetryAfter, RetryElsewhere: true}
 }
 
-// Tick notes since when the own part has been here.
+// Tick records since when this proxy has held its base share.
 func (h *Limiter) Tick(now time.Time) { h.baseShareHeldSince(now) }
 
-// baseShareHeldSince is since when the own part has been here. An account that was not used since
-// then has the tokens that came in meanwhile.
+// baseShareHeldSince returns since when this proxy has held its base share. An account that
+// wasn't used since then has accrued tokens for that time.
 func (h *Limiter) baseShareHeldSince(now time.Time) time.Time {
 	if h.baseShareSince.IsZero() {
 		h.baseShareSince = now
@@ -180,7 +183,8 @@
 	return laterOf(h.baseShareSince, h.depositedUntil)
 }
 
-// nextPool names the next pool to ask: that of the own region first, then some others.
+// nextPool returns the next pool to ask: the pool of the proxy's own region first, then those of
+// other regions.
 func (h *Limiter) nextPool(now time.Time, first int) (Decision, bool) {
 	for i := first; i <= len(h.otherPools); i++ {
 		pool := h.pool.name
@@ -194,7 +198,8 @@
 	return Decision{}, false
 }
 
-// HandlePoolReply takes in the answer to a ruling that a pool is to be asked; there may be none.
+// HandlePoolReply continues the decision asked with the pool's reply. If answered is false, the
+// pool didn't reply.
 func (h *Limiter) HandlePoolReply(now time.Time, account string, asked Decision, reply TokenReply, answered bool) Decision {
 	a := h.account(account)
 	if answered && reply.Granted {
@@ -216,23 +221,24 @@
 	return Decision{Verdict: Denied, RetryAfter: wait}
 }
 
-// Charge counts a request that is sent again, and may have run before.
+// Charge takes a token for a retry of a request that may have run before.
 func (h *Limiter) Charge(account string) {
 	if a := h.accounts[account]; a != nil {
 		a.bucket.Charge()
 	}
 }
 
-// Refund takes back that a request was admitted, if it was not sent.
+// Refund returns the token of an admitted request that wasn't sent.
 func (h *Limiter) Refund(account string) {
 	if a := h.accounts[account]; a != nil {
 		a.bucket.Refund()
 	}
 }
 
-// NextReport tells what the pool must hear now, and who that is. best is the proxy that
-// should be the pool; while the part is taken back from another one that answers, it is
-// that one still. others are pools of other regions that may be asked for requests.
+// NextReport returns the next report and the pool to send it to. preferred is the proxy that
+// should be the pool. While a deposit is being withdrawn from another pool that still answers,
+// the report goes to that pool. otherPools are pools of other regions that may be asked for
+// tokens.
 func (h *Limiter) NextReport(now time.Time, preferred string, otherPools []string) (to string, r Report) {
 	h.otherPools = otherPools
 	h.choosePool(now, preferred)
@@ -241,7 +247,7 @@
 		return h.pool.name, r
 	}
 	if h.pool.id != 0 && (h.pool.deposited || !now.Before(h.depositedUntil)) {
-		// The own share goes down before the pool can hear of it.
+		// The local share is lowered before the pool can learn of the deposit.
 		h.pool.deposited = true
 		h.depositedUntil = laterOf(h.depositedUntil, now.Add(depositTTL+clockDriftMargin))
 		r.Part = h.baseShare
@@ -253,7 +259,7 @@
 	return h.pool.name, r
 }
 
-// choosePool settles which pool is reported to.
+// choosePool selects the pool to report to.
 func (h *Limiter) choosePool(now time.Time, preferred string) {
 	p := &h.pool
 	switch {
@@ -269,7 +275,7 @@
 	}
 }
 
-// wantedShares lists the shares that are wanted, and forgets accounts that are idle.
+// wantedShares returns the shares to request and evicts idle accounts.
 func (h *Limiter) wantedShares(now time.Time) []AccountShare {
 	var list []AccountShare
 	for name, a := range h.accounts {
@@ -286,8 +292,8 @@
 	return list
 }
 
-// ApplyGrants takes in a pool's answer to a report made at a moment. It reports whether the
-// next one should follow at once: the pool has not been given the part yet.
+// ApplyGrants applies a pool's answer to a report made at reportedAt. It reports whether the next
+// report should follow at once, because the base share isn't deposited with this pool yet.
 func (h *Limiter) ApplyGrants(now, reportedAt time.Time, pool string, g Grants) bool {
 	p := &h.pool
 	if p.name != pool {
@@ -312,8 +318,7 @@
 	return first
 }
 
-// replaceGrants brings the shares that a pool grants into force, in place of those that it
-// granted before.
+// replaceGrants replaces the shares that a pool granted before by the new ones.
 func (h *Limiter) replaceGrants(now time.Time, pool string, shares []AccountShare, until time.Time) {
 	for _, a := range h.accounts {
 		if a.grantedBy == pool {
@@ -331,12 +336,12 @@
 	}
 }
 
-// MarkUnresponsive notes that a pool did not answer. Callers must not wait for it again.
+// MarkUnresponsive records that a pool didn't answer, so that callers don't wait for it again.
 func (h *Limiter) MarkUnresponsive(now time.Time, pool string) {
 	h.unresponsiveUntil[pool] = now.Add(unresponsivePoolBackoff)
 }
 
-// AccountUsages describes the accounts that are in use here, by name.
+// AccountUsages returns the usage of all active accounts, sorted by name.
 func (h *Limiter) AccountUsages(now time.Time) []AccountUsage {
 	list := make([]AccountUsage, 0, len(h.accounts))
 	for name, a := range h.accounts {
@@ -348,10 +353,10 @@
 	return list
 }
 
-// Pool is the proxy that is reported to, empty for none.
+// Pool returns the name of the pool that this proxy reports to, empty if there is none.
 func (h *Limiter) Pool() string { return h.pool.name }
 
-// shareHeld is what is held of an account's limit at a moment.
+// shareHeld returns the share of an account's limit that this proxy holds at now.
 func (h *Limiter) shareHeld(now time.Time, a *accountState) Share {
 	share := Share(0)
 	if a.granted.active(now) {
--- a/internal/kernel/ratelimit/message.go
+++ b/internal/kernel/ratelimit/message.go
@@ -5,71 +5,73 @@
 )
 
 const (
-	// ReportInterval is how often a proxy tells its pool what it needs.
+	// ReportInterval is the interval at which a proxy reports to its pool.
 	ReportInterval = 100 * time.Millisecond
-	// grantTTL is how long a granted share lasts, counted by its holder from before it
-	// asked. Two reports may be lost before it ends.
+	// grantTTL is the lifetime of a granted share. The holder counts it from before it sent the
+	// report. Two consecutive reports may be lost before the grant expires.
 	grantTTL = 300 * time.Millisecond
-	// minDepositLeft is the least time for which a deposit must last to back new grants.
+	// minDepositLeft is the minimum remaining lifetime of a deposit that may back new grants.
 	minDepositLeft = 200 * time.Millisecond
-	// depositTTL is how long a proxy gives its own part away, counted by the pool from
-	// before the proxy did.
+	// depositTTL is the lifetime of a deposit. The pool counts it from before the proxy made the
+	// deposit.
 	depositTTL = 500 * time.Millisecond
-	// poolRampUp is how long after its parts have come in a pool needs to serve those who were
-	// refused meanwhile.
+	// poolRampUp is the time a pool needs after it has received its deposits to serve the
+	// requests that were denied before.
 	poolRampUp = 400 * time.Millisecond
-	// clockDriftMargin is added by whoever gave a share away before it is used again, for clocks
-	// that differ in rate.
+	// clockDriftMargin is added by the giver of a share before it uses the share again, to allow
+	// for clocks that run at different rates.
 	clockDriftMargin = 50 * time.Millisecond
 )
 
 type (
-	// Report is what a proxy tells the pool of its region: the part of all limits that
-	// it gives away for now, and the shares that it wants.
+	// Report is what a proxy sends to the pool of its region: the base share that it deposits for
+	// a limited time, and the shares that it requests.
 	Report struct {
 		From string
-		// Part is given away until some time after Echo, the pool's own clock as it was
-		// told last; zero for none.
+		// Part is the base share that the proxy deposits; zero if it deposits nothing. The
+		// deposit expires some time after Echo, the last pool clock that the proxy has received.
 		Part Share
 		Pool uint64
 		Echo time.Duration
-		// Applied is the last answer that was taken in.
+		// Applied is the ID of the last answer that the proxy has applied.
 		Applied uint64
 		Wants   []AccountShare
-		// Starter is the part of a process that has just started, told until it is answered;
-		// Start tells the starts of the process apart.
+		// Starter is the base share of a process that has just started. It is sent until the pool
+		// answers. Start identifies the run of the process.
 		Starter Share
 		Start   uint64
-		// Withdraws is set if the proxy takes its part back, and has given up all that it
-		// was granted.
+		// Withdraws is set if the proxy withdraws its deposit and has given up everything that
+		// the pool granted it.
 		Withdraws bool
-		// Lends is set if the proxy is a pool itself and asks for what is to spare.
+		// Lends is set if the sender is the pool of another region and asks for a loan of spare
+		// shares.
 		Lends bool
 	}
 
-	// AccountShare is a share that is wanted of an account's limit.
+	// AccountShare is a share of the limit of an account.
 	AccountShare struct {
 		Account string
 		Share   Share
 	}
 
-	// Grants is a pool's answer. It replaces the one before.
+	// Grants is a pool's answer to a report. It replaces all earlier grants.
 	Grants struct {
-		// Pool tells the starts of the pool's process apart, Clock is its time since then.
+		// Pool identifies the run of the pool's process. Clock is the time since the pool
+		// started.
 		Pool  uint64
 		Clock time.Duration
 		ID    uint64
-		// Shares last For from before the report was made.
+		// Shares are valid for the duration For, counted from before the report was sent.
 		Shares []AccountShare
 		For    time.Duration
-		// Withdrawn is set if the part is the proxy's own again.
+		// Withdrawn is set if the deposit has been returned to the proxy.
 		Withdrawn bool
 	}
 
-	// TokenReply is a pool's answer to a proxy that asks for one request.
+	// TokenReply is a pool's answer to a proxy that asks for a token for one request.
 	TokenReply struct {
 		Granted bool
-		// Wait is when there may be one, if not.
+		// Wait is the time after which a token may be available, if none was granted.
 		Wait time.Duration
 	}
 )
--- a/internal/kernel/ratelimit/pool.go
+++ b/internal/kernel/ratelimit/pool.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// maxTokenWait is the longest wait for a token that a pool tells.
+	// maxTokenWait is the longest wait for a token that a pool returns.
 	maxTokenWait = time.Second
-	// memberTTL is how long a proxy that no longer reports is remembered.
+	// memberTTL is how long a proxy is kept as a member after its last report.
 	memberTTL = 10 * time.Second
 )
 
 type (
-	// Pool holds the parts that proxies give away and grants them to those that need
-	// them. Any proxy may be one: a pool has only what it was given.
+	// Pool holds the shares that proxies deposit and grants them to the proxies that need them.
+	// Any proxy can act as the pool of its region; a pool never grants more than was deposited or
+	// lent to it.
 	Pool struct {
-		// Limits tells the limit of an account; none for one that is not known.
+		// Limits returns the limit of an account; unlimited if the account isn't known.
 		Limits func(account string) Limit
-		// StartupBurst tells how many requests of an account all processes together may let
-		// through at their start.
+		// StartupBurst returns how many requests of an account all processes together may admit
+		// at startup.
 		StartupBurst func(account string) float64
 
 		id           uint64
@@ -29,36 +30,37 @@
 		lastAnswerID uint64
 		members      map[string]*member
 		accounts     map[string]*pooledAccount
-		// lenders are the last answers of other regions' pools.
+		// lenders holds, for each pool of another region, the last answer that was applied.
 		lenders map[string]appliedAnswer
-		// depositedShare is what was here at the moment settled; accrued is what has come in by
-		// time since it last fell, in shares times seconds.
+		// depositedShare is the sum of the deposits at settledAt. accruedShareSeconds is the
+		// integral of depositedShare over time since it last fell, with a full share as 1.
 		depositedShare      Share
 		settledAt           time.Time
 		accruedShareSeconds float64
-		// startupShare are the parts of the processes that have started until a short while ago.
+		// startupShare is the sum of the base shares of recently started processes. It expires at
+		// startupUntil.
 		startupShare Share
 		startupUntil time.Time
 	}
 
-	// grantRequest is one report being answered.
+	// grantRequest is the context in which the shares of one report are granted.
 	grantRequest struct {
 		now    time.Time
 		from   string
 		member *member
-		// available is what may be granted, lasts for how long.
+		// available is the share that may be granted, for at most ttl.
 		available Share
 		ttl       time.Duration
 		answerID  uint64
 	}
 
-	// appliedAnswer is the last answer of a start of a pool that was taken in.
+	// appliedAnswer identifies the last answer that was applied from one run of a pool.
 	appliedAnswer struct {
 		poolID   uint64
 		answerID uint64
 	}
 
-	// LoanRequest is what another region's pool is asked for.
+	// LoanRequest is a report to be sent to the pool of another region to borrow shares.
 	LoanRequest struct {
 		Lender string
 		Report Report
@@ -70,52 +72,52 @@
 		depositUntil time.Time
 		lastReportAt time.Time
 		lastApplied  uint64
-		// processStart is that of the proxy's process, as far as it is known.
+		// processStart identifies the run of the proxy's process; zero if unknown.
 		processStart uint64
-		// withdrawnAt is the pool's clock when the part was last taken back: reports made before
-		// may still arrive.
+		// withdrawnAt is the pool's clock at the last withdrawal. Reports made before it may
+		// still arrive and must not restore the deposit.
 		withdrawnAt time.Duration
-		// isRemotePool is set for the pool of another region.
+		// isRemotePool is set if the member is the pool of another region.
 		isRemotePool bool
 	}
 
-	// pooledAccount is an account's limit at the pool.
+	// pooledAccount is the state of one account's limit at the pool.
 	pooledAccount struct {
 		bucket Bucket
-		// tokenRequests are those for single requests.
+		// tokenRequests is the rate of requests for single tokens.
 		tokenRequests RequestRate
-		// startupTokens are tokens of processes that have just started; counted is how much of
-		// the pool's starter they are made from.
+		// startupTokens are the remaining tokens for processes that have just started.
+		// startupShareCounted is the part of the pool's startupShare that they already include.
 		startupTokens       float64
 		startupShareCounted Share
-		// wants and grants are by proxy.
+		// wants and grants are keyed by proxy.
 		wants  map[string]shareLease
 		grants map[string]grant
-		// borrowed are shares that other pools have lent.
+		// borrowed are the shares lent by other pools, keyed by pool.
 		borrowed map[string]shareLease
 	}
 
-	// shareLease is a share until a moment.
+	// shareLease is a share that expires.
 	shareLease struct {
 		share Share
 		until time.Time
 	}
 
-	// grant is what a proxy was granted. Until it tells that it has heard of the current
-	// grant, it may hold the one before.
+	// grant is a proxy's grant. Until the proxy confirms that it has applied the current grant,
+	// it may still hold the previous one.
 	grant struct {
 		current, previous shareLease
 		answerID          uint64
 	}
 )
 
-// NewPool makes a pool that has nothing yet. The id tells the starts of the process apart.
+// NewPool returns a pool without deposits. The id identifies the run of the process.
 func NewPool(id uint64, start time.Time) *Pool {
 	return &Pool{id: id, start: start, members: make(map[string]*member), accounts: make(map[string]*pooledAccount), lenders: make(map[string]appliedAnswer)}
 }
 
-// Reset forgets all that was given: this process did not run for a while, and the givers
-// have taken their parts back.
+// Reset drops all deposits and grants. It is called when this process was suspended for a while:
+// the depositors have taken their shares back.
 func (p *Pool) Reset(now time.Time) {
 	clear(p.members)
 	clear(p.accounts)
@@ -124,10 +126,10 @@
 	p.start, p.depositedShare, p.accruedShareSeconds = now, 0, 0
 }
 
-// HasDeposits reports whether any proxy gives its part to this pool.
+// HasDeposits reports whether any proxy has deposited its share with this pool.
 func (p *Pool) HasDeposits(now time.Time) bool { return p.deposited(now, 0) > 0 }
 
-// HandleReport takes a report in and answers it.
+// HandleReport processes a report and returns the answer.
 func (p *Pool) HandleReport(now time.Time, r Report) Grants {
 	m := p.members[r.From]
 	if m == nil {
@@ -160,7 +162,7 @@
 	return answer
 }
 
-// recordDeposit takes in that a proxy gives its part away.
+// recordDeposit records or extends the deposit of a proxy.
 func (p *Pool) recordDeposit(m *member, r Report) {
 	until := p.start.Add(r.Echo + depositTTL)
 	if r.Part > 0 && r.Echo > m.withdrawnAt && until.After(m.depositUntil) {
@@ -168,8 +170,8 @@
 	}
 }
 
-// recordStart takes in that a process has started. Its part may still be held by others, but
-// some requests are let through at once.
+// recordStart records that a process has started. Its base share may still be held by others, but
+// some requests are admitted at once from the startup burst.
 func (p *Pool) recordStart(now time.Time, m *member, r Report) {
 	if r.Starter == 0 || m.processStart == r.Start {
 		return
@@ -185,7 +187,7 @@
 	p.startupUntil = now.Add(depositTTL + clockDriftMargin)
 }
 
-// takeStartupToken takes one of the tokens of processes that have just started.
+// takeStartupToken takes a token of the startup burst and reports whether there was one.
 func (p *Pool) takeStartupToken(now time.Time, account string, a *pooledAccount) bool {
 	if now.After(p.startupUntil) {
 		return false
@@ -199,7 +201,7 @@
 	return true
 }
 
-// settle brings all buckets up to a moment if the pool has become larger or smaller.
+// settle updates the sum of the deposits and, if it has changed, refills all buckets.
 func (p *Pool) settle(now time.Time) {
 	if now.After(p.settledAt) {
 		p.accruedShareSeconds += float64(p.depositedShare) / float64(FullShare) * now.Sub(p.settledAt).Seconds()
@@ -218,7 +220,7 @@
 	}
 }
 
-// withdraw gives a proxy its part back, unless others have been granted of it.
+// withdraw returns a proxy's deposit, unless grants to other proxies depend on it.
 func (p *Pool) withdraw(now time.Time, from string, m *member) bool {
 	for name, a := range p.accounts {
 		delete(a.grants, from)
@@ -232,8 +234,8 @@
 	return true
 }
 
-// grant settles the share of an account that a proxy holds from now on. What another one
-// may still hold is left to it.
+// grant sets and returns the share of an account that a proxy holds from now on. It leaves
+// untouched what other proxies may still hold.
 func (p *Pool) grant(req grantRequest, w AccountShare) Share {
 	l, a := p.Limits(w.Account), p.account(req.now, w.Account)
 	previous := a.grants[req.from].heldBy(req)
@@ -250,9 +252,9 @@
 	return share
 }
 
-// fairShare is the share that a proxy should get of what its region has: what it wants, or if
-// that is too much for all, the same part as the others. Other regions get what is to
-// spare.
+// fairShare returns the share that a proxy should get of its region's deposits: the share that it
+// wants or, if all together want more than there is, a proportional part of it. Pools of other
+// regions get what the region doesn't need.
 func (p *Pool) fairShare(req grantRequest, a *pooledAccount, w AccountShare) Share {
 	want := w.Share
 	available := req.available
@@ -267,8 +269,8 @@
 	return want
 }
 
-// wanted sums what the region's proxies want, for a time or request by request, and what
-// other regions do.
+// wanted returns the sum of the shares that the region's own proxies want, including the share
+// needed for single tokens, and the sum that pools of other regions want.
 func (p *Pool) wanted(now time.Time, account string, a *pooledAccount) (own, remote Share) {
 	own = shareForRate(a.tokenRequests.PerSecond(now), p.Limits(account))
 	for name, w := range a.wants {
@@ -284,7 +286,8 @@
 	return own, remote
 }
 
-// grantDuration is how long a share lasts that is granted now: no longer than what backs it.
+// grantDuration returns how long a share granted now is valid: no longer than the deposits that
+// back it.
 func (p *Pool) grantDuration(now time.Time) time.Duration {
 	ttl := grantTTL
 	for _, m := range p.members {
@@ -295,7 +298,7 @@
 	return ttl
 }
 
-// deposited sums the parts that are here for a time at least.
+// deposited returns the sum of the deposits that remain for at least minLeft.
 func (p *Pool) deposited(now time.Time, minLeft time.Duration) Share {
 	sum := Share(0)
 	for _, m := range p.members {
@@ -306,7 +309,7 @@
 	return min(sum, FullShare)
 }
 
-// Take answers a proxy that asks for a single request of an account.
+// Take answers a request for a single token of an account.
 func (p *Pool) Take(now time.Time, account string) TokenReply {
 	l := p.Limits(account)
 	if l.Unlimited() {
@@ -321,19 +324,19 @@
 	}
 	wait := maxTokenWait
 	if startupLeft := p.start.Add(depositTTL + clockDriftMargin).Sub(now); p.depositedShare == 0 && startupLeft > 0 {
-		// Proxies that have started with this one have not given their parts yet.
+		// Proxies that started at the same time haven't made their deposits yet.
 		wait = startupLeft + poolRampUp
 	}
 	return TokenReply{Wait: a.bucket.Wait(l, wait)}
 }
 
-// refill brings an account's bucket up to a moment, at the share that the pool keeps.
+// refill updates an account's bucket with the share that the pool keeps for single tokens.
 func (p *Pool) refill(now time.Time, l Limit, a *pooledAccount) {
 	a.bucket.Refill(now, l, max(0, p.depositedShare+a.totalBorrowed(now)-a.totalGranted(now)))
 }
 
-// LoanRequests tells other regions' pools what the one here lacks, divided over them; nothing
-// if it lacks nothing.
+// LoanRequests returns the loan requests to send to pools of other regions. They divide the
+// shares that this pool lacks equally among the lenders; there are none if it lacks nothing.
 func (p *Pool) LoanRequests(now time.Time, from string, lenders []string) []LoanRequest {
 	wants := p.shortfalls(now, len(lenders))
 	if len(wants) == 0 {
@@ -347,7 +350,8 @@
 	return list
 }
 
-// shortfalls lists the shares that are wanted here beyond what there is, divided by a number.
+// shortfalls returns the shares that are wanted here beyond the deposits, divided by the number
+// of lenders.
 func (p *Pool) shortfalls(now time.Time, lenders int) []AccountShare {
 	available := p.deposited(now, minDepositLeft)
 	var list []AccountShare
@@ -361,10 +365,10 @@
 	return list
 }
 
-// ApplyLoan takes in a lender's answer to what was asked at a moment.
+// ApplyLoan applies a lender's answer to a loan request made at requestedAt.
 func (p *Pool) ApplyLoan(now, requestedAt time.Time, lender string, g Grants) {
 	if known := p.lenders[lender]; known.poolID == g.Pool && known.answerID >= g.ID {
-		// The lender may hold what an older answer granted for ended.
+		// An older answer arrived late. The lender may already regard its grants as expired.
 		return
 	}
 	p.lenders[lender] = appliedAnswer{poolID: g.Pool, answerID: g.ID}
@@ -376,7 +380,7 @@
 	}
 }
 
-// Tick forgets proxies that no longer report and accounts that nobody uses.
+// Tick evicts proxies that no longer report, expired leases and unused accounts.
 func (p *Pool) Tick(now time.Time) {
 	p.settle(now)
 	maps.DeleteFunc(p.members, func(_ string, m *member) bool { return now.Sub(m.lastReportAt) > memberTTL })
@@ -392,8 +396,8 @@
 	}
 }
 
-// account is an account's limit here. One that was not used so far has the tokens that
-// came in meanwhile.
+// account returns the state of an account. A new one starts with the tokens accrued since the
+// deposits last fell.
 func (p *Pool) account(now time.Time, name string) *pooledAccount {
 	a := p.accounts[name]
 	if a == nil {
@@ -404,7 +408,7 @@
 	return a
 }
 
-// totalGranted is the share that proxies may hold; grantedExcept leaves one of them out.
+// totalGranted returns the share that proxies may hold. grantedExcept leaves out one proxy.
 func (a *pooledAccount) totalGranted(now time.Time) Share { return a.grantedExcept(now, "") }
 
 func (a *pooledAccount) grantedExcept(now time.Time, proxy string) Share {
@@ -417,7 +421,7 @@
 	return sum
 }
 
-// totalBorrowed is the share that other pools have lent.
+// totalBorrowed returns the share lent by other pools.
 func (a *pooledAccount) totalBorrowed(now time.Time) Share {
 	sum := Share(0)
 	for _, r := range a.borrowed {
@@ -428,7 +432,7 @@
 	return sum
 }
 
-// heldBy is what the proxy that reports may hold of its grant until it hears of the next.
+// heldBy returns what the reporting proxy may hold of its grant until it learns of the next one.
 func (g grant) heldBy(req grantRequest) shareLease {
 	held := g.current
 	if req.member.lastApplied < g.answerID && g.previous.active(req.now) {
@@ -440,7 +444,7 @@
 	return held
 }
 
-// maxHeld is the share that a proxy may hold of a grant.
+// maxHeld returns the largest share that a proxy may hold of a grant.
 func (g grant) maxHeld(now time.Time) Share {
 	held := Share(0)
 	for _, r := range []shareLease{g.current, g.previous} {
@@ -453,7 +457,7 @@
 
 func (r shareLease) active(now time.Time) bool { return r.share > 0 && now.Before(r.until) }
 
-// proRata is a part of have that is to have as want is to all.
+// proRata returns the part of available that is proportional to want among totalWanted.
 func proRata(want, available, totalWanted Share) Share { return want * available / max(1, totalWanted) }
 
 func laterOf(a, b time.Time) time.Time {
--- a/internal/kernel/ratelimit/request_rate.go
+++ b/internal/kernel/ratelimit/request_rate.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// rateTimeConstant is how long a request counts for the rate of arrivals.
+	// rateTimeConstant is the time constant of the exponentially decayed request rate.
 	rateTimeConstant = 2 * time.Second
 )
 
 type (
-	// RequestRate is how many requests come in a second, of late.
+	// RequestRate estimates the current request rate with an exponentially decayed count.
 	RequestRate struct {
 		perSecond float64
 		at        time.Time
@@ -24,7 +24,7 @@
 	a.at = now
 }
 
-// PerSecond is the rate at a moment.
+// PerSecond returns the estimated rate at now, in requests per second.
 func (a *RequestRate) PerSecond(now time.Time) float64 {
 	if a.perSecond == 0 {
 		return 0
