--- a/internal/kernel/placing/assign.go
+++ b/internal/kernel/placing/assign.go
@@ -46,7 +46,7 @@
 		firstObject  int
 		// candidates are the classes' for each object of the window, after each other.
 		candidates []candidateList
-		heads      [windowSize]candidate
+		nearest    [windowSize]candidate
 		// shortListExhausted is set if some object had all servers of a class looked at.
 		shortListExhausted bool
 	}
@@ -69,13 +69,13 @@
 func (d *assigner) assign(firstObject int) (choices [windowSize][ChoicesPerObject]int32) {
 	d.firstObject = firstObject
 	for n := range windowSize {
-		d.start(n)
-		d.heads[n] = d.next(n)
+		d.initCandidates(n)
+		d.nearest[n] = d.takeNearest(n)
 	}
 	var assigned [windowSize]bool
 	for left := windowSize; left > 0; {
 		n := d.bestObject(&assigned)
-		server := d.heads[n].server
+		server := d.nearest[n].server
 		if d.placement.assigned[server] < d.placement.capacity(server, firstObject) {
 			d.placement.assigned[server]++
 			choices[n][0] = server
@@ -83,7 +83,7 @@
 			left--
 			continue
 		}
-		d.heads[n] = d.next(n)
+		d.nearest[n] = d.takeNearest(n)
 	}
 	for n := range windowSize {
 		d.fillChoices(n, &choices[n])
@@ -95,7 +95,7 @@
 func (d *assigner) bestObject(assigned *[windowSize]bool) int {
 	best := -1
 	for n := range windowSize {
-		if !assigned[n] && (best < 0 || compareCandidates(d.heads[n], d.heads[best]) < 0) {
+		if !assigned[n] && (best < 0 || compareCandidates(d.nearest[n], d.nearest[best]) < 0) {
 			best = n
 		}
 	}
@@ -105,11 +105,11 @@
 // fillChoices names the nearest servers beside an object's home, which is there already; -1
 // where there are no more.
 func (d *assigner) fillChoices(n int, choices *[ChoicesPerObject]int32) {
-	d.restart(n)
+	d.rewindCandidates(n)
 	for i := 1; i < ChoicesPerObject; i++ {
-		p := d.next(n)
+		p := d.takeNearest(n)
 		if p.server == choices[0] {
-			p = d.next(n)
+			p = d.takeNearest(n)
 		}
 		choices[i] = p.server
 	}
@@ -120,8 +120,8 @@
 	return d.candidates[n*classes : (n+1)*classes]
 }
 
-// start lines the nearest servers of an object up.
-func (d *assigner) start(n int) {
+// initCandidates lines the nearest servers of an object up.
+func (d *assigner) initCandidates(n int) {
 	lists := d.candidatesOf(n)
 	for i := range lists {
 		c := &d.placement.classes[i]
@@ -138,7 +138,7 @@
 	}
 }
 
-func (d *assigner) restart(n int) {
+func (d *assigner) rewindCandidates(n int) {
 	lists := d.candidatesOf(n)
 	for i := range lists {
 		lists[i].next = 0
@@ -146,8 +146,8 @@
 	}
 }
 
-// next takes an object's nearest server that is left; -1 if there is none.
-func (d *assigner) next(n int) candidate {
+// takeNearest takes an object's nearest server that is left; -1 if there is none.
+func (d *assigner) takeNearest(n int) candidate {
 	lists := d.candidatesOf(n)
 	best, from := candidate{server: -1}, -1
 	for i := range lists {
@@ -187,7 +187,7 @@
 func (h *Placement) allServers(c *serverClass, object int) []serverHash {
 	list := make([]serverHash, 0, len(c.servers))
 	for _, server := range c.servers {
-		list = append(list, serverHash{hashPair(h.hashes[server], object) >> hashSpareBits, server})
+		list = append(list, serverHash{hashPair(h.hashes[server], object) >> droppedHashBits, server})
 	}
 	slices.SortFunc(list, func(a, b serverHash) int {
 		return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.server, b.server))
@@ -211,6 +211,6 @@
 // weightedDistance turns a uniform hash, without its spare bits, into a distance that is the
 // least of all with a probability proportional to the weight.
 func weightedDistance(hash uint64, weight int) float64 {
-	uniform := (float64(hash) + 1) / (1 << (64 - hashSpareBits))
+	uniform := (float64(hash) + 1) / (1 << (64 - droppedHashBits))
 	return -math.Log(uniform) / float64(weight)
 }
--- a/internal/kernel/placing/placement.go
+++ b/internal/kernel/placing/placement.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// objectIndexes is the largest object number that gets a place of its own.
+	// objectIndexCount is the largest object number that gets a place of its own.
 	// Larger numbers and other names are spread over this many places.
-	objectIndexes = 4096
+	objectIndexCount = 4096
 	// ChoicesPerObject is how many servers are named for an object, best first.
 	ChoicesPerObject = 3
 	// windowSize is how many consecutive objects are dealt out evenly.
@@ -24,9 +24,9 @@
 	// shortListSize is how many servers of each object are looked at first. Where an
 	// object finds room only further down, all are; the result is the same.
 	shortListSize = 16
-	// hashSpareBits is how many bits of a hash are left out, so that the rest is exact as
+	// droppedHashBits is how many bits of a hash are left out, so that the rest is exact as
 	// a floating-point number.
-	hashSpareBits = 11
+	droppedHashBits = 11
 )
 
 type (
@@ -64,22 +64,22 @@
 		h.hashes = append(h.hashes, xxhash.Sum64String(s.ID))
 		h.totalWeight += s.Weight
 	}
-	h.classify(r)
+	h.groupServers(r)
 	return h
 }
 
-// classify sorts the servers by class and weight.
-func (h *Placement) classify(r *Ranking) {
-	type kind struct {
+// groupServers sorts the servers by class and weight.
+func (h *Placement) groupServers(r *Ranking) {
+	type classKey struct {
 		class  string
 		weight int
 	}
-	known := make(map[kind]int)
+	known := make(map[classKey]int)
 	for i, s := range h.servers {
-		n, found := known[kind{s.Class, s.Weight}]
+		n, found := known[classKey{s.Class, s.Weight}]
 		if !found {
 			n = len(h.classes)
-			known[kind{s.Class, s.Weight}] = n
+			known[classKey{s.Class, s.Weight}] = n
 			h.classes = append(h.classes, serverClass{weight: s.Weight})
 			if r != nil && r.classes[s.Class] != nil {
 				h.classes[n].ranking = r.classes[s.Class]
@@ -105,12 +105,12 @@
 	if len(h.servers) == 0 {
 		return nil
 	}
-	place := ObjectIndex(object)
-	for len(h.choices) <= place {
+	index := ObjectIndex(object)
+	for len(h.choices) <= index {
 		h.placeWindow(len(h.choices))
 	}
 	ids := make([]string, 0, ChoicesPerObject)
-	for _, i := range h.choices[place] {
+	for _, i := range h.choices[index] {
 		if i >= 0 {
 			ids = append(ids, h.servers[i].ID)
 		}
@@ -123,10 +123,10 @@
 // are spread evenly, which a hash does not do for a few dozen.
 func ObjectIndex(object string) int {
 	n, err := strconv.ParseUint(object, 16, 63)
-	if err == nil && n < objectIndexes {
+	if err == nil && n < objectIndexCount {
 		return int(n)
 	}
-	return int(xxhash.Sum64String(object) % objectIndexes)
+	return int(xxhash.Sum64String(object) % objectIndexCount)
 }
 
 // placeWindow deals the objects of the next window out. No server takes more than
--- a/internal/kernel/placing/placement_test.go
+++ b/internal/kernel/placing/placement_test.go
@@ -79,35 +79,35 @@
 
 // assignAllPairs deals a window out by the definition: from all pairs of object and server, the
 // best first.
-func assignAllPairs(h *Placement, first int) (homes [windowSize][ChoicesPerObject]int32) {
-	type weighed struct {
+func assignAllPairs(h *Placement, firstObject int) (placed [windowSize][ChoicesPerObject]int32) {
+	type objectCandidate struct {
 		candidate
 		object int
 	}
-	var list []weighed
+	var list []objectCandidate
 	for n := range windowSize {
-		homes[n] = [ChoicesPerObject]int32{-1, -1, -1}
+		placed[n] = [ChoicesPerObject]int32{-1, -1, -1}
 		for i, s := range h.servers {
-			list = append(list, weighed{candidate{weightedDistance(hashPair(h.hashes[i], first+n)>>hashSpareBits, s.Weight), int32(i)}, n})
+			list = append(list, objectCandidate{candidate{weightedDistance(hashPair(h.hashes[i], firstObject+n)>>droppedHashBits, s.Weight), int32(i)}, n})
 		}
 	}
-	slices.SortFunc(list, func(a, b weighed) int {
+	slices.SortFunc(list, func(a, b objectCandidate) int {
 		return cmp.Or(compareCandidates(a.candidate, b.candidate), cmp.Compare(a.object, b.object))
 	})
-	counted := make(map[int32]int)
+	assigned := make(map[int32]int)
 	for _, p := range list {
-		if homes[p.object][0] < 0 && h.assigned[p.server]+counted[p.server] < h.capacity(p.server, first) {
-			homes[p.object][0] = p.server
-			counted[p.server]++
+		if placed[p.object][0] < 0 && h.assigned[p.server]+assigned[p.server] < h.capacity(p.server, firstObject) {
+			placed[p.object][0] = p.server
+			assigned[p.server]++
 		}
 	}
 	for _, p := range list {
-		choices := &homes[p.object]
+		choices := &placed[p.object]
 		if i := slices.Index(choices[:], -1); i > 0 && !slices.Contains(choices[:i], p.server) {
 			choices[i] = p.server
 		}
 	}
-	return homes
+	return placed
 }
 
 // A service has a thousand servers and each registration moves homes. Weighing
@@ -167,8 +167,8 @@
 		}
 	}
 	for _, object := range []string{"", "order-17", "ffffffff", "-1"} {
-		if got := ObjectIndex(object); got < 0 || got >= objectIndexes {
-			t.Errorf("Number(%q) = %d, want within %d", object, got, objectIndexes)
+		if got := ObjectIndex(object); got < 0 || got >= objectIndexCount {
+			t.Errorf("Number(%q) = %d, want within %d", object, got, objectIndexCount)
 		}
 	}
 	if got := NewPlacement(nil, nil).ServersFor("1"); got != nil {
--- a/internal/kernel/placing/ranking.go
+++ b/internal/kernel/placing/ranking.go
@@ -94,7 +94,7 @@
 	c.numbers[id] = number
 	for object := range c.nearest {
 		list := c.nearest[object]
-		hash := hashPair(c.hashes[number], object) >> hashSpareBits
+		hash := hashPair(c.hashes[number], object) >> droppedHashBits
 		if len(list) == complete || hash > list[len(list)-1].hash {
 			c.nearest[object] = insertRanked(list, serverHash{hash, number}, rankedPerObject)
 		}
@@ -106,7 +106,7 @@
 	delete(c.numbers, id)
 	c.ids[number] = ""
 	for object, list := range c.nearest {
-		hash := hashPair(c.hashes[number], object) >> hashSpareBits
+		hash := hashPair(c.hashes[number], object) >> droppedHashBits
 		if len(list) == 0 || hash < list[len(list)-1].hash {
 			continue
 		}
@@ -134,7 +134,7 @@
 		if id == "" {
 			continue
 		}
-		hash := hashPair(c.hashes[number], object) >> hashSpareBits
+		hash := hashPair(c.hashes[number], object) >> droppedHashBits
 		if len(list) == rankedPerObject && hash <= list[rankedPerObject-1].hash {
 			continue
 		}
--- a/internal/kernel/placing/region_weights.go
+++ b/internal/kernel/placing/region_weights.go
@@ -45,13 +45,13 @@
 	if slots == 0 || demand == 0 {
 		return weights
 	}
-	free := max(0, 1-pinned)
+	unpinned := max(0, 1-pinned)
 	limit := func(r RegionCapacity) float64 { return max(0, maxLoad*float64(r.Slots)/slots-r.Pinned) }
 	spare, own := 0.0, 0.0
 	for _, r := range regions {
-		spare += max(0, limit(r)-free*r.Demand/demand)
+		spare += max(0, limit(r)-unpinned*r.Demand/demand)
 		if r.Region == from {
-			own = free * r.Demand / demand
+			own = unpinned * r.Demand / demand
 		}
 	}
 	i := slices.IndexFunc(regions, func(r RegionCapacity) bool { return r.Region == from })
@@ -69,7 +69,7 @@
 	}
 	for _, r := range regions {
 		fraction := 0.0
-		if spareHere := limit(r) - free*r.Demand/demand; spareHere > 0 {
+		if spareHere := limit(r) - unpinned*r.Demand/demand; spareHere > 0 {
 			fraction = (own - local) * spareHere / spare
 		}
 		if r.Region == from {
