--- a/internal/kernel/placing/assign.go
+++ b/internal/kernel/placing/assign.go
@@ -7,47 +7,50 @@
 )
 
 type (
-	// serverClass are the servers of one class and weight, in order.
+	// serverClass is the servers with the same class and weight, in order.
 	serverClass struct {
 		weight  int
 		servers []int32
-		// ranking are the same servers in a ranking, nil without one; indexes tells
-		// their places in Homes by their numbers there.
+		// ranking ranks the same servers, nil without a ranking. indexes maps a server's number
+		// in the ranking to its index in Placement.servers.
 		ranking *classRanking
 		indexes []int32
 	}
 
-	// serverHash is a server with its hash for one object, without the spare bits.
+	// serverHash is a server and its hash for one object, without the dropped bits.
 	serverHash struct {
 		hash   uint64
 		server int32
 	}
 
-	// candidateList is the servers of one class for one object, the nearest first.
+	// candidateList is the servers of one class in order of distance from one object, nearest
+	// first.
 	candidateList struct {
 		servers []serverHash
-		// indexes translates the servers' numbers, if they are a ranking's.
+		// indexes maps the servers' numbers to server indexes if the numbers are those of a
+		// ranking.
 		indexes []int32
-		// complete is set if all servers of the class are there.
+		// complete is set if servers holds all servers of the class.
 		complete bool
 		next     int
-		// distance and server are those of the next one, if there is one.
+		// distance and server describe the next candidate, valid if hasNext is set.
 		distance float64
 		server   int32
 		hasNext  bool
 	}
 
-	// assigner deals the objects of a window out. One serves all windows of Homes, so
-	// that nothing is allocated for each.
+	// assigner assigns the objects of a window to servers. A Placement uses one assigner for all
+	// windows, so that nothing is allocated for each.
 	assigner struct {
 		placement *Placement
-		// shortListLen is how many servers of a class are looked at before all are.
+		// shortListLen is how many servers of a class are considered before all are.
 		shortListLen int
 		firstObject  int
-		// candidates are the classes' for each object of the window, after each other.
+		// candidates holds the lists of all classes for the first object of the window, then
+		// those for the second, and so on.
 		candidates []candidateList
 		nearest    [windowSize]candidate
-		// shortListExhausted is set if some object had all servers of a class looked at.
+		// shortListExhausted is set once an object needed all servers of a class.
 		shortListExhausted bool
 	}
 
@@ -61,11 +64,11 @@
 	return &assigner{placement: h, shortListLen: shortListLen, candidates: make([]candidateList, windowSize*len(h.classes))}
 }
 
-// assign gives each object of the window from first on its servers: among the pairs of
-// object and server the best come first, as far as the servers have room. A change of
-// one server has every object of the service dealt out anew at every proxy while
-// requests wait, so pairs are weighed only as far as they are needed: the best pair of
-// all objects is the best of each object's next one.
+// assign assigns servers to each object of the window that begins at firstObject. It goes through
+// the pairs of object and server in order of distance, as far as the servers have capacity. When
+// one server changes, every proxy recomputes the assignment of every object of the service while
+// requests wait, so distances are computed only as far as they are needed: the nearest pair of
+// all is the nearest among each object's next candidate.
 func (d *assigner) assign(firstObject int) (choices [windowSize][ChoicesPerObject]int32) {
 	d.firstObject = firstObject
 	for n := range windowSize {
@@ -91,7 +94,7 @@
 	return choices
 }
 
-// bestObject is the object that is left with the best next pair.
+// bestObject returns the unassigned object whose next candidate is nearest.
 func (d *assigner) bestObject(assigned *[windowSize]bool) int {
 	best := -1
 	for n := range windowSize {
@@ -102,7 +105,7 @@
 	return best
 }
 
-// fillChoices names the nearest servers beside an object's home, which is there already; -1
+// fillChoices adds the nearest servers after an object's home server, which is set already; -1
 // where there are no more.
 func (d *assigner) fillChoices(n int, choices *[ChoicesPerObject]int32) {
 	d.rewindCandidates(n)
@@ -120,7 +123,7 @@
 	return d.candidates[n*classes : (n+1)*classes]
 }
 
-// initCandidates lines the nearest servers of an object up.
+// initCandidates sets up an object's candidate lists with its nearest servers.
 func (d *assigner) initCandidates(n int) {
 	lists := d.candidatesOf(n)
 	for i := range lists {
@@ -146,7 +149,8 @@
 	}
 }
 
-// takeNearest takes an object's nearest server that is left; -1 if there is none.
+// takeNearest removes and returns an object's nearest remaining candidate; its server is -1 if
+// there is none.
 func (d *assigner) takeNearest(n int) candidate {
 	lists := d.candidatesOf(n)
 	best, from := candidate{server: -1}, -1
@@ -163,8 +167,8 @@
 	return best
 }
 
-// loadNext reckons the distance of the next server of a class, and lines all of the class
-// up where those at hand don't suffice.
+// loadNext computes the distance of the next server of a class. It loads all servers of the class
+// once the short list is exhausted.
 func (d *assigner) loadNext(n, class int) {
 	l, c := &d.candidatesOf(n)[class], &d.placement.classes[class]
 	if l.next == len(l.servers) && !l.complete {
@@ -182,8 +186,8 @@
 	}
 }
 
-// allServers lists all servers of a class, the nearest to an object first: among servers of
-// one weight these are those with the largest hashes.
+// allServers returns all servers of a class, nearest to an object first. Among servers of one
+// weight the nearest are those with the largest hashes.
 func (h *Placement) allServers(c *serverClass, object int) []serverHash {
 	list := make([]serverHash, 0, len(c.servers))
 	for _, server := range c.servers {
@@ -195,8 +199,9 @@
 	return list
 }
 
-// capacity is how many objects a server may have at the end of a window: its share of all
-// that are dealt out by then, rounded up, so that there is always room for each.
+// capacity returns how many objects a server may hold at the end of a window: its share, by
+// weight, of all objects assigned by then. It is rounded up, so that there is always room for
+// each object.
 func (h *Placement) capacity(server int32, firstObject int) int {
 	return (h.servers[server].Weight*(firstObject+windowSize) + h.totalWeight - 1) / h.totalWeight
 }
@@ -208,8 +213,8 @@
 	return cmp.Compare(a.server, b.server)
 }
 
-// weightedDistance turns a uniform hash, without its spare bits, into a distance that is the
-// least of all with a probability proportional to the weight.
+// weightedDistance turns a uniform hash, without the dropped bits, into a distance. The
+// probability that a server has the smallest distance of all is proportional to its weight.
 func weightedDistance(hash uint64, weight int) float64 {
 	uniform := (float64(hash) + 1) / (1 << (64 - droppedHashBits))
 	return -math.Log(uniform) / float64(weight)
--- a/internal/kernel/placing/demand.go
+++ b/internal/kernel/placing/demand.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// demandTimeConstant is how long a request counts for an object's demand. Each of a hundred
-	// proxies sees one request in a hundred: an object that takes half of a server's
-	// slots, some ten requests a second, is seen about once in this time.
+	// demandTimeConstant is the time constant with which the request count of an object decays.
+	// Each of a hundred proxies sees one request in a hundred: an object that uses half of a
+	// server's slots, some ten requests a second, is seen about once in this time.
 	demandTimeConstant = 10 * time.Second
-	// minObservation is the least time over which what was counted is taken to have come. In
-	// the first seconds two requests by chance would show as dozens a second.
+	// minObservation is the shortest time over which counted requests are averaged. Without it,
+	// two requests that happen to arrive in the first seconds would look like dozens a second.
 	minObservation = 4 * time.Second
-	// maxDemandObjects bounds the objects that are counted; one that is asked for often is
-	// counted again soon.
+	// maxDemandObjects bounds the number of objects that are counted. An object that is requested
+	// often but wasn't counted is soon counted.
 	maxDemandObjects = 4096
-	// minCount is the count below which an object is no longer kept.
+	// minCount is the count below which an object is evicted.
 	minCount = 0.1
 )
 
 type (
-	// Demand counts how often objects are asked for, as one proxy sees it.
+	// Demand estimates how often objects are requested, as seen by one proxy.
 	Demand struct {
 		startedAt time.Time
 		objects   map[string]decayingCount
 	}
 
-	// decayingCount is an object's count, which fades, as it was at a moment.
+	// decayingCount is an exponentially decaying count and the time at which it had this value.
 	decayingCount struct {
 		count float64
 		at    time.Time
@@ -46,9 +46,9 @@
 	d.objects[object] = decayingCount{count: a.decayed(now) + 1, at: now}
 }
 
-// LowerBound is how often the object is asked for in a second, at the least that the count
-// makes likely: its standard deviation is taken off. One request by chance must not
-// pass for a hundred at a hundred proxies.
+// LowerBound returns a lower estimate of an object's request rate, per second: the count less its
+// standard deviation. Without this margin, a single chance request at one of a hundred proxies
+// would be taken for a hundred requests in the fleet.
 func (d *Demand) LowerBound(now time.Time, object string) float64 {
 	count := d.objects[object].decayed(now)
 	if count <= 1 {
@@ -59,7 +59,7 @@
 	return (count - math.Sqrt(count)) / effective
 }
 
-// sweep drops objects that are hardly asked for and reports whether there is room.
+// sweep evicts objects that are rarely requested and reports whether there is room for another.
 func (d *Demand) sweep(now time.Time) bool {
 	for object, a := range d.objects {
 		if a.decayed(now) < minCount {
@@ -69,7 +69,7 @@
 	return len(d.objects) < maxDemandObjects
 }
 
-// decayed is the count as it is now.
+// decayed returns the count at now.
 func (a decayingCount) decayed(now time.Time) float64 {
 	if a.count == 0 {
 		return 0
--- a/internal/kernel/placing/placement.go
+++ b/internal/kernel/placing/placement.go
@@ -1,7 +1,6 @@
-// Package placing decides on which backend server an object lives. A server
-// that has lately handled an object does the work in a fraction of the time,
-// so all proxies must name the same server without asking each other: the
-// homes follow from the list of servers alone.
+// Package placing assigns objects to backend servers. A server that has recently handled an
+// object does the work in a fraction of the time, so all proxies must choose the same server
+// without coordination: the assignment depends on the list of servers alone.
 package placing
 
 import (
@@ -14,48 +13,48 @@
 )
 
 const (
-	// objectIndexCount is the largest object number that gets a place of its own.
-	// Larger numbers and other names are spread over this many places.
+	// objectIndexCount is the number of object indexes. Objects with smaller numbers have an
+	// index of their own; larger numbers and other names are hashed onto all indexes.
 	objectIndexCount = 4096
-	// ChoicesPerObject is how many servers are named for an object, best first.
+	// ChoicesPerObject is how many servers are chosen for an object, best first.
 	ChoicesPerObject = 3
-	// windowSize is how many consecutive objects are dealt out evenly.
+	// windowSize is how many consecutive objects are spread evenly over the servers.
 	windowSize = 24
-	// shortListSize is how many servers of each object are looked at first. Where an
-	// object finds room only further down, all are; the result is the same.
+	// shortListSize is how many servers are considered first for each object. Where an object
+	// finds capacity only further down, all servers are considered; the result is the same.
 	shortListSize = 16
-	// droppedHashBits is how many bits of a hash are left out, so that the rest is exact as
-	// a floating-point number.
+	// droppedHashBits is how many low bits of a hash are dropped so that the rest converts
+	// exactly to a floating-point number.
 	droppedHashBits = 11
 )
 
 type (
-	// Server is what placing needs to know of a backend server.
+	// Server describes a backend server for placement.
 	Server struct {
 		ID string
-		// Weight is the server's share of objects, such as its slots.
+		// Weight determines the server's share of the objects, such as its slots.
 		Weight int
-		// Class names servers that always have the same weight, for a ranking.
+		// Class groups servers for a Ranking. All servers of a class always have the same weight.
 		Class string
 	}
 
-	// Placement names the servers of each object for one list of servers. The
-	// same list gives the same homes in every process.
+	// Placement chooses the servers of each object for one list of servers. The same list gives
+	// the same choices in every process.
 	Placement struct {
 		servers     []Server
 		hashes      []uint64
 		totalWeight int
 		classes     []serverClass
-		// assigned counts the objects placed on each server so far.
+		// assigned counts the objects assigned to each server so far.
 		assigned []int
-		// choices holds the choices of object i at i.
+		// choices holds the choices by object index.
 		choices  [][ChoicesPerObject]int32
 		assigner *assigner
 	}
 )
 
-// NewPlacement prepares homes over servers. A ranking of them makes it cheaper; without
-// one, nil, the homes are the same.
+// NewPlacement returns a placement over servers. A ranking of the same servers makes it cheaper
+// but doesn't change the result; it may be nil.
 func NewPlacement(servers []Server, r *Ranking) *Placement {
 	h := &Placement{servers: slices.Clone(servers)}
 	slices.SortFunc(h.servers, func(a, b Server) int { return cmp.Compare(a.ID, b.ID) })
@@ -68,7 +67,7 @@
 	return h
 }
 
-// groupServers sorts the servers by class and weight.
+// groupServers groups the servers by class and weight.
 func (h *Placement) groupServers(r *Ranking) {
 	type classKey struct {
 		class  string
@@ -93,14 +92,15 @@
 		}
 	}
 	for n := range h.classes {
-		// Servers that the ranking lacks, or has besides, would be left out or named.
+		// A ranking of a different set of servers would omit some or choose servers that are
+		// gone.
 		if c := &h.classes[n]; c.ranking != nil && len(c.ranking.numbers) != len(c.servers) {
 			c.ranking = nil
 		}
 	}
 }
 
-// ServersFor lists the servers for an object, best first.
+// ServersFor returns the servers of an object, best first.
 func (h *Placement) ServersFor(object string) []string {
 	if len(h.servers) == 0 {
 		return nil
@@ -118,9 +118,9 @@
 	return ids
 }
 
-// ObjectIndex is an object's place in the order in which objects are dealt out.
-// Objects that number themselves densely, in decimal or hexadecimal digits,
-// are spread evenly, which a hash does not do for a few dozen.
+// ObjectIndex returns an object's position in the order of assignment. Objects that are numbered
+// densely, in decimal or hexadecimal digits, keep their numbers and are spread evenly; hashing a
+// few dozen names wouldn't spread them evenly.
 func ObjectIndex(object string) int {
 	n, err := strconv.ParseUint(object, 16, 63)
 	if err == nil && n < objectIndexCount {
@@ -129,10 +129,10 @@
 	return int(xxhash.Sum64String(object) % objectIndexCount)
 }
 
-// placeWindow deals the objects of the next window out. No server takes more than
-// its share of all objects dealt out so far, rounded up; among the pairs of
-// object and server the best weighted rendezvous scores come first. A server
-// that comes or goes moves the objects it takes or leaves and few others.
+// placeWindow assigns the objects of the next window. No server gets more than its share of all
+// objects assigned so far, rounded up; the pairs of object and server with the best weighted
+// rendezvous hashing scores come first. When a server joins or leaves, the objects that it takes
+// or gives up move and few others do.
 func (h *Placement) placeWindow(firstObject int) {
 	if h.assigner == nil {
 		h.assigner = newAssigner(h, shortListSize)
--- a/internal/kernel/placing/placement_test.go
+++ b/internal/kernel/placing/placement_test.go
@@ -16,9 +16,9 @@
 	return list
 }
 
-// Callers of one region ask for two dozen objects, numbered densely. A plain
-// hash gave one of twelve servers twice the mean, its queue grew and its
-// callers waited while others idled.
+// Objects with consecutive numbers must be spread evenly. When two dozen objects were placed by a
+// plain hash, one of twelve servers got twice the mean; its callers waited while other servers
+// were idle.
 func TestDenselyNumberedObjectsAreSpreadEvenly(t *testing.T) {
 	h := NewPlacement(servers(12), nil)
 	for first := 0; first < 72; first += 24 {
@@ -28,17 +28,17 @@
 		}
 		for id, got := range count {
 			if got > 3 {
-				t.Errorf("objects %d to %d: %s holds %d, want at most 3", first, first+23, id, got)
+				t.Errorf("objects %d to %d: %s is the home of %d, want at most 3", first, first+23, id, got)
 			}
 		}
 		if len(count) < 11 {
-			t.Errorf("objects %d to %d live on %d servers, want at least 11", first, first+23, len(count))
+			t.Errorf("objects %d to %d are on %d servers, want at least 11", first, first+23, len(count))
 		}
 	}
 }
 
-// Two proxies hear of the servers in different orders. If they named unlike
-// homes, each object would run cold on two servers.
+// Two proxies learn of the servers in different orders. If they chose different servers, each
+// object would run cold on two of them.
 func TestPlacementDoesNotDependOnServerOrder(t *testing.T) {
 	list := servers(12)
 	a := NewPlacement(list, nil)
@@ -51,12 +51,12 @@
 		}
 	}
 	if got, want := a.ServersFor("7"), b.ServersFor("7"); !slices.Equal(got, want) {
-		t.Errorf("an object placed early: got %v, want %v", got, want)
+		t.Errorf("object 7, placed early: got %v, want %v", got, want)
 	}
 }
 
-// A server leaves. Its objects must move; if most others moved too, the whole
-// service would be cold at once.
+// When a server leaves, only its objects should move. If most others moved too, the whole service
+// would be cold at once.
 func TestFewObjectsMoveWhenAServerLeaves(t *testing.T) {
 	list := servers(12)
 	before := NewPlacement(list, nil)
@@ -73,12 +73,12 @@
 		}
 	}
 	if moved > 72/3 {
-		t.Errorf("%d objects of other servers moved, want at most a third of 72 (%d lived on the one that left)", moved, lost)
+		t.Errorf("%d objects of other servers moved, want at most a third of 72 (%d were on the server that left)", moved, lost)
 	}
 }
 
-// assignAllPairs deals a window out by the definition: from all pairs of object and server, the
-// best first.
+// assignAllPairs is the reference implementation of assigner.assign: it sorts all pairs of object
+// and server by distance.
 func assignAllPairs(h *Placement, firstObject int) (placed [windowSize][ChoicesPerObject]int32) {
 	type objectCandidate struct {
 		candidate
@@ -110,10 +110,10 @@
 	return placed
 }
 
-// A service has a thousand servers and each registration moves homes. Weighing
-// every pair of object and server took seconds of a small VM, and changes were
-// in force late. Only each object's nearest servers are weighed, and must give
-// the same homes, also where these are full and the others are needed.
+// Considering only each object's nearest servers must give the same result as considering every
+// pair of object and server, also where the nearest servers are full. Computing all pairs took
+// seconds on a small VM for a service with a thousand servers, and each registration triggers it,
+// so that changes took effect late.
 func TestShortListGivesSamePlacementAsAllPairs(t *testing.T) {
 	shortListExhausted := false
 	for n := 1; n <= 60; n += 7 {
@@ -126,23 +126,23 @@
 		for first := 0; first < 10*windowSize; first += windowSize {
 			want := assignAllPairs(h, first)
 			if slices.ContainsFunc(want[:], func(c [ChoicesPerObject]int32) bool { return c[0] < 0 }) {
-				t.Fatalf("%d servers, objects from %d: not all have a home", n, first)
+				t.Fatalf("%d servers, objects from %d: not all have a home server", n, first)
 			}
 			h.placeWindow(first)
 			shortListOfTwo.placeWindow(first)
 			for i := range want {
 				if got := h.choices[first+i]; got != want[i] {
-					t.Fatalf("%d servers, object %d: homes are %v, want %v", n, first+i, got, want[i])
+					t.Fatalf("%d servers, object %d: servers are %v, want %v", n, first+i, got, want[i])
 				}
 				if got := shortListOfTwo.choices[first+i]; got != want[i] {
-					t.Fatalf("%d servers, object %d, two looked at first: homes are %v, want %v", n, first+i, got, want[i])
+					t.Fatalf("%d servers, object %d, short list of two: servers are %v, want %v", n, first+i, got, want[i])
 				}
 			}
 		}
 		shortListExhausted = shortListExhausted || shortListOfTwo.assigner.shortListExhausted
 	}
 	if !shortListExhausted {
-		t.Error("two servers an object always sufficed, so this says nothing of lists that fall short")
+		t.Error("a short list of two always sufficed, so the test does not cover an exhausted short list")
 	}
 }
 
@@ -153,7 +153,7 @@
 		count[h.ServersFor(strconv.FormatInt(int64(n), 16))[0]]++
 	}
 	if got, want := count["large"], 54; got != want {
-		t.Errorf("the server with three quarters of the weight holds %d, want %d", got, want)
+		t.Errorf("the server with three quarters of the weight is the home of %d, want %d", got, want)
 	}
 }
 
@@ -163,16 +163,16 @@
 		want   int
 	}{{"0", 0}, {"1b", 27}, {"1B", 27}, {"fff", 4095}} {
 		if got := ObjectIndex(c.object); got != c.want {
-			t.Errorf("Number(%q) = %d, want %d", c.object, got, c.want)
+			t.Errorf("ObjectIndex(%q) = %d, want %d", c.object, got, c.want)
 		}
 	}
 	for _, object := range []string{"", "order-17", "ffffffff", "-1"} {
 		if got := ObjectIndex(object); got < 0 || got >= objectIndexCount {
-			t.Errorf("Number(%q) = %d, want within %d", object, got, objectIndexCount)
+			t.Errorf("ObjectIndex(%q) = %d, want within %d", object, got, objectIndexCount)
 		}
 	}
 	if got := NewPlacement(nil, nil).ServersFor("1"); got != nil {
-		t.Errorf("homes among no servers: got %v, want none", got)
+		t.Errorf("placement without servers: got %v, want none", got)
 	}
 }
 
@@ -182,10 +182,9 @@
 	// Output: 2
 }
 
-// One region has a sixth of the servers and a third of the callers. If all its
-// callers' objects lived there, its servers would queue while those of the
-// other regions idled; if objects were dealt out regardless of the region, two
-// thirds of all requests would travel.
+// One region has a sixth of the servers and a third of the callers. If all its callers' objects
+// were placed there, its servers would queue while those of other regions were idle; if the
+// region were ignored, two thirds of all requests would cross regions.
 func TestRegionWeightsKeepObjectsLocalWithinCapacity(t *testing.T) {
 	rooms := []RegionCapacity{{"few", 8, 1, 0}, {"some", 16, 1, 0}, {"many", 24, 1, 0}}
 	share := func(from string) map[string]float64 {
@@ -202,19 +201,19 @@
 		return of
 	}
 	if got := share("many")["many"]; got != 1 {
-		t.Errorf("the region with room keeps %.2f of its objects, want all", got)
+		t.Errorf("the region with spare capacity keeps %.2f of its objects, want all", got)
 	}
 	few := share("few")
 	if want := MaxLoadFactor * 8 / 48 * 3; few["few"] < want-0.01 || few["few"] > want+0.01 {
-		t.Errorf("the region short of room keeps %.2f, want %.2f", few["few"], want)
+		t.Errorf("the region short of capacity keeps %.2f, want %.2f", few["few"], want)
 	}
 	if few["many"] <= few["some"] {
-		t.Errorf("%.2f go to the region with most room and %.2f to the other, want more there", few["many"], few["some"])
+		t.Errorf("%.2f go to the region with most spare capacity and %.2f to the other, want more in the first", few["many"], few["some"])
 	}
 }
 
-// Guards against a region that takes its part of all objects on top of requests that may
-// run nowhere else.
+// A region must not take its share of all objects in addition to the requests that can only run
+// there.
 func TestRegionWeightsReserveCapacityForPinnedRequests(t *testing.T) {
 	rooms := []RegionCapacity{{"few", 8, 1, 0.1}, {"some", 16, 1, 0}, {"many", 24, 1, 0}}
 	load := make(map[string]float64)
@@ -235,7 +234,7 @@
 	}
 	alone := []RegionCapacity{{"few", 8, 1, 0.9}, {"none", 0, 1, 0}}
 	if got := RegionWeights(alone, "few", MaxLoadFactor); got["few"] == 0 {
-		t.Error("a region alone gives its objects no home, want them at home though there is no room")
+		t.Error("the only region with servers has weight 0, want its objects there although it has no spare capacity")
 	}
 }
 
--- a/internal/kernel/placing/ranking.go
+++ b/internal/kernel/placing/ranking.go
@@ -7,39 +7,38 @@
 )
 
 const (
-	// rankedPerObject is how many servers of a class are kept for an object: a few more than
-	// are dealt from, which may leave before the object's are ranked anew. Each takes
-	// 16 bytes.
+	// rankedPerObject is how many servers of a class are kept for an object: a few more than the
+	// short list, so that some may leave before the object has to be ranked again. Each takes 16
+	// bytes.
 	rankedPerObject = shortListSize + 4
 )
 
 type (
-	// Ranking keeps the servers nearest to each object while servers come and go. A
-	// change of one server costs one hash an object instead of one for each object and
-	// server: in a fleet with hundreds of servers of a service the whole took half a
-	// second of a small VM, at every proxy, whose requests waited, several times a second
-	// in a release.
+	// Ranking maintains the servers nearest to each object while servers join and leave. A change
+	// of one server costs one hash per object instead of one per object and server. In a fleet
+	// with hundreds of servers of a service the full computation took half a second on a small
+	// VM, at every proxy and several times a second during a rollout, while requests waited.
 	Ranking struct {
 		classes map[string]*classRanking
 	}
 
-	// classRanking are the servers of one class.
+	// classRanking is the ranking of the servers of one class.
 	classRanking struct {
-		// hashes and ids are by a server's number, which another gets when it has left.
+		// hashes and ids are indexed by server number. The number of a server that has left is
+		// reused.
 		hashes  []uint64
 		ids     []string
 		numbers map[string]int32
 		free    []int32
-		// nearest lists for each object the servers with the largest hashes, the
-		// largest first.
+		// nearest holds for each object the servers with the largest hashes, largest first.
 		nearest [][]serverHash
 	}
 )
 
-// NewRanking makes a ranking of no servers.
+// NewRanking returns a ranking without servers.
 func NewRanking() *Ranking { return &Ranking{classes: make(map[string]*classRanking)} }
 
-// Update takes in which servers there are.
+// Update adds and removes servers so that the ranking holds the given ones.
 func (r *Ranking) Update(servers []Server) {
 	listed := make(map[string]map[string]bool)
 	for _, s := range servers {
@@ -67,8 +66,8 @@
 	}
 }
 
-// Nearest lists the servers of a class that are nearest to an object, at most shortListSize of
-// them. All proxies that know the same servers name the same ones.
+// Nearest returns the servers of a class that are nearest to an object, at most shortListSize.
+// The result is the same at all proxies that know the same servers.
 func (r *Ranking) Nearest(class, object string) []string {
 	c := r.classes[class]
 	if c == nil {
@@ -119,7 +118,7 @@
 	c.free = append(c.free, number)
 }
 
-// nearestTo lists the servers nearest to an object by their numbers, as many as are dealt from.
+// nearestTo returns the short list of servers nearest to an object, by server number.
 func (c *classRanking) nearestTo(object int) []serverHash {
 	for len(c.nearest) <= object {
 		c.nearest = append(c.nearest, c.rank(len(c.nearest)))
@@ -143,7 +142,8 @@
 	return list
 }
 
-// insertRanked puts a server into a list, the largest hash first, and keeps the most first.
+// insertRanked inserts a server into a list sorted by descending hash and keeps at most maxLen
+// entries.
 func insertRanked(list []serverHash, h serverHash, maxLen int) []serverHash {
 	i := len(list)
 	for i > 0 && list[i-1].hash < h.hash {
--- a/internal/kernel/placing/ranking_test.go
+++ b/internal/kernel/placing/ranking_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Servers come and go for a while, some under an id that was there before. Proxies that
-// have seen all of it, and one that has just started, must name the same homes, or every
-// object would run cold on two servers.
+// Servers join and leave, some under an ID that was used before. A proxy that has seen all the
+// changes and one that has just started must choose the same servers, or every object would run
+// cold on two of them.
 func TestPlacementDoesNotDependOnRankingHistory(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	regions := []string{"north/4", "south/4", "west/3"}
@@ -40,8 +40,8 @@
 	}
 }
 
-// The servers of a service are told to be one list and dealt out as another one. What
-// the ranking does not know must not be left out.
+// A placement that is given a ranking of a different set of servers must not omit the servers
+// that the ranking lacks.
 func TestRankingOfDifferentServersIsIgnored(t *testing.T) {
 	list := servers(30)
 	r := NewRanking()
--- a/internal/kernel/placing/region_weights.go
+++ b/internal/kernel/placing/region_weights.go
@@ -6,34 +6,33 @@
 )
 
 const (
-	// MaxLoadFactor is how much more than the mean load a region's servers may be
-	// given before objects of its callers live elsewhere. At less, objects
-	// travel though there is room; at more, the region with the fewest
-	// servers queues while others idle when its callers' wave comes.
+	// MaxLoadFactor bounds the load of a region's servers, relative to the mean load, before
+	// objects of its callers are placed in other regions. A lower value sends requests to other
+	// regions although there is capacity; with a higher one the region with the fewest servers
+	// queues while others are idle when its callers' demand peaks.
 	MaxLoadFactor = 1.15
-	// weightScale turns shares into whole weights.
+	// weightScale converts fractions to integer weights.
 	weightScale = 100000
 )
 
 type (
-	// RegionCapacity is a region's part in a service.
+	// RegionCapacity describes a region's capacity and demand for a service.
 	RegionCapacity struct {
 		Region string
-		// Slots of the service's servers there.
+		// Slots is the number of slots of the service's servers in the region.
 		Slots int
 		// Demand is the region's share of the callers, in any unit.
 		Demand float64
-		// Pinned is the part of all requests that must run there, wherever their callers
-		// are.
+		// Pinned is the fraction of all requests that must run in the region, wherever their
+		// callers are.
 		Pinned float64
 	}
 )
 
-// RegionWeights says how many of a region's objects live in each region, as a weight
-// for one slot there. Objects live where their callers are as far as there is
-// room; the rest goes to the regions with room to spare, by how much they
-// have, up to a share of the mean load. All proxies of a region come to the same
-// answer from the same list.
+// RegionWeights returns how many of the objects used by callers in the region from are placed in
+// each region, as a weight per slot. Objects are placed in the callers' region as far as it has
+// capacity. The rest goes to the regions with spare capacity, in proportion to it, up to maxLoad
+// times the mean load. All proxies of a region get the same result from the same list.
 func RegionWeights(regions []RegionCapacity, from string, maxLoad float64) map[string]int {
 	weights := make(map[string]int)
 	slots, demand, pinned := 0.0, 0.0, 0.0
@@ -56,7 +55,7 @@
 	}
 	i := slices.IndexFunc(regions, func(r RegionCapacity) bool { return r.Region == from })
 	if i < 0 || own == 0 {
-		// Callers of a region that is not listed: by room alone.
+		// The callers' region isn't listed or has no demand: use the regions' capacity alone.
 		for _, r := range regions {
 			weights[r.Region] = weightScale
 		}
@@ -64,7 +63,7 @@
 	}
 	local := min(own, limit(regions[i]))
 	if spare == 0 {
-		// No other region has room either.
+		// No other region has spare capacity either.
 		local = own
 	}
 	for _, r := range regions {
--- a/internal/kernel/placing/replica.go
+++ b/internal/kernel/placing/replica.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// MaxReplicas bounds the servers that one object is spread over. Each is
-	// another one that has to learn the object.
+	// MaxReplicas bounds the number of servers that one object is spread over. Each additional
+	// server has to warm up for the object.
 	MaxReplicas = 12
-	// replicaSlotShare is the part of a server's slots that one object may take before
-	// it gets another replica. The rest is for the other objects of the server and
-	// for requests that come in a bunch: at more, those wait.
+	// replicaSlotShare is the fraction of a server's slots that one object may use before it gets
+	// another replica. The rest is for the server's other objects and for bursts of requests;
+	// with a larger fraction those wait.
 	replicaSlotShare = 0.6
 )
 
-// ReplicaCount is how many servers an object needs that is asked for so often, with the
-// given work, at servers with so many slots. The load that it answers: few objects
-// make up much of what is asked, and all requests for one of them go to its home,
-// which turns them away while hundreds of other servers idle.
+// ReplicaCount returns how many servers an object needs at the given request rate, work per
+// request and slots per server. It prevents hot spots: a few objects account for most of the
+// requests, and with a single home server each would be rejected there while hundreds of other
+// servers are idle.
 func ReplicaCount(perSecond float64, work time.Duration, slots int) int {
 	if slots < 1 {
 		return 1
--- a/internal/kernel/placing/replica_test.go
+++ b/internal/kernel/placing/replica_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// An object is asked for five times as often as one server can answer. It needs more
-// servers than that, since each has other objects too; a rare one needs its home only.
+// An object that is requested five times as often as one server can answer needs more than five
+// servers, since each also serves other objects. A rarely requested object needs only its home
+// server.
 func TestReplicaCountFollowsDemand(t *testing.T) {
 	const work = 250 * time.Millisecond
 	for _, c := range []struct {
@@ -32,8 +33,8 @@
 	}
 }
 
-// A server leaves. An object's nearest servers, which become its replicas, stay the same
-// but for the one that left.
+// When a server leaves, the other nearest servers of an object, which are its replicas, must stay
+// the same.
 func TestNearestServersAreStableWhenOneLeaves(t *testing.T) {
 	list := servers(40)
 	for n := range 50 {
@@ -51,7 +52,7 @@
 			}
 		}
 		if kept != 4 || slices.Contains(after, gone) {
-			t.Errorf("object %s: %v became %v without %s, want four of them kept", object, before, after, gone)
+			t.Errorf("object %s: nearest servers were %v and are %v without %s, want four of them kept", object, before, after, gone)
 		}
 	}
 	r := NewRanking()
@@ -64,8 +65,8 @@
 	}
 }
 
-// Each of a hundred proxies sees a hundredth of the requests. One request by chance
-// must not pass for a hundred; an object that is asked for all the time must show.
+// Each of a hundred proxies sees a hundredth of the requests. A single request at one proxy must
+// not be taken for a hundred, while constant requests must show as demand.
 func TestSingleRequestGivesNoDemand(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var d Demand
@@ -75,21 +76,21 @@
 	}
 	now = now.Add(10 * time.Second)
 	if got := d.LowerBound(now, "rare"); got != 0 {
-		t.Errorf("an object asked for once: %v a second, want 0", got)
+		t.Errorf("an object requested once: %v per second, want 0", got)
 	}
 	if got := d.LowerBound(now, "often"); got < 2.5 || got > 4 {
-		t.Errorf("an object asked for four times a second: %.2f at least, want 2.5 to 4", got)
+		t.Errorf("an object requested four times a second: lower bound %.2f, want 2.5 to 4", got)
 	}
 	if got := d.LowerBound(now.Add(time.Minute), "often"); got != 0 {
-		t.Errorf("a minute after its last request: %v a second, want 0", got)
+		t.Errorf("a minute after its last request: %v per second, want 0", got)
 	}
 	if got := d.LowerBound(now, "never"); got != 0 {
-		t.Errorf("an object never asked for: %v a second, want 0", got)
+		t.Errorf("an object never requested: %v per second, want 0", got)
 	}
 }
 
-// Callers name ever new objects. What is kept of them is bounded, and one that is asked
-// for often is still counted.
+// Callers keep requesting new objects. The number of tracked objects must stay bounded, and an
+// object that is requested often must still be counted.
 func TestDemandTracksBoundedNumberOfObjects(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var d Demand
@@ -101,9 +102,9 @@
 		}
 	}
 	if got := len(d.objects); got > maxDemandObjects {
-		t.Errorf("%d objects are kept, want %d at most", got, maxDemandObjects)
+		t.Errorf("%d objects are tracked, want at most %d", got, maxDemandObjects)
 	}
 	if got := d.LowerBound(now, "often"); got < 2 {
-		t.Errorf("the object asked for four times a second shows %.2f, want 2 at least", got)
+		t.Errorf("the object requested four times a second: lower bound %.2f, want at least 2", got)
 	}
 }
