--- a/internal/kernel/replica/copy.go
+++ b/internal/kernel/replica/copy.go
@@ -1,7 +1,6 @@
-// Package replica keeps a proxy's copy of what the platform's store holds, at
-// a revision. Copies are exchanged between proxies, so that few of them ask
-// the store and all have its news; a proxy that is cut off from the store
-// hears of changes from those that are not.
+// Package replica maintains a proxy's copy of the platform's store at a revision. Proxies
+// exchange their copies, so that only a few of them query the store and all get its changes. A
+// proxy that is disconnected from the store gets the changes from those that aren't.
 package replica
 
 import (
@@ -11,78 +10,78 @@
 )
 
 const (
-	// maxRemovals bounds the removals remembered for peers that lag. A peer
-	// that lags further gets everything.
+	// maxRemovals bounds the removals kept for lagging peers. A peer that lags further gets a
+	// full copy.
 	maxRemovals = 2000
-	// maxMismatches is how many peers may tell of changes that do not lead to
-	// their keys before the copy asks for everything. One or two may be in the
-	// middle of a reading; everything is a thousand times the size of a change.
+	// maxMismatches is how many deltas may lead to a wrong key digest before the copy requests a
+	// full one. One or two peers may be in the middle of a full read; a full copy is a thousand
+	// times the size of a change.
 	maxMismatches = 3
 )
 
 type (
-	// Entry is a key's state as of the revision of its last change.
+	// Entry is the state of a key as of the revision of its last change.
 	Entry struct {
 		Key      string
 		Value    []byte
 		Revision uint64
 		Removed  bool
-		// Tentative is set if a removal may be of an entry that ran out while the
-		// store was away, and may be back soon. Who reads the store decides it;
-		// the others pass it on.
+		// Tentative is set if a removal may be of an entry that expired during a store outage and
+		// may be back soon. It is decided by the proxy that reads the store; the others pass it
+		// on.
 		Tentative bool
 	}
 
-	// Delta is a part of a copy: the changes after Base up to Revision, or
-	// all entries if Whole.
+	// Delta is a set of changes after Base up to Revision, or all entries if Full.
 	Delta struct {
 		Base     uint64
 		Revision uint64
 		Full     bool
 		Entries  []Entry
-		// MayMissRemovals is set if removals after Base may be missing. The changes are
-		// all there are if they lead to Keys, a digest of the keys at Revision.
+		// MayMissRemovals is set if removals after Base may be missing. The changes are complete
+		// if they lead to KeyDigest, the digest of the keys at Revision.
 		MayMissRemovals bool
 		KeyDigest       uint64
-		// TentativeRemovals is set by who reads the store in an outage: all removals are.
+		// TentativeRemovals marks all removals as tentative. It is set by a proxy that reads the
+		// store during or shortly after an outage.
 		TentativeRemovals bool
-		// Age is how long ago this was known to be the store's state.
+		// Age is the time since this was known to be the store's state.
 		Age time.Duration
 	}
 
-	// Copy is a complete copy as of a revision. The zero revision means that
-	// nothing was heard yet.
+	// Copy is a complete copy of the store as of a revision. The zero revision means that it
+	// hasn't received anything yet.
 	Copy struct {
 		revision    uint64
 		confirmedAt time.Time
 		entries     map[string]Entry
 		removals    map[string]removal
-		// removalsSince is the revision after which all removals are remembered.
+		// removalsSince is the revision after which all removals are kept.
 		removalsSince uint64
-		// keyDigest is the digest of the keys held: the hashes of all, XORed.
+		// keyDigest is the digest of the keys in entries: the XOR of their hashes.
 		keyDigest uint64
-		// mismatches counts the deltas since the last advance that did not lead
-		// to their keys.
+		// mismatches counts the deltas rejected for a wrong key digest since the last one that
+		// was applied.
 		mismatches int
 	}
 
-	// removal is what is remembered of a key that went.
+	// removal is the record of a removed key.
 	removal struct {
 		revision uint64
-		// tentativeUntil is how long it is told to others as doubtful.
+		// tentativeUntil is until when the removal is passed on as tentative.
 		tentativeUntil time.Time
 	}
 )
 
-// NewCopy makes an empty copy.
+// NewCopy returns an empty copy.
 func NewCopy() *Copy {
 	return &Copy{entries: make(map[string]Entry), removals: make(map[string]removal)}
 }
 
-// Revision is the revision up to which the copy is complete.
+// Revision returns the revision up to which the copy is complete.
 func (c *Copy) Revision() uint64 { return c.revision }
 
-// Age is how long ago the copy was known to be the store's state.
+// Age returns the time since the copy was known to be the store's state.
 func (c *Copy) Age(now time.Time) time.Duration {
 	if c.revision == 0 {
 		return time.Duration(1<<63 - 1)
@@ -90,9 +89,9 @@
 	return now.Sub(c.confirmedAt)
 }
 
-// Apply takes in a delta and returns the entries that changed, removals last.
-// A delta that begins after the copy's revision leaves a gap and is refused, and
-// so is one of which removals are missing.
+// Apply applies a delta and returns the entries that changed, removals last. It rejects a delta
+// that begins after the copy's revision, because that leaves a gap, and one with missing
+// removals.
 func (c *Copy) Apply(now time.Time, d Delta) ([]Entry, bool) {
 	if !d.Full && (c.revision == 0 || d.Base > c.revision) {
 		return nil, false
@@ -128,9 +127,9 @@
 	return append(changed, removed...), true
 }
 
-// lastOfEach finds the place of each key's last entry. A watch tells every step
-// of a key that went and came back; told one by one, with removals last, a live
-// server would be gone for good.
+// lastOfEach returns the index of each key's last entry. A watch reports every step of a key that
+// was removed and created again. If all steps were applied, with removals last, a live server
+// would stay removed.
 func lastOfEach(entries []Entry) map[string]int {
 	last := make(map[string]int, len(entries))
 	for i, e := range entries {
@@ -141,8 +140,8 @@
 	return last
 }
 
-// RequestRevision is the revision after which the copy asks peers for changes: its own, or
-// zero if it asks for everything.
+// RequestRevision returns the revision after which the copy requests changes from peers: its own
+// revision, or zero to request a full copy.
 func (c *Copy) RequestRevision() uint64 {
 	if c.mismatches >= maxMismatches {
 		return 0
@@ -150,7 +149,7 @@
 	return c.revision
 }
 
-// keyDigestAfter is the digest of the keys that a delta would lead to.
+// keyDigestAfter returns the key digest that applying a delta would lead to.
 func (c *Copy) keyDigestAfter(d Delta) uint64 {
 	digest := c.keyDigest
 	for _, e := range d.Entries {
@@ -166,7 +165,8 @@
 	return e.Revision > c.entries[e.Key].Revision && e.Revision > c.removals[e.Key].revision
 }
 
-// put takes in one entry if it is newer than what is known of its key.
+// put applies one entry if it is newer than what is known of its key, and reports whether
+// this changed the state of the key.
 func (c *Copy) put(now time.Time, e Entry) bool {
 	if !c.isNewer(e) {
 		return c.confirmRemoval(now, e)
@@ -185,7 +185,7 @@
 	return known
 }
 
-// prune removes what a whole copy of the store does not hold.
+// prune removes the entries that a full copy doesn't hold.
 func (c *Copy) prune(now time.Time, d Delta, held map[string]int) []Entry {
 	var removed []Entry
 	for key, e := range c.entries {
@@ -216,8 +216,7 @@
 	c.removals[e.Key] = r
 }
 
-// confirmRemoval reports whether an entry says for certain that a key went whose removal
-// was doubtful so far.
+// confirmRemoval makes a tentative removal definite if e says so, and reports whether it did.
 func (c *Copy) confirmRemoval(now time.Time, e Entry) bool {
 	r, known := c.removals[e.Key]
 	if !known || !e.Removed || e.Tentative || e.Revision < r.revision || !now.Before(r.tentativeUntil) {
@@ -227,9 +226,9 @@
 	return true
 }
 
-// Since is what a copy at a revision lacks. One that lags by more than the
-// removals remembered gets the changes with the digest of the keys: it mostly
-// lacks no removal, and everything would be a thousand times as much.
+// Since returns the changes that a copy at the given revision lacks. One that lags beyond the
+// removals kept gets the changes with the key digest: usually it lacks no removal, and a full
+// copy would be a thousand times the size.
 func (c *Copy) Since(now time.Time, revision uint64) Delta {
 	d := Delta{
 		Base: revision, Revision: c.revision, Age: c.Age(now),
--- a/internal/kernel/replica/fleet_test.go
+++ b/internal/kernel/replica/fleet_test.go
@@ -13,13 +13,13 @@
 	restartCount       = 120
 	changesPerSecond   = 10
 	exchangesPerSecond = 2
-	// maxControlBytesPerSecond is what control may take of a VM, in bytes a second. A
-	// message counts at the one that sends it and at the one that gets it.
+	// maxControlBytesPerSecond is the limit for control traffic of a VM. A message counts at its
+	// sender and at its receiver.
 	maxControlBytesPerSecond = 8 << 10
 )
 
 type (
-	// fleetSimulation is the store as a list of changes, and the copies of a fleet.
+	// fleetSimulation simulates the store and the copies of all proxies of a fleet.
 	fleetSimulation struct {
 		random    *rand.Rand
 		now       time.Time
@@ -45,14 +45,14 @@
 	return f
 }
 
-// readStore is a copy read from the store.
+// readStore returns a copy read from the store.
 func (f *fleetSimulation) readStore() *Copy {
 	c := NewCopy()
 	c.Apply(f.now, f.store.Since(f.now, 0))
 	return c
 }
 
-// change writes a server's entry, removes one, or adds one.
+// change writes or removes the entry of a random server.
 func (f *fleetSimulation) change() {
 	before := f.store.Revision()
 	e := Entry{Key: fmt.Sprintf("servers/%d", f.random.IntN(serverCount)), Revision: before + 1}
@@ -65,7 +65,7 @@
 	f.store.Apply(f.now, Delta{Base: before, Revision: before + 1, Entries: []Entry{e}})
 }
 
-// exchange lets one proxy ask another for what it lacks.
+// exchange lets one proxy request from another the changes that it lacks.
 func (f *fleetSimulation) exchange(requester, responder int) {
 	d := f.copies[responder].Since(f.now, f.copies[requester].RequestRevision())
 	if d.Revision <= f.copies[requester].Revision() || d.Full && !f.budgets[responder].Allow(f.now, d.Size()) {
@@ -75,10 +75,10 @@
 	f.copies[requester].Apply(f.now, d)
 }
 
-// Three in five proxies are killed and start again, one after the other, while
-// servers come and go. A proxy that has read the store does not know what was
-// removed before; if it then gave everything to each peer that lags by one
-// change, the links of small VMs would be full for seconds and changes late.
+// Three in five proxies are killed and restarted one after another while servers join and leave.
+// A proxy that has just read the store doesn't know earlier removals; if it sent a full copy to
+// each peer that lags by one change, the links of small VMs would be saturated for seconds and
+// changes delayed.
 func TestRestartedProxiesDoNotSendFullCopiesToPeersSlightlyBehind(t *testing.T) {
 	f := newFleetSimulation()
 	const steps, span = 100, 10
@@ -90,7 +90,7 @@
 		if restarted := step * 2; restarted < restartCount {
 			f.copies[restarted], f.copies[restarted+1] = f.readStore(), f.readStore()
 		}
-		// A few follow the store; the rest hears in exchanges.
+		// A few proxies watch the store; the others learn of changes from their peers.
 		for i := proxyCount - 6; i < proxyCount; i++ {
 			f.copies[i].Apply(f.now, f.store.Since(f.now, f.copies[i].Revision()))
 		}
@@ -99,12 +99,12 @@
 		}
 	}
 	if got := 2 * f.sentBytes / proxyCount / span; got > maxControlBytesPerSecond {
-		t.Errorf("control took %d bytes a second of a VM, want at most %d", got, maxControlBytesPerSecond)
+		t.Errorf("control traffic is %d bytes per second and VM, want at most %d", got, maxControlBytesPerSecond)
 	}
 	f.converge(t)
 }
 
-// converge ends the changes and checks that all copies come to agree.
+// converge stops the changes and checks that all copies become equal to the store.
 func (f *fleetSimulation) converge(t *testing.T) {
 	t.Helper()
 	for range 20 {
@@ -122,6 +122,6 @@
 		}
 	}
 	if f.removals == 0 {
-		t.Error("nothing was removed, so this says nothing of removals")
+		t.Error("nothing was removed, so the test does not cover removals")
 	}
 }
--- a/internal/kernel/replica/full_copy_budget.go
+++ b/internal/kernel/replica/full_copy_budget.go
@@ -5,27 +5,27 @@
 )
 
 const (
-	// fullCopyBytesPerSecond is how many bytes a second a proxy gives away as whole
-	// copies in the long run: eight times what control may take, and only
-	// while peers start or come back.
+	// fullCopyBytesPerSecond is how many bytes per second a proxy may send as full copies in the
+	// long run. It is eight times the bandwidth budget for control traffic, but it is only used
+	// while peers start or reconnect.
 	fullCopyBytesPerSecond = 64 << 10
-	// fullCopyBurstBytes is what it may give away at once, some copies of a fleet of
-	// a hundred VMs, packed. More would fill the links when a large fleet starts.
+	// fullCopyBurstBytes is how much a proxy may send at once: a few compressed copies for a
+	// fleet of a hundred VMs. More would saturate the links when a large fleet starts.
 	fullCopyBurstBytes = 1 << 20
-	// compressionRatio is how many times smaller a whole copy is on its way.
+	// compressionRatio is the approximate ratio by which a full copy is compressed on the wire.
 	compressionRatio = 6
 )
 
 type (
-	// FullCopyBudget bounds the whole copies that a proxy gives to its peers. One
-	// that is refused asks another peer, or the store.
+	// FullCopyBudget limits the full copies that a proxy sends to its peers. A peer whose request
+	// is rejected asks another peer or the store.
 	FullCopyBudget struct {
 		spentBytes float64
 		at         time.Time
 	}
 )
 
-// Allow reports whether a copy of a size may be given away now, and counts it.
+// Allow reports whether a copy of the given size may be sent now, and if so deducts it.
 func (a *FullCopyBudget) Allow(now time.Time, bytes int) bool {
 	a.spentBytes = max(0, a.spentBytes-now.Sub(a.at).Seconds()*fullCopyBytesPerSecond)
 	a.at = now
@@ -36,11 +36,11 @@
 	return true
 }
 
-// CompressedSize is about how many bytes a whole copy takes on a link.
+// CompressedSize returns the approximate size in bytes of a full copy on the wire.
 func (d Delta) CompressedSize() int { return d.Size() / compressionRatio }
 
-// Size is about how many bytes the delta takes in memory and in a
-// message that is not packed.
+// Size returns the approximate size in bytes of the delta in memory and in an uncompressed
+// message.
 func (d Delta) Size() int {
 	const perEntry = 16
 	n := 0
--- a/internal/kernel/replica/outage.go
+++ b/internal/kernel/replica/outage.go
@@ -5,19 +5,18 @@
 )
 
 const (
-	// minOutage is how long the store must have been away for entries to have
-	// run out meanwhile. A call that fails once, such as a watch that is cut,
-	// is none: the next one is answered within a fraction of a second.
+	// minOutage is the shortest time without the store in which entries may have expired. A
+	// single failed call, such as an interrupted watch, is no outage: the next call succeeds
+	// within a fraction of a second.
 	minOutage = time.Second
-	// tentativeFor is how long after its return an entry that is missing may be one
-	// that the outage dropped. Live servers are back within about two seconds.
+	// tentativeFor is how long after the end of an outage a missing entry may be one that expired
+	// because of it. Live servers register again within about two seconds.
 	tentativeFor = 3 * time.Second
 )
 
 type (
-	// Outage notes when the store was away, as one proxy sees it. Entries run
-	// out meanwhile though their servers are alive, so that for a moment all may
-	// be missing at once.
+	// Outage tracks when the store was unavailable to one proxy. Entries expire during an outage
+	// although their servers are alive, so that for a moment all of them may be missing.
 	Outage struct {
 		ongoing        bool
 		since          time.Time
@@ -25,8 +24,8 @@
 	}
 )
 
-// RecordFailure notes that the store has not answered since a moment, and reports
-// whether it did before.
+// RecordFailure records that the store hasn't answered since a time, and reports whether this
+// begins an outage.
 func (o *Outage) RecordFailure(since time.Time) bool {
 	if o.ongoing {
 		return false
@@ -35,7 +34,7 @@
 	return true
 }
 
-// RecordSuccess notes an answer and reports whether the store was lost.
+// RecordSuccess records an answer of the store and reports whether it ends an outage.
 func (o *Outage) RecordSuccess(now time.Time) bool {
 	if !o.ongoing {
 		return false
@@ -47,7 +46,7 @@
 	return true
 }
 
-// RemovalsTentative reports whether what is missing may be back soon.
+// RemovalsTentative reports whether missing entries may be back soon.
 func (o *Outage) RemovalsTentative(now time.Time) bool {
 	if o.ongoing {
 		return now.Sub(o.since) >= minOutage
--- a/internal/kernel/replica/outage_test.go
+++ b/internal/kernel/replica/outage_test.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// A waiting watch is cut, as happens at any time, and a server's entry goes
-// shortly after. It was not the outage that dropped it: to wait for its return
-// would send it requests long after it has left.
+// A waiting watch is interrupted, as can happen at any time, and shortly after a server's entry
+// is removed. The entry wasn't dropped by an outage: waiting for it to return would send the
+// server requests long after it has left.
 func TestSingleFailedCallIsNotAnOutage(t *testing.T) {
 	var o Outage
 	o.RecordFailure(start)
 	if o.RemovalsTentative(start.Add(300 * time.Millisecond)) {
-		t.Error("what is missing is doubted 0.3 s after a failed call")
+		t.Error("removals are tentative 0.3 s after a failed call")
 	}
 	o.RecordSuccess(start.Add(400 * time.Millisecond))
 	if o.RemovalsTentative(start.Add(time.Second)) {
-		t.Error("what is missing is doubted though the store answered 0.4 s after a failed call")
+		t.Error("removals are tentative although the store answered 0.4 s after a failed call")
 	}
 }
 
-// The store is away for seconds and entries run out. Until a while after its
-// return they may come back.
+// The store is unavailable for seconds and entries expire. They may return until some time after
+// the outage.
 func TestRemovalsAreTentativeAfterAnOutage(t *testing.T) {
 	var o Outage
 	if !o.RecordFailure(start) || o.RecordFailure(start.Add(time.Second)) {
-		t.Error("the loss is told anew at each failed call, want once")
+		t.Error("each failed call reports the begin of an outage, want only the first")
 	}
 	for _, c := range []struct {
 		after    time.Duration
@@ -42,7 +42,7 @@
 			o.RecordSuccess(start.Add(5 * time.Second))
 		}
 		if got := o.RemovalsTentative(now); got != c.want {
-			t.Errorf("%s after the store was lost: doubted is %t, want %t", c.after, got, c.want)
+			t.Errorf("%s after the store became unavailable: tentative is %t, want %t", c.after, got, c.want)
 		}
 	}
 }
--- a/internal/kernel/replica/relay.go
+++ b/internal/kernel/replica/relay.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// RelaysPerRegion is how many proxies of a region follow the store themselves. With
-	// one, a relay whose watch fails just before a change leaves its region
-	// without the news for longer than a drained server may get requests; a
-	// second costs a call every one and a half seconds a region.
+	// RelaysPerRegion is how many proxies of a region watch the store themselves. With only one,
+	// a relay whose watch fails just before a change leaves its region without the change for
+	// longer than a drained server may get requests. A second one costs each region one call
+	// every 1.5 seconds.
 	RelaysPerRegion = 2
-	// takeoverAge is the age at which a proxy that is no relay asks the store
-	// itself: its relays are cut off or gone. Two rounds of a relay's watch
-	// fit in, and a change is still in force in time.
+	// takeoverAge is the age of a copy at which a proxy that isn't a relay queries the store
+	// itself, because its relays are disconnected or gone. It allows for two rounds of a relay's
+	// watch, and a change still takes effect in time.
 	takeoverAge = 1700 * time.Millisecond
-	// takeoverAgePerRank is added for each rank, so that not all ask at once.
+	// takeoverAgePerRank is added for each rank, so that the proxies don't all query the store at
+	// once.
 	takeoverAgePerRank = 100 * time.Millisecond
 	maxTakeoverRank    = 10
 )
 
 type (
-	// Candidate is a proxy that may be its region's relay.
+	// Candidate is a proxy that may be a relay of its region.
 	Candidate struct {
 		Name string
-		// LinkMbps is how wide its link is, in Mbit/s; zero if not known.
+		// LinkMbps is the bandwidth of its link in Mbit/s; zero if unknown.
 		LinkMbps int
 	}
 )
 
-// Rank is a proxy's place among those of its region. A name that is not listed comes
-// last.
+// Rank returns a proxy's rank among those of its region, from zero. A name that isn't listed
+// ranks last.
 func Rank(name string, region []Candidate) int {
 	ordered := SortCandidates(region)
 	if i := slices.IndexFunc(ordered, func(c Candidate) bool { return c.Name == name }); i >= 0 {
@@ -42,9 +43,9 @@
 	return len(ordered)
 }
 
-// SortCandidates lists the proxies of a region by what they do for the others: the widest links
-// first, for a relay sends each change to dozens, and among equal ones in an order that
-// spreads the relays over the names.
+// SortCandidates returns the proxies of a region in order of preference. Those with the highest
+// bandwidth come first, because a relay sends each change to dozens of peers. Ties are ordered by
+// a hash of the name, which spreads the relays over the names.
 func SortCandidates(region []Candidate) []Candidate {
 	ordered := slices.Clone(region)
 	slices.SortFunc(ordered, func(a, b Candidate) int {
@@ -57,11 +58,12 @@
 	return ordered
 }
 
-// Fresh reports whether a copy of an age is one that follows the store, or close
-// to one.
+// Fresh reports whether a copy of the given age comes from a proxy that watches the store, or
+// from one close to it.
 func Fresh(age time.Duration) bool { return age < takeoverAge }
 
-// ShouldFollowStore reports whether a proxy of a rank should ask the store itself.
+// ShouldFollowStore reports whether a proxy of the given rank, whose copy has the given age,
+// should query the store itself.
 func ShouldFollowStore(rank int, age time.Duration) bool {
 	if rank < RelaysPerRegion {
 		return true
--- a/internal/kernel/replica/replica_test.go
+++ b/internal/kernel/replica/replica_test.go
@@ -11,7 +11,7 @@
 	start = time.Unix(1_000_000, 0)
 )
 
-// fullRead is a reading of the store at revision 10.
+// fullRead returns a full read of the store at revision 10.
 func fullRead(keys ...string) Delta {
 	d := Delta{Revision: 10, Full: true}
 	for i, key := range keys {
@@ -33,28 +33,28 @@
 	return list
 }
 
-// A peer's message is overtaken by another one. Taken in out of order it would
-// leave out what lies between, and a drained server would get requests.
+// Messages of a peer arrive out of order. Applying the later one would skip the changes in
+// between, and a drained server would get requests.
 func TestDeltaAfterGapIsRejected(t *testing.T) {
 	c := NewCopy()
 	c.Apply(start, fullRead("a"))
 	if _, ok := c.Apply(start, Delta{Base: 12, Revision: 13, Entries: []Entry{{Key: "b", Revision: 13}}}); ok {
-		t.Error("a delta from revision 12 was taken into a copy at 10")
+		t.Error("a delta from revision 12 was applied to a copy at 10")
 	}
 	if got, want := c.Revision(), uint64(10); got != want {
 		t.Errorf("revision is %d, want %d", got, want)
 	}
 }
 
-// A proxy that was cut off comes back and tells its old state. A server that
-// has left in the meantime must not come back to life.
+// A proxy that was disconnected comes back and sends its old state. A server that has left in the
+// meantime must not be restored.
 func TestStaleDeltaDoesNotRestoreRemovedEntry(t *testing.T) {
 	c := NewCopy()
 	c.Apply(start, fullRead("a", "b"))
 	c.Apply(start, Delta{Base: 10, Revision: 11, Entries: []Entry{{Key: "b", Revision: 11, Removed: true}}})
 	changed, _ := c.Apply(start, fullRead("a", "b"))
 	if len(changed) > 0 {
-		t.Errorf("an older whole copy changed %v, want nothing", entryNames(changed))
+		t.Errorf("an older full copy changed %v, want nothing", entryNames(changed))
 	}
 	changed, _ = c.Apply(start, Delta{Base: 9, Revision: 11, Entries: []Entry{{Key: "b", Revision: 2}}})
 	if len(changed) > 0 {
@@ -62,8 +62,8 @@
 	}
 }
 
-// The store has dropped its history. The whole reading that follows lacks what
-// was removed in between.
+// After the store has compacted its history, a full read lacks the removals in between. Entries
+// that are missing from it must be removed.
 func TestFullReadRemovesMissingEntries(t *testing.T) {
 	c := NewCopy()
 	c.Apply(start, fullRead("a", "b", "c"))
@@ -84,16 +84,16 @@
 	}})
 	changed, ok := b.Apply(start, a.Since(start, b.Revision()))
 	if got, want := entryNames(changed), []string{"-a", "c"}; !ok || !slices.Equal(got, want) {
-		t.Errorf("changed %v (taken %t), want %v", got, ok, want)
+		t.Errorf("changed %v (applied %t), want %v", got, ok, want)
 	}
 	if b.Revision() != a.Revision() {
 		t.Errorf("revision is %d, want %d", b.Revision(), a.Revision())
 	}
 }
 
-// So many servers come and go that their removals are no longer remembered. A
-// peer that lags behind must not take the changes alone, or it keeps dead
-// servers; after a few tries it asks for everything.
+// So many servers join and leave that their removals are no longer kept. A lagging peer must not
+// apply the changes alone, or it keeps dead servers; after a few attempts it requests a full
+// copy.
 func TestLaggingPeerRequestsFullCopy(t *testing.T) {
 	a, b := NewCopy(), NewCopy()
 	a.Apply(start, fullRead("a", "b"))
@@ -112,7 +112,7 @@
 	}
 	for range maxMismatches {
 		if changed, ok := b.Apply(start, a.Since(start, b.RequestRevision())); ok {
-			t.Fatalf("changes without the removal of b were taken (%v)", entryNames(changed))
+			t.Fatalf("changes without the removal of b were applied (%v)", entryNames(changed))
 		}
 	}
 	changed, _ := b.Apply(start, a.Since(start, b.RequestRevision()))
@@ -120,12 +120,12 @@
 		t.Errorf("changed %v, want %v", got, want)
 	}
 	if got, want := b.RequestRevision(), a.Revision(); got != want {
-		t.Errorf("asks for changes after %d, want %d", got, want)
+		t.Errorf("requests changes after %d, want %d", got, want)
 	}
 }
 
-// A proxy has just read the store. A peer that lags by one registration, and by
-// no removal, is brought up to date by that registration alone.
+// A proxy has just read the store. A peer that lags by one registration, and by no removal, must
+// get that registration alone instead of a full copy.
 func TestPeerThatMissesNoRemovalGetsOnlyChanges(t *testing.T) {
 	lagging, reader := NewCopy(), NewCopy()
 	lagging.Apply(start, fullRead("a", "b"))
@@ -136,12 +136,12 @@
 	}
 	changed, ok := lagging.Apply(start, d)
 	if got, want := entryNames(changed), []string{"c"}; !ok || !slices.Equal(got, want) {
-		t.Errorf("changed %v (taken %t), want %v", got, ok, want)
+		t.Errorf("changed %v (applied %t), want %v", got, ok, want)
 	}
 }
 
-// A relay's connection to the store has gone silent. Its copy stays complete
-// but grows old, and that is what the others go by.
+// A relay's connection to the store hangs. Its copy stays complete but ages, and peers must learn
+// this age to notice.
 func TestAgeIsPassedOnWithCopy(t *testing.T) {
 	a, b := NewCopy(), NewCopy()
 	a.Apply(start, fullRead("a"))
@@ -157,8 +157,8 @@
 	}
 }
 
-// All relays of a region are cut off from the store. The others must ask it
-// themselves well within the time in which a change has to be in force.
+// When all relays of a region are disconnected from the store, the others must query it
+// themselves well within the time in which a change has to take effect.
 func TestOtherProxiesFollowStoreWhenRelaysAreStale(t *testing.T) {
 	var list []Candidate
 	for i := range 24 {
@@ -175,19 +175,19 @@
 		}
 	}
 	if fresh != RelaysPerRegion {
-		t.Errorf("%d proxies follow the store while news arrive, want %d", fresh, RelaysPerRegion)
+		t.Errorf("%d proxies follow the store while changes arrive, want %d", fresh, RelaysPerRegion)
 	}
 	if late <= RelaysPerRegion {
-		t.Errorf("%d proxies follow the store after 2 s without news, want more than %d", late, RelaysPerRegion)
+		t.Errorf("%d proxies follow the store after 2 s without changes, want more than %d", late, RelaysPerRegion)
 	}
 	if got := Rank("stranger", list); got != len(list) {
 		t.Errorf("rank of a name that is not listed is %d, want %d", got, len(list))
 	}
 }
 
-// A fleet of 300 starts together and all ask three seeds for everything. Given
-// to all, the copies filled the seeds' links for seconds, and a change that the
-// operator made was not in force in time.
+// A fleet of 300 starts at once and all proxies request full copies from three seed peers. When
+// all requests were granted, the copies saturated the seeds' links for seconds, and an operator's
+// change didn't take effect in time.
 func TestFullCopiesAreBoundedByBudget(t *testing.T) {
 	const size = 750 << 10
 	var a FullCopyBudget
@@ -198,10 +198,10 @@
 		}
 	}
 	if given != 1 {
-		t.Errorf("%d copies of 750 KB were given within three seconds, want 1", given)
+		t.Errorf("%d copies of 750 KB were granted within three seconds, want 1", given)
 	}
 	if !a.Allow(start.Add(time.Minute), size) {
-		t.Error("none is given after a minute")
+		t.Error("no copy is granted after a minute")
 	}
 	given = 0
 	var small FullCopyBudget
@@ -211,12 +211,12 @@
 		}
 	}
 	if given != 10 {
-		t.Errorf("%d copies of 100 KB were given at once, want 10", given)
+		t.Errorf("%d copies of 100 KB were granted at once, want 10", given)
 	}
 }
 
-// A relay sends each change to dozens of peers. On a link of 10 Mbit/s a burst of
-// registrations took seconds, while VMs with twenty times as much stood by.
+// A relay sends each change to dozens of peers. On a link of 10 Mbit/s a burst of registrations
+// took seconds, while VMs with twenty times the bandwidth were available.
 func TestProxiesWithWidestLinksAreRelays(t *testing.T) {
 	var list []Candidate
 	for i := range 24 {
@@ -233,9 +233,8 @@
 	}
 }
 
-// A platform takes a server's entry away and the server writes it again at once;
-// one watch tells both. Told as removals after changes, the server would be gone
-// for good though it is alive.
+// A platform removes a server's entry and the server writes it again at once; one watch reports
+// both. If removals were applied after changes, the live server would stay removed.
 func TestKeyRemovedAndRecreatedInOneDelta(t *testing.T) {
 	c := NewCopy()
 	c.Apply(start, fullRead("a", "b"))
@@ -247,13 +246,13 @@
 		t.Errorf("changed %v, want %v", got, want)
 	}
 	if len(changed) > 0 && string(changed[0].Value) != "again" {
-		t.Errorf("the entry told is %q, want the last one", changed[0].Value)
+		t.Errorf("the entry returned is %q, want the last one", changed[0].Value)
 	}
 }
 
-// One peer tells a removal as doubtful, and the store itself, or a peer that read
-// it later, says that the entry is gone. The certain word must be told, or the
-// server would be waited for though it has left.
+// A peer passes on a removal as tentative; then the store, or a peer that read it later, reports
+// it as definite. The definite removal must be passed on, or proxies would keep waiting for a
+// server that has left.
 func TestDefiniteRemovalReplacesTentativeOne(t *testing.T) {
 	c := NewCopy()
 	c.Apply(start, fullRead("a", "b"))
@@ -261,18 +260,18 @@
 		return Delta{Base: 10, Revision: 11, Entries: []Entry{{Key: "b", Revision: 11, Removed: true, Tentative: doubtful}}}
 	}
 	if changed, _ := c.Apply(start, gone(true)); len(changed) != 1 || !changed[0].Tentative {
-		t.Errorf("a doubtful removal changed %v, want b with doubt", changed)
+		t.Errorf("a tentative removal changed %v, want b as tentative", changed)
 	}
 	if changed, _ := c.Apply(start, gone(true)); len(changed) != 0 {
-		t.Errorf("the same word again changed %v, want nothing", changed)
+		t.Errorf("the same removal again changed %v, want nothing", changed)
 	}
 	if changed, _ := c.Apply(start, gone(false)); len(changed) != 1 || changed[0].Tentative {
-		t.Errorf("the certain word changed %v, want b without doubt", changed)
+		t.Errorf("the definite removal changed %v, want b as definite", changed)
 	}
 	if changed, _ := c.Apply(start, gone(true)); len(changed) != 0 {
-		t.Errorf("doubt after the certain word changed %v, want nothing", changed)
+		t.Errorf("a tentative removal after the definite one changed %v, want nothing", changed)
 	}
 	if d := c.Since(start, 10); len(d.Entries) != 1 || d.Entries[0].Tentative {
-		t.Errorf("others are told %v, want b without doubt", d.Entries)
+		t.Errorf("peers get %v, want b as definite", d.Entries)
 	}
 }
