--- a/internal/kernel/replica/replica_test.go
+++ b/internal/kernel/replica/replica_test.go
@@ -191,27 +191,27 @@
 func TestFullCopiesAreBoundedByBudget(t *testing.T) {
 	const size = 750 << 10
 	var a FullCopyBudget
-	given := 0
+	granted := 0
 	for i := range 300 {
 		if a.Allow(start.Add(time.Duration(i)*10*time.Millisecond), size) {
-			given++
+			granted++
 		}
 	}
-	if given != 1 {
-		t.Errorf("%d copies of 750 KB were granted within three seconds, want 1", given)
+	if granted != 1 {
+		t.Errorf("%d copies of 750 KB were granted within three seconds, want 1", granted)
 	}
 	if !a.Allow(start.Add(time.Minute), size) {
 		t.Error("no copy is granted after a minute")
 	}
-	given = 0
+	granted = 0
 	var small FullCopyBudget
 	for range 66 {
 		if small.Allow(start, 100<<10) {
-			given++
+			granted++
 		}
 	}
-	if given != 10 {
-		t.Errorf("%d copies of 100 KB were granted at once, want 10", given)
+	if granted != 10 {
+		t.Errorf("%d copies of 100 KB were granted at once, want 10", granted)
 	}
 }
 
@@ -256,19 +256,19 @@
 func TestDefiniteRemovalReplacesTentativeOne(t *testing.T) {
 	c := NewCopy()
 	c.Apply(start, fullRead("a", "b"))
-	gone := func(doubtful bool) Delta {
-		return Delta{Base: 10, Revision: 11, Entries: []Entry{{Key: "b", Revision: 11, Removed: true, Tentative: doubtful}}}
+	removal := func(tentative bool) Delta {
+		return Delta{Base: 10, Revision: 11, Entries: []Entry{{Key: "b", Revision: 11, Removed: true, Tentative: tentative}}}
 	}
-	if changed, _ := c.Apply(start, gone(true)); len(changed) != 1 || !changed[0].Tentative {
+	if changed, _ := c.Apply(start, removal(true)); len(changed) != 1 || !changed[0].Tentative {
 		t.Errorf("a tentative removal changed %v, want b as tentative", changed)
 	}
-	if changed, _ := c.Apply(start, gone(true)); len(changed) != 0 {
+	if changed, _ := c.Apply(start, removal(true)); len(changed) != 0 {
 		t.Errorf("the same removal again changed %v, want nothing", changed)
 	}
-	if changed, _ := c.Apply(start, gone(false)); len(changed) != 1 || changed[0].Tentative {
+	if changed, _ := c.Apply(start, removal(false)); len(changed) != 1 || changed[0].Tentative {
 		t.Errorf("the definite removal changed %v, want b as definite", changed)
 	}
-	if changed, _ := c.Apply(start, gone(true)); len(changed) != 0 {
+	if changed, _ := c.Apply(start, removal(true)); len(changed) != 0 {
 		t.Errorf("a tentative removal after the definite one changed %v, want nothing", changed)
 	}
 	if d := c.Since(start, 10); len(d.Entries) != 1 || d.Entries[0].Tentative {
