--- a/internal/kernel/ratelimit/limiter.go
+++ b/internal/kernel/ratelimit/limiter.go
@@ -63,14 +63,15 @@
 		// received it.
 		processStart  uint64
 		startReported bool
-		// depositedUntil is until when other proxies may hold the base share. baseShareSince is
-		// since when this proxy has held it undiminished.
+		// depositedUntil is the time until which other proxies may hold the base share.
+		// baseShareSince is the time since which this proxy has held it undiminished.
 		depositedUntil time.Time
 		baseShareSince time.Time
 		pool           poolSession
 		// otherPools are pools of other regions.
 		otherPools []string
-		// unresponsiveUntil holds, for each pool that didn't answer, until when it isn't asked.
+		// unresponsiveUntil holds, for each pool that didn't answer, the time until which it isn't
+		// asked.
 		unresponsiveUntil map[string]time.Time
 		accounts          map[string]*accountState
 	}
@@ -171,11 +172,11 @@
 	return Decision{Verdict: Denied, RetryAfter: noPoolRetryAfter, RetryElsewhere: true}
 }
 
-// Tick records since when this proxy has held its base share.
+// Tick records the time since which this proxy has held its base share.
 func (h *Limiter) Tick(now time.Time) { h.baseShareHeldSince(now) }
 
-// baseShareHeldSince returns since when this proxy has held its base share. An account that
-// wasn't used since then has accrued tokens for that time.
+// baseShareHeldSince returns the time since which this proxy has held its base share. An
+// account that wasn't used since then has accrued tokens for that time.
 func (h *Limiter) baseShareHeldSince(now time.Time) time.Time {
 	if h.baseShareSince.IsZero() {
 		h.baseShareSince = now
--- a/internal/kernel/replica/fleet_test.go
+++ b/internal/kernel/replica/fleet_test.go
@@ -99,7 +99,7 @@
 		}
 	}
 	if got := 2 * f.sentBytes / proxyCount / span; got > maxControlBytesPerSecond {
-		t.Errorf("control traffic is %d bytes per second and VM, want at most %d", got, maxControlBytesPerSecond)
+		t.Errorf("control traffic is %d bytes per second per VM, want at most %d", got, maxControlBytesPerSecond)
 	}
 	f.converge(t)
 }
--- a/internal/kernel/replica/outage_test.go
+++ b/internal/kernel/replica/outage_test.go
@@ -25,7 +25,7 @@
 func TestRemovalsAreTentativeAfterAnOutage(t *testing.T) {
 	var o Outage
 	if !o.RecordFailure(start) || o.RecordFailure(start.Add(time.Second)) {
-		t.Error("each failed call reports the begin of an outage, want only the first")
+		t.Error("each failed call reports the start of an outage, want only the first")
 	}
 	for _, c := range []struct {
 		after    time.Duration
