--- a/internal/kernel/placing/ranking.go
+++ b/internal/kernel/placing/ranking.go
@@ -89,12 +89,12 @@
 		c.ids, c.hashes = append(c.ids, ""), append(c.hashes, 0)
 	}
 	c.ids[number], c.hashes[number] = id, xxhash.Sum64String(id)
-	complete := len(c.numbers)
+	previousCount := len(c.numbers)
 	c.numbers[id] = number
 	for object := range c.nearest {
 		list := c.nearest[object]
 		hash := hashPair(c.hashes[number], object) >> droppedHashBits
-		if len(list) == complete || hash > list[len(list)-1].hash {
+		if len(list) == previousCount || hash > list[len(list)-1].hash {
 			c.nearest[object] = insertRanked(list, serverHash{hash, number}, rankedPerObject)
 		}
 	}
