--- a/internal/kernel/placing/ranking.go
+++ b/internal/kernel/placing/ranking.go
@@ -7,39 +7,38 @@
 )
 
 const (
-	// rankedMost is how many servers of a class are kept for an object: a few more than
-	// are dealt from, which may leave before the object's are ranked anew. Each takes
-	// 16 bytes.
-	rankedMost = shortList + 4
+	// rankedPerObject is how many servers of a class are kept for an object: a few more than the
+	// short list, so that some may leave before the object has to be ranked again. Each takes 16
+	// bytes.
+	rankedPerObject = shortListSize + 4
 )
 
 type (
-	// Ranking keeps the servers nearest to each object while servers come and go. A
-	// change of one server costs one hash an object instead of one for each object and
-	// server: in a fleet with hundreds of servers of a service the whole took half a
-	// second of a small VM, at every proxy, whose requests waited, several times a second
-	// in a release.
+	// Ranking maintains the servers nearest to each object while servers join and leave. A change
+	// of one server costs one hash per object instead of one per object and server. In a fleet
+	// with hundreds of servers of a service the full computation took half a second on a small
+	// VM, at every proxy and several times a second during a rollout, while requests waited.
 	Ranking struct {
-		classes map[string]*ranked
+		classes map[string]*classRanking
 	}
 
-	// ranked are the servers of one class.
-	ranked struct {
-		// hashes and ids are by a server's number, which another gets when it has left.
+	// classRanking is the ranking of the servers of one class.
+	classRanking struct {
+		// hashes and ids are indexed by server number. The number of a server that has left is
+		// reused.
 		hashes  []uint64
 		ids     []string
 		numbers map[string]int32
 		free    []int32
-		// nearest lists for each object the servers with the largest hashes, the
-		// largest first.
-		nearest [][]hashed
+		// nearest holds for each object the servers with the largest hashes, largest first.
+		nearest [][]serverHash
 	}
 )
 
-// NewRanking makes a ranking of no servers.
-func NewRanking() *Ranking { return &Ranking{classes: make(map[string]*ranked)} }
+// NewRanking returns a ranking without servers.
+func NewRanking() *Ranking { return &Ranking{classes: make(map[string]*classRanking)} }
 
-// Update takes in which servers there are.
+// Update adds and removes servers so that the ranking holds the given ones.
 func (r *Ranking) Update(servers []Server) {
 	listed := make(map[string]map[string]bool)
 	for _, s := range servers {
@@ -58,7 +57,7 @@
 	for _, s := range servers {
 		c := r.classes[s.Class]
 		if c == nil {
-			c = &ranked{numbers: make(map[string]int32)}
+			c = &classRanking{numbers: make(map[string]int32)}
 			r.classes[s.Class] = c
 		}
 		if _, known := c.numbers[s.ID]; !known {
@@ -67,14 +66,14 @@
 	}
 }
 
-// Nearest lists the servers of a class that are nearest to an object, at most shortList of
-// them. All proxies that know the same servers name the same ones.
+// Nearest returns the servers of a class that are nearest to an object, at most shortListSize.
+// The result is the same at all proxies that know the same servers.
 func (r *Ranking) Nearest(class, object string) []string {
 	c := r.classes[class]
 	if c == nil {
 		return nil
 	}
-	list := c.of(Number(object))
+	list := c.nearestTo(ObjectIndex(object))
 	ids := make([]string, 0, len(list))
 	for _, s := range list {
 		ids = append(ids, c.ids[s.server])
@@ -82,7 +81,7 @@
 	return ids
 }
 
-func (c *ranked) add(id string) {
+func (c *classRanking) add(id string) {
 	number := int32(len(c.ids))
 	if n := len(c.free); n > 0 {
 		number, c.free = c.free[n-1], c.free[:n-1]
@@ -90,67 +89,68 @@
 		c.ids, c.hashes = append(c.ids, ""), append(c.hashes, 0)
 	}
 	c.ids[number], c.hashes[number] = id, xxhash.Sum64String(id)
-	whole := len(c.numbers)
+	previousCount := len(c.numbers)
 	c.numbers[id] = number
 	for object := range c.nearest {
 		list := c.nearest[object]
-		hash := mix(c.hashes[number], object) >> hashSpare
-		if len(list) == whole || hash > list[len(list)-1].hash {
-			c.nearest[object] = insert(list, hashed{hash, number}, rankedMost)
+		hash := hashPair(c.hashes[number], object) >> droppedHashBits
+		if len(list) == previousCount || hash > list[len(list)-1].hash {
+			c.nearest[object] = insertRanked(list, serverHash{hash, number}, rankedPerObject)
 		}
 	}
 }
 
-func (c *ranked) remove(id string) {
+func (c *classRanking) remove(id string) {
 	number := c.numbers[id]
 	delete(c.numbers, id)
 	c.ids[number] = ""
 	for object, list := range c.nearest {
-		hash := mix(c.hashes[number], object) >> hashSpare
+		hash := hashPair(c.hashes[number], object) >> droppedHashBits
 		if len(list) == 0 || hash < list[len(list)-1].hash {
 			continue
 		}
-		list = slices.DeleteFunc(list, func(h hashed) bool { return h.server == number })
+		list = slices.DeleteFunc(list, func(h serverHash) bool { return h.server == number })
 		c.nearest[object] = list
-		if len(list) < shortList && len(list) < len(c.numbers) {
+		if len(list) < shortListSize && len(list) < len(c.numbers) {
 			c.nearest[object] = c.rank(object)
 		}
 	}
 	c.free = append(c.free, number)
 }
 
-// of lists the servers nearest to an object by their numbers, as many as are dealt from.
-func (c *ranked) of(object int) []hashed {
+// nearestTo returns the short list of servers nearest to an object, by server number.
+func (c *classRanking) nearestTo(object int) []serverHash {
 	for len(c.nearest) <= object {
 		c.nearest = append(c.nearest, c.rank(len(c.nearest)))
 	}
 	list := c.nearest[object]
-	return list[:min(len(list), shortList)]
+	return list[:min(len(list), shortListSize)]
 }
 
-func (c *ranked) rank(object int) []hashed {
-	list := make([]hashed, 0, min(rankedMost, len(c.numbers)))
+func (c *classRanking) rank(object int) []serverHash {
+	list := make([]serverHash, 0, min(rankedPerObject, len(c.numbers)))
 	for number, id := range c.ids {
 		if id == "" {
 			continue
 		}
-		hash := mix(c.hashes[number], object) >> hashSpare
-		if len(list) == rankedMost && hash <= list[rankedMost-1].hash {
+		hash := hashPair(c.hashes[number], object) >> droppedHashBits
+		if len(list) == rankedPerObject && hash <= list[rankedPerObject-1].hash {
 			continue
 		}
-		list = insert(list, hashed{hash, int32(number)}, rankedMost)
+		list = insertRanked(list, serverHash{hash, int32(number)}, rankedPerObject)
 	}
 	return list
 }
 
-// insert puts a server into a list, the largest hash first, and keeps the most first.
-func insert(list []hashed, h hashed, most int) []hashed {
+// insertRanked inserts a server into a list sorted by descending hash and keeps at most maxLen
+// entries.
+func insertRanked(list []serverHash, h serverHash, maxLen int) []serverHash {
 	i := len(list)
 	for i > 0 && list[i-1].hash < h.hash {
 		i--
 	}
-	if len(list) < most {
-		list = append(list, hashed{})
+	if len(list) < maxLen {
+		list = append(list, serverHash{})
 	}
 	if i == len(list) {
 		return list
--- a/internal/kernel/placing/ranking_test.go
+++ b/internal/kernel/placing/ranking_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// Servers come and go for a while, some under an id that was there before. Proxies that
-// have seen all of it, and one that has just started, must name the same homes, or every
-// object would run cold on two servers.
-func TestRankingGivesTheSameHomesWhateverHappenedBefore(t *testing.T) {
+// Servers join and leave, some under an ID that was used before. A proxy that has seen all the
+// changes and one that has just started must choose the same servers, or every object would run
+// cold on two of them.
+func TestPlacementDoesNotDependOnRankingHistory(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	regions := []string{"north/4", "south/4", "west/3"}
 	var list []Server
@@ -23,10 +23,10 @@
 	r := NewRanking()
 	for step := range 60 {
 		r.Update(list)
-		ranked, plain := NewHomes(list, r), NewHomes(list, nil)
-		for n := 0; n < 8*window; n += 5 {
+		ranked, plain := NewPlacement(list, r), NewPlacement(list, nil)
+		for n := 0; n < 8*windowSize; n += 5 {
 			object := fmt.Sprintf("%x", n)
-			if got, want := ranked.Of(object), plain.Of(object); !slices.Equal(got, want) {
+			if got, want := ranked.ServersFor(object), plain.ServersFor(object); !slices.Equal(got, want) {
 				t.Fatalf("after %d changes of %d servers, object %s: got %v, want %v", step, len(list), object, got, want)
 			}
 		}
@@ -40,16 +40,16 @@
 	}
 }
 
-// The servers of a service are told to be one list and dealt out as another one. What
-// the ranking does not know must not be left out.
-func TestRankingOfOtherServersIsNotUsed(t *testing.T) {
+// A placement that is given a ranking of a different set of servers must not omit the servers
+// that the ranking lacks.
+func TestRankingOfDifferentServersIsIgnored(t *testing.T) {
 	list := servers(30)
 	r := NewRanking()
 	r.Update(list[:20])
-	got, want := NewHomes(list, r), NewHomes(list, nil)
-	for n := range 3 * window {
-		if object := fmt.Sprintf("%x", n); !slices.Equal(got.Of(object), want.Of(object)) {
-			t.Fatalf("object %s: got %v, want %v", object, got.Of(object), want.Of(object))
+	got, want := NewPlacement(list, r), NewPlacement(list, nil)
+	for n := range 3 * windowSize {
+		if object := fmt.Sprintf("%x", n); !slices.Equal(got.ServersFor(object), want.ServersFor(object)) {
+			t.Fatalf("object %s: got %v, want %v", object, got.ServersFor(object), want.ServersFor(object))
 		}
 	}
 }
--- a/internal/kernel/placing/replica_test.go
+++ b/internal/kernel/placing/replica_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// An object is asked for five times as often as one server can answer. It needs more
-// servers than that, since each has other objects too; a rare one needs its home only.
-func TestReplicasFollowTheDemand(t *testing.T) {
+// An object that is requested five times as often as one server can answer needs more than five
+// servers, since each also serves other objects. A rarely requested object needs only its home
+// server.
+func TestReplicaCountFollowsDemand(t *testing.T) {
 	const work = 250 * time.Millisecond
 	for _, c := range []struct {
 		perSecond float64
@@ -22,19 +23,19 @@
 		{9, work, 4, 1},
 		{16, work, 4, 2},
 		{80, work, 4, 9},
-		{10_000, work, 4, ReplicasMost},
+		{10_000, work, 4, MaxReplicas},
 		{16, 0, 4, 1},
 		{16, work, 0, 1},
 	} {
-		if got := Replicas(c.perSecond, c.work, c.slots); got != c.want {
+		if got := ReplicaCount(c.perSecond, c.work, c.slots); got != c.want {
 			t.Errorf("Replicas(%v, %v, %d) = %d, want %d", c.perSecond, c.work, c.slots, got, c.want)
 		}
 	}
 }
 
-// A server leaves. An object's nearest servers, which become its replicas, stay the same
-// but for the one that left.
-func TestReplicasStayWhenAnotherServerLeaves(t *testing.T) {
+// When a server leaves, the other nearest servers of an object, which are its replicas, must stay
+// the same.
+func TestNearestServersAreStableWhenOneLeaves(t *testing.T) {
 	list := servers(40)
 	for n := range 50 {
 		object := fmt.Sprintf("%x", n)
@@ -51,7 +52,7 @@
 			}
 		}
 		if kept != 4 || slices.Contains(after, gone) {
-			t.Errorf("object %s: %v became %v without %s, want four of them kept", object, before, after, gone)
+			t.Errorf("object %s: nearest servers were %v and are %v without %s, want four of them kept", object, before, after, gone)
 		}
 	}
 	r := NewRanking()
@@ -64,46 +65,46 @@
 	}
 }
 
-// Each of a hundred proxies sees a hundredth of the requests. One request by chance
-// must not pass for a hundred; an object that is asked for all the time must show.
-func TestOneRequestIsNoDemand(t *testing.T) {
+// Each of a hundred proxies sees a hundredth of the requests. A single request at one proxy must
+// not be taken for a hundred, while constant requests must show as demand.
+func TestSingleRequestGivesNoDemand(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var d Demand
-	d.Heard(now, "rare")
+	d.Record(now, "rare")
 	for i := range 40 {
-		d.Heard(now.Add(time.Duration(i)*250*time.Millisecond), "often")
+		d.Record(now.Add(time.Duration(i)*250*time.Millisecond), "often")
 	}
 	now = now.Add(10 * time.Second)
-	if got := d.Least(now, "rare"); got != 0 {
-		t.Errorf("an object asked for once: %v a second, want 0", got)
+	if got := d.LowerBound(now, "rare"); got != 0 {
+		t.Errorf("an object requested once: %v per second, want 0", got)
 	}
-	if got := d.Least(now, "often"); got < 2.5 || got > 4 {
-		t.Errorf("an object asked for four times a second: %.2f at least, want 2.5 to 4", got)
+	if got := d.LowerBound(now, "often"); got < 2.5 || got > 4 {
+		t.Errorf("an object requested four times a second: lower bound %.2f, want 2.5 to 4", got)
 	}
-	if got := d.Least(now.Add(time.Minute), "often"); got != 0 {
-		t.Errorf("a minute after its last request: %v a second, want 0", got)
+	if got := d.LowerBound(now.Add(time.Minute), "often"); got != 0 {
+		t.Errorf("a minute after its last request: %v per second, want 0", got)
 	}
-	if got := d.Least(now, "never"); got != 0 {
-		t.Errorf("an object never asked for: %v a second, want 0", got)
+	if got := d.LowerBound(now, "never"); got != 0 {
+		t.Errorf("an object never requested: %v per second, want 0", got)
 	}
 }
 
-// Callers name ever new objects. What is kept of them is bounded, and one that is asked
-// for often is still counted.
-func TestDemandIsBounded(t *testing.T) {
+// Callers keep requesting new objects. The number of tracked objects must stay bounded, and an
+// object that is requested often must still be counted.
+func TestDemandTracksBoundedNumberOfObjects(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var d Demand
-	for i := range 3 * demandMost {
+	for i := range 3 * maxDemandObjects {
 		now = now.Add(10 * time.Millisecond)
-		d.Heard(now, fmt.Sprint("object-", i))
+		d.Record(now, fmt.Sprint("object-", i))
 		if i%25 == 0 {
-			d.Heard(now, "often")
+			d.Record(now, "often")
 		}
 	}
-	if got := len(d.objects); got > demandMost {
-		t.Errorf("%d objects are kept, want %d at most", got, demandMost)
+	if got := len(d.objects); got > maxDemandObjects {
+		t.Errorf("%d objects are tracked, want at most %d", got, maxDemandObjects)
 	}
-	if got := d.Least(now, "often"); got < 2 {
-		t.Errorf("the object asked for four times a second shows %.2f, want 2 at least", got)
+	if got := d.LowerBound(now, "often"); got < 2 {
+		t.Errorf("the object requested four times a second: lower bound %.2f, want at least 2", got)
 	}
 }
--- a/internal/kernel/ratelimit/pool.go
+++ b/internal/kernel/ratelimit/pool.go
@@ -8,455 +8,459 @@
 )
 
 const (
-	// waitMost is the longest wait for a token that a pool tells.
-	waitMost = time.Second
-	// memberIdle is how long a proxy that no longer reports is remembered.
-	memberIdle = 10 * time.Second
+	// maxTokenWait is the longest wait for a token that a pool returns.
+	maxTokenWait = time.Second
+	// memberTTL is how long a proxy is kept as a member after its last report.
+	memberTTL = 10 * time.Second
 )
 
 type (
-	// Pool holds the parts that proxies give away and grants them to those that need
-	// them. Any proxy may be one: a pool has only what it was given.
+	// Pool holds the shares that proxies deposit and grants them to the proxies that need them.
+	// Any proxy can act as the pool of its region; a pool never grants more than was deposited or
+	// lent to it.
 	Pool struct {
-		// Limits tells the limit of an account; none for one that is not known.
+		// Limits returns the limit of an account; unlimited if the account isn't known.
 		Limits func(account string) Limit
-		// Starter tells how many requests of an account all processes together may let
-		// through at their start.
-		Starter func(account string) float64
-
-		id       uint64
-		start    time.Time
-		answers  uint64
-		members  map[string]*member
-		accounts map[string]*pooled
-		// lenders are the last answers of other regions' pools.
-		lenders map[string]applied
-		// share is what was here at the moment settled; accrued is what has come in by
-		// time since it last fell, in shares times seconds.
-		share   Share
-		settled time.Time
-		accrued float64
-		// starter are the parts of the processes that have started until a short while ago.
-		starter      Share
-		starterUntil time.Time
-	}
-
-	// round is one report being answered.
-	round struct {
+		// StartupBurst returns how many requests of an account all processes together may admit
+		// at startup.
+		StartupBurst func(account string) float64
+
+		id           uint64
+		start        time.Time
+		lastAnswerID uint64
+		members      map[string]*member
+		accounts     map[string]*pooledAccount
+		// lenders holds, for each pool of another region, the last answer that was applied.
+		lenders map[string]appliedAnswer
+		// depositedShare is the sum of the deposits at settledAt. accruedShareSeconds is the
+		// integral of depositedShare over time since it last fell, with a full share as 1.
+		depositedShare      Share
+		settledAt           time.Time
+		accruedShareSeconds float64
+		// startupShare is the sum of the base shares of recently started processes. It expires at
+		// startupUntil.
+		startupShare Share
+		startupUntil time.Time
+	}
+
+	// grantRequest is the context in which the shares of one report are granted.
+	grantRequest struct {
 		now    time.Time
 		from   string
 		member *member
-		// have is what may be granted, lasts for how long.
-		have  Share
-		lasts time.Duration
-		id    uint64
+		// available is the share that may be granted, for at most ttl.
+		available Share
+		ttl       time.Duration
+		answerID  uint64
 	}
 
-	// applied is the last answer of a start of a pool that was taken in.
-	applied struct {
-		id      uint64
-		applied uint64
+	// appliedAnswer identifies the last answer that was applied from one run of a pool.
+	appliedAnswer struct {
+		poolID   uint64
+		answerID uint64
 	}
 
-	// Loan is what another region's pool is asked for.
-	Loan struct {
+	// LoanRequest is a report to be sent to the pool of another region to borrow shares.
+	LoanRequest struct {
 		Lender string
 		Report Report
 	}
 
 	// member is a proxy that reports to the pool.
 	member struct {
-		part    Share
-		until   time.Time
-		heard   time.Time
-		applied uint64
-		// start is that of the proxy's process, as far as it is known.
-		start uint64
-		// closed is the pool's clock when the part was last taken back: reports made before
-		// may still arrive.
-		closed time.Duration
-		// borrows is set for the pool of another region.
-		borrows bool
-	}
-
-	// pooled is an account's limit at the pool.
-	pooled struct {
+		deposit      Share
+		depositUntil time.Time
+		lastReportAt time.Time
+		lastApplied  uint64
+		// processStart identifies the run of the proxy's process; zero if unknown.
+		processStart uint64
+		// withdrawnAt is the pool's clock at the last withdrawal. Reports made before it may
+		// still arrive and must not restore the deposit.
+		withdrawnAt time.Duration
+		// isRemotePool is set if the member is the pool of another region.
+		isRemotePool bool
+	}
+
+	// pooledAccount is the state of one account's limit at the pool.
+	pooledAccount struct {
 		bucket Bucket
-		// asks are those for single requests.
-		asks Arrivals
-		// starters are tokens of processes that have just started; counted is how much of
-		// the pool's starter they are made from.
-		starters float64
-		counted  Share
-		// wants and grants are by proxy.
-		wants  map[string]right
+		// tokenRequests is the rate of requests for single tokens.
+		tokenRequests RequestRate
+		// startupTokens are the remaining tokens for processes that have just started.
+		// startupShareCounted is the part of the pool's startupShare that they already include.
+		startupTokens       float64
+		startupShareCounted Share
+		// wants and grants are keyed by proxy.
+		wants  map[string]shareLease
 		grants map[string]grant
-		// borrowed are shares that other pools have lent.
-		borrowed map[string]right
+		// borrowed are the shares lent by other pools, keyed by pool.
+		borrowed map[string]shareLease
 	}
 
-	// right is a share until a moment.
-	right struct {
+	// shareLease is a share that expires.
+	shareLease struct {
 		share Share
 		until time.Time
 	}
 
-	// grant is what a proxy was granted. Until it tells that it has heard of the current
-	// grant, it may hold the one before.
+	// grant is a proxy's grant. Until the proxy confirms that it has applied the current grant,
+	// it may still hold the previous one.
 	grant struct {
-		current, before right
-		id              uint64
+		current, previous shareLease
+		answerID          uint64
 	}
 )
 
-// NewPool makes a pool that has nothing yet. The id tells the starts of the process apart.
+// NewPool returns a pool without deposits. The id identifies the run of the process.
 func NewPool(id uint64, start time.Time) *Pool {
-	return &Pool{id: id, start: start, members: make(map[string]*member), accounts: make(map[string]*pooled), lenders: make(map[string]applied)}
+	return &Pool{id: id, start: start, members: make(map[string]*member), accounts: make(map[string]*pooledAccount), lenders: make(map[string]appliedAnswer)}
 }
 
-// Reset forgets all that was given: this process did not run for a while, and the givers
-// have taken their parts back.
+// Reset drops all deposits and grants. It is called when this process was suspended for a while:
+// the depositors have taken their shares back.
 func (p *Pool) Reset(now time.Time) {
 	clear(p.members)
 	clear(p.accounts)
 	clear(p.lenders)
 	p.id++
-	p.start, p.share, p.accrued = now, 0, 0
+	p.start, p.depositedShare, p.accruedShareSeconds = now, 0, 0
 }
 
-// Serves reports whether any proxy gives its part to this pool.
-func (p *Pool) Serves(now time.Time) bool { return p.deposited(now, 0) > 0 }
+// HasDeposits reports whether any proxy has deposited its share with this pool.
+func (p *Pool) HasDeposits(now time.Time) bool { return p.deposited(now, 0) > 0 }
 
-// Hear takes a report in and answers it.
-func (p *Pool) Hear(now time.Time, r Report) Grants {
+// HandleReport processes a report and returns the answer.
+func (p *Pool) HandleReport(now time.Time, r Report) Grants {
 	m := p.members[r.From]
 	if m == nil {
 		m = &member{}
 		p.members[r.From] = m
 	}
-	m.heard, m.borrows = now, r.Lends
-	p.answers++
-	answer := Grants{Pool: p.id, Clock: now.Sub(p.start), ID: p.answers}
+	m.lastReportAt, m.isRemotePool = now, r.Lends
+	p.lastAnswerID++
+	answer := Grants{Pool: p.id, Clock: now.Sub(p.start), ID: p.lastAnswerID}
 	if r.Pool == p.id {
-		m.applied = r.Applied
-		p.deposit(m, r)
+		m.lastApplied = r.Applied
+		p.recordDeposit(m, r)
 	}
-	p.begins(now, m, r)
+	p.recordStart(now, m, r)
 	p.settle(now)
 	if r.Withdraws {
 		answer.Withdrawn = p.withdraw(now, r.From, m)
 		return answer
 	}
 	for _, w := range r.Wants {
-		p.account(now, w.Account).wants[r.From] = right{share: w.Share, until: now.Add(grantFor)}
+		p.account(now, w.Account).wants[r.From] = shareLease{share: w.Share, until: now.Add(grantTTL)}
 	}
-	d := round{now: now, from: r.From, member: m, have: p.deposited(now, grantLeast), lasts: p.lasts(now), id: answer.ID}
-	answer.For = d.lasts
+	req := grantRequest{now: now, from: r.From, member: m, available: p.deposited(now, minDepositLeft), ttl: p.grantDuration(now), answerID: answer.ID}
+	answer.For = req.ttl
 	for _, w := range r.Wants {
-		if share := p.grant(d, w); share > 0 {
-			answer.Shares = append(answer.Shares, Want{Account: w.Account, Share: share})
+		if share := p.grant(req, w); share > 0 {
+			answer.Shares = append(answer.Shares, AccountShare{Account: w.Account, Share: share})
 		}
 	}
 	return answer
 }
 
-// deposit takes in that a proxy gives its part away.
-func (p *Pool) deposit(m *member, r Report) {
-	until := p.start.Add(r.Echo + depositFor)
-	if r.Part > 0 && r.Echo > m.closed && until.After(m.until) {
-		m.part, m.until = r.Part, until
+// recordDeposit records or extends the deposit of a proxy.
+func (p *Pool) recordDeposit(m *member, r Report) {
+	until := p.start.Add(r.Echo + depositTTL)
+	if r.Part > 0 && r.Echo > m.withdrawnAt && until.After(m.depositUntil) {
+		m.deposit, m.depositUntil = r.Part, until
 	}
 }
 
-// begins takes in that a process has started. Its part may still be held by others, but
-// some requests are let through at once.
-func (p *Pool) begins(now time.Time, m *member, r Report) {
-	if r.Starter == 0 || m.start == r.Start {
+// recordStart records that a process has started. Its base share may still be held by others, but
+// some requests are admitted at once from the startup burst.
+func (p *Pool) recordStart(now time.Time, m *member, r Report) {
+	if r.Starter == 0 || m.processStart == r.Start {
 		return
 	}
-	m.start = r.Start
-	if now.After(p.starterUntil) {
-		p.starter = 0
+	m.processStart = r.Start
+	if now.After(p.startupUntil) {
+		p.startupShare = 0
 		for _, a := range p.accounts {
-			a.starters, a.counted = 0, 0
+			a.startupTokens, a.startupShareCounted = 0, 0
 		}
 	}
-	p.starter += r.Starter
-	p.starterUntil = now.Add(depositFor + guard)
+	p.startupShare += r.Starter
+	p.startupUntil = now.Add(depositTTL + clockDriftMargin)
 }
 
-// takeStarter takes one of the tokens of processes that have just started.
-func (p *Pool) takeStarter(now time.Time, account string, a *pooled) bool {
-	if now.After(p.starterUntil) {
+// takeStartupToken takes a token of the startup burst and reports whether there was one.
+func (p *Pool) takeStartupToken(now time.Time, account string, a *pooledAccount) bool {
+	if now.After(p.startupUntil) {
 		return false
 	}
-	a.starters += float64(p.starter-a.counted) / float64(Whole) * p.Starter(account)
-	a.counted = p.starter
-	if a.starters < 1 {
+	a.startupTokens += float64(p.startupShare-a.startupShareCounted) / float64(FullShare) * p.StartupBurst(account)
+	a.startupShareCounted = p.startupShare
+	if a.startupTokens < 1 {
 		return false
 	}
-	a.starters--
+	a.startupTokens--
 	return true
 }
 
-// settle brings all buckets up to a moment if the pool has become larger or smaller.
+// settle updates the sum of the deposits and, if it has changed, refills all buckets.
 func (p *Pool) settle(now time.Time) {
-	if now.After(p.settled) {
-		p.accrued += float64(p.share) / float64(Whole) * now.Sub(p.settled).Seconds()
-		p.settled = now
+	if now.After(p.settledAt) {
+		p.accruedShareSeconds += float64(p.depositedShare) / float64(FullShare) * now.Sub(p.settledAt).Seconds()
+		p.settledAt = now
 	}
 	share := p.deposited(now, 0)
-	if share == p.share {
+	if share == p.depositedShare {
 		return
 	}
-	if share < p.share {
-		p.accrued = 0
+	if share < p.depositedShare {
+		p.accruedShareSeconds = 0
 	}
-	p.share = share
+	p.depositedShare = share
 	for name, a := range p.accounts {
-		p.fill(now, p.Limits(name), a)
+		p.refill(now, p.Limits(name), a)
 	}
 }
 
-// withdraw gives a proxy its part back, unless others have been granted of it.
+// withdraw returns a proxy's deposit, unless grants to other proxies depend on it.
 func (p *Pool) withdraw(now time.Time, from string, m *member) bool {
 	for name, a := range p.accounts {
 		delete(a.grants, from)
-		p.fill(now, p.Limits(name), a)
-		if a.granted(now) > p.share-m.part {
+		p.refill(now, p.Limits(name), a)
+		if a.totalGranted(now) > p.depositedShare-m.deposit {
 			return false
 		}
 	}
-	m.part, m.until, m.closed = 0, time.Time{}, now.Sub(p.start)
+	m.deposit, m.depositUntil, m.withdrawnAt = 0, time.Time{}, now.Sub(p.start)
 	p.settle(now)
 	return true
 }
 
-// grant settles the share of an account that a proxy holds from now on. What another one
-// may still hold is left to it.
-func (p *Pool) grant(d round, w Want) Share {
-	l, a := p.Limits(w.Account), p.account(d.now, w.Account)
-	before := a.grants[d.from].heldBy(d)
-	share := min(p.fair(d, a, w), d.have-a.grantedTo(d.now, d.from))
-	if l.None() || share.burst(l) < tokenLeast {
+// grant sets and returns the share of an account that a proxy holds from now on. It leaves
+// untouched what other proxies may still hold.
+func (p *Pool) grant(req grantRequest, w AccountShare) Share {
+	l, a := p.Limits(w.Account), p.account(req.now, w.Account)
+	previous := a.grants[req.from].heldBy(req)
+	share := min(p.fairShare(req, a, w), req.available-a.grantedExcept(req.now, req.from))
+	if l.Unlimited() || share.burst(l) < minToken {
 		share = 0
 	}
-	if share == 0 && before.share == 0 {
-		delete(a.grants, d.from)
+	if share == 0 && previous.share == 0 {
+		delete(a.grants, req.from)
 	} else {
-		a.grants[d.from] = grant{id: d.id, before: before, current: right{share: share, until: d.now.Add(d.lasts)}}
+		a.grants[req.from] = grant{answerID: req.answerID, previous: previous, current: shareLease{share: share, until: req.now.Add(req.ttl)}}
 	}
-	p.fill(d.now, l, a)
+	p.refill(req.now, l, a)
 	return share
 }
 
-// fair is the share that a proxy should get of what its region has: what it wants, or if
-// that is too much for all, the same part as the others. Other regions get what is to
-// spare.
-func (p *Pool) fair(d round, a *pooled, w Want) Share {
+// fairShare returns the share that a proxy should get of its region's deposits: the share that it
+// wants or, if all together want more than there is, a proportional part of it. Pools of other
+// regions get what the region doesn't need.
+func (p *Pool) fairShare(req grantRequest, a *pooledAccount, w AccountShare) Share {
 	want := w.Share
-	have := d.have
-	own, others := p.wanted(d.now, w.Account, a)
-	all := own
-	if d.member.borrows {
-		have, all = max(0, have-own), others
+	available := req.available
+	own, remote := p.wanted(req.now, w.Account, a)
+	totalWanted := own
+	if req.member.isRemotePool {
+		available, totalWanted = max(0, available-own), remote
 	}
-	if all > have {
-		return scale(want, have, all)
+	if totalWanted > available {
+		return proRata(want, available, totalWanted)
 	}
 	return want
 }
 
-// wanted sums what the region's proxies want, for a time or request by request, and what
-// other regions do.
-func (p *Pool) wanted(now time.Time, account string, a *pooled) (own, others Share) {
-	own = wanted(a.asks.PerSecond(now), p.Limits(account))
+// wanted returns the sum of the shares that the region's own proxies want, including the share
+// needed for single tokens, and the sum that pools of other regions want.
+func (p *Pool) wanted(now time.Time, account string, a *pooledAccount) (own, remote Share) {
+	own = shareForRate(a.tokenRequests.PerSecond(now), p.Limits(account))
 	for name, w := range a.wants {
-		if !w.live(now) {
+		if !w.active(now) {
 			continue
 		}
-		if m := p.members[name]; m != nil && m.borrows {
-			others += w.share
+		if m := p.members[name]; m != nil && m.isRemotePool {
+			remote += w.share
 		} else {
 			own += w.share
 		}
 	}
-	return own, others
+	return own, remote
 }
 
-// lasts is how long a share lasts that is granted now: no longer than what backs it.
-func (p *Pool) lasts(now time.Time) time.Duration {
-	span := grantFor
+// grantDuration returns how long a share granted now is valid: no longer than the deposits that
+// back it.
+func (p *Pool) grantDuration(now time.Time) time.Duration {
+	ttl := grantTTL
 	for _, m := range p.members {
-		if left := m.until.Sub(now); m.part > 0 && left >= grantLeast {
-			span = min(span, left)
+		if left := m.depositUntil.Sub(now); m.deposit > 0 && left >= minDepositLeft {
+			ttl = min(ttl, left)
 		}
 	}
-	return span
+	return ttl
 }
 
-// deposited sums the parts that are here for a time at least.
-func (p *Pool) deposited(now time.Time, least time.Duration) Share {
+// deposited returns the sum of the deposits that remain for at least minLeft.
+func (p *Pool) deposited(now time.Time, minLeft time.Duration) Share {
 	sum := Share(0)
 	for _, m := range p.members {
-		if left := m.until.Sub(now); left > 0 && left >= least {
-			sum += m.part
+		if left := m.depositUntil.Sub(now); left > 0 && left >= minLeft {
+			sum += m.deposit
 		}
 	}
-	return min(sum, Whole)
+	return min(sum, FullShare)
 }
 
-// Take answers a proxy that asks for a single request of an account.
-func (p *Pool) Take(now time.Time, account string) Token {
+// Take answers a request for a single token of an account.
+func (p *Pool) Take(now time.Time, account string) TokenReply {
 	l := p.Limits(account)
-	if l.None() {
-		return Token{Wait: waitMost}
+	if l.Unlimited() {
+		return TokenReply{Wait: maxTokenWait}
 	}
 	p.settle(now)
 	a := p.account(now, account)
-	a.asks.Heard(now)
-	p.fill(now, l, a)
-	if a.bucket.Take() || p.takeStarter(now, account, a) {
-		return Token{Granted: true}
+	a.tokenRequests.Record(now)
+	p.refill(now, l, a)
+	if a.bucket.Take() || p.takeStartupToken(now, account, a) {
+		return TokenReply{Granted: true}
 	}
-	wait := waitMost
-	if young := p.start.Add(depositFor + guard).Sub(now); p.share == 0 && young > 0 {
-		// Proxies that have started with this one have not given their parts yet.
-		wait = young + rampUp
+	wait := maxTokenWait
+	if startupLeft := p.start.Add(depositTTL + clockDriftMargin).Sub(now); p.depositedShare == 0 && startupLeft > 0 {
+		// Proxies that started at the same time haven't made their deposits yet.
+		wait = startupLeft + poolRampUp
 	}
-	return Token{Wait: a.bucket.Wait(l, wait)}
+	return TokenReply{Wait: a.bucket.Wait(l, wait)}
 }
 
-// fill brings an account's bucket up to a moment, at the share that the pool keeps.
-func (p *Pool) fill(now time.Time, l Limit, a *pooled) {
-	a.bucket.Fill(now, l, max(0, p.share+a.lent(now)-a.granted(now)))
+// refill updates an account's bucket with the share that the pool keeps for single tokens.
+func (p *Pool) refill(now time.Time, l Limit, a *pooledAccount) {
+	a.bucket.Refill(now, l, max(0, p.depositedShare+a.totalBorrowed(now)-a.totalGranted(now)))
 }
 
-// Borrow tells other regions' pools what the one here lacks, divided over them; nothing
-// if it lacks nothing.
-func (p *Pool) Borrow(now time.Time, from string, lenders []string) []Loan {
-	wants := p.short(now, len(lenders))
+// LoanRequests returns the loan requests to send to pools of other regions. They divide the
+// shares that this pool lacks equally among the lenders; there are none if it lacks nothing.
+func (p *Pool) LoanRequests(now time.Time, from string, lenders []string) []LoanRequest {
+	wants := p.shortfalls(now, len(lenders))
 	if len(wants) == 0 {
 		return nil
 	}
-	list := make([]Loan, 0, len(lenders))
+	list := make([]LoanRequest, 0, len(lenders))
 	for _, name := range lenders {
 		known := p.lenders[name]
-		list = append(list, Loan{Lender: name, Report: Report{From: from, Pool: known.id, Applied: known.applied, Lends: true, Wants: wants}})
+		list = append(list, LoanRequest{Lender: name, Report: Report{From: from, Pool: known.poolID, Applied: known.answerID, Lends: true, Wants: wants}})
 	}
 	return list
 }
 
-// short lists the shares that are wanted here beyond what there is, divided by a number.
-func (p *Pool) short(now time.Time, lenders int) []Want {
-	have := p.deposited(now, grantLeast)
-	var list []Want
+// shortfalls returns the shares that are wanted here beyond the deposits, divided by the number
+// of lenders.
+func (p *Pool) shortfalls(now time.Time, lenders int) []AccountShare {
+	available := p.deposited(now, minDepositLeft)
+	var list []AccountShare
 	for name, a := range p.accounts {
 		own, _ := p.wanted(now, name, a)
-		if short := (own - have) / Share(max(1, lenders)); short > 0 {
-			list = append(list, Want{Account: name, Share: short})
+		if shortfall := (own - available) / Share(max(1, lenders)); shortfall > 0 {
+			list = append(list, AccountShare{Account: name, Share: shortfall})
 		}
 	}
-	slices.SortFunc(list, func(a, b Want) int { return cmp.Compare(a.Account, b.Account) })
+	slices.SortFunc(list, func(a, b AccountShare) int { return cmp.Compare(a.Account, b.Account) })
 	return list
 }
 
-// Lent takes in a lender's answer to what was asked at a moment.
-func (p *Pool) Lent(now, asked time.Time, lender string, g Grants) {
-	if known := p.lenders[lender]; known.id == g.Pool && known.applied >= g.ID {
-		// The lender may hold what an older answer granted for ended.
+// ApplyLoan applies a lender's answer to a loan request made at requestedAt.
+func (p *Pool) ApplyLoan(now, requestedAt time.Time, lender string, g Grants) {
+	if known := p.lenders[lender]; known.poolID == g.Pool && known.answerID >= g.ID {
+		// An older answer arrived late. The lender may already regard its grants as expired.
 		return
 	}
-	p.lenders[lender] = applied{id: g.Pool, applied: g.ID}
+	p.lenders[lender] = appliedAnswer{poolID: g.Pool, answerID: g.ID}
 	for _, a := range p.accounts {
 		delete(a.borrowed, lender)
 	}
 	for _, s := range g.Shares {
-		p.account(now, s.Account).borrowed[lender] = right{share: s.Share, until: asked.Add(g.For)}
+		p.account(now, s.Account).borrowed[lender] = shareLease{share: s.Share, until: requestedAt.Add(g.For)}
 	}
 }
 
-// Tick forgets proxies that no longer report and accounts that nobody uses.
+// Tick evicts proxies that no longer report, expired leases and unused accounts.
 func (p *Pool) Tick(now time.Time) {
 	p.settle(now)
-	maps.DeleteFunc(p.members, func(_ string, m *member) bool { return now.Sub(m.heard) > memberIdle })
+	maps.DeleteFunc(p.members, func(_ string, m *member) bool { return now.Sub(m.lastReportAt) > memberTTL })
 	for name, a := range p.accounts {
-		ended := func(_ string, r right) bool { return !r.live(now) }
+		ended := func(_ string, r shareLease) bool { return !r.active(now) }
 		maps.DeleteFunc(a.wants, ended)
 		maps.DeleteFunc(a.borrowed, ended)
-		maps.DeleteFunc(a.grants, func(_ string, g grant) bool { return !g.current.live(now) && !g.before.live(now) })
-		p.fill(now, p.Limits(name), a)
+		maps.DeleteFunc(a.grants, func(_ string, g grant) bool { return !g.current.active(now) && !g.previous.active(now) })
+		p.refill(now, p.Limits(name), a)
 		if len(a.wants)+len(a.grants)+len(a.borrowed) == 0 && a.bucket.Full(p.Limits(name)) {
 			delete(p.accounts, name)
 		}
 	}
 }
 
-// account is an account's limit here. One that was not used so far has the tokens that
-// came in meanwhile.
-func (p *Pool) account(now time.Time, name string) *pooled {
+// account returns the state of an account. A new one starts with the tokens accrued since the
+// deposits last fell.
+func (p *Pool) account(now time.Time, name string) *pooledAccount {
 	a := p.accounts[name]
 	if a == nil {
-		a = &pooled{wants: make(map[string]right), grants: make(map[string]grant), borrowed: make(map[string]right)}
-		a.bucket = Bucket{tokens: p.accrued * p.Limits(name).PerSecond, share: p.share, at: now}
+		a = &pooledAccount{wants: make(map[string]shareLease), grants: make(map[string]grant), borrowed: make(map[string]shareLease)}
+		a.bucket = Bucket{tokens: p.accruedShareSeconds * p.Limits(name).PerSecond, share: p.depositedShare, refilledAt: now}
 		p.accounts[name] = a
 	}
 	return a
 }
 
-// granted is the share that proxies may hold; grantedTo leaves one of them out.
-func (a *pooled) granted(now time.Time) Share { return a.grantedTo(now, "") }
+// totalGranted returns the share that proxies may hold. grantedExcept leaves out one proxy.
+func (a *pooledAccount) totalGranted(now time.Time) Share { return a.grantedExcept(now, "") }
 
-func (a *pooled) grantedTo(now time.Time, without string) Share {
+func (a *pooledAccount) grantedExcept(now time.Time, proxy string) Share {
 	sum := Share(0)
 	for name, g := range a.grants {
-		if name != without {
-			sum += g.most(now)
+		if name != proxy {
+			sum += g.maxHeld(now)
 		}
 	}
 	return sum
 }
 
-// lent is the share that other pools have lent.
-func (a *pooled) lent(now time.Time) Share {
+// totalBorrowed returns the share lent by other pools.
+func (a *pooledAccount) totalBorrowed(now time.Time) Share {
 	sum := Share(0)
 	for _, r := range a.borrowed {
-		if r.live(now) {
+		if r.active(now) {
 			sum += r.share
 		}
 	}
 	return sum
 }
 
-// heldBy is what the proxy that reports may hold of its grant until it hears of the next.
-func (g grant) heldBy(d round) right {
+// heldBy returns what the reporting proxy may hold of its grant until it learns of the next one.
+func (g grant) heldBy(req grantRequest) shareLease {
 	held := g.current
-	if d.member.applied < g.id && g.before.live(d.now) {
-		held = right{share: max(held.share, g.before.share), until: later(held.until, g.before.until)}
+	if req.member.lastApplied < g.answerID && g.previous.active(req.now) {
+		held = shareLease{share: max(held.share, g.previous.share), until: laterOf(held.until, g.previous.until)}
 	}
-	if !held.live(d.now) {
-		return right{}
+	if !held.active(req.now) {
+		return shareLease{}
 	}
 	return held
 }
 
-// most is the share that a proxy may hold of a grant.
-func (g grant) most(now time.Time) Share {
-	most := Share(0)
-	for _, r := range []right{g.current, g.before} {
-		if r.live(now) {
-			most = max(most, r.share)
+// maxHeld returns the largest share that a proxy may hold of a grant.
+func (g grant) maxHeld(now time.Time) Share {
+	held := Share(0)
+	for _, r := range []shareLease{g.current, g.previous} {
+		if r.active(now) {
+			held = max(held, r.share)
 		}
 	}
-	return most
+	return held
 }
 
-func (r right) live(now time.Time) bool { return r.share > 0 && now.Before(r.until) }
+func (r shareLease) active(now time.Time) bool { return r.share > 0 && now.Before(r.until) }
 
-// scale is a part of have that is to have as want is to all.
-func scale(want, have, all Share) Share { return want * have / max(1, all) }
+// proRata returns the part of available that is proportional to want among totalWanted.
+func proRata(want, available, totalWanted Share) Share { return want * available / max(1, totalWanted) }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/kernel/replica/copy.go
+++ b/internal/kernel/replica/copy.go
@@ -1,7 +1,6 @@
-// Package replica keeps a proxy's copy of what the platform's store holds, at
-// a revision. Copies are exchanged between proxies, so that few of them ask
-// the store and all have its news; a proxy that is cut off from the store
-// hears of changes from those that are not.
+// Package replica maintains a proxy's copy of the platform's store at a revision. Proxies
+// exchange their copies, so that only a few of them query the store and all get its changes. A
+// proxy that is disconnected from the store gets the changes from those that aren't.
 package replica
 
 import (
@@ -11,96 +10,96 @@
 )
 
 const (
-	// removalsMost bounds the removals remembered for peers that lag. A peer
-	// that lags further gets everything.
-	removalsMost = 2000
-	// mismatchesMost is how many peers may tell of changes that do not lead to
-	// their keys before the copy asks for everything. One or two may be in the
-	// middle of a reading; everything is a thousand times the size of a change.
-	mismatchesMost = 3
+	// maxRemovals bounds the removals kept for lagging peers. A peer that lags further gets a
+	// full copy.
+	maxRemovals = 2000
+	// maxMismatches is how many deltas may lead to a wrong key digest before the copy requests a
+	// full one. One or two peers may be in the middle of a full read; a full copy is a thousand
+	// times the size of a change.
+	maxMismatches = 3
 )
 
 type (
-	// Entry is a key's state as of the revision of its last change.
+	// Entry is the state of a key as of the revision of its last change.
 	Entry struct {
 		Key      string
 		Value    []byte
 		Revision uint64
 		Removed  bool
-		// Doubtful is set if a removal may be of an entry that ran out while the
-		// store was away, and may be back soon. Who reads the store decides it;
-		// the others pass it on.
-		Doubtful bool
+		// Tentative is set if a removal may be of an entry that expired during a store outage and
+		// may be back soon. It is decided by the proxy that reads the store; the others pass it
+		// on.
+		Tentative bool
 	}
 
-	// Delta is a part of a copy: the changes after Base up to Revision, or
-	// all entries if Whole.
+	// Delta is a set of changes after Base up to Revision, or all entries if Full.
 	Delta struct {
 		Base     uint64
 		Revision uint64
-		Whole    bool
+		Full     bool
 		Entries  []Entry
-		// Unsure is set if removals after Base may be missing. The changes are
-		// all there are if they lead to Keys, a digest of the keys at Revision.
-		Unsure bool
-		Keys   uint64
-		// Doubtful is set by who reads the store in an outage: all removals are.
-		Doubtful bool
-		// Age is how long ago this was known to be the store's state.
+		// MayMissRemovals is set if removals after Base may be missing. The changes are complete
+		// if they lead to KeyDigest, the digest of the keys at Revision.
+		MayMissRemovals bool
+		KeyDigest       uint64
+		// TentativeRemovals marks all removals as tentative. It is set by a proxy that reads the
+		// store during or shortly after an outage.
+		TentativeRemovals bool
+		// Age is the time since this was known to be the store's state.
 		Age time.Duration
 	}
 
-	// Copy is a complete copy as of a revision. The zero revision means that
-	// nothing was heard yet.
+	// Copy is a complete copy of the store as of a revision. The zero revision means that it
+	// hasn't received anything yet.
 	Copy struct {
-		revision  uint64
-		confirmed time.Time
-		entries   map[string]Entry
-		removals  map[string]removal
-		// floor is the revision after which all removals are remembered.
-		floor uint64
-		// keys is the digest of the keys held: the hashes of all, XORed.
-		keys uint64
-		// mismatches counts the deltas since the last advance that did not lead
-		// to their keys.
+		revision    uint64
+		confirmedAt time.Time
+		entries     map[string]Entry
+		removals    map[string]removal
+		// removalsSince is the revision after which all removals are kept.
+		removalsSince uint64
+		// keyDigest is the digest of the keys in entries: the XOR of their hashes.
+		keyDigest uint64
+		// mismatches counts the deltas rejected for a wrong key digest since the last one that
+		// was applied.
 		mismatches int
 	}
 
-	// removal is what is remembered of a key that went.
+	// removal is the record of a removed key.
 	removal struct {
 		revision uint64
-		// doubtUntil is how long it is told to others as doubtful.
-		doubtUntil time.Time
+		// tentativeUntil is until when the removal is passed on as tentative.
+		tentativeUntil time.Time
 	}
 )
 
-// NewCopy makes an empty copy.
+// NewCopy returns an empty copy.
 func NewCopy() *Copy {
 	return &Copy{entries: make(map[string]Entry), removals: make(map[string]removal)}
 }
 
-// Revision is the revision up to which the copy is complete.
+// Revision returns the revision up to which the copy is complete.
 func (c *Copy) Revision() uint64 { return c.revision }
 
-// Age is how long ago the copy was known to be the store's state.
+// Age returns the time since the copy was known to be the store's state.
 func (c *Copy) Age(now time.Time) time.Duration {
 	if c.revision == 0 {
 		return time.Duration(1<<63 - 1)
 	}
-	return now.Sub(c.confirmed)
+	return now.Sub(c.confirmedAt)
 }
 
-// Apply takes in a delta and returns the entries that changed, removals last.
-// A delta that begins after the copy's revision leaves a gap and is refused, and
-// so is one of which removals are missing.
+// Apply applies a delta and returns the entries that changed, removals last. It rejects a delta
+// that begins after the copy's revision, because that leaves a gap, and one with missing
+// removals.
 func (c *Copy) Apply(now time.Time, d Delta) ([]Entry, bool) {
-	if !d.Whole && (c.revision == 0 || d.Base > c.revision) {
+	if !d.Full && (c.revision == 0 || d.Base > c.revision) {
 		return nil, false
 	}
 	if d.Revision < c.revision {
 		return nil, true
 	}
-	if d.Unsure && !d.Whole && c.keysAfter(d) != d.Keys {
+	if d.MayMissRemovals && !d.Full && c.keyDigestAfter(d) != d.KeyDigest {
 		c.mismatches++
 		return nil, false
 	}
@@ -108,7 +107,7 @@
 	var changed, removed []Entry
 	last := lastOfEach(d.Entries)
 	for i, e := range d.Entries {
-		e.Doubtful = e.Removed && (e.Doubtful || d.Doubtful)
+		e.Tentative = e.Removed && (e.Tentative || d.TentativeRemovals)
 		if last[e.Key] != i || !c.put(now, e) {
 			continue
 		}
@@ -118,19 +117,19 @@
 			changed = append(changed, e)
 		}
 	}
-	if d.Whole {
+	if d.Full {
 		removed = append(removed, c.prune(now, d, last)...)
 	}
 	c.revision = d.Revision
-	if at := now.Add(-d.Age); at.After(c.confirmed) {
-		c.confirmed = at
+	if at := now.Add(-d.Age); at.After(c.confirmedAt) {
+		c.confirmedAt = at
 	}
 	return append(changed, removed...), true
 }
 
-// lastOfEach finds the place of each key's last entry. A watch tells every step
-// of a key that went and came back; told one by one, with removals last, a live
-// server would be gone for good.
+// lastOfEach returns the index of each key's last entry. A watch reports every step of a key that
+// was removed and created again. If all steps were applied, with removals last, a live server
+// would stay removed.
 func lastOfEach(entries []Entry) map[string]int {
 	last := make(map[string]int, len(entries))
 	for i, e := range entries {
@@ -141,39 +140,40 @@
 	return last
 }
 
-// Ask is the revision after which the copy asks peers for changes: its own, or
-// zero if it asks for everything.
-func (c *Copy) Ask() uint64 {
-	if c.mismatches >= mismatchesMost {
+// RequestRevision returns the revision after which the copy requests changes from peers: its own
+// revision, or zero to request a full copy.
+func (c *Copy) RequestRevision() uint64 {
+	if c.mismatches >= maxMismatches {
 		return 0
 	}
 	return c.revision
 }
 
-// keysAfter is the digest of the keys that a delta would lead to.
-func (c *Copy) keysAfter(d Delta) uint64 {
-	keys := c.keys
+// keyDigestAfter returns the key digest that applying a delta would lead to.
+func (c *Copy) keyDigestAfter(d Delta) uint64 {
+	digest := c.keyDigest
 	for _, e := range d.Entries {
-		if _, known := c.entries[e.Key]; c.newer(e) && known == e.Removed {
-			keys ^= xxhash.Sum64String(e.Key)
+		if _, known := c.entries[e.Key]; c.isNewer(e) && known == e.Removed {
+			digest ^= xxhash.Sum64String(e.Key)
 		}
 	}
-	return keys
+	return digest
 }
 
-// newer reports whether an entry is newer than what is known of its key.
-func (c *Copy) newer(e Entry) bool {
+// isNewer reports whether an entry is newer than what is known of its key.
+func (c *Copy) isNewer(e Entry) bool {
 	return e.Revision > c.entries[e.Key].Revision && e.Revision > c.removals[e.Key].revision
 }
 
-// put takes in one entry if it is newer than what is known of its key.
+// put applies one entry if it is newer than what is known of its key, and reports whether
+// this changed the state of the key.
 func (c *Copy) put(now time.Time, e Entry) bool {
-	if !c.newer(e) {
-		return c.confirms(now, e)
+	if !c.isNewer(e) {
+		return c.confirmRemoval(now, e)
 	}
 	_, known := c.entries[e.Key]
 	if known == e.Removed {
-		c.keys ^= xxhash.Sum64String(e.Key)
+		c.keyDigest ^= xxhash.Sum64String(e.Key)
 	}
 	if !e.Removed {
 		delete(c.removals, e.Key)
@@ -181,11 +181,11 @@
 		return true
 	}
 	delete(c.entries, e.Key)
-	c.remember(now, e)
+	c.recordRemoval(now, e)
 	return known
 }
 
-// prune removes what a whole copy of the store does not hold.
+// prune removes the entries that a full copy doesn't hold.
 func (c *Copy) prune(now time.Time, d Delta, held map[string]int) []Entry {
 	var removed []Entry
 	for key, e := range c.entries {
@@ -193,59 +193,58 @@
 			continue
 		}
 		delete(c.entries, key)
-		c.keys ^= xxhash.Sum64String(key)
-		gone := Entry{Key: key, Revision: d.Revision, Removed: true, Doubtful: d.Doubtful}
-		c.remember(now, gone)
+		c.keyDigest ^= xxhash.Sum64String(key)
+		gone := Entry{Key: key, Revision: d.Revision, Removed: true, Tentative: d.TentativeRemovals}
+		c.recordRemoval(now, gone)
 		removed = append(removed, gone)
 	}
-	if c.floor == 0 {
-		c.floor = d.Revision
+	if c.removalsSince == 0 {
+		c.removalsSince = d.Revision
 	}
 	return removed
 }
 
-func (c *Copy) remember(now time.Time, e Entry) {
-	if len(c.removals) >= removalsMost {
+func (c *Copy) recordRemoval(now time.Time, e Entry) {
+	if len(c.removals) >= maxRemovals {
 		clear(c.removals)
-		c.floor = e.Revision
+		c.removalsSince = e.Revision
 	}
 	r := removal{revision: e.Revision}
-	if e.Doubtful {
-		r.doubtUntil = now.Add(doubtFor)
+	if e.Tentative {
+		r.tentativeUntil = now.Add(tentativeFor)
 	}
 	c.removals[e.Key] = r
 }
 
-// confirms reports whether an entry says for certain that a key went whose removal
-// was doubtful so far.
-func (c *Copy) confirms(now time.Time, e Entry) bool {
+// confirmRemoval makes a tentative removal definite if e says so, and reports whether it did.
+func (c *Copy) confirmRemoval(now time.Time, e Entry) bool {
 	r, known := c.removals[e.Key]
-	if !known || !e.Removed || e.Doubtful || e.Revision < r.revision || !now.Before(r.doubtUntil) {
+	if !known || !e.Removed || e.Tentative || e.Revision < r.revision || !now.Before(r.tentativeUntil) {
 		return false
 	}
 	c.removals[e.Key] = removal{revision: r.revision}
 	return true
 }
 
-// Since is what a copy at a revision lacks. One that lags by more than the
-// removals remembered gets the changes with the digest of the keys: it mostly
-// lacks no removal, and everything would be a thousand times as much.
+// Since returns the changes that a copy at the given revision lacks. One that lags beyond the
+// removals kept gets the changes with the key digest: usually it lacks no removal, and a full
+// copy would be a thousand times the size.
 func (c *Copy) Since(now time.Time, revision uint64) Delta {
 	d := Delta{
 		Base: revision, Revision: c.revision, Age: c.Age(now),
-		Whole: revision == 0, Unsure: revision < c.floor, Keys: c.keys,
+		Full: revision == 0, MayMissRemovals: revision < c.removalsSince, KeyDigest: c.keyDigest,
 	}
 	for _, e := range c.entries {
-		if d.Whole || e.Revision > revision {
+		if d.Full || e.Revision > revision {
 			d.Entries = append(d.Entries, e)
 		}
 	}
-	if d.Whole {
+	if d.Full {
 		return d
 	}
 	for key, r := range c.removals {
 		if r.revision > revision {
-			d.Entries = append(d.Entries, Entry{Key: key, Revision: r.revision, Removed: true, Doubtful: now.Before(r.doubtUntil)})
+			d.Entries = append(d.Entries, Entry{Key: key, Revision: r.revision, Removed: true, Tentative: now.Before(r.tentativeUntil)})
 		}
 	}
 	return d
--- /dev/null
+++ b/internal/kernel/replica/full_copy_budget.go
@@ -0,0 +1,51 @@
+package replica
+
+import (
+	"time"
+)
+
+const (
+	// fullCopyBytesPerSecond is how many bytes per second a proxy may send as full copies in the
+	// long run. It is eight times the bandwidth budget for control traffic, but it is only used
+	// while peers start or reconnect.
+	fullCopyBytesPerSecond = 64 << 10
+	// fullCopyBurstBytes is how much a proxy may send at once: a few compressed copies for a
+	// fleet of a hundred VMs. More would saturate the links when a large fleet starts.
+	fullCopyBurstBytes = 1 << 20
+	// compressionRatio is the approximate ratio by which a full copy is compressed on the wire.
+	compressionRatio = 6
+)
+
+type (
+	// FullCopyBudget limits the full copies that a proxy sends to its peers. A peer whose request
+	// is rejected asks another peer or the store.
+	FullCopyBudget struct {
+		spentBytes float64
+		at         time.Time
+	}
+)
+
+// Allow reports whether a copy of the given size may be sent now, and if so deducts it.
+func (a *FullCopyBudget) Allow(now time.Time, bytes int) bool {
+	a.spentBytes = max(0, a.spentBytes-now.Sub(a.at).Seconds()*fullCopyBytesPerSecond)
+	a.at = now
+	if a.spentBytes+float64(bytes) > fullCopyBurstBytes {
+		return false
+	}
+	a.spentBytes += float64(bytes)
+	return true
+}
+
+// CompressedSize returns the approximate size in bytes of a full copy on the wire.
+func (d Delta) CompressedSize() int { return d.Size() / compressionRatio }
+
+// Size returns the approximate size in bytes of the delta in memory and in an uncompressed
+// message.
+func (d Delta) Size() int {
+	const perEntry = 16
+	n := 0
+	for _, e := range d.Entries {
+		n += len(e.Key) + len(e.Value) + perEntry
+	}
+	return n
+}
