--- a/internal/adapter/backendhttp/client.go
+++ b/internal/adapter/backendhttp/client.go
@@ -184,7 +184,7 @@
 	running, err := strconv.Atoi(r.Header.Get(caller.HeaderLoad))
 	leaving := r.Header.Get(caller.HeaderLeaving) == "true"
 	signal := serverhttp.SignalOf(r, signalHeaders, server)
-	if err != nil && !leaving && signal.None() {
+	if err != nil && !leaving && signal.IsEmpty() {
 		return nil
 	}
 	return &backend.Report{Running: max(0, running), Leaving: leaving, Signal: signal, At: c.now()}
--- a/internal/adapter/backendhttp/signal_test.go
+++ b/internal/adapter/backendhttp/signal_test.go
@@ -13,7 +13,7 @@
 func TestSignalsAreReportedAndNotPassedOn(t *testing.T) {
 	s := startRaw(t, write("HTTP/1.1 200 OK\r\nGypsumquay-Limit: 2.5\r\nContent-Length: 0\r\n\r\n"))
 	response := send(t, s.address, http.MethodGet, time.Second)
-	want := backpressure.Signal{Limit: backpressure.Limit{Named: true, PerSecond: 2.5}}
+	want := backpressure.Signal{Limit: backpressure.Limit{Set: true, PerSecond: 2.5}}
 	if response.Report == nil || response.Report.Signal != want {
 		t.Errorf("got %+v, want %+v", response.Report, want)
 	}
--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -316,6 +316,6 @@
 
 // WorkOf names what a request asks a service to do. Its token is no part of it: a caller
 // that comes again may have a new one.
-func WorkOf(service, method, path string, h http.Header, body []byte) quarantine.Work {
-	return quarantine.WorkOf(method, service, path, h.Get(bearer.Field), body)
+func WorkOf(service, method, path string, h http.Header, body []byte) quarantine.Fingerprint {
+	return quarantine.NewFingerprint(method, service, path, h.Get(bearer.Field), body)
 }
--- a/internal/adapter/forwardhttp/server.go
+++ b/internal/adapter/forwardhttp/server.go
@@ -117,7 +117,7 @@
 	if c, err := r.Cookie(s.Headers.ObjectCookie); err == nil {
 		request.Object = c.Value
 	}
-	request.Work = quarantine.WorkOf(r.Method, request.Host, r.RequestURI, r.Header.Get(bearer.Field), body.Bytes)
+	request.Work = quarantine.NewFingerprint(r.Method, request.Host, r.RequestURI, r.Header.Get(bearer.Field), body.Bytes)
 	if left, ok := parseLeft(r.Header.Get(s.Headers.Deadline)); ok {
 		request.Deadline = began.Add(left)
 	}
--- a/internal/adapter/peerdrpc/place.go
+++ b/internal/adapter/peerdrpc/place.go
@@ -98,9 +98,9 @@
 }
 
 func limitOut(service string, l admission.Limit) *peerpb.Held {
-	return &peerpb.Held{Service: service, Slots: uint32(l.Slots), Most: uint32(l.Most), Evidence: uint32(l.Evidence)}
+	return &peerpb.Held{Service: service, Slots: uint32(l.Slots), Most: uint32(l.Max), Evidence: uint32(l.Samples)}
 }
 
 func limitIn(in *peerpb.Held) admission.Limit {
-	return admission.Limit{Slots: int(in.GetSlots()), Most: int(in.GetMost()), Evidence: int(in.GetEvidence())}
+	return admission.Limit{Slots: int(in.GetSlots()), Max: int(in.GetMost()), Samples: int(in.GetEvidence())}
 }
--- a/internal/adapter/peerdrpc/signal.go
+++ b/internal/adapter/peerdrpc/signal.go
@@ -15,8 +15,8 @@
 	out := make([]*peerpb.ServerSignal, 0, len(list))
 	for _, r := range list {
 		out = append(out, &peerpb.ServerSignal{
-			Server: uint64(r.Server), AgeMilli: r.Age.Milliseconds(), Limited: r.Limit.Named, LimitPerSecond: r.Limit.PerSecond,
-			Leaving: r.Leaving,
+			Server: uint64(r.Server), AgeMilli: r.Age.Milliseconds(), Limited: r.Limit.Set, LimitPerSecond: r.Limit.PerSecond,
+			Leaving: r.Draining,
 		})
 	}
 	return out
@@ -30,8 +30,8 @@
 			return nil, errors.Errorf("signals: limit_per_second: must be 0 or more, got %v", rate)
 		}
 		reports = append(reports, backpressure.Report{
-			Server: quarantine.Server(s.GetServer()), Age: max(0, time.Duration(s.GetAgeMilli())*time.Millisecond),
-			Limit: backpressure.Limit{Named: s.GetLimited(), PerSecond: rate}, Leaving: s.GetLeaving(),
+			Server: quarantine.InstanceID(s.GetServer()), Age: max(0, time.Duration(s.GetAgeMilli())*time.Millisecond),
+			Limit: backpressure.Limit{Set: s.GetLimited(), PerSecond: rate}, Draining: s.GetLeaving(),
 		})
 	}
 	return reports, nil
--- a/internal/adapter/peerdrpc/suspicion.go
+++ b/internal/adapter/peerdrpc/suspicion.go
@@ -12,8 +12,8 @@
 func suspicionsOut(list []quarantine.Report) []*peerpb.Suspicion {
 	out := make([]*peerpb.Suspicion, 0, len(list))
 	for _, r := range list {
-		s := &peerpb.Suspicion{Work: r.Work[:], RanWell: r.RanWell}
-		for _, e := range r.Ends {
+		s := &peerpb.Suspicion{Work: r.Fingerprint[:], RanWell: r.Succeeded}
+		for _, e := range r.Crashes {
 			s.Ends = append(s.Ends, &peerpb.ServerEnd{Server: uint64(e.Server), AgeMilli: e.Age.Milliseconds(), Cleared: e.Cleared})
 		}
 		out = append(out, s)
@@ -25,14 +25,14 @@
 	var reports []quarantine.Report
 	for _, s := range list {
 		var r quarantine.Report
-		if len(s.GetWork()) != len(r.Work) {
-			return nil, errors.Errorf("suspicions: work: must have %d bytes, got %d", len(r.Work), len(s.GetWork()))
+		if len(s.GetWork()) != len(r.Fingerprint) {
+			return nil, errors.Errorf("suspicions: work: must have %d bytes, got %d", len(r.Fingerprint), len(s.GetWork()))
 		}
-		copy(r.Work[:], s.GetWork())
-		r.RanWell = s.GetRanWell()
+		copy(r.Fingerprint[:], s.GetWork())
+		r.Succeeded = s.GetRanWell()
 		for _, e := range s.GetEnds() {
-			r.Ends = append(r.Ends, quarantine.End{
-				Server: quarantine.Server(e.GetServer()), Age: max(0, time.Duration(e.GetAgeMilli())*time.Millisecond), Cleared: e.GetCleared(),
+			r.Crashes = append(r.Crashes, quarantine.Crash{
+				Server: quarantine.InstanceID(e.GetServer()), Age: max(0, time.Duration(e.GetAgeMilli())*time.Millisecond), Cleared: e.GetCleared(),
 			})
 		}
 		reports = append(reports, r)
--- a/internal/adapter/serverhttp/signal.go
+++ b/internal/adapter/serverhttp/signal.go
@@ -31,7 +31,7 @@
 	if s.Limit, err = backpressure.ParseLimit(r.Header.Values(names.Limit)); err != nil {
 		ignore(server, names.Limit, err)
 	}
-	s.Leaving = names.Leaving != "" && slices.Contains(r.Header.Values(names.Leaving), names.LeavingValue)
+	s.Draining = names.Leaving != "" && slices.Contains(r.Header.Values(names.Leaving), names.LeavingValue)
 	pauses := r.Header.Values(retryAfter)
 	if r.StatusCode != http.StatusServiceUnavailable || len(pauses) == 0 {
 		return s
--- a/internal/adapter/serverhttp/signal_test.go
+++ b/internal/adapter/serverhttp/signal_test.go
@@ -43,7 +43,7 @@
 			client.headers = h
 			attempt, answer := send(client, s, "a")
 			answer.Release()
-			want := backpressure.Signal{Limit: backpressure.Limit{Named: c.want > 0, PerSecond: c.want}, Leaving: strings.Contains(name, "leaves")}
+			want := backpressure.Signal{Limit: backpressure.Limit{Set: c.want > 0, PerSecond: c.want}, Draining: strings.Contains(name, "leaves")}
 			if strings.Contains(name, "pauses") {
 				want.Pause = 3 * time.Second
 			}
--- a/internal/adapter/steeringhttp/api.go
+++ b/internal/adapter/steeringhttp/api.go
@@ -202,7 +202,7 @@
 		return "out for " + s.OutFor.Round(time.Millisecond).String()
 	case s.ColdFor > 0:
 		return "cold for " + s.ColdFor.Round(time.Millisecond).String()
-	case s.Limit.Named:
+	case s.Limit.Set:
 		return "takes " + s.Limit.String()
 	}
 	return "in use"
--- a/internal/client/command/steering.go
+++ b/internal/client/command/steering.go
@@ -184,7 +184,7 @@
 			fmt.Fprintf(&text, "%24s switched off: %v\n", "", v.Off)
 		}
 		for _, h := range v.Holding {
-			fmt.Fprintf(&text, "%24s holding back: %s, %d of %d slots (%d answers)\n", "", h.Service, h.Most, h.Slots, h.Evidence)
+			fmt.Fprintf(&text, "%24s holding back: %s, %d of %d slots (%d answers)\n", "", h.Service, h.Max, h.Slots, h.Samples)
 		}
 		for _, c := range v.Condemned {
 			fmt.Fprintf(&text, "%24s refused for %s: work %s, at whose runs %d servers ended\n", "", c.For, c.Work, c.Ends)
--- a/internal/fake/simnet/callers.go
+++ b/internal/fake/simnet/callers.go
@@ -124,7 +124,7 @@
 func (g *group) browse(service string) {
 	began := g.callers.sim.now
 	key := fmt.Sprint("get-", g.callers.sim.serial)
-	item := quarantine.WorkOf("GET", service, fmt.Sprint("/item/", g.callers.sim.serial%itemsAsked), "", nil)
+	item := quarantine.NewFingerprint("GET", service, fmt.Sprint("/item/", g.callers.sim.serial%itemsAsked), "", nil)
 	r := core.Request{Service: service, Method: "GET", Path: "/item", Client: g.address, Work: item}
 	g.send(r, key, func(result caller.Result, _ string, ok bool) {
 		g.callers.note(g, began, result, ok, key)
@@ -136,7 +136,7 @@
 	list := c.groups[c.sim.random.IntN(len(c.groups))]
 	r := core.Request{
 		Service: service, Method: "GET", Path: deadlyPath, Client: list[c.sim.random.IntN(len(list))].address,
-		Work: quarantine.WorkOf("GET", service, deadlyPath, "", nil),
+		Work: quarantine.NewFingerprint("GET", service, deadlyPath, "", nil),
 	}
 	list[c.sim.random.IntN(len(list))].send(r, deadlyPath, func(caller.Result, string, bool) {})
 }
--- a/internal/fake/simnet/limits.go
+++ b/internal/fake/simnet/limits.go
@@ -53,7 +53,7 @@
 		}
 	}
 	l := c.limits[w.config.Name]
-	if l == nil || !r.Signal.Limit.Named {
+	if l == nil || !r.Signal.Limit.Set {
 		return
 	}
 	if _, known := l.told[p.id()]; !known {
--- a/internal/fake/simnet/scenario.go
+++ b/internal/fake/simnet/scenario.go
@@ -241,7 +241,7 @@
 // limitServer has a server name a limit, Amount requests in ten seconds.
 func limitServer(s *Sim, f Fault) {
 	w := s.workers[f.Target]
-	w.limit = backpressure.Limit{Named: true, PerSecond: float64(f.Amount) / 10}
+	w.limit = backpressure.Limit{Set: true, PerSecond: float64(f.Amount) / 10}
 	s.checks.limits[f.Target] = &limitCheck{named: s.now, told: make(map[string]time.Time)}
 	s.lasting(f, func() {
 		w.limit = backpressure.Limit{}
--- a/internal/fake/warmnet/ends.go
+++ b/internal/fake/warmnet/ends.go
@@ -56,13 +56,13 @@
 	ends struct {
 		// due are the proxies that are about to dial and alert.
 		due    map[*steering.Kernel]bool
-		deadly map[quarantine.Work]string
+		deadly map[quarantine.Fingerprint]string
 	}
 )
 
 // workOf names the work of a request for an object.
-func workOf(object string) quarantine.Work {
-	return quarantine.WorkOf("GET", host, "/"+object, "", nil)
+func workOf(object string) quarantine.Fingerprint {
+	return quarantine.NewFingerprint("GET", host, "/"+object, "", nil)
 }
 
 // hasEnds reports whether servers end in this load.
@@ -70,7 +70,7 @@
 
 // playEnds sets off what ends servers.
 func (w *world) playEnds() {
-	w.ends.due, w.ends.deadly = make(map[*steering.Kernel]bool), make(map[quarantine.Work]string)
+	w.ends.due, w.ends.deadly = make(map[*steering.Kernel]bool), make(map[quarantine.Fingerprint]string)
 	w.out.Ends.Deadly, w.out.Ends.Sound = make(map[string][]time.Duration), make(map[string]bool)
 	if d := w.load.Deadly; d != nil {
 		for i := range d.Works {
--- a/internal/fake/warmnet/limits.go
+++ b/internal/fake/warmnet/limits.go
@@ -71,7 +71,7 @@
 func (l Load) limit(s *server, now time.Duration) backpressure.Limit {
 	for _, e := range l.Limited {
 		if e.strikes(s, now) {
-			return backpressure.Limit{Named: true, PerSecond: e.PerSecond}
+			return backpressure.Limit{Set: true, PerSecond: e.PerSecond}
 		}
 	}
 	return backpressure.Limit{}
@@ -85,15 +85,15 @@
 	if r == steering.Broken || r == steering.Unreachable || r == steering.Late {
 		return backpressure.Signal{}
 	}
-	return backpressure.Signal{Limit: w.load.limit(s, w.Now), Leaving: w.load.leaves(s, w.Now), Pause: w.load.pause(s, w.Now)}
+	return backpressure.Signal{Limit: w.load.limit(s, w.Now), Draining: w.load.leaves(s, w.Now), Pause: w.load.pause(s, w.Now)}
 }
 
 // told notes what a proxy hears with an answer.
 func (w *world) told(j *job, s backpressure.Signal) {
-	if s.Limit.Named {
+	if s.Limit.Set {
 		w.limits.toldAt.note(w.Now, j.server.id, j.kernel.Name())
 	}
-	if s.Leaving {
+	if s.Draining {
 		w.leaves.note(w.Now, j.server.id, j.kernel.Name())
 	}
 }
--- a/internal/kernel/admission/admission_test.go
+++ b/internal/kernel/admission/admission_test.go
@@ -20,17 +20,17 @@
 		slack   = 60.0
 		window  = 10 * time.Second
 	)
-	budgets := make([]Repeats, proxies)
+	budgets := make([]RetryBudget, proxies)
 	for i := range budgets {
-		budgets[i] = Repeats{Ratio: ratio, Slack: slack, Window: window}
+		budgets[i] = RetryBudget{Ratio: ratio, Slack: slack, Window: window}
 	}
 	r := rand.New(rand.NewPCG(1, 1))
 	var firsts, repeats []time.Time
 	for now := start; now.Before(start.Add(40 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		b := &budgets[r.IntN(proxies)]
-		b.First(now)
+		b.RecordRequest(now)
 		firsts = append(firsts, now)
-		if r.IntN(2) == 0 && b.Spend(now, proxies) {
+		if r.IntN(2) == 0 && b.TrySpend(now, proxies) {
 			repeats = append(repeats, now)
 		}
 	}
@@ -56,15 +56,15 @@
 // The clock of a suspended VM goes back. Repeats already counted must not be
 // forgotten, or the budget could be spent twice.
 func TestRepeatsSurviveAClockThatGoesBack(t *testing.T) {
-	b := Repeats{Slack: 10, Window: 10 * time.Second}
+	b := RetryBudget{Slack: 10, Window: 10 * time.Second}
 	n := 0
-	for b.Spend(start, 1) {
+	for b.TrySpend(start, 1) {
 		n++
 	}
-	if b.Spend(start.Add(-5*time.Second), 1) {
+	if b.TrySpend(start.Add(-5*time.Second), 1) {
 		t.Errorf("a repeat was allowed after the clock went back though %d were spent", n)
 	}
-	if !b.Spend(start.Add(11*time.Second), 1) {
+	if !b.TrySpend(start.Add(11*time.Second), 1) {
 		t.Error("no repeat is allowed after the window has passed")
 	}
 }
@@ -72,14 +72,14 @@
 // A server has just started and crashes if it gets much more than it bears.
 // All proxies learn of it at the same moment and each has callers waiting.
 func TestColdServerGetsNoMoreThanItBearsFromAllProxies(t *testing.T) {
-	rate := ColdRate{PerSecond: 3.1, Factor: 1.5, Slack: 5}
+	rate := ColdStartRate{PerSecond: 3.1, Factor: 1.5, Slack: 5}
 	for _, proxies := range []int{1, 2, 3, 7, 10, 66, 300} {
-		colds := make([]Cold, proxies)
+		colds := make([]ColdStartLimiter, proxies)
 		var sent []time.Time
 		for now := start; now.Before(start.Add(3 * time.Second)); now = now.Add(5 * time.Millisecond) {
 			for i := range colds {
-				if colds[i].Room(now, rate.Share(i, proxies)) {
-					colds[i].Take(now)
+				if colds[i].HasRoom(now, rate.Share(i, proxies)) {
+					colds[i].Record(now)
 					sent = append(sent, now)
 				}
 			}
@@ -102,10 +102,10 @@
 }
 
 func TestColdShareOfUnlistedProxyIsNone(t *testing.T) {
-	if got := (ColdRate{PerSecond: 10, Factor: 1}).Share(-1, 3); got != 0 {
+	if got := (ColdStartRate{PerSecond: 10, Factor: 1}).Share(-1, 3); got != 0 {
 		t.Errorf("a proxy that is not listed may send %d, want 0", got)
 	}
-	if got := (ColdRate{PerSecond: 10, Factor: 1}).Share(3, 3); got != 0 {
+	if got := (ColdStartRate{PerSecond: 10, Factor: 1}).Share(3, 3); got != 0 {
 		t.Errorf("a rank beyond the list may send %d, want 0", got)
 	}
 }
--- a/internal/kernel/admission/cold.go
+++ b/internal/kernel/admission/cold.go
@@ -18,13 +18,13 @@
 )
 
 type (
-	// Cold paces one proxy's requests to one cold server.
-	Cold struct {
-		pace Pace
+	// ColdStartLimiter paces one proxy's requests to one cold server.
+	ColdStartLimiter struct {
+		pace SlidingWindow
 	}
 
-	// ColdRate is what a cold server bears from all proxies in any second.
-	ColdRate struct {
+	// ColdStartRate is what a cold server bears from all proxies in any second.
+	ColdStartRate struct {
 		PerSecond float64
 		Factor    float64
 		Slack     float64
@@ -35,13 +35,15 @@
 // send. A second's worth is a handful of requests, so it is not divided among
 // all proxies, each of which would get less than one: the first ranks get one
 // request after the other until none is left.
-func (c ColdRate) Share(rank, proxies int) int {
+func (c ColdStartRate) Share(rank, proxies int) int {
 	total := int(math.Floor(coldShare * (c.PerSecond*c.Factor + c.Slack)))
-	return Deal(total, rank, proxies)
+	return Apportion(total, rank, proxies)
 }
 
-// Room reports whether one more request is within the share of this second.
-func (c *Cold) Room(now time.Time, share int) bool { return c.pace.Room(now, coldSpan, share) }
+// HasRoom reports whether one more request is within the share of this second.
+func (c *ColdStartLimiter) HasRoom(now time.Time, share int) bool {
+	return c.pace.HasRoom(now, coldSpan, share)
+}
 
-// Take counts one request.
-func (c *Cold) Take(now time.Time) { c.pace.Take(now) }
+// Record counts one request.
+func (c *ColdStartLimiter) Record(now time.Time) { c.pace.Record(now) }
--- a/internal/kernel/admission/concurrency.go
+++ b/internal/kernel/admission/concurrency.go
@@ -58,8 +58,8 @@
 )
 
 type (
-	// Suspicion notes how often answers are slow, of full servers and of others.
-	Suspicion struct {
+	// SlowdownDetector notes how often answers are slow, of full servers and of others.
+	SlowdownDetector struct {
 		full, other share
 		// slow are the servers whose answers were slow when full, with the last time.
 		slow map[string]time.Time
@@ -70,10 +70,10 @@
 		seen int
 	}
 
-	// Concurrency learns how many requests the servers of a service should run at
+	// AdaptiveLimit learns how many requests the servers of a service should run at
 	// once: the number at which most gets done, by how long the work takes for the
 	// request that began as the first, second and so on.
-	Concurrency struct {
+	AdaptiveLimit struct {
 		slots int
 		// step is how many more running requests are the next level.
 		step   int
@@ -101,15 +101,15 @@
 	// at once, and how many answers speak for that.
 	Limit struct {
 		// Slots are those of the servers that it is about.
-		Slots    int `json:"slots"`
-		Most     int `json:"most"`
-		Evidence int `json:"evidence"`
+		Slots   int `json:"slots"`
+		Max     int `json:"most"`
+		Samples int `json:"evidence"`
 	}
 )
 
-// Heard takes in a server's answer. full is set if all its slots were in use;
+// Observe takes in a server's answer. full is set if all its slots were in use;
 // reckoned is how long it should have taken.
-func (s *Suspicion) Heard(now time.Time, server string, full bool, took, reckoned time.Duration) {
+func (s *SlowdownDetector) Observe(now time.Time, server string, full bool, took, reckoned time.Duration) {
 	slow := float64(took) > slowBy*float64(reckoned)
 	if !full {
 		s.other.heard(slow)
@@ -133,82 +133,82 @@
 	s.slow += (one - s.slow) / float64(min(s.seen, suspectAnswers))
 }
 
-// Arisen reports whether full servers seem to slow down.
-func (s *Suspicion) Arisen(now time.Time) bool {
+// Detected reports whether full servers seem to slow down.
+func (s *SlowdownDetector) Detected(now time.Time) bool {
 	maps.DeleteFunc(s.slow, func(_ string, at time.Time) bool { return now.Sub(at) > suspectSpan })
 	return s.full.seen >= suspectAnswers && s.full.slow >= suspectShare && s.full.slow-s.other.slow >= suspectMore &&
 		len(s.slow) >= suspectServers
 }
 
 // Reset forgets what was seen.
-func (s *Suspicion) Reset() { *s = Suspicion{} }
+func (s *SlowdownDetector) Reset() { *s = SlowdownDetector{} }
 
-// NewConcurrency begins to learn for servers with a number of slots.
-func NewConcurrency(slots int) *Concurrency {
+// NewAdaptiveLimit begins to learn for servers with a number of slots.
+func NewAdaptiveLimit(slots int) *AdaptiveLimit {
 	step := max(1, slots/stepsMost)
 	top := (slots + step - 1) / step
-	return &Concurrency{slots: slots, step: step, at: top, levels: make([]level, top+1), pause: trialFirst}
+	return &AdaptiveLimit{slots: slots, step: step, at: top, levels: make([]level, top+1), pause: trialFirst}
 }
 
 // Limit is how many may run at once: up to the next level while nothing is known of
 // it, unless another proxy has told the limit.
-func (c *Concurrency) Limit() int {
-	if c.told == 0 && !c.Whole() && c.known(c.at) && !c.known(c.at+1) {
+func (c *AdaptiveLimit) Limit() int {
+	if c.told == 0 && !c.AtMax() && c.known(c.at) && !c.known(c.at+1) {
 		return c.limitAt(c.at + 1)
 	}
 	return c.limitAt(c.at)
 }
 
-func (c *Concurrency) limitAt(level int) int { return min(c.slots, level*c.step) }
+func (c *AdaptiveLimit) limitAt(level int) int { return min(c.slots, level*c.step) }
 
 // Learned is the limit with the evidence for it.
-func (c *Concurrency) Learned() Limit {
-	return Limit{Slots: c.slots, Most: c.limitAt(c.at), Evidence: c.evidence()}
+func (c *AdaptiveLimit) Learned() Limit {
+	return Limit{Slots: c.slots, Max: c.limitAt(c.at), Samples: c.evidence()}
 }
 
 // evidence counts the answers that speak for the limit: those that began at the level
 // above it, or at the highest if there is none.
-func (c *Concurrency) evidence() int { return max(c.told, c.levels[min(c.at+1, c.top())].seen) }
+func (c *AdaptiveLimit) evidence() int { return max(c.told, c.levels[min(c.at+1, c.top())].seen) }
 
 // Adopt takes over what another proxy has learned from more answers. Each gate sees
 // a few answers a second; alone, each would take tens of seconds to learn.
-func (c *Concurrency) Adopt(l Limit) {
-	if l.Slots != c.slots || l.Most < 1 || l.Most > c.slots || l.Evidence < levelAnswers || l.Evidence <= c.evidence() {
+func (c *AdaptiveLimit) Adopt(l Limit) {
+	if l.Slots != c.slots || l.Max < 1 || l.Max > c.slots || l.Samples < levelAnswers || l.Samples <= c.evidence() {
 		return
 	}
-	c.at, c.told = (l.Most+c.step-1)/c.step, l.Evidence
+	c.at, c.told = (l.Max+c.step-1)/c.step, l.Samples
 }
 
-func (c *Concurrency) top() int { return len(c.levels) - 1 }
+func (c *AdaptiveLimit) top() int { return len(c.levels) - 1 }
 
-// Whole reports whether the servers may use all their slots so far.
-func (c *Concurrency) Whole() bool { return c.at == c.top() }
+// AtMax reports whether the servers may use all their slots so far.
+func (c *AdaptiveLimit) AtMax() bool { return c.at == c.top() }
 
-// Sound reports whether the servers are known to get most done with all their slots.
-func (c *Concurrency) Sound() bool {
-	return c.Whole() && c.levels[c.at].seen >= soundAnswers && (c.at == 1 || c.known(c.less()))
+// ConfirmedAtMax reports whether the servers are known to get most done with all their slots.
+func (c *AdaptiveLimit) ConfirmedAtMax() bool {
+	return c.AtMax() && c.levels[c.at].seen >= soundAnswers && (c.at == 1 || c.known(c.less()))
 }
 
-// Trial is the limit for the next request: now and then more, to learn whether the
+// NextLimit is the limit for the next request: now and then more, to learn whether the
 // servers have become better.
-func (c *Concurrency) Trial(now time.Time) int {
+func (c *AdaptiveLimit) NextLimit(now time.Time) int {
 	if c.tried.IsZero() {
 		c.tried = now
 	}
-	if c.Whole() || now.Sub(c.tried) < c.pause {
+	if c.AtMax() || now.Sub(c.tried) < c.pause {
 		return c.Limit()
 	}
 	return c.limitAt(c.at + 1)
 }
 
-// Tried notes that a request was let run beyond the limit.
-func (c *Concurrency) Tried(now time.Time) {
+// RecordProbe notes that a request was let run beyond the limit.
+func (c *AdaptiveLimit) RecordProbe(now time.Time) {
 	c.tried, c.pause = now, min(2*c.pause, trialMost)
 }
 
-// Heard takes in how long a request that began as the rank-th took, as a part of its
+// Observe takes in how long a request that began as the rank-th took, as a part of its
 // target, and moves the limit to where most gets done.
-func (c *Concurrency) Heard(now time.Time, rank int, ratio float64) {
+func (c *AdaptiveLimit) Observe(now time.Time, rank int, ratio float64) {
 	if rank < 1 || rank > c.slots {
 		return
 	}
@@ -234,22 +234,22 @@
 // less is the level that is tried if nothing is known of less than now. One level less
 // would not do: beyond the point from which servers slow down, less gets done with it
 // too.
-func (c *Concurrency) less() int { return max(1, int(lessShare*float64(c.at))) }
+func (c *AdaptiveLimit) less() int { return max(1, int(lessShare*float64(c.at))) }
 
 // unsure reports whether less must be tried to know more: servers that use
 // all their slots may get more done with fewer, and where answers come late without
 // a queue, what is known of less may be of a time when servers were full of what had
 // been sent before.
-func (c *Concurrency) unsure() bool {
-	return c.at > 1 && c.known(c.at) && (c.Whole() && !c.known(c.less()) || c.levels[c.at].ratio > 1)
+func (c *AdaptiveLimit) unsure() bool {
+	return c.at > 1 && c.known(c.at) && (c.AtMax() && !c.known(c.less()) || c.levels[c.at].ratio > 1)
 }
 
-func (c *Concurrency) known(level int) bool { return c.levels[level].seen >= levelAnswers }
+func (c *AdaptiveLimit) known(level int) bool { return c.levels[level].seen >= levelAnswers }
 
-func (c *Concurrency) move(to int) { c.at, c.told, c.pause = to, 0, trialFirst }
+func (c *AdaptiveLimit) move(to int) { c.at, c.told, c.pause = to, 0, trialFirst }
 
 // beats reports whether clearly more gets done at level a than at b.
-func (c *Concurrency) beats(a, b int) bool {
+func (c *AdaptiveLimit) beats(a, b int) bool {
 	if a < 1 || a > c.top() || !c.known(a) || !c.known(b) {
 		return false
 	}
@@ -257,6 +257,6 @@
 }
 
 // done is how much gets done at a level.
-func (c *Concurrency) done(level int) float64 {
+func (c *AdaptiveLimit) done(level int) float64 {
 	return float64(c.limitAt(level)) / max(0.1, c.levels[level].ratio)
 }
--- a/internal/kernel/admission/concurrency_test.go
+++ b/internal/kernel/admission/concurrency_test.go
@@ -8,14 +8,14 @@
 
 // learn lets a service's servers be full for a while, whose work takes as long as
 // times tells for the request that begins as the rank-th.
-func learn(c *Concurrency, now *time.Time, answers int, times func(rank int) float64) {
+func learn(c *AdaptiveLimit, now *time.Time, answers int, times func(rank int) float64) {
 	for range answers {
 		*now = now.Add(100 * time.Millisecond)
-		rank := c.Trial(*now)
+		rank := c.NextLimit(*now)
 		if rank > c.Limit() {
-			c.Tried(*now)
+			c.RecordProbe(*now)
 		}
-		c.Heard(*now, rank, times(rank))
+		c.Observe(*now, rank, times(rank))
 	}
 }
 
@@ -31,7 +31,7 @@
 	} {
 		t.Run(fmt.Sprintf("%d of %d slots, %v times", c.knee, c.slots, c.times), func(t *testing.T) {
 			now := time.Unix(1_000_000, 0)
-			l := NewConcurrency(c.slots)
+			l := NewAdaptiveLimit(c.slots)
 			slow := func(rank int) float64 {
 				if rank > c.knee {
 					return 0.4 * c.times
@@ -46,7 +46,7 @@
 			if got := l.Limit(); got != c.slots {
 				t.Errorf("%d run at once after the servers no longer slow down, want all %d", got, c.slots)
 			}
-			if c.slots > 1 && !l.Sound() {
+			if c.slots > 1 && !l.ConfirmedAtMax() {
 				t.Error("the servers are not found sound")
 			}
 		})
@@ -57,19 +57,19 @@
 // not the other way round.
 func TestLimitsWithMoreEvidenceAreAdopted(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	c := NewConcurrency(4)
-	c.Adopt(Limit{Slots: 4, Most: 2, Evidence: 3})
-	c.Adopt(Limit{Slots: 9, Most: 2, Evidence: 300})
+	c := NewAdaptiveLimit(4)
+	c.Adopt(Limit{Slots: 4, Max: 2, Samples: 3})
+	c.Adopt(Limit{Slots: 9, Max: 2, Samples: 300})
 	if got := c.Limit(); got != 4 {
 		t.Errorf("%d run at once after words with no evidence or of other slots, want 4", got)
 	}
-	c.Adopt(Limit{Slots: 4, Most: 2, Evidence: 100})
-	c.Adopt(Limit{Slots: 4, Most: 3, Evidence: 50})
+	c.Adopt(Limit{Slots: 4, Max: 2, Samples: 100})
+	c.Adopt(Limit{Slots: 4, Max: 3, Samples: 50})
 	if got := c.Limit(); got != 2 {
 		t.Errorf("%d run at once, want the 2 that 100 answers speak for", got)
 	}
 	learn(c, &now, 5, func(int) float64 { return 0.4 })
-	if got := c.Learned(); got.Most != 2 || got.Evidence != 100 {
+	if got := c.Learned(); got.Max != 2 || got.Samples != 100 {
 		t.Errorf("passes %+v on, want what it was told", got)
 	}
 }
@@ -90,13 +90,13 @@
 		"one server is slow": {3 * work, work, 1, false},
 	} {
 		now := time.Unix(1_000_000, 0)
-		var s Suspicion
+		var s SlowdownDetector
 		for n := range 40 {
 			now = now.Add(50 * time.Millisecond)
-			s.Heard(now, fmt.Sprint(n%c.servers), true, c.full, work)
-			s.Heard(now, fmt.Sprint(n%c.servers), false, c.other, work)
+			s.Observe(now, fmt.Sprint(n%c.servers), true, c.full, work)
+			s.Observe(now, fmt.Sprint(n%c.servers), false, c.other, work)
 		}
-		if got := s.Arisen(now); got != c.want {
+		if got := s.Detected(now); got != c.want {
 			t.Errorf("%s: suspected %t, want %t", name, got, c.want)
 		}
 	}
--- a/internal/kernel/admission/gate.go
+++ b/internal/kernel/admission/gate.go
@@ -37,13 +37,13 @@
 		Until time.Time
 	}
 
-	// Gate is the queue before one server: it holds requests back so that no more
+	// Limiter is the queue before one server: it holds requests back so that no more
 	// than a limit run there at once. The load that it answers: a server that slows
 	// down when nearly full keeps all its slots full from its own queue as soon as
 	// more than it can do comes for a moment, runs at its worst point from then on,
 	// and so never catches up. All requests for the server pass one gate, so the
 	// limit holds over all proxies.
-	Gate struct {
+	Limiter struct {
 		running []Ticket
 		waiting []Ticket
 	}
@@ -57,8 +57,8 @@
 	}
 )
 
-// Ask asks for a place. limit is how many may run at once, work how long one takes.
-func (g *Gate) Ask(now time.Time, t Ticket, limit int, work time.Duration) Grant {
+// Acquire asks for a place. limit is how many may run at once, work how long one takes.
+func (g *Limiter) Acquire(now time.Time, t Ticket, limit int, work time.Duration) Grant {
 	if again, known := g.known(t); known {
 		return again
 	}
@@ -75,7 +75,7 @@
 
 // known answers a ticket that has asked before: its proxy has not heard the answer,
 // or wants to know whether the gate is still there.
-func (g *Gate) known(t Ticket) (Grant, bool) {
+func (g *Limiter) known(t Ticket) (Grant, bool) {
 	is := func(o Ticket) bool { return o.From == t.From && o.ID == t.ID }
 	if i := slices.IndexFunc(g.running, is); i >= 0 {
 		return Grant{Ticket: t, Verdict: Granted, Rank: i + 1}, true
@@ -87,7 +87,7 @@
 }
 
 // before counts the waiting tickets that get a place before one that comes now.
-func (g *Gate) before(now time.Time, t Ticket) int {
+func (g *Limiter) before(now time.Time, t Ticket) int {
 	n := 0
 	for _, w := range g.waiting {
 		if !now.After(w.Last) && (w.Priority <= t.Priority || now.After(t.Good)) {
@@ -97,18 +97,18 @@
 	return n
 }
 
-// GiveBack frees the place of a ticket, or ends its wait.
-func (g *Gate) GiveBack(from string, id uint64) {
+// Release frees the place of a ticket, or ends its wait.
+func (g *Limiter) Release(from string, id uint64) {
 	is := func(t Ticket) bool { return t.From == from && t.ID == id }
 	g.running = slices.DeleteFunc(g.running, is)
 	g.waiting = slices.DeleteFunc(g.waiting, is)
 }
 
-// Next gives free places to those that wait and denies those that have waited too
+// Dispatch gives free places to those that wait and denies those that have waited too
 // long. Of those that can still be answered in time the most urgent goes first, then
 // the one that came first; the others go after all of them, for their answers are
 // late in any case.
-func (g *Gate) Next(now time.Time, limit int) []Grant {
+func (g *Limiter) Dispatch(now time.Time, limit int) []Grant {
 	g.running = slices.DeleteFunc(g.running, func(t Ticket) bool { return now.After(t.Until) })
 	var grants []Grant
 	g.waiting = slices.DeleteFunc(g.waiting, func(t Ticket) bool {
@@ -128,7 +128,7 @@
 }
 
 // first finds the waiting ticket that goes next.
-func (g *Gate) first(now time.Time) int {
+func (g *Limiter) first(now time.Time) int {
 	best := 0
 	for i, t := range g.waiting[1:] {
 		b := g.waiting[best]
@@ -140,10 +140,10 @@
 	return best
 }
 
-func (g *Gate) admit(t Ticket) Grant {
+func (g *Limiter) admit(t Ticket) Grant {
 	g.running = append(g.running, t)
 	return Grant{Ticket: t, Verdict: Granted, Rank: len(g.running)}
 }
 
 // Load is how many run and how many wait.
-func (g *Gate) Load() (running, waiting int) { return len(g.running), len(g.waiting) }
+func (g *Limiter) Load() (running, waiting int) { return len(g.running), len(g.waiting) }
--- a/internal/kernel/admission/pace.go
+++ b/internal/kernel/admission/pace.go
@@ -5,26 +5,26 @@
 )
 
 type (
-	// Pace counts one proxy's requests to one server in a sliding window.
-	Pace struct {
+	// SlidingWindow counts one proxy's requests to one server in a sliding window.
+	SlidingWindow struct {
 		sent []time.Time
 	}
 )
 
-// Room reports whether one more request is within a share of the window that ends now.
-func (p *Pace) Room(now time.Time, span time.Duration, share int) bool {
+// HasRoom reports whether one more request is within a share of the window that ends now.
+func (p *SlidingWindow) HasRoom(now time.Time, span time.Duration, share int) bool {
 	for len(p.sent) > 0 && now.Sub(p.sent[0]) >= span {
 		p.sent = p.sent[1:]
 	}
 	return len(p.sent) < share
 }
 
-// Take counts one request.
-func (p *Pace) Take(now time.Time) { p.sent = append(p.sent, now) }
+// Record counts one request.
+func (p *SlidingWindow) Record(now time.Time) { p.sent = append(p.sent, now) }
 
-// Next is when there is room for one more request; zero for never.
-func (p *Pace) Next(now time.Time, span time.Duration, share int) time.Time {
-	if p.Room(now, span, share) {
+// NextAllowed is when there is room for one more request; zero for never.
+func (p *SlidingWindow) NextAllowed(now time.Time, span time.Duration, share int) time.Time {
+	if p.HasRoom(now, span, share) {
 		return now
 	}
 	if share < 1 {
@@ -33,9 +33,9 @@
 	return p.sent[len(p.sent)-share].Add(span)
 }
 
-// Deal is the share of the proxy of a rank, from 0, in a number of requests. One request
+// Apportion is the share of the proxy of a rank, from 0, in a number of requests. One request
 // after the other goes to the first ranks until none is left.
-func Deal(total, rank, proxies int) int {
+func Apportion(total, rank, proxies int) int {
 	if proxies < 1 || rank < 0 || rank >= proxies {
 		return 0
 	}
--- a/internal/kernel/admission/pressure.go
+++ b/internal/kernel/admission/pressure.go
@@ -5,13 +5,13 @@
 )
 
 const (
-	// ShedFrom is the queue, as a part of the room for requests that can still be
+	// ShedThreshold is the queue, as a part of the room for requests that can still be
 	// answered in time, from which some are refused, and shedSlope the share
 	// refused for each further whole room. A queue that is short for a moment is
 	// no overload. Refused callers come back, so a third must be refused for a
 	// tenth to stay away.
-	ShedFrom  = 0.5
-	shedSlope = 1.0
+	ShedThreshold = 0.5
+	shedSlope     = 1.0
 	// shedMost leaves a part that is always sent, so that the end of an overload
 	// is noticed.
 	shedMost = 0.7
@@ -23,18 +23,18 @@
 )
 
 type (
-	// Pressure is how long the queues are that a part of the requests meet, from
+	// QueuePressure is how long the queues are that a part of the requests meet, from
 	// what their servers told. Each proxy keeps its own: all meet the same
 	// queues, so what each refuses by itself adds up to the same share.
-	Pressure struct {
+	QueuePressure struct {
 		level float64
 		at    time.Time
 	}
 )
 
-// Heard takes in one server's queue: how many wait there, and how many may wait
+// Observe takes in one server's queue: how many wait there, and how many may wait
 // for the last to be answered in time.
-func (p *Pressure) Heard(now time.Time, waiting, room float64) {
+func (p *QueuePressure) Observe(now time.Time, waiting, room float64) {
 	if room <= 0 {
 		return
 	}
@@ -44,7 +44,7 @@
 
 // Level is the queue as a part of the room. Without news it fades, and requests
 // are sent again to see.
-func (p *Pressure) Level(now time.Time) float64 {
+func (p *QueuePressure) Level(now time.Time) float64 {
 	age := now.Sub(p.at)
 	if age <= pressureSpan {
 		return p.level
@@ -55,10 +55,10 @@
 	return p.level * float64(2*pressureSpan-age) / float64(pressureSpan)
 }
 
-// Shed is the share of requests to refuse. It grows with the queue, so that it
+// ShedRatio is the share of requests to refuse. It grows with the queue, so that it
 // settles where as many are refused as the servers cannot serve: the others
 // then find a queue in which they are answered in time. Where none are refused
 // the queue grows to its end, and nearly all answers come late.
-func (p *Pressure) Shed(now time.Time) float64 {
-	return min(shedMost, max(0, shedSlope*(p.Level(now)-ShedFrom)))
+func (p *QueuePressure) ShedRatio(now time.Time) float64 {
+	return min(shedMost, max(0, shedSlope*(p.Level(now)-ShedThreshold)))
 }
--- a/internal/kernel/admission/pressure_test.go
+++ b/internal/kernel/admission/pressure_test.go
@@ -7,12 +7,12 @@
 // A server's queue is full for one answer and empty for the next ones. That is
 // chance, and to refuse callers for it would serve nobody.
 func TestAShortQueueRefusesNobody(t *testing.T) {
-	var p Pressure
-	p.Heard(start, 4, 4)
+	var p QueuePressure
+	p.Observe(start, 4, 4)
 	for range 3 {
-		p.Heard(start, 0, 4)
+		p.Observe(start, 0, 4)
 	}
-	if got := p.Shed(start); got != 0 {
+	if got := p.ShedRatio(start); got != 0 {
 		t.Errorf("share refused is %.2f, want 0", got)
 	}
 }
@@ -22,11 +22,11 @@
 func TestRefusalsGrowWithTheQueue(t *testing.T) {
 	before := 0.0
 	for _, waiting := range []float64{3, 4, 6, 12} {
-		var p Pressure
+		var p QueuePressure
 		for range 40 {
-			p.Heard(start, waiting, 4)
+			p.Observe(start, waiting, 4)
 		}
-		got := p.Shed(start)
+		got := p.ShedRatio(start)
 		if got < before || got > shedMost {
 			t.Errorf("%.0f waiting where 4 may: share refused is %.2f, want from %.2f to %.2f", waiting, got, before, shedMost)
 		}
@@ -40,14 +40,14 @@
 // No more answers come, so that nothing is known of the queue. Requests must be
 // sent again.
 func TestPressureFadesWithoutNews(t *testing.T) {
-	var p Pressure
+	var p QueuePressure
 	for range 40 {
-		p.Heard(start, 12, 4)
+		p.Observe(start, 12, 4)
 	}
-	if got := p.Shed(start.Add(pressureSpan / 2)); got != shedMost {
+	if got := p.ShedRatio(start.Add(pressureSpan / 2)); got != shedMost {
 		t.Errorf("share refused after half the span is %.2f, want %.2f", got, shedMost)
 	}
-	if got := p.Shed(start.Add(2 * pressureSpan)); got != 0 {
+	if got := p.ShedRatio(start.Add(2 * pressureSpan)); got != 0 {
 		t.Errorf("share refused after two spans without news is %.2f, want 0", got)
 	}
 }
@@ -55,8 +55,8 @@
 // A route whose target is over before any work could be done leaves no room to
 // reckon with.
 func TestNoRoomIsNoNews(t *testing.T) {
-	var p Pressure
-	p.Heard(start, 12, 0)
+	var p QueuePressure
+	p.Observe(start, 12, 0)
 	if got := p.Level(start); got != 0 {
 		t.Errorf("level is %.2f, want 0", got)
 	}
--- a/internal/kernel/admission/repeats.go
+++ b/internal/kernel/admission/repeats.go
@@ -14,9 +14,9 @@
 )
 
 type (
-	// Repeats is one service's budget of repeated requests: a share of the
+	// RetryBudget is one service's budget of repeated requests: a share of the
 	// requests in a sliding window, and this proxy's part of a fixed slack.
-	Repeats struct {
+	RetryBudget struct {
 		Ratio  float64
 		Slack  float64
 		Window time.Duration
@@ -27,15 +27,15 @@
 	}
 )
 
-// First counts a request's first send.
-func (r *Repeats) First(now time.Time) {
+// RecordRequest counts a request's first send.
+func (r *RetryBudget) RecordRequest(now time.Time) {
 	r.advance(now)
 	r.firsts[r.index()]++
 }
 
-// Rate is how many requests a second were sent first in the window; it is too low until a
+// RequestRate is how many requests a second were sent first in the window; it is too low until a
 // window has passed.
-func (r *Repeats) Rate(now time.Time) float64 {
+func (r *RetryBudget) RequestRate(now time.Time) float64 {
 	r.advance(now)
 	firsts := 0
 	for _, n := range r.firsts {
@@ -44,9 +44,9 @@
 	return float64(firsts) / r.Window.Seconds()
 }
 
-// Spend takes one repeat, or reports false. proxies is how many share the
+// TrySpend takes one repeat, or reports false. proxies is how many share the
 // slack.
-func (r *Repeats) Spend(now time.Time, proxies int) bool {
+func (r *RetryBudget) TrySpend(now time.Time, proxies int) bool {
 	r.advance(now)
 	firsts, repeats := 0, 0
 	for i := range r.firsts {
@@ -61,9 +61,9 @@
 	return true
 }
 
-func (r *Repeats) index() int { return int(r.slot % int64(len(r.firsts))) }
+func (r *RetryBudget) index() int { return int(r.slot % int64(len(r.firsts))) }
 
-func (r *Repeats) advance(now time.Time) {
+func (r *RetryBudget) advance(now time.Time) {
 	slot := now.UnixNano() / max(1, int64(r.Window)/buckets)
 	if slot < r.slot {
 		// The clock went back; what is counted stands until it catches up.
--- a/internal/kernel/backpressure/leaving.go
+++ b/internal/kernel/backpressure/leaving.go
@@ -12,12 +12,12 @@
 	leavingTold = time.Minute
 )
 
-// Leaving reports whether the server takes no new requests any more.
-func (s *State) Leaving() bool { return s != nil && s.leaving }
+// Draining reports whether the server takes no new requests any more.
+func (s *ServerState) Draining() bool { return s != nil && s.leaving }
 
 // hearLeaving takes in whether the server said at a moment that it leaves. A start of a
 // server that leaves does not come back, so the word stays.
-func (s *State) hearLeaving(now, at time.Time, leaving bool) {
+func (s *ServerState) hearLeaving(now, at time.Time, leaving bool) {
 	if !leaving {
 		return
 	}
--- a/internal/kernel/backpressure/ledger.go
+++ b/internal/kernel/backpressure/ledger.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// ChangeLimit tells of a limit that is named, another one, or none any more.
-	ChangeLimit Change = "server-limit"
-	// ChangePause tells of a server that wants nothing from this proxy for a while.
-	ChangePause Change = "server-pause"
-	// ChangeLeaving tells of a server that leaves by its own word.
-	ChangeLeaving Change = "server-leaving"
+	// EventLimit tells of a limit that is named, another one, or none any more.
+	EventLimit EventType = "server-limit"
+	// EventPause tells of a server that wants nothing from this proxy for a while.
+	EventPause EventType = "server-pause"
+	// EventDraining tells of a server that leaves by its own word.
+	EventDraining EventType = "server-leaving"
 )
 
 type (
-	// Ledger is what one proxy knows of the signals of servers. It is not safe for use by
+	// Tracker is what one proxy knows of the signals of servers. It is not safe for use by
 	// several goroutines at once. Its moments are of the caller's steady clock.
-	Ledger struct {
-		// Observe is told of changes.
-		Observe func(Notice)
+	Tracker struct {
+		// OnEvent is told of changes.
+		OnEvent func(Event)
 
-		states map[quarantine.Server]*State
+		states map[quarantine.InstanceID]*ServerState
 	}
 
-	// State is what one start of a server asks.
-	State struct {
-		server quarantine.Server
+	// ServerState is what one start of a server asks.
+	ServerState struct {
+		server quarantine.InstanceID
 		limit  Limit
 		// limitAt is when the limit was last named, or found to have ended.
 		limitAt time.Time
@@ -49,70 +49,70 @@
 		// noticed is what was last told to Observe.
 		noticed Signal
 		// pace counts this proxy's requests while there is a limit.
-		pace admission.Pace
+		pace admission.SlidingWindow
 	}
 
-	// Notice tells of a change.
-	Notice struct {
-		Server quarantine.Server
-		Change Change
+	// Event tells of a change.
+	Event struct {
+		Server quarantine.InstanceID
+		Type   EventType
 		Limit  Limit
 		// Pause is for how long.
 		Pause time.Duration
 	}
 
-	// Change names what has changed.
-	Change string
+	// EventType names what has changed.
+	EventType string
 )
 
-// NewLedger makes a ledger that knows nothing.
-func NewLedger() *Ledger {
-	return &Ledger{Observe: func(Notice) {}, states: make(map[quarantine.Server]*State)}
+// NewTracker makes a ledger that knows nothing.
+func NewTracker() *Tracker {
+	return &Tracker{OnEvent: func(Event) {}, states: make(map[quarantine.InstanceID]*ServerState)}
 }
 
-// Of is what a server asks, nil for nothing.
-func (l *Ledger) Of(s quarantine.Server) *State { return l.states[s] }
+// State is what a server asks, nil for nothing.
+func (l *Tracker) State(s quarantine.InstanceID) *ServerState { return l.states[s] }
 
 // Empty reports whether no server asks anything.
-func (l *Ledger) Empty() bool { return len(l.states) == 0 }
+func (l *Tracker) Empty() bool { return len(l.states) == 0 }
 
-func (l *Ledger) state(s quarantine.Server) *State {
-	w := &State{server: s}
+func (l *Tracker) addState(s quarantine.InstanceID) *ServerState {
+	w := &ServerState{server: s}
 	l.states[s] = w
 	return w
 }
 
-// Heard takes in the signal of an answer to a request that was sent at a moment. whole is
+// RecordSignal takes in the signal of an answer to a request that was sent at a moment. whole is
 // set if all that the answer says is known: what it does not ask then has ended.
-func (l *Ledger) Heard(now, sent time.Time, s quarantine.Server, g Signal, whole bool) *State {
+func (l *Tracker) RecordSignal(now, sent time.Time, s quarantine.InstanceID, g Signal, whole bool) *ServerState {
 	w := l.states[s]
 	if w == nil {
-		if g.None() {
+		if g.IsEmpty() {
 			return nil
 		}
-		w = l.state(s)
+		w = l.addState(s)
 	}
 	w.hearLimit(now, sent, g.Limit, whole)
-	w.hearLeaving(now, now, g.Leaving)
+	w.hearLeaving(now, now, g.Draining)
 	l.hearPause(w, now, g.Pause)
 	l.notice(w)
 	return w
 }
 
 // asks reports whether the server asks anything that is in force.
-func (s *State) asks(now time.Time) bool {
+func (s *ServerState) asks(now time.Time) bool {
 	return s.limited(now) || now.Before(s.pausedUntil) || s.leaving && now.Sub(s.heardAt) < leavingFor
 }
 
 // heard notes a moment at which the server said something.
-func (s *State) heard(at time.Time) {
+func (s *ServerState) heard(at time.Time) {
 	if at.After(s.heardAt) {
 		s.heardAt = at
 	}
 }
 
 // Tick drops what has run out.
-func (l *Ledger) Tick(now time.Time) {
+func (l *Tracker) Tick(now time.Time) {
 	for s, w := range l.states {
 		if !w.asks(now) && now.Sub(w.changedAt) >= newsFor {
 			delete(l.states, s)
@@ -123,8 +123,8 @@
 	}
 }
 
-func (l *Ledger) dropOldest() {
-	var oldest *State
+func (l *Tracker) dropOldest() {
+	var oldest *ServerState
 	for _, w := range l.states {
 		if oldest == nil || w.heardAt.Before(oldest.heardAt) {
 			oldest = w
@@ -135,15 +135,15 @@
 
 // notice tells of a server that leaves, and of a limit that is named, ends or changes by
 // more than a little.
-func (l *Ledger) notice(w *State) {
-	if w.leaving && !w.noticed.Leaving {
-		w.noticed.Leaving = true
-		l.Observe(Notice{Server: w.server, Change: ChangeLeaving})
+func (l *Tracker) notice(w *ServerState) {
+	if w.leaving && !w.noticed.Draining {
+		w.noticed.Draining = true
+		l.OnEvent(Event{Server: w.server, Type: EventDraining})
 	}
 	change := w.limit.PerSecond - w.noticed.Limit.PerSecond
-	if w.limit.Named == w.noticed.Limit.Named && max(change, -change) <= noticeFrom*w.noticed.Limit.PerSecond {
+	if w.limit.Set == w.noticed.Limit.Set && max(change, -change) <= noticeFrom*w.noticed.Limit.PerSecond {
 		return
 	}
 	w.noticed.Limit = w.limit
-	l.Observe(Notice{Server: w.server, Change: ChangeLimit, Limit: w.limit})
+	l.OnEvent(Event{Server: w.server, Type: EventLimit, Limit: w.limit})
 }
--- a/internal/kernel/backpressure/ledger_test.go
+++ b/internal/kernel/backpressure/ledger_test.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	server = quarantine.Server(1)
+	server = quarantine.InstanceID(1)
 )
 
 var (
@@ -19,42 +19,42 @@
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func limited(perSecond float64) Signal {
-	return Signal{Limit: Limit{Named: true, PerSecond: perSecond}}
+	return Signal{Limit: Limit{Set: true, PerSecond: perSecond}}
 }
 
 // Guards against an answer from before a limit that arrives after it and lifts it.
 func TestOvertakenAnswerDoesNotLiftALimit(t *testing.T) {
-	l := NewLedger()
-	l.Heard(at(100), at(50), server, limited(6), true)
-	if w := l.Heard(at(110), at(20), server, Signal{}, true); !w.limit.Named {
+	l := NewTracker()
+	l.RecordSignal(at(100), at(50), server, limited(6), true)
+	if w := l.RecordSignal(at(110), at(20), server, Signal{}, true); !w.limit.Set {
 		t.Error("an answer to an earlier request has lifted the limit")
 	}
-	if w := l.Heard(at(120), at(30), server, limited(9), true); w.limit.PerSecond != 6 {
+	if w := l.RecordSignal(at(120), at(30), server, limited(9), true); w.limit.PerSecond != 6 {
 		t.Errorf("an answer to an earlier request has raised the limit to %v", w.limit)
 	}
-	if w := l.Heard(at(300), at(200), server, Signal{}, false); !w.limit.Named {
+	if w := l.RecordSignal(at(300), at(200), server, Signal{}, false); !w.limit.Set {
 		t.Error("an answer of which not all is known has lifted the limit")
 	}
-	if w := l.Heard(at(300), at(200), server, limited(9), true); w.limit.PerSecond != 9 {
+	if w := l.RecordSignal(at(300), at(200), server, limited(9), true); w.limit.PerSecond != 9 {
 		t.Errorf("got %v, want the limit that was named last", w.limit)
 	}
-	if w := l.Heard(at(900), at(800), server, Signal{}, true); !w.limit.Named {
+	if w := l.RecordSignal(at(900), at(800), server, Signal{}, true); !w.limit.Set {
 		t.Error("one answer without the limit, soon after others that named it, has lifted it")
 	}
-	if w := l.Heard(at(1400), at(1300), server, Signal{}, true); w.limit.Named {
+	if w := l.RecordSignal(at(1400), at(1300), server, Signal{}, true); w.limit.Set {
 		t.Errorf("got %v, want no limit once a later answer names none", w.limit)
 	}
-	if w := l.Heard(at(1450), at(350), server, limited(6), true); w.limit.Named {
+	if w := l.RecordSignal(at(1450), at(350), server, limited(6), true); w.limit.Set {
 		t.Errorf("an answer to an earlier request has brought back %v", w.limit)
 	}
 }
 
 func TestNotices(t *testing.T) {
-	l := NewLedger()
+	l := NewTracker()
 	var got []string
-	l.Observe = func(n Notice) { got = append(got, string(n.Change)+" "+n.Limit.String()) }
-	for i, s := range []Signal{{}, limited(6), limited(6.1), limited(6.3), limited(8), {}, {Leaving: true}, {}, {Leaving: true}} {
-		l.Heard(at(2000*i+50), at(2000*i), server, s, true)
+	l.OnEvent = func(n Event) { got = append(got, string(n.Type)+" "+n.Limit.String()) }
+	for i, s := range []Signal{{}, limited(6), limited(6.1), limited(6.3), limited(8), {}, {Draining: true}, {}, {Draining: true}} {
+		l.RecordSignal(at(2000*i+50), at(2000*i), server, s, true)
 	}
 	want := []string{"server-limit 6/s", "server-limit 8/s", "server-limit ", "server-leaving "}
 	if !slices.Equal(got, want) {
@@ -65,59 +65,59 @@
 // Guards against a proxy that has no part of a limit, so hears nothing more of the server
 // itself, and never sends there again.
 func TestPeersTellThatALimitHasEnded(t *testing.T) {
-	sender, other := NewLedger(), NewLedger()
-	sender.Heard(at(100), at(50), server, limited(6), true)
-	if !other.Hear(at(200), sender.Reports(at(150), false)) || other.Of(server).Limit(at(200)).PerSecond != 6 {
-		t.Fatalf("got %+v, want the limit of 6", other.Of(server))
-	}
-	sender.Heard(at(5100), at(5000), server, Signal{}, true)
-	other.Hear(at(5200), sender.Reports(at(5150), false))
-	if got := other.Of(server).Limit(at(5200)); got.Named {
+	sender, other := NewTracker(), NewTracker()
+	sender.RecordSignal(at(100), at(50), server, limited(6), true)
+	if !other.Merge(at(200), sender.Reports(at(150), false)) || other.State(server).Limit(at(200)).PerSecond != 6 {
+		t.Fatalf("got %+v, want the limit of 6", other.State(server))
+	}
+	sender.RecordSignal(at(5100), at(5000), server, Signal{}, true)
+	other.Merge(at(5200), sender.Reports(at(5150), false))
+	if got := other.State(server).Limit(at(5200)); got.Set {
 		t.Errorf("got %v, want no limit", got)
 	}
 	// What is older than the peer's own word changes nothing.
-	other.Hear(at(5300), []Report{{Server: server, Limit: Limit{true, 6}, Age: time.Second}})
-	if got := other.Of(server).Limit(at(5300)); got.Named {
+	other.Merge(at(5300), []Report{{Server: server, Limit: Limit{true, 6}, Age: time.Second}})
+	if got := other.State(server).Limit(at(5300)); got.Set {
 		t.Errorf("old news brought back %v", got)
 	}
 }
 
 // Guards against a limit that stays for good where nobody asks the server any more.
 func TestLimitEndsWithoutNews(t *testing.T) {
-	l := NewLedger()
-	w := l.Heard(at(0), at(-10), server, limited(6), true)
-	if _, in := w.Window(at(14_900)); !in {
+	l := NewTracker()
+	w := l.RecordSignal(at(0), at(-10), server, limited(6), true)
+	if _, in := w.RequestsPerWindow(at(14_900)); !in {
 		t.Error("the limit is no longer in force 14.9 s after it was named")
 	}
-	if _, in := w.Window(at(15_100)); in {
+	if _, in := w.RequestsPerWindow(at(15_100)); in {
 		t.Error("the limit is in force 15.1 s after it was named last")
 	}
-	if l.Tick(at(15_100)); l.Of(server) != nil {
+	if l.Tick(at(15_100)); l.State(server) != nil {
 		t.Error("the ledger keeps what has run out")
 	}
 }
 
 func TestLedgerIsBounded(t *testing.T) {
-	l := NewLedger()
+	l := NewTracker()
 	for i := range statesMost + 10 {
-		l.Heard(at(i), at(i-1), quarantine.Server(i), limited(6), true)
+		l.RecordSignal(at(i), at(i-1), quarantine.InstanceID(i), limited(6), true)
 	}
 	l.Tick(at(statesMost + 10))
-	if len(l.states) != statesMost || l.Of(0) != nil {
-		t.Errorf("got %d servers, the oldest %v; want %d without the oldest", len(l.states), l.Of(0), statesMost)
+	if len(l.states) != statesMost || l.State(0) != nil {
+		t.Errorf("got %d servers, the oldest %v; want %d without the oldest", len(l.states), l.State(0), statesMost)
 	}
 }
 
 // Guards against a proxy that has just started and sends to a server that leaves.
 func TestPeersTellOfServersThatLeave(t *testing.T) {
-	sender, other := NewLedger(), NewLedger()
-	sender.Heard(at(100), at(50), server, Signal{Leaving: true}, true)
-	sender.Heard(at(200), at(150), server, Signal{}, true)
-	if !sender.Of(server).Leaving() {
+	sender, other := NewTracker(), NewTracker()
+	sender.RecordSignal(at(100), at(50), server, Signal{Draining: true}, true)
+	sender.RecordSignal(at(200), at(150), server, Signal{}, true)
+	if !sender.State(server).Draining() {
 		t.Fatal("an answer without the word took it back")
 	}
-	other.Hear(at(30_000), sender.Reports(at(30_000), true))
-	if !other.Of(server).Leaving() {
+	other.Merge(at(30_000), sender.Reports(at(30_000), true))
+	if !other.State(server).Draining() {
 		t.Error("the peer does not know that the server leaves")
 	}
 	if got := sender.Reports(at(61_000), true); len(got) > 0 {
@@ -125,7 +125,7 @@
 	}
 	for _, minutes := range []int{9, 11} {
 		sender.Tick(at(minutes * 60_000))
-		if kept := sender.Of(server).Leaving(); kept != (minutes == 9) {
+		if kept := sender.State(server).Draining(); kept != (minutes == 9) {
 			t.Errorf("the word is kept after %d minutes: %t", minutes, kept)
 		}
 	}
@@ -133,14 +133,14 @@
 
 // Guards against a later answer, or a shorter pause, that cuts a pause short.
 func TestPauseStands(t *testing.T) {
-	l := NewLedger()
-	w := l.Heard(at(0), at(-10), server, Signal{Pause: 3 * time.Second}, true)
-	l.Heard(at(100), at(50), server, Signal{Pause: time.Second}, true)
-	l.Heard(at(200), at(150), server, Signal{}, true)
-	if !w.Paused(at(2900)) || w.Paused(at(3000)) || w.PausedFor(at(2900)) != 100*time.Millisecond {
+	l := NewTracker()
+	w := l.RecordSignal(at(0), at(-10), server, Signal{Pause: 3 * time.Second}, true)
+	l.RecordSignal(at(100), at(50), server, Signal{Pause: time.Second}, true)
+	l.RecordSignal(at(200), at(150), server, Signal{}, true)
+	if !w.Paused(at(2900)) || w.Paused(at(3000)) || w.PauseRemaining(at(2900)) != 100*time.Millisecond {
 		t.Errorf("got a pause until %s, want 3 s", w.PausedUntil())
 	}
-	l.Heard(at(2500), at(2400), server, Signal{Pause: 2 * time.Second}, true)
+	l.RecordSignal(at(2500), at(2400), server, Signal{Pause: 2 * time.Second}, true)
 	if !w.Paused(at(4400)) {
 		t.Error("a pause that was asked for again ends with the first one")
 	}
--- a/internal/kernel/backpressure/limit.go
+++ b/internal/kernel/backpressure/limit.go
@@ -28,39 +28,39 @@
 )
 
 type (
-	// Rank is a proxy's place among all proxies, those in the region of a server first.
-	Rank struct {
-		Place int
-		// Near counts the proxies in the server's region, All all of them.
-		Near, All int
+	// ProxyRank is a proxy's place among all proxies, those in the region of a server first.
+	ProxyRank struct {
+		Position int
+		// InRegion counts the proxies in the server's region, All all of them.
+		InRegion, Total int
 	}
 )
 
 // Share is the proxy's part of the requests that a server takes in a window. The parts of
 // all proxies add up to the window without a message, so that the limit holds where they
 // can't hear each other.
-func (r Rank) Share(window int) int {
-	if r.Near == 0 || r.Near == r.All {
-		return admission.Deal(window, r.Place, r.All)
+func (r ProxyRank) Share(window int) int {
+	if r.InRegion == 0 || r.InRegion == r.Total {
+		return admission.Apportion(window, r.Position, r.Total)
 	}
 	near := int(math.Ceil(nearPart * float64(window)))
-	if r.Place < r.Near {
-		return admission.Deal(near, r.Place, r.Near)
+	if r.Position < r.InRegion {
+		return admission.Apportion(near, r.Position, r.InRegion)
 	}
-	return admission.Deal(window-near, r.Place-r.Near, r.All-r.Near)
+	return admission.Apportion(window-near, r.Position-r.InRegion, r.Total-r.InRegion)
 }
 
 // Limit is the limit in force.
-func (s *State) Limit(now time.Time) Limit {
+func (s *ServerState) Limit(now time.Time) Limit {
 	if s == nil || !s.limited(now) {
 		return Limit{}
 	}
 	return s.limit
 }
 
-// Window is how many requests the server takes from all proxies together in a window;
+// RequestsPerWindow is how many requests the server takes from all proxies together in a window;
 // false if it names no limit.
-func (s *State) Window(now time.Time) (int, bool) {
+func (s *ServerState) RequestsPerWindow(now time.Time) (int, bool) {
 	if s == nil || !s.limited(now) {
 		return 0, false
 	}
@@ -74,20 +74,20 @@
 // hearLimit takes in the limit that an answer names, if any. Answers may overtake each
 // other: one to a request that was sent before the limit was last named, or found to have
 // ended, neither lifts, raises nor renews it.
-func (s *State) hearLimit(now, sent time.Time, limit Limit, whole bool) {
+func (s *ServerState) hearLimit(now, sent time.Time, limit Limit, whole bool) {
 	later := sent.After(s.limitAt)
 	switch {
-	case limit.Named && later:
+	case limit.Set && later:
 		s.set(now, now, limit)
-	case limit.Named && s.limit.Named:
+	case limit.Set && s.limit.Set:
 		s.set(now, now, s.limit.lower(limit))
-	case whole && later && s.limit.Named && now.Sub(s.limitAt) >= liftAfter:
+	case whole && later && s.limit.Set && now.Sub(s.limitAt) >= liftAfter:
 		s.set(now, now, Limit{})
 	}
 }
 
 // set notes what the server said at a moment.
-func (s *State) set(now, at time.Time, limit Limit) {
+func (s *ServerState) set(now, at time.Time, limit Limit) {
 	if limit != s.limit {
 		s.changedAt = now
 	}
@@ -95,17 +95,23 @@
 	s.heard(at)
 }
 
-func (s *State) limited(now time.Time) bool { return s.limit.Named && now.Sub(s.limitAt) < limitFor }
+func (s *ServerState) limited(now time.Time) bool {
+	return s.limit.Set && now.Sub(s.limitAt) < limitFor
+}
 
-// Room reports whether this proxy, with a share of the window, may send one more request.
-func (s *State) Room(now time.Time, share int) bool { return s.pace.Room(now, limitSpan, share) }
+// HasRoom reports whether this proxy, with a share of the window, may send one more request.
+func (s *ServerState) HasRoom(now time.Time, share int) bool {
+	return s.pace.HasRoom(now, limitSpan, share)
+}
 
-// RoomAt is when it may, zero if not before the server says otherwise.
-func (s *State) RoomAt(now time.Time, share int) time.Time { return s.pace.Next(now, limitSpan, share) }
+// NextAllowed is when it may, zero if not before the server says otherwise.
+func (s *ServerState) NextAllowed(now time.Time, share int) time.Time {
+	return s.pace.NextAllowed(now, limitSpan, share)
+}
 
-// Sent counts a request to the server.
-func (s *State) Sent(now time.Time) {
+// RecordSent counts a request to the server.
+func (s *ServerState) RecordSent(now time.Time) {
 	if s != nil && s.limited(now) {
-		s.pace.Take(now)
+		s.pace.Record(now)
 	}
 }
--- a/internal/kernel/backpressure/pause.go
+++ b/internal/kernel/backpressure/pause.go
@@ -6,7 +6,7 @@
 
 // hearPause takes in for how long the server wants nothing from this proxy. What it has
 // asked for before stands.
-func (l *Ledger) hearPause(s *State, now time.Time, pause time.Duration) {
+func (l *Tracker) hearPause(s *ServerState, now time.Time, pause time.Duration) {
 	until := now.Add(pause)
 	if pause <= 0 || !until.After(s.pausedUntil) {
 		return
@@ -15,15 +15,15 @@
 	s.pausedUntil = until
 	s.heard(now)
 	if began {
-		l.Observe(Notice{Server: s.server, Change: ChangePause, Pause: pause})
+		l.OnEvent(Event{Server: s.server, Type: EventPause, Pause: pause})
 	}
 }
 
 // Paused reports whether the server wants nothing from this proxy now.
-func (s *State) Paused(now time.Time) bool { return s != nil && now.Before(s.pausedUntil) }
+func (s *ServerState) Paused(now time.Time) bool { return s != nil && now.Before(s.pausedUntil) }
 
-// PausedFor is for how much longer it does not.
-func (s *State) PausedFor(now time.Time) time.Duration {
+// PauseRemaining is for how much longer it does not.
+func (s *ServerState) PauseRemaining(now time.Time) time.Duration {
 	if !s.Paused(now) {
 		return 0
 	}
@@ -31,4 +31,4 @@
 }
 
 // PausedUntil is when the server takes requests from this proxy again.
-func (s *State) PausedUntil() time.Time { return s.pausedUntil }
+func (s *ServerState) PausedUntil() time.Time { return s.pausedUntil }
--- a/internal/kernel/backpressure/report.go
+++ b/internal/kernel/backpressure/report.go
@@ -20,10 +20,10 @@
 type (
 	// Report is what a proxy tells others of what a server asks of all of them.
 	Report struct {
-		Server quarantine.Server `json:"server"`
-		Limit  Limit             `json:"limit"`
-		// Leaving is set if it takes no new requests any more.
-		Leaving bool `json:"leaving,omitempty"`
+		Server quarantine.InstanceID `json:"server"`
+		Limit  Limit                 `json:"limit"`
+		// Draining is set if it takes no new requests any more.
+		Draining bool `json:"leaving,omitempty"`
 		// Age is how long ago the server said so last; clocks differ.
 		Age time.Duration `json:"age"`
 	}
@@ -31,8 +31,8 @@
 
 // Reports lists what peers should hear: what has changed of late, and some of the rest that
 // is in force in turn; all of it for a proxy that knows nothing yet.
-func (l *Ledger) Reports(now time.Time, all bool) []Report {
-	var news, standing []*State
+func (l *Tracker) Reports(now time.Time, all bool) []Report {
+	var news, standing []*ServerState
 	for _, w := range l.states {
 		switch {
 		case now.Sub(w.changedAt) < newsFor:
@@ -41,10 +41,12 @@
 			standing = append(standing, w)
 		}
 	}
-	slices.SortFunc(news, func(a, b *State) int {
+	slices.SortFunc(news, func(a, b *ServerState) int {
 		return cmp.Or(b.changedAt.Compare(a.changedAt), cmp.Compare(a.server, b.server))
 	})
-	slices.SortFunc(standing, func(a, b *State) int { return cmp.Or(a.toldAt.Compare(b.toldAt), cmp.Compare(a.server, b.server)) })
+	slices.SortFunc(standing, func(a, b *ServerState) int {
+		return cmp.Or(a.toldAt.Compare(b.toldAt), cmp.Compare(a.server, b.server))
+	})
 	if !all {
 		standing = standing[:min(len(standing), standingMost)]
 	}
@@ -53,28 +55,28 @@
 	reports := make([]Report, 0, len(list))
 	for _, w := range list {
 		w.toldAt = now
-		reports = append(reports, Report{Server: w.server, Limit: w.limit, Leaving: w.leaving, Age: now.Sub(w.heardAt)})
+		reports = append(reports, Report{Server: w.server, Limit: w.limit, Draining: w.leaving, Age: now.Sub(w.heardAt)})
 	}
 	return reports
 }
 
-// Hear takes in a peer's reports. It reports whether it has learned of servers that it
+// Merge takes in a peer's reports. It reports whether it has learned of servers that it
 // knew nothing of.
-func (l *Ledger) Hear(now time.Time, reports []Report) (learned bool) {
+func (l *Tracker) Merge(now time.Time, reports []Report) (learned bool) {
 	for _, r := range reports {
 		at := now.Add(-max(0, r.Age))
 		w := l.states[r.Server]
-		if r.Age >= leavingFor || w == nil && !r.Limit.Named && !r.Leaving {
+		if r.Age >= leavingFor || w == nil && !r.Limit.Set && !r.Draining {
 			continue
 		}
 		if w == nil {
-			w = l.state(r.Server)
+			w = l.addState(r.Server)
 			learned = true
 		}
 		if r.Age < limitFor && at.After(w.limitAt) {
 			w.set(now, at, r.Limit)
 		}
-		w.hearLeaving(now, at, r.Leaving)
+		w.hearLeaving(now, at, r.Draining)
 		l.notice(w)
 	}
 	return learned
--- a/internal/kernel/backpressure/signal.go
+++ b/internal/kernel/backpressure/signal.go
@@ -26,23 +26,23 @@
 type (
 	// Limit is the rate of requests that a server takes from all proxies together.
 	Limit struct {
-		// Named is false if the server named no limit.
-		Named     bool    `json:"named,omitempty"`
+		// Set is false if the server named no limit.
+		Set       bool    `json:"named,omitempty"`
 		PerSecond float64 `json:"per-second,omitempty"`
 	}
 
 	// Signal is what one answer asks.
 	Signal struct {
 		Limit Limit `json:"limit,omitzero"`
-		// Leaving is set if the server takes no new requests any more.
-		Leaving bool `json:"leaving,omitempty"`
+		// Draining is set if the server takes no new requests any more.
+		Draining bool `json:"leaving,omitempty"`
 		// Pause is for how long the server wants nothing from the proxy that it answers.
 		Pause time.Duration `json:"pause,omitempty"`
 	}
 )
 
-// None reports whether nothing is asked.
-func (s Signal) None() bool { return s == Signal{} }
+// IsEmpty reports whether nothing is asked.
+func (s Signal) IsEmpty() bool { return s == Signal{} }
 
 // ParseLimit reads the limit that an answer names, in requests a second. Of several the
 // lowest counts. One that is no decimal number names none, and is told of in the error.
@@ -54,7 +54,7 @@
 				err = failed
 				continue
 			}
-			l = l.lower(Limit{Named: true, PerSecond: rate})
+			l = l.lower(Limit{Set: true, PerSecond: rate})
 		}
 	}
 	return l, err
@@ -105,7 +105,7 @@
 
 // lower is the lower one of two limits.
 func (l Limit) lower(other Limit) Limit {
-	if !l.Named || other.Named && other.PerSecond < l.PerSecond {
+	if !l.Set || other.Set && other.PerSecond < l.PerSecond {
 		return other
 	}
 	return l
@@ -113,7 +113,7 @@
 
 // String is the limit for logs, empty for none.
 func (l Limit) String() string {
-	if !l.Named {
+	if !l.Set {
 		return ""
 	}
 	return strconv.FormatFloat(l.PerSecond, 'f', -1, 64) + "/s"
@@ -121,5 +121,5 @@
 
 // Merge adds what another answer of the same exchange asks.
 func (s Signal) Merge(other Signal) Signal {
-	return Signal{Limit: s.Limit.lower(other.Limit), Leaving: s.Leaving || other.Leaving, Pause: max(s.Pause, other.Pause)}
+	return Signal{Limit: s.Limit.lower(other.Limit), Draining: s.Draining || other.Draining, Pause: max(s.Pause, other.Pause)}
 }
--- a/internal/kernel/backpressure/signal_test.go
+++ b/internal/kernel/backpressure/signal_test.go
@@ -42,10 +42,10 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		l, err := ParseLimit([]string{text})
-		if !l.Named && (err == nil || l.PerSecond != 0) {
+		if !l.Set && (err == nil || l.PerSecond != 0) {
 			t.Errorf("%q: got %+v without an error", text, l)
 		}
-		if l.Named && !(l.PerSecond >= 0 && l.PerSecond < 1e33) {
+		if l.Set && !(l.PerSecond >= 0 && l.PerSecond < 1e33) {
 			t.Errorf("%q: got %v requests a second", text, l.PerSecond)
 		}
 	})
--- a/internal/kernel/core/action.go
+++ b/internal/kernel/core/action.go
@@ -38,7 +38,7 @@
 		Path    string
 		Client  netip.Addr
 		// Work names what a server would run.
-		Work     quarantine.Work
+		Work     quarantine.Fingerprint
 		Token    string
 		Deadline time.Time
 		// Forwarded requests came from a peer and are not forwarded again,
--- a/internal/kernel/core/gossip.go
+++ b/internal/kernel/core/gossip.go
@@ -195,8 +195,8 @@
 
 func (k *Kernel) learn(now time.Time, m peer.Exchange) {
 	k.clock.Hear(m.Stamp)
-	k.quarantine.Hear(now, m.Suspicions)
-	k.signals.Hear(now, m.Signals)
+	k.quarantine.Merge(now, m.Suspicions)
+	k.signals.Merge(now, m.Signals)
 	news := false
 	for _, member := range m.Members {
 		if k.members.Hear(member, now) {
--- a/internal/kernel/core/kernel.go
+++ b/internal/kernel/core/kernel.go
@@ -125,10 +125,10 @@
 		borrowing    map[peer.Resource]time.Time
 		// quarantine knows the work that ends servers; starts names the present starts
 		// of servers at which exchanges broke.
-		quarantine *quarantine.Ledger
-		starts     map[string]quarantine.Server
+		quarantine *quarantine.Tracker
+		starts     map[string]quarantine.InstanceID
 		// signals are what servers ask of their senders.
-		signals *backpressure.Ledger
+		signals *backpressure.Tracker
 	}
 
 	service struct {
@@ -177,12 +177,12 @@
 		urgent:    make(map[string]bool),
 		borrowing: make(map[peer.Resource]time.Time),
 
-		quarantine: quarantine.NewLedger(),
-		starts:     make(map[string]quarantine.Server),
-		signals:    backpressure.NewLedger(),
+		quarantine: quarantine.NewTracker(),
+		starts:     make(map[string]quarantine.InstanceID),
+		signals:    backpressure.NewTracker(),
 	}
-	k.quarantine.Observe, k.quarantine.Rank = k.observeWork, k.trialRank
-	k.signals.Observe = k.observeSignal
+	k.quarantine.OnEvent, k.quarantine.TrialRank = k.observeWork, k.trialRank
+	k.signals.OnEvent = k.observeSignal
 	return k
 }
 
--- a/internal/kernel/core/request.go
+++ b/internal/kernel/core/request.go
@@ -33,7 +33,7 @@
 		idempotent bool
 		token      *caller.Token
 		attempts   int
-		work       quarantine.Work
+		work       quarantine.Fingerprint
 		// breaks counts the exchanges that broke.
 		breaks   int
 		began    time.Time
@@ -224,8 +224,8 @@
 		f.id = k.config.Self.Name + "-" + strconv.FormatUint(k.serial, 36)
 	}
 	server.Start()
-	k.signalsOf(server).Sent(now)
-	k.quarantine.Started(f.work)
+	k.signalsOf(server).RecordSent(now)
+	k.quarantine.RecordStart(f.work)
 	k.inFlight++
 	kind := EventAdmitted
 	if f.attempts > 1 {
--- a/internal/kernel/core/route.go
+++ b/internal/kernel/core/route.go
@@ -164,7 +164,7 @@
 			if !suspicious && !s.LeavesByItsWord() || !k.permits(now, s) || !s.ProbeDue(now, every) {
 				continue
 			}
-			k.signalsOf(s).Sent(now)
+			k.signalsOf(s).RecordSent(now)
 			actions = append(actions, SendProbe{Server: s.Name, Address: s.Address})
 		}
 	}
@@ -184,7 +184,7 @@
 			if h.Report != nil {
 				s.Learn(*h.Report)
 				// When it was asked is not known, so it lifts no limit.
-				k.signals.Heard(now, now, signalKey(s.Name), h.Report.Signal, false)
+				k.signals.RecordSignal(now, now, signalKey(s.Name), h.Report.Signal, false)
 			}
 			s.Probed(h, now)
 		}
--- a/internal/kernel/core/signals.go
+++ b/internal/kernel/core/signals.go
@@ -17,19 +17,21 @@
 
 // signalKey names a server among all proxies. It has one name for good, so what an earlier
 // start has asked ends with the first answers of the next.
-func signalKey(server string) quarantine.Server { return quarantine.ServerOf(server, time.Time{}) }
+func signalKey(server string) quarantine.InstanceID {
+	return quarantine.NewInstanceID(server, time.Time{})
+}
 
 // signalsOf is what a server asks of its senders, nil for nothing.
-func (k *Kernel) signalsOf(s *backend.Server) *backpressure.State {
+func (k *Kernel) signalsOf(s *backend.Server) *backpressure.ServerState {
 	if k.signals.Empty() {
 		return nil
 	}
-	return k.signals.Of(signalKey(s.Name))
+	return k.signals.State(signalKey(s.Name))
 }
 
 // hearSignal takes in what a server's answer asks.
 func (k *Kernel) hearSignal(now, sent time.Time, s *backend.Server, r backend.Report) {
-	k.signals.Heard(now, sent, signalKey(s.Name), r.Signal, true)
+	k.signals.RecordSignal(now, sent, signalKey(s.Name), r.Signal, true)
 }
 
 // permits reports whether a server takes a request of this proxy now, by what it asks of
@@ -39,8 +41,8 @@
 	if state.Paused(now) {
 		return false
 	}
-	window, limited := state.Window(now)
-	return !limited || state.Room(now, k.rankAt(s.Region).Share(window))
+	window, limited := state.RequestsPerWindow(now)
+	return !limited || state.HasRoom(now, k.rankAt(s.Region).Share(window))
 }
 
 // pausedFor is after how long a caller may come back that no server takes: if all of them
@@ -48,7 +50,7 @@
 func (k *Kernel) pausedFor(now time.Time, servers []*backend.Server) time.Duration {
 	first := time.Duration(0)
 	for _, s := range servers {
-		left := k.signalsOf(s).PausedFor(now)
+		left := k.signalsOf(s).PauseRemaining(now)
 		if left == 0 {
 			return noServerFor
 		}
@@ -62,12 +64,12 @@
 // rankAt is this proxy's place among all proxies at the servers of a region. Their numbers
 // are the bundle's, so that parts of a fleet that are cut off from each other do not each
 // take a whole limit; in an unlisted region, or beyond its number, there is no place.
-func (k *Kernel) rankAt(server string) backpressure.Rank {
+func (k *Kernel) rankAt(server string) backpressure.ProxyRank {
 	self := k.config.Self
-	rank, own := backpressure.Rank{}, -1
+	rank, own := backpressure.ProxyRank{}, -1
 	for _, r := range k.regions {
 		if r.Name == server {
-			rank.Near = r.Proxies
+			rank.InRegion = r.Proxies
 		}
 		if r.Name == self.Region {
 			own = k.placeInRegion()
@@ -75,22 +77,22 @@
 				own = -1
 			}
 		}
-		rank.All += r.Proxies
+		rank.Total += r.Proxies
 	}
 	if own < 0 {
-		return backpressure.Rank{Place: rank.All, Near: rank.Near, All: rank.All}
+		return backpressure.ProxyRank{Position: rank.Total, InRegion: rank.InRegion, Total: rank.Total}
 	}
-	rank.Place = own
+	rank.Position = own
 	if self.Region == server {
 		return rank
 	}
-	rank.Place += rank.Near
+	rank.Position += rank.InRegion
 	for _, r := range k.regions {
 		if r.Name == self.Region {
 			break
 		}
 		if r.Name != server {
-			rank.Place += r.Proxies
+			rank.Position += r.Proxies
 		}
 	}
 	return rank
@@ -108,8 +110,8 @@
 
 // observeSignal tells of the limit that a server names from now on. That it leaves is told
 // with the other reasons for it.
-func (k *Kernel) observeSignal(n backpressure.Notice) {
-	if n.Change != backpressure.ChangeLimit {
+func (k *Kernel) observeSignal(n backpressure.Event) {
+	if n.Type != backpressure.EventLimit {
 		return
 	}
 	for _, r := range k.regions {
--- a/internal/kernel/quarantine/breaks.go
+++ b/internal/kernel/quarantine/breaks.go
@@ -20,19 +20,19 @@
 	// breaks are the servers at which exchanges broke and of which it is not known
 	// whether they have ended. A cut connection, a spoilt answer or a partition
 	// breaks exchanges as an end does, but the server answers others afterwards.
-	breaks map[Server]*broken
+	breaks map[InstanceID]*broken
 
 	broken struct {
 		// at is when the last exchange broke.
 		at    time.Time
-		works []Work
+		works []Fingerprint
 		// answered is set once the server has answered a later request.
 		answered bool
 		dials    int
 	}
 )
 
-func (b breaks) add(now time.Time, w Work, s Server) {
+func (b breaks) add(now time.Time, w Fingerprint, s InstanceID) {
 	k := b[s]
 	if k == nil || k.answered {
 		k = &broken{}
@@ -44,7 +44,7 @@
 	}
 }
 
-func (b breaks) answered(s Server, sent time.Time) {
+func (b breaks) answered(s InstanceID, sent time.Time) {
 	if k := b[s]; k != nil && sent.After(k.at) {
 		k.answered = true
 	}
@@ -58,15 +58,15 @@
 	}
 }
 
-// Awaits reports whether exchanges broke at a server of which it is not known yet whether
+// HasPendingLoss reports whether exchanges broke at a server of which it is not known yet whether
 // it has ended.
-func (l *Ledger) Awaits(s Server) bool { return l.breaks[s] != nil }
+func (l *Tracker) HasPendingLoss(s InstanceID) bool { return l.breaks[s] != nil }
 
-// Doubtful lists the servers that should be dialled: exchanges broke there, and nothing
+// ServersToProbe lists the servers that should be dialled: exchanges broke there, and nothing
 // was heard of them since.
-func (l *Ledger) Doubtful() []Server {
+func (l *Tracker) ServersToProbe() []InstanceID {
 	l.doubtful = false
-	var list []Server
+	var list []InstanceID
 	for s, b := range l.breaks {
 		if !b.answered && b.dials < dialsMost {
 			b.dials++
--- a/internal/kernel/quarantine/ledger.go
+++ b/internal/kernel/quarantine/ledger.go
@@ -12,13 +12,13 @@
 	// endsToSuspect is from how many ends on a work runs once at a time at each proxy
 	// and is not sent again: what it ends then is found out before the next run.
 	endsToSuspect = 2
-	// EndsToCondemn is the operators' bound on the servers that one work may end.
-	EndsToCondemn = 3
-	// BreaksMost is after how many broken exchanges a request is not sent again: whether
+	// DefaultThreshold is the operators' bound on the servers that one work may end.
+	DefaultThreshold = 3
+	// MaxConnectionLosses is after how many broken exchanges a request is not sent again: whether
 	// those servers have ended is known only some time later.
-	BreaksMost = 2
-	// AwayMost bounds the time that a caller of refused work is told to stay away.
-	AwayMost = time.Minute
+	MaxConnectionLosses = 2
+	// MaxRetryAfter bounds the time that a caller of refused work is told to stay away.
+	MaxRetryAfter = time.Minute
 	// worksMost bounds the works that are kept; a failure domain that is lost makes
 	// thousands, nearly all with one end.
 	worksMost    = 512
@@ -29,64 +29,64 @@
 
 const (
 	// Clear works run as any other.
-	Clear Ruling = iota
+	Clear Status = iota
 	// Suspected works were there at the ends of servers, and may run once at a time.
 	Suspected
 	// Busy works are suspected and running at this proxy.
 	Busy
-	// Condemned works must not run.
-	Condemned
+	// Quarantined works must not run.
+	Quarantined
 )
 
 const (
-	// ChangeEnded tells of a server that has ended, and of the works that were there.
-	ChangeEnded Change = "server-ended"
-	// ChangeSuspected tells of a work that was there at the ends of more than one server.
-	ChangeSuspected Change = "work-suspected"
-	// ChangeCondemned tells of a work that is refused from now on.
-	ChangeCondemned Change = "work-condemned"
-	// ChangeCleared tells of a work that ran well after servers had ended with it.
-	ChangeCleared Change = "work-cleared"
+	// EventServerCrashed tells of a server that has ended, and of the works that were there.
+	EventServerCrashed EventType = "server-ended"
+	// EventSuspected tells of a work that was there at the ends of more than one server.
+	EventSuspected EventType = "work-suspected"
+	// EventQuarantined tells of a work that is refused from now on.
+	EventQuarantined EventType = "work-condemned"
+	// EventCleared tells of a work that ran well after servers had ended with it.
+	EventCleared EventType = "work-cleared"
 )
 
 type (
-	// Ruling is what may be done with a work.
-	Ruling uint8
+	// Status is what may be done with a work.
+	Status uint8
 
-	// Change names what has become of a work.
-	Change string
+	// EventType names what has become of a work.
+	EventType string
 
-	// Notice tells of a change.
-	Notice struct {
-		Change Change
-		Work   Work
-		// Ends counts those since the work last ran well.
-		Ends int
+	// Event tells of a change.
+	Event struct {
+		Type        EventType
+		Fingerprint Fingerprint
+		// Crashes counts those since the work last ran well.
+		Crashes int
 		// Server is the one that ended, with Works there.
-		Server Server
-		Works  []Work
+		Server       InstanceID
+		Fingerprints []Fingerprint
 	}
 
-	// Server names one start of a server.
-	Server uint64
+	// InstanceID names one start of a server.
+	InstanceID uint64
 
-	// Ledger is what one proxy knows of works and the ends of servers. It is not safe
+	// Tracker is what one proxy knows of works and the ends of servers. It is not safe
 	// for use by several goroutines at once. Its moments are of the caller's steady
 	// clock.
-	Ledger struct {
-		// Condemn is from how many ends on a work is refused.
-		Condemn int
-		// Rank is this proxy's place among all in the order of a work's trials. It is
+	Tracker struct {
+		// Threshold is from how many ends on a work is refused.
+		Threshold int
+		// TrialRank is this proxy's place among all in the order of a work's trials. It is
 		// asked for condemned work only.
-		Rank func(Work) int
-		// Observe is told of changes.
-		Observe func(Notice)
+		TrialRank func(Fingerprint) int
+		// OnEvent is told of changes.
+		OnEvent func(Event)
 
-		works  map[Work]*record
+		works  map[Fingerprint]*record
 		breaks breaks
 		runs   runs
 		// suspects are the works with enough ends to be suspected, explained or not.
-		suspects []Work
+		suspects []Fingerprint
 		// urgent is set by news that other proxies should hear at once.
 		urgent bool
 		// doubtful is set by breaks at servers that have not been dialled since.
@@ -94,29 +94,29 @@
 	}
 )
 
-// NewLedger makes a ledger that knows nothing.
-func NewLedger() *Ledger {
-	return &Ledger{
-		Condemn: EndsToCondemn,
-		Rank:    func(Work) int { return 0 },
-		Observe: func(Notice) {},
-		works:   make(map[Work]*record), breaks: make(breaks), runs: newRuns(),
+// NewTracker makes a ledger that knows nothing.
+func NewTracker() *Tracker {
+	return &Tracker{
+		Threshold: DefaultThreshold,
+		TrialRank: func(Fingerprint) int { return 0 },
+		OnEvent:   func(Event) {},
+		works:     make(map[Fingerprint]*record), breaks: make(breaks), runs: newRuns(),
 	}
 }
 
-// ServerOf names a start of a server, the same at all proxies.
-func ServerOf(id string, started time.Time) Server {
+// NewInstanceID names a start of a server, the same at all proxies.
+func NewInstanceID(id string, started time.Time) InstanceID {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(id))
 	if !started.IsZero() {
 		_, _ = hash.Write(strconv.AppendInt([]byte{0}, started.UnixMilli(), 10))
 	}
-	return Server(hash.Sum64())
+	return InstanceID(hash.Sum64())
 }
 
-// Rule says whether a work may run now. For a condemned work, it tells how long it is
+// Status says whether a work may run now. For a condemned work, it tells how long it is
 // refused.
-func (l *Ledger) Rule(now time.Time, w Work) (Ruling, time.Duration) {
+func (l *Tracker) Status(now time.Time, w Fingerprint) (Status, time.Duration) {
 	r := l.works[w]
 	if r == nil {
 		return Clear, 0
@@ -125,10 +125,10 @@
 	if n < endsToSuspect {
 		return Clear, 0
 	}
-	if n >= l.Condemn {
-		last, t := r.term(l.Condemn)
-		if left := last.Add(t.refused + time.Duration(l.Rank(w))*t.step).Sub(now); left > 0 {
-			return Condemned, left
+	if n >= l.Threshold {
+		last, t := r.term(l.Threshold)
+		if left := last.Add(t.refused + time.Duration(l.TrialRank(w))*t.step).Sub(now); left > 0 {
+			return Quarantined, left
 		}
 	}
 	if l.runs.now[w] > 0 {
@@ -137,19 +137,19 @@
 	return Suspected, 0
 }
 
-// Started notes that a work is sent to a server.
-func (l *Ledger) Started(w Work) { l.runs.now[w]++ }
+// RecordStart notes that a work is sent to a server.
+func (l *Tracker) RecordStart(w Fingerprint) { l.runs.now[w]++ }
 
-// Stopped notes that the exchange has ended, however.
-func (l *Ledger) Stopped(w Work) {
+// RecordStop notes that the exchange has ended, however.
+func (l *Tracker) RecordStop(w Fingerprint) {
 	if l.runs.now[w]--; l.runs.now[w] <= 0 {
 		delete(l.runs.now, w)
 	}
 }
 
-// RanWell notes that a server answered a work: none of the ends so far was its doing.
-func (l *Ledger) RanWell(now time.Time, w Work) {
-	if w.None() {
+// RecordSuccess notes that a server answered a work: none of the ends so far was its doing.
+func (l *Tracker) RecordSuccess(now time.Time, w Fingerprint) {
+	if w.IsEmpty() {
 		return
 	}
 	l.runs.well(now, w)
@@ -165,45 +165,45 @@
 	l.hasChanged(now, w, r)
 	if suspected {
 		l.urgent = true
-		l.Observe(Notice{Change: ChangeCleared, Work: w})
+		l.OnEvent(Event{Type: EventCleared, Fingerprint: w})
 	}
 }
 
-// Broke notes that an exchange broke while a server had the work. Whether the server
+// RecordConnectionLoss notes that an exchange broke while a server had the work. Whether the server
 // has ended is not known yet.
-func (l *Ledger) Broke(now time.Time, w Work, s Server) {
-	if !w.None() {
+func (l *Tracker) RecordConnectionLoss(now time.Time, w Fingerprint, s InstanceID) {
+	if !w.IsEmpty() {
 		l.breaks.add(now, w, s)
 		l.doubtful = true
 	}
 }
 
-// Answered notes an answer to a request that was sent to a server at a moment: it has
+// RecordResponse notes an answer to a request that was sent to a server at a moment: it has
 // not ended before.
-func (l *Ledger) Answered(s Server, sent time.Time) { l.breaks.answered(s, sent) }
+func (l *Tracker) RecordResponse(s InstanceID, sent time.Time) { l.breaks.answered(s, sent) }
 
-// HasEnded notes a sign that a server is gone: nothing listens where it was, or its
+// RecordServerGone notes a sign that a server is gone: nothing listens where it was, or its
 // registration ran out. The works whose exchanges broke there were there at its end.
-func (l *Ledger) HasEnded(now time.Time, s Server) {
+func (l *Tracker) RecordServerGone(now time.Time, s InstanceID) {
 	if b := l.breaks[s]; b != nil && !b.answered {
 		l.charge(now, s, b)
 	}
 }
 
-// HasRestarted notes that a server has started again under its id, so that answers of
+// RecordServerRestart notes that a server has started again under its id, so that answers of
 // the later start may have been taken for the earlier one's.
-func (l *Ledger) HasRestarted(now time.Time, s Server) {
+func (l *Tracker) RecordServerRestart(now time.Time, s InstanceID) {
 	if b := l.breaks[s]; b != nil {
 		l.charge(now, s, b)
 	}
 }
 
-func (l *Ledger) charge(now time.Time, s Server, b *broken) {
+func (l *Tracker) charge(now time.Time, s InstanceID, b *broken) {
 	delete(l.breaks, s)
 	if now.Sub(b.at) > breakFor {
 		return
 	}
-	l.Observe(Notice{Change: ChangeEnded, Server: s, Works: b.works})
+	l.OnEvent(Event{Type: EventServerCrashed, Server: s, Fingerprints: b.works})
 	for _, w := range b.works {
 		if l.runs.wellSince(w, b.at) {
 			continue
@@ -216,7 +216,7 @@
 
 // add takes an end into a work's record and reports whether that tells anything new
 // against or for the work.
-func (l *Ledger) add(now time.Time, w Work, e end) bool {
+func (l *Tracker) add(now time.Time, w Fingerprint, e end) bool {
 	r := l.works[w]
 	if r == nil {
 		l.makeRoom()
@@ -241,7 +241,7 @@
 	return true
 }
 
-func (l *Ledger) hasChanged(now time.Time, w Work, r *record) {
+func (l *Tracker) hasChanged(now time.Time, w Fingerprint, r *record) {
 	r.changed = now
 	i := slices.Index(l.suspects, w)
 	switch enough := r.open() >= endsToSuspect; {
@@ -254,15 +254,15 @@
 
 // announce tells of works that are suspected or condemned since it last did. It comes
 // some time after the ends, when those of other works at the same servers are known too.
-func (l *Ledger) announce() {
+func (l *Tracker) announce() {
 	for _, w := range l.suspects {
 		r := l.works[w]
 		n := l.weight(w, r)
 		switch {
-		case n >= l.Condemn && r.told < l.Condemn:
-			l.Observe(Notice{Change: ChangeCondemned, Work: w, Ends: n})
+		case n >= l.Threshold && r.told < l.Threshold:
+			l.OnEvent(Event{Type: EventQuarantined, Fingerprint: w, Crashes: n})
 		case n == endsToSuspect && r.told < n:
-			l.Observe(Notice{Change: ChangeSuspected, Work: w, Ends: n})
+			l.OnEvent(Event{Type: EventSuspected, Fingerprint: w, Crashes: n})
 		}
 		r.told = n
 	}
@@ -271,7 +271,7 @@
 // makeRoom drops some of the works that matter least if there are too many: those with
 // the fewest ends, of them those that changed first. Several go at once: a region that is
 // lost brings thousands within a second.
-func (l *Ledger) makeRoom() {
+func (l *Tracker) makeRoom() {
 	if len(l.works) < worksMost {
 		return
 	}
@@ -282,19 +282,19 @@
 	}
 }
 
-func (l *Ledger) drop(w Work) {
+func (l *Tracker) drop(w Fingerprint) {
 	delete(l.works, w)
-	l.suspects = slices.DeleteFunc(l.suspects, func(c Work) bool { return c == w })
+	l.suspects = slices.DeleteFunc(l.suspects, func(c Fingerprint) bool { return c == w })
 }
 
 // Tick drops what no longer counts.
-func (l *Ledger) Tick(now time.Time) {
+func (l *Tracker) Tick(now time.Time) {
 	l.breaks.expire(now)
 	l.announce()
 	for w, r := range l.works {
 		last := r.changed
-		if r.open() >= l.Condemn {
-			end, t := r.term(l.Condemn)
+		if r.open() >= l.Threshold {
+			end, t := r.term(l.Threshold)
 			last = end.Add(t.refused)
 		}
 		if now.Sub(last) > keepFor {
--- a/internal/kernel/quarantine/record.go
+++ b/internal/kernel/quarantine/record.go
@@ -9,7 +9,7 @@
 const (
 	// endsMost bounds the ends that are kept for each work, endsFirst of them the first.
 	endsMost  = 8
-	endsFirst = EndsToCondemn
+	endsFirst = DefaultThreshold
 	// newsWithin is how long news of an end may be under way. Ends later than that after a
 	// work was condemned are those of trials.
 	newsWithin = 4 * time.Second
@@ -39,7 +39,7 @@
 
 	// end is a server's end with the work there.
 	end struct {
-		server Server
+		server InstanceID
 		at     time.Time
 		// cleared is set once the work has run well after it.
 		cleared bool
@@ -82,7 +82,7 @@
 }
 
 // has reports whether an end counts against the work.
-func (r *record) has(s Server) bool {
+func (r *record) has(s InstanceID) bool {
 	return slices.ContainsFunc(r.ends, func(e end) bool { return e.server == s && !e.cleared })
 }
 
--- a/internal/kernel/quarantine/report.go
+++ b/internal/kernel/quarantine/report.go
@@ -18,23 +18,23 @@
 type (
 	// Report is what a proxy tells others of a work.
 	Report struct {
-		Work Work  `json:"work"`
-		Ends []End `json:"ends"`
-		// RanWell is set if any proxy has seen the work run well.
-		RanWell bool `json:"ran-well,omitempty"`
+		Fingerprint Fingerprint `json:"work"`
+		Crashes     []Crash     `json:"ends"`
+		// Succeeded is set if any proxy has seen the work run well.
+		Succeeded bool `json:"ran-well,omitempty"`
 	}
 
-	// End is a server's end with the work there. Its age is told, since clocks differ.
-	End struct {
-		Server  Server        `json:"server"`
+	// Crash is a server's end with the work there. Its age is told, since clocks differ.
+	Crash struct {
+		Server  InstanceID    `json:"server"`
 		Age     time.Duration `json:"age"`
 		Cleared bool          `json:"cleared,omitempty"`
 	}
 )
 
-// Open counts the ends since the work last ran well.
-func (r Report) Open() (n int) {
-	for _, e := range r.Ends {
+// UnclearedCrashes counts the ends since the work last ran well.
+func (r Report) UnclearedCrashes() (n int) {
+	for _, e := range r.Crashes {
 		if !e.Cleared {
 			n++
 		}
@@ -45,13 +45,13 @@
 // Reports lists what peers should hear: what has changed of late, and of the rest what
 // is condemned, in case they have missed it. all adds the other works with ends, for a
 // proxy that knows nothing yet.
-func (l *Ledger) Reports(now time.Time, all bool) []Report {
-	var news, standing []Work
+func (l *Tracker) Reports(now time.Time, all bool) []Report {
+	var news, standing []Fingerprint
 	for w, r := range l.works {
 		switch {
 		case now.Sub(r.changed) < newsFor:
 			news = append(news, w)
-		case all && r.open() > 0 || r.open() >= l.Condemn:
+		case all && r.open() > 0 || r.open() >= l.Threshold:
 			standing = append(standing, w)
 		}
 	}
@@ -69,39 +69,39 @@
 	return reports
 }
 
-func (l *Ledger) weightiestFirst(list []Work) {
-	slices.SortFunc(list, func(a, b Work) int {
+func (l *Tracker) weightiestFirst(list []Fingerprint) {
+	slices.SortFunc(list, func(a, b Fingerprint) int {
 		x, y := l.works[a], l.works[b]
 		return cmp.Or(cmp.Compare(y.open(), x.open()), y.changed.Compare(x.changed), slices.Compare(a[:], b[:]))
 	})
 }
 
-func (l *Ledger) report(now time.Time, w Work) Report {
-	r := Report{Work: w, RanWell: l.works[w].ranWell}
+func (l *Tracker) report(now time.Time, w Fingerprint) Report {
+	r := Report{Fingerprint: w, Succeeded: l.works[w].ranWell}
 	for _, e := range l.works[w].ends {
-		r.Ends = append(r.Ends, End{Server: e.server, Age: now.Sub(e.at), Cleared: e.cleared})
+		r.Crashes = append(r.Crashes, Crash{Server: e.server, Age: now.Sub(e.at), Cleared: e.cleared})
 	}
 	return r
 }
 
-// Hear takes in a peer's reports and reports whether they told anything new, which is
+// Merge takes in a peer's reports and reports whether they told anything new, which is
 // then urgent for others: each proxy passes each piece of news on once.
-func (l *Ledger) Hear(now time.Time, reports []Report) (news bool) {
+func (l *Tracker) Merge(now time.Time, reports []Report) (news bool) {
 	for _, r := range reports {
 		changed := false
-		for _, e := range r.Ends {
+		for _, e := range r.Crashes {
 			at := now.Add(-e.Age)
-			changed = l.add(now, r.Work, end{server: e.Server, at: at, cleared: e.Cleared || l.runs.wellSince(r.Work, at)}) || changed
+			changed = l.add(now, r.Fingerprint, end{server: e.Server, at: at, cleared: e.Cleared || l.runs.wellSince(r.Fingerprint, at)}) || changed
 		}
-		own := l.works[r.Work]
+		own := l.works[r.Fingerprint]
 		if own == nil {
 			continue
 		}
-		if own.lags(r) || own.ranWell && !r.RanWell {
+		if own.lags(r) || own.ranWell && !r.Succeeded {
 			// The peer has not heard that the work has run well.
 			own.changed = now
 		}
-		if r.RanWell && !own.ranWell {
+		if r.Succeeded && !own.ranWell {
 			own.ranWell, own.changed, changed = true, now, true
 		}
 		news = news || changed
@@ -112,26 +112,26 @@
 
 // lags reports whether an end counts at the peer that told it and is cleared here.
 func (r *record) lags(told Report) bool {
-	return slices.ContainsFunc(told.Ends, func(e End) bool {
+	return slices.ContainsFunc(told.Crashes, func(e Crash) bool {
 		return !e.Cleared && slices.ContainsFunc(r.ends, func(k end) bool { return k.server == e.Server && k.cleared })
 	})
 }
 
-// Stirred reports whether there is anything to find out or to tell at once.
-func (l *Ledger) Stirred() bool { return l.urgent || l.doubtful }
+// NeedsAttention reports whether there is anything to find out or to tell at once.
+func (l *Tracker) NeedsAttention() bool { return l.urgent || l.doubtful }
 
-// Urgent reports, once, whether there is news that others should hear at once.
-func (l *Ledger) Urgent() bool {
+// TakeUrgent reports, once, whether there is news that others should hear at once.
+func (l *Tracker) TakeUrgent() bool {
 	urgent := l.urgent
 	l.urgent = false
 	return urgent
 }
 
-// Condemnations lists the works that are condemned, also while they are tried.
-func (l *Ledger) Condemnations(now time.Time) []Report {
+// QuarantinedReports lists the works that are condemned, also while they are tried.
+func (l *Tracker) QuarantinedReports(now time.Time) []Report {
 	var list []Report
 	for _, w := range l.suspects {
-		if l.weight(w, l.works[w]) >= l.Condemn {
+		if l.weight(w, l.works[w]) >= l.Threshold {
 			list = append(list, l.report(now, w))
 		}
 	}
--- a/internal/kernel/quarantine/runs.go
+++ b/internal/kernel/quarantine/runs.go
@@ -13,19 +13,19 @@
 	// runs are the works that run now and those that ran well of late. Reports of ends
 	// come some time after: a work that has run well since must be known then.
 	runs struct {
-		now  map[Work]int
-		last map[Work]time.Time
+		now  map[Fingerprint]int
+		last map[Fingerprint]time.Time
 		// order lists the works of last in the order in which they came, from next on.
-		order []Work
+		order []Fingerprint
 		next  int
 	}
 )
 
 func newRuns() runs {
-	return runs{now: make(map[Work]int), last: make(map[Work]time.Time)}
+	return runs{now: make(map[Fingerprint]int), last: make(map[Fingerprint]time.Time)}
 }
 
-func (r *runs) well(now time.Time, w Work) {
+func (r *runs) well(now time.Time, w Fingerprint) {
 	if _, known := r.last[w]; !known {
 		if len(r.order) < wellMost {
 			r.order = append(r.order, w)
@@ -39,9 +39,9 @@
 }
 
 // known reports whether a work has run well at any moment that is remembered.
-func (r *runs) known(w Work) bool {
+func (r *runs) known(w Fingerprint) bool {
 	_, known := r.last[w]
 	return known
 }
 
-func (r *runs) wellSince(w Work, at time.Time) bool { return r.last[w].After(at) }
+func (r *runs) wellSince(w Fingerprint, at time.Time) bool { return r.last[w].After(at) }
--- a/internal/kernel/quarantine/story_test.go
+++ b/internal/kernel/quarantine/story_test.go
@@ -38,7 +38,7 @@
 )
 
 var (
-	rulings = map[Ruling]string{Clear: "clear", Suspected: "suspected", Busy: "busy", Condemned: "condemned"}
+	rulings = map[Status]string{Clear: "clear", Suspected: "suspected", Busy: "busy", Quarantined: "condemned"}
 )
 
 func TestStories(t *testing.T) {
@@ -67,13 +67,13 @@
 	}
 	start := time.Unix(1_000_000, 0)
 	now := start
-	ledgers := make(map[string]*Ledger)
-	of := func(name string) *Ledger {
+	ledgers := make(map[string]*Tracker)
+	of := func(name string) *Tracker {
 		if name == "" {
 			name = "a"
 		}
 		if ledgers[name] == nil {
-			ledgers[name] = NewLedger()
+			ledgers[name] = NewTracker()
 		}
 		return ledgers[name]
 	}
@@ -89,7 +89,7 @@
 			works = []string{""}
 		}
 		for _, w := range works {
-			play(t, i, now, of, step, WorkOf("GET", "host", w, "", nil))
+			play(t, i, now, of, step, NewFingerprint("GET", "host", w, "", nil))
 		}
 	}
 }
@@ -103,33 +103,33 @@
 	return d
 }
 
-func play(t *testing.T, i int, now time.Time, of func(string) *Ledger, s storyStep, w Work) {
+func play(t *testing.T, i int, now time.Time, of func(string) *Tracker, s storyStep, w Fingerprint) {
 	t.Helper()
-	l, server := of(s.Proxy), ServerOf(s.Server, time.Time{})
+	l, server := of(s.Proxy), NewInstanceID(s.Server, time.Time{})
 	switch s.Do {
 	case "started":
-		l.Started(w)
+		l.RecordStart(w)
 	case "stopped":
-		l.Stopped(w)
+		l.RecordStop(w)
 	case "broke":
-		l.Broke(now, w, server)
+		l.RecordConnectionLoss(now, w, server)
 	case "answered":
-		l.Answered(server, now.Add(-span(t, s.Sent)))
+		l.RecordResponse(server, now.Add(-span(t, s.Sent)))
 	case "ended":
-		l.HasEnded(now, server)
+		l.RecordServerGone(now, server)
 	case "restarted":
-		l.HasRestarted(now, server)
+		l.RecordServerRestart(now, server)
 	case "well":
-		l.RanWell(now, w)
+		l.RecordSuccess(now, w)
 	case "tick":
 		l.Tick(now)
 	case "tell":
-		of(s.To).Hear(now, l.Reports(now, false))
+		of(s.To).Merge(now, l.Reports(now, false))
 	case "tell-all":
-		of(s.To).Hear(now, l.Reports(now, true))
+		of(s.To).Merge(now, l.Reports(now, true))
 	case "rule":
-		l.Rank = func(Work) int { return s.Rank }
-		if got, _ := l.Rule(now, w); rulings[got] != s.Want {
+		l.TrialRank = func(Fingerprint) int { return s.Rank }
+		if got, _ := l.Status(now, w); rulings[got] != s.Want {
 			t.Errorf("step %d: got %s, want %s", i, rulings[got], s.Want)
 		}
 	default:
--- a/internal/kernel/quarantine/weight.go
+++ b/internal/kernel/quarantine/weight.go
@@ -14,7 +14,7 @@
 // weight counts the ends that speak against a work: those since it last ran well that
 // no likelier work explains. A work that ends servers takes dozens of sound requests with
 // it each time, and the most asked-for of them are there again and again.
-func (l *Ledger) weight(w Work, r *record) int {
+func (l *Tracker) weight(w Fingerprint, r *record) int {
 	all := r.open()
 	if all < endsToSuspect {
 		return all
@@ -29,8 +29,8 @@
 }
 
 // explained reports whether a likelier work was there at an end.
-func (l *Ledger) explained(w Work, r *record, s Server) bool {
-	return slices.ContainsFunc(l.suspects, func(o Work) bool {
+func (l *Tracker) explained(w Fingerprint, r *record, s InstanceID) bool {
+	return slices.ContainsFunc(l.suspects, func(o Fingerprint) bool {
 		other := l.works[o]
 		return o != w && l.likelier(other, r) && other.has(s)
 	})
@@ -40,10 +40,10 @@
 // One that has never run well comes before one that has: where all servers end within a
 // moment, what is asked for most was there at each end, and nothing runs well after it.
 // Else the one with more ends comes first, if it is condemned.
-func (l *Ledger) likelier(a, than *record) bool {
+func (l *Tracker) likelier(a, than *record) bool {
 	n, other := a.open(), than.open()
 	if a.ranWell != than.ranWell {
 		return than.ranWell && n*likelierTimes >= other
 	}
-	return n >= l.Condemn && n > other
+	return n >= l.Threshold && n > other
 }
--- a/internal/kernel/quarantine/work.go
+++ b/internal/kernel/quarantine/work.go
@@ -15,14 +15,14 @@
 )
 
 type (
-	// Work names what a server does for a request: two requests with the same method,
+	// Fingerprint names what a server does for a request: two requests with the same method,
 	// host, path, query, client account and body are the same work, whoever sends them
 	// and however often.
-	Work [workBytes]byte
+	Fingerprint [workBytes]byte
 )
 
-// WorkOf names the work of a request. target is the path with the query.
-func WorkOf(method, host, target, account string, body []byte) Work {
+// NewFingerprint names the work of a request. target is the path with the query.
+func NewFingerprint(method, host, target, account string, body []byte) Fingerprint {
 	digest := sha256.New()
 	for _, field := range []string{method, host, target, account} {
 		// The length before each field keeps two fields from passing for one.
@@ -30,26 +30,26 @@
 		_, _ = digest.Write([]byte(field))
 	}
 	_, _ = digest.Write(body)
-	return Work(digest.Sum(nil)[:workBytes])
+	return Fingerprint(digest.Sum(nil)[:workBytes])
 }
 
-// None reports whether the work of a request is not known.
-func (w Work) None() bool { return w == Work{} }
+// IsEmpty reports whether the work of a request is not known.
+func (w Fingerprint) IsEmpty() bool { return w == Fingerprint{} }
 
 // String is the name as operators see it, in hexadecimal digits.
-func (w Work) String() string {
-	if w.None() {
+func (w Fingerprint) String() string {
+	if w.IsEmpty() {
 		return ""
 	}
 	return hex.EncodeToString(w[:])
 }
 
 // MarshalText writes the name.
-func (w Work) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
+func (w Fingerprint) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
 
 // UnmarshalText reads a name.
-func (w *Work) UnmarshalText(text []byte) error {
-	*w = Work{}
+func (w *Fingerprint) UnmarshalText(text []byte) error {
+	*w = Fingerprint{}
 	if len(text) == 0 {
 		return nil
 	}
--- a/internal/kernel/steering/ask.go
+++ b/internal/kernel/steering/ask.go
@@ -124,7 +124,7 @@
 		// The place, if there is one, is given back: the owner's answer may be lost.
 		release := f.release(0)
 		s.inFlight--
-		k.quarantine.Stopped(f.Work)
+		k.quarantine.RecordStop(f.Work)
 		f.note(Event{
 			At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(f.steps)/2 + 1, Result: Refused,
 			Expected: f.expected, Took: now.Sub(f.sentAt), Load: float64(r.Running + r.Waiting),
@@ -137,7 +137,7 @@
 		// Its key was taken away while the request waited.
 		release := f.release(0)
 		s.inFlight--
-		k.quarantine.Stopped(f.Work)
+		k.quarantine.RecordStop(f.Work)
 		d := k.giveUp(now, f, reason)
 		d.Release = release
 		return d
@@ -146,7 +146,7 @@
 		// The server has begun to leave, to pause or to be cold while the request waited.
 		release := f.release(0)
 		s.inFlight--
-		k.quarantine.Stopped(f.Work)
+		k.quarantine.RecordStop(f.Work)
 		f.tried = append(f.tried, s)
 		d := k.send(now, f)
 		d.Release = release
@@ -165,13 +165,13 @@
 func (k *Kernel) learnGate(now time.Time, f *Flight, s *server, g *service, r Reply) {
 	s.report(now, r.Running, r.Waiting)
 	k.feel(now, f, s, float64(r.Waiting))
-	s.limit = r.Limit.Most
+	s.limit = r.Limit.Max
 	g.holding.adopt(r.Limit)
 	switch {
 	case !r.Whole:
 		g.holding.own = later(g.holding.own, now.Add(holdFor))
 		k.hold(now, g, holdFor)
-	case r.Sound && g.holding.limits[s.Slots].Most >= s.Slots:
+	case r.Sound && g.holding.limits[s.Slots].Max >= s.Slots:
 		k.clear(now, g)
 	}
 }
--- a/internal/kernel/steering/choose.go
+++ b/internal/kernel/steering/choose.go
@@ -81,7 +81,7 @@
 		best = k.chooseAmong(now, f, g, homes, g.servers)
 	}
 	if best.server != nil && best.server.isCold(now) {
-		best.server.cold.Take(now)
+		best.server.cold.Record(now)
 	}
 	return best.server, best
 }
--- a/internal/kernel/steering/cold.go
+++ b/internal/kernel/steering/cold.go
@@ -29,7 +29,7 @@
 	if now.Sub(k.config.Joined) < joinFor {
 		return false
 	}
-	return s.cold.Room(now, k.coldShare(g, s))
+	return s.cold.HasRoom(now, k.coldShare(g, s))
 }
 
 // coldShare is this proxy's part of what a cold server bears. The nearest
@@ -39,23 +39,23 @@
 	if c == nil {
 		return 0
 	}
-	rate := admission.ColdRate{PerSecond: c.ColdPerSecond, Factor: k.config.ColdFactor, Slack: k.config.ColdSlack}
-	return rate.Share(k.rankAt(s).Place, len(k.sharers))
+	rate := admission.ColdStartRate{PerSecond: c.ColdPerSecond, Factor: k.config.ColdFactor, Slack: k.config.ColdSlack}
+	return rate.Share(k.rankAt(s).Position, len(k.sharers))
 }
 
 // rankAt is this proxy's place among all proxies at a server. It is kept for each failure
 // domain: all its servers are as near, and after a failure domain's return each choice asks
 // for hundreds of them.
-func (k *Kernel) rankAt(s *server) backpressure.Rank {
+func (k *Kernel) rankAt(s *server) backpressure.ProxyRank {
 	if rank, known := k.ranks[s.Domain]; known {
 		return rank
 	}
 	ordered := slices.Clone(k.sharers)
 	slices.SortStableFunc(ordered, func(a, b sharer) int { return farness(a.Proxy, s) - farness(b.Proxy, s) })
-	rank := backpressure.Rank{All: len(ordered), Place: slices.IndexFunc(ordered, func(p sharer) bool { return p.Name == k.config.Name })}
+	rank := backpressure.ProxyRank{Total: len(ordered), Position: slices.IndexFunc(ordered, func(p sharer) bool { return p.Name == k.config.Name })}
 	for _, p := range ordered {
 		if farness(p.Proxy, s) < farnessOther {
-			rank.Near++
+			rank.InRegion++
 		}
 	}
 	k.ranks[s.Domain] = rank
--- a/internal/kernel/steering/event.go
+++ b/internal/kernel/steering/event.go
@@ -23,11 +23,11 @@
 	// requests are no longer held back.
 	EventSound Kind = "no-longer-held-back"
 	// EventServerLimit marks a server that names a limit, another one, or none any more.
-	EventServerLimit = Kind(backpressure.ChangeLimit)
+	EventServerLimit = Kind(backpressure.EventLimit)
 	// EventServerPause marks a server that wants nothing from this proxy for a while.
-	EventServerPause = Kind(backpressure.ChangePause)
+	EventServerPause = Kind(backpressure.EventPause)
 	// EventServerLeaving marks a server that leaves by its own word.
-	EventServerLeaving = Kind(backpressure.ChangeLeaving)
+	EventServerLeaving = Kind(backpressure.EventDraining)
 	// EventServerOut marks a server passed over after failures.
 	EventServerOut Kind = "server-out"
 	// EventEvacuated marks a failure domain emptied or taken back.
@@ -36,13 +36,13 @@
 	// again: its callers count with the other regions, or no longer do.
 	EventStranded Kind = "region-without-proxies"
 	// EventServerEnded marks a server that has ended with requests of this proxy there.
-	EventServerEnded Kind = Kind(quarantine.ChangeEnded)
+	EventServerEnded Kind = Kind(quarantine.EventServerCrashed)
 	// EventWorkSuspected marks work that was there at the ends of more than one server.
-	EventWorkSuspected Kind = Kind(quarantine.ChangeSuspected)
+	EventWorkSuspected Kind = Kind(quarantine.EventSuspected)
 	// EventWorkCondemned marks work that is refused since servers ended with it.
-	EventWorkCondemned Kind = Kind(quarantine.ChangeCondemned)
+	EventWorkCondemned Kind = Kind(quarantine.EventQuarantined)
 	// EventWorkCleared marks work that ran well after servers had ended with it.
-	EventWorkCleared Kind = Kind(quarantine.ChangeCleared)
+	EventWorkCleared Kind = Kind(quarantine.EventCleared)
 	// EventSent marks a request sent to a server.
 	EventSent Kind = "request-sent"
 	// EventAttemptEnded marks the end of one attempt.
@@ -68,11 +68,11 @@
 		Server  string
 		Object  string
 		// Work names what a request asks a server to do.
-		Work quarantine.Work
+		Work quarantine.Fingerprint
 		// Ends counts the servers that have ended with the work there; Works are those
 		// that were there at a server's end.
 		Ends   int
-		Works  []quarantine.Work
+		Works  []quarantine.Fingerprint
 		Domain string
 		Region string
 		// Address is where a server that has started again was before.
--- a/internal/kernel/steering/failover.go
+++ b/internal/kernel/steering/failover.go
@@ -87,11 +87,11 @@
 		return 0
 	}
 	limit := s.asks.Limit(now)
-	if !limit.Named {
+	if !limit.Set {
 		return 1
 	}
 	// This proxy takes the others to see as much as it does.
-	usual := g.repeats.Rate(now) * float64(len(k.sharers)) * float64(s.Slots) / float64(max(1, g.slots))
+	usual := g.repeats.RequestRate(now) * float64(len(k.sharers)) * float64(s.Slots) / float64(max(1, g.slots))
 	if limit.PerSecond >= usual {
 		return 1
 	}
--- a/internal/kernel/steering/flight.go
+++ b/internal/kernel/steering/flight.go
@@ -86,14 +86,14 @@
 		if k.sheds(now, f, g, s) {
 			return nil, ReasonQueues
 		}
-		g.repeats.First(now)
+		g.repeats.RecordRequest(now)
 	}
-	k.quarantine.Started(f.Work)
+	k.quarantine.RecordStart(f.Work)
 	f.server, f.sentAt, f.expected, f.warm, f.load = s, now, pick.expected, pick.warm, s.load(now)
 	state := s.state(now)
 	s.inFlight++
 	s.turns++
-	s.asks.Sent(now)
+	s.asks.RecordSent(now)
 	f.note(Event{
 		At: now, Kind: EventSent, Server: s.id, Domain: s.Domain, Attempt: len(f.steps)/2 + 1, Expected: pick.expected,
 		Load: s.load(now), LoadAge: s.loadAge(now), Home: pick.home, Warm: pick.warm,
@@ -206,10 +206,10 @@
 	if f.mayHaveRun && !f.Route.Idempotent {
 		return false
 	}
-	if !k.on(MechanismRepeats) || f.sends >= f.Route.Attempts || f.dials >= sendsMost || f.breaks >= quarantine.BreaksMost || f.Until.Sub(now) < leastLeft {
+	if !k.on(MechanismRepeats) || f.sends >= f.Route.Attempts || f.dials >= sendsMost || f.breaks >= quarantine.MaxConnectionLosses || f.Until.Sub(now) < leastLeft {
 		return false
 	}
-	if !k.service(f.Service).repeats.Spend(now, len(k.sharers)) {
+	if !k.service(f.Service).repeats.TrySpend(now, len(k.sharers)) {
 		return false
 	}
 	if f.mayHaveRun && f.Account != nil {
--- a/internal/kernel/steering/gates.go
+++ b/internal/kernel/steering/gates.go
@@ -9,8 +9,8 @@
 type (
 	// gate is the queue before a server that this proxy owns.
 	gate struct {
-		admission.Gate
-		levels *admission.Concurrency
+		admission.Limiter
+		levels *admission.AdaptiveLimit
 		// used is when it last had a ticket.
 		used time.Time
 	}
@@ -36,16 +36,16 @@
 		k.gates[a.Server] = q
 	}
 	q.levels, q.used = h.levelsOf(s.Slots), now
-	limit := q.levels.Trial(now)
-	grant := q.Ask(now, a.Ticket, limit, a.Work)
+	limit := q.levels.NextLimit(now)
+	grant := q.Acquire(now, a.Ticket, limit, a.Work)
 	if grant.Rank > q.levels.Limit() {
-		q.levels.Tried(now)
+		q.levels.RecordProbe(now)
 	}
 	return q.reply(grant)
 }
 
 func (q *gate) reply(g admission.Grant) Reply {
-	r := Reply{Grant: g, Limit: q.levels.Learned(), Whole: q.levels.Whole(), Sound: q.levels.Sound()}
+	r := Reply{Grant: g, Limit: q.levels.Learned(), Whole: q.levels.AtMax(), Sound: q.levels.ConfirmedAtMax()}
 	r.Running, r.Waiting = q.Load()
 	return r
 }
@@ -53,7 +53,7 @@
 // next gives free places to those that wait.
 func (q *gate) next(now time.Time) []Reply {
 	var replies []Reply
-	for _, g := range q.Next(now, q.levels.Limit()) {
+	for _, g := range q.Dispatch(now, q.levels.Limit()) {
 		replies = append(replies, q.reply(g))
 	}
 	return replies
@@ -66,9 +66,9 @@
 	if q == nil {
 		return nil
 	}
-	q.GiveBack(r.From, r.ID)
+	q.Release(r.From, r.ID)
 	if r.Ratio > 0 {
-		q.levels.Heard(now, r.Rank, r.Ratio)
+		q.levels.Observe(now, r.Rank, r.Ratio)
 	}
 	return q.next(now)
 }
--- a/internal/kernel/steering/hold.go
+++ b/internal/kernel/steering/hold.go
@@ -31,7 +31,7 @@
 
 	// holding is whether requests of a service are held back.
 	holding struct {
-		suspicion admission.Suspicion
+		suspicion admission.SlowdownDetector
 		until     time.Time
 		// cleared is until when no suspicion counts, since the servers were found to
 		// be sound.
@@ -40,7 +40,7 @@
 		own time.Time
 		// levels learn for the gates that this proxy owns, limits are what was heard with
 		// the most evidence: by the slots of the servers.
-		levels map[int]*admission.Concurrency
+		levels map[int]*admission.AdaptiveLimit
 		limits map[int]admission.Limit
 	}
 )
@@ -92,7 +92,7 @@
 
 // adopt takes over a limit with more evidence than the own one.
 func (h *holding) adopt(l admission.Limit) {
-	if l.Slots < 1 || l.Evidence <= h.limits[l.Slots].Evidence {
+	if l.Slots < 1 || l.Samples <= h.limits[l.Slots].Samples {
 		return
 	}
 	if h.limits == nil {
@@ -105,15 +105,15 @@
 }
 
 // levelsOf learns for the gates before servers with a number of slots.
-func (h *holding) levelsOf(slots int) *admission.Concurrency {
+func (h *holding) levelsOf(slots int) *admission.AdaptiveLimit {
 	c := h.levels[slots]
 	if c != nil {
 		return c
 	}
 	if h.levels == nil {
-		h.levels = make(map[int]*admission.Concurrency)
+		h.levels = make(map[int]*admission.AdaptiveLimit)
 	}
-	c = admission.NewConcurrency(slots)
+	c = admission.NewAdaptiveLimit(slots)
 	c.Adopt(h.limits[slots])
 	h.levels[slots] = c
 	return c
@@ -148,8 +148,8 @@
 	queue := max(float64(a.Waiting), f.load+1-float64(s.Slots))
 	wait := time.Duration(max(0, queue) / float64(s.Slots) * float64(g.workOn(f.Route).typical(f.Route)))
 	h := &g.holding
-	h.suspicion.Heard(now, s.id, full, took-s.domain.roundTrip, alone+wait)
-	if h.suspicion.Arisen(now) {
+	h.suspicion.Observe(now, s.id, full, took-s.domain.roundTrip, alone+wait)
+	if h.suspicion.Detected(now) {
 		h.suspicion.Reset()
 		h.own = now.Add(measureFor)
 		k.hold(now, g, measureFor)
--- a/internal/kernel/steering/hold_test.go
+++ b/internal/kernel/steering/hold_test.go
@@ -22,7 +22,7 @@
 		k.SetProxies(now, list)
 		k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3})
 		k.Measured("north-a", time.Millisecond)
-		k.SetHolding(now, []Held{{Service: "service", Limit: admission.Limit{Slots: 3, Most: 2, Evidence: 100}}})
+		k.SetHolding(now, []Held{{Service: "service", Limit: admission.Limit{Slots: 3, Max: 2, Samples: 100}}})
 		fleet = append(fleet, k)
 	}
 	return fleet
@@ -226,7 +226,7 @@
 	if a.Owner.Name != owner.Name() {
 		owner = fleet[1]
 	}
-	if got := owner.HearAsk(now, a).Limit; got.Slots != 30 || got.Most != 30 {
+	if got := owner.HearAsk(now, a).Limit; got.Slots != 30 || got.Max != 30 {
 		t.Errorf("a server of 30 slots is limited to %+v", got)
 	}
 }
@@ -247,7 +247,7 @@
 			c.Off = []Mechanism{MechanismHold}
 		}
 		k := New(c)
-		k.SetHolding(now, []Held{{Service: "service", Limit: admission.Limit{Slots: 3, Most: 2, Evidence: 100}}})
+		k.SetHolding(now, []Held{{Service: "service", Limit: admission.Limit{Slots: 3, Max: 2, Samples: 100}}})
 		g := k.service("suspected")
 		f := &Flight{Route: &routing.Route{Name: "route", Sticky: true, Target: 100 * time.Millisecond}, Service: "suspected", warm: true}
 		for n := range 40 {
--- a/internal/kernel/steering/kernel.go
+++ b/internal/kernel/steering/kernel.go
@@ -105,16 +105,16 @@
 		end     time.Time
 		// ranks caches this proxy's rank at the servers of a failure domain, until the
 		// sharers change.
-		ranks map[string]backpressure.Rank
+		ranks map[string]backpressure.ProxyRank
 		// gates are those that this proxy owns, by server; grants are what the last
 		// tick has granted there.
 		gates  map[string]*gate
 		grants []Reply
 		// quarantine knows the work that ends servers. ownPlace is this proxy's place
 		// among the sharers.
-		quarantine *quarantine.Ledger
+		quarantine *quarantine.Tracker
 		// signals are what servers ask of their senders.
-		signals  *backpressure.Ledger
+		signals  *backpressure.Tracker
 		ownPlace int
 		// flights counts the requests so far.
 		flights uint64
@@ -151,19 +151,19 @@
 		services:  make(map[string]*service),
 		evacuated: make(map[string]bool),
 		distance:  make(map[string]*distance),
-		ranks:     make(map[string]backpressure.Rank),
+		ranks:     make(map[string]backpressure.ProxyRank),
 		gates:     make(map[string]*gate),
 		off:       make(map[Mechanism]bool),
 		regions:   regionsOf(c.RegionOf),
 		stranded:  make(map[string]*stranding),
 
-		quarantine: quarantine.NewLedger(), signals: backpressure.NewLedger(),
+		quarantine: quarantine.NewTracker(), signals: backpressure.NewTracker(),
 	}
 	k.limits = newLimits(k)
-	k.quarantine.Observe, k.quarantine.Rank = k.observeWork, k.trialRank
-	k.signals.Observe = k.observeSignal
+	k.quarantine.OnEvent, k.quarantine.TrialRank = k.observeWork, k.trialRank
+	k.signals.OnEvent = k.observeSignal
 	if c.EndsToCondemn > 0 {
-		k.quarantine.Condemn = c.EndsToCondemn
+		k.quarantine.Threshold = c.EndsToCondemn
 	}
 	for _, m := range c.Off {
 		k.off[m] = true
--- a/internal/kernel/steering/quarantine.go
+++ b/internal/kernel/steering/quarantine.go
@@ -24,14 +24,14 @@
 // each run may cost one more server and all that it has.
 func (k *Kernel) rule(now time.Time, f *Flight) Reason {
 	f.suspected = false
-	if f.Work.None() || !k.on(MechanismQuarantine) {
+	if f.Work.IsEmpty() || !k.on(MechanismQuarantine) {
 		return ReasonNone
 	}
-	ruling, left := k.quarantine.Rule(now, f.Work)
+	ruling, left := k.quarantine.Status(now, f.Work)
 	f.suspected = ruling != quarantine.Clear
 	switch {
-	case ruling == quarantine.Condemned:
-		f.away = min(left, quarantine.AwayMost)
+	case ruling == quarantine.Quarantined:
+		f.away = min(left, quarantine.MaxRetryAfter)
 		return ReasonEndsServers
 	case ruling == quarantine.Busy, ruling == quarantine.Suspected && f.breaks > 0:
 		return ReasonSuspected
@@ -41,7 +41,7 @@
 
 // trialRank is this proxy's place in the order in which proxies try refused work again,
 // another one for each work.
-func (k *Kernel) trialRank(w quarantine.Work) int {
+func (k *Kernel) trialRank(w quarantine.Fingerprint) int {
 	n := len(k.sharers)
 	if n == 0 {
 		return 0
@@ -75,7 +75,7 @@
 		best = k.reckon(now, f, s, nil)
 	}
 	if best.server != nil && best.server.isCold(now) {
-		best.server.cold.Take(now)
+		best.server.cold.Record(now)
 	}
 	return best.server, best
 }
@@ -84,38 +84,38 @@
 // the request's work.
 func (k *Kernel) learnEnd(now time.Time, f *Flight, s *server, a Attempt) {
 	q := k.quarantine
-	q.Stopped(f.Work)
+	q.RecordStop(f.Work)
 	switch a.Result {
 	case Answered, Failed, Refused:
-		q.Answered(s.start, f.sentAt)
+		q.RecordResponse(s.start, f.sentAt)
 		if a.Result == Answered && !a.Rejected {
 			// A server that fails or rejects a request may not have come to what
 			// ends it.
-			q.RanWell(now, f.Work)
+			q.RecordSuccess(now, f.Work)
 		}
 	case Broken:
 		f.breaks++
 		if s.takesRequests() && s.absentUntil.IsZero() {
 			// A server that leaves as planned may cut what it still has.
-			q.Broke(now, f.Work, s.start)
+			q.RecordConnectionLoss(now, f.Work, s.start)
 		}
 	case Mistaken:
-		q.HasEnded(now, s.start)
+		q.RecordServerGone(now, s.start)
 	case Unreachable:
 		if a.Refusing {
-			q.HasEnded(now, s.start)
+			q.RecordServerGone(now, s.start)
 		}
 	}
 }
 
 // Doubted lists the servers of which it must be found out whether they have ended.
 func (k *Kernel) Doubted() []routing.Server {
-	doubtful := k.quarantine.Doubtful()
+	doubtful := k.quarantine.ServersToProbe()
 	if len(doubtful) == 0 {
 		return nil
 	}
 	k.record(Call{Do: callDoubted})
-	wanted := make(map[quarantine.Server]bool, len(doubtful))
+	wanted := make(map[quarantine.InstanceID]bool, len(doubtful))
 	for _, s := range doubtful {
 		wanted[s] = true
 	}
@@ -132,7 +132,7 @@
 func (k *Kernel) Refusing(now time.Time, id string) {
 	k.record(Call{Do: callRefusing, At: now, ID: id})
 	if s := k.servers[id]; s != nil {
-		k.quarantine.HasEnded(now, s.start)
+		k.quarantine.RecordServerGone(now, s.start)
 		s.hasFailed(now, true)
 	}
 }
@@ -146,9 +146,9 @@
 // Condemned lists the work that is refused.
 func (k *Kernel) Condemned(now time.Time) []Condemnation {
 	var list []Condemnation
-	for _, r := range k.quarantine.Condemnations(now) {
-		_, left := k.quarantine.Rule(now, r.Work)
-		list = append(list, Condemnation{Report: r, Rank: k.trialRank(r.Work), For: left})
+	for _, r := range k.quarantine.QuarantinedReports(now) {
+		_, left := k.quarantine.Status(now, r.Fingerprint)
+		list = append(list, Condemnation{Report: r, Rank: k.trialRank(r.Fingerprint), For: left})
 	}
 	return list
 }
@@ -159,21 +159,21 @@
 		return
 	}
 	k.record(Call{Do: callSuspicions, At: now, Suspicions: list})
-	k.quarantine.Hear(now, list)
+	k.quarantine.Merge(now, list)
 }
 
 // Stirred reports whether there is anything about work that ends servers to find out or
 // to tell at once.
-func (k *Kernel) Stirred() bool { return k.quarantine.Stirred() }
+func (k *Kernel) Stirred() bool { return k.quarantine.NeedsAttention() }
 
 // SuspicionsUrgent reports, once, whether peers should hear of suspicions at once.
-func (k *Kernel) SuspicionsUrgent() bool { return k.quarantine.Urgent() }
+func (k *Kernel) SuspicionsUrgent() bool { return k.quarantine.TakeUrgent() }
 
 // observeWork tells of what has become of a work or of a server that had some.
-func (k *Kernel) observeWork(n quarantine.Notice) {
-	e := Event{Kind: Kind(n.Change), Work: n.Work, Ends: n.Ends, Works: n.Works}
+func (k *Kernel) observeWork(n quarantine.Event) {
+	e := Event{Kind: Kind(n.Type), Work: n.Fingerprint, Ends: n.Crashes, Works: n.Fingerprints}
 	for _, s := range k.servers {
-		if n.Change == quarantine.ChangeEnded && s.start == n.Server {
+		if n.Type == quarantine.EventServerCrashed && s.start == n.Server {
 			e.Server, e.Service = s.id, s.Service
 		}
 	}
--- a/internal/kernel/steering/quarantine_test.go
+++ b/internal/kernel/steering/quarantine_test.go
@@ -9,7 +9,7 @@
 )
 
 var (
-	deadlyWork = quarantine.WorkOf("GET", "host", "/a/deadly", "", nil)
+	deadlyWork = quarantine.NewFingerprint("GET", "host", "/a/deadly", "", nil)
 )
 
 // quarantineKernel knows six servers, one route with three attempts, and nothing else.
@@ -93,7 +93,7 @@
 	k.SetTable(routing.NewTable(2, []*routing.Route{{
 		Name: "route", Host: "host", Prefix: "/a/", Attempts: 1, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}},
 	}}, nil, routing.Limits{}))
-	for range quarantine.EndsToCondemn {
+	for range quarantine.DefaultThreshold {
 		if d := runDeadly(t, k, now); d.NotRun {
 			t.Errorf("a request whose server ended: %+v, want no word that it has not run", d)
 		}
@@ -105,10 +105,10 @@
 	now = now.Add(5 * time.Second)
 	runDeadly(t, k, now)
 	_, d = beginDeadly(k, now)
-	if !d.NotRun || d.Reason != ReasonEndsServers || d.ComeBack != quarantine.AwayMost {
-		t.Errorf("condemned after a trial: %+v, want it refused for %s", d, quarantine.AwayMost)
+	if !d.NotRun || d.Reason != ReasonEndsServers || d.ComeBack != quarantine.MaxRetryAfter {
+		t.Errorf("condemned after a trial: %+v, want it refused for %s", d, quarantine.MaxRetryAfter)
 	}
-	other := Request{ID: "r2", Host: "host", Path: "/a/sound", Object: "o", Work: quarantine.WorkOf("GET", "host", "/a/sound", "", nil), Deadline: now.Add(time.Second)}
+	other := Request{ID: "r2", Host: "host", Path: "/a/sound", Object: "o", Work: quarantine.NewFingerprint("GET", "host", "/a/sound", "", nil), Deadline: now.Add(time.Second)}
 	if _, d := k.Begin(now, other); d.Server == nil {
 		t.Errorf("other work for the same object: %+v, want it sent", d)
 	}
@@ -125,7 +125,7 @@
 	} {
 		now := time.Unix(1_000_000, 0)
 		k := quarantineKernel(now, false)
-		for range quarantine.EndsToCondemn + 1 {
+		for range quarantine.DefaultThreshold + 1 {
 			f, d := beginDeadly(k, now)
 			if d.Server == nil {
 				t.Fatalf("%s: refused: %+v", name, d)
@@ -149,7 +149,7 @@
 func TestRestartUnderAnIDIsAnEnd(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, false)
-	for range quarantine.EndsToCondemn {
+	for range quarantine.DefaultThreshold {
 		f, d := beginDeadly(k, now)
 		if d.Server == nil {
 			t.Fatalf("refused too soon: %+v", d)
@@ -176,7 +176,7 @@
 	} {
 		now := time.Unix(1_000_000, 0)
 		k := quarantineKernel(now, false)
-		for range quarantine.EndsToCondemn {
+		for range quarantine.DefaultThreshold {
 			f, d := beginDeadly(k, now)
 			if d.Server == nil {
 				t.Fatalf("%s: refused too soon: %+v", name, d)
--- a/internal/kernel/steering/request.go
+++ b/internal/kernel/steering/request.go
@@ -113,7 +113,7 @@
 		// Credential shows whose request it is.
 		Credential account.Credential
 		// Work names what a server would run.
-		Work quarantine.Work
+		Work quarantine.Fingerprint
 		// Deadline is when the caller stops waiting; zero if it did not say.
 		Deadline time.Time
 	}
--- a/internal/kernel/steering/server.go
+++ b/internal/kernel/steering/server.go
@@ -40,9 +40,9 @@
 		routing.Server
 		id string
 		// start names this start of the server in the quarantine.
-		start quarantine.Server
+		start quarantine.InstanceID
 		// asks is what this start of the server asks of its senders, nil for nothing.
-		asks   *backpressure.State
+		asks   *backpressure.ServerState
 		region string
 		// regionBit stands for the region in sets of them.
 		regionBit regionSet
@@ -68,7 +68,7 @@
 		limit     int
 		ownerLost time.Time
 		// pressure is how long its queue was of late, as heard at feltAt.
-		pressure admission.Pressure
+		pressure admission.QueuePressure
 		feltAt   time.Time
 		// alone is its work without a queue, by route, if it does not tell its
 		// load.
@@ -87,7 +87,7 @@
 		outUntil time.Time
 
 		coldUntil time.Time
-		cold      admission.Cold
+		cold      admission.ColdStartLimiter
 		// objects handled lately, with the time of the last answer.
 		objects map[string]time.Time
 	}
@@ -125,7 +125,7 @@
 // takesRequests reports whether the server is registered and does not leave, by its
 // registration or by its own word.
 func (s *server) takesRequests() bool {
-	return !s.gone && !s.Draining && !s.unreadable && !s.asks.Leaving()
+	return !s.gone && !s.Draining && !s.unreadable && !s.asks.Draining()
 }
 
 // startedAfter reports whether a registration is of an earlier start.
--- a/internal/kernel/steering/servers.go
+++ b/internal/kernel/steering/servers.go
@@ -20,13 +20,13 @@
 	}
 	if s != nil && !s.Started.IsZero() && r.Started.After(s.Started) {
 		k.config.Observe(Event{Kind: EventServerRestarted, Server: r.ID, Service: r.Service, Address: s.Address})
-		k.quarantine.HasRestarted(now, s.start)
+		k.quarantine.RecordServerRestart(now, s.start)
 		k.forgetServer(s)
 		s = nil
 	}
 	if s == nil {
-		start := quarantine.ServerOf(r.ID, r.Started)
-		s = &server{id: r.ID, start: start, asks: k.signals.Of(start), speed: 1}
+		start := quarantine.NewInstanceID(r.ID, r.Started)
+		s = &server{id: r.ID, start: start, asks: k.signals.State(start), speed: 1}
 		k.servers[r.ID] = s
 	}
 	moved := s.Service != r.Service || s.Slots != r.Slots || s.Draining != r.Draining || s.Domain != r.Domain || s.unreadable
@@ -73,7 +73,7 @@
 	if s == nil {
 		return
 	}
-	k.quarantine.HasEnded(now, s.start)
+	k.quarantine.RecordServerGone(now, s.start)
 	k.forgetServer(s)
 	k.config.Observe(Event{Kind: EventServerGone, Server: id, Service: s.Service})
 }
--- a/internal/kernel/steering/service.go
+++ b/internal/kernel/steering/service.go
@@ -19,7 +19,7 @@
 		stale   bool
 		// slots are those of all servers.
 		slots   int
-		repeats admission.Repeats
+		repeats admission.RetryBudget
 		holding holding
 		// work is how long the requests of each route take, by its name.
 		work  map[string]*workModel
@@ -33,7 +33,7 @@
 		// regions are the parts of the regions in requests without objects.
 		regions map[reach]*regionShares
 		// pressure is how long the queues are, by the servers' region.
-		pressure map[string]*admission.Pressure
+		pressure map[string]*admission.QueuePressure
 	}
 )
 
@@ -91,8 +91,8 @@
 			name: name, homes: make(map[reach]*placing.Homes), regions: make(map[reach]*regionShares), members: make(map[string]*server),
 			work:     make(map[string]*workModel),
 			ranking:  placing.NewRanking(),
-			pressure: make(map[string]*admission.Pressure),
-			repeats: admission.Repeats{
+			pressure: make(map[string]*admission.QueuePressure),
+			repeats: admission.RetryBudget{
 				Ratio: k.config.Retry.Ratio, Slack: k.config.Retry.Slack, Window: k.config.Retry.Window,
 			},
 		}
--- a/internal/kernel/steering/shed.go
+++ b/internal/kernel/steering/shed.go
@@ -31,12 +31,12 @@
 	g := k.service(s.Service)
 	p := g.pressure[s.region]
 	if p == nil {
-		p = &admission.Pressure{}
+		p = &admission.QueuePressure{}
 		g.pressure[s.region] = p
 	}
 	room := k.room(f, g, s)
-	p.Heard(now, waiting, room)
-	s.pressure.Heard(now, waiting, room)
+	p.Observe(now, waiting, room)
+	s.pressure.Observe(now, waiting, room)
 	s.feltAt = now
 }
 
@@ -62,7 +62,7 @@
 	case alone.warm > left:
 		return
 	case work <= left:
-		waiting = min(waiting, admission.ShedFrom*k.room(f, k.service(s.Service), s))
+		waiting = min(waiting, admission.ShedThreshold*k.room(f, k.service(s.Service), s))
 	}
 	k.feel(now, f, s, waiting)
 }
@@ -83,7 +83,7 @@
 		p = &s.pressure
 	}
 	f.pressure = p.Level(now)
-	share := p.Shed(now)
+	share := p.ShedRatio(now)
 	if f.priority() < k.leastUrgent[g.name] {
 		share = max(0, 2*share-1)
 	}
--- a/internal/kernel/steering/signals.go
+++ b/internal/kernel/steering/signals.go
@@ -15,7 +15,7 @@
 // hearSignal takes in what an attempt tells of what the server asks of its senders.
 func (k *Kernel) hearSignal(now time.Time, f *Flight, s *server, a Attempt) {
 	whole := a.Result == Answered || a.Result == Failed || a.Result == Refused
-	if w := k.signals.Heard(now, f.sentAt, s.start, a.Signal, whole); w != nil {
+	if w := k.signals.RecordSignal(now, f.sentAt, s.start, a.Signal, whole); w != nil {
 		s.asks = w
 	}
 }
@@ -29,26 +29,26 @@
 	if s.asks.Paused(now) {
 		return false
 	}
-	window, limited := s.asks.Window(now)
-	return !limited || s.asks.Room(now, k.limitShare(now, s, window))
+	window, limited := s.asks.RequestsPerWindow(now)
+	return !limited || s.asks.HasRoom(now, k.limitShare(now, s, window))
 }
 
 // permittedAt is when a server takes a request of this proxy again; false if that is not
 // known before it says otherwise.
 func (k *Kernel) permittedAt(now time.Time, s *server) (time.Time, bool) {
 	at := later(now, s.asks.PausedUntil())
-	window, limited := s.asks.Window(now)
+	window, limited := s.asks.RequestsPerWindow(now)
 	if !limited {
 		return at, true
 	}
-	room := s.asks.RoomAt(now, k.limitShare(now, s, window))
+	room := s.asks.NextAllowed(now, k.limitShare(now, s, window))
 	return later(at, room), !room.IsZero()
 }
 
 // StillPermits reports whether a request may still go to the server that it was placed at:
 // while a connection was opened, the server may have asked for a pause or begun to leave.
 func (k *Kernel) StillPermits(now time.Time, f *Flight) bool {
-	return !f.server.asks.Paused(now) && !f.server.asks.Leaving()
+	return !f.server.asks.Paused(now) && !f.server.asks.Draining()
 }
 
 // limitShare is this proxy's part of the requests that a server takes in a window. One that
@@ -111,11 +111,11 @@
 		return
 	}
 	k.record(Call{Do: callSignals, At: now, Signals: list})
-	if !k.signals.Hear(now, list) {
+	if !k.signals.Merge(now, list) {
 		return
 	}
 	for _, s := range k.servers {
-		if w := k.signals.Of(s.start); w != nil {
+		if w := k.signals.State(s.start); w != nil {
 			s.asks = w
 		}
 	}
@@ -123,12 +123,12 @@
 
 // observeSignal tells of what a server asks from now on, and lists the servers of its
 // service anew.
-func (k *Kernel) observeSignal(n backpressure.Notice) {
-	e := Event{Kind: Kind(n.Change), Limit: n.Limit, Took: n.Pause}
+func (k *Kernel) observeSignal(n backpressure.Event) {
+	e := Event{Kind: Kind(n.Type), Limit: n.Limit, Took: n.Pause}
 	for _, s := range k.servers {
 		if s.start == n.Server {
 			e.Server, e.Service = s.id, s.Service
-			k.service(s.Service).stale = k.service(s.Service).stale || n.Change == backpressure.ChangeLeaving
+			k.service(s.Service).stale = k.service(s.Service).stale || n.Type == backpressure.EventDraining
 		}
 	}
 	k.config.Observe(e)
--- a/internal/kernel/steering/signals_test.go
+++ b/internal/kernel/steering/signals_test.go
@@ -9,7 +9,7 @@
 )
 
 func limited(perSecond float64) backpressure.Signal {
-	return backpressure.Signal{Limit: backpressure.Limit{Named: true, PerSecond: perSecond}}
+	return backpressure.Signal{Limit: backpressure.Limit{Set: true, PerSecond: perSecond}}
 }
 
 // Guards against shares of a limit that add up to more than it, or leave a part to nobody.
@@ -77,7 +77,7 @@
 // Guards against a request that is sent to a server which has asked for a pause, or begun to
 // leave, while a connection was opened for it.
 func TestRequestIsWithheldIfTheServerAsksMeanwhile(t *testing.T) {
-	for name, signal := range map[string]backpressure.Signal{"pause": {Pause: 2 * time.Second}, "leaves": {Leaving: true}} {
+	for name, signal := range map[string]backpressure.Signal{"pause": {Pause: 2 * time.Second}, "leaves": {Draining: true}} {
 		now := time.Unix(1_000_000, 0)
 		k := quarantineKernel(now, false)
 		first, d := beginDeadly(k, now)
--- a/internal/kernel/steering/status.go
+++ b/internal/kernel/steering/status.go
@@ -76,9 +76,9 @@
 		s.InFlight += b.inFlight
 		s.Servers = append(s.Servers, ServerStatus{
 			ID: b.id, Service: b.Service, Domain: b.Domain, Slots: b.Slots, InFlight: b.inFlight,
-			Draining: b.Draining || b.asks.Leaving(), Absent: !b.absentUntil.IsZero(),
+			Draining: b.Draining || b.asks.Draining(), Absent: !b.absentUntil.IsZero(),
 			ColdFor: max(0, b.coldUntil.Sub(now)), OutFor: max(0, b.outUntil.Sub(now)),
-			Load: b.load(now), LoadAge: b.loadAge(now), Limit: b.asks.Limit(now), PausedFor: b.asks.PausedFor(now), Leaves: b.asks.Leaving(), Speed: b.speed, Failed: b.failed,
+			Load: b.load(now), LoadAge: b.loadAge(now), Limit: b.asks.Limit(now), PausedFor: b.asks.PauseRemaining(now), Leaves: b.asks.Draining(), Speed: b.speed, Failed: b.failed,
 		})
 	}
 	slices.SortFunc(s.Servers, func(a, b ServerStatus) int { return strings.Compare(a.Service+a.ID, b.Service+b.ID) })
--- a/internal/kernel/steering/story_test.go
+++ b/internal/kernel/steering/story_test.go
@@ -262,7 +262,7 @@
 		r.flights[s.Request] = f
 		r.check(i, s.Request, s.Want, d)
 	case s.End != "":
-		a := Attempt{Result: results[s.Result], Signal: backpressure.Signal{Leaving: s.Leaving}}
+		a := Attempt{Result: results[s.Result], Signal: backpressure.Signal{Draining: s.Leaving}}
 		if len(s.Load) == 2 {
 			a.Loaded, a.Running, a.Waiting = true, s.Load[0], s.Load[1]
 		}
--- a/internal/proxy/forward/face.go
+++ b/internal/proxy/forward/face.go
@@ -77,7 +77,7 @@
 		s.Servers = append(s.Servers, serverOf(b))
 	}
 	for _, c := range view.Condemned {
-		s.Condemned = append(s.Condemned, steeringhttp.CondemnedWork{Work: c.Work.String(), Ends: c.Open(), For: c.For.Round(time.Second).String()})
+		s.Condemned = append(s.Condemned, steeringhttp.CondemnedWork{Work: c.Fingerprint.String(), Ends: c.UnclearedCrashes(), For: c.For.Round(time.Second).String()})
 	}
 	s.Holders, s.Pool = view.Holders, view.Pool
 	for _, a := range view.Accounts {
@@ -103,7 +103,7 @@
 		ID: b.ID, Service: b.Service, Domain: b.Domain, State: steeringhttp.StateOf(b), InFlight: b.InFlight,
 		Slots: b.Slots, Load: b.Load, Speed: b.Speed, Failed: b.Failed, Leaves: b.Leaves,
 	}
-	if b.Limit.Named {
+	if b.Limit.Set {
 		out.Limit = &b.Limit.PerSecond
 	}
 	if b.PausedFor > 0 {
--- a/internal/proxy/forward/journal.go
+++ b/internal/proxy/forward/journal.go
@@ -118,7 +118,7 @@
 }
 
 // names lists works for the log, as many as a line bears.
-func names(works []quarantine.Work) string {
+func names(works []quarantine.Fingerprint) string {
 	list := make([]string, 0, worksInLine)
 	for _, w := range works[:min(len(works), worksInLine)] {
 		list = append(list, w.String())
--- a/internal/proxy/forward/keeper.go
+++ b/internal/proxy/forward/keeper.go
@@ -66,7 +66,7 @@
 // tells reports whether the entry says which services are held back, and how far.
 // How many answers speak for a limit changes all the time and is not worth a call.
 func (k *keeper) tells(held []steering.Held) bool {
-	return slices.EqualFunc(k.held, held, func(a, b steering.Held) bool { return a.Service == b.Service && a.Slots == b.Slots && a.Most == b.Most })
+	return slices.EqualFunc(k.held, held, func(a, b steering.Held) bool { return a.Service == b.Service && a.Slots == b.Slots && a.Max == b.Max })
 }
 
 // keep makes the call that is due, or the two of a new entry, and reports whether
--- a/internal/proxy/forward/meters.go
+++ b/internal/proxy/forward/meters.go
@@ -122,7 +122,7 @@
 			return n
 		})
 	}
-	m.set.NewGauge("gypsumquay_limited_servers", servers(func(b steering.ServerStatus) bool { return b.Limit.Named }))
+	m.set.NewGauge("gypsumquay_limited_servers", servers(func(b steering.ServerStatus) bool { return b.Limit.Set }))
 	m.set.NewGauge("gypsumquay_pausing_servers", servers(func(b steering.ServerStatus) bool { return b.PausedFor > 0 }))
 	m.set.NewGauge("gypsumquay_leaving_servers", servers(func(b steering.ServerStatus) bool { return b.Leaves }))
 	m.set.NewGauge("gypsumquay_regions_without_proxies", status(func(s steering.Status) float64 { return float64(len(s.Stranded)) }))
--- a/internal/proxy/forward/places_test.go
+++ b/internal/proxy/forward/places_test.go
@@ -15,7 +15,7 @@
 	d := f.daemons[from]
 	now := d.now()
 	return steering.Ask{
-		Owner: steering.Proxy{Name: f.daemons[owner].settings.Name}, Server: "s1", Limit: admission.Limit{Slots: 4, Most: 1, Evidence: 100},
+		Owner: steering.Proxy{Name: f.daemons[owner].settings.Name}, Server: "s1", Limit: admission.Limit{Slots: 4, Max: 1, Samples: 100},
 		Ticket: admission.Ticket{ID: id, From: d.settings.Name, Good: now.Add(time.Second), Last: now.Add(5 * time.Second), Until: now.Add(10 * time.Second)},
 	}
 }
@@ -109,7 +109,7 @@
 func TestLearnedLimitsOutliveTheProcess(t *testing.T) {
 	f := newFleet(t, 2)
 	f.knowEachOther()
-	held := []steering.Held{{Service: "service", Limit: admission.Limit{Slots: 4, Most: 2, Evidence: 50}}}
+	held := []steering.Held{{Service: "service", Limit: admission.Limit{Slots: 4, Max: 2, Samples: 50}}}
 	f.daemons[0].do(func(k *steering.Kernel, now time.Time) {
 		// A gate that says that fewer should run is a proxy's own sign.
 		k.SetHolding(now, held)
--- a/internal/proxy/forward/verdicts.go
+++ b/internal/proxy/forward/verdicts.go
@@ -41,11 +41,11 @@
 
 		mu sync.Mutex
 		// stored are the verdicts that are in the store, as far as is known.
-		stored map[quarantine.Work]bool
+		stored map[quarantine.Fingerprint]bool
 		// own are those that this proxy has stored.
-		own map[quarantine.Work]ownVerdict
+		own map[quarantine.Fingerprint]ownVerdict
 		// since is when this proxy first found work condemned that is not stored.
-		since map[quarantine.Work]time.Time
+		since map[quarantine.Fingerprint]time.Time
 	}
 
 	ownVerdict struct {
@@ -55,14 +55,14 @@
 
 	// verdict is the text of a stored verdict.
 	verdict struct {
-		Work quarantine.Work `json:"work"`
-		Ends []verdictEnd    `json:"ends"`
+		Work quarantine.Fingerprint `json:"work"`
+		Ends []verdictEnd           `json:"ends"`
 		// RanWell is set if the work had run well before.
 		RanWell bool `json:"ran-well,omitempty"`
 	}
 
 	verdictEnd struct {
-		Server quarantine.Server `json:"server"`
+		Server quarantine.InstanceID `json:"server"`
 		// AgeMilli is how long ago it was when the verdict was stored, in milliseconds.
 		AgeMilli int64 `json:"age-milli"`
 	}
@@ -70,15 +70,15 @@
 
 func newVerdicts(d *Daemon, s Store) *verdicts {
 	return &verdicts{
-		daemon: d, store: s, stored: make(map[quarantine.Work]bool),
-		own: make(map[quarantine.Work]ownVerdict), since: make(map[quarantine.Work]time.Time),
+		daemon: d, store: s, stored: make(map[quarantine.Fingerprint]bool),
+		own: make(map[quarantine.Fingerprint]ownVerdict), since: make(map[quarantine.Fingerprint]time.Time),
 	}
 }
 
 // hear takes in a stored verdict, or its end. An end clears nothing: a lease may have
 // run out.
 func (v *verdicts) hear(name string, e replica.Entry) {
-	var work quarantine.Work
+	var work quarantine.Fingerprint
 	if err := work.UnmarshalText([]byte(name)); err != nil {
 		v.daemon.feed.refused("verdict", name, err)
 		return
@@ -98,8 +98,8 @@
 	v.daemon.do(func(k *steering.Kernel, now time.Time) { k.HearSuspicions(now, []quarantine.Report{report}) })
 }
 
-func decodeVerdict(work quarantine.Work, data []byte) (quarantine.Report, error) {
-	r := quarantine.Report{Work: work}
+func decodeVerdict(work quarantine.Fingerprint, data []byte) (quarantine.Report, error) {
+	r := quarantine.Report{Fingerprint: work}
 	if err := operator.CheckSyntax(data); err != nil {
 		return r, err
 	}
@@ -110,12 +110,12 @@
 	if stored.Work != work {
 		return r, &operator.FieldError{Field: "work", Want: strconv.Quote(work.String()) + ", as in the key", Got: strconv.Quote(stored.Work.String())}
 	}
-	r.RanWell = stored.RanWell
+	r.Succeeded = stored.RanWell
 	for _, e := range stored.Ends {
 		if e.AgeMilli < 0 {
 			return r, &operator.FieldError{Field: "age-milli", Want: "0 or more", Got: strconv.FormatInt(e.AgeMilli, 10)}
 		}
-		r.Ends = append(r.Ends, quarantine.End{Server: e.Server, Age: time.Duration(e.AgeMilli) * time.Millisecond})
+		r.Crashes = append(r.Crashes, quarantine.Crash{Server: e.Server, Age: time.Duration(e.AgeMilli) * time.Millisecond})
 	}
 	return r, nil
 }
@@ -135,9 +135,9 @@
 // keep stores what is not stored, renews what this proxy has stored, and takes back what
 // is no longer condemned.
 func (v *verdicts) keep(ctx context.Context, list []steering.Condemnation) error {
-	condemned := make(map[quarantine.Work]bool, len(list))
+	condemned := make(map[quarantine.Fingerprint]bool, len(list))
 	for _, c := range list {
-		condemned[c.Work] = true
+		condemned[c.Fingerprint] = true
 		if !v.due(c) {
 			continue
 		}
@@ -159,19 +159,19 @@
 func (v *verdicts) due(c steering.Condemnation) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.stored[c.Work] {
-		delete(v.since, c.Work)
+	if v.stored[c.Fingerprint] {
+		delete(v.since, c.Fingerprint)
 		return false
 	}
 	now := v.daemon.now()
-	since, known := v.since[c.Work]
+	since, known := v.since[c.Fingerprint]
 	if !known {
-		v.since[c.Work], since = now, now
+		v.since[c.Fingerprint], since = now, now
 	}
 	return now.Sub(since) >= time.Duration(c.Rank)*verdictEvery
 }
 
-func (v *verdicts) forgetSince(condemned map[quarantine.Work]bool) {
+func (v *verdicts) forgetSince(condemned map[quarantine.Fingerprint]bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for work := range v.since {
@@ -182,8 +182,8 @@
 }
 
 func (v *verdicts) put(ctx context.Context, r quarantine.Report) error {
-	stored := verdict{Work: r.Work, RanWell: r.RanWell}
-	for _, e := range r.Ends {
+	stored := verdict{Work: r.Fingerprint, RanWell: r.Succeeded}
+	for _, e := range r.Crashes {
 		if !e.Cleared {
 			stored.Ends = append(stored.Ends, verdictEnd{Server: e.Server, AgeMilli: e.Age.Milliseconds()})
 		}
@@ -196,20 +196,20 @@
 	if err != nil {
 		return err
 	}
-	if err := v.store.Put(ctx, condemnedPrefix+r.Work.String(), data, lease); err != nil {
+	if err := v.store.Put(ctx, condemnedPrefix+r.Fingerprint.String(), data, lease); err != nil {
 		return err
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.stored[r.Work] = true
-	v.own[r.Work] = ownVerdict{lease: lease, renewed: v.daemon.now()}
+	v.stored[r.Fingerprint] = true
+	v.own[r.Fingerprint] = ownVerdict{lease: lease, renewed: v.daemon.now()}
 	return nil
 }
 
-func (v *verdicts) ownVerdicts() map[quarantine.Work]ownVerdict {
+func (v *verdicts) ownVerdicts() map[quarantine.Fingerprint]ownVerdict {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	list := make(map[quarantine.Work]ownVerdict, len(v.own))
+	list := make(map[quarantine.Fingerprint]ownVerdict, len(v.own))
 	for work, own := range v.own {
 		list[work] = own
 	}
@@ -218,7 +218,7 @@
 
 // follow renews or ends an own verdict's lease. One that the store no longer knows is
 // stored again by whoever is first to miss it.
-func (v *verdicts) follow(ctx context.Context, work quarantine.Work, own ownVerdict, condemned bool) error {
+func (v *verdicts) follow(ctx context.Context, work quarantine.Fingerprint, own ownVerdict, condemned bool) error {
 	now := v.daemon.now()
 	var err error
 	switch {
