--- a/internal/kernel/admission/admission_test.go
+++ b/internal/kernel/admission/admission_test.go
@@ -13,7 +13,7 @@
 // Servers fail half of their requests. If each of ten proxies repeated within
 // a budget of its own, the service would see ten budgets of repeats on top of
 // what already overloads it.
-func TestRepeatsOfAllProxiesStayWithinOneBudget(t *testing.T) {
+func TestRetriesOfAllProxiesStayWithinBudget(t *testing.T) {
 	const (
 		proxies = 10
 		ratio   = 0.2
@@ -25,13 +25,13 @@
 		budgets[i] = RetryBudget{Ratio: ratio, Slack: slack, Window: window}
 	}
 	r := rand.New(rand.NewPCG(1, 1))
-	var firsts, repeats []time.Time
+	var requests, retries []time.Time
 	for now := start; now.Before(start.Add(40 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		b := &budgets[r.IntN(proxies)]
 		b.RecordRequest(now)
-		firsts = append(firsts, now)
+		requests = append(requests, now)
 		if r.IntN(2) == 0 && b.TrySpend(now, proxies) {
-			repeats = append(repeats, now)
+			retries = append(retries, now)
 		}
 	}
 	count := func(list []time.Time, from time.Time) (n float64) {
@@ -43,19 +43,19 @@
 		return n
 	}
 	for from := start; from.Before(start.Add(30 * time.Second)); from = from.Add(time.Second) {
-		got, most := count(repeats, from), ratio*count(firsts, from)+slack
-		if got > most {
-			t.Errorf("%.0f repeats in the window from %s, want at most %.0f", got, from.Sub(start), most)
+		got, limit := count(retries, from), ratio*count(requests, from)+slack
+		if got > limit {
+			t.Errorf("%.0f repeats in the window from %s, want at most %.0f", got, from.Sub(start), limit)
 		}
 	}
-	if len(repeats) == 0 {
+	if len(retries) == 0 {
 		t.Error("no repeat was allowed at all")
 	}
 }
 
 // The clock of a suspended VM goes back. Repeats already counted must not be
 // forgotten, or the budget could be spent twice.
-func TestRepeatsSurviveAClockThatGoesBack(t *testing.T) {
+func TestRetryBudgetSurvivesClockGoingBack(t *testing.T) {
 	b := RetryBudget{Slack: 10, Window: 10 * time.Second}
 	n := 0
 	for b.TrySpend(start, 1) {
@@ -71,15 +71,15 @@
 
 // A server has just started and crashes if it gets much more than it bears.
 // All proxies learn of it at the same moment and each has callers waiting.
-func TestColdServerGetsNoMoreThanItBearsFromAllProxies(t *testing.T) {
+func TestColdStartRateHoldsOverAllProxies(t *testing.T) {
 	rate := ColdStartRate{PerSecond: 3.1, Factor: 1.5, Slack: 5}
 	for _, proxies := range []int{1, 2, 3, 7, 10, 66, 300} {
-		colds := make([]ColdStartLimiter, proxies)
+		limiters := make([]ColdStartLimiter, proxies)
 		var sent []time.Time
 		for now := start; now.Before(start.Add(3 * time.Second)); now = now.Add(5 * time.Millisecond) {
-			for i := range colds {
-				if colds[i].HasRoom(now, rate.Share(i, proxies)) {
-					colds[i].Record(now)
+			for i := range limiters {
+				if limiters[i].HasRoom(now, rate.Share(i, proxies)) {
+					limiters[i].Record(now)
 					sent = append(sent, now)
 				}
 			}
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestColdShareOfUnlistedProxyIsNone(t *testing.T) {
+func TestColdStartShareOfUnlistedProxyIsZero(t *testing.T) {
 	if got := (ColdStartRate{PerSecond: 10, Factor: 1}).Share(-1, 3); got != 0 {
 		t.Errorf("a proxy that is not listed may send %d, want 0", got)
 	}
--- a/internal/kernel/admission/concurrency_test.go
+++ b/internal/kernel/admission/concurrency_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// learn lets a service's servers be full for a while, whose work takes as long as
+// observeMany lets a service's servers be full for a while, whose work takes as long as
 // times tells for the request that begins as the rank-th.
-func learn(c *AdaptiveLimit, now *time.Time, answers int, times func(rank int) float64) {
-	for range answers {
+func observeMany(c *AdaptiveLimit, now *time.Time, responses int, ratio func(rank int) float64) {
+	for range responses {
 		*now = now.Add(100 * time.Millisecond)
 		rank := c.NextLimit(*now)
 		if rank > c.Limit() {
 			c.RecordProbe(*now)
 		}
-		c.Observe(*now, rank, times(rank))
+		c.Observe(*now, rank, ratio(rank))
 	}
 }
 
 // Servers slow down beyond a part of their slots by a factor. The limit settles where
 // most gets done, and goes back to all slots when the servers no longer slow down.
-func TestConcurrencySettlesWhereMostGetsDone(t *testing.T) {
+func TestAdaptiveLimitMaximizesThroughput(t *testing.T) {
 	for _, c := range []struct {
 		slots, knee int
 		times       float64
@@ -38,11 +38,11 @@
 				}
 				return 0.4
 			}
-			learn(l, &now, 1000, slow)
+			observeMany(l, &now, 1000, slow)
 			if got := l.Limit(); got < c.least || got > c.most {
 				t.Errorf("%d run at once, want %d to %d", got, c.least, c.most)
 			}
-			learn(l, &now, 20000, func(int) float64 { return 0.4 })
+			observeMany(l, &now, 20000, func(int) float64 { return 0.4 })
 			if got := l.Limit(); got != c.slots {
 				t.Errorf("%d run at once after the servers no longer slow down, want all %d", got, c.slots)
 			}
@@ -55,7 +55,7 @@
 
 // What one proxy has learned from many answers counts for another that has few, and
 // not the other way round.
-func TestLimitsWithMoreEvidenceAreAdopted(t *testing.T) {
+func TestAdoptPrefersMoreSamples(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	c := NewAdaptiveLimit(4)
 	c.Adopt(Limit{Slots: 4, Max: 2, Samples: 3})
@@ -68,7 +68,7 @@
 	if got := c.Limit(); got != 2 {
 		t.Errorf("%d run at once, want the 2 that 100 answers speak for", got)
 	}
-	learn(c, &now, 5, func(int) float64 { return 0.4 })
+	observeMany(c, &now, 5, func(int) float64 { return 0.4 })
 	if got := c.Learned(); got.Max != 2 || got.Samples != 100 {
 		t.Errorf("passes %+v on, want what it was told", got)
 	}
@@ -77,7 +77,7 @@
 // Full servers are suspected only if they are slower than others, and if several
 // are: objects that servers have forgotten take long whether a server is full or
 // not, and one server that is slow by itself is full all the time.
-func TestSuspicion(t *testing.T) {
+func TestSlowdownDetector(t *testing.T) {
 	const work = 100 * time.Millisecond
 	for name, c := range map[string]struct {
 		full, other time.Duration
--- a/internal/kernel/admission/gate.go
+++ b/internal/kernel/admission/gate.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// ticketsMost bounds the tickets that wait at one gate. A server works on a few
+	// maxWaiting bounds the tickets that wait at one gate. A server works on a few
 	// at a time, and none waits for longer than its route's time-out.
-	ticketsMost = 1000
+	maxWaiting = 1000
 )
 
 type (
@@ -58,36 +58,36 @@
 )
 
 // Acquire asks for a place. limit is how many may run at once, work how long one takes.
-func (g *Limiter) Acquire(now time.Time, t Ticket, limit int, work time.Duration) Grant {
-	if again, known := g.known(t); known {
-		return again
+func (g *Limiter) Acquire(now time.Time, t Ticket, limit int, serviceTime time.Duration) Grant {
+	if grant, known := g.lookup(t); known {
+		return grant
 	}
 	if len(g.waiting) == 0 && len(g.running) < limit {
 		return g.admit(t)
 	}
-	wait := time.Duration(float64(work) * float64(g.before(now, t)+1) / float64(max(1, limit)))
-	if len(g.waiting) >= ticketsMost || now.Add(wait).After(t.Last) {
+	wait := time.Duration(float64(serviceTime) * float64(g.waitingAhead(now, t)+1) / float64(max(1, limit)))
+	if len(g.waiting) >= maxWaiting || now.Add(wait).After(t.Last) {
 		return Grant{Ticket: t, Verdict: Denied}
 	}
 	g.waiting = append(g.waiting, t)
 	return Grant{Ticket: t, Verdict: Queued}
 }
 
-// known answers a ticket that has asked before: its proxy has not heard the answer,
+// lookup answers a ticket that has asked before: its proxy has not heard the answer,
 // or wants to know whether the gate is still there.
-func (g *Limiter) known(t Ticket) (Grant, bool) {
-	is := func(o Ticket) bool { return o.From == t.From && o.ID == t.ID }
-	if i := slices.IndexFunc(g.running, is); i >= 0 {
+func (g *Limiter) lookup(t Ticket) (Grant, bool) {
+	same := func(o Ticket) bool { return o.From == t.From && o.ID == t.ID }
+	if i := slices.IndexFunc(g.running, same); i >= 0 {
 		return Grant{Ticket: t, Verdict: Granted, Rank: i + 1}, true
 	}
-	if slices.ContainsFunc(g.waiting, is) {
+	if slices.ContainsFunc(g.waiting, same) {
 		return Grant{Ticket: t, Verdict: Queued}, true
 	}
 	return Grant{}, false
 }
 
-// before counts the waiting tickets that get a place before one that comes now.
-func (g *Limiter) before(now time.Time, t Ticket) int {
+// waitingAhead counts the waiting tickets that get a place before one that comes now.
+func (g *Limiter) waitingAhead(now time.Time, t Ticket) int {
 	n := 0
 	for _, w := range g.waiting {
 		if !now.After(w.Last) && (w.Priority <= t.Priority || now.After(t.Good)) {
@@ -99,9 +99,9 @@
 
 // Release frees the place of a ticket, or ends its wait.
 func (g *Limiter) Release(from string, id uint64) {
-	is := func(t Ticket) bool { return t.From == from && t.ID == id }
-	g.running = slices.DeleteFunc(g.running, is)
-	g.waiting = slices.DeleteFunc(g.waiting, is)
+	same := func(t Ticket) bool { return t.From == from && t.ID == id }
+	g.running = slices.DeleteFunc(g.running, same)
+	g.waiting = slices.DeleteFunc(g.waiting, same)
 }
 
 // Dispatch gives free places to those that wait and denies those that have waited too
@@ -112,14 +112,14 @@
 	g.running = slices.DeleteFunc(g.running, func(t Ticket) bool { return now.After(t.Until) })
 	var grants []Grant
 	g.waiting = slices.DeleteFunc(g.waiting, func(t Ticket) bool {
-		late := now.After(t.Last)
-		if late {
+		expired := now.After(t.Last)
+		if expired {
 			grants = append(grants, Grant{Ticket: t, Verdict: Denied})
 		}
-		return late
+		return expired
 	})
 	for len(g.running) < limit && len(g.waiting) > 0 {
-		i := g.first(now)
+		i := g.nextWaiting(now)
 		t := g.waiting[i]
 		g.waiting = slices.Delete(g.waiting, i, i+1)
 		grants = append(grants, g.admit(t))
@@ -127,8 +127,8 @@
 	return grants
 }
 
-// first finds the waiting ticket that goes next.
-func (g *Limiter) first(now time.Time) int {
+// nextWaiting finds the waiting ticket that goes next.
+func (g *Limiter) nextWaiting(now time.Time) int {
 	best := 0
 	for i, t := range g.waiting[1:] {
 		b := g.waiting[best]
--- a/internal/kernel/admission/gate_test.go
+++ b/internal/kernel/admission/gate_test.go
@@ -23,7 +23,7 @@
 // A server slows down when more than two of its slots are used, and five requests
 // come at once. Two run; of the others those that can still be answered in time go
 // first, the most urgent before the rest, and those that are late in any case last.
-func TestGateHoldsBackAndKeepsOrder(t *testing.T) {
+func TestLimiterQueuesInPriorityOrder(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var g Limiter
 	for id, want := range map[uint64]Verdict{1: Granted, 2: Granted} {
@@ -54,7 +54,7 @@
 // A request whose place would come too late for any answer is denied when it asks,
 // and one that has waited too long as soon as that is so: its caller learns at once
 // when to come back.
-func TestGateDeniesWhatCannotBeServed(t *testing.T) {
+func TestLimiterDeniesRequestsPastDeadline(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var g Limiter
 	g.Acquire(now, ticket(1, 0, time.Second, time.Second), 1, 300*time.Millisecond)
@@ -71,7 +71,7 @@
 
 // A proxy that has a place is killed and gives nothing back. The place is free again
 // when its request must have ended, or the server would stand empty for good.
-func TestPlacesRunOut(t *testing.T) {
+func TestPermitsExpire(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var g Limiter
 	first := ticket(1, 0, time.Second, time.Minute)
@@ -88,7 +88,7 @@
 
 // The answer to a question, or a grant, is lost, and the proxy asks again. It must
 // not take a second place.
-func TestAskingAgainTakesNoSecondPlace(t *testing.T) {
+func TestAcquireIsIdempotent(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var g Limiter
 	for range 3 {
--- a/internal/kernel/admission/pace.go
+++ b/internal/kernel/admission/pace.go
@@ -12,8 +12,8 @@
 )
 
 // HasRoom reports whether one more request is within a share of the window that ends now.
-func (p *SlidingWindow) HasRoom(now time.Time, span time.Duration, share int) bool {
-	for len(p.sent) > 0 && now.Sub(p.sent[0]) >= span {
+func (p *SlidingWindow) HasRoom(now time.Time, length time.Duration, share int) bool {
+	for len(p.sent) > 0 && now.Sub(p.sent[0]) >= length {
 		p.sent = p.sent[1:]
 	}
 	return len(p.sent) < share
@@ -23,14 +23,14 @@
 func (p *SlidingWindow) Record(now time.Time) { p.sent = append(p.sent, now) }
 
 // NextAllowed is when there is room for one more request; zero for never.
-func (p *SlidingWindow) NextAllowed(now time.Time, span time.Duration, share int) time.Time {
-	if p.HasRoom(now, span, share) {
+func (p *SlidingWindow) NextAllowed(now time.Time, length time.Duration, share int) time.Time {
+	if p.HasRoom(now, length, share) {
 		return now
 	}
 	if share < 1 {
 		return time.Time{}
 	}
-	return p.sent[len(p.sent)-share].Add(span)
+	return p.sent[len(p.sent)-share].Add(length)
 }
 
 // Apportion is the share of the proxy of a rank, from 0, in a number of requests. One request
--- a/internal/kernel/backpressure/leaving.go
+++ b/internal/kernel/backpressure/leaving.go
@@ -5,24 +5,24 @@
 )
 
 const (
-	// leavingFor is how long the word of a server that leaves is kept after it was last
+	// drainingTTL is how long the word of a server that leaves is kept after it was last
 	// heard. Its registration may run out and come back meanwhile.
-	leavingFor = 10 * time.Minute
-	// leavingTold is how long peers are told of it: those that start know nothing.
-	leavingTold = time.Minute
+	drainingTTL = 10 * time.Minute
+	// drainingGossipPeriod is how long peers are told of it: those that start know nothing.
+	drainingGossipPeriod = time.Minute
 )
 
 // Draining reports whether the server takes no new requests any more.
-func (s *ServerState) Draining() bool { return s != nil && s.leaving }
+func (s *ServerState) Draining() bool { return s != nil && s.draining }
 
-// hearLeaving takes in whether the server said at a moment that it leaves. A start of a
+// updateDraining takes in whether the server said at a moment that it leaves. A start of a
 // server that leaves does not come back, so the word stays.
-func (s *ServerState) hearLeaving(now, at time.Time, leaving bool) {
-	if !leaving {
+func (s *ServerState) updateDraining(now, at time.Time, draining bool) {
+	if !draining {
 		return
 	}
-	if !s.leaving {
-		s.leaving, s.changedAt = true, now
+	if !s.draining {
+		s.draining, s.changedAt = true, now
 	}
-	s.heard(at)
+	s.touch(at)
 }
--- a/internal/kernel/backpressure/ledger.go
+++ b/internal/kernel/backpressure/ledger.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// noticeFrom is by which part of itself a limit must change to be told of.
-	noticeFrom = 0.1
-	// statesMost bounds the servers of which something is kept.
-	statesMost = 4096
+	// minLimitChange is by which part of itself a limit must change to be told of.
+	minLimitChange = 0.1
+	// maxStates bounds the servers of which something is kept.
+	maxStates = 4096
 )
 
 const (
@@ -39,17 +39,17 @@
 		limit  Limit
 		// limitAt is when the limit was last named, or found to have ended.
 		limitAt time.Time
-		// heardAt is when the server last said anything, changedAt when that was something
+		// lastSignalAt is when the server last said anything, changedAt when that was something
 		// new, toldAt when peers were last told of it.
-		heardAt, changedAt, toldAt time.Time
-		// leaving is set once the server has said that it leaves.
-		leaving bool
+		lastSignalAt, changedAt, reportedAt time.Time
+		// draining is set once the server has said that it leaves.
+		draining bool
 		// pausedUntil is until when it wants nothing from this proxy.
 		pausedUntil time.Time
-		// noticed is what was last told to Observe.
-		noticed Signal
-		// pace counts this proxy's requests while there is a limit.
-		pace admission.SlidingWindow
+		// announced is what was last told to Observe.
+		announced Signal
+		// sent counts this proxy's requests while there is a limit.
+		sent admission.SlidingWindow
 	}
 
 	// Event tells of a change.
@@ -71,79 +71,79 @@
 }
 
 // State is what a server asks, nil for nothing.
-func (l *Tracker) State(s quarantine.InstanceID) *ServerState { return l.states[s] }
+func (t *Tracker) State(server quarantine.InstanceID) *ServerState { return t.states[server] }
 
 // Empty reports whether no server asks anything.
-func (l *Tracker) Empty() bool { return len(l.states) == 0 }
+func (t *Tracker) Empty() bool { return len(t.states) == 0 }
 
-func (l *Tracker) addState(s quarantine.InstanceID) *ServerState {
-	w := &ServerState{server: s}
-	l.states[s] = w
-	return w
+func (t *Tracker) addState(server quarantine.InstanceID) *ServerState {
+	state := &ServerState{server: server}
+	t.states[server] = state
+	return state
 }
 
 // RecordSignal takes in the signal of an answer to a request that was sent at a moment. whole is
 // set if all that the answer says is known: what it does not ask then has ended.
-func (l *Tracker) RecordSignal(now, sent time.Time, s quarantine.InstanceID, g Signal, whole bool) *ServerState {
-	w := l.states[s]
-	if w == nil {
-		if g.IsEmpty() {
+func (t *Tracker) RecordSignal(now, sentAt time.Time, server quarantine.InstanceID, signal Signal, complete bool) *ServerState {
+	state := t.states[server]
+	if state == nil {
+		if signal.IsEmpty() {
 			return nil
 		}
-		w = l.addState(s)
+		state = t.addState(server)
 	}
-	w.hearLimit(now, sent, g.Limit, whole)
-	w.hearLeaving(now, now, g.Draining)
-	l.hearPause(w, now, g.Pause)
-	l.notice(w)
-	return w
+	state.updateLimit(now, sentAt, signal.Limit, complete)
+	state.updateDraining(now, now, signal.Draining)
+	t.updatePause(state, now, signal.Pause)
+	t.emitEvents(state)
+	return state
 }
 
-// asks reports whether the server asks anything that is in force.
-func (s *ServerState) asks(now time.Time) bool {
-	return s.limited(now) || now.Before(s.pausedUntil) || s.leaving && now.Sub(s.heardAt) < leavingFor
+// active reports whether the server asks anything that is in force.
+func (s *ServerState) active(now time.Time) bool {
+	return s.hasLimit(now) || now.Before(s.pausedUntil) || s.draining && now.Sub(s.lastSignalAt) < drainingTTL
 }
 
-// heard notes a moment at which the server said something.
-func (s *ServerState) heard(at time.Time) {
-	if at.After(s.heardAt) {
-		s.heardAt = at
+// touch notes a moment at which the server said something.
+func (s *ServerState) touch(at time.Time) {
+	if at.After(s.lastSignalAt) {
+		s.lastSignalAt = at
 	}
 }
 
 // Tick drops what has run out.
-func (l *Tracker) Tick(now time.Time) {
-	for s, w := range l.states {
-		if !w.asks(now) && now.Sub(w.changedAt) >= newsFor {
-			delete(l.states, s)
+func (t *Tracker) Tick(now time.Time) {
+	for server, state := range t.states {
+		if !state.active(now) && now.Sub(state.changedAt) >= changeGossipPeriod {
+			delete(t.states, server)
 		}
 	}
-	for len(l.states) > statesMost {
-		l.dropOldest()
+	for len(t.states) > maxStates {
+		t.evictOldest()
 	}
 }
 
-func (l *Tracker) dropOldest() {
+func (t *Tracker) evictOldest() {
 	var oldest *ServerState
-	for _, w := range l.states {
-		if oldest == nil || w.heardAt.Before(oldest.heardAt) {
-			oldest = w
+	for _, state := range t.states {
+		if oldest == nil || state.lastSignalAt.Before(oldest.lastSignalAt) {
+			oldest = state
 		}
 	}
-	delete(l.states, oldest.server)
+	delete(t.states, oldest.server)
 }
 
-// notice tells of a server that leaves, and of a limit that is named, ends or changes by
+// emitEvents tells of a server that leaves, and of a limit that is named, ends or changes by
 // more than a little.
-func (l *Tracker) notice(w *ServerState) {
-	if w.leaving && !w.noticed.Draining {
-		w.noticed.Draining = true
-		l.OnEvent(Event{Server: w.server, Type: EventDraining})
+func (t *Tracker) emitEvents(state *ServerState) {
+	if state.draining && !state.announced.Draining {
+		state.announced.Draining = true
+		t.OnEvent(Event{Server: state.server, Type: EventDraining})
 	}
-	change := w.limit.PerSecond - w.noticed.Limit.PerSecond
-	if w.limit.Set == w.noticed.Limit.Set && max(change, -change) <= noticeFrom*w.noticed.Limit.PerSecond {
+	change := state.limit.PerSecond - state.announced.Limit.PerSecond
+	if state.limit.Set == state.announced.Limit.Set && max(change, -change) <= minLimitChange*state.announced.Limit.PerSecond {
 		return
 	}
-	w.noticed.Limit = w.limit
-	l.OnEvent(Event{Server: w.server, Type: EventLimit, Limit: w.limit})
+	state.announced.Limit = state.limit
+	t.OnEvent(Event{Server: state.server, Type: EventLimit, Limit: state.limit})
 }
--- a/internal/kernel/backpressure/pause.go
+++ b/internal/kernel/backpressure/pause.go
@@ -4,18 +4,18 @@
 	"time"
 )
 
-// hearPause takes in for how long the server wants nothing from this proxy. What it has
+// updatePause takes in for how long the server wants nothing from this proxy. What it has
 // asked for before stands.
-func (l *Tracker) hearPause(s *ServerState, now time.Time, pause time.Duration) {
+func (t *Tracker) updatePause(state *ServerState, now time.Time, pause time.Duration) {
 	until := now.Add(pause)
-	if pause <= 0 || !until.After(s.pausedUntil) {
+	if pause <= 0 || !until.After(state.pausedUntil) {
 		return
 	}
-	began := !now.Before(s.pausedUntil)
-	s.pausedUntil = until
-	s.heard(now)
-	if began {
-		l.OnEvent(Event{Server: s.server, Type: EventPause, Pause: pause})
+	started := !now.Before(state.pausedUntil)
+	state.pausedUntil = until
+	state.touch(now)
+	if started {
+		t.OnEvent(Event{Server: state.server, Type: EventPause, Pause: pause})
 	}
 }
 
--- a/internal/kernel/backpressure/report.go
+++ b/internal/kernel/backpressure/report.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// newsFor is for how long a change is told to every peer that this proxy speaks to.
-	newsFor = 3 * time.Second
-	// reportsMost bounds the servers in one message, some 20 bytes each; standingMost those
+	// changeGossipPeriod is for how long a change is told to every peer that this proxy speaks to.
+	changeGossipPeriod = 3 * time.Second
+	// maxReports bounds the servers in one message, some 20 bytes each; maxUnchangedReports those
 	// of them of which there is nothing new.
-	reportsMost  = 64
-	standingMost = 16
+	maxReports          = 64
+	maxUnchangedReports = 16
 )
 
 type (
@@ -31,53 +31,53 @@
 
 // Reports lists what peers should hear: what has changed of late, and some of the rest that
 // is in force in turn; all of it for a proxy that knows nothing yet.
-func (l *Tracker) Reports(now time.Time, all bool) []Report {
-	var news, standing []*ServerState
-	for _, w := range l.states {
+func (t *Tracker) Reports(now time.Time, full bool) []Report {
+	var recent, unchanged []*ServerState
+	for _, state := range t.states {
 		switch {
-		case now.Sub(w.changedAt) < newsFor:
-			news = append(news, w)
-		case w.limited(now), w.leaving && now.Sub(w.heardAt) < leavingTold:
-			standing = append(standing, w)
+		case now.Sub(state.changedAt) < changeGossipPeriod:
+			recent = append(recent, state)
+		case state.hasLimit(now), state.draining && now.Sub(state.lastSignalAt) < drainingGossipPeriod:
+			unchanged = append(unchanged, state)
 		}
 	}
-	slices.SortFunc(news, func(a, b *ServerState) int {
+	slices.SortFunc(recent, func(a, b *ServerState) int {
 		return cmp.Or(b.changedAt.Compare(a.changedAt), cmp.Compare(a.server, b.server))
 	})
-	slices.SortFunc(standing, func(a, b *ServerState) int {
-		return cmp.Or(a.toldAt.Compare(b.toldAt), cmp.Compare(a.server, b.server))
+	slices.SortFunc(unchanged, func(a, b *ServerState) int {
+		return cmp.Or(a.reportedAt.Compare(b.reportedAt), cmp.Compare(a.server, b.server))
 	})
-	if !all {
-		standing = standing[:min(len(standing), standingMost)]
+	if !full {
+		unchanged = unchanged[:min(len(unchanged), maxUnchangedReports)]
 	}
-	list := append(news, standing...)
-	list = list[:min(len(list), reportsMost)]
+	list := append(recent, unchanged...)
+	list = list[:min(len(list), maxReports)]
 	reports := make([]Report, 0, len(list))
-	for _, w := range list {
-		w.toldAt = now
-		reports = append(reports, Report{Server: w.server, Limit: w.limit, Draining: w.leaving, Age: now.Sub(w.heardAt)})
+	for _, state := range list {
+		state.reportedAt = now
+		reports = append(reports, Report{Server: state.server, Limit: state.limit, Draining: state.draining, Age: now.Sub(state.lastSignalAt)})
 	}
 	return reports
 }
 
 // Merge takes in a peer's reports. It reports whether it has learned of servers that it
 // knew nothing of.
-func (l *Tracker) Merge(now time.Time, reports []Report) (learned bool) {
+func (t *Tracker) Merge(now time.Time, reports []Report) (learned bool) {
 	for _, r := range reports {
-		at := now.Add(-max(0, r.Age))
-		w := l.states[r.Server]
-		if r.Age >= leavingFor || w == nil && !r.Limit.Set && !r.Draining {
+		signalAt := now.Add(-max(0, r.Age))
+		state := t.states[r.Server]
+		if r.Age >= drainingTTL || state == nil && !r.Limit.Set && !r.Draining {
 			continue
 		}
-		if w == nil {
-			w = l.addState(r.Server)
+		if state == nil {
+			state = t.addState(r.Server)
 			learned = true
 		}
-		if r.Age < limitFor && at.After(w.limitAt) {
-			w.set(now, at, r.Limit)
+		if r.Age < limitTTL && signalAt.After(state.limitAt) {
+			state.setLimit(now, signalAt, r.Limit)
 		}
-		w.hearLeaving(now, at, r.Draining)
-		l.notice(w)
+		state.updateDraining(now, signalAt, r.Draining)
+		t.emitEvents(state)
 	}
 	return learned
 }
--- a/internal/kernel/backpressure/signal.go
+++ b/internal/kernel/backpressure/signal.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// decimalLength bounds the text of a number, in bytes, decimalDigits are what it may be
+	// maxDecimalLength bounds the text of a number, in bytes, decimalDigits are what it may be
 	// written with.
-	decimalLength = 32
-	decimalDigits = "0123456789."
-	// pauseMost bounds the pause that a server may ask for.
-	pauseMost = 10 * time.Minute
+	maxDecimalLength = 32
+	decimalDigits    = "0123456789."
+	// maxPause bounds the pause that a server may ask for.
+	maxPause = 10 * time.Minute
 )
 
 type (
@@ -49,9 +49,9 @@
 func ParseLimit(values []string) (l Limit, err error) {
 	for _, value := range values {
 		for text := range strings.SplitSeq(value, ",") {
-			rate, failed := parseRate(strings.TrimSpace(text))
-			if failed != nil {
-				err = failed
+			rate, parseErr := parseRate(strings.TrimSpace(text))
+			if parseErr != nil {
+				err = parseErr
 				continue
 			}
 			l = l.lower(Limit{Set: true, PerSecond: rate})
@@ -63,7 +63,7 @@
 func parseRate(text string) (float64, error) {
 	rate, ok := parseDecimal(text)
 	if !ok {
-		return 0, errors.Errorf("limit %.*q: must be a decimal number of requests a second", decimalLength, text)
+		return 0, errors.Errorf("limit %.*q: must be a decimal number of requests a second", maxDecimalLength, text)
 	}
 	return rate, nil
 }
@@ -71,11 +71,11 @@
 // ParsePause reads for how long an answer asks for nothing more: seconds, or a date, which
 // counts from the moment that the answer was made. Of several the longest counts, up to ten
 // minutes. One that can't be read asks for none, and is told of in the error.
-func ParsePause(values []string, made time.Time) (pause time.Duration, err error) {
+func ParsePause(values []string, respondedAt time.Time) (pause time.Duration, err error) {
 	for _, value := range values {
-		p, failed := parsePause(strings.TrimSpace(value), made)
-		if failed != nil {
-			err = failed
+		p, parseErr := parsePause(strings.TrimSpace(value), respondedAt)
+		if parseErr != nil {
+			err = parseErr
 			continue
 		}
 		pause = max(pause, p)
@@ -83,20 +83,20 @@
 	return pause, err
 }
 
-func parsePause(text string, made time.Time) (time.Duration, error) {
+func parsePause(text string, respondedAt time.Time) (time.Duration, error) {
 	if seconds, ok := parseDecimal(text); ok {
-		return time.Duration(min(seconds, pauseMost.Seconds()) * float64(time.Second)), nil
+		return time.Duration(min(seconds, maxPause.Seconds()) * float64(time.Second)), nil
 	}
 	until, err := http.ParseTime(text)
 	if err != nil {
 		return 0, errors.Errorf("pause %.*q: must be a number of seconds or a date", len(http.TimeFormat), text)
 	}
-	return max(0, min(until.Sub(made), pauseMost)), nil
+	return max(0, min(until.Sub(respondedAt), maxPause)), nil
 }
 
 // parseDecimal reads a number without sign or exponent.
 func parseDecimal(text string) (float64, bool) {
-	if len(text) > decimalLength || strings.Trim(text, decimalDigits) != "" {
+	if len(text) > maxDecimalLength || strings.Trim(text, decimalDigits) != "" {
 		return 0, false
 	}
 	value, err := strconv.ParseFloat(text, 64)
--- a/internal/kernel/backpressure/signal_test.go
+++ b/internal/kernel/backpressure/signal_test.go
@@ -52,7 +52,7 @@
 }
 
 func TestParsePause(t *testing.T) {
-	made := time.Date(2026, 5, 4, 15, 0, 0, 0, time.UTC)
+	respondedAt := time.Date(2026, 5, 4, 15, 0, 0, 0, time.UTC)
 	for _, c := range []struct {
 		values []string
 		want   time.Duration
@@ -65,15 +65,15 @@
 		{[]string{"1", "2.5"}, 2500 * time.Millisecond, false},
 		{[]string{"Mon, 04 May 2026 15:00:07 GMT"}, 7 * time.Second, false},
 		{[]string{"Mon, 04 May 2026 14:00:00 GMT"}, 0, false},
-		{[]string{"Mon, 04 May 2099 15:00:00 GMT"}, pauseMost, false},
-		{[]string{"999999999999999999999"}, pauseMost, false},
+		{[]string{"Mon, 04 May 2099 15:00:00 GMT"}, maxPause, false},
+		{[]string{"999999999999999999999"}, maxPause, false},
 		{[]string{"-3"}, 0, true},
 		{[]string{"soon", "1"}, time.Second, true},
 		{[]string{"1, 2"}, 0, true},
 		{[]string{"NaN"}, 0, true},
 		{[]string{""}, 0, true},
 	} {
-		got, err := ParsePause(c.values, made)
+		got, err := ParsePause(c.values, respondedAt)
 		if got != c.want || (err != nil) != c.fails {
 			t.Errorf("%q: got %s and error %v, want %s and an error %t", c.values, got, err, c.want, c.fails)
 		}
@@ -86,7 +86,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		pause, err := ParsePause([]string{text}, time.Unix(1_000_000, 0))
-		if pause < 0 || pause > pauseMost || err != nil && pause != 0 {
+		if pause < 0 || pause > maxPause || err != nil && pause != 0 {
 			t.Errorf("%q: got %s and error %v", text, pause, err)
 		}
 	})
--- a/internal/kernel/quarantine/bounds_test.go
+++ b/internal/kernel/quarantine/bounds_test.go
@@ -9,53 +9,53 @@
 // Two groups of proxies are cut off from each other, and a request ends more servers than
 // are kept for a work. When they meet, each brings ends that the other has dropped. They
 // must come to rest: news that never end would fill the links.
-func TestMoreEndsThanAreKeptComeToRest(t *testing.T) {
+func TestMergeConvergesBeyondMaxCrashes(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	work := NewFingerprint("GET", "host", "/deadly", "", nil)
+	fp := NewFingerprint("GET", "host", "/deadly", "", nil)
 	a, b := NewTracker(), NewTracker()
-	for i := range 2 * endsMost {
+	for i := range 2 * maxCrashes {
 		l := []*Tracker{a, b}[i%2]
 		at := now.Add(time.Duration(i) * time.Second)
 		s := NewInstanceID(fmt.Sprint("s", i), time.Time{})
-		l.RecordConnectionLoss(at, work, s)
+		l.RecordConnectionLoss(at, fp, s)
 		l.RecordServerGone(at, s)
 	}
-	now = now.Add(2 * endsMost * time.Second)
+	now = now.Add(2 * maxCrashes * time.Second)
 	const rounds = 4
 	for i := range rounds + 1 {
-		news := b.Merge(now, a.Reports(now, false))
-		news = a.Merge(now, b.Reports(now, false)) || news
-		if i == rounds && news {
+		learned := b.Merge(now, a.Reports(now, false))
+		learned = a.Merge(now, b.Reports(now, false)) || learned
+		if i == rounds && learned {
 			t.Errorf("round %d: got news still, want none", i)
 		}
 	}
-	if ruling, _ := a.Status(now, work); ruling != Quarantined {
+	if ruling, _ := a.Status(now, fp); ruling != Quarantined {
 		t.Errorf("got ruling %d, want it condemned", ruling)
 	}
 }
 
 // A region is lost with thousands of requests, each of which was there at one end. The
 // one that had ended two servers before must not be forgotten for them.
-func TestFloodOfWorksKeepsTheSuspects(t *testing.T) {
+func TestEvictionKeepsSuspects(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	l := NewTracker()
-	deadly := NewFingerprint("GET", "host", "/deadly", "", nil)
+	poison := NewFingerprint("GET", "host", "/deadly", "", nil)
 	for _, id := range []string{"s1", "s2"} {
-		l.RecordConnectionLoss(now, deadly, NewInstanceID(id, time.Time{}))
+		l.RecordConnectionLoss(now, poison, NewInstanceID(id, time.Time{}))
 		l.RecordServerGone(now, NewInstanceID(id, time.Time{}))
 	}
-	for i := range 10 * worksMost {
+	for i := range 10 * maxRecords {
 		s := NewInstanceID(fmt.Sprint("flood-", i/10), time.Time{})
 		l.RecordConnectionLoss(now, NewFingerprint("GET", "host", fmt.Sprint("/", i), "", nil), s)
 		l.RecordServerGone(now, s)
 	}
-	if n := len(l.works); n > worksMost {
-		t.Errorf("got %d works, want %d at most", n, worksMost)
+	if n := len(l.records); n > maxRecords {
+		t.Errorf("got %d works, want %d at most", n, maxRecords)
 	}
-	if got := len(l.Reports(now, true)); got > reportsMost {
-		t.Errorf("got %d reports in a message, want %d at most", got, reportsMost)
+	if got := len(l.Reports(now, true)); got > maxReports {
+		t.Errorf("got %d reports in a message, want %d at most", got, maxReports)
 	}
-	if ruling, _ := l.Status(now, deadly); ruling != Suspected {
+	if ruling, _ := l.Status(now, poison); ruling != Suspected {
 		t.Errorf("got ruling %d, want it suspected still", ruling)
 	}
 }
@@ -73,10 +73,10 @@
 		}
 	}
 	for i := 0; b.Loop(); i++ {
-		w := NewFingerprint("GET", "host", "/sound/17?day=2", "key", nil)
-		l.Status(now, w)
-		l.RecordStart(w)
-		l.RecordStop(w)
-		l.RecordSuccess(now, w)
+		fp := NewFingerprint("GET", "host", "/sound/17?day=2", "key", nil)
+		l.Status(now, fp)
+		l.RecordStart(fp)
+		l.RecordStop(fp)
+		l.RecordSuccess(now, fp)
 	}
 }
--- a/internal/kernel/quarantine/breaks.go
+++ b/internal/kernel/quarantine/breaks.go
@@ -6,72 +6,72 @@
 )
 
 const (
-	// breakFor is how long a break may wait for a sign that its server has ended: until
+	// lossTTL is how long a break may wait for a sign that its server has ended: until
 	// the registration of a server that sends nothing has run out everywhere.
-	breakFor = 10 * time.Second
-	// breakWorksMost bounds the works noted for one server's end: more than it has
+	lossTTL = 10 * time.Second
+	// maxFingerprintsPerLoss bounds the works noted for one server's end: more than it has
 	// slots and queue for one proxy.
-	breakWorksMost = 64
-	// dialsMost is how often a silent server is dialled to learn whether it has ended.
-	dialsMost = 2
+	maxFingerprintsPerLoss = 64
+	// maxProbes is how often a silent server is dialled to learn whether it has ended.
+	maxProbes = 2
 )
 
 type (
-	// breaks are the servers at which exchanges broke and of which it is not known
+	// pendingLosses are the servers at which exchanges broke and of which it is not known
 	// whether they have ended. A cut connection, a spoilt answer or a partition
 	// breaks exchanges as an end does, but the server answers others afterwards.
-	breaks map[InstanceID]*broken
+	pendingLosses map[InstanceID]*pendingLoss
 
-	broken struct {
-		// at is when the last exchange broke.
-		at    time.Time
-		works []Fingerprint
+	pendingLoss struct {
+		// lastLoss is when the last exchange broke.
+		lastLoss     time.Time
+		fingerprints []Fingerprint
 		// answered is set once the server has answered a later request.
 		answered bool
-		dials    int
+		probes   int
 	}
 )
 
-func (b breaks) add(now time.Time, w Fingerprint, s InstanceID) {
-	k := b[s]
-	if k == nil || k.answered {
-		k = &broken{}
-		b[s] = k
+func (b pendingLosses) add(now time.Time, fp Fingerprint, server InstanceID) {
+	loss := b[server]
+	if loss == nil || loss.answered {
+		loss = &pendingLoss{}
+		b[server] = loss
 	}
-	k.at = now
-	if len(k.works) < breakWorksMost && !slices.Contains(k.works, w) {
-		k.works = append(k.works, w)
+	loss.lastLoss = now
+	if len(loss.fingerprints) < maxFingerprintsPerLoss && !slices.Contains(loss.fingerprints, fp) {
+		loss.fingerprints = append(loss.fingerprints, fp)
 	}
 }
 
-func (b breaks) answered(s InstanceID, sent time.Time) {
-	if k := b[s]; k != nil && sent.After(k.at) {
-		k.answered = true
+func (b pendingLosses) recordResponse(server InstanceID, sentAt time.Time) {
+	if loss := b[server]; loss != nil && sentAt.After(loss.lastLoss) {
+		loss.answered = true
 	}
 }
 
-func (b breaks) expire(now time.Time) {
-	for s, k := range b {
-		if now.Sub(k.at) > breakFor {
-			delete(b, s)
+func (b pendingLosses) expire(now time.Time) {
+	for server, loss := range b {
+		if now.Sub(loss.lastLoss) > lossTTL {
+			delete(b, server)
 		}
 	}
 }
 
 // HasPendingLoss reports whether exchanges broke at a server of which it is not known yet whether
 // it has ended.
-func (l *Tracker) HasPendingLoss(s InstanceID) bool { return l.breaks[s] != nil }
+func (t *Tracker) HasPendingLoss(server InstanceID) bool { return t.losses[server] != nil }
 
 // ServersToProbe lists the servers that should be dialled: exchanges broke there, and nothing
 // was heard of them since.
-func (l *Tracker) ServersToProbe() []InstanceID {
-	l.doubtful = false
-	var list []InstanceID
-	for s, b := range l.breaks {
-		if !b.answered && b.dials < dialsMost {
-			b.dials++
-			list = append(list, s)
+func (t *Tracker) ServersToProbe() []InstanceID {
+	t.probeNeeded = false
+	var servers []InstanceID
+	for server, loss := range t.losses {
+		if !loss.answered && loss.probes < maxProbes {
+			loss.probes++
+			servers = append(servers, server)
 		}
 	}
-	return list
+	return servers
 }
--- a/internal/kernel/quarantine/ledger.go
+++ b/internal/kernel/quarantine/ledger.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// endsToSuspect is from how many ends on a work runs once at a time at each proxy
+	// suspectThreshold is from how many ends on a work runs once at a time at each proxy
 	// and is not sent again: what it ends then is found out before the next run.
-	endsToSuspect = 2
+	suspectThreshold = 2
 	// DefaultThreshold is the operators' bound on the servers that one work may end.
 	DefaultThreshold = 3
 	// MaxConnectionLosses is after how many broken exchanges a request is not sent again: whether
@@ -19,12 +19,12 @@
 	MaxConnectionLosses = 2
 	// MaxRetryAfter bounds the time that a caller of refused work is told to stay away.
 	MaxRetryAfter = time.Minute
-	// worksMost bounds the works that are kept; a failure domain that is lost makes
+	// maxRecords bounds the works that are kept; a failure domain that is lost makes
 	// thousands, nearly all with one end.
-	worksMost    = 512
-	worksDropped = worksMost / 4
-	// keepFor is how long ends count that nothing was added to.
-	keepFor = time.Hour
+	maxRecords    = 512
+	evictionBatch = maxRecords / 4
+	// recordTTL is how long ends count that nothing was added to.
+	recordTTL = time.Hour
 )
 
 const (
@@ -82,15 +82,15 @@
 		// OnEvent is told of changes.
 		OnEvent func(Event)
 
-		works  map[Fingerprint]*record
-		breaks breaks
-		runs   runs
+		records map[Fingerprint]*record
+		losses  pendingLosses
+		history runHistory
 		// suspects are the works with enough ends to be suspected, explained or not.
 		suspects []Fingerprint
 		// urgent is set by news that other proxies should hear at once.
 		urgent bool
-		// doubtful is set by breaks at servers that have not been dialled since.
-		doubtful bool
+		// probeNeeded is set by breaks at servers that have not been dialled since.
+		probeNeeded bool
 	}
 )
 
@@ -100,7 +100,7 @@
 		Threshold: DefaultThreshold,
 		TrialRank: func(Fingerprint) int { return 0 },
 		OnEvent:   func(Event) {},
-		works:     make(map[Fingerprint]*record), breaks: make(breaks), runs: newRuns(),
+		records:   make(map[Fingerprint]*record), losses: make(pendingLosses), history: newRunHistory(),
 	}
 }
 
@@ -116,189 +116,191 @@
 
 // Status says whether a work may run now. For a condemned work, it tells how long it is
 // refused.
-func (l *Tracker) Status(now time.Time, w Fingerprint) (Status, time.Duration) {
-	r := l.works[w]
+func (t *Tracker) Status(now time.Time, fp Fingerprint) (Status, time.Duration) {
+	r := t.records[fp]
 	if r == nil {
 		return Clear, 0
 	}
-	n := l.weight(w, r)
-	if n < endsToSuspect {
+	crashes := t.attributedCrashes(fp, r)
+	if crashes < suspectThreshold {
 		return Clear, 0
 	}
-	if n >= l.Threshold {
-		last, t := r.term(l.Threshold)
-		if left := last.Add(t.refused + time.Duration(l.TrialRank(w))*t.step).Sub(now); left > 0 {
+	if crashes >= t.Threshold {
+		lastCrash, period := r.period(t.Threshold)
+		if left := lastCrash.Add(period.duration + time.Duration(t.TrialRank(fp))*period.rankDelay).Sub(now); left > 0 {
 			return Quarantined, left
 		}
 	}
-	if l.runs.now[w] > 0 {
+	if t.history.running[fp] > 0 {
 		return Busy, 0
 	}
 	return Suspected, 0
 }
 
 // RecordStart notes that a work is sent to a server.
-func (l *Tracker) RecordStart(w Fingerprint) { l.runs.now[w]++ }
+func (t *Tracker) RecordStart(fp Fingerprint) { t.history.running[fp]++ }
 
 // RecordStop notes that the exchange has ended, however.
-func (l *Tracker) RecordStop(w Fingerprint) {
-	if l.runs.now[w]--; l.runs.now[w] <= 0 {
-		delete(l.runs.now, w)
+func (t *Tracker) RecordStop(fp Fingerprint) {
+	if t.history.running[fp]--; t.history.running[fp] <= 0 {
+		delete(t.history.running, fp)
 	}
 }
 
 // RecordSuccess notes that a server answered a work: none of the ends so far was its doing.
-func (l *Tracker) RecordSuccess(now time.Time, w Fingerprint) {
-	if w.IsEmpty() {
+func (t *Tracker) RecordSuccess(now time.Time, fp Fingerprint) {
+	if fp.IsEmpty() {
 		return
 	}
-	l.runs.well(now, w)
-	r := l.works[w]
-	if r == nil || r.open() == 0 {
+	t.history.recordSuccess(now, fp)
+	r := t.records[fp]
+	if r == nil || r.uncleared() == 0 {
 		return
 	}
-	r.ranWell, r.told = true, 0
-	suspected := r.open() >= endsToSuspect
-	for i := range r.ends {
-		r.ends[i].cleared = true
+	r.succeeded, r.announced = true, 0
+	suspected := r.uncleared() >= suspectThreshold
+	for i := range r.crashes {
+		r.crashes[i].cleared = true
 	}
-	l.hasChanged(now, w, r)
+	t.markChanged(now, fp, r)
 	if suspected {
-		l.urgent = true
-		l.OnEvent(Event{Type: EventCleared, Fingerprint: w})
+		t.urgent = true
+		t.OnEvent(Event{Type: EventCleared, Fingerprint: fp})
 	}
 }
 
 // RecordConnectionLoss notes that an exchange broke while a server had the work. Whether the server
 // has ended is not known yet.
-func (l *Tracker) RecordConnectionLoss(now time.Time, w Fingerprint, s InstanceID) {
-	if !w.IsEmpty() {
-		l.breaks.add(now, w, s)
-		l.doubtful = true
+func (t *Tracker) RecordConnectionLoss(now time.Time, fp Fingerprint, server InstanceID) {
+	if !fp.IsEmpty() {
+		t.losses.add(now, fp, server)
+		t.probeNeeded = true
 	}
 }
 
 // RecordResponse notes an answer to a request that was sent to a server at a moment: it has
 // not ended before.
-func (l *Tracker) RecordResponse(s InstanceID, sent time.Time) { l.breaks.answered(s, sent) }
+func (t *Tracker) RecordResponse(server InstanceID, sentAt time.Time) {
+	t.losses.recordResponse(server, sentAt)
+}
 
 // RecordServerGone notes a sign that a server is gone: nothing listens where it was, or its
 // registration ran out. The works whose exchanges broke there were there at its end.
-func (l *Tracker) RecordServerGone(now time.Time, s InstanceID) {
-	if b := l.breaks[s]; b != nil && !b.answered {
-		l.charge(now, s, b)
+func (t *Tracker) RecordServerGone(now time.Time, server InstanceID) {
+	if loss := t.losses[server]; loss != nil && !loss.answered {
+		t.attributeCrash(now, server, loss)
 	}
 }
 
 // RecordServerRestart notes that a server has started again under its id, so that answers of
 // the later start may have been taken for the earlier one's.
-func (l *Tracker) RecordServerRestart(now time.Time, s InstanceID) {
-	if b := l.breaks[s]; b != nil {
-		l.charge(now, s, b)
+func (t *Tracker) RecordServerRestart(now time.Time, server InstanceID) {
+	if loss := t.losses[server]; loss != nil {
+		t.attributeCrash(now, server, loss)
 	}
 }
 
-func (l *Tracker) charge(now time.Time, s InstanceID, b *broken) {
-	delete(l.breaks, s)
-	if now.Sub(b.at) > breakFor {
+func (t *Tracker) attributeCrash(now time.Time, server InstanceID, loss *pendingLoss) {
+	delete(t.losses, server)
+	if now.Sub(loss.lastLoss) > lossTTL {
 		return
 	}
-	l.OnEvent(Event{Type: EventServerCrashed, Server: s, Fingerprints: b.works})
-	for _, w := range b.works {
-		if l.runs.wellSince(w, b.at) {
+	t.OnEvent(Event{Type: EventServerCrashed, Server: server, Fingerprints: loss.fingerprints})
+	for _, fp := range loss.fingerprints {
+		if t.history.succeededSince(fp, loss.lastLoss) {
 			continue
 		}
-		if l.add(now, w, end{server: s, at: b.at}) {
-			l.urgent = true
+		if t.addCrash(now, fp, crash{server: server, at: loss.lastLoss}) {
+			t.urgent = true
 		}
 	}
 }
 
-// add takes an end into a work's record and reports whether that tells anything new
+// addCrash takes an end into a work's record and reports whether that tells anything new
 // against or for the work.
-func (l *Tracker) add(now time.Time, w Fingerprint, e end) bool {
-	r := l.works[w]
+func (t *Tracker) addCrash(now time.Time, fp Fingerprint, c crash) bool {
+	r := t.records[fp]
 	if r == nil {
-		l.makeRoom()
-		r = &record{ranWell: l.runs.known(w)}
-		l.works[w] = r
+		t.evict()
+		r = &record{succeeded: t.history.hasSucceeded(fp)}
+		t.records[fp] = r
 	}
-	i := slices.IndexFunc(r.ends, func(known end) bool { return known.server == e.server })
+	i := slices.IndexFunc(r.crashes, func(known crash) bool { return known.server == c.server })
 	switch {
 	case i < 0:
-		if !r.put(e) {
+		if !r.insert(c) {
 			return false
 		}
-	case e.cleared && !r.ends[i].cleared:
-		r.ends[i].cleared = true
+	case c.cleared && !r.crashes[i].cleared:
+		r.crashes[i].cleared = true
 	default:
-		if e.at.Before(r.ends[i].at) {
-			r.ends[i].at = e.at
+		if c.at.Before(r.crashes[i].at) {
+			r.crashes[i].at = c.at
 		}
 		return false
 	}
-	l.hasChanged(now, w, r)
+	t.markChanged(now, fp, r)
 	return true
 }
 
-func (l *Tracker) hasChanged(now time.Time, w Fingerprint, r *record) {
-	r.changed = now
-	i := slices.Index(l.suspects, w)
-	switch enough := r.open() >= endsToSuspect; {
-	case enough && i < 0:
-		l.suspects = append(l.suspects, w)
-	case !enough && i >= 0:
-		l.suspects = slices.Delete(l.suspects, i, i+1)
+func (t *Tracker) markChanged(now time.Time, fp Fingerprint, r *record) {
+	r.changedAt = now
+	i := slices.Index(t.suspects, fp)
+	switch reached := r.uncleared() >= suspectThreshold; {
+	case reached && i < 0:
+		t.suspects = append(t.suspects, fp)
+	case !reached && i >= 0:
+		t.suspects = slices.Delete(t.suspects, i, i+1)
 	}
 }
 
-// announce tells of works that are suspected or condemned since it last did. It comes
+// emitEvents tells of works that are suspected or condemned since it last did. It comes
 // some time after the ends, when those of other works at the same servers are known too.
-func (l *Tracker) announce() {
-	for _, w := range l.suspects {
-		r := l.works[w]
-		n := l.weight(w, r)
+func (t *Tracker) emitEvents() {
+	for _, fp := range t.suspects {
+		r := t.records[fp]
+		crashes := t.attributedCrashes(fp, r)
 		switch {
-		case n >= l.Threshold && r.told < l.Threshold:
-			l.OnEvent(Event{Type: EventQuarantined, Fingerprint: w, Crashes: n})
-		case n == endsToSuspect && r.told < n:
-			l.OnEvent(Event{Type: EventSuspected, Fingerprint: w, Crashes: n})
+		case crashes >= t.Threshold && r.announced < t.Threshold:
+			t.OnEvent(Event{Type: EventQuarantined, Fingerprint: fp, Crashes: crashes})
+		case crashes == suspectThreshold && r.announced < crashes:
+			t.OnEvent(Event{Type: EventSuspected, Fingerprint: fp, Crashes: crashes})
 		}
-		r.told = n
+		r.announced = crashes
 	}
 }
 
-// makeRoom drops some of the works that matter least if there are too many: those with
+// evict drops some of the works that matter least if there are too many: those with
 // the fewest ends, of them those that changed first. Several go at once: a region that is
 // lost brings thousands within a second.
-func (l *Tracker) makeRoom() {
-	if len(l.works) < worksMost {
+func (t *Tracker) evict() {
+	if len(t.records) < maxRecords {
 		return
 	}
-	list := slices.Collect(maps.Keys(l.works))
-	l.weightiestFirst(list)
-	for _, w := range list[worksMost-worksDropped:] {
-		l.drop(w)
+	fingerprints := slices.Collect(maps.Keys(t.records))
+	t.sortBySeverity(fingerprints)
+	for _, fp := range fingerprints[maxRecords-evictionBatch:] {
+		t.remove(fp)
 	}
 }
 
-func (l *Tracker) drop(w Fingerprint) {
-	delete(l.works, w)
-	l.suspects = slices.DeleteFunc(l.suspects, func(c Fingerprint) bool { return c == w })
+func (t *Tracker) remove(fp Fingerprint) {
+	delete(t.records, fp)
+	t.suspects = slices.DeleteFunc(t.suspects, func(suspect Fingerprint) bool { return suspect == fp })
 }
 
 // Tick drops what no longer counts.
-func (l *Tracker) Tick(now time.Time) {
-	l.breaks.expire(now)
-	l.announce()
-	for w, r := range l.works {
-		last := r.changed
-		if r.open() >= l.Threshold {
-			end, t := r.term(l.Threshold)
-			last = end.Add(t.refused)
+func (t *Tracker) Tick(now time.Time) {
+	t.losses.expire(now)
+	t.emitEvents()
+	for fp, r := range t.records {
+		expiryStart := r.changedAt
+		if r.uncleared() >= t.Threshold {
+			lastCrash, period := r.period(t.Threshold)
+			expiryStart = lastCrash.Add(period.duration)
 		}
-		if now.Sub(last) > keepFor {
-			l.drop(w)
+		if now.Sub(expiryStart) > recordTTL {
+			t.remove(fp)
 		}
 	}
 }
--- a/internal/kernel/quarantine/record.go
+++ b/internal/kernel/quarantine/record.go
@@ -7,107 +7,107 @@
 )
 
 const (
-	// endsMost bounds the ends that are kept for each work, endsFirst of them the first.
-	endsMost  = 8
-	endsFirst = DefaultThreshold
-	// newsWithin is how long news of an end may be under way. Ends later than that after a
+	// maxCrashes bounds the ends that are kept for each work, protectedCrashes of them the first.
+	maxCrashes       = 8
+	protectedCrashes = DefaultThreshold
+	// maxPropagationDelay is how long news of an end may be under way. Ends later than that after a
 	// work was condemned are those of trials.
-	newsWithin = 4 * time.Second
+	maxPropagationDelay = 4 * time.Second
 )
 
 var (
-	// terms come one after the other, each after a trial that has ended a server. Sound
+	// quarantinePeriods come one after the other, each after a trial that has ended a server. Sound
 	// work that was condemned in a storm of ends runs again within seconds, or all who ask
 	// for what is asked for most would be refused by all proxies, and nothing could clear
 	// it. Work that ends servers gets three trials within a day, as many as the operators
 	// allow.
-	terms = []term{{2 * time.Second, 4 * time.Second}, {5 * time.Minute, 15 * time.Second}, {time.Hour, time.Minute}, {24 * time.Hour, time.Minute}}
+	quarantinePeriods = []quarantinePeriod{{2 * time.Second, 4 * time.Second}, {5 * time.Minute, 15 * time.Second}, {time.Hour, time.Minute}, {24 * time.Hour, time.Minute}}
 )
 
 type (
 	// record is what is known of a work. Ends are only added, and Cleared only set,
 	// so that records of different proxies merge to the same in any order.
 	record struct {
-		ends []end
-		// changed is when an end was added or cleared, here.
-		changed time.Time
-		// ranWell is set if the work is known to have run well, before or after.
-		ranWell bool
-		// told is what was last told of the work: how many ends count.
-		told int
+		crashes []crash
+		// changedAt is when an end was added or cleared, here.
+		changedAt time.Time
+		// succeeded is set if the work is known to have run well, before or after.
+		succeeded bool
+		// announced is what was last told of the work: how many ends count.
+		announced int
 	}
 
-	// end is a server's end with the work there.
-	end struct {
+	// crash is a server's end with the work there.
+	crash struct {
 		server InstanceID
 		at     time.Time
 		// cleared is set once the work has run well after it.
 		cleared bool
 	}
 
-	// term is how long a condemned work is refused before a trial at one proxy, and the
+	// quarantinePeriod is how long a condemned work is refused before a trial at one proxy, and the
 	// time from there to the next proxy's: until most have heard what became of it.
-	term struct {
-		refused, step time.Duration
+	quarantinePeriod struct {
+		duration, rankDelay time.Duration
 	}
 )
 
-// put adds an end and reports whether it is kept. Beyond those that are kept a cleared one
+// insert adds an end and reports whether it is kept. Beyond those that are kept a cleared one
 // goes, else the oldest after the first, by which the work was condemned. If that is the
 // one added, nothing has changed: peers that still have it would else bring it back for
 // ever.
-func (r *record) put(e end) bool {
-	r.ends = append(r.ends, e)
-	if len(r.ends) <= endsMost {
+func (r *record) insert(c crash) bool {
+	r.crashes = append(r.crashes, c)
+	if len(r.crashes) <= maxCrashes {
 		return true
 	}
-	slices.SortFunc(r.ends, func(a, b end) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.server, b.server)) })
-	at := slices.IndexFunc(r.ends, func(e end) bool { return e.cleared })
-	if at < 0 {
-		at = endsFirst
+	slices.SortFunc(r.crashes, func(a, b crash) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.server, b.server)) })
+	index := slices.IndexFunc(r.crashes, func(c crash) bool { return c.cleared })
+	if index < 0 {
+		index = protectedCrashes
 	}
-	dropped := r.ends[at]
-	r.ends = slices.Delete(r.ends, at, at+1)
-	return dropped.server != e.server
+	dropped := r.crashes[index]
+	r.crashes = slices.Delete(r.crashes, index, index+1)
+	return dropped.server != c.server
 }
 
-// open counts the ends since the work last ran well.
-func (r *record) open() (n int) {
-	for _, e := range r.ends {
-		if !e.cleared {
+// uncleared counts the ends since the work last ran well.
+func (r *record) uncleared() (n int) {
+	for _, c := range r.crashes {
+		if !c.cleared {
 			n++
 		}
 	}
 	return n
 }
 
-// has reports whether an end counts against the work.
-func (r *record) has(s InstanceID) bool {
-	return slices.ContainsFunc(r.ends, func(e end) bool { return e.server == s && !e.cleared })
+// hasUncleared reports whether an end counts against the work.
+func (r *record) hasUncleared(server InstanceID) bool {
+	return slices.ContainsFunc(r.crashes, func(c crash) bool { return c.server == server && !c.cleared })
 }
 
-// moments are those of the ends that count, in order.
-func (r *record) moments() []time.Time {
-	var list []time.Time
-	for _, e := range r.ends {
-		if !e.cleared {
-			list = append(list, e.at)
+// unclearedTimes are those of the ends that count, in order.
+func (r *record) unclearedTimes() []time.Time {
+	var times []time.Time
+	for _, c := range r.crashes {
+		if !c.cleared {
+			times = append(times, c.at)
 		}
 	}
-	slices.SortFunc(list, time.Time.Compare)
-	return list
+	slices.SortFunc(times, time.Time.Compare)
+	return times
 }
 
-// term is the present term of a condemned work, from its last end on. It follows from the
+// period is the present term of a condemned work, from its last end on. It follows from the
 // ends alone, so that all proxies that know the same ends reckon with the same.
-func (r *record) term(condemn int) (last time.Time, t term) {
-	at := r.moments()
-	condemned := at[min(condemn, len(at))-1]
+func (r *record) period(threshold int) (lastCrash time.Time, period quarantinePeriod) {
+	times := r.unclearedTimes()
+	quarantinedAt := times[min(threshold, len(times))-1]
 	trials := 0
-	for _, moment := range at {
-		if moment.Sub(condemned) > newsWithin {
+	for _, at := range times {
+		if at.Sub(quarantinedAt) > maxPropagationDelay {
 			trials++
 		}
 	}
-	return at[len(at)-1], terms[min(trials, len(terms)-1)]
+	return times[len(times)-1], quarantinePeriods[min(trials, len(quarantinePeriods)-1)]
 }
--- a/internal/kernel/quarantine/report.go
+++ b/internal/kernel/quarantine/report.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// newsFor is for how long a change is told to every peer that this proxy speaks to.
-	newsFor = 3 * time.Second
-	// reportsMost bounds the works in one message, 2 KB mostly.
-	reportsMost = 32
-	// standingMost bounds those of them that have not changed of late.
-	standingMost = 16
+	// changeGossipPeriod is for how long a change is told to every peer that this proxy speaks to.
+	changeGossipPeriod = 3 * time.Second
+	// maxReports bounds the works in one message, 2 KB mostly.
+	maxReports = 32
+	// maxUnchangedReports bounds those of them that have not changed of late.
+	maxUnchangedReports = 16
 )
 
 type (
@@ -34,8 +34,8 @@
 
 // UnclearedCrashes counts the ends since the work last ran well.
 func (r Report) UnclearedCrashes() (n int) {
-	for _, e := range r.Crashes {
-		if !e.Cleared {
+	for _, c := range r.Crashes {
+		if !c.Cleared {
 			n++
 		}
 	}
@@ -45,94 +45,94 @@
 // Reports lists what peers should hear: what has changed of late, and of the rest what
 // is condemned, in case they have missed it. all adds the other works with ends, for a
 // proxy that knows nothing yet.
-func (l *Tracker) Reports(now time.Time, all bool) []Report {
-	var news, standing []Fingerprint
-	for w, r := range l.works {
+func (t *Tracker) Reports(now time.Time, full bool) []Report {
+	var recent, unchanged []Fingerprint
+	for fp, r := range t.records {
 		switch {
-		case now.Sub(r.changed) < newsFor:
-			news = append(news, w)
-		case all && r.open() > 0 || r.open() >= l.Threshold:
-			standing = append(standing, w)
+		case now.Sub(r.changedAt) < changeGossipPeriod:
+			recent = append(recent, fp)
+		case full && r.uncleared() > 0 || r.uncleared() >= t.Threshold:
+			unchanged = append(unchanged, fp)
 		}
 	}
-	l.weightiestFirst(news)
-	l.weightiestFirst(standing)
-	if !all {
-		standing = standing[:min(len(standing), standingMost)]
+	t.sortBySeverity(recent)
+	t.sortBySeverity(unchanged)
+	if !full {
+		unchanged = unchanged[:min(len(unchanged), maxUnchangedReports)]
 	}
-	list := append(news, standing...)
-	list = list[:min(len(list), reportsMost)]
+	list := append(recent, unchanged...)
+	list = list[:min(len(list), maxReports)]
 	reports := make([]Report, 0, len(list))
-	for _, w := range list {
-		reports = append(reports, l.report(now, w))
+	for _, fp := range list {
+		reports = append(reports, t.report(now, fp))
 	}
 	return reports
 }
 
-func (l *Tracker) weightiestFirst(list []Fingerprint) {
+func (t *Tracker) sortBySeverity(list []Fingerprint) {
 	slices.SortFunc(list, func(a, b Fingerprint) int {
-		x, y := l.works[a], l.works[b]
-		return cmp.Or(cmp.Compare(y.open(), x.open()), y.changed.Compare(x.changed), slices.Compare(a[:], b[:]))
+		x, y := t.records[a], t.records[b]
+		return cmp.Or(cmp.Compare(y.uncleared(), x.uncleared()), y.changedAt.Compare(x.changedAt), slices.Compare(a[:], b[:]))
 	})
 }
 
-func (l *Tracker) report(now time.Time, w Fingerprint) Report {
-	r := Report{Fingerprint: w, Succeeded: l.works[w].ranWell}
-	for _, e := range l.works[w].ends {
-		r.Crashes = append(r.Crashes, Crash{Server: e.server, Age: now.Sub(e.at), Cleared: e.cleared})
+func (t *Tracker) report(now time.Time, fp Fingerprint) Report {
+	r := Report{Fingerprint: fp, Succeeded: t.records[fp].succeeded}
+	for _, c := range t.records[fp].crashes {
+		r.Crashes = append(r.Crashes, Crash{Server: c.server, Age: now.Sub(c.at), Cleared: c.cleared})
 	}
 	return r
 }
 
 // Merge takes in a peer's reports and reports whether they told anything new, which is
 // then urgent for others: each proxy passes each piece of news on once.
-func (l *Tracker) Merge(now time.Time, reports []Report) (news bool) {
+func (t *Tracker) Merge(now time.Time, reports []Report) (learned bool) {
 	for _, r := range reports {
 		changed := false
-		for _, e := range r.Crashes {
-			at := now.Add(-e.Age)
-			changed = l.add(now, r.Fingerprint, end{server: e.Server, at: at, cleared: e.Cleared || l.runs.wellSince(r.Fingerprint, at)}) || changed
+		for _, c := range r.Crashes {
+			at := now.Add(-c.Age)
+			changed = t.addCrash(now, r.Fingerprint, crash{server: c.Server, at: at, cleared: c.Cleared || t.history.succeededSince(r.Fingerprint, at)}) || changed
 		}
-		own := l.works[r.Fingerprint]
-		if own == nil {
+		known := t.records[r.Fingerprint]
+		if known == nil {
 			continue
 		}
-		if own.lags(r) || own.ranWell && !r.Succeeded {
+		if known.peerMissedClear(r) || known.succeeded && !r.Succeeded {
 			// The peer has not heard that the work has run well.
-			own.changed = now
+			known.changedAt = now
 		}
-		if r.Succeeded && !own.ranWell {
-			own.ranWell, own.changed, changed = true, now, true
+		if r.Succeeded && !known.succeeded {
+			known.succeeded, known.changedAt, changed = true, now, true
 		}
-		news = news || changed
+		learned = learned || changed
 	}
-	l.urgent = l.urgent || news
-	return news
+	t.urgent = t.urgent || learned
+	return learned
 }
 
-// lags reports whether an end counts at the peer that told it and is cleared here.
-func (r *record) lags(told Report) bool {
-	return slices.ContainsFunc(told.Crashes, func(e Crash) bool {
-		return !e.Cleared && slices.ContainsFunc(r.ends, func(k end) bool { return k.server == e.Server && k.cleared })
+// peerMissedClear reports whether an end counts at the peer that told it and is cleared here.
+func (r *record) peerMissedClear(reported Report) bool {
+	return slices.ContainsFunc(reported.Crashes, func(c Crash) bool {
+		return !c.Cleared && slices.ContainsFunc(r.crashes, func(known crash) bool { return known.server == c.Server && known.cleared })
 	})
 }
 
 // NeedsAttention reports whether there is anything to find out or to tell at once.
-func (l *Tracker) NeedsAttention() bool { return l.urgent || l.doubtful }
+func (t *Tracker) NeedsAttention() bool { return t.urgent || t.probeNeeded }
 
 // TakeUrgent reports, once, whether there is news that others should hear at once.
-func (l *Tracker) TakeUrgent() bool {
-	urgent := l.urgent
-	l.urgent = false
+func (t *Tracker) TakeUrgent() bool {
+	urgent := t.urgent
+	t.urgent = false
 	return urgent
 }
 
 // QuarantinedReports lists the works that are condemned, also while they are tried.
-func (l *Tracker) QuarantinedReports(now time.Time) []Report {
+func (t *Tracker) QuarantinedReports(now time.Time) []Report {
 	var list []Report
-	for _, w := range l.suspects {
-		if l.weight(w, l.works[w]) >= l.Threshold {
-			list = append(list, l.report(now, w))
+	for _, fp := range t.suspects {
+		if t.attributedCrashes(fp, t.records[fp]) >= t.Threshold {
+			list = append(list, t.report(now, fp))
 		}
 	}
 	return list
--- a/internal/kernel/quarantine/story_test.go
+++ b/internal/kernel/quarantine/story_test.go
@@ -10,13 +10,13 @@
 )
 
 type (
-	// story is a scripted test of one or more proxies' ledgers.
-	story struct {
-		Story []string    `json:"story"`
-		Steps []storyStep `json:"steps"`
+	// scenario is a scripted test of one or more proxies' ledgers.
+	scenario struct {
+		Description []string       `json:"story"`
+		Steps       []scenarioStep `json:"steps"`
 	}
 
-	storyStep struct {
+	scenarioStep struct {
 		// At is the moment since the start, that of the step before if left out.
 		At string `json:"at"`
 		// Proxy is whose ledger it is about, "a" if left out.
@@ -38,63 +38,63 @@
 )
 
 var (
-	rulings = map[Status]string{Clear: "clear", Suspected: "suspected", Busy: "busy", Quarantined: "condemned"}
+	statusNames = map[Status]string{Clear: "clear", Suspected: "suspected", Busy: "busy", Quarantined: "condemned"}
 )
 
-func TestStories(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "*.json"))
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no stories: %v", err)
 	}
 	for _, file := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(file), ".json"), func(t *testing.T) { playStory(t, file) })
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".json"), func(t *testing.T) { runScenario(t, file) })
 	}
 }
 
-func playStory(t *testing.T, file string) {
+func runScenario(t *testing.T, file string) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var s story
+	var s scenario
 	decoder := json.NewDecoder(strings.NewReader(string(data)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&s); err != nil {
 		t.Fatal(err)
 	}
-	if n := len(s.Story); n < 2 || n > 5 {
+	if n := len(s.Description); n < 2 || n > 5 {
 		t.Errorf("the story has %d lines, want two to five", n)
 	}
 	start := time.Unix(1_000_000, 0)
 	now := start
-	ledgers := make(map[string]*Tracker)
-	of := func(name string) *Tracker {
+	trackers := make(map[string]*Tracker)
+	trackerFor := func(name string) *Tracker {
 		if name == "" {
 			name = "a"
 		}
-		if ledgers[name] == nil {
-			ledgers[name] = NewTracker()
+		if trackers[name] == nil {
+			trackers[name] = NewTracker()
 		}
-		return ledgers[name]
+		return trackers[name]
 	}
 	for i, step := range s.Steps {
 		if step.At != "" {
-			now = start.Add(span(t, step.At))
+			now = start.Add(parseDuration(t, step.At))
 		}
-		works := step.Works
+		fingerprints := step.Works
 		if step.Work != "" {
-			works = append(works, step.Work)
+			fingerprints = append(fingerprints, step.Work)
 		}
-		if len(works) == 0 {
-			works = []string{""}
+		if len(fingerprints) == 0 {
+			fingerprints = []string{""}
 		}
-		for _, w := range works {
-			play(t, i, now, of, step, NewFingerprint("GET", "host", w, "", nil))
+		for _, w := range fingerprints {
+			runStep(t, i, now, trackerFor, step, NewFingerprint("GET", "host", w, "", nil))
 		}
 	}
 }
 
-func span(t *testing.T, text string) time.Duration {
+func parseDuration(t *testing.T, text string) time.Duration {
 	t.Helper()
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -103,34 +103,34 @@
 	return d
 }
 
-func play(t *testing.T, i int, now time.Time, of func(string) *Tracker, s storyStep, w Fingerprint) {
+func runStep(t *testing.T, i int, now time.Time, trackerFor func(string) *Tracker, s scenarioStep, fp Fingerprint) {
 	t.Helper()
-	l, server := of(s.Proxy), NewInstanceID(s.Server, time.Time{})
+	l, server := trackerFor(s.Proxy), NewInstanceID(s.Server, time.Time{})
 	switch s.Do {
 	case "started":
-		l.RecordStart(w)
+		l.RecordStart(fp)
 	case "stopped":
-		l.RecordStop(w)
+		l.RecordStop(fp)
 	case "broke":
-		l.RecordConnectionLoss(now, w, server)
+		l.RecordConnectionLoss(now, fp, server)
 	case "answered":
-		l.RecordResponse(server, now.Add(-span(t, s.Sent)))
+		l.RecordResponse(server, now.Add(-parseDuration(t, s.Sent)))
 	case "ended":
 		l.RecordServerGone(now, server)
 	case "restarted":
 		l.RecordServerRestart(now, server)
 	case "well":
-		l.RecordSuccess(now, w)
+		l.RecordSuccess(now, fp)
 	case "tick":
 		l.Tick(now)
 	case "tell":
-		of(s.To).Merge(now, l.Reports(now, false))
+		trackerFor(s.To).Merge(now, l.Reports(now, false))
 	case "tell-all":
-		of(s.To).Merge(now, l.Reports(now, true))
+		trackerFor(s.To).Merge(now, l.Reports(now, true))
 	case "rule":
 		l.TrialRank = func(Fingerprint) int { return s.Rank }
-		if got, _ := l.Status(now, w); rulings[got] != s.Want {
-			t.Errorf("step %d: got %s, want %s", i, rulings[got], s.Want)
+		if got, _ := l.Status(now, fp); statusNames[got] != s.Want {
+			t.Errorf("step %d: got %s, want %s", i, statusNames[got], s.Want)
 		}
 	default:
 		t.Fatalf("step %d: %q is nothing to do", i, s.Do)
--- a/internal/kernel/quarantine/weight.go
+++ b/internal/kernel/quarantine/weight.go
@@ -5,45 +5,45 @@
 )
 
 const (
-	// likelierTimes is how many times the ends of a work that never ran well one that
+	// likelierFactor is how many times the ends of a work that never ran well one that
 	// did may have and still be explained by it. Beyond, it ends servers whatever it did
 	// before: a new version of the servers may have made it so.
-	likelierTimes = 2
+	likelierFactor = 2
 )
 
-// weight counts the ends that speak against a work: those since it last ran well that
+// attributedCrashes counts the ends that speak against a work: those since it last ran well that
 // no likelier work explains. A work that ends servers takes dozens of sound requests with
 // it each time, and the most asked-for of them are there again and again.
-func (l *Tracker) weight(w Fingerprint, r *record) int {
-	all := r.open()
-	if all < endsToSuspect {
-		return all
+func (t *Tracker) attributedCrashes(fp Fingerprint, r *record) int {
+	uncleared := r.uncleared()
+	if uncleared < suspectThreshold {
+		return uncleared
 	}
-	n := 0
-	for _, e := range r.ends {
-		if !e.cleared && !l.explained(w, r, e.server) {
-			n++
+	unexplained := 0
+	for _, c := range r.crashes {
+		if !c.cleared && !t.explainedByOther(fp, r, c.server) {
+			unexplained++
 		}
 	}
-	return n
+	return unexplained
 }
 
-// explained reports whether a likelier work was there at an end.
-func (l *Tracker) explained(w Fingerprint, r *record, s InstanceID) bool {
-	return slices.ContainsFunc(l.suspects, func(o Fingerprint) bool {
-		other := l.works[o]
-		return o != w && l.likelier(other, r) && other.has(s)
+// explainedByOther reports whether a likelier work was there at an end.
+func (t *Tracker) explainedByOther(fp Fingerprint, r *record, server InstanceID) bool {
+	return slices.ContainsFunc(t.suspects, func(suspect Fingerprint) bool {
+		other := t.records[suspect]
+		return suspect != fp && t.moreLikely(other, r) && other.hasUncleared(server)
 	})
 }
 
-// likelier reports whether a suspected work has rather ended servers than another one.
+// moreLikely reports whether a suspected work has rather ended servers than another one.
 // One that has never run well comes before one that has: where all servers end within a
 // moment, what is asked for most was there at each end, and nothing runs well after it.
 // Else the one with more ends comes first, if it is condemned.
-func (l *Tracker) likelier(a, than *record) bool {
-	n, other := a.open(), than.open()
-	if a.ranWell != than.ranWell {
-		return than.ranWell && n*likelierTimes >= other
+func (t *Tracker) moreLikely(candidate, other *record) bool {
+	crashes, otherCrashes := candidate.uncleared(), other.uncleared()
+	if candidate.succeeded != other.succeeded {
+		return other.succeeded && crashes*likelierFactor >= otherCrashes
 	}
-	return n >= l.Threshold && n > other
+	return crashes >= t.Threshold && crashes > otherCrashes
 }
--- a/internal/kernel/quarantine/work.go
+++ b/internal/kernel/quarantine/work.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// workBytes are those of a digest that name a work: enough that nobody can make a
+	// fingerprintBytes are those of a digest that name a work: enough that nobody can make a
 	// request that passes for another's.
-	workBytes = 16
+	fingerprintBytes = 16
 )
 
 type (
 	// Fingerprint names what a server does for a request: two requests with the same method,
 	// host, path, query, client account and body are the same work, whoever sends them
 	// and however often.
-	Fingerprint [workBytes]byte
+	Fingerprint [fingerprintBytes]byte
 )
 
 // NewFingerprint names the work of a request. target is the path with the query.
@@ -30,33 +30,33 @@
 		_, _ = digest.Write([]byte(field))
 	}
 	_, _ = digest.Write(body)
-	return Fingerprint(digest.Sum(nil)[:workBytes])
+	return Fingerprint(digest.Sum(nil)[:fingerprintBytes])
 }
 
 // IsEmpty reports whether the work of a request is not known.
-func (w Fingerprint) IsEmpty() bool { return w == Fingerprint{} }
+func (f Fingerprint) IsEmpty() bool { return f == Fingerprint{} }
 
 // String is the name as operators see it, in hexadecimal digits.
-func (w Fingerprint) String() string {
-	if w.IsEmpty() {
+func (f Fingerprint) String() string {
+	if f.IsEmpty() {
 		return ""
 	}
-	return hex.EncodeToString(w[:])
+	return hex.EncodeToString(f[:])
 }
 
 // MarshalText writes the name.
-func (w Fingerprint) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
+func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
 // UnmarshalText reads a name.
-func (w *Fingerprint) UnmarshalText(text []byte) error {
-	*w = Fingerprint{}
+func (f *Fingerprint) UnmarshalText(text []byte) error {
+	*f = Fingerprint{}
 	if len(text) == 0 {
 		return nil
 	}
-	if hex.DecodedLen(len(text)) != workBytes {
-		return errors.Errorf("work %q: must have %d hexadecimal digits", text, 2*workBytes)
+	if hex.DecodedLen(len(text)) != fingerprintBytes {
+		return errors.Errorf("work %q: must have %d hexadecimal digits", text, 2*fingerprintBytes)
 	}
-	if _, err := hex.Decode(w[:], text); err != nil {
+	if _, err := hex.Decode(f[:], text); err != nil {
 		return errors.Wrapf(err, "work %q", text)
 	}
 	return nil
--- a/internal/kernel/quarantine/work_test.go
+++ b/internal/kernel/quarantine/work_test.go
@@ -16,7 +16,7 @@
 	// Output: true false
 }
 
-func TestWorkDiffersByEachPart(t *testing.T) {
+func TestFingerprintCoversEachField(t *testing.T) {
 	base := quarantine.NewFingerprint("POST", "h", "/a", "key", []byte("body"))
 	for name, other := range map[string]quarantine.Fingerprint{
 		"method":              quarantine.NewFingerprint("PUT", "h", "/a", "key", []byte("body")),
@@ -35,15 +35,15 @@
 	}
 }
 
-func TestWorkAsText(t *testing.T) {
-	work := quarantine.NewFingerprint("GET", "h", "/a", "", nil)
-	text, err := json.Marshal(work)
+func TestFingerprintText(t *testing.T) {
+	fp := quarantine.NewFingerprint("GET", "h", "/a", "", nil)
+	text, err := json.Marshal(fp)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got quarantine.Fingerprint
-	if err := json.Unmarshal(text, &got); err != nil || got != work {
-		t.Errorf("got %v, %v, want %v", got, err, work)
+	if err := json.Unmarshal(text, &got); err != nil || got != fp {
+		t.Errorf("got %v, %v, want %v", got, err, fp)
 	}
 	for _, wrong := range []string{`"12"`, `"zz345678901234567890123456789012"`} {
 		if err := json.Unmarshal([]byte(wrong), &got); err == nil {
