--- a/internal/kernel/quarantine/attribution.go
+++ b/internal/kernel/quarantine/attribution.go
@@ -5,15 +5,16 @@
 )
 
 const (
-	// likelierFactor is how many times the ends of a work that never ran well one that
-	// did may have and still be explained by it. Beyond, it ends servers whatever it did
-	// before: a new version of the servers may have made it so.
+	// likelierFactor bounds how many crashes of a fingerprint that has succeeded may be explained
+	// by one that never has, as a multiple of the crashes of the latter. With more, the fingerprint
+	// counts as the cause despite its past success: a new server version may have introduced the
+	// fault.
 	likelierFactor = 2
 )
 
-// attributedCrashes counts the ends that speak against a work: those since it last ran well that
-// no likelier work explains. A work that ends servers takes dozens of sound requests with
-// it each time, and the most asked-for of them are there again and again.
+// attributedCrashes counts the crashes held against a fingerprint: those since it last succeeded
+// that no likelier fingerprint explains. Each crash caused by one request also cuts off dozens of
+// harmless ones, and the most frequent of those are in flight again and again.
 func (t *Tracker) attributedCrashes(fp Fingerprint, r *record) int {
 	uncleared := r.uncleared()
 	if uncleared < suspectThreshold {
@@ -28,7 +29,7 @@
 	return unexplained
 }
 
-// explainedByOther reports whether a likelier work was there at an end.
+// explainedByOther reports whether a likelier fingerprint was in flight at a crash.
 func (t *Tracker) explainedByOther(fp Fingerprint, r *record, server InstanceID) bool {
 	return slices.ContainsFunc(t.suspects, func(suspect Fingerprint) bool {
 		other := t.records[suspect]
@@ -36,10 +37,10 @@
 	})
 }
 
-// moreLikely reports whether a suspected work has rather ended servers than another one.
-// One that has never run well comes before one that has: where all servers end within a
-// moment, what is asked for most was there at each end, and nothing runs well after it.
-// Else the one with more ends comes first, if it is condemned.
+// moreLikely reports whether candidate is a likelier cause of crashes than other. A fingerprint
+// that has never succeeded is likelier than one that has: if all servers crash almost at once, the
+// most frequent requests were in flight at each crash, and nothing can succeed afterwards.
+// Otherwise the one with more crashes is likelier, provided that it has reached the threshold.
 func (t *Tracker) moreLikely(candidate, other *record) bool {
 	crashes, otherCrashes := candidate.uncleared(), other.uncleared()
 	if candidate.succeeded != other.succeeded {
--- a/internal/kernel/quarantine/doc.go
+++ b/internal/kernel/quarantine/doc.go
@@ -1,14 +1,18 @@
-// Package quarantine keeps requests that end the servers that run them away from the
-// servers that are left: a query of death, or poison message.
+// Package quarantine detects requests that crash the servers that process them ("query of death"
+// or poison message) and keeps them away from the remaining servers.
 //
-// A proxy sees exchanges break and cannot tell which of the requests that a server
-// had then ended it, or whether it ended at all. So a Ledger counts, by the work that
-// requests ask for, at how many servers' ends the work was there since it last ran well
-// anywhere. The counts of all proxies are pooled, as sets that merge in any order:
-// the same work comes back at any proxy, and hundreds of proxies see one end each. At
-// three ends the work is condemned and refused everywhere until a trial may show that
-// it has become harmless.
+// A proxy sees connections break, but it cannot tell which of the requests in flight crashed the
+// server, or whether the server crashed at all. A Tracker therefore counts, for each request
+// fingerprint, the server crashes at which such a request was in flight since one last succeeded
+// anywhere. All proxies share their counts by gossip, as sets that merge in any order: the same
+// request may be retried through any proxy, so hundreds of proxies may observe one crash each.
+// From three crashes on, the fingerprint is quarantined: all proxies refuse it until a trial may
+// show that it has become harmless.
 //
-// It answers two loads: a few callers that keep asking for what ends servers, and storms
-// in which servers end by themselves with dozens of sound requests each, which must go on.
+// The package is designed for two workloads: a few callers that keep sending a request that
+// crashes servers, and bursts of unrelated crashes, each with dozens of harmless requests in
+// flight, which must continue to be served.
+//
+// Texts that leave the process use older names: "work" is a request fingerprint, "end" a crash,
+// and "condemned" means quarantined.
 package quarantine
--- a/internal/kernel/quarantine/fingerprint.go
+++ b/internal/kernel/quarantine/fingerprint.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// fingerprintBytes are those of a digest that name a work: enough that nobody can make a
-	// request that passes for another's.
+	// fingerprintBytes is the length of the truncated SHA-256 digest: long enough that nobody can
+	// construct a request with the fingerprint of another one.
 	fingerprintBytes = 16
 )
 
 type (
-	// Fingerprint names what a server does for a request: two requests with the same method,
-	// host, path, query, client account and body are the same work, whoever sends them
-	// and however often.
+	// Fingerprint identifies requests that ask a server for the same work: requests with the same
+	// method, host, path, query, client account and body have the same fingerprint, whoever sends
+	// them and however often.
 	Fingerprint [fingerprintBytes]byte
 )
 
-// NewFingerprint names the work of a request. target is the path with the query.
+// NewFingerprint returns the fingerprint of a request. target is the path with the query.
 func NewFingerprint(method, host, target, account string, body []byte) Fingerprint {
 	digest := sha256.New()
 	for _, field := range []string{method, host, target, account} {
-		// The length before each field keeps two fields from passing for one.
+		// The length prefix prevents ambiguity when bytes move from one field to the next.
 		_, _ = digest.Write(binary.AppendUvarint(nil, uint64(len(field))))
 		_, _ = digest.Write([]byte(field))
 	}
@@ -33,10 +33,10 @@
 	return Fingerprint(digest.Sum(nil)[:fingerprintBytes])
 }
 
-// IsEmpty reports whether the work of a request is not known.
+// IsEmpty reports whether the fingerprint of a request is unknown.
 func (f Fingerprint) IsEmpty() bool { return f == Fingerprint{} }
 
-// String is the name as operators see it, in hexadecimal digits.
+// String returns the fingerprint in hexadecimal digits, as it is shown to operators.
 func (f Fingerprint) String() string {
 	if f.IsEmpty() {
 		return ""
@@ -44,20 +44,20 @@
 	return hex.EncodeToString(f[:])
 }
 
-// MarshalText writes the name.
+// MarshalText encodes the fingerprint in hexadecimal digits.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-// UnmarshalText reads a name.
+// UnmarshalText decodes a fingerprint from hexadecimal digits. Empty text is the empty fingerprint.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	*f = Fingerprint{}
 	if len(text) == 0 {
 		return nil
 	}
 	if hex.DecodedLen(len(text)) != fingerprintBytes {
-		return errors.Errorf("work %q: must have %d hexadecimal digits", text, 2*fingerprintBytes)
+		return errors.Errorf("request fingerprint %q: must have %d hexadecimal digits", text, 2*fingerprintBytes)
 	}
 	if _, err := hex.Decode(f[:], text); err != nil {
-		return errors.Wrapf(err, "work %q", text)
+		return errors.Wrapf(err, "request fingerprint %q", text)
 	}
 	return nil
 }
--- a/internal/kernel/quarantine/fingerprint_test.go
+++ b/internal/kernel/quarantine/fingerprint_test.go
@@ -25,12 +25,12 @@
 		"query":               quarantine.NewFingerprint("POST", "h", "/a?q", "key", []byte("body")),
 		"account":             quarantine.NewFingerprint("POST", "h", "/a", "yek", []byte("body")),
 		"body":                quarantine.NewFingerprint("POST", "h", "/a", "key", []byte("ydob")),
-		"text moved to next":  quarantine.NewFingerprint("POST", "h/", "a", "key", []byte("body")),
-		"text moved to body":  quarantine.NewFingerprint("POST", "h", "/a", "", []byte("keybody")),
+		"bytes moved to next": quarantine.NewFingerprint("POST", "h/", "a", "key", []byte("body")),
+		"bytes moved to body": quarantine.NewFingerprint("POST", "h", "/a", "", []byte("keybody")),
 		"account before body": quarantine.NewFingerprint("POST", "h", "/a", "keybody", nil),
 	} {
 		if other == base {
-			t.Errorf("%s: got the same work, want another", name)
+			t.Errorf("%s: got the same fingerprint, want another", name)
 		}
 	}
 }
@@ -45,9 +45,9 @@
 	if err := json.Unmarshal(text, &got); err != nil || got != fp {
 		t.Errorf("got %v, %v, want %v", got, err, fp)
 	}
-	for _, wrong := range []string{`"12"`, `"zz345678901234567890123456789012"`} {
-		if err := json.Unmarshal([]byte(wrong), &got); err == nil {
-			t.Errorf("%s: got no error", wrong)
+	for _, invalid := range []string{`"12"`, `"zz345678901234567890123456789012"`} {
+		if err := json.Unmarshal([]byte(invalid), &got); err == nil {
+			t.Errorf("%s: got no error", invalid)
 		}
 	}
 }
--- a/internal/kernel/quarantine/history.go
+++ b/internal/kernel/quarantine/history.go
@@ -5,19 +5,21 @@
 )
 
 const (
-	// maxSuccesses bounds the works whose last good run is kept.
+	// maxSuccesses bounds the fingerprints whose last success is remembered.
 	maxSuccesses = 4096
 )
 
 type (
-	// runHistory are the works that run now and those that ran well of late. Reports of ends
-	// come some time after: a work that has run well since must be known then.
+	// runHistory holds the fingerprints that are running now and the times of recent successes.
+	// Reports of crashes arrive with a delay, so a success since the crash must still be known
+	// then.
 	runHistory struct {
 		running     map[Fingerprint]int
 		lastSuccess map[Fingerprint]time.Time
-		// order lists the works of last in the order in which they came, from next on.
-		order []Fingerprint
-		next  int
+		// insertionOrder is a ring buffer of the keys of lastSuccess; next is the oldest entry once
+		// the buffer is full.
+		insertionOrder []Fingerprint
+		next           int
 	}
 )
 
@@ -25,25 +27,25 @@
 	return runHistory{running: make(map[Fingerprint]int), lastSuccess: make(map[Fingerprint]time.Time)}
 }
 
-func (r *runHistory) recordSuccess(now time.Time, fp Fingerprint) {
-	if _, known := r.lastSuccess[fp]; !known {
-		if len(r.order) < maxSuccesses {
-			r.order = append(r.order, fp)
+func (h *runHistory) recordSuccess(now time.Time, fp Fingerprint) {
+	if _, known := h.lastSuccess[fp]; !known {
+		if len(h.insertionOrder) < maxSuccesses {
+			h.insertionOrder = append(h.insertionOrder, fp)
 		} else {
-			delete(r.lastSuccess, r.order[r.next])
-			r.order[r.next] = fp
-			r.next = (r.next + 1) % maxSuccesses
+			delete(h.lastSuccess, h.insertionOrder[h.next])
+			h.insertionOrder[h.next] = fp
+			h.next = (h.next + 1) % maxSuccesses
 		}
 	}
-	r.lastSuccess[fp] = now
+	h.lastSuccess[fp] = now
 }
 
-// hasSucceeded reports whether a work has run well at any moment that is remembered.
-func (r *runHistory) hasSucceeded(fp Fingerprint) bool {
-	_, succeeded := r.lastSuccess[fp]
+// hasSucceeded reports whether a success of the fingerprint is remembered.
+func (h *runHistory) hasSucceeded(fp Fingerprint) bool {
+	_, succeeded := h.lastSuccess[fp]
 	return succeeded
 }
 
-func (r *runHistory) succeededSince(fp Fingerprint, since time.Time) bool {
-	return r.lastSuccess[fp].After(since)
+func (h *runHistory) succeededSince(fp Fingerprint, since time.Time) bool {
+	return h.lastSuccess[fp].After(since)
 }
--- a/internal/kernel/quarantine/losses.go
+++ b/internal/kernel/quarantine/losses.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// lossTTL is how long a break may wait for a sign that its server has ended: until
-	// the registration of a server that sends nothing has run out everywhere.
+	// lossTTL is how long a connection loss waits for evidence that its server has crashed: until
+	// the registration of a server that sends no heartbeats has expired on all proxies.
 	lossTTL = 10 * time.Second
-	// maxFingerprintsPerLoss bounds the works noted for one server's end: more than it has
-	// slots and queue for one proxy.
+	// maxFingerprintsPerLoss bounds the fingerprints recorded for one server crash. It exceeds the
+	// slots and queue that a server has for one proxy.
 	maxFingerprintsPerLoss = 64
-	// maxProbes is how often a silent server is dialled to learn whether it has ended.
+	// maxProbes is how often an unresponsive server is probed to learn whether it has crashed.
 	maxProbes = 2
 )
 
 type (
-	// pendingLosses are the servers at which exchanges broke and of which it is not known
-	// whether they have ended. A cut connection, a spoilt answer or a partition
-	// breaks exchanges as an end does, but the server answers others afterwards.
+	// pendingLosses holds the servers to which connections were lost while requests were in flight
+	// and that are not yet known to have crashed. A reset connection, a truncated response or a
+	// network partition looks like a crash, but after those the server answers later requests.
 	pendingLosses map[InstanceID]*pendingLoss
 
 	pendingLoss struct {
-		// lastLoss is when the last exchange broke.
+		// lastLoss is when the most recent connection was lost.
 		lastLoss     time.Time
 		fingerprints []Fingerprint
 		// answered is set once the server has answered a later request.
@@ -32,11 +32,11 @@
 	}
 )
 
-func (b pendingLosses) add(now time.Time, fp Fingerprint, server InstanceID) {
-	loss := b[server]
+func (p pendingLosses) add(now time.Time, fp Fingerprint, server InstanceID) {
+	loss := p[server]
 	if loss == nil || loss.answered {
 		loss = &pendingLoss{}
-		b[server] = loss
+		p[server] = loss
 	}
 	loss.lastLoss = now
 	if len(loss.fingerprints) < maxFingerprintsPerLoss && !slices.Contains(loss.fingerprints, fp) {
@@ -44,26 +44,26 @@
 	}
 }
 
-func (b pendingLosses) recordResponse(server InstanceID, sentAt time.Time) {
-	if loss := b[server]; loss != nil && sentAt.After(loss.lastLoss) {
+func (p pendingLosses) recordResponse(server InstanceID, sentAt time.Time) {
+	if loss := p[server]; loss != nil && sentAt.After(loss.lastLoss) {
 		loss.answered = true
 	}
 }
 
-func (b pendingLosses) expire(now time.Time) {
-	for server, loss := range b {
+func (p pendingLosses) expire(now time.Time) {
+	for server, loss := range p {
 		if now.Sub(loss.lastLoss) > lossTTL {
-			delete(b, server)
+			delete(p, server)
 		}
 	}
 }
 
-// HasPendingLoss reports whether exchanges broke at a server of which it is not known yet whether
-// it has ended.
+// HasPendingLoss reports whether connections to a server were lost and it is not yet known whether
+// the server crashed.
 func (t *Tracker) HasPendingLoss(server InstanceID) bool { return t.losses[server] != nil }
 
-// ServersToProbe lists the servers that should be dialled: exchanges broke there, and nothing
-// was heard of them since.
+// ServersToProbe returns the servers to probe: connections to them were lost with requests in
+// flight, and they have not responded since. It counts as a probe of each.
 func (t *Tracker) ServersToProbe() []InstanceID {
 	t.probeNeeded = false
 	var servers []InstanceID
--- a/internal/kernel/quarantine/record.go
+++ b/internal/kernel/quarantine/record.go
@@ -7,55 +7,58 @@
 )
 
 const (
-	// maxCrashes bounds the ends that are kept for each work, protectedCrashes of them the first.
+	// maxCrashes bounds the crashes kept for each fingerprint. The protectedCrashes oldest
+	// uncleared ones are never dropped.
 	maxCrashes       = 8
 	protectedCrashes = DefaultThreshold
-	// maxPropagationDelay is how long news of an end may be under way. Ends later than that after a
-	// work was condemned are those of trials.
+	// maxPropagationDelay is the longest time that a report of a crash takes to reach other
+	// proxies. Crashes later than that after a fingerprint was quarantined were caused by trials.
 	maxPropagationDelay = 4 * time.Second
 )
 
 var (
-	// quarantinePeriods come one after the other, each after a trial that has ended a server. Sound
-	// work that was condemned in a storm of ends runs again within seconds, or all who ask
-	// for what is asked for most would be refused by all proxies, and nothing could clear
-	// it. Work that ends servers gets three trials within a day, as many as the operators
-	// allow.
+	// quarantinePeriods are applied in order, the next one after each trial that crashed a server.
+	// The first is short: a harmless request that was quarantined in a burst of crashes may run
+	// again within seconds. Otherwise all proxies would refuse the most frequent requests and
+	// nothing could clear them. A request that does crash servers gets three trials within a day,
+	// as many crashes as the operators allow.
 	quarantinePeriods = []quarantinePeriod{{2 * time.Second, 4 * time.Second}, {5 * time.Minute, 15 * time.Second}, {time.Hour, time.Minute}, {24 * time.Hour, time.Minute}}
 )
 
 type (
-	// record is what is known of a work. Ends are only added, and Cleared only set,
-	// so that records of different proxies merge to the same in any order.
+	// record is what is known about a fingerprint. Crashes are only added and cleared only set, so
+	// that the records of different proxies merge to the same result in any order.
 	record struct {
 		crashes []crash
-		// changedAt is when an end was added or cleared, here.
+		// changedAt is when a crash was last added or cleared at this proxy.
 		changedAt time.Time
-		// succeeded is set if the work is known to have run well, before or after.
+		// succeeded is set if the fingerprint is known to have succeeded, before or after the
+		// crashes.
 		succeeded bool
-		// announced is what was last told of the work: how many ends count.
+		// announced is the number of attributed crashes at the last call of emitEvents.
 		announced int
 	}
 
-	// crash is a server's end with the work there.
+	// crash is a server crash at which the fingerprint was in flight.
 	crash struct {
 		server InstanceID
 		at     time.Time
-		// cleared is set once the work has run well after it.
+		// cleared is set once the fingerprint has succeeded after the crash.
 		cleared bool
 	}
 
-	// quarantinePeriod is how long a condemned work is refused before a trial at one proxy, and the
-	// time from there to the next proxy's: until most have heard what became of it.
+	// quarantinePeriod is how long a fingerprint is refused before the first proxy may try it, and
+	// the delay from the trial of one proxy to that of the next, in which most proxies learn its
+	// result.
 	quarantinePeriod struct {
 		duration, rankDelay time.Duration
 	}
 )
 
-// insert adds an end and reports whether it is kept. Beyond those that are kept a cleared one
-// goes, else the oldest after the first, by which the work was condemned. If that is the
-// one added, nothing has changed: peers that still have it would else bring it back for
-// ever.
+// insert adds a crash and reports whether it is kept. If there are too many crashes, a cleared one
+// is dropped, or else the oldest one after those by which the fingerprint was quarantined. If the
+// added crash itself is dropped, nothing has changed: otherwise peers that still have it would send
+// it back and forth forever.
 func (r *record) insert(c crash) bool {
 	r.crashes = append(r.crashes, c)
 	if len(r.crashes) <= maxCrashes {
@@ -71,7 +74,7 @@
 	return dropped.server != c.server
 }
 
-// uncleared counts the ends since the work last ran well.
+// uncleared counts the crashes since the fingerprint last succeeded.
 func (r *record) uncleared() (n int) {
 	for _, c := range r.crashes {
 		if !c.cleared {
@@ -81,12 +84,12 @@
 	return n
 }
 
-// hasUncleared reports whether an end counts against the work.
+// hasUncleared reports whether the crash of a server counts against the fingerprint.
 func (r *record) hasUncleared(server InstanceID) bool {
 	return slices.ContainsFunc(r.crashes, func(c crash) bool { return c.server == server && !c.cleared })
 }
 
-// unclearedTimes are those of the ends that count, in order.
+// unclearedTimes returns the times of the uncleared crashes in order.
 func (r *record) unclearedTimes() []time.Time {
 	var times []time.Time
 	for _, c := range r.crashes {
@@ -98,8 +101,8 @@
 	return times
 }
 
-// period is the present term of a condemned work, from its last end on. It follows from the
-// ends alone, so that all proxies that know the same ends reckon with the same.
+// period returns the current quarantine period and the crash from which it counts, the last one. It
+// depends on the crashes alone, so proxies that know the same crashes use the same period.
 func (r *record) period(threshold int) (lastCrash time.Time, period quarantinePeriod) {
 	times := r.unclearedTimes()
 	quarantinedAt := times[min(threshold, len(times))-1]
--- a/internal/kernel/quarantine/report.go
+++ b/internal/kernel/quarantine/report.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// changeGossipPeriod is for how long a change is told to every peer that this proxy speaks to.
+	// changeGossipPeriod is how long a change is included in every message to a peer.
 	changeGossipPeriod = 3 * time.Second
-	// maxReports bounds the works in one message, 2 KB mostly.
+	// maxReports bounds the fingerprints in one message, which then mostly takes 2 KB.
 	maxReports = 32
-	// maxUnchangedReports bounds those of them that have not changed of late.
+	// maxUnchangedReports bounds the fingerprints among them without a recent change.
 	maxUnchangedReports = 16
 )
 
 type (
-	// Report is what a proxy tells others of a work.
+	// Report is what a proxy tells its peers about a fingerprint.
 	Report struct {
 		Fingerprint Fingerprint `json:"work"`
 		Crashes     []Crash     `json:"ends"`
-		// Succeeded is set if any proxy has seen the work run well.
+		// Succeeded is set if any proxy has seen such a request succeed.
 		Succeeded bool `json:"ran-well,omitempty"`
 	}
 
-	// Crash is a server's end with the work there. Its age is told, since clocks differ.
+	// Crash is a server crash at which a request with the fingerprint was in flight. Its age is
+	// sent instead of its time, because the clocks of proxies differ.
 	Crash struct {
 		Server  InstanceID    `json:"server"`
 		Age     time.Duration `json:"age"`
@@ -32,7 +33,7 @@
 	}
 )
 
-// UnclearedCrashes counts the ends since the work last ran well.
+// UnclearedCrashes counts the crashes since the fingerprint last succeeded.
 func (r Report) UnclearedCrashes() (n int) {
 	for _, c := range r.Crashes {
 		if !c.Cleared {
@@ -42,9 +43,9 @@
 	return n
 }
 
-// Reports lists what peers should hear: what has changed of late, and of the rest what
-// is condemned, in case they have missed it. all adds the other works with ends, for a
-// proxy that knows nothing yet.
+// Reports returns the reports to send to a peer: recent changes and, in case the peer missed them,
+// a number of quarantined fingerprints. full adds the other fingerprints with crashes, for a proxy
+// that has just started, and lifts the bound on unchanged ones.
 func (t *Tracker) Reports(now time.Time, full bool) []Report {
 	var recent, unchanged []Fingerprint
 	for fp, r := range t.records {
@@ -84,8 +85,8 @@
 	return r
 }
 
-// Merge takes in a peer's reports and reports whether they told anything new, which is
-// then urgent for others: each proxy passes each piece of news on once.
+// Merge adds the reports of a peer and reports whether they contained anything new. New information
+// becomes urgent, so that each proxy forwards it once.
 func (t *Tracker) Merge(now time.Time, reports []Report) (learned bool) {
 	for _, r := range reports {
 		changed := false
@@ -98,7 +99,7 @@
 			continue
 		}
 		if known.peerMissedClear(r) || known.succeeded && !r.Succeeded {
-			// The peer has not heard that the work has run well.
+			// The peer does not know that the fingerprint has succeeded.
 			known.changedAt = now
 		}
 		if r.Succeeded && !known.succeeded {
@@ -110,24 +111,26 @@
 	return learned
 }
 
-// peerMissedClear reports whether an end counts at the peer that told it and is cleared here.
+// peerMissedClear reports whether the peer counts a crash that is cleared here.
 func (r *record) peerMissedClear(reported Report) bool {
 	return slices.ContainsFunc(reported.Crashes, func(c Crash) bool {
 		return !c.Cleared && slices.ContainsFunc(r.crashes, func(known crash) bool { return known.server == c.Server && known.cleared })
 	})
 }
 
-// NeedsAttention reports whether there is anything to find out or to tell at once.
+// NeedsAttention reports whether there are servers to probe or urgent changes to send.
 func (t *Tracker) NeedsAttention() bool { return t.urgent || t.probeNeeded }
 
-// TakeUrgent reports, once, whether there is news that others should hear at once.
+// TakeUrgent reports whether there are changes that peers should learn of immediately, and resets
+// that state.
 func (t *Tracker) TakeUrgent() bool {
 	urgent := t.urgent
 	t.urgent = false
 	return urgent
 }
 
-// QuarantinedReports lists the works that are condemned, also while they are tried.
+// QuarantinedReports returns the reports of all quarantined fingerprints, including those that are
+// due for a trial.
 func (t *Tracker) QuarantinedReports(now time.Time) []Report {
 	var list []Report
 	for _, fp := range t.suspects {
--- a/internal/kernel/quarantine/scenario_test.go
+++ b/internal/kernel/quarantine/scenario_test.go
@@ -10,26 +10,26 @@
 )
 
 type (
-	// scenario is a scripted test of one or more proxies' ledgers.
+	// scenario is a scripted test of the trackers of one or more proxies.
 	scenario struct {
 		Description []string       `json:"story"`
 		Steps       []scenarioStep `json:"steps"`
 	}
 
 	scenarioStep struct {
-		// At is the moment since the start, that of the step before if left out.
+		// At is the time since the start. If omitted, it is that of the previous step.
 		At string `json:"at"`
-		// Proxy is whose ledger it is about, "a" if left out.
+		// Proxy is the proxy whose tracker the step applies to, "a" if omitted.
 		Proxy string `json:"proxy"`
-		// Do is started, stopped, broke, answered, ended, restarted, well, tick, tell or
+		// Do is started, stopped, broke, answered, ended, restarted, well, tick, tell, tell-all or
 		// rule.
 		Do     string   `json:"do"`
 		Work   string   `json:"work"`
 		Works  []string `json:"works"`
 		Server string   `json:"server"`
-		// Sent is how long before an answer its request was sent.
+		// Sent is how long before a response its request was sent.
 		Sent string `json:"sent"`
-		// To is the proxy that is told, Rank the place in the order of trials.
+		// To is the proxy that receives the reports, Rank the rank in the order of trials.
 		To   string `json:"to"`
 		Rank int    `json:"rank"`
 		// Want is clear, suspected, busy or condemned.
@@ -44,7 +44,7 @@
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "*.json"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no stories: %v", err)
+		t.Fatalf("no scenarios: %v", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".json"), func(t *testing.T) { runScenario(t, file) })
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	if n := len(s.Description); n < 2 || n > 5 {
-		t.Errorf("the story has %d lines, want two to five", n)
+		t.Errorf("the description has %d lines, want two to five", n)
 	}
 	start := time.Unix(1_000_000, 0)
 	now := start
@@ -105,34 +105,34 @@
 
 func runStep(t *testing.T, i int, now time.Time, trackerFor func(string) *Tracker, s scenarioStep, fp Fingerprint) {
 	t.Helper()
-	l, server := trackerFor(s.Proxy), NewInstanceID(s.Server, time.Time{})
+	tracker, server := trackerFor(s.Proxy), NewInstanceID(s.Server, time.Time{})
 	switch s.Do {
 	case "started":
-		l.RecordStart(fp)
+		tracker.RecordStart(fp)
 	case "stopped":
-		l.RecordStop(fp)
+		tracker.RecordStop(fp)
 	case "broke":
-		l.RecordConnectionLoss(now, fp, server)
+		tracker.RecordConnectionLoss(now, fp, server)
 	case "answered":
-		l.RecordResponse(server, now.Add(-parseDuration(t, s.Sent)))
+		tracker.RecordResponse(server, now.Add(-parseDuration(t, s.Sent)))
 	case "ended":
-		l.RecordServerGone(now, server)
+		tracker.RecordServerGone(now, server)
 	case "restarted":
-		l.RecordServerRestart(now, server)
+		tracker.RecordServerRestart(now, server)
 	case "well":
-		l.RecordSuccess(now, fp)
+		tracker.RecordSuccess(now, fp)
 	case "tick":
-		l.Tick(now)
+		tracker.Tick(now)
 	case "tell":
-		trackerFor(s.To).Merge(now, l.Reports(now, false))
+		trackerFor(s.To).Merge(now, tracker.Reports(now, false))
 	case "tell-all":
-		trackerFor(s.To).Merge(now, l.Reports(now, true))
+		trackerFor(s.To).Merge(now, tracker.Reports(now, true))
 	case "rule":
-		l.TrialRank = func(Fingerprint) int { return s.Rank }
-		if got, _ := l.Status(now, fp); statusNames[got] != s.Want {
+		tracker.TrialRank = func(Fingerprint) int { return s.Rank }
+		if got, _ := tracker.Status(now, fp); statusNames[got] != s.Want {
 			t.Errorf("step %d: got %s, want %s", i, statusNames[got], s.Want)
 		}
 	default:
-		t.Fatalf("step %d: %q is nothing to do", i, s.Do)
+		t.Fatalf("step %d: unknown action %q", i, s.Do)
 	}
 }
--- a/internal/kernel/quarantine/tracker.go
+++ b/internal/kernel/quarantine/tracker.go
@@ -9,92 +9,95 @@
 )
 
 const (
-	// suspectThreshold is from how many ends on a work runs once at a time at each proxy
-	// and is not sent again: what it ends then is found out before the next run.
+	// suspectThreshold is the number of crashes from which a proxy runs at most one request with a
+	// fingerprint at a time and does not retry it, so that a crash is detected before the next run.
 	suspectThreshold = 2
-	// DefaultThreshold is the operators' bound on the servers that one work may end.
+	// DefaultThreshold is the number of crashes from which a fingerprint is quarantined: the number
+	// of servers that operators allow one request to crash.
 	DefaultThreshold = 3
-	// MaxConnectionLosses is after how many broken exchanges a request is not sent again: whether
-	// those servers have ended is known only some time later.
+	// MaxConnectionLosses is the number of lost connections after which a request is no longer
+	// retried. Whether those servers crashed is known only some time later.
 	MaxConnectionLosses = 2
-	// MaxRetryAfter bounds the time that a caller of refused work is told to stay away.
+	// MaxRetryAfter bounds the delay that the caller of a quarantined request is told to wait.
 	MaxRetryAfter = time.Minute
-	// maxRecords bounds the works that are kept; a failure domain that is lost makes
-	// thousands, nearly all with one end.
+	// maxRecords bounds the tracked fingerprints. The loss of a failure domain adds thousands,
+	// nearly all with one crash.
 	maxRecords    = 512
 	evictionBatch = maxRecords / 4
-	// recordTTL is how long ends count that nothing was added to.
+	// recordTTL is how long a record is kept after its last change or, in quarantine, after its
+	// period.
 	recordTTL = time.Hour
 )
 
 const (
-	// Clear works run as any other.
+	// Clear requests run without restrictions.
 	Clear Status = iota
-	// Suspected works were there at the ends of servers, and may run once at a time.
+	// Suspected requests were in flight at several crashes. They may run one at a time.
 	Suspected
-	// Busy works are suspected and running at this proxy.
+	// Busy requests are suspected, and one with the same fingerprint is running at this proxy.
 	Busy
-	// Quarantined works must not run.
+	// Quarantined requests must not run.
 	Quarantined
 )
 
 const (
-	// EventServerCrashed tells of a server that has ended, and of the works that were there.
+	// EventServerCrashed reports a server crash and the requests that were in flight there.
 	EventServerCrashed EventType = "server-ended"
-	// EventSuspected tells of a work that was there at the ends of more than one server.
+	// EventSuspected reports a fingerprint that was in flight at more than one server crash.
 	EventSuspected EventType = "work-suspected"
-	// EventQuarantined tells of a work that is refused from now on.
+	// EventQuarantined reports a fingerprint that is refused from now on.
 	EventQuarantined EventType = "work-condemned"
-	// EventCleared tells of a work that ran well after servers had ended with it.
+	// EventCleared reports a fingerprint that succeeded after it had been in flight at several
+	// crashes.
 	EventCleared EventType = "work-cleared"
 )
 
 type (
-	// Status is what may be done with a work.
+	// Status tells whether a request may run.
 	Status uint8
 
-	// EventType names what has become of a work.
+	// EventType is the kind of an Event.
 	EventType string
 
-	// Event tells of a change.
+	// Event describes a change that operators should know about.
 	Event struct {
 		Type        EventType
 		Fingerprint Fingerprint
-		// Crashes counts those since the work last ran well.
+		// Crashes counts the crashes attributed to the fingerprint since it last succeeded.
 		Crashes int
-		// Server is the one that ended, with Works there.
+		// Server is the crashed server, Fingerprints are the requests that were in flight there.
 		Server       InstanceID
 		Fingerprints []Fingerprint
 	}
 
-	// InstanceID names one start of a server.
+	// InstanceID identifies one run of a server process. A restarted server has another one.
 	InstanceID uint64
 
-	// Tracker is what one proxy knows of works and the ends of servers. It is not safe
-	// for use by several goroutines at once. Its moments are of the caller's steady
-	// clock.
+	// Tracker holds what one proxy knows about request fingerprints and server crashes. It is not
+	// safe for concurrent use. Its times are those of the caller's monotonic clock.
 	Tracker struct {
-		// Threshold is from how many ends on a work is refused.
+		// Threshold is the number of crashes from which a fingerprint is quarantined.
 		Threshold int
-		// TrialRank is this proxy's place among all in the order of a work's trials. It is
-		// asked for condemned work only.
+		// TrialRank returns the rank of this proxy in the order in which proxies try a quarantined
+		// fingerprint again, from 0. It is called for quarantined fingerprints only.
 		TrialRank func(Fingerprint) int
-		// OnEvent is told of changes.
+		// OnEvent is called for each event.
 		OnEvent func(Event)
 
 		records map[Fingerprint]*record
 		losses  pendingLosses
 		history runHistory
-		// suspects are the works with enough ends to be suspected, explained or not.
+		// suspects holds the fingerprints with at least suspectThreshold uncleared crashes, whether
+		// or not another fingerprint explains those.
 		suspects []Fingerprint
-		// urgent is set by news that other proxies should hear at once.
+		// urgent is set by changes that peers should learn of immediately.
 		urgent bool
-		// probeNeeded is set by breaks at servers that have not been dialled since.
+		// probeNeeded is set by connection losses and reset by ServersToProbe.
 		probeNeeded bool
 	}
 )
 
-// NewTracker makes a ledger that knows nothing.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{
 		Threshold: DefaultThreshold,
@@ -104,7 +107,7 @@
 	}
 }
 
-// NewInstanceID names a start of a server, the same at all proxies.
+// NewInstanceID returns the identifier of a server run. It is the same on all proxies.
 func NewInstanceID(id string, started time.Time) InstanceID {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(id))
@@ -114,8 +117,8 @@
 	return InstanceID(hash.Sum64())
 }
 
-// Status says whether a work may run now. For a condemned work, it tells how long it is
-// refused.
+// Status reports whether a request may run now. For a quarantined one it also returns how long it
+// remains quarantined.
 func (t *Tracker) Status(now time.Time, fp Fingerprint) (Status, time.Duration) {
 	r := t.records[fp]
 	if r == nil {
@@ -127,8 +130,8 @@
 	}
 	if crashes >= t.Threshold {
 		lastCrash, period := r.period(t.Threshold)
-		if left := lastCrash.Add(period.duration + time.Duration(t.TrialRank(fp))*period.rankDelay).Sub(now); left > 0 {
-			return Quarantined, left
+		if remaining := lastCrash.Add(period.duration + time.Duration(t.TrialRank(fp))*period.rankDelay).Sub(now); remaining > 0 {
+			return Quarantined, remaining
 		}
 	}
 	if t.history.running[fp] > 0 {
@@ -137,17 +140,18 @@
 	return Suspected, 0
 }
 
-// RecordStart notes that a work is sent to a server.
+// RecordStart records that a request is sent to a server.
 func (t *Tracker) RecordStart(fp Fingerprint) { t.history.running[fp]++ }
 
-// RecordStop notes that the exchange has ended, however.
+// RecordStop records that an exchange has ended, whatever the outcome.
 func (t *Tracker) RecordStop(fp Fingerprint) {
 	if t.history.running[fp]--; t.history.running[fp] <= 0 {
 		delete(t.history.running, fp)
 	}
 }
 
-// RecordSuccess notes that a server answered a work: none of the ends so far was its doing.
+// RecordSuccess records that a server answered a request. This clears the fingerprint of all
+// crashes recorded so far.
 func (t *Tracker) RecordSuccess(now time.Time, fp Fingerprint) {
 	if fp.IsEmpty() {
 		return
@@ -169,8 +173,8 @@
 	}
 }
 
-// RecordConnectionLoss notes that an exchange broke while a server had the work. Whether the server
-// has ended is not known yet.
+// RecordConnectionLoss records that the connection was lost while a server was processing a
+// request. Whether the server has crashed is not known yet.
 func (t *Tracker) RecordConnectionLoss(now time.Time, fp Fingerprint, server InstanceID) {
 	if !fp.IsEmpty() {
 		t.losses.add(now, fp, server)
@@ -178,22 +182,22 @@
 	}
 }
 
-// RecordResponse notes an answer to a request that was sent to a server at a moment: it has
-// not ended before.
+// RecordResponse records a response to a request that was sent at sentAt: connection losses before
+// that time were not caused by a crash.
 func (t *Tracker) RecordResponse(server InstanceID, sentAt time.Time) {
 	t.losses.recordResponse(server, sentAt)
 }
 
-// RecordServerGone notes a sign that a server is gone: nothing listens where it was, or its
-// registration ran out. The works whose exchanges broke there were there at its end.
+// RecordServerGone records evidence that a server has crashed: its address refuses connections, or
+// its registration expired. Requests whose connections to it were lost were in flight at the crash.
 func (t *Tracker) RecordServerGone(now time.Time, server InstanceID) {
 	if loss := t.losses[server]; loss != nil && !loss.answered {
 		t.attributeCrash(now, server, loss)
 	}
 }
 
-// RecordServerRestart notes that a server has started again under its id, so that answers of
-// the later start may have been taken for the earlier one's.
+// RecordServerRestart records that a server has restarted under the same ID. Responses since the
+// connection loss may have come from the new run, so they are no evidence against a crash.
 func (t *Tracker) RecordServerRestart(now time.Time, server InstanceID) {
 	if loss := t.losses[server]; loss != nil {
 		t.attributeCrash(now, server, loss)
@@ -216,8 +220,8 @@
 	}
 }
 
-// addCrash takes an end into a work's record and reports whether that tells anything new
-// against or for the work.
+// addCrash adds a crash to the record of a fingerprint and reports whether it changed what counts
+// for or against the fingerprint.
 func (t *Tracker) addCrash(now time.Time, fp Fingerprint, c crash) bool {
 	r := t.records[fp]
 	if r == nil {
@@ -254,8 +258,8 @@
 	}
 }
 
-// emitEvents tells of works that are suspected or condemned since it last did. It comes
-// some time after the ends, when those of other works at the same servers are known too.
+// emitEvents reports fingerprints that became suspected or quarantined since its last call. It runs
+// some time after the crashes, when the other requests in flight there are known too.
 func (t *Tracker) emitEvents() {
 	for _, fp := range t.suspects {
 		r := t.records[fp]
@@ -270,9 +274,9 @@
 	}
 }
 
-// evict drops some of the works that matter least if there are too many: those with
-// the fewest ends, of them those that changed first. Several go at once: a region that is
-// lost brings thousands within a second.
+// evict removes the least significant records if there are too many: those with the fewest crashes,
+// the least recently changed first. It removes several at once, because the loss of a region adds
+// thousands within a second.
 func (t *Tracker) evict() {
 	if len(t.records) < maxRecords {
 		return
@@ -289,7 +293,7 @@
 	t.suspects = slices.DeleteFunc(t.suspects, func(suspect Fingerprint) bool { return suspect == fp })
 }
 
-// Tick drops what no longer counts.
+// Tick emits pending events and removes expired connection losses and records.
 func (t *Tracker) Tick(now time.Time) {
 	t.losses.expire(now)
 	t.emitEvents()
