--- a/internal/kernel/backpressure/draining.go
+++ b/internal/kernel/backpressure/draining.go
@@ -5,18 +5,19 @@
 )
 
 const (
-	// drainingTTL is how long the word of a server that leaves is kept after it was last
-	// heard. Its registration may run out and come back meanwhile.
+	// drainingTTL is how long a server is remembered as draining after its last signal. Its
+	// registration may expire and reappear in the meantime.
 	drainingTTL = 10 * time.Minute
-	// drainingGossipPeriod is how long peers are told of it: those that start know nothing.
+	// drainingGossipPeriod is how long peers are informed that a server is draining, for the
+	// benefit of proxies that have just started.
 	drainingGossipPeriod = time.Minute
 )
 
-// Draining reports whether the server takes no new requests any more.
+// Draining reports whether the server accepts no new requests.
 func (s *ServerState) Draining() bool { return s != nil && s.draining }
 
-// updateDraining takes in whether the server said at a moment that it leaves. A start of a
-// server that leaves does not come back, so the word stays.
+// updateDraining records whether the server announced at the given time that it is draining. A
+// draining server process does not resume, so the state is never reset.
 func (s *ServerState) updateDraining(now, at time.Time, draining bool) {
 	if !draining {
 		return
--- a/internal/kernel/backpressure/limit.go
+++ b/internal/kernel/backpressure/limit.go
@@ -8,37 +8,39 @@
 )
 
 const (
-	// limitWindow is the sliding window in which a limit is kept.
+	// limitWindow is the length of the sliding window over which a limit is enforced.
 	limitWindow = 4 * time.Second
-	// limitTTL is how long a limit holds after the last answer at any proxy that named it.
-	// A server that nobody asks says nothing, and one that has ended its limit can tell
-	// only those who still send.
+	// limitTTL is how long a limit applies after the last response at any proxy that advertised it.
+	// A server that receives no requests sends no signals, and one that has dropped its limit can
+	// tell only proxies that still send requests.
 	limitTTL = 15 * time.Second
-	// limitClearDelay is how long no answer must have named the limit for it to be lifted. A
-	// server that names it in some of its answers only still asks for it.
+	// limitClearDelay is how long the limit must be missing from responses before it is cleared. A
+	// server that advertises it in only some responses still requests it.
 	limitClearDelay = time.Second
-	// minWindowRequests is how many requests a limit leaves in a window, however low it is:
-	// without any, nobody would hear that it has ended.
+	// minWindowRequests is the number of requests per window that even the lowest limit permits:
+	// without any, no proxy would learn that the limit has ended.
 	minWindowRequests = 1
-	// maxWindowRequests is from how many requests in a window on a limit is none for one proxy.
+	// maxWindowRequests is the number of requests per window from which a limit is not enforced:
+	// one proxy does not reach it.
 	maxWindowRequests = 1 << 14
-	// regionShare is the part of a limit that the proxies of the server's own region share:
-	// most requests for it come from there.
+	// regionShare is the part of a limit that is reserved for the proxies in the server's own
+	// region, because most of its requests come from there.
 	regionShare = 0.75
 )
 
 type (
-	// ProxyRank is a proxy's place among all proxies, those in the region of a server first.
+	// ProxyRank is the position of a proxy in the order of all proxies, those in the server's
+	// region first.
 	ProxyRank struct {
 		Position int
-		// InRegion counts the proxies in the server's region, All all of them.
+		// InRegion counts the proxies in the server's region, Total all proxies.
 		InRegion, Total int
 	}
 )
 
-// Share is the proxy's part of the requests that a server takes in a window. The parts of
-// all proxies add up to the window without a message, so that the limit holds where they
-// can't hear each other.
+// Share returns the proxy's part of the requests that a server accepts in a window. The parts of
+// all proxies add up to the window without communication, so the limit also holds among proxies
+// that cannot reach each other.
 func (r ProxyRank) Share(window int) int {
 	if r.InRegion == 0 || r.InRegion == r.Total {
 		return admission.Apportion(window, r.Position, r.Total)
@@ -50,7 +52,7 @@
 	return admission.Apportion(window-regional, r.Position-r.InRegion, r.Total-r.InRegion)
 }
 
-// Limit is the limit in force.
+// Limit returns the limit that currently applies.
 func (s *ServerState) Limit(now time.Time) Limit {
 	if s == nil || !s.hasLimit(now) {
 		return Limit{}
@@ -58,8 +60,8 @@
 	return s.limit
 }
 
-// RequestsPerWindow is how many requests the server takes from all proxies together in a window;
-// false if it names no limit.
+// RequestsPerWindow returns how many requests per window the server accepts from all proxies
+// together. It returns false if no limit applies or the limit is too high to be enforced.
 func (s *ServerState) RequestsPerWindow(now time.Time) (int, bool) {
 	if s == nil || !s.hasLimit(now) {
 		return 0, false
@@ -71,9 +73,9 @@
 	return max(minWindowRequests, int(n)), true
 }
 
-// updateLimit takes in the limit that an answer names, if any. Answers may overtake each
-// other: one to a request that was sent before the limit was last named, or found to have
-// ended, neither lifts, raises nor renews it.
+// updateLimit applies the limit that a response advertises, if any. Responses may arrive out of
+// order: a response to a request sent before the limit was last advertised or cleared may lower the
+// limit, but does not clear, raise or restore it.
 func (s *ServerState) updateLimit(now, sentAt time.Time, limit Limit, complete bool) {
 	later := sentAt.After(s.limitAt)
 	switch {
@@ -86,7 +88,7 @@
 	}
 }
 
-// setLimit notes what the server said at a moment.
+// setLimit records the limit that the server advertised at the given time.
 func (s *ServerState) setLimit(now, at time.Time, limit Limit) {
 	if limit != s.limit {
 		s.changedAt = now
@@ -99,17 +101,18 @@
 	return s.limit.Set && now.Sub(s.limitAt) < limitTTL
 }
 
-// HasRoom reports whether this proxy, with a share of the window, may send one more request.
+// HasRoom reports whether this proxy may send one more request, given its share of the window.
 func (s *ServerState) HasRoom(now time.Time, share int) bool {
 	return s.sent.HasRoom(now, limitWindow, share)
 }
 
-// NextAllowed is when it may, zero if not before the server says otherwise.
+// NextAllowed returns when this proxy may send its next request, given its share of the window, or
+// the zero time if its share is zero.
 func (s *ServerState) NextAllowed(now time.Time, share int) time.Time {
 	return s.sent.NextAllowed(now, limitWindow, share)
 }
 
-// RecordSent counts a request to the server.
+// RecordSent counts a request sent to the server.
 func (s *ServerState) RecordSent(now time.Time) {
 	if s != nil && s.hasLimit(now) {
 		s.sent.Record(now)
--- a/internal/kernel/backpressure/pause.go
+++ b/internal/kernel/backpressure/pause.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// updatePause takes in for how long the server wants nothing from this proxy. What it has
-// asked for before stands.
+// updatePause records a pause that the server requested of this proxy. It never shortens an earlier
+// one.
 func (t *Tracker) updatePause(state *ServerState, now time.Time, pause time.Duration) {
 	until := now.Add(pause)
 	if pause <= 0 || !until.After(state.pausedUntil) {
@@ -19,10 +19,10 @@
 	}
 }
 
-// Paused reports whether the server wants nothing from this proxy now.
+// Paused reports whether the server currently accepts no requests from this proxy.
 func (s *ServerState) Paused(now time.Time) bool { return s != nil && now.Before(s.pausedUntil) }
 
-// PauseRemaining is for how much longer it does not.
+// PauseRemaining returns how much of the pause remains.
 func (s *ServerState) PauseRemaining(now time.Time) time.Duration {
 	if !s.Paused(now) {
 		return 0
@@ -30,5 +30,5 @@
 	return s.pausedUntil.Sub(now)
 }
 
-// PausedUntil is when the server takes requests from this proxy again.
+// PausedUntil returns the end of the pause.
 func (s *ServerState) PausedUntil() time.Time { return s.pausedUntil }
--- a/internal/kernel/backpressure/report.go
+++ b/internal/kernel/backpressure/report.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// changeGossipPeriod is for how long a change is told to every peer that this proxy speaks to.
+	// changeGossipPeriod is how long a change is included in every message to a peer.
 	changeGossipPeriod = 3 * time.Second
-	// maxReports bounds the servers in one message, some 20 bytes each; maxUnchangedReports those
-	// of them of which there is nothing new.
+	// maxReports bounds the servers in one message, at some 20 bytes each; maxUnchangedReports
+	// bounds those among them without a recent change.
 	maxReports          = 64
 	maxUnchangedReports = 16
 )
 
 type (
-	// Report is what a proxy tells others of what a server asks of all of them.
+	// Report is what a proxy tells its peers about the signals that a server sends to all proxies.
 	Report struct {
 		Server quarantine.InstanceID `json:"server"`
 		Limit  Limit                 `json:"limit"`
-		// Draining is set if it takes no new requests any more.
+		// Draining is set if the server accepts no new requests.
 		Draining bool `json:"leaving,omitempty"`
-		// Age is how long ago the server said so last; clocks differ.
+		// Age is the time since the server last sent the signal. It is sent instead of the time,
+		// because the clocks of proxies differ.
 		Age time.Duration `json:"age"`
 	}
 )
 
-// Reports lists what peers should hear: what has changed of late, and some of the rest that
-// is in force in turn; all of it for a proxy that knows nothing yet.
+// Reports returns the reports to send to a peer: recent changes and, in turn, a number of the other
+// signals that still apply. full lifts that bound, for a proxy that has just started.
 func (t *Tracker) Reports(now time.Time, full bool) []Report {
 	var recent, unchanged []*ServerState
 	for _, state := range t.states {
@@ -60,8 +61,8 @@
 	return reports
 }
 
-// Merge takes in a peer's reports. It reports whether it has learned of servers that it
-// knew nothing of.
+// Merge adds the reports of a peer. It reports whether they contained servers that were not
+// tracked.
 func (t *Tracker) Merge(now time.Time, reports []Report) (learned bool) {
 	for _, r := range reports {
 		signalAt := now.Add(-max(0, r.Age))
--- a/internal/kernel/backpressure/signal.go
+++ b/internal/kernel/backpressure/signal.go
@@ -1,8 +1,9 @@
-// Package backpressure keeps what backend servers ask of those who send them requests.
+// Package backpressure tracks the rate limits, drain notices and pauses that backend servers
+// request of the proxies.
 //
-// A server's answers carry signals. The ledger keeps them by the start of a server, so that
-// they outlive its registration and end when it starts again. It does no I/O and reads no
-// clock.
+// Responses of servers carry these signals. A Tracker keeps them per run of a server process, so
+// that they outlive the server's registration and end when the server restarts. The package does no
+// I/O and does not read the clock.
 package backpressure
 
 import (
@@ -15,37 +16,38 @@
 )
 
 const (
-	// maxDecimalLength bounds the text of a number, in bytes, decimalDigits are what it may be
-	// written with.
+	// maxDecimalLength bounds the length of a number in bytes, decimalDigits are its permitted
+	// characters.
 	maxDecimalLength = 32
 	decimalDigits    = "0123456789."
-	// maxPause bounds the pause that a server may ask for.
+	// maxPause bounds the pause that a server may request.
 	maxPause = 10 * time.Minute
 )
 
 type (
-	// Limit is the rate of requests that a server takes from all proxies together.
+	// Limit is the rate of requests that a server accepts from all proxies together.
 	Limit struct {
-		// Set is false if the server named no limit.
+		// Set is false if the server advertises no limit.
 		Set       bool    `json:"named,omitempty"`
 		PerSecond float64 `json:"per-second,omitempty"`
 	}
 
-	// Signal is what one answer asks.
+	// Signal holds the backpressure signals of one response.
 	Signal struct {
 		Limit Limit `json:"limit,omitzero"`
-		// Draining is set if the server takes no new requests any more.
+		// Draining is set if the server accepts no new requests.
 		Draining bool `json:"leaving,omitempty"`
-		// Pause is for how long the server wants nothing from the proxy that it answers.
+		// Pause is how long the proxy that receives the response is to send nothing to the server.
 		Pause time.Duration `json:"pause,omitempty"`
 	}
 )
 
-// IsEmpty reports whether nothing is asked.
+// IsEmpty reports whether the signal requests nothing.
 func (s Signal) IsEmpty() bool { return s == Signal{} }
 
-// ParseLimit reads the limit that an answer names, in requests a second. Of several the
-// lowest counts. One that is no decimal number names none, and is told of in the error.
+// ParseLimit parses the values of a rate limit header, in requests per second. The lowest of
+// several limits applies. A value that is not a decimal number is ignored and reported in the
+// error.
 func ParseLimit(values []string) (l Limit, err error) {
 	for _, value := range values {
 		for text := range strings.SplitSeq(value, ",") {
@@ -63,14 +65,14 @@
 func parseRate(text string) (float64, error) {
 	rate, ok := parseDecimal(text)
 	if !ok {
-		return 0, errors.Errorf("limit %.*q: must be a decimal number of requests a second", maxDecimalLength, text)
+		return 0, errors.Errorf("limit %.*q: must be a decimal number of requests per second", maxDecimalLength, text)
 	}
 	return rate, nil
 }
 
-// ParsePause reads for how long an answer asks for nothing more: seconds, or a date, which
-// counts from the moment that the answer was made. Of several the longest counts, up to ten
-// minutes. One that can't be read asks for none, and is told of in the error.
+// ParsePause parses the values of a retry header: a number of seconds, or a date that is taken
+// relative to the time of the response. The longest of several pauses applies, up to ten minutes.
+// An invalid value is ignored and reported in the error.
 func ParsePause(values []string, respondedAt time.Time) (pause time.Duration, err error) {
 	for _, value := range values {
 		p, parseErr := parsePause(strings.TrimSpace(value), respondedAt)
@@ -94,7 +96,7 @@
 	return max(0, min(until.Sub(respondedAt), maxPause)), nil
 }
 
-// parseDecimal reads a number without sign or exponent.
+// parseDecimal parses a number without sign or exponent.
 func parseDecimal(text string) (float64, bool) {
 	if len(text) > maxDecimalLength || strings.Trim(text, decimalDigits) != "" {
 		return 0, false
@@ -103,7 +105,7 @@
 	return value, err == nil
 }
 
-// lower is the lower one of two limits.
+// lower returns the lower of two limits.
 func (l Limit) lower(other Limit) Limit {
 	if !l.Set || other.Set && other.PerSecond < l.PerSecond {
 		return other
@@ -111,7 +113,7 @@
 	return l
 }
 
-// String is the limit for logs, empty for none.
+// String returns the limit for logs, empty if there is none.
 func (l Limit) String() string {
 	if !l.Set {
 		return ""
@@ -119,7 +121,7 @@
 	return strconv.FormatFloat(l.PerSecond, 'f', -1, 64) + "/s"
 }
 
-// Merge adds what another answer of the same exchange asks.
+// Merge adds the signals of another response in the same exchange.
 func (s Signal) Merge(other Signal) Signal {
 	return Signal{Limit: s.Limit.lower(other.Limit), Draining: s.Draining || other.Draining, Pause: max(s.Pause, other.Pause)}
 }
--- a/internal/kernel/backpressure/signal_test.go
+++ b/internal/kernel/backpressure/signal_test.go
@@ -46,7 +46,7 @@
 			t.Errorf("%q: got %+v without an error", text, l)
 		}
 		if l.Set && !(l.PerSecond >= 0 && l.PerSecond < 1e33) {
-			t.Errorf("%q: got %v requests a second", text, l.PerSecond)
+			t.Errorf("%q: got %v requests per second", text, l.PerSecond)
 		}
 	})
 }
--- a/internal/kernel/backpressure/tracker.go
+++ b/internal/kernel/backpressure/tracker.go
@@ -8,72 +8,72 @@
 )
 
 const (
-	// minLimitChange is by which part of itself a limit must change to be told of.
+	// minLimitChange is the relative change of a limit above which an event is emitted.
 	minLimitChange = 0.1
-	// maxStates bounds the servers of which something is kept.
+	// maxStates bounds the number of servers that are tracked.
 	maxStates = 4096
 )
 
 const (
-	// EventLimit tells of a limit that is named, another one, or none any more.
+	// EventLimit reports a limit that was set, changed or cleared.
 	EventLimit EventType = "server-limit"
-	// EventPause tells of a server that wants nothing from this proxy for a while.
+	// EventPause reports a server that requested a pause of this proxy.
 	EventPause EventType = "server-pause"
-	// EventDraining tells of a server that leaves by its own word.
+	// EventDraining reports a server that announced that it is draining.
 	EventDraining EventType = "server-leaving"
 )
 
 type (
-	// Tracker is what one proxy knows of the signals of servers. It is not safe for use by
-	// several goroutines at once. Its moments are of the caller's steady clock.
+	// Tracker holds what one proxy knows about the signals of servers. It is not safe for
+	// concurrent use. Its times are those of the caller's monotonic clock.
 	Tracker struct {
-		// OnEvent is told of changes.
+		// OnEvent is called for each event.
 		OnEvent func(Event)
 
 		states map[quarantine.InstanceID]*ServerState
 	}
 
-	// ServerState is what one start of a server asks.
+	// ServerState holds the signals of one run of a server process.
 	ServerState struct {
 		server quarantine.InstanceID
 		limit  Limit
-		// limitAt is when the limit was last named, or found to have ended.
+		// limitAt is when the limit was last advertised or cleared.
 		limitAt time.Time
-		// lastSignalAt is when the server last said anything, changedAt when that was something
-		// new, toldAt when peers were last told of it.
+		// lastSignalAt is when the server last sent a signal, changedAt when a signal last changed,
+		// reportedAt when peers were last informed.
 		lastSignalAt, changedAt, reportedAt time.Time
-		// draining is set once the server has said that it leaves.
+		// draining is set once the server has announced that it is draining.
 		draining bool
-		// pausedUntil is until when it wants nothing from this proxy.
+		// pausedUntil is the end of the pause that the server requested of this proxy.
 		pausedUntil time.Time
-		// announced is what was last told to Observe.
+		// announced is the signal last passed to OnEvent.
 		announced Signal
-		// sent counts this proxy's requests while there is a limit.
+		// sent counts this proxy's requests to the server while a limit applies.
 		sent admission.SlidingWindow
 	}
 
-	// Event tells of a change.
+	// Event describes a change in the signals of a server.
 	Event struct {
 		Server quarantine.InstanceID
 		Type   EventType
 		Limit  Limit
-		// Pause is for how long.
+		// Pause is the length of the pause.
 		Pause time.Duration
 	}
 
-	// EventType names what has changed.
+	// EventType is the kind of an Event.
 	EventType string
 )
 
-// NewTracker makes a ledger that knows nothing.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{OnEvent: func(Event) {}, states: make(map[quarantine.InstanceID]*ServerState)}
 }
 
-// State is what a server asks, nil for nothing.
+// State returns the signals of a server, or nil if there are none.
 func (t *Tracker) State(server quarantine.InstanceID) *ServerState { return t.states[server] }
 
-// Empty reports whether no server asks anything.
+// Empty reports whether no server has sent a signal.
 func (t *Tracker) Empty() bool { return len(t.states) == 0 }
 
 func (t *Tracker) addState(server quarantine.InstanceID) *ServerState {
@@ -82,8 +82,8 @@
 	return state
 }
 
-// RecordSignal takes in the signal of an answer to a request that was sent at a moment. whole is
-// set if all that the answer says is known: what it does not ask then has ended.
+// RecordSignal records the signal of a response to a request that was sent at sentAt. complete is
+// set if all signals of the response are known, so that a missing limit means that there is none.
 func (t *Tracker) RecordSignal(now, sentAt time.Time, server quarantine.InstanceID, signal Signal, complete bool) *ServerState {
 	state := t.states[server]
 	if state == nil {
@@ -99,19 +99,19 @@
 	return state
 }
 
-// active reports whether the server asks anything that is in force.
+// active reports whether any signal of the server still applies.
 func (s *ServerState) active(now time.Time) bool {
 	return s.hasLimit(now) || now.Before(s.pausedUntil) || s.draining && now.Sub(s.lastSignalAt) < drainingTTL
 }
 
-// touch notes a moment at which the server said something.
+// touch updates the time of the last signal.
 func (s *ServerState) touch(at time.Time) {
 	if at.After(s.lastSignalAt) {
 		s.lastSignalAt = at
 	}
 }
 
-// Tick drops what has run out.
+// Tick removes expired states.
 func (t *Tracker) Tick(now time.Time) {
 	for server, state := range t.states {
 		if !state.active(now) && now.Sub(state.changedAt) >= changeGossipPeriod {
@@ -133,8 +133,8 @@
 	delete(t.states, oldest.server)
 }
 
-// emitEvents tells of a server that leaves, and of a limit that is named, ends or changes by
-// more than a little.
+// emitEvents reports a server that starts draining, and a limit that is set, cleared or changed by
+// more than minLimitChange.
 func (t *Tracker) emitEvents(state *ServerState) {
 	if state.draining && !state.announced.Draining {
 		state.announced.Draining = true
--- a/internal/kernel/backpressure/tracker_test.go
+++ b/internal/kernel/backpressure/tracker_test.go
@@ -22,39 +22,39 @@
 	return Signal{Limit: Limit{Set: true, PerSecond: perSecond}}
 }
 
-// Guards against an answer from before a limit that arrives after it and lifts it.
+// Guards against a response from before a limit that arrives after it and clears it.
 func TestReorderedResponseDoesNotClearLimit(t *testing.T) {
-	l := NewTracker()
-	l.RecordSignal(at(100), at(50), server, limitSignal(6), true)
-	if state := l.RecordSignal(at(110), at(20), server, Signal{}, true); !state.limit.Set {
-		t.Error("an answer to an earlier request has lifted the limit")
+	tracker := NewTracker()
+	tracker.RecordSignal(at(100), at(50), server, limitSignal(6), true)
+	if state := tracker.RecordSignal(at(110), at(20), server, Signal{}, true); !state.limit.Set {
+		t.Error("a response to an earlier request cleared the limit")
 	}
-	if state := l.RecordSignal(at(120), at(30), server, limitSignal(9), true); state.limit.PerSecond != 6 {
-		t.Errorf("an answer to an earlier request has raised the limit to %v", state.limit)
+	if state := tracker.RecordSignal(at(120), at(30), server, limitSignal(9), true); state.limit.PerSecond != 6 {
+		t.Errorf("a response to an earlier request raised the limit to %v", state.limit)
 	}
-	if state := l.RecordSignal(at(300), at(200), server, Signal{}, false); !state.limit.Set {
-		t.Error("an answer of which not all is known has lifted the limit")
+	if state := tracker.RecordSignal(at(300), at(200), server, Signal{}, false); !state.limit.Set {
+		t.Error("an incomplete response cleared the limit")
 	}
-	if state := l.RecordSignal(at(300), at(200), server, limitSignal(9), true); state.limit.PerSecond != 9 {
-		t.Errorf("got %v, want the limit that was named last", state.limit)
+	if state := tracker.RecordSignal(at(300), at(200), server, limitSignal(9), true); state.limit.PerSecond != 9 {
+		t.Errorf("got %v, want the limit advertised last", state.limit)
 	}
-	if state := l.RecordSignal(at(900), at(800), server, Signal{}, true); !state.limit.Set {
-		t.Error("one answer without the limit, soon after others that named it, has lifted it")
+	if state := tracker.RecordSignal(at(900), at(800), server, Signal{}, true); !state.limit.Set {
+		t.Error("one response without the limit, soon after others with it, cleared it")
 	}
-	if state := l.RecordSignal(at(1400), at(1300), server, Signal{}, true); state.limit.Set {
-		t.Errorf("got %v, want no limit once a later answer names none", state.limit)
+	if state := tracker.RecordSignal(at(1400), at(1300), server, Signal{}, true); state.limit.Set {
+		t.Errorf("got %v, want no limit after a later response without one", state.limit)
 	}
-	if state := l.RecordSignal(at(1450), at(350), server, limitSignal(6), true); state.limit.Set {
-		t.Errorf("an answer to an earlier request has brought back %v", state.limit)
+	if state := tracker.RecordSignal(at(1450), at(350), server, limitSignal(6), true); state.limit.Set {
+		t.Errorf("a response to an earlier request restored %v", state.limit)
 	}
 }
 
 func TestEvents(t *testing.T) {
-	l := NewTracker()
+	tracker := NewTracker()
 	var got []string
-	l.OnEvent = func(n Event) { got = append(got, string(n.Type)+" "+n.Limit.String()) }
+	tracker.OnEvent = func(event Event) { got = append(got, string(event.Type)+" "+event.Limit.String()) }
 	for i, s := range []Signal{{}, limitSignal(6), limitSignal(6.1), limitSignal(6.3), limitSignal(8), {}, {Draining: true}, {}, {Draining: true}} {
-		l.RecordSignal(at(2000*i+50), at(2000*i), server, s, true)
+		tracker.RecordSignal(at(2000*i+50), at(2000*i), server, s, true)
 	}
 	want := []string{"server-limit 6/s", "server-limit 8/s", "server-limit ", "server-leaving "}
 	if !slices.Equal(got, want) {
@@ -62,89 +62,89 @@
 	}
 }
 
-// Guards against a proxy that has no part of a limit, so hears nothing more of the server
-// itself, and never sends there again.
+// Guards against a proxy without a share of a limit that never learns that the limit has ended,
+// because it receives no responses from the server itself.
 func TestMergeClearsLimit(t *testing.T) {
-	sender, other := NewTracker(), NewTracker()
+	sender, receiver := NewTracker(), NewTracker()
 	sender.RecordSignal(at(100), at(50), server, limitSignal(6), true)
-	if !other.Merge(at(200), sender.Reports(at(150), false)) || other.State(server).Limit(at(200)).PerSecond != 6 {
-		t.Fatalf("got %+v, want the limit of 6", other.State(server))
+	if !receiver.Merge(at(200), sender.Reports(at(150), false)) || receiver.State(server).Limit(at(200)).PerSecond != 6 {
+		t.Fatalf("got %+v, want the limit of 6", receiver.State(server))
 	}
 	sender.RecordSignal(at(5100), at(5000), server, Signal{}, true)
-	other.Merge(at(5200), sender.Reports(at(5150), false))
-	if got := other.State(server).Limit(at(5200)); got.Set {
+	receiver.Merge(at(5200), sender.Reports(at(5150), false))
+	if got := receiver.State(server).Limit(at(5200)); got.Set {
 		t.Errorf("got %v, want no limit", got)
 	}
-	// What is older than the peer's own word changes nothing.
-	other.Merge(at(5300), []Report{{Server: server, Limit: Limit{true, 6}, Age: time.Second}})
-	if got := other.State(server).Limit(at(5300)); got.Set {
-		t.Errorf("old news brought back %v", got)
+	// A report older than the receiver's own information changes nothing.
+	receiver.Merge(at(5300), []Report{{Server: server, Limit: Limit{true, 6}, Age: time.Second}})
+	if got := receiver.State(server).Limit(at(5300)); got.Set {
+		t.Errorf("an old report restored %v", got)
 	}
 }
 
-// Guards against a limit that stays for good where nobody asks the server any more.
+// Guards against a limit that stays forever because no proxy sends requests to the server.
 func TestLimitExpiresWithoutSignals(t *testing.T) {
-	l := NewTracker()
-	state := l.RecordSignal(at(0), at(-10), server, limitSignal(6), true)
+	tracker := NewTracker()
+	state := tracker.RecordSignal(at(0), at(-10), server, limitSignal(6), true)
 	if _, limited := state.RequestsPerWindow(at(14_900)); !limited {
-		t.Error("the limit is no longer in force 14.9 s after it was named")
+		t.Error("the limit has expired 14.9 s after it was advertised")
 	}
 	if _, limited := state.RequestsPerWindow(at(15_100)); limited {
-		t.Error("the limit is in force 15.1 s after it was named last")
+		t.Error("the limit still applies 15.1 s after it was last advertised")
 	}
-	if l.Tick(at(15_100)); l.State(server) != nil {
-		t.Error("the ledger keeps what has run out")
+	if tracker.Tick(at(15_100)); tracker.State(server) != nil {
+		t.Error("the tracker keeps an expired state")
 	}
 }
 
 func TestTrackerIsBounded(t *testing.T) {
-	l := NewTracker()
+	tracker := NewTracker()
 	for i := range maxStates + 10 {
-		l.RecordSignal(at(i), at(i-1), quarantine.InstanceID(i), limitSignal(6), true)
+		tracker.RecordSignal(at(i), at(i-1), quarantine.InstanceID(i), limitSignal(6), true)
 	}
-	l.Tick(at(maxStates + 10))
-	if len(l.states) != maxStates || l.State(0) != nil {
-		t.Errorf("got %d servers, the oldest %v; want %d without the oldest", len(l.states), l.State(0), maxStates)
+	tracker.Tick(at(maxStates + 10))
+	if len(tracker.states) != maxStates || tracker.State(0) != nil {
+		t.Errorf("got %d servers, the oldest %v; want %d without the oldest", len(tracker.states), tracker.State(0), maxStates)
 	}
 }
 
-// Guards against a proxy that has just started and sends to a server that leaves.
+// Guards against a proxy that has just started and sends requests to a draining server.
 func TestDrainingReachesNewPeers(t *testing.T) {
-	sender, other := NewTracker(), NewTracker()
+	sender, receiver := NewTracker(), NewTracker()
 	sender.RecordSignal(at(100), at(50), server, Signal{Draining: true}, true)
 	sender.RecordSignal(at(200), at(150), server, Signal{}, true)
 	if !sender.State(server).Draining() {
-		t.Fatal("an answer without the word took it back")
+		t.Fatal("a response without the signal reset it")
 	}
-	other.Merge(at(30_000), sender.Reports(at(30_000), true))
-	if !other.State(server).Draining() {
-		t.Error("the peer does not know that the server leaves")
+	receiver.Merge(at(30_000), sender.Reports(at(30_000), true))
+	if !receiver.State(server).Draining() {
+		t.Error("the peer does not know that the server is draining")
 	}
 	if got := sender.Reports(at(61_000), true); len(got) > 0 {
-		t.Errorf("got %+v a minute later, want no more of a server that must be gone", got)
+		t.Errorf("got %+v a minute later, want no more reports of a server that must have stopped", got)
 	}
 	for _, minutes := range []int{9, 11} {
 		sender.Tick(at(minutes * 60_000))
 		if kept := sender.State(server).Draining(); kept != (minutes == 9) {
-			t.Errorf("the word is kept after %d minutes: %t", minutes, kept)
+			t.Errorf("the server counts as draining after %d minutes: %t", minutes, kept)
 		}
 	}
 }
 
-// Guards against a later answer, or a shorter pause, that cuts a pause short.
+// Guards against a later response without a pause, or with a shorter one, that shortens a pause.
 func TestPauseIsNotShortened(t *testing.T) {
-	l := NewTracker()
-	state := l.RecordSignal(at(0), at(-10), server, Signal{Pause: 3 * time.Second}, true)
-	l.RecordSignal(at(100), at(50), server, Signal{Pause: time.Second}, true)
-	l.RecordSignal(at(200), at(150), server, Signal{}, true)
+	tracker := NewTracker()
+	state := tracker.RecordSignal(at(0), at(-10), server, Signal{Pause: 3 * time.Second}, true)
+	tracker.RecordSignal(at(100), at(50), server, Signal{Pause: time.Second}, true)
+	tracker.RecordSignal(at(200), at(150), server, Signal{}, true)
 	if !state.Paused(at(2900)) || state.Paused(at(3000)) || state.PauseRemaining(at(2900)) != 100*time.Millisecond {
 		t.Errorf("got a pause until %s, want 3 s", state.PausedUntil())
 	}
-	l.RecordSignal(at(2500), at(2400), server, Signal{Pause: 2 * time.Second}, true)
+	tracker.RecordSignal(at(2500), at(2400), server, Signal{Pause: 2 * time.Second}, true)
 	if !state.Paused(at(4400)) {
-		t.Error("a pause that was asked for again ends with the first one")
+		t.Error("a renewed pause ended with the first one")
 	}
-	if got := l.Reports(at(2600), true); len(got) > 0 {
-		t.Errorf("got %+v, want nothing for peers: the pause is between the server and this proxy", got)
+	if got := tracker.Reports(at(2600), true); len(got) > 0 {
+		t.Errorf("got %+v, want no reports: a pause applies to this proxy only", got)
 	}
 }
