--- a/internal/kernel/admission/adaptive.go
+++ b/internal/kernel/admission/adaptive.go
@@ -6,62 +6,62 @@
 )
 
 const (
-	// slowFactor is how many times the work without company an answer must take to count
-	// as slow. On servers that do not slow down, one in ten does, full or not; on
-	// those that take three times as long once two of three slots are used, half and
-	// more of the answers of full ones do.
+	// slowFactor is the multiple of the unloaded service time from which a response counts as slow.
+	// On servers that do not slow down, one response in ten is slow, at any load. On servers that
+	// take three times as long once two of three slots are in use, at least half of the responses
+	// are slow when the server is full.
 	slowFactor = 1.8
-	// minSlowRatio is the share of slow answers of full servers from which their
-	// service is suspected, between those two.
+	// minSlowRatio is the ratio of slow responses of full servers from which their service may be
+	// slowing down. It separates the two cases above.
 	minSlowRatio = 0.6
-	// minResponses is how many answers must have been seen for it. One in ten comes
-	// to five of eight by chance once in 2,000 times; what follows then is a few
-	// seconds in which gates measure.
+	// minResponses is the number of responses required for a detection. With one slow response in
+	// ten, five of eight are slow by chance once in 2,000 cases; the cost is then a few seconds in
+	// which the limiters measure throughput.
 	minResponses = 8
-	// minSlowExcess is by how much the share of slow answers must be larger for full
-	// servers than for others. Objects that servers have forgotten make answers slow
-	// whether they are full or not.
+	// minSlowExcess is how much higher the ratio of slow responses must be on full servers than on
+	// others. Cache misses slow responses down at any load.
 	minSlowExcess = 0.2
-	// minSlowServers is how many servers must have been slow within slowServerTTL. One
-	// or two that are slow by themselves are full all the time, but no reason to hold
-	// back before the others.
+	// minSlowServers is the number of servers that must have been slow within slowServerTTL. One or
+	// two servers that are always slow are also always full, but that is no reason to limit the
+	// others.
 	minSlowServers = 3
 	slowServerTTL  = 5 * time.Second
-	// maxLevels bounds the levels that are told apart: with many slots, one more or
-	// less makes no difference that shows.
+	// maxLevels bounds the number of distinguished concurrency levels: on servers with many slots,
+	// one more request makes no measurable difference.
 	maxLevels = 8
-	// levelWeight is the weight of one answer in the mean of its level, once
-	// minLevelSamples were seen; a level is not compared with fewer.
+	// levelWeight is the weight of one response in the moving average of its level, once
+	// minLevelSamples were seen. Levels with fewer samples are not compared.
 	levelWeight     = 1.0 / 16
 	minLevelSamples = 8
-	// probeWeight is that of an answer to a trial: they are few.
+	// probeWeight is the weight of a response to a probe, of which there are few.
 	probeWeight = 1.0 / 4
-	// reductionFactor is the part of the running requests that is tried first. "Nearly full"
-	// is beyond it on any server that was seen.
+	// reductionFactor is the part of the current concurrency that is tried first when it is
+	// reduced. The slowdown of nearly full servers was always observed above it.
 	reductionFactor = 0.67
-	// confirmSamples is how many answers at the highest level must be known before
-	// servers are called sound and are no longer held back.
+	// confirmSamples is the number of responses required at the highest level before the servers
+	// are known not to slow down and are no longer limited.
 	confirmSamples = 24
-	// minImprovement is by how much more a level must get done to be preferred. Below it
-	// the difference is within the spread of 16 answers.
+	// minImprovement is the factor by which the throughput of a level must be higher to be
+	// preferred. Smaller differences are within the noise of 16 responses.
 	minImprovement = 1.08
-	// maxRatio bounds one answer's part in the mean: one that took longer waited
-	// for something else.
+	// maxRatio bounds the contribution of one response to the average: a slower one waited for
+	// something unrelated.
 	maxRatio = 6.0
-	// explorationInterval is how long less is not tried again if it has not got more done.
+	// explorationInterval is the minimum time between two trials of a reduced level.
 	explorationInterval = 10 * time.Second
-	// minProbeInterval is how long after a move of the limit one more is let run, to see,
-	// and maxProbeInterval the longest time between two such trials; it doubles with each.
-	// A trial is one slow answer, and a proxy may own the gates of a few servers.
+	// minProbeInterval is the time from a change of the limit to the first probe, in which one more
+	// request may run. The interval doubles with each probe up to maxProbeInterval. A probe costs
+	// one slow response, and a proxy may own the limiters of several servers.
 	minProbeInterval = 2 * time.Second
 	maxProbeInterval = time.Minute
 )
 
 type (
-	// SlowdownDetector notes how often answers are slow, of full servers and of others.
+	// SlowdownDetector measures how often responses are slow, separately for full servers and
+	// others.
 	SlowdownDetector struct {
 		full, other slowRatio
-		// lastSlow are the servers whose answers were slow when full, with the last time.
+		// lastSlow maps each server to the time of its last slow response while full.
 		lastSlow map[string]time.Time
 	}
 
@@ -70,45 +70,46 @@
 		samples int
 	}
 
-	// AdaptiveLimit learns how many requests the servers of a service should run at
-	// once: the number at which most gets done, by how long the work takes for the
-	// request that began as the first, second and so on.
+	// AdaptiveLimit learns how many requests the servers of a service should run at once: the
+	// number with the highest throughput, computed from the service times of requests by the number
+	// of requests that were running when they started.
 	AdaptiveLimit struct {
 		slots int
-		// step is how many more running requests are the next level.
+		// step is the number of concurrent requests between two levels.
 		step   int
 		levels []level
 		// current is the level up to which requests may run.
 		current int
-		// lastProbe is when the next level was last let run, pause the time until it is
-		// again.
+		// lastProbe is when a request was last allowed at the next level, probeInterval the time
+		// until the next probe.
 		lastProbe     time.Time
 		probeInterval time.Duration
-		// lastExploration is when less was last tried without knowing more of it.
+		// lastExploration is when a reduced level was last tried in order to measure it.
 		lastExploration time.Time
-		// adoptedSamples is the evidence for the limit if another proxy has told it.
+		// adoptedSamples is the number of samples behind a limit that was adopted from another
+		// proxy.
 		adoptedSamples int
 	}
 
-	// level is the work of requests that began with so many running, as a part of
-	// their target.
+	// level is the average service time of requests that started at this concurrency level,
+	// relative to their target.
 	level struct {
 		ratio   float64
 		samples int
 	}
 
-	// Limit is what a proxy has learned of a service: how many its servers should run
-	// at once, and how many answers speak for that.
+	// Limit is the concurrency limit that a proxy has learned for a service: the number of requests
+	// that its servers should run at once, and the number of samples that support it.
 	Limit struct {
-		// Slots are those of the servers that it is about.
+		// Slots is the number of slots of the servers that the limit applies to.
 		Slots   int `json:"slots"`
 		Max     int `json:"most"`
 		Samples int `json:"evidence"`
 	}
 )
 
-// Observe takes in a server's answer. full is set if all its slots were in use;
-// reckoned is how long it should have taken.
+// Observe adds a response of a server. full is set if all its slots were in use; expected is the
+// service time to expect without load.
 func (s *SlowdownDetector) Observe(now time.Time, server string, full bool, elapsed, expected time.Duration) {
 	slow := float64(elapsed) > slowFactor*float64(expected)
 	if !full {
@@ -133,134 +134,135 @@
 	s.ratio += (value - s.ratio) / float64(min(s.samples, minResponses))
 }
 
-// Detected reports whether full servers seem to slow down.
+// Detected reports whether servers appear to slow down when they are full.
 func (s *SlowdownDetector) Detected(now time.Time) bool {
 	maps.DeleteFunc(s.lastSlow, func(_ string, at time.Time) bool { return now.Sub(at) > slowServerTTL })
 	return s.full.samples >= minResponses && s.full.ratio >= minSlowRatio && s.full.ratio-s.other.ratio >= minSlowExcess &&
 		len(s.lastSlow) >= minSlowServers
 }
 
-// Reset forgets what was seen.
+// Reset discards all measurements.
 func (s *SlowdownDetector) Reset() { *s = SlowdownDetector{} }
 
-// NewAdaptiveLimit begins to learn for servers with a number of slots.
+// NewAdaptiveLimit returns an AdaptiveLimit for servers with the given number of slots, which
+// starts with all of them.
 func NewAdaptiveLimit(slots int) *AdaptiveLimit {
 	step := max(1, slots/maxLevels)
 	top := (slots + step - 1) / step
 	return &AdaptiveLimit{slots: slots, step: step, current: top, levels: make([]level, top+1), probeInterval: minProbeInterval}
 }
 
-// Limit is how many may run at once: up to the next level while nothing is known of
-// it, unless another proxy has told the limit.
-func (c *AdaptiveLimit) Limit() int {
-	if c.adoptedSamples == 0 && !c.AtMax() && c.isMeasured(c.current) && !c.isMeasured(c.current+1) {
-		return c.limitAt(c.current + 1)
+// Limit returns how many requests may run at once. It includes the next level while that has not
+// been measured, unless the limit was adopted from another proxy.
+func (a *AdaptiveLimit) Limit() int {
+	if a.adoptedSamples == 0 && !a.AtMax() && a.isMeasured(a.current) && !a.isMeasured(a.current+1) {
+		return a.limitAt(a.current + 1)
 	}
-	return c.limitAt(c.current)
+	return a.limitAt(a.current)
 }
 
-func (c *AdaptiveLimit) limitAt(level int) int { return min(c.slots, level*c.step) }
+func (a *AdaptiveLimit) limitAt(level int) int { return min(a.slots, level*a.step) }
 
-// Learned is the limit with the evidence for it.
-func (c *AdaptiveLimit) Learned() Limit {
-	return Limit{Slots: c.slots, Max: c.limitAt(c.current), Samples: c.samples()}
+// Learned returns the limit with the number of samples that support it.
+func (a *AdaptiveLimit) Learned() Limit {
+	return Limit{Slots: a.slots, Max: a.limitAt(a.current), Samples: a.samples()}
 }
 
-// samples counts the answers that speak for the limit: those that began at the level
-// above it, or at the highest if there is none.
-func (c *AdaptiveLimit) samples() int {
-	return max(c.adoptedSamples, c.levels[min(c.current+1, c.topLevel())].samples)
+// samples counts the responses that support the limit: those at the level above it, or at the
+// highest level if there is none above.
+func (a *AdaptiveLimit) samples() int {
+	return max(a.adoptedSamples, a.levels[min(a.current+1, a.topLevel())].samples)
 }
 
-// Adopt takes over what another proxy has learned from more answers. Each gate sees
-// a few answers a second; alone, each would take tens of seconds to learn.
-func (c *AdaptiveLimit) Adopt(l Limit) {
-	if l.Slots != c.slots || l.Max < 1 || l.Max > c.slots || l.Samples < minLevelSamples || l.Samples <= c.samples() {
+// Adopt applies the limit that another proxy has learned from more samples. Each limiter sees a few
+// responses per second; alone, each would take tens of seconds to learn.
+func (a *AdaptiveLimit) Adopt(l Limit) {
+	if l.Slots != a.slots || l.Max < 1 || l.Max > a.slots || l.Samples < minLevelSamples || l.Samples <= a.samples() {
 		return
 	}
-	c.current, c.adoptedSamples = (l.Max+c.step-1)/c.step, l.Samples
+	a.current, a.adoptedSamples = (l.Max+a.step-1)/a.step, l.Samples
 }
 
-func (c *AdaptiveLimit) topLevel() int { return len(c.levels) - 1 }
+func (a *AdaptiveLimit) topLevel() int { return len(a.levels) - 1 }
 
-// AtMax reports whether the servers may use all their slots so far.
-func (c *AdaptiveLimit) AtMax() bool { return c.current == c.topLevel() }
+// AtMax reports whether the servers may currently use all their slots.
+func (a *AdaptiveLimit) AtMax() bool { return a.current == a.topLevel() }
 
-// ConfirmedAtMax reports whether the servers are known to get most done with all their slots.
-func (c *AdaptiveLimit) ConfirmedAtMax() bool {
-	return c.AtMax() && c.levels[c.current].samples >= confirmSamples && (c.current == 1 || c.isMeasured(c.reducedLevel()))
+// ConfirmedAtMax reports whether the servers are known to have the highest throughput with all
+// their slots in use.
+func (a *AdaptiveLimit) ConfirmedAtMax() bool {
+	return a.AtMax() && a.levels[a.current].samples >= confirmSamples && (a.current == 1 || a.isMeasured(a.reducedLevel()))
 }
 
-// NextLimit is the limit for the next request: now and then more, to learn whether the
-// servers have become better.
-func (c *AdaptiveLimit) NextLimit(now time.Time) int {
-	if c.lastProbe.IsZero() {
-		c.lastProbe = now
+// NextLimit returns the limit for the next request. It occasionally permits a probe at the next
+// level, to detect servers that no longer slow down.
+func (a *AdaptiveLimit) NextLimit(now time.Time) int {
+	if a.lastProbe.IsZero() {
+		a.lastProbe = now
 	}
-	if c.AtMax() || now.Sub(c.lastProbe) < c.probeInterval {
-		return c.Limit()
+	if a.AtMax() || now.Sub(a.lastProbe) < a.probeInterval {
+		return a.Limit()
 	}
-	return c.limitAt(c.current + 1)
+	return a.limitAt(a.current + 1)
 }
 
-// RecordProbe notes that a request was let run beyond the limit.
-func (c *AdaptiveLimit) RecordProbe(now time.Time) {
-	c.lastProbe, c.probeInterval = now, min(2*c.probeInterval, maxProbeInterval)
+// RecordProbe records that a request was allowed beyond the limit.
+func (a *AdaptiveLimit) RecordProbe(now time.Time) {
+	a.lastProbe, a.probeInterval = now, min(2*a.probeInterval, maxProbeInterval)
 }
 
-// Observe takes in how long a request that began as the rank-th took, as a part of its
-// target, and moves the limit to where most gets done.
-func (c *AdaptiveLimit) Observe(now time.Time, rank int, ratio float64) {
-	if rank < 1 || rank > c.slots {
+// Observe adds the service time, relative to its target, of a request that started as the rank-th
+// running one, and moves the limit to the level with the highest throughput.
+func (a *AdaptiveLimit) Observe(now time.Time, rank int, ratio float64) {
+	if rank < 1 || rank > a.slots {
 		return
 	}
-	l := &c.levels[(rank+c.step-1)/c.step]
+	l := &a.levels[(rank+a.step-1)/a.step]
 	l.samples++
 	weight := max(levelWeight, 1/float64(l.samples))
-	if rank > c.limitAt(c.current) {
+	if rank > a.limitAt(a.current) {
 		weight = max(weight, probeWeight)
 	}
 	l.ratio += (min(ratio, maxRatio) - l.ratio) * weight
-	for other := range c.levels {
-		if c.outperforms(other, c.current) {
-			c.moveTo(other)
+	for other := range a.levels {
+		if a.outperforms(other, a.current) {
+			a.moveTo(other)
 		}
 	}
-	if c.needsExploration() && now.Sub(c.lastExploration) > explorationInterval {
-		c.lastExploration = now
-		c.levels[c.reducedLevel()] = level{}
-		c.moveTo(c.reducedLevel())
+	if a.needsExploration() && now.Sub(a.lastExploration) > explorationInterval {
+		a.lastExploration = now
+		a.levels[a.reducedLevel()] = level{}
+		a.moveTo(a.reducedLevel())
 	}
 }
 
-// reducedLevel is the level that is tried if nothing is known of less than now. One level less
-// would not do: beyond the point from which servers slow down, less gets done with it
-// too.
-func (c *AdaptiveLimit) reducedLevel() int { return max(1, int(reductionFactor*float64(c.current))) }
+// reducedLevel returns the level to explore if no lower level has been measured. One level less
+// would not do: above the point at which servers slow down, one level less also has a lower
+// throughput.
+func (a *AdaptiveLimit) reducedLevel() int { return max(1, int(reductionFactor*float64(a.current))) }
 
-// needsExploration reports whether less must be tried to know more: servers that use
-// all their slots may get more done with fewer, and where answers come late without
-// a queue, what is known of less may be of a time when servers were full of what had
-// been sent before.
-func (c *AdaptiveLimit) needsExploration() bool {
-	return c.current > 1 && c.isMeasured(c.current) && (c.AtMax() && !c.isMeasured(c.reducedLevel()) || c.levels[c.current].ratio > 1)
+// needsExploration reports whether a reduced level must be measured: servers that use all their
+// slots may have a higher throughput with fewer, and if responses are late without a queue, the
+// measurements of lower levels may date from a time when the servers were full of earlier requests.
+func (a *AdaptiveLimit) needsExploration() bool {
+	return a.current > 1 && a.isMeasured(a.current) && (a.AtMax() && !a.isMeasured(a.reducedLevel()) || a.levels[a.current].ratio > 1)
 }
 
-func (c *AdaptiveLimit) isMeasured(level int) bool { return c.levels[level].samples >= minLevelSamples }
+func (a *AdaptiveLimit) isMeasured(level int) bool { return a.levels[level].samples >= minLevelSamples }
 
-func (c *AdaptiveLimit) moveTo(level int) {
-	c.current, c.adoptedSamples, c.probeInterval = level, 0, minProbeInterval
+func (a *AdaptiveLimit) moveTo(level int) {
+	a.current, a.adoptedSamples, a.probeInterval = level, 0, minProbeInterval
 }
 
-// outperforms reports whether clearly more gets done at level a than at b.
-func (c *AdaptiveLimit) outperforms(a, b int) bool {
-	if a < 1 || a > c.topLevel() || !c.isMeasured(a) || !c.isMeasured(b) {
+// outperforms reports whether the throughput of a level is clearly higher than that of other.
+func (a *AdaptiveLimit) outperforms(level, other int) bool {
+	if level < 1 || level > a.topLevel() || !a.isMeasured(level) || !a.isMeasured(other) {
 		return false
 	}
-	return c.throughput(a) > minImprovement*c.throughput(b)
+	return a.throughput(level) > minImprovement*a.throughput(other)
 }
 
-// throughput is how much gets done at a level.
-func (c *AdaptiveLimit) throughput(level int) float64 {
-	return float64(c.limitAt(level)) / max(0.1, c.levels[level].ratio)
+// throughput returns the relative throughput at a level.
+func (a *AdaptiveLimit) throughput(level int) float64 {
+	return float64(a.limitAt(level)) / max(0.1, a.levels[level].ratio)
 }
--- a/internal/kernel/admission/coldstart.go
+++ b/internal/kernel/admission/coldstart.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// coldStartUtilization is the part of a cold server's rate in use. The rest covers
-	// proxies that see unlike sets of peers.
+	// coldStartUtilization is the part of a cold server's rate that is used. The rest is a margin
+	// for proxies that see different sets of peers.
 	coldStartUtilization = 0.8
-	// coldStartWindow is the sliding window in which a proxy sends its part of what a
-	// server bears in a second. It is longer by what a request over a new
-	// connection takes longer than one over a kept connection, a round trip of up
-	// to 70 ms and some: what is sent within a second and that may arrive within
-	// one.
+	// coldStartWindow is the sliding window in which a proxy sends its share of the requests that a
+	// cold server can handle in a second. It is longer than a second because a request over a new
+	// connection arrives later than one over an existing connection, by a round trip of up to 70 ms
+	// and some setup time: requests sent over more than a second may arrive within one.
 	coldStartWindow = 1100 * time.Millisecond
 )
 
 type (
-	// ColdStartLimiter paces one proxy's requests to one cold server.
+	// ColdStartLimiter limits the requests of one proxy to one cold server.
 	ColdStartLimiter struct {
 		sent SlidingWindow
 	}
 
-	// ColdStartRate is what a cold server bears from all proxies in any second.
+	// ColdStartRate is the number of requests that a cold server can handle from all proxies in any
+	// second: PerSecond times Factor, plus Slack.
 	ColdStartRate struct {
 		PerSecond float64
 		Factor    float64
@@ -31,19 +31,18 @@
 	}
 )
 
-// Share is how many requests a second the proxy of the given rank, from 0, may
-// send. A second's worth is a handful of requests, so it is not divided among
-// all proxies, each of which would get less than one: the first ranks get one
-// request after the other until none is left.
+// Share returns how many requests per second the proxy with the given rank, from 0, may send. The
+// rate is only a handful of requests per second, so equal shares would round down to none: the
+// remainder goes to the first ranks, one request each.
 func (c ColdStartRate) Share(rank, proxies int) int {
 	total := int(math.Floor(coldStartUtilization * (c.PerSecond*c.Factor + c.Slack)))
 	return Apportion(total, rank, proxies)
 }
 
-// HasRoom reports whether one more request is within the share of this second.
+// HasRoom reports whether the share permits one more request now.
 func (c *ColdStartLimiter) HasRoom(now time.Time, share int) bool {
 	return c.sent.HasRoom(now, coldStartWindow, share)
 }
 
-// Record counts one request.
+// Record counts a sent request.
 func (c *ColdStartLimiter) Record(now time.Time) { c.sent.Record(now) }
--- a/internal/kernel/admission/limiter_test.go
+++ b/internal/kernel/admission/limiter_test.go
@@ -20,87 +20,85 @@
 	return ids
 }
 
-// A server slows down when more than two of its slots are used, and five requests
-// come at once. Two run; of the others those that can still be answered in time go
-// first, the most urgent before the rest, and those that are late in any case last.
+// With a limit of two, two of several requests run. Of the others, those that can still meet their
+// target follow by priority and order of arrival, and those that are late in any case come last.
 func TestLimiterQueuesInPriorityOrder(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	var g Limiter
+	var limiter Limiter
 	for id, want := range map[uint64]Verdict{1: Granted, 2: Granted} {
-		if got := g.Acquire(now, ticket(id, 1, time.Second, 2*time.Second), 2, 100*time.Millisecond).Verdict; got != want {
+		if got := limiter.Acquire(now, ticket(id, 1, time.Second, 2*time.Second), 2, 100*time.Millisecond).Verdict; got != want {
 			t.Errorf("ticket %d: verdict %d, want %d", id, got, want)
 		}
 	}
-	for _, w := range []Ticket{
+	for _, queued := range []Ticket{
 		ticket(3, 0, -time.Second, 2*time.Second), ticket(4, 2, time.Second, 2*time.Second), ticket(5, 1, time.Second, 2*time.Second), ticket(6, 1, time.Second, 2*time.Second),
 	} {
-		if got := g.Acquire(now, w, 2, 100*time.Millisecond).Verdict; got != Queued {
-			t.Errorf("ticket %d: verdict %d, want it queued", w.ID, got)
+		if got := limiter.Acquire(now, queued, 2, 100*time.Millisecond).Verdict; got != Queued {
+			t.Errorf("ticket %d: verdict %d, want it queued", queued.ID, got)
 		}
 	}
 	var order []uint64
 	for _, done := range []uint64{1, 2, 5, 6} {
-		g.Release("proxy", done)
-		order = append(order, idsOf(g.Dispatch(now, 2), Granted)...)
+		limiter.Release("proxy", done)
+		order = append(order, idsOf(limiter.Dispatch(now, 2), Granted)...)
 	}
 	if want := []uint64{5, 6, 4, 3}; !slices.Equal(order, want) {
-		t.Errorf("places go to %v, want %v", order, want)
+		t.Errorf("permits are granted to %v, want %v", order, want)
 	}
-	if running, waiting := g.Load(); running != 2 || waiting != 0 {
+	if running, waiting := limiter.Load(); running != 2 || waiting != 0 {
 		t.Errorf("%d run and %d wait, want two and none", running, waiting)
 	}
 }
 
-// A request whose place would come too late for any answer is denied when it asks,
-// and one that has waited too long as soon as that is so: its caller learns at once
-// when to come back.
+// A request is denied on arrival if its permit would come too late for any response, or as soon as
+// it has waited too long, so that its caller learns at once when to retry.
 func TestLimiterDeniesRequestsPastDeadline(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	var g Limiter
-	g.Acquire(now, ticket(1, 0, time.Second, time.Second), 1, 300*time.Millisecond)
-	if got := g.Acquire(now, ticket(2, 0, 0, 200*time.Millisecond), 1, 300*time.Millisecond).Verdict; got != Denied {
+	var limiter Limiter
+	limiter.Acquire(now, ticket(1, 0, time.Second, time.Second), 1, 300*time.Millisecond)
+	if got := limiter.Acquire(now, ticket(2, 0, 0, 200*time.Millisecond), 1, 300*time.Millisecond).Verdict; got != Denied {
 		t.Errorf("a wait of 300 ms with 200 left: verdict %d, want it denied", got)
 	}
-	if got := g.Acquire(now, ticket(3, 0, 0, 400*time.Millisecond), 1, 300*time.Millisecond).Verdict; got != Queued {
+	if got := limiter.Acquire(now, ticket(3, 0, 0, 400*time.Millisecond), 1, 300*time.Millisecond).Verdict; got != Queued {
 		t.Errorf("a wait of 300 ms with 400 left: verdict %d, want it queued", got)
 	}
-	if got := idsOf(g.Dispatch(now.Add(500*time.Millisecond), 1), Denied); !slices.Equal(got, []uint64{3}) {
-		t.Errorf("denied after its time: %v, want ticket 3", got)
+	if got := idsOf(limiter.Dispatch(now.Add(500*time.Millisecond), 1), Denied); !slices.Equal(got, []uint64{3}) {
+		t.Errorf("denied after its deadline: %v, want ticket 3", got)
 	}
 }
 
-// A proxy that has a place is killed and gives nothing back. The place is free again
-// when its request must have ended, or the server would stand empty for good.
+// Guards against a permit that is lost when its proxy is killed: it expires when its request must
+// have ended, or the server would stay idle.
 func TestPermitsExpire(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	var g Limiter
+	var limiter Limiter
 	first := ticket(1, 0, time.Second, time.Minute)
 	first.Until = now.Add(2 * time.Second)
-	g.Acquire(now, first, 1, time.Millisecond)
-	g.Acquire(now, ticket(2, 0, time.Second, time.Minute), 1, time.Millisecond)
-	if got := g.Dispatch(now.Add(time.Second), 1); len(got) > 0 {
-		t.Errorf("granted while the place is taken: %v", got)
+	limiter.Acquire(now, first, 1, time.Millisecond)
+	limiter.Acquire(now, ticket(2, 0, time.Second, time.Minute), 1, time.Millisecond)
+	if got := limiter.Dispatch(now.Add(time.Second), 1); len(got) > 0 {
+		t.Errorf("granted while the permit is held: %v", got)
 	}
-	if got := idsOf(g.Dispatch(now.Add(3*time.Second), 1), Granted); !slices.Equal(got, []uint64{2}) {
-		t.Errorf("granted after the place has run out: %v, want ticket 2", got)
+	if got := idsOf(limiter.Dispatch(now.Add(3*time.Second), 1), Granted); !slices.Equal(got, []uint64{2}) {
+		t.Errorf("granted after the permit has expired: %v, want ticket 2", got)
 	}
 }
 
-// The answer to a question, or a grant, is lost, and the proxy asks again. It must
-// not take a second place.
+// Guards against a second permit for one request when a response or grant is lost and the proxy
+// asks again.
 func TestAcquireIsIdempotent(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	var g Limiter
+	var limiter Limiter
 	for range 3 {
-		if got := g.Acquire(now, ticket(1, 0, time.Second, time.Second), 2, time.Millisecond); got.Verdict != Granted || got.Rank != 1 {
-			t.Errorf("asked again: %+v, want the same place", got)
+		if got := limiter.Acquire(now, ticket(1, 0, time.Second, time.Second), 2, time.Millisecond); got.Verdict != Granted || got.Rank != 1 {
+			t.Errorf("repeated request: %+v, want the same permit", got)
 		}
 	}
-	g.Acquire(now, ticket(2, 0, time.Second, time.Second), 2, time.Millisecond)
+	limiter.Acquire(now, ticket(2, 0, time.Second, time.Second), 2, time.Millisecond)
 	for range 3 {
-		g.Acquire(now, ticket(3, 0, time.Second, time.Second), 2, time.Millisecond)
+		limiter.Acquire(now, ticket(3, 0, time.Second, time.Second), 2, time.Millisecond)
 	}
-	if running, waiting := g.Load(); running != 2 || waiting != 1 {
+	if running, waiting := limiter.Load(); running != 2 || waiting != 1 {
 		t.Errorf("%d run and %d wait, want two and one", running, waiting)
 	}
 }
--- a/internal/kernel/admission/pressure.go
+++ b/internal/kernel/admission/pressure.go
@@ -5,35 +5,35 @@
 )
 
 const (
-	// ShedThreshold is the queue, as a part of the room for requests that can still be
-	// answered in time, from which some are refused, and shedSlope the share
-	// refused for each further whole room. A queue that is short for a moment is
-	// no overload. Refused callers come back, so a third must be refused for a
-	// tenth to stay away.
+	// ShedThreshold is the queue length from which requests are shed, relative to the capacity: the
+	// number of requests that can wait and still be answered in time. shedSlope is the increase of
+	// the shed ratio per further multiple of the capacity. A short queue for a moment is no
+	// overload. Refused callers retry, so a third of the requests must be refused to reduce the
+	// load by a tenth.
 	ShedThreshold = 0.5
 	shedSlope     = 1.0
-	// maxShedRatio leaves a part that is always sent, so that the end of an overload
-	// is noticed.
+	// maxShedRatio leaves a part of the requests that is always sent, so that the end of an
+	// overload is noticed.
 	maxShedRatio = 0.7
-	// pressureTTL is how long a report of a queue counts: a queue of a dozen
-	// fills or empties within about a second.
+	// pressureTTL is how long a queue report remains valid: a queue of a dozen requests fills or
+	// drains within about a second.
 	pressureTTL = time.Second
-	// sampleWeight is the weight of one more report among those just before it.
+	// sampleWeight is the weight of a new report in the moving average.
 	sampleWeight = 0.25
 )
 
 type (
-	// QueuePressure is how long the queues are that a part of the requests meet, from
-	// what their servers told. Each proxy keeps its own: all meet the same
-	// queues, so what each refuses by itself adds up to the same share.
+	// QueuePressure estimates the queue length that a class of requests meets, from the reports of
+	// their servers. Each proxy keeps its own estimate: all see the same queues, so their
+	// independent decisions add up to the same ratio.
 	QueuePressure struct {
 		level      float64
 		observedAt time.Time
 	}
 )
 
-// Observe takes in one server's queue: how many wait there, and how many may wait
-// for the last to be answered in time.
+// Observe adds the queue of one server: the number of waiting requests, and the capacity, up to
+// which the last one is still answered in time.
 func (p *QueuePressure) Observe(now time.Time, waiting, capacity float64) {
 	if capacity <= 0 {
 		return
@@ -42,8 +42,8 @@
 	p.level, p.observedAt = level+sampleWeight*(waiting/capacity-level), now
 }
 
-// Level is the queue as a part of the room. Without news it fades, and requests
-// are sent again to see.
+// Level returns the queue length relative to the capacity. Without reports it decays, so that
+// requests are sent again to probe the queue.
 func (p *QueuePressure) Level(now time.Time) float64 {
 	age := now.Sub(p.observedAt)
 	if age <= pressureTTL {
@@ -55,10 +55,10 @@
 	return p.level * float64(2*pressureTTL-age) / float64(pressureTTL)
 }
 
-// ShedRatio is the share of requests to refuse. It grows with the queue, so that it
-// settles where as many are refused as the servers cannot serve: the others
-// then find a queue in which they are answered in time. Where none are refused
-// the queue grows to its end, and nearly all answers come late.
+// ShedRatio returns the share of requests to refuse. It grows with the queue and so settles where
+// the refused requests equal those that the servers cannot handle. The others then meet a queue in
+// which they are answered in time. Without shedding, the queue would fill up and nearly all
+// responses would be late.
 func (p *QueuePressure) ShedRatio(now time.Time) float64 {
 	return min(maxShedRatio, max(0, shedSlope*(p.Level(now)-ShedThreshold)))
 }
--- a/internal/kernel/admission/pressure_test.go
+++ b/internal/kernel/admission/pressure_test.go
@@ -4,8 +4,7 @@
 	"testing"
 )
 
-// A server's queue is full for one answer and empty for the next ones. That is
-// chance, and to refuse callers for it would serve nobody.
+// Guards against shedding because of a queue that is full in one report and empty in the next ones.
 func TestShortQueueShedsNothing(t *testing.T) {
 	var p QueuePressure
 	p.Observe(start, 4, 4)
@@ -17,8 +16,8 @@
 	}
 }
 
-// Servers stand at the end of their queues. The share refused grows with the
-// queue and leaves some, or nobody would notice when the load is gone.
+// With long queues the shed ratio grows with the queue but stays below 1, so that the end of the
+// overload is noticed.
 func TestShedRatioGrowsWithQueue(t *testing.T) {
 	before := 0.0
 	for _, waiting := range []float64{3, 4, 6, 12} {
@@ -28,32 +27,31 @@
 		}
 		got := p.ShedRatio(start)
 		if got < before || got > maxShedRatio {
-			t.Errorf("%.0f waiting where 4 may: share refused is %.2f, want from %.2f to %.2f", waiting, got, before, maxShedRatio)
+			t.Errorf("%.0f waiting with a capacity of 4: share refused is %.2f, want from %.2f to %.2f", waiting, got, before, maxShedRatio)
 		}
 		before = got
 	}
 	if before != maxShedRatio {
-		t.Errorf("a queue at three times its room: share refused is %.2f, want %.2f", before, maxShedRatio)
+		t.Errorf("a queue of three times the capacity: share refused is %.2f, want %.2f", before, maxShedRatio)
 	}
 }
 
-// No more answers come, so that nothing is known of the queue. Requests must be
-// sent again.
+// Guards against shedding that never ends: without responses nothing is known of the queue, so
+// requests must be sent again.
 func TestPressureDecaysWithoutReports(t *testing.T) {
 	var p QueuePressure
 	for range 40 {
 		p.Observe(start, 12, 4)
 	}
 	if got := p.ShedRatio(start.Add(pressureTTL / 2)); got != maxShedRatio {
-		t.Errorf("share refused after half the span is %.2f, want %.2f", got, maxShedRatio)
+		t.Errorf("share refused after half the TTL is %.2f, want %.2f", got, maxShedRatio)
 	}
 	if got := p.ShedRatio(start.Add(2 * pressureTTL)); got != 0 {
-		t.Errorf("share refused after two spans without news is %.2f, want 0", got)
+		t.Errorf("share refused after two TTLs without reports is %.2f, want 0", got)
 	}
 }
 
-// A route whose target is over before any work could be done leaves no room to
-// reckon with.
+// A route whose target is shorter than any service time has a capacity of zero.
 func TestZeroCapacityIsIgnored(t *testing.T) {
 	var p QueuePressure
 	p.Observe(start, 12, 0)
--- a/internal/kernel/admission/retrybudget.go
+++ b/internal/kernel/admission/retrybudget.go
@@ -5,17 +5,17 @@
 )
 
 const (
-	// bucketCount divide the budget's window; the oldest is dropped whole, so the
-	// count never misses a repeat that the window still holds.
+	// bucketCount is the number of buckets in a window. The oldest bucket is dropped as a whole
+	// once it is outside the window, so the count never misses a retry within the window.
 	bucketCount = 10
-	// budgetUtilization is the part of the budget in use. The rest covers requests
-	// that count in another proxy's window and proxies that just joined.
+	// budgetUtilization is the part of the budget that is used. The rest is a margin for requests
+	// that fall into another proxy's window and for proxies that have just joined.
 	budgetUtilization = 0.8
 )
 
 type (
-	// RetryBudget is one service's budget of repeated requests: a share of the
-	// requests in a sliding window, and this proxy's part of a fixed slack.
+	// RetryBudget limits the retries to one service: to Ratio times the requests in a sliding
+	// window, plus this proxy's part of Slack.
 	RetryBudget struct {
 		Ratio  float64
 		Slack  float64
@@ -27,13 +27,13 @@
 	}
 )
 
-// RecordRequest counts a request's first send.
+// RecordRequest counts the first attempt of a request.
 func (r *RetryBudget) RecordRequest(now time.Time) {
 	r.advance(now)
 	r.requests[r.bucketIndex()]++
 }
 
-// RequestRate is how many requests a second were sent first in the window; it is too low until a
+// RequestRate returns the first attempts per second in the window. It is too low until a whole
 // window has passed.
 func (r *RetryBudget) RequestRate(now time.Time) float64 {
 	r.advance(now)
@@ -44,8 +44,8 @@
 	return float64(requests) / r.Window.Seconds()
 }
 
-// TrySpend takes one repeat, or reports false. proxies is how many share the
-// slack.
+// TrySpend takes one retry from the budget, or returns false if the budget is exhausted. proxies is
+// the number of proxies that share Slack.
 func (r *RetryBudget) TrySpend(now time.Time, proxies int) bool {
 	r.advance(now)
 	requests, retries := 0, 0
@@ -66,7 +66,7 @@
 func (r *RetryBudget) advance(now time.Time) {
 	bucket := now.UnixNano() / max(1, int64(r.Window)/bucketCount)
 	if bucket < r.bucket {
-		// The clock went back; what is counted stands until it catches up.
+		// The clock went back. Counts are kept until it catches up.
 		return
 	}
 	for i := 0; r.bucket < bucket && i < len(r.requests); i++ {
--- a/internal/kernel/admission/window.go
+++ b/internal/kernel/admission/window.go
@@ -5,36 +5,36 @@
 )
 
 type (
-	// SlidingWindow counts one proxy's requests to one server in a sliding window.
+	// SlidingWindow counts the requests of one proxy to one server in a sliding window.
 	SlidingWindow struct {
 		sent []time.Time
 	}
 )
 
-// HasRoom reports whether one more request is within a share of the window that ends now.
-func (p *SlidingWindow) HasRoom(now time.Time, length time.Duration, share int) bool {
-	for len(p.sent) > 0 && now.Sub(p.sent[0]) >= length {
-		p.sent = p.sent[1:]
+// HasRoom reports whether one more request stays within share in the window that ends now.
+func (w *SlidingWindow) HasRoom(now time.Time, length time.Duration, share int) bool {
+	for len(w.sent) > 0 && now.Sub(w.sent[0]) >= length {
+		w.sent = w.sent[1:]
 	}
-	return len(p.sent) < share
+	return len(w.sent) < share
 }
 
-// Record counts one request.
-func (p *SlidingWindow) Record(now time.Time) { p.sent = append(p.sent, now) }
+// Record counts a sent request.
+func (w *SlidingWindow) Record(now time.Time) { w.sent = append(w.sent, now) }
 
-// NextAllowed is when there is room for one more request; zero for never.
-func (p *SlidingWindow) NextAllowed(now time.Time, length time.Duration, share int) time.Time {
-	if p.HasRoom(now, length, share) {
+// NextAllowed returns when one more request stays within share, or the zero time if share is zero.
+func (w *SlidingWindow) NextAllowed(now time.Time, length time.Duration, share int) time.Time {
+	if w.HasRoom(now, length, share) {
 		return now
 	}
 	if share < 1 {
 		return time.Time{}
 	}
-	return p.sent[len(p.sent)-share].Add(length)
+	return w.sent[len(w.sent)-share].Add(length)
 }
 
-// Apportion is the share of the proxy of a rank, from 0, in a number of requests. One request
-// after the other goes to the first ranks until none is left.
+// Apportion returns the part of total requests that belongs to the proxy with the given rank, from
+// 0. The remainder of the division goes to the first ranks, one request each.
 func Apportion(total, rank, proxies int) int {
 	if proxies < 1 || rank < 0 || rank >= proxies {
 		return 0
