--- a/internal/kernel/quarantine/doc.go
+++ b/internal/kernel/quarantine/doc.go
@@ -13,6 +13,6 @@
 // crashes servers, and bursts of unrelated crashes, each with dozens of harmless requests in
 // flight, which must continue to be served.
 //
-// Texts that leave the process use older names: "work" is a request fingerprint, "end" a crash,
-// and "condemned" means quarantined.
+// Messages, settings, events and metrics call a fingerprint "work" and a crash "end"; "condemned"
+// there means quarantined.
 package quarantine
--- a/internal/kernel/quarantine/scenario_test.go
+++ b/internal/kernel/quarantine/scenario_test.go
@@ -21,12 +21,12 @@
 		At string `json:"at"`
 		// Proxy is the proxy whose tracker the step applies to, "a" if omitted.
 		Proxy string `json:"proxy"`
-		// Do is started, stopped, broke, answered, ended, restarted, well, tick, tell, tell-all or
-		// rule.
-		Do     string   `json:"do"`
-		Work   string   `json:"work"`
-		Works  []string `json:"works"`
-		Server string   `json:"server"`
+		// Action is started, stopped, broke, answered, ended, restarted, well, tick, tell, tell-all
+		// or rule.
+		Action   string   `json:"do"`
+		Request  string   `json:"work"`
+		Requests []string `json:"works"`
+		Server   string   `json:"server"`
 		// Sent is how long before a response its request was sent.
 		Sent string `json:"sent"`
 		// To is the proxy that receives the reports, Rank the rank in the order of trials.
@@ -81,14 +81,14 @@
 		if step.At != "" {
 			now = start.Add(parseDuration(t, step.At))
 		}
-		fingerprints := step.Works
-		if step.Work != "" {
-			fingerprints = append(fingerprints, step.Work)
+		requests := step.Requests
+		if step.Request != "" {
+			requests = append(requests, step.Request)
 		}
-		if len(fingerprints) == 0 {
-			fingerprints = []string{""}
+		if len(requests) == 0 {
+			requests = []string{""}
 		}
-		for _, w := range fingerprints {
+		for _, w := range requests {
 			runStep(t, i, now, trackerFor, step, NewFingerprint("GET", "host", w, "", nil))
 		}
 	}
@@ -106,7 +106,7 @@
 func runStep(t *testing.T, i int, now time.Time, trackerFor func(string) *Tracker, s scenarioStep, fp Fingerprint) {
 	t.Helper()
 	tracker, server := trackerFor(s.Proxy), NewInstanceID(s.Server, time.Time{})
-	switch s.Do {
+	switch s.Action {
 	case "started":
 		tracker.RecordStart(fp)
 	case "stopped":
@@ -133,6 +133,6 @@
 			t.Errorf("step %d: got %s, want %s", i, statusNames[got], s.Want)
 		}
 	default:
-		t.Fatalf("step %d: unknown action %q", i, s.Do)
+		t.Fatalf("step %d: unknown action %q", i, s.Action)
 	}
 }
