--- a/internal/kernel/admission/adaptive.go
+++ b/internal/kernel/admission/adaptive.go
@@ -29,8 +29,8 @@
 	// maxLevels bounds the number of distinguished concurrency levels: on servers with many slots,
 	// one more request makes no measurable difference.
 	maxLevels = 8
-	// levelWeight is the weight of one response in the moving average of its level, once
-	// minLevelSamples were seen. Levels with fewer samples are not compared.
+	// levelWeight is the minimum weight of one response in the moving average of its level. Levels
+	// with fewer samples than minLevelSamples are not compared.
 	levelWeight     = 1.0 / 16
 	minLevelSamples = 8
 	// probeWeight is the weight of a response to a probe, of which there are few.
