--- a/internal/kernel/backpressure/pause.go
+++ b/internal/kernel/backpressure/pause.go
@@ -4,31 +4,31 @@
 	"time"
 )
 
-// hearPause takes in for how long the server wants nothing from this proxy. What it has
-// asked for before stands.
-func (l *Ledger) hearPause(s *State, now time.Time, pause time.Duration) {
+// updatePause records a pause that the server requested of this proxy. It never shortens an earlier
+// one.
+func (t *Tracker) updatePause(state *ServerState, now time.Time, pause time.Duration) {
 	until := now.Add(pause)
-	if pause <= 0 || !until.After(s.pausedUntil) {
+	if pause <= 0 || !until.After(state.pausedUntil) {
 		return
 	}
-	began := !now.Before(s.pausedUntil)
-	s.pausedUntil = until
-	s.heard(now)
-	if began {
-		l.Observe(Notice{Server: s.server, Change: ChangePause, Pause: pause})
+	started := !now.Before(state.pausedUntil)
+	state.pausedUntil = until
+	state.touch(now)
+	if started {
+		t.OnEvent(Event{Server: state.server, Type: EventPause, Pause: pause})
 	}
 }
 
-// Paused reports whether the server wants nothing from this proxy now.
-func (s *State) Paused(now time.Time) bool { return s != nil && now.Before(s.pausedUntil) }
+// Paused reports whether the server currently accepts no requests from this proxy.
+func (s *ServerState) Paused(now time.Time) bool { return s != nil && now.Before(s.pausedUntil) }
 
-// PausedFor is for how much longer it does not.
-func (s *State) PausedFor(now time.Time) time.Duration {
+// PauseRemaining returns how much of the pause remains.
+func (s *ServerState) PauseRemaining(now time.Time) time.Duration {
 	if !s.Paused(now) {
 		return 0
 	}
 	return s.pausedUntil.Sub(now)
 }
 
-// PausedUntil is when the server takes requests from this proxy again.
-func (s *State) PausedUntil() time.Time { return s.pausedUntil }
+// PausedUntil returns the end of the pause.
+func (s *ServerState) PausedUntil() time.Time { return s.pausedUntil }
--- a/internal/kernel/backpressure/report.go
+++ b/internal/kernel/backpressure/report.go
@@ -9,73 +9,76 @@
 )
 
 const (
-	// newsFor is for how long a change is told to every peer that this proxy speaks to.
-	newsFor = 3 * time.Second
-	// reportsMost bounds the servers in one message, some 20 bytes each; standingMost those
-	// of them of which there is nothing new.
-	reportsMost  = 64
-	standingMost = 16
+	// changeGossipPeriod is how long a change is included in every message to a peer.
+	changeGossipPeriod = 3 * time.Second
+	// maxReports bounds the servers in one message, at some 20 bytes each; maxUnchangedReports
+	// bounds those among them without a recent change.
+	maxReports          = 64
+	maxUnchangedReports = 16
 )
 
 type (
-	// Report is what a proxy tells others of what a server asks of all of them.
+	// Report is what a proxy tells its peers about the signals that a server sends to all proxies.
 	Report struct {
-		Server quarantine.Server `json:"server"`
-		Limit  Limit             `json:"limit"`
-		// Leaving is set if it takes no new requests any more.
-		Leaving bool `json:"leaving,omitempty"`
-		// Age is how long ago the server said so last; clocks differ.
+		Server quarantine.InstanceID `json:"server"`
+		Limit  Limit                 `json:"limit"`
+		// Draining is set if the server accepts no new requests.
+		Draining bool `json:"leaving,omitempty"`
+		// Age is the time since the server last sent the signal. It is sent instead of the time,
+		// because the clocks of proxies differ.
 		Age time.Duration `json:"age"`
 	}
 )
 
-// Reports lists what peers should hear: what has changed of late, and some of the rest that
-// is in force in turn; all of it for a proxy that knows nothing yet.
-func (l *Ledger) Reports(now time.Time, all bool) []Report {
-	var news, standing []*State
-	for _, w := range l.states {
+// Reports returns the reports to send to a peer: recent changes and, in turn, a number of the other
+// signals that still apply. full lifts that bound, for a proxy that has just started.
+func (t *Tracker) Reports(now time.Time, full bool) []Report {
+	var recent, unchanged []*ServerState
+	for _, state := range t.states {
 		switch {
-		case now.Sub(w.changedAt) < newsFor:
-			news = append(news, w)
-		case w.limited(now), w.leaving && now.Sub(w.heardAt) < leavingTold:
-			standing = append(standing, w)
+		case now.Sub(state.changedAt) < changeGossipPeriod:
+			recent = append(recent, state)
+		case state.hasLimit(now), state.draining && now.Sub(state.lastSignalAt) < drainingGossipPeriod:
+			unchanged = append(unchanged, state)
 		}
 	}
-	slices.SortFunc(news, func(a, b *State) int {
+	slices.SortFunc(recent, func(a, b *ServerState) int {
 		return cmp.Or(b.changedAt.Compare(a.changedAt), cmp.Compare(a.server, b.server))
 	})
-	slices.SortFunc(standing, func(a, b *State) int { return cmp.Or(a.toldAt.Compare(b.toldAt), cmp.Compare(a.server, b.server)) })
-	if !all {
-		standing = standing[:min(len(standing), standingMost)]
+	slices.SortFunc(unchanged, func(a, b *ServerState) int {
+		return cmp.Or(a.reportedAt.Compare(b.reportedAt), cmp.Compare(a.server, b.server))
+	})
+	if !full {
+		unchanged = unchanged[:min(len(unchanged), maxUnchangedReports)]
 	}
-	list := append(news, standing...)
-	list = list[:min(len(list), reportsMost)]
+	list := append(recent, unchanged...)
+	list = list[:min(len(list), maxReports)]
 	reports := make([]Report, 0, len(list))
-	for _, w := range list {
-		w.toldAt = now
-		reports = append(reports, Report{Server: w.server, Limit: w.limit, Leaving: w.leaving, Age: now.Sub(w.heardAt)})
+	for _, state := range list {
+		state.reportedAt = now
+		reports = append(reports, Report{Server: state.server, Limit: state.limit, Draining: state.draining, Age: now.Sub(state.lastSignalAt)})
 	}
 	return reports
 }
 
-// Hear takes in a peer's reports. It reports whether it has learned of servers that it
-// knew nothing of.
-func (l *Ledger) Hear(now time.Time, reports []Report) (learned bool) {
+// Merge adds the reports of a peer. It reports whether they contained servers that were not
+// tracked.
+func (t *Tracker) Merge(now time.Time, reports []Report) (learned bool) {
 	for _, r := range reports {
-		at := now.Add(-max(0, r.Age))
-		w := l.states[r.Server]
-		if r.Age >= leavingFor || w == nil && !r.Limit.Named && !r.Leaving {
+		signalAt := now.Add(-max(0, r.Age))
+		state := t.states[r.Server]
+		if r.Age >= drainingTTL || state == nil && !r.Limit.Set && !r.Draining {
 			continue
 		}
-		if w == nil {
-			w = l.state(r.Server)
+		if state == nil {
+			state = t.addState(r.Server)
 			learned = true
 		}
-		if r.Age < limitFor && at.After(w.limitAt) {
-			w.set(now, at, r.Limit)
+		if r.Age < limitTTL && signalAt.After(state.limitAt) {
+			state.setLimit(now, signalAt, r.Limit)
 		}
-		w.hearLeaving(now, at, r.Leaving)
-		l.notice(w)
+		state.updateDraining(now, signalAt, r.Draining)
+		t.emitEvents(state)
 	}
 	return learned
 }
--- a/internal/kernel/core/action.go
+++ b/internal/kernel/core/action.go
@@ -38,7 +38,7 @@
 		Path    string
 		Client  netip.Addr
 		// Work identifies what a backend server would run for the request.
-		Work     quarantine.Work
+		Work     quarantine.Fingerprint
 		Token    string
 		Deadline time.Time
 		// Forwarded is set for a request received from a peer. It is not forwarded again, since two
--- a/internal/kernel/core/backpressure.go
+++ b/internal/kernel/core/backpressure.go
@@ -18,19 +18,21 @@
 // signalKey identifies a server in backpressure reports. The key has no start time, since a server
 // keeps its name across restarts; signals of an earlier incarnation are replaced with the first
 // answers of the next.
-func signalKey(server string) quarantine.Server { return quarantine.ServerOf(server, time.Time{}) }
+func signalKey(server string) quarantine.InstanceID {
+	return quarantine.NewInstanceID(server, time.Time{})
+}
 
 // backpressureOf returns the backpressure state of a server, or nil if there is none.
-func (k *Kernel) backpressureOf(s *backend.Server) *backpressure.State {
+func (k *Kernel) backpressureOf(s *backend.Server) *backpressure.ServerState {
 	if k.backpressure.Empty() {
 		return nil
 	}
-	return k.backpressure.Of(signalKey(s.Name))
+	return k.backpressure.State(signalKey(s.Name))
 }
 
 // recordSignal applies the backpressure signal in a server's answer.
 func (k *Kernel) recordSignal(now, sent time.Time, s *backend.Server, r backend.Report) {
-	k.backpressure.Heard(now, sent, signalKey(s.Name), r.Signal, true)
+	k.backpressure.RecordSignal(now, sent, signalKey(s.Name), r.Signal, true)
 }
 
 // serverAccepts reports whether the backpressure of a server permits a request of this proxy now.
@@ -40,8 +42,8 @@
 	if state.Paused(now) {
 		return false
 	}
-	window, limited := state.Window(now)
-	return !limited || state.Room(now, k.backpressureRank(s.Region).Share(window))
+	window, limited := state.RequestsPerWindow(now)
+	return !limited || state.HasRoom(now, k.backpressureRank(s.Region).Share(window))
 }
 
 // pauseRetryAfter returns the retry delay for a caller whose request no server can take: the time
@@ -49,7 +51,7 @@
 func (k *Kernel) pauseRetryAfter(now time.Time, servers []*backend.Server) time.Duration {
 	soonest := time.Duration(0)
 	for _, s := range servers {
-		remaining := k.backpressureOf(s).PausedFor(now)
+		remaining := k.backpressureOf(s).PauseRemaining(now)
 		if remaining == 0 {
 			return noServerRetryAfter
 		}
@@ -65,12 +67,12 @@
 // membership, so that the sides of a network partition do not each use the whole limit. A proxy in
 // an unlisted region, or beyond the configured number of its region, has no rank of its own and is
 // placed after all others.
-func (k *Kernel) backpressureRank(serverRegion string) backpressure.Rank {
+func (k *Kernel) backpressureRank(serverRegion string) backpressure.ProxyRank {
 	self := k.config.Self
-	rank, localRank := backpressure.Rank{}, -1
+	rank, localRank := backpressure.ProxyRank{}, -1
 	for _, r := range k.regions {
 		if r.Name == serverRegion {
-			rank.Near = r.Proxies
+			rank.InRegion = r.Proxies
 		}
 		if r.Name == self.Region {
 			localRank = k.rankInRegion()
@@ -78,22 +80,22 @@
 				localRank = -1
 			}
 		}
-		rank.All += r.Proxies
+		rank.Total += r.Proxies
 	}
 	if localRank < 0 {
-		return backpressure.Rank{Place: rank.All, Near: rank.Near, All: rank.All}
+		return backpressure.ProxyRank{Position: rank.Total, InRegion: rank.InRegion, Total: rank.Total}
 	}
-	rank.Place = localRank
+	rank.Position = localRank
 	if self.Region == serverRegion {
 		return rank
 	}
-	rank.Place += rank.Near
+	rank.Position += rank.InRegion
 	for _, r := range k.regions {
 		if r.Name == self.Region {
 			break
 		}
 		if r.Name != serverRegion {
-			rank.Place += r.Proxies
+			rank.Position += r.Proxies
 		}
 	}
 	return rank
@@ -111,8 +113,8 @@
 
 // logSignalChange logs a change of the limit that a server sends. Leaving is logged by
 // applyLeaving, together with the other reasons for it.
-func (k *Kernel) logSignalChange(n backpressure.Notice) {
-	if n.Change != backpressure.ChangeLimit {
+func (k *Kernel) logSignalChange(n backpressure.Event) {
+	if n.Type != backpressure.EventLimit {
 		return
 	}
 	for _, r := range k.regions {
--- a/internal/kernel/core/gossip.go
+++ b/internal/kernel/core/gossip.go
@@ -202,8 +202,8 @@
 // reply.
 func (k *Kernel) mergeExchange(now time.Time, m peer.Exchange) {
 	k.clock.Hear(m.Stamp)
-	k.quarantine.Hear(now, m.Suspicions)
-	k.backpressure.Hear(now, m.Signals)
+	k.quarantine.Merge(now, m.Suspicions)
+	k.backpressure.Merge(now, m.Signals)
 	changed := false
 	for _, member := range m.Members {
 		if k.members.Hear(member, now) {
--- a/internal/kernel/core/kernel.go
+++ b/internal/kernel/core/kernel.go
@@ -127,10 +127,10 @@
 		borrowBlockedUntil map[peer.Resource]time.Time
 		// quarantine tracks the work that makes servers exit. incarnations holds the current
 		// incarnations of the servers at which attempts were interrupted.
-		quarantine   *quarantine.Ledger
-		incarnations map[string]quarantine.Server
+		quarantine   *quarantine.Tracker
+		incarnations map[string]quarantine.InstanceID
 		// backpressure holds the signals that servers send about the load they accept.
-		backpressure *backpressure.Ledger
+		backpressure *backpressure.Tracker
 	}
 
 	// service is a service of the bundle with its servers and balancing state.
@@ -182,12 +182,12 @@
 		gossipTargets:      make(map[string]bool),
 		borrowBlockedUntil: make(map[peer.Resource]time.Time),
 
-		quarantine:   quarantine.NewLedger(),
-		incarnations: make(map[string]quarantine.Server),
-		backpressure: backpressure.NewLedger(),
+		quarantine:   quarantine.NewTracker(),
+		incarnations: make(map[string]quarantine.InstanceID),
+		backpressure: backpressure.NewTracker(),
 	}
-	k.quarantine.Observe, k.quarantine.Rank = k.logWorkChange, k.trialRank
-	k.backpressure.Observe = k.logSignalChange
+	k.quarantine.OnEvent, k.quarantine.TrialRank = k.logWorkChange, k.trialRank
+	k.backpressure.OnEvent = k.logSignalChange
 	return k
 }
 
--- a/internal/kernel/core/quarantine.go
+++ b/internal/kernel/core/quarantine.go
@@ -20,21 +20,21 @@
 // checkQuarantine returns caller.ReasonNone if the request's work may run now. Otherwise it returns
 // the reason for the rejection and the time after which the caller may retry.
 func (k *Kernel) checkQuarantine(now time.Time, inflight *inFlightRequest) (caller.Reason, time.Duration) {
-	if inflight.work.None() {
+	if inflight.work.IsEmpty() {
 		return caller.ReasonNone, 0
 	}
-	ruling, remaining := k.quarantine.Rule(now, inflight.work)
+	ruling, remaining := k.quarantine.Status(now, inflight.work)
 	switch {
-	case ruling == quarantine.Condemned:
-		return caller.ReasonEndsServers, min(remaining, quarantine.AwayMost)
-	case ruling == quarantine.Busy, ruling == quarantine.Suspected && inflight.interruptions > 0, inflight.interruptions >= quarantine.BreaksMost:
+	case ruling == quarantine.Quarantined:
+		return caller.ReasonEndsServers, min(remaining, quarantine.MaxRetryAfter)
+	case ruling == quarantine.Busy, ruling == quarantine.Suspected && inflight.interruptions > 0, inflight.interruptions >= quarantine.MaxConnectionLosses:
 		return caller.ReasonMayEndServers, time.Second
 	}
 	return caller.ReasonNone, 0
 }
 
 // trialRank returns this proxy's position in the order in which proxies retry rejected work.
-func (k *Kernel) trialRank(w quarantine.Work) int {
+func (k *Kernel) trialRank(w quarantine.Fingerprint) int {
 	members := k.members.All()
 	before := 0
 	for _, m := range members {
@@ -49,20 +49,20 @@
 // its server.
 func (k *Kernel) recordAttemptEnd(now time.Time, inflight *inFlightRequest, e AttemptEnd) {
 	q := k.quarantine
-	q.Stopped(inflight.work)
+	q.RecordStop(inflight.work)
 	switch e.Result {
 	case backend.Answered, backend.Rejected:
-		q.Answered(k.incarnations[inflight.server.Name], inflight.sentAt)
+		q.RecordResponse(k.incarnations[inflight.server.Name], inflight.sentAt)
 		if e.Answer != nil && e.Answer.Status < http.StatusBadRequest {
 			// A server that fails or rejects a request may not have reached the point at which the
 			// work makes it exit.
-			q.RanWell(now, inflight.work)
+			q.RecordSuccess(now, inflight.work)
 		}
 	case backend.Interrupted:
 		inflight.interruptions++
 		if !inflight.server.Leaving() {
 			// A server that is leaving may cut the connections of its remaining requests.
-			q.Broke(now, inflight.work, k.incarnationOf(now, inflight.server.Name))
+			q.RecordConnectionLoss(now, inflight.work, k.incarnationOf(now, inflight.server.Name))
 		}
 	case backend.Unreachable:
 		if e.ConnectionRefused {
@@ -73,10 +73,10 @@
 
 // incarnationOf returns the identifier of a server's current incarnation, which all proxies that
 // see it exit now derive alike.
-func (k *Kernel) incarnationOf(now time.Time, server string) quarantine.Server {
+func (k *Kernel) incarnationOf(now time.Time, server string) quarantine.InstanceID {
 	incarnation, known := k.incarnations[server]
 	if !known {
-		incarnation = quarantine.ServerOf(server, k.clock.Now(now).Time().Truncate(incarnationResolution))
+		incarnation = quarantine.NewInstanceID(server, k.clock.Now(now).Time().Truncate(incarnationResolution))
 		k.incarnations[server] = incarnation
 	}
 	return incarnation
@@ -85,7 +85,7 @@
 // recordServerExit records that nothing listens on the server's address any more.
 func (k *Kernel) recordServerExit(now time.Time, server string) {
 	if incarnation, known := k.incarnations[server]; known {
-		k.quarantine.HasEnded(now, incarnation)
+		k.quarantine.RecordServerGone(now, incarnation)
 		delete(k.incarnations, server)
 	}
 }
@@ -93,8 +93,8 @@
 // probeSuspectServers probes the servers with interrupted attempts to find out whether they have
 // exited.
 func (k *Kernel) probeSuspectServers(actions []Action) []Action {
-	suspects := make(map[quarantine.Server]bool)
-	for _, s := range k.quarantine.Doubtful() {
+	suspects := make(map[quarantine.InstanceID]bool)
+	for _, s := range k.quarantine.ServersToProbe() {
 		suspects[s] = true
 	}
 	if len(suspects) == 0 {
@@ -115,20 +115,20 @@
 func (k *Kernel) propagateSuspicions(now time.Time) {
 	k.quarantine.Tick(now)
 	for name, s := range k.incarnations {
-		if !k.quarantine.Awaits(s) {
+		if !k.quarantine.HasPendingLoss(s) {
 			delete(k.incarnations, name)
 		}
 	}
-	if k.quarantine.Urgent() {
+	if k.quarantine.TakeUrgent() {
 		k.scheduleGossip(now)
 	}
 }
 
 // logWorkChange logs a change in the quarantine state of a work.
-func (k *Kernel) logWorkChange(n quarantine.Notice) {
-	detail := n.Work.String()
-	if n.Change == quarantine.ChangeEnded {
-		detail = strconv.Itoa(len(n.Works)) + " works there"
+func (k *Kernel) logWorkChange(n quarantine.Event) {
+	detail := n.Fingerprint.String()
+	if n.Type == quarantine.EventServerCrashed {
+		detail = strconv.Itoa(len(n.Fingerprints)) + " works there"
 	}
-	k.log(k.lastTick, Event{Kind: EventKind(n.Change), Detail: detail})
+	k.log(k.lastTick, Event{Kind: EventKind(n.Type), Detail: detail})
 }
--- a/internal/kernel/core/request.go
+++ b/internal/kernel/core/request.go
@@ -35,7 +35,7 @@
 		idempotent  bool
 		token       *caller.Token
 		attempts    int
-		work        quarantine.Work
+		work        quarantine.Fingerprint
 		// interruptions counts the attempts that ended with backend.Interrupted.
 		interruptions int
 		startedAt     time.Time
@@ -231,8 +231,8 @@
 		inflight.id = k.config.Self.Name + "-" + strconv.FormatUint(k.lastSerial, 36)
 	}
 	server.Start()
-	k.backpressureOf(server).Sent(now)
-	k.quarantine.Started(inflight.work)
+	k.backpressureOf(server).RecordSent(now)
+	k.quarantine.RecordStart(inflight.work)
 	k.inFlight++
 	kind := EventAdmitted
 	if inflight.attempts > 1 {
--- a/internal/kernel/core/route.go
+++ b/internal/kernel/core/route.go
@@ -165,7 +165,7 @@
 			if !anyEjected && !s.ReportsLeaving() || !k.serverAccepts(now, s) || !s.ProbeDue(now, interval) {
 				continue
 			}
-			k.backpressureOf(s).Sent(now)
+			k.backpressureOf(s).RecordSent(now)
 			actions = append(actions, SendProbe{Server: s.Name, Address: s.Address})
 		}
 	}
@@ -185,7 +185,7 @@
 			if h.Report != nil {
 				s.ApplyReport(*h.Report)
 				// The time at which the probe was sent is not known, so its result lifts no limit.
-				k.backpressure.Heard(now, now, signalKey(s.Name), h.Report.Signal, false)
+				k.backpressure.RecordSignal(now, now, signalKey(s.Name), h.Report.Signal, false)
 			}
 			s.ApplyProbe(h, now)
 		}
--- a/internal/kernel/quarantine/bounds_test.go
+++ b/internal/kernel/quarantine/bounds_test.go
@@ -6,77 +6,77 @@
 	"time"
 )
 
-// Two groups of proxies are cut off from each other, and a request ends more servers than
-// are kept for a work. When they meet, each brings ends that the other has dropped. They
-// must come to rest: news that never end would fill the links.
-func TestMoreEndsThanAreKeptComeToRest(t *testing.T) {
+// Guards against gossip that never stops: during a network partition two groups of proxies record
+// more crashes of one fingerprint than a record holds, and each reports crashes that the other has
+// dropped.
+func TestMergeConvergesBeyondMaxCrashes(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	work := WorkOf("GET", "host", "/deadly", "", nil)
-	a, b := NewLedger(), NewLedger()
-	for i := range 2 * endsMost {
-		l := []*Ledger{a, b}[i%2]
+	fp := NewFingerprint("GET", "host", "/deadly", "", nil)
+	a, b := NewTracker(), NewTracker()
+	for i := range 2 * maxCrashes {
+		tracker := []*Tracker{a, b}[i%2]
 		at := now.Add(time.Duration(i) * time.Second)
-		s := ServerOf(fmt.Sprint("s", i), time.Time{})
-		l.Broke(at, work, s)
-		l.HasEnded(at, s)
+		s := NewInstanceID(fmt.Sprint("s", i), time.Time{})
+		tracker.RecordConnectionLoss(at, fp, s)
+		tracker.RecordServerGone(at, s)
 	}
-	now = now.Add(2 * endsMost * time.Second)
+	now = now.Add(2 * maxCrashes * time.Second)
 	const rounds = 4
 	for i := range rounds + 1 {
-		news := b.Hear(now, a.Reports(now, false))
-		news = a.Hear(now, b.Reports(now, false)) || news
-		if i == rounds && news {
-			t.Errorf("round %d: got news still, want none", i)
+		learned := b.Merge(now, a.Reports(now, false))
+		learned = a.Merge(now, b.Reports(now, false)) || learned
+		if i == rounds && learned {
+			t.Errorf("round %d: got a change, want none", i)
 		}
 	}
-	if ruling, _ := a.Rule(now, work); ruling != Condemned {
-		t.Errorf("got ruling %d, want it condemned", ruling)
+	if status, _ := a.Status(now, fp); status != Quarantined {
+		t.Errorf("got status %d, want it quarantined", status)
 	}
 }
 
-// A region is lost with thousands of requests, each of which was there at one end. The
-// one that had ended two servers before must not be forgotten for them.
-func TestFloodOfWorksKeepsTheSuspects(t *testing.T) {
+// Guards against eviction of a suspected fingerprint, with two crashes, when the loss of a region
+// adds thousands of fingerprints with one crash each.
+func TestEvictionKeepsSuspects(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	l := NewLedger()
-	deadly := WorkOf("GET", "host", "/deadly", "", nil)
+	tracker := NewTracker()
+	poison := NewFingerprint("GET", "host", "/deadly", "", nil)
 	for _, id := range []string{"s1", "s2"} {
-		l.Broke(now, deadly, ServerOf(id, time.Time{}))
-		l.HasEnded(now, ServerOf(id, time.Time{}))
+		tracker.RecordConnectionLoss(now, poison, NewInstanceID(id, time.Time{}))
+		tracker.RecordServerGone(now, NewInstanceID(id, time.Time{}))
 	}
-	for i := range 10 * worksMost {
-		s := ServerOf(fmt.Sprint("flood-", i/10), time.Time{})
-		l.Broke(now, WorkOf("GET", "host", fmt.Sprint("/", i), "", nil), s)
-		l.HasEnded(now, s)
+	for i := range 10 * maxRecords {
+		s := NewInstanceID(fmt.Sprint("flood-", i/10), time.Time{})
+		tracker.RecordConnectionLoss(now, NewFingerprint("GET", "host", fmt.Sprint("/", i), "", nil), s)
+		tracker.RecordServerGone(now, s)
 	}
-	if n := len(l.works); n > worksMost {
-		t.Errorf("got %d works, want %d at most", n, worksMost)
+	if n := len(tracker.records); n > maxRecords {
+		t.Errorf("got %d records, want at most %d", n, maxRecords)
 	}
-	if got := len(l.Reports(now, true)); got > reportsMost {
-		t.Errorf("got %d reports in a message, want %d at most", got, reportsMost)
+	if got := len(tracker.Reports(now, true)); got > maxReports {
+		t.Errorf("got %d reports in a message, want at most %d", got, maxReports)
 	}
-	if ruling, _ := l.Rule(now, deadly); ruling != Suspected {
-		t.Errorf("got ruling %d, want it suspected still", ruling)
+	if status, _ := tracker.Status(now, poison); status != Suspected {
+		t.Errorf("got status %d, want it still suspected", status)
 	}
 }
 
-// BenchmarkRequest is what a request that nothing is held against costs, while a hundred
-// others are suspected.
+// BenchmarkRequest measures the cost of a request without crashes, while a hundred other
+// fingerprints are suspected.
 func BenchmarkRequest(b *testing.B) {
 	now := time.Unix(1_000_000, 0)
-	l := NewLedger()
+	tracker := NewTracker()
 	for i := range 100 {
 		for _, id := range []string{"s1", "s2"} {
-			s := ServerOf(fmt.Sprint(id, i/10), time.Time{})
-			l.Broke(now, WorkOf("GET", "host", fmt.Sprint("/suspect/", i), "", nil), s)
-			l.HasEnded(now, s)
+			s := NewInstanceID(fmt.Sprint(id, i/10), time.Time{})
+			tracker.RecordConnectionLoss(now, NewFingerprint("GET", "host", fmt.Sprint("/suspect/", i), "", nil), s)
+			tracker.RecordServerGone(now, s)
 		}
 	}
 	for i := 0; b.Loop(); i++ {
-		w := WorkOf("GET", "host", "/sound/17?day=2", "key", nil)
-		l.Rule(now, w)
-		l.Started(w)
-		l.Stopped(w)
-		l.RanWell(now, w)
+		fp := NewFingerprint("GET", "host", "/sound/17?day=2", "key", nil)
+		tracker.Status(now, fp)
+		tracker.RecordStart(fp)
+		tracker.RecordStop(fp)
+		tracker.RecordSuccess(now, fp)
 	}
 }
--- a/internal/kernel/quarantine/report.go
+++ b/internal/kernel/quarantine/report.go
@@ -7,132 +7,135 @@
 )
 
 const (
-	// newsFor is for how long a change is told to every peer that this proxy speaks to.
-	newsFor = 3 * time.Second
-	// reportsMost bounds the works in one message, 2 KB mostly.
-	reportsMost = 32
-	// standingMost bounds those of them that have not changed of late.
-	standingMost = 16
+	// changeGossipPeriod is how long a change is included in every message to a peer.
+	changeGossipPeriod = 3 * time.Second
+	// maxReports bounds the fingerprints in one message, which then mostly takes 2 KB.
+	maxReports = 32
+	// maxUnchangedReports bounds the fingerprints among them without a recent change.
+	maxUnchangedReports = 16
 )
 
 type (
-	// Report is what a proxy tells others of a work.
+	// Report is what a proxy tells its peers about a fingerprint.
 	Report struct {
-		Work Work  `json:"work"`
-		Ends []End `json:"ends"`
-		// RanWell is set if any proxy has seen the work run well.
-		RanWell bool `json:"ran-well,omitempty"`
+		Fingerprint Fingerprint `json:"work"`
+		Crashes     []Crash     `json:"ends"`
+		// Succeeded is set if any proxy has seen such a request succeed.
+		Succeeded bool `json:"ran-well,omitempty"`
 	}
 
-	// End is a server's end with the work there. Its age is told, since clocks differ.
-	End struct {
-		Server  Server        `json:"server"`
+	// Crash is a server crash at which a request with the fingerprint was in flight. Its age is
+	// sent instead of its time, because the clocks of proxies differ.
+	Crash struct {
+		Server  InstanceID    `json:"server"`
 		Age     time.Duration `json:"age"`
 		Cleared bool          `json:"cleared,omitempty"`
 	}
 )
 
-// Open counts the ends since the work last ran well.
-func (r Report) Open() (n int) {
-	for _, e := range r.Ends {
-		if !e.Cleared {
+// UnclearedCrashes counts the crashes since the fingerprint last succeeded.
+func (r Report) UnclearedCrashes() (n int) {
+	for _, c := range r.Crashes {
+		if !c.Cleared {
 			n++
 		}
 	}
 	return n
 }
 
-// Reports lists what peers should hear: what has changed of late, and of the rest what
-// is condemned, in case they have missed it. all adds the other works with ends, for a
-// proxy that knows nothing yet.
-func (l *Ledger) Reports(now time.Time, all bool) []Report {
-	var news, standing []Work
-	for w, r := range l.works {
+// Reports returns the reports to send to a peer: recent changes and, in case the peer missed them,
+// a number of quarantined fingerprints. full adds the other fingerprints with crashes, for a proxy
+// that has just started, and lifts the bound on unchanged ones.
+func (t *Tracker) Reports(now time.Time, full bool) []Report {
+	var recent, unchanged []Fingerprint
+	for fp, r := range t.records {
 		switch {
-		case now.Sub(r.changed) < newsFor:
-			news = append(news, w)
-		case all && r.open() > 0 || r.open() >= l.Condemn:
-			standing = append(standing, w)
+		case now.Sub(r.changedAt) < changeGossipPeriod:
+			recent = append(recent, fp)
+		case full && r.uncleared() > 0 || r.uncleared() >= t.Threshold:
+			unchanged = append(unchanged, fp)
 		}
 	}
-	l.weightiestFirst(news)
-	l.weightiestFirst(standing)
-	if !all {
-		standing = standing[:min(len(standing), standingMost)]
+	t.sortBySeverity(recent)
+	t.sortBySeverity(unchanged)
+	if !full {
+		unchanged = unchanged[:min(len(unchanged), maxUnchangedReports)]
 	}
-	list := append(news, standing...)
-	list = list[:min(len(list), reportsMost)]
+	list := append(recent, unchanged...)
+	list = list[:min(len(list), maxReports)]
 	reports := make([]Report, 0, len(list))
-	for _, w := range list {
-		reports = append(reports, l.report(now, w))
+	for _, fp := range list {
+		reports = append(reports, t.report(now, fp))
 	}
 	return reports
 }
 
-func (l *Ledger) weightiestFirst(list []Work) {
-	slices.SortFunc(list, func(a, b Work) int {
-		x, y := l.works[a], l.works[b]
-		return cmp.Or(cmp.Compare(y.open(), x.open()), y.changed.Compare(x.changed), slices.Compare(a[:], b[:]))
+func (t *Tracker) sortBySeverity(list []Fingerprint) {
+	slices.SortFunc(list, func(a, b Fingerprint) int {
+		x, y := t.records[a], t.records[b]
+		return cmp.Or(cmp.Compare(y.uncleared(), x.uncleared()), y.changedAt.Compare(x.changedAt), slices.Compare(a[:], b[:]))
 	})
 }
 
-func (l *Ledger) report(now time.Time, w Work) Report {
-	r := Report{Work: w, RanWell: l.works[w].ranWell}
-	for _, e := range l.works[w].ends {
-		r.Ends = append(r.Ends, End{Server: e.server, Age: now.Sub(e.at), Cleared: e.cleared})
+func (t *Tracker) report(now time.Time, fp Fingerprint) Report {
+	r := Report{Fingerprint: fp, Succeeded: t.records[fp].succeeded}
+	for _, c := range t.records[fp].crashes {
+		r.Crashes = append(r.Crashes, Crash{Server: c.server, Age: now.Sub(c.at), Cleared: c.cleared})
 	}
 	return r
 }
 
-// Hear takes in a peer's reports and reports whether they told anything new, which is
-// then urgent for others: each proxy passes each piece of news on once.
-func (l *Ledger) Hear(now time.Time, reports []Report) (news bool) {
+// Merge adds the reports of a peer and reports whether they contained anything new. New information
+// becomes urgent, so that each proxy forwards it once.
+func (t *Tracker) Merge(now time.Time, reports []Report) (learned bool) {
 	for _, r := range reports {
 		changed := false
-		for _, e := range r.Ends {
-			at := now.Add(-e.Age)
-			changed = l.add(now, r.Work, end{server: e.Server, at: at, cleared: e.Cleared || l.runs.wellSince(r.Work, at)}) || changed
+		for _, c := range r.Crashes {
+			at := now.Add(-c.Age)
+			changed = t.addCrash(now, r.Fingerprint, crash{server: c.Server, at: at, cleared: c.Cleared || t.history.succeededSince(r.Fingerprint, at)}) || changed
 		}
-		own := l.works[r.Work]
-		if own == nil {
+		known := t.records[r.Fingerprint]
+		if known == nil {
 			continue
 		}
-		if own.lags(r) || own.ranWell && !r.RanWell {
-			// The peer has not heard that the work has run well.
-			own.changed = now
+		if known.peerMissedClear(r) || known.succeeded && !r.Succeeded {
+			// The peer does not know that the fingerprint has succeeded.
+			known.changedAt = now
 		}
-		if r.RanWell && !own.ranWell {
-			own.ranWell, own.changed, changed = true, now, true
+		if r.Succeeded && !known.succeeded {
+			known.succeeded, known.changedAt, changed = true, now, true
 		}
-		news = news || changed
+		learned = learned || changed
 	}
-	l.urgent = l.urgent || news
-	return news
+	t.urgent = t.urgent || learned
+	return learned
 }
 
-// lags reports whether an end counts at the peer that told it and is cleared here.
-func (r *record) lags(told Report) bool {
-	return slices.ContainsFunc(told.Ends, func(e End) bool {
-		return !e.Cleared && slices.ContainsFunc(r.ends, func(k end) bool { return k.server == e.Server && k.cleared })
+// peerMissedClear reports whether the peer counts a crash that is cleared here.
+func (r *record) peerMissedClear(reported Report) bool {
+	return slices.ContainsFunc(reported.Crashes, func(c Crash) bool {
+		return !c.Cleared && slices.ContainsFunc(r.crashes, func(known crash) bool { return known.server == c.Server && known.cleared })
 	})
 }
 
-// Stirred reports whether there is anything to find out or to tell at once.
-func (l *Ledger) Stirred() bool { return l.urgent || l.doubtful }
+// NeedsAttention reports whether there are servers to probe or urgent changes to send.
+func (t *Tracker) NeedsAttention() bool { return t.urgent || t.probeNeeded }
 
-// Urgent reports, once, whether there is news that others should hear at once.
-func (l *Ledger) Urgent() bool {
-	urgent := l.urgent
-	l.urgent = false
+// TakeUrgent reports whether there are changes that peers should learn of immediately, and resets
+// that state.
+func (t *Tracker) TakeUrgent() bool {
+	urgent := t.urgent
+	t.urgent = false
 	return urgent
 }
 
-// Condemnations lists the works that are condemned, also while they are tried.
-func (l *Ledger) Condemnations(now time.Time) []Report {
+// QuarantinedReports returns the reports of all quarantined fingerprints, including those that are
+// due for a trial.
+func (t *Tracker) QuarantinedReports(now time.Time) []Report {
 	var list []Report
-	for _, w := range l.suspects {
-		if l.weight(w, l.works[w]) >= l.Condemn {
-			list = append(list, l.report(now, w))
+	for _, fp := range t.suspects {
+		if t.attributedCrashes(fp, t.records[fp]) >= t.Threshold {
+			list = append(list, t.report(now, fp))
 		}
 	}
 	return list
