--- a/internal/adapter/forwardhttp/account_test.go
+++ b/internal/adapter/forwardhttp/account_test.go
@@ -47,7 +47,7 @@
 	var seen serverhttp.Request
 	f := newFront(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
 		seen = r
-		return steering.Attempt{Result: steering.Answered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
 	if got := askWith(t, f.URL+"/a/x", "any"); got.status != http.StatusOK || seen.Keyed {
 		t.Errorf("without accounts: status is %d, keyed %t, want 200 and no key taken", got.status, seen.Keyed)
--- a/internal/adapter/forwardhttp/server.go
+++ b/internal/adapter/forwardhttp/server.go
@@ -78,8 +78,8 @@
 		Now    func() time.Time
 		// Ask waits for a place at a server; it reports false if there is no answer.
 		// GiveBack gives one back.
-		Ask      func(context.Context, steering.Ask) (steering.Reply, bool)
-		GiveBack func(steering.Release)
+		Ask      func(context.Context, steering.SlotRequest) (steering.SlotReply, bool)
+		GiveBack func(steering.SlotRelease)
 		// AskPool asks a proxy for one request of an account's limit; it reports false if
 		// there is no answer.
 		AskPool func(ctx context.Context, pool, account string) (ratelimit.Token, bool)
@@ -121,16 +121,16 @@
 	if left, ok := parseLeft(r.Header.Get(s.Headers.Deadline)); ok {
 		request.Deadline = began.Add(left)
 	}
-	var flight *steering.Flight
+	var flight *steering.ActiveRequest
 	var decision steering.Decision
-	s.Kernel(func(k *steering.Kernel, now time.Time) { flight, decision = k.Begin(now, request) })
-	for decision.Pool != "" {
-		decision = s.token(r.Context(), flight, decision.Pool)
+	s.Kernel(func(k *steering.Kernel, now time.Time) { flight, decision = k.BeginRequest(now, request) })
+	for decision.QuotaPool != "" {
+		decision = s.token(r.Context(), flight, decision.QuotaPool)
 	}
 	var answer *serverhttp.Answer
 	for decision.Server != nil {
-		if decision.Ask != nil {
-			decision = s.place(r.Context(), flight, *decision.Ask)
+		if decision.SlotRequest != nil {
+			decision = s.place(r.Context(), flight, *decision.SlotRequest)
 			continue
 		}
 		var attempt steering.Attempt
@@ -143,33 +143,33 @@
 }
 
 // token asks a pool whether the request is within its account's limit.
-func (s *Server) token(ctx context.Context, f *steering.Flight, pool string) (d steering.Decision) {
+func (s *Server) token(ctx context.Context, f *steering.ActiveRequest, pool string) (d steering.Decision) {
 	token, answered := s.AskPool(ctx, pool, f.Account.Name)
-	s.Kernel(func(k *steering.Kernel, now time.Time) { d = k.Token(now, f, token, answered) })
+	s.Kernel(func(k *steering.Kernel, now time.Time) { d = k.ApplyPoolToken(now, f, token, answered) })
 	return d
 }
 
 // place waits for a place at the server that the request should go to.
-func (s *Server) place(ctx context.Context, f *steering.Flight, a steering.Ask) (d steering.Decision) {
+func (s *Server) place(ctx context.Context, f *steering.ActiveRequest, a steering.SlotRequest) (d steering.Decision) {
 	reply, answered := s.Ask(ctx, a)
 	if ctx.Err() != nil {
-		return s.ended(f, steering.Attempt{Result: steering.Left, Err: ctx.Err()})
+		return s.ended(f, steering.Attempt{Result: steering.ResultCallerGone, Err: ctx.Err()})
 	}
-	s.Kernel(func(k *steering.Kernel, now time.Time) { d = k.Asked(now, f, reply, answered) })
+	s.Kernel(func(k *steering.Kernel, now time.Time) { d = k.HandleSlotReply(now, f, reply, answered) })
 	s.giveBack(d)
 	return d
 }
 
 // ended tells how an attempt ended and gives the request's place back.
-func (s *Server) ended(f *steering.Flight, a steering.Attempt) (d steering.Decision) {
-	s.Kernel(func(k *steering.Kernel, now time.Time) { d = k.Ended(now, f, a) })
+func (s *Server) ended(f *steering.ActiveRequest, a steering.Attempt) (d steering.Decision) {
+	s.Kernel(func(k *steering.Kernel, now time.Time) { d = k.EndAttempt(now, f, a) })
 	s.giveBack(d)
 	return d
 }
 
 func (s *Server) giveBack(d steering.Decision) {
-	if d.Release != nil {
-		s.GiveBack(*d.Release)
+	if d.SlotRelease != nil {
+		s.GiveBack(*d.SlotRelease)
 	}
 }
 
@@ -186,23 +186,23 @@
 	}
 }
 
-func (s *Server) attempt(r *http.Request, body []byte, q steering.Request, f *steering.Flight, t *steering.Target) serverhttp.Request {
+func (s *Server) attempt(r *http.Request, body []byte, q steering.Request, f *steering.ActiveRequest, t *steering.Target) serverhttp.Request {
 	account := ""
 	if f.Account != nil {
 		account = f.Account.Name
 	}
 	return serverhttp.Request{
-		Keyed: f.Keyed, Account: account,
+		Keyed: f.HasAccounts, Account: account,
 		Address: t.Address, Instance: t.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI,
-		Header: r.Header, Body: body, Attempt: q.ID, Deadline: f.Until,
-		DialLimit:   min(dialBase+dialRoundTrips*t.RoundTrip, f.Until.Sub(s.Now())),
-		Connections: t.Connections, Withheld: func() bool { return s.withheld(f) },
+		Header: r.Header, Body: body, Attempt: q.ID, Deadline: f.ExpiresAt,
+		DialLimit:   min(dialBase+dialRoundTrips*t.RoundTrip, f.ExpiresAt.Sub(s.Now())),
+		Connections: t.MaxConnections, Withheld: func() bool { return s.withheld(f) },
 	}
 }
 
 // withheld reports whether the server of an attempt has asked for no more meanwhile.
-func (s *Server) withheld(f *steering.Flight) (withheld bool) {
-	s.Kernel(func(k *steering.Kernel, now time.Time) { withheld = !k.StillPermits(now, f) })
+func (s *Server) withheld(f *steering.ActiveRequest) (withheld bool) {
+	s.Kernel(func(k *steering.Kernel, now time.Time) { withheld = !k.ServerStillAccepts(now, f) })
 	return withheld
 }
 
@@ -232,7 +232,7 @@
 	case errors.Is(err, bodies.ErrTooLarge):
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
 	case errors.Is(err, bodies.ErrNoMemory):
-		s.refuse(w, r, steering.Decision{NotRun: true, ComeBack: noMemoryPause})
+		s.refuse(w, r, steering.Decision{NotRun: true, RetryAfter: noMemoryPause})
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		w.WriteHeader(http.StatusRequestTimeout)
 	default:
@@ -243,10 +243,10 @@
 
 // reply gives the caller the final answer.
 func (s *Server) reply(w http.ResponseWriter, r *http.Request, d steering.Decision, answer *serverhttp.Answer) {
-	if s.Stopping() || d.Elsewhere {
+	if s.Stopping() || d.TryOtherProxy {
 		w.Header().Set("Connection", "close")
 	}
-	if !d.Answer || answer == nil {
+	if !d.ReturnResponse || answer == nil {
 		s.refuse(w, r, d)
 		return
 	}
@@ -282,8 +282,8 @@
 		if d.Reason == steering.ReasonRateLimit {
 			status = http.StatusTooManyRequests
 		}
-		w.Header().Set("Retry-After", strconv.FormatFloat(d.ComeBack.Seconds(), 'f', 3, 64))
-	case d.Reason == steering.ReasonLate:
+		w.Header().Set("Retry-After", strconv.FormatFloat(d.RetryAfter.Seconds(), 'f', 3, 64))
+	case d.Reason == steering.ReasonTimeout:
 		status = http.StatusGatewayTimeout
 	}
 	if id := r.Header.Get(s.Headers.Attempt); id != "" {
--- a/internal/adapter/forwardhttp/server_test.go
+++ b/internal/adapter/forwardhttp/server_test.go
@@ -72,7 +72,7 @@
 		Parts: []routing.Part{{Service: "service", Weight: 1}},
 	}
 	f.kernel.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{BodyBytes: 100}))
-	f.kernel.SetServer(time.Now(), routing.Server{
+	f.kernel.RegisterServer(time.Now(), routing.Server{
 		ID: "s1", Service: "service", Domain: "a", Slots: 4, Address: netip.MustParseAddrPort("127.0.0.1:1"),
 	})
 }
@@ -112,7 +112,7 @@
 }
 
 func TestAnswerIsPassedOnWhole(t *testing.T) {
-	f := newFront(t, true, answers(steering.Answered, http.StatusCreated, "booked"))
+	f := newFront(t, true, answers(steering.ResultAnswered, http.StatusCreated, "booked"))
 	got := get(t, http.MethodPost, f.URL+"/a/x", "data")
 	if got.status != http.StatusCreated || got.body != "booked" || got.header.Get("Seal") != "s" {
 		t.Errorf("got %d %q with seal %q, want 201, the body and the seal", got.status, got.body, got.header.Get("Seal"))
@@ -143,10 +143,10 @@
 		result steering.Result
 		want   int
 	}{
-		"refused":     {steering.Refused, http.StatusServiceUnavailable},
-		"unreachable": {steering.Unreachable, http.StatusServiceUnavailable},
-		"broken":      {steering.Broken, http.StatusBadGateway},
-		"late":        {steering.Late, http.StatusGatewayTimeout},
+		"refused":     {steering.ResultRefused, http.StatusServiceUnavailable},
+		"unreachable": {steering.ResultUnreachable, http.StatusServiceUnavailable},
+		"broken":      {steering.ResultConnectionLost, http.StatusBadGateway},
+		"late":        {steering.ResultTimeout, http.StatusGatewayTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFront(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
@@ -187,7 +187,7 @@
 	f := newFront(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
 		entered <- true
 		<-leave
-		return steering.Attempt{Result: steering.Answered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
 	body := strings.Repeat("x", 100)
 	first := make(chan reply, 1)
@@ -212,7 +212,7 @@
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
 	configured := make(chan struct{})
 	f := startFront(t, false, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
-		return steering.Attempt{Result: steering.Answered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
 	}, time.Now(), configured)
 	answered := make(chan int, 1)
 	go func() { answered <- get(t, http.MethodGet, f.URL+"/a/x", "").status }()
@@ -242,7 +242,7 @@
 	var left time.Duration
 	f := newFront(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
 		left = time.Until(r.Deadline)
-		return steering.Attempt{Result: steering.Answered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
 	get(t, http.MethodGet, f.URL+"/a/x", "")
 	if left <= 0 || left > 700*time.Millisecond {
@@ -257,7 +257,7 @@
 		began := time.Now()
 		<-ctx.Done()
 		ended <- time.Since(began)
-		return steering.Attempt{Result: steering.Left}, nil
+		return steering.Attempt{Result: steering.ResultCallerGone}, nil
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -277,7 +277,7 @@
 }
 
 func TestStoppingProxySendsCallersElsewhere(t *testing.T) {
-	f := newFront(t, true, answers(steering.Answered, http.StatusOK, "fine"))
+	f := newFront(t, true, answers(steering.ResultAnswered, http.StatusOK, "fine"))
 	f.stopping = true
 	if got := get(t, http.MethodGet, f.URL+"/a/x", ""); !got.close || got.body != "fine" {
 		t.Errorf("connection closes: %t, body %q; want the answer and a close", got.close, got.body)
--- a/internal/adapter/peerdrpc/place.go
+++ b/internal/adapter/peerdrpc/place.go
@@ -20,7 +20,7 @@
 )
 
 // Ask asks the owner of a server's gate for a place, at a moment of the own clock.
-func (c *Client) Ask(ctx context.Context, to netip.AddrPort, now time.Time, a steering.Ask) (steering.Reply, error) {
+func (c *Client) Ask(ctx context.Context, to netip.AddrPort, now time.Time, a steering.SlotRequest) (steering.SlotReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	out, err := peerpb.NewDRPCReplicaClient(c.pool.Get(ctx, to, c.dial)).Ask(ctx, &peerpb.AskMessage{
@@ -29,13 +29,13 @@
 		Limit: limitOut("", a.Limit),
 	})
 	if err != nil {
-		return steering.Reply{}, errors.Wrap(err, "ask for a place")
+		return steering.SlotReply{}, errors.Wrap(err, "ask for a place")
 	}
 	return placeIn(out), nil
 }
 
 // Release gives a place back to the owner of its gate.
-func (c *Client) Release(ctx context.Context, to netip.AddrPort, r steering.Release) error {
+func (c *Client) Release(ctx context.Context, to netip.AddrPort, r steering.SlotRelease) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := peerpb.NewDRPCReplicaClient(c.pool.Get(ctx, to, c.dial)).Release(ctx, &peerpb.ReleaseMessage{
@@ -45,7 +45,7 @@
 }
 
 // Grant tells a proxy what has become of its question.
-func (c *Client) Grant(ctx context.Context, to netip.AddrPort, r steering.Reply) error {
+func (c *Client) Grant(ctx context.Context, to netip.AddrPort, r steering.SlotReply) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := peerpb.NewDRPCReplicaClient(c.pool.Get(ctx, to, c.dial)).Grant(ctx, placeOut(r))
@@ -56,7 +56,7 @@
 func (s *syncService) Ask(_ context.Context, in *peerpb.AskMessage) (*peerpb.PlaceMessage, error) {
 	now := s.handlers.Now()
 	after := func(micro int64) time.Time { return now.Add(time.Duration(micro) * time.Microsecond) }
-	return placeOut(s.handlers.Ask(steering.Ask{
+	return placeOut(s.handlers.Ask(steering.SlotRequest{
 		Server: in.GetServer(), Work: time.Duration(in.GetWorkMicro()) * time.Microsecond, Limit: limitIn(in.GetLimit()),
 		Ticket: admission.Ticket{
 			ID: in.GetId(), From: in.GetFrom(), Priority: int(in.GetPriority()),
@@ -67,7 +67,7 @@
 
 // Release implements the generated interface.
 func (s *syncService) Release(_ context.Context, in *peerpb.ReleaseMessage) (*peerpb.Nothing, error) {
-	s.handlers.Release(steering.Release{
+	s.handlers.Release(steering.SlotRelease{
 		From: in.GetFrom(), ID: in.GetId(), Server: in.GetServer(), Rank: int(in.GetRank()), Ratio: float64(in.GetRatio()),
 	})
 	return &peerpb.Nothing{}, nil
@@ -79,15 +79,15 @@
 	return &peerpb.Nothing{}, nil
 }
 
-func placeOut(r steering.Reply) *peerpb.PlaceMessage {
+func placeOut(r steering.SlotReply) *peerpb.PlaceMessage {
 	return &peerpb.PlaceMessage{
 		From: r.From, Id: r.ID, Verdict: uint32(r.Verdict), Rank: uint32(r.Rank), Running: uint32(r.Running), Waiting: uint32(r.Waiting),
 		Limit: limitOut("", r.Limit), Unknown: r.Unknown, Whole: r.Whole, Sound: r.Sound,
 	}
 }
 
-func placeIn(in *peerpb.PlaceMessage) steering.Reply {
-	return steering.Reply{
+func placeIn(in *peerpb.PlaceMessage) steering.SlotReply {
+	return steering.SlotReply{
 		Grant: admission.Grant{
 			Ticket:  admission.Ticket{ID: in.GetId(), From: in.GetFrom()},
 			Verdict: admission.Verdict(in.GetVerdict()), Rank: int(in.GetRank()),
--- a/internal/adapter/peerdrpc/server.go
+++ b/internal/adapter/peerdrpc/server.go
@@ -39,9 +39,9 @@
 		Sync func(SyncMessage) SyncMessage
 		// Ask answers for places at servers whose gates are here, Release takes them
 		// back, Grant hears what has become of an own question.
-		Ask     func(steering.Ask) steering.Reply
-		Release func(steering.Release)
-		Grant   func(steering.Reply)
+		Ask     func(steering.SlotRequest) steering.SlotReply
+		Release func(steering.SlotRelease)
+		Grant   func(steering.SlotReply)
 		// ReportLimits answers proxies whose pool of limits is here, TakeToken those that
 		// ask it for one request of an account.
 		ReportLimits func(ratelimit.Report) ratelimit.Grants
--- a/internal/adapter/peerdrpc/sync.go
+++ b/internal/adapter/peerdrpc/sync.go
@@ -38,7 +38,7 @@
 		Leaving bool
 		replica.Delta
 		// Held are the services that the sender holds back by its own signs.
-		Held []steering.Held
+		Held []steering.ServiceLimit
 		// Suspicions are works that were there at the ends of servers.
 		Suspicions []quarantine.Report
 		// Signals are what backend servers ask of all proxies.
@@ -114,7 +114,7 @@
 		m.Others = append(m.Others, a)
 	}
 	for _, h := range in.GetHeld() {
-		m.Held = append(m.Held, steering.Held{Service: h.GetService(), Limit: limitIn(h)})
+		m.Held = append(m.Held, steering.ServiceLimit{Service: h.GetService(), Limit: limitIn(h)})
 	}
 	var err error
 	if m.Suspicions, err = suspicionsIn(in.GetSuspicions()); err != nil {
--- a/internal/adapter/serverhttp/client.go
+++ b/internal/adapter/serverhttp/client.go
@@ -146,14 +146,14 @@
 	connection, roundTrip, err := c.pool.get(ctx, r.Address, r.DialLimit)
 	if err != nil {
 		if ctx.Err() != nil {
-			return steering.Attempt{Result: steering.Left, Err: ctx.Err()}, nil
+			return steering.Attempt{Result: steering.ResultCallerGone, Err: ctx.Err()}, nil
 		}
-		return steering.Attempt{Result: steering.Unreachable, Refusing: Refusing(err), Err: err}, nil
+		return steering.Attempt{Result: steering.ResultUnreachable, Refusing: Refusing(err), Err: err}, nil
 	}
 	if connection.fresh() && r.Withheld != nil && r.Withheld() {
 		connection.uses = 0
 		c.pool.put(connection, true, r.Connections)
-		return steering.Attempt{Result: steering.Withheld, RoundTrip: roundTrip}, nil
+		return steering.Attempt{Result: steering.ResultNotSent, RoundTrip: roundTrip}, nil
 	}
 	e := &exchange{client: c, conn: connection, request: r, message: c.message(r)}
 	stop := context.AfterFunc(ctx, connection.abort)
@@ -161,7 +161,7 @@
 	if !stop() {
 		// The caller left, and the connection was closed to tell the server.
 		answer.Release()
-		return steering.Attempt{Result: steering.Left, Err: context.Cause(ctx), Signal: e.signal}, nil
+		return steering.Attempt{Result: steering.ResultCallerGone, Err: context.Cause(ctx), Signal: e.signal}, nil
 	}
 	c.pool.put(connection, reusable, r.Connections)
 	attempt := c.judge(r, answer, err)
@@ -238,22 +238,22 @@
 func (c *Client) judge(r Request, answer *Answer, err error) steering.Attempt {
 	a := steering.Attempt{Err: err}
 	if answer == nil {
-		a.Result = steering.Broken
+		a.Result = steering.ResultConnectionLost
 		if !c.now().Before(r.Deadline) {
-			a.Result = steering.Late
+			a.Result = steering.ResultTimeout
 		}
 		return a
 	}
 	a.Running, a.Waiting, a.Loaded = parseLoad(answer.Header.Get(c.headers.Load))
 	switch {
 	case answer.Status == http.StatusMisdirectedRequest:
-		a.Result = steering.Mistaken
+		a.Result = steering.ResultWrongServer
 	case answer.Header.Get(c.headers.NotRun) != "":
-		a.Result = steering.Refused
+		a.Result = steering.ResultRefused
 	case answer.Status >= http.StatusInternalServerError:
-		a.Result = steering.Failed
+		a.Result = steering.ResultServerError
 	default:
-		a.Result = steering.Answered
+		a.Result = steering.ResultAnswered
 	}
 	a.Rejected = answer.Status >= http.StatusBadRequest
 	answer.Header.Del(c.headers.Load)
--- a/internal/adapter/serverhttp/client_test.go
+++ b/internal/adapter/serverhttp/client_test.go
@@ -106,7 +106,7 @@
 	if a.Result != result {
 		t.Fatalf("result is %s (%v), want %s", a.Result, a.Err, result)
 	}
-	if result == steering.Answered && string(answer.Body.Bytes) != body {
+	if result == steering.ResultAnswered && string(answer.Body.Bytes) != body {
 		t.Errorf("body is %q, want %q", answer.Body.Bytes, body)
 	}
 }
@@ -122,7 +122,7 @@
 	c := newTestClient()
 	for _, id := range []string{"one", "two", "three"} {
 		a, answer := send(c, s, id)
-		expect(t, a, answer, steering.Answered, "to "+id)
+		expect(t, a, answer, steering.ResultAnswered, "to "+id)
 	}
 }
 
@@ -140,7 +140,7 @@
 	c := newTestClient()
 	for _, id := range []string{"one", "two"} {
 		a, answer := send(c, s, id)
-		expect(t, a, answer, steering.Answered, "to "+id)
+		expect(t, a, answer, steering.ResultAnswered, "to "+id)
 	}
 	if a, answer := send(c, s, "three"); answer == nil || string(answer.Body.Bytes) != "to three" {
 		t.Errorf("result after a stray answer is %s, want the answer on a new connection", a.Result)
@@ -164,7 +164,7 @@
 	c := newTestClient()
 	send(c, s, "one")
 	a, answer := send(c, s, "two")
-	expect(t, a, answer, steering.Broken, "")
+	expect(t, a, answer, steering.ResultConnectionLost, "")
 }
 
 // A kept connection breaks just as a request is sent on it. The server may
@@ -180,7 +180,7 @@
 	c := newTestClient()
 	send(c, s, "one")
 	a, answer := send(c, s, "two")
-	expect(t, a, answer, steering.Broken, "")
+	expect(t, a, answer, steering.ResultConnectionLost, "")
 	if got := s.requests.Load(); got != 2 {
 		t.Errorf("the server read %d requests, want 2", got)
 	}
@@ -202,7 +202,7 @@
 				return false
 			})
 			a, answer := send(newTestClient(), s, "one")
-			expect(t, a, answer, steering.Broken, "")
+			expect(t, a, answer, steering.ResultConnectionLost, "")
 		})
 	}
 }
@@ -216,7 +216,7 @@
 		return false
 	})
 	a, answer := send(newTestClient(), closed, "one")
-	expect(t, a, answer, steering.Answered, "all of it")
+	expect(t, a, answer, steering.ResultAnswered, "all of it")
 	reset := serveRaw(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 		_, _ = io.WriteString(w, text)
 		time.Sleep(50 * time.Millisecond)
@@ -224,7 +224,7 @@
 		return false
 	})
 	a, answer = send(newTestClient(), reset, "one")
-	expect(t, a, answer, steering.Broken, "")
+	expect(t, a, answer, steering.ResultConnectionLost, "")
 }
 
 // A server rejects a long request before it has read it all and keeps the
@@ -242,7 +242,7 @@
 	long := request(s, "one")
 	long.Method, long.Body = http.MethodPost, []byte(strings.Repeat("x", 32<<20))
 	a, answer := c.Send(context.Background(), long)
-	if a.Result != steering.Answered || answer.Status != http.StatusRequestEntityTooLarge {
+	if a.Result != steering.ResultAnswered || answer.Status != http.StatusRequestEntityTooLarge {
 		t.Fatalf("result is %s (%v), want the server's answer", a.Result, a.Err)
 	}
 	send(c, s, "two")
@@ -263,7 +263,7 @@
 	ctx, leave := context.WithCancel(context.Background())
 	time.AfterFunc(50*time.Millisecond, leave)
 	a, answer := newTestClient().Send(ctx, request(s, "one"))
-	expect(t, a, answer, steering.Left, "")
+	expect(t, a, answer, steering.ResultCallerGone, "")
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
@@ -280,7 +280,7 @@
 	s := &rawServer{listener: l}
 	_ = l.Close()
 	a, answer := send(newTestClient(), s, "one")
-	expect(t, a, answer, steering.Unreachable, "")
+	expect(t, a, answer, steering.ResultUnreachable, "")
 }
 
 func TestNoAnswerInTimeIsLate(t *testing.T) {
@@ -291,7 +291,7 @@
 	r := request(s, "one")
 	r.Deadline = time.Now().Add(50 * time.Millisecond)
 	a, answer := newTestClient().Send(context.Background(), r)
-	expect(t, a, answer, steering.Late, "")
+	expect(t, a, answer, steering.ResultTimeout, "")
 }
 
 // Something else listens at the address and says 200. Without the server's
@@ -302,7 +302,7 @@
 		return true
 	})
 	a, answer := send(newTestClient(), s, "one")
-	expect(t, a, answer, steering.Broken, "")
+	expect(t, a, answer, steering.ResultConnectionLost, "")
 }
 
 func TestOutcomes(t *testing.T) {
@@ -310,10 +310,10 @@
 		head string
 		want steering.Result
 	}{
-		{"HTTP/1.1 503 Full\r\nNot-Run: 1", steering.Refused},
-		{"HTTP/1.1 421 Other\r\nSeal: s", steering.Mistaken},
-		{"HTTP/1.1 500 Failed\r\nSeal: s", steering.Failed},
-		{"HTTP/1.1 404 None\r\nSeal: s", steering.Answered},
+		{"HTTP/1.1 503 Full\r\nNot-Run: 1", steering.ResultRefused},
+		{"HTTP/1.1 421 Other\r\nSeal: s", steering.ResultWrongServer},
+		{"HTTP/1.1 500 Failed\r\nSeal: s", steering.ResultServerError},
+		{"HTTP/1.1 404 None\r\nSeal: s", steering.ResultAnswered},
 	} {
 		s := serveRaw(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 			_, _ = io.WriteString(w, c.head+"\r\nAttempt: one\r\nLoad: 3,2,4\r\nContent-Length: 0\r\n\r\n")
@@ -344,7 +344,7 @@
 		r.Header.Set("X-Hop", "1")
 		r.Header.Set("Cookie", "a=b")
 		a, _ := newTestClient().Send(context.Background(), r)
-		if a.Result != steering.Answered {
+		if a.Result != steering.ResultAnswered {
 			t.Fatalf("%s: result is %s (%v)", target, a.Result, a.Err)
 		}
 		got := <-seen
@@ -375,7 +375,7 @@
 	c := newTestClient()
 	for _, id := range []string{"one", "two", "three"} {
 		a, answer := send(c, s, id)
-		expect(t, a, answer, steering.Answered, "fine")
+		expect(t, a, answer, steering.ResultAnswered, "fine")
 		time.Sleep(50 * time.Millisecond)
 	}
 }
@@ -394,7 +394,7 @@
 			c.Forget(s.address())
 		}
 		a, answer := send(c, s, fmt.Sprint("a", i))
-		expect(t, a, answer, steering.Answered, want)
+		expect(t, a, answer, steering.ResultAnswered, want)
 	}
 }
 
--- a/internal/adapter/steeringhttp/api.go
+++ b/internal/adapter/steeringhttp/api.go
@@ -32,7 +32,7 @@
 		// Off lists the mechanisms that are not used.
 		Off []steering.Mechanism `json:"mechanisms-off,omitempty"`
 		// Holding lists services whose servers slow down when full.
-		Holding []steering.Held `json:"holding-back,omitempty"`
+		Holding []steering.ServiceLimit `json:"holding-back,omitempty"`
 		// Condemned is work that is refused because servers ended with it.
 		Condemned []CondemnedWork `json:"condemned-work,omitempty"`
 		// Accounts are the client accounts; limits are divided among Holders proxies, and
@@ -162,10 +162,10 @@
 func EventOf(vm string, e steering.Event) Event {
 	out := Event{
 		At: e.At, VM: vm, Kind: string(e.Kind), Request: e.Request, Route: e.Route, Account: e.Account, Configuration: e.Version,
-		Service: e.Service, Server: e.Server, Object: e.Object, Work: e.Work.String(), Domain: e.Domain, Region: e.Region, Elsewhere: e.Elsewhere, Attempt: e.Attempt,
+		Service: e.Service, Server: e.Server, Object: e.Object, Work: e.Work.String(), Domain: e.Domain, Region: e.Region, Elsewhere: e.CallersElsewhere, Attempt: e.Attempt,
 		Reason: string(e.Reason), Load: e.Load, Warm: e.Warm, Draining: e.Draining,
-		Expected: span(e.Expected), Took: span(e.Took), ComeBack: span(e.ComeBack), Pressure: e.Pressure,
-		Wait: span(e.Wait), State: string(e.State), Cause: string(e.Cause), Target: span(e.Target), Limit: e.Limit.String(),
+		Expected: span(e.Expected), Took: span(e.Duration), ComeBack: span(e.RetryAfter), Pressure: e.Pressure,
+		Wait: span(e.ExpectedWait), State: string(e.State), Cause: string(e.Cause), Target: span(e.Target), Limit: e.Limit.String(),
 	}
 	if e.Result != 0 {
 		out.Result = e.Result.String()
@@ -173,7 +173,7 @@
 	if e.Outcome != 0 {
 		out.Outcome = e.Outcome.String()
 	}
-	if e.Kind == steering.EventSent {
+	if e.Kind == steering.EventRequestSent {
 		out.LoadAge = span(e.LoadAge)
 	}
 	if e.Err != nil {
@@ -198,8 +198,8 @@
 		return "absent"
 	case s.PausedFor > 0:
 		return "pauses for " + s.PausedFor.Round(time.Millisecond).String()
-	case s.OutFor > 0:
-		return "out for " + s.OutFor.Round(time.Millisecond).String()
+	case s.EjectedFor > 0:
+		return "out for " + s.EjectedFor.Round(time.Millisecond).String()
 	case s.ColdFor > 0:
 		return "cold for " + s.ColdFor.Round(time.Millisecond).String()
 	case s.Limit.Named:
--- a/internal/client/command/losses.go
+++ b/internal/client/command/losses.go
@@ -85,7 +85,7 @@
 			unanswered = append(unanswered, Unanswered{Proxy: a.Proxy.Name, Error: a.Error})
 		}
 		for _, e := range a.Value {
-			if e.Kind != string(steering.EventFinished) {
+			if e.Kind != string(steering.EventRequestEnded) {
 				continue
 			}
 			counter.Add(losses.Ended{
--- a/internal/client/command/replay.go
+++ b/internal/client/command/replay.go
@@ -31,32 +31,32 @@
 		return Result{}, usageError(errors.Wrap(err, a.File).Error())
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "%d calls, %d decisions, %d differ\n", r.Calls, r.Decisions, r.Differing)
-	if r.CutShort {
+	fmt.Fprintf(&text, "%d calls, %d decisions, %d differ\n", r.Calls, r.Decisions, r.DifferenceCount)
+	if r.Truncated {
 		text.WriteString("the last call is cut short: the process was killed\n")
 	}
 	for _, d := range r.Differences {
 		fmt.Fprintf(&text, "%s request %s: recorded %s, now %s\n", d.At.Format("15:04:05.000"), d.Request, verdictText(d.Recorded), verdictText(d.Now))
 	}
-	if len(r.Weighed) > 0 {
+	if len(r.Candidates) > 0 {
 		fmt.Fprintf(&text, "%-12s %7s %-20s %6s %5s %5s %4s %6s %6s %9s %12s\n", "AT", "ATTEMPT", "SERVER", "USABLE", "COLD", "WARM", "HOME", "LOAD", "SPEED", "EXPECTED", "COST")
 	}
-	for _, w := range r.Weighed {
+	for _, w := range r.Candidates {
 		mark := ""
 		if w.Chosen {
 			mark = " chosen"
 		}
 		fmt.Fprintf(&text, "%-12s %7d %-20s %6t %5t %5t %4d %6.1f %6.2f %9s %12s%s\n", w.At.Format("15:04:05.000"), w.Attempt, w.Server,
-			w.Usable, w.Cold, w.Warm, w.Home, w.Load, w.Speed, rounded(w.Expected), rounded(w.Cost), mark)
+			w.Usable, w.Cold, w.Warm, w.HomeRank, w.Load, w.Slowdown, rounded(w.Expected), rounded(w.Cost), mark)
 	}
 	return Result{Text: text.String(), Data: r}, nil
 }
 
-func verdictText(v steering.Verdict) string {
+func verdictText(v steering.RecordedDecision) string {
 	switch {
 	case v.Server != "":
 		return "to " + v.Server
-	case v.Answer:
+	case v.ReturnResponse:
 		return "answered"
 	}
 	return string(v.Reason)
--- a/internal/client/losses/losses.go
+++ b/internal/client/losses/losses.go
@@ -101,12 +101,12 @@
 	for ending, n := range endings {
 		kind, why := Kind(""), ending
 		switch ending {
-		case steering.Done.String():
+		case steering.OutcomeDone.String():
 			continue
 		case string(Late):
 			kind, why = Late, Unknown
 		default:
-			kind, _ = judge(Ended{Reason: ending, Outcome: steering.NotRun.String()})
+			kind, _ = judge(Ended{Reason: ending, Outcome: steering.OutcomeNotRun.String()})
 		}
 		c.rows[Key{Kind: kind, Why: why, Route: Unknown, Region: region, State: Unknown}] += n
 		c.count(at, kind, n)
@@ -129,17 +129,17 @@
 			return "", ""
 		}
 		return Late, cmp.Or(e.Cause, Unknown)
-	case steering.ReasonLeft:
+	case steering.ReasonCallerGone:
 		return Left, e.Reason
-	case steering.ReasonFailed, steering.ReasonBroken:
+	case steering.ReasonServerError, steering.ReasonConnectionLost:
 		return Failed, e.Reason
-	case steering.ReasonLate:
+	case steering.ReasonTimeout:
 		if e.Cause == "" {
 			return Failed, e.Reason
 		}
 		return Failed, e.Reason + ", " + e.Cause
 	}
-	if e.Outcome == steering.MayHaveRun.String() {
+	if e.Outcome == steering.OutcomeMayHaveRun.String() {
 		return Failed, e.Reason
 	}
 	return Refused, e.Reason
--- a/internal/client/losses/read.go
+++ b/internal/client/losses/read.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		switch l.Message {
-		case string(steering.EventFinished):
+		case string(steering.EventRequestEnded):
 			c.Add(l.ended())
 		case messageLeftOut:
 			c.AddLeftOut(l.Time, l.Region, l.Counts)
--- a/internal/fake/warmnet/ends.go
+++ b/internal/fake/warmnet/ends.go
@@ -126,7 +126,7 @@
 	jobs := append(s.now, s.waiting...)
 	s.now, s.waiting, s.running = nil, nil, 0
 	for _, j := range jobs {
-		w.end(j, steering.Broken)
+		w.end(j, steering.ResultConnectionLost)
 	}
 	w.After(endedLapse, func() { w.remove(s) })
 	w.After(w.load.Back.Std(), func() {
@@ -138,29 +138,29 @@
 			}
 		}
 		w.byID[again.id] = again
-		w.each(func(k *steering.Kernel) { k.SetServer(w.clock(), w.registration(again)) })
+		w.each(func(k *steering.Kernel) { k.RegisterServer(w.clock(), w.registration(again)) })
 	})
 }
 
 // stir has a proxy dial and alert soon if there is anything to find out or to tell.
 func (w *world) stir(k *steering.Kernel) {
-	if !w.load.hasEnds() || !k.Stirred() || w.ends.due[k] {
+	if !w.load.hasEnds() || !k.QuarantinePending() || w.ends.due[k] {
 		return
 	}
 	w.ends.due[k] = true
 	w.After(dialAfter, func() {
 		w.ends.due[k] = false
 		_, region := w.kernelOf(k.Name())
-		for _, s := range k.Doubted() {
+		for _, s := range k.ServersToProbe() {
 			known := w.byID[s.ID]
 			w.After(w.roundTrip(region, known.region), func() {
 				if known.ended {
-					k.Refusing(w.clock(), known.id)
+					k.RecordConnectionRefused(w.clock(), known.id)
 					w.stir(k)
 				}
 			})
 		}
-		if k.SuspicionsUrgent() {
+		if k.QuarantineReportsUrgent() {
 			w.alert(k, region)
 		}
 	})
@@ -168,7 +168,7 @@
 
 // alert tells some proxies of the region and one of each other region.
 func (w *world) alert(k *steering.Kernel, region string) {
-	list := k.Suspicions(w.clock(), false)
+	list := k.QuarantineReports(w.clock(), false)
 	for _, r := range w.load.Regions {
 		others := w.proxies[r.Name]
 		most := 1
@@ -178,7 +178,7 @@
 		for range min(most, len(others)) {
 			to := others[w.random.IntN(len(others))]
 			w.After(w.roundTrip(region, r.Name)/2, func() {
-				to.HearSuspicions(w.clock(), list)
+				to.ApplyQuarantineReports(w.clock(), list)
 				w.stir(to)
 			})
 		}
@@ -188,8 +188,8 @@
 // tellSuspicions has each proxy exchange what it knows with another one.
 func (w *world) tellSuspicions() {
 	w.gossip(func(k, to *steering.Kernel) {
-		to.HearSuspicions(w.clock(), k.Suspicions(w.clock(), false))
-		k.HearSuspicions(w.clock(), to.Suspicions(w.clock(), false))
+		to.ApplyQuarantineReports(w.clock(), k.QuarantineReports(w.clock(), false))
+		k.ApplyQuarantineReports(w.clock(), to.QuarantineReports(w.clock(), false))
 		w.stir(to)
 		w.stir(k)
 	})
@@ -197,11 +197,11 @@
 
 // endsRefused counts a refusal because servers ended with the work.
 func (w *world) endsRefused(j *job, d steering.Decision) {
-	if j.deadly || d.Reason != steering.ReasonEndsServers && d.Reason != steering.ReasonSuspected {
+	if j.deadly || d.Reason != steering.ReasonCrashesServers && d.Reason != steering.ReasonMayCrashServers {
 		return
 	}
 	w.out.Ends.Refused++
-	if d.Reason == steering.ReasonEndsServers {
+	if d.Reason == steering.ReasonCrashesServers {
 		w.out.Ends.Sound[j.object] = true
 	}
 }
--- a/internal/fake/warmnet/holds.go
+++ b/internal/fake/warmnet/holds.go
@@ -42,14 +42,14 @@
 }
 
 // askFor brings a question to the gate's owner and its answer back.
-func (w *world) askFor(j *job, a steering.Ask) {
+func (w *world) askFor(j *job, a steering.SlotRequest) {
 	owner, region := w.kernelOf(a.Owner.Name)
 	way := w.roundTrip(j.entry, region) / 2
 	if owner == j.kernel {
 		way = 0
 	}
 	w.After(way, func() {
-		reply := owner.HearAsk(w.clock(), a)
+		reply := owner.HandleSlotRequest(w.clock(), a)
 		if reply.Verdict == admission.Queued {
 			if w.holds.waiting == nil {
 				w.holds.waiting = make(map[ticketKey]*job)
@@ -57,17 +57,17 @@
 			w.holds.waiting[ticketKey{a.From, a.ID}] = j
 			return
 		}
-		w.After(way, func() { w.follow(j, j.kernel.Asked(w.clock(), j.flight, reply, true)) })
+		w.After(way, func() { w.follow(j, j.kernel.HandleSlotReply(w.clock(), j.flight, reply, true)) })
 	})
 }
 
 // release brings a place back and tells those that get it.
-func (w *world) release(entry string, r steering.Release) {
+func (w *world) release(entry string, r steering.SlotRelease) {
 	owner, region := w.kernelOf(r.Owner.Name)
-	w.After(w.roundTrip(entry, region)/2, func() { w.granted(region, owner.HearRelease(w.clock(), r)) })
+	w.After(w.roundTrip(entry, region)/2, func() { w.granted(region, owner.HandleSlotRelease(w.clock(), r)) })
 }
 
-func (w *world) granted(region string, grants []steering.Reply) {
+func (w *world) granted(region string, grants []steering.SlotReply) {
 	for _, g := range grants {
 		key := ticketKey{g.From, g.ID}
 		j := w.holds.waiting[key]
@@ -76,7 +76,7 @@
 		}
 		delete(w.holds.waiting, key)
 		w.After(w.roundTrip(j.entry, region)/2, func() {
-			w.follow(j, j.kernel.Asked(w.clock(), j.flight, g, true))
+			w.follow(j, j.kernel.HandleSlotReply(w.clock(), j.flight, g, true))
 		})
 	}
 }
@@ -105,7 +105,7 @@
 	if w.load.asksOfSenders() {
 		w.tellSignals()
 	}
-	var all []steering.Held
-	w.each(func(k *steering.Kernel) { all = append(all, k.Holding(w.clock())...) })
-	w.each(func(k *steering.Kernel) { k.SetHolding(w.clock(), all) })
+	var all []steering.ServiceLimit
+	w.each(func(k *steering.Kernel) { all = append(all, k.ConcurrencyLimits(w.clock())...) })
+	w.each(func(k *steering.Kernel) { k.ApplyConcurrencyLimits(w.clock(), all) })
 }
--- a/internal/fake/warmnet/leaving.go
+++ b/internal/fake/warmnet/leaving.go
@@ -39,7 +39,7 @@
 		for i := range e.Servers {
 			s := w.byID[serverID(e.Region, i)]
 			for at := e.From.Std(); at < e.To.Std(); at += heartbeat {
-				w.After(at, func() { w.each(func(k *steering.Kernel) { k.SetServer(w.clock(), w.registration(s)) }) })
+				w.After(at, func() { w.each(func(k *steering.Kernel) { k.RegisterServer(w.clock(), w.registration(s)) }) })
 			}
 			w.After((e.From.Std()+e.To.Std())/2, func() { w.lapse(s) })
 			w.After(e.To.Std(), func() { w.remove(s) })
@@ -51,7 +51,7 @@
 func (w *world) lapse(s *server) {
 	w.each(func(k *steering.Kernel) {
 		k.RemoveServer(w.clock(), s.id)
-		k.SetServer(w.clock(), w.registration(s))
+		k.RegisterServer(w.clock(), w.registration(s))
 	})
 }
 
--- a/internal/fake/warmnet/limits.go
+++ b/internal/fake/warmnet/limits.go
@@ -82,7 +82,7 @@
 
 // signal is what a server's answer asks.
 func (w *world) signal(s *server, r steering.Result) backpressure.Signal {
-	if r == steering.Broken || r == steering.Unreachable || r == steering.Late {
+	if r == steering.ResultConnectionLost || r == steering.ResultUnreachable || r == steering.ResultTimeout {
 		return backpressure.Signal{}
 	}
 	return backpressure.Signal{Limit: w.load.limit(s, w.Now), Leaving: w.load.leaves(s, w.Now), Pause: w.load.pause(s, w.Now)}
@@ -101,9 +101,9 @@
 // tellSignals has each proxy tell another one what servers ask, and be told.
 func (w *world) tellSignals() {
 	w.gossip(func(k, to *steering.Kernel) {
-		question, answer := k.Signals(w.clock(), false), to.Signals(w.clock(), false)
-		to.HearSignals(w.clock(), question)
-		k.HearSignals(w.clock(), answer)
+		question, answer := k.BackpressureReports(w.clock(), false), to.BackpressureReports(w.clock(), false)
+		to.ApplyBackpressureReports(w.clock(), question)
+		k.ApplyBackpressureReports(w.clock(), answer)
 		w.limits.reports += len(question) + len(answer)
 	})
 }
--- a/internal/fake/warmnet/losses.go
+++ b/internal/fake/warmnet/losses.go
@@ -33,7 +33,7 @@
 func (w *world) tick() {
 	w.each(func(k *steering.Kernel) {
 		k.Tick(w.clock())
-		if grants := k.Grants(); len(grants) > 0 {
+		if grants := k.TakeSlotReplies(); len(grants) > 0 {
 			_, region := w.kernelOf(k.Name())
 			w.granted(region, grants)
 		}
@@ -88,7 +88,7 @@
 		s := &server{id: old.id + "-new", region: r.Name, number: old.number, slow: old.slow}
 		w.servers = append(w.servers, s)
 		w.byID[s.id] = s
-		w.each(func(k *steering.Kernel) { k.SetServer(w.clock(), w.registration(s)) })
+		w.each(func(k *steering.Kernel) { k.RegisterServer(w.clock(), w.registration(s)) })
 	}
 	w.After(w.load.Release.Gap.Std(), func() { w.replace(n + 1) })
 }
--- a/internal/fake/warmnet/play.go
+++ b/internal/fake/warmnet/play.go
@@ -59,7 +59,7 @@
 
 	job struct {
 		kernel *steering.Kernel
-		flight *steering.Flight
+		flight *steering.ActiveRequest
 		// region is the caller's, entry that of the proxy that it asks.
 		region string
 		entry  string
@@ -169,8 +169,8 @@
 	bounds := &routing.Service{Name: service, Connections: w.load.Connections}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, []*routing.Service{bounds}, routing.Limits{}).WithAccounts(w.accounts()))
 	for _, s := range w.servers {
-		k.SetServer(w.clock(), w.registration(s))
-		k.Measured(s.region+"-a", w.roundTrip(region, s.region))
+		k.RegisterServer(w.clock(), w.registration(s))
+		k.RecordRoundTrip(s.region+"-a", w.roundTrip(region, s.region))
 	}
 }
 
@@ -285,20 +285,20 @@
 }
 
 func (w *world) receive(j *job) {
-	flight, decision := j.kernel.Begin(w.clock(), steering.Request{ID: strconv.Itoa(w.out.Asked), Host: host, Path: "/", Object: j.object, Work: workOf(j.object), Credential: j.credential})
+	flight, decision := j.kernel.BeginRequest(w.clock(), steering.Request{ID: strconv.Itoa(w.out.Asked), Host: host, Path: "/", Object: j.object, Work: workOf(j.object), Credential: j.credential})
 	j.flight = flight
 	w.follow(j, decision)
 }
 
 func (w *world) follow(j *job, d steering.Decision) {
-	if d.Release != nil {
-		w.release(j.entry, *d.Release)
+	if d.SlotRelease != nil {
+		w.release(j.entry, *d.SlotRelease)
 	}
 	w.endsRefused(j, d)
 	w.stir(j.kernel)
 	switch {
-	case d.Ask != nil && !w.oracle:
-		w.askFor(j, *d.Ask)
+	case d.SlotRequest != nil && !w.oracle:
+		w.askFor(j, *d.SlotRequest)
 	case d.Server != nil:
 		s := w.byID[d.Server.ID]
 		if w.oracle {
@@ -307,14 +307,14 @@
 		j.server = s
 		w.shares.sent(w.Now, j.region, s.region)
 		w.After(w.roundTrip(j.entry, s.region)/2, func() { w.arrive(j) })
-	case d.Answer && j.entry != j.region:
+	case d.ReturnResponse && j.entry != j.region:
 		w.After(w.roundTrip(j.region, j.entry)/2, func() { w.answered(j) })
-	case d.Answer:
+	case d.ReturnResponse:
 		w.answered(j)
 	case j.deadly:
 	case d.NotRun && j.returns > 0:
 		j.returns--
-		w.After(d.ComeBack, func() { w.begin(j) })
+		w.After(d.RetryAfter, func() { w.begin(j) })
 	case d.NotRun:
 		w.out.Refused++
 	default:
@@ -366,14 +366,14 @@
 	switch {
 	case w.away(s):
 		s.recent = nil
-		w.end(j, steering.Unreachable)
+		w.end(j, steering.ResultUnreachable)
 	case s.ended:
-		w.endWith(j, steering.Attempt{Result: steering.Unreachable, Refusing: true})
+		w.endWith(j, steering.Attempt{Result: steering.ResultUnreachable, Refusing: true})
 	case w.load.pause(s, w.Now) > 0:
 		w.pauses.asked(w.Now, w.load.pause(s, w.Now), s.id, j.kernel.Name())
-		w.end(j, steering.Refused)
+		w.end(j, steering.ResultRefused)
 	case s.gone || refuses || s.running >= w.load.Slots && len(s.waiting) >= w.load.Queue:
-		w.end(j, steering.Refused)
+		w.end(j, steering.ResultRefused)
 	case s.running < w.load.Slots:
 		w.run(j)
 	default:
@@ -405,12 +405,12 @@
 		}
 		s.running--
 		s.now = slices.DeleteFunc(s.now, func(other *job) bool { return other == j })
-		w.end(j, steering.Answered)
+		w.end(j, steering.ResultAnswered)
 		for len(s.waiting) > 0 && s.running < w.load.Slots {
 			next := s.waiting[0]
 			s.waiting = s.waiting[1:]
-			if w.clock().After(next.flight.Until) {
-				w.end(next, steering.Late)
+			if w.clock().After(next.flight.ExpiresAt) {
+				w.end(next, steering.ResultTimeout)
 				continue
 			}
 			w.run(next)
@@ -437,9 +437,9 @@
 // end brings the result back to the proxy.
 func (w *world) end(j *job, result steering.Result) {
 	attempt := steering.Attempt{Result: result}
-	if !w.load.Mute && result != steering.Broken {
+	if !w.load.Mute && result != steering.ResultConnectionLost {
 		attempt.Loaded, attempt.Running, attempt.Waiting = true, j.server.running, len(j.server.waiting)
-		if result == steering.Answered {
+		if result == steering.ResultAnswered {
 			// A server that answers counts the request that it answers.
 			attempt.Running++
 		}
@@ -452,10 +452,10 @@
 	attempt.Signal = w.signal(j.server, attempt.Result)
 	w.After(w.roundTrip(j.entry, j.server.region)/2, func() {
 		w.told(j, attempt.Signal)
-		if attempt.Result == steering.Answered && w.clock().After(j.flight.Until) {
+		if attempt.Result == steering.ResultAnswered && w.clock().After(j.flight.ExpiresAt) {
 			// The proxy has gone before the server's word arrives.
-			attempt = steering.Attempt{Result: steering.Late}
+			attempt = steering.Attempt{Result: steering.ResultTimeout}
 		}
-		w.follow(j, j.kernel.Ended(w.clock(), j.flight, attempt))
+		w.follow(j, j.kernel.EndAttempt(w.clock(), j.flight, attempt))
 	})
 }
--- a/internal/fake/warmnet/replay_test.go
+++ b/internal/fake/warmnet/replay_test.go
@@ -34,8 +34,8 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if got.Differing > 0 || got.Decisions < 200 {
-			t.Errorf("%s: %d of %d decisions differ, want none of 200 at least: %+v", name, got.Differing, got.Decisions, got.Differences)
+		if got.DifferenceCount > 0 || got.Decisions < 200 {
+			t.Errorf("%s: %d of %d decisions differ, want none of 200 at least: %+v", name, got.DifferenceCount, got.Decisions, got.Differences)
 		}
 	}
 }
@@ -54,13 +54,13 @@
 		t.Fatal(err)
 	}
 	chosen := ""
-	for _, w := range got.Weighed {
+	for _, w := range got.Candidates {
 		if w.Chosen {
 			chosen += w.Server
 		}
 	}
-	if len(got.Weighed) != 12 || chosen != server {
-		t.Errorf("request %s: %d servers weighed, chosen %q; want 12 and %q", about, len(got.Weighed), chosen, server)
+	if len(got.Candidates) != 12 || chosen != server {
+		t.Errorf("request %s: %d servers weighed, chosen %q; want 12 and %q", about, len(got.Candidates), chosen, server)
 	}
 }
 
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	if len(got.Differences) == 0 || got.Differences[0].Request != calls[other].Request.ID || got.Calls != len(calls) {
-		t.Errorf("got %d differences over %d calls, want request %s first over %d", got.Differing, got.Calls, calls[other].Request.ID, len(calls))
+		t.Errorf("got %d differences over %d calls, want request %s first over %d", got.DifferenceCount, got.Calls, calls[other].Request.ID, len(calls))
 	}
 }
 
@@ -101,8 +101,8 @@
 	recording, calls := recorded(t, "refusals")
 	recording.Truncate(recording.Len() - 5)
 	got, err := steering.ReplayCalls(recording, "")
-	if err != nil || !got.CutShort || got.Calls != len(calls)-1 || got.Differing > 0 {
-		t.Errorf("got %d calls, cut short %t, %d differ, error %v; want %d, cut short, none, none", got.Calls, got.CutShort, got.Differing, err, len(calls)-1)
+	if err != nil || !got.Truncated || got.Calls != len(calls)-1 || got.DifferenceCount > 0 {
+		t.Errorf("got %d calls, cut short %t, %d differ, error %v; want %d, cut short, none, none", got.Calls, got.Truncated, got.DifferenceCount, err, len(calls)-1)
 	}
 }
 
--- a/internal/fake/warmnet/warmnet_test.go
+++ b/internal/fake/warmnet/warmnet_test.go
@@ -189,7 +189,7 @@
 			l := load(t, name)
 			// Holding back is not in use where deployed: it denies more of what comes from
 			// far, and moves up to 0.19 where a whole service is slow.
-			l.Off = []steering.Mechanism{steering.MechanismHold}
+			l.Off = []steering.Mechanism{steering.MechanismConcurrencyLimit}
 			if o := Play(l, steering.DefaultPlacer, seed+1); o.Shifted > 0.15 {
 				t.Errorf("%s, seed %d: %.2f of a region's requests changed the region within two seconds, want 0.15 at most", name, seed+1, o.Shifted)
 			}
@@ -217,7 +217,7 @@
 	if share < 0.45 || worst < 0.38 {
 		t.Errorf("%.3f within the target, %.3f in the worst region; want 0.45 and 0.38 at least", share, worst)
 	}
-	l.Off = []steering.Mechanism{steering.MechanismHold}
+	l.Off = []steering.Mechanism{steering.MechanismConcurrencyLimit}
 	if without, _, _ := mean(l, steering.DefaultPlacer); share < 3*without {
 		t.Errorf("%.3f within the target, want three times the %.3f without holding back", share, without)
 	}
--- a/internal/kernel/steering/access.go
+++ b/internal/kernel/steering/access.go
@@ -6,10 +6,10 @@
 
 // identify finds whose request it is, and where it may run: the regions of both its
 // route and its account bind.
-func (k *Kernel) identify(f *Flight) Reason {
-	f.version, f.Keyed = k.table.Version, k.table.Accounts != nil
+func (k *Kernel) identify(f *ActiveRequest) Reason {
+	f.version, f.HasAccounts = k.table.Version, k.table.Accounts != nil
 	f.Account, f.allowed = nil, k.allowed[f.Route.Name]
-	if !f.Keyed {
+	if !f.HasAccounts {
 		return ReasonNone
 	}
 	if f.Credential.State == account.Present {
@@ -30,7 +30,7 @@
 
 // identifyAgain does so before a request is sent, if another configuration has come into
 // force since: its key may have been taken away while it waited.
-func (k *Kernel) identifyAgain(f *Flight) Reason {
+func (k *Kernel) identifyAgain(f *ActiveRequest) Reason {
 	if f.version == k.table.Version {
 		return ReasonNone
 	}
@@ -44,7 +44,7 @@
 }
 
 // priority ranks the request, 0 first.
-func (f *Flight) priority() int {
+func (f *ActiveRequest) priority() int {
 	if f.Account != nil && f.Account.Priority != nil {
 		return *f.Account.Priority
 	}
--- a/internal/kernel/steering/access_test.go
+++ b/internal/kernel/steering/access_test.go
@@ -30,15 +30,15 @@
 		Name: "route", Host: "host", Prefix: "/", Idempotent: true, Attempts: 2, Timeout: 2 * time.Second, Target: time.Second, Priority: 2,
 		Parts: []routing.Part{{Service: "service", Weight: 1}},
 	}}, nil, routing.Limits{}).WithAccounts(accounts))
-	k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 1000})
-	k.SetFleet(1)
+	k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 1000})
+	k.SetFleetSize(1)
 	k.Tick(now)
 	return k, now.Add(10 * time.Second)
 }
 
-func ask(t *testing.T, k *Kernel, now time.Time) (*Flight, Decision) {
+func ask(t *testing.T, k *Kernel, now time.Time) (*ActiveRequest, Decision) {
 	t.Helper()
-	return k.Begin(now, Request{ID: "r", Host: "host", Path: "/x", Credential: account.Credential{State: account.Present, Key: keyOf(t, secret)}})
+	return k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Credential: account.Credential{State: account.Present, Key: keyOf(t, secret)}})
 }
 
 // Guards against an account that sends more than its limit, and against one that is
@@ -53,8 +53,8 @@
 		switch {
 		case d.Server != nil:
 			admitted++
-			k.Ended(now, f, Attempt{Result: Answered})
-		case d.Reason == ReasonRateLimit && d.NotRun && d.ComeBack > 0:
+			k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
+		case d.Reason == ReasonRateLimit && d.NotRun && d.RetryAfter > 0:
 			refused++
 		default:
 			t.Fatalf("decision is %+v, want a server or a refusal by the limit", d)
@@ -87,7 +87,7 @@
 	}
 	k, now := accountsKernel(t, account.Account{}, config)
 	f, _ := ask(t, k, now)
-	k.Ended(now, f, Attempt{Result: Answered})
+	k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
 	if text := told.String(); strings.Contains(text, secret) || !strings.Contains(text, keyOf(t, secret).Fingerprint()) {
 		t.Errorf("what is told has the key, or lacks its fingerprint: %s", text)
 	}
--- a/internal/kernel/steering/ask.go
+++ b/internal/kernel/steering/ask.go
@@ -18,9 +18,9 @@
 )
 
 type (
-	// Ask is the question for a place at a server, to the proxy that owns the gate
+	// SlotRequest is the question for a place at a server, to the proxy that owns the gate
 	// before it.
-	Ask struct {
+	SlotRequest struct {
 		Owner  Proxy
 		Server string
 		// Limit is what the asking proxy has heard.
@@ -30,8 +30,8 @@
 		admission.Ticket
 	}
 
-	// Reply is what the owner says at once.
-	Reply struct {
+	// SlotReply is what the owner says at once.
+	SlotReply struct {
 		admission.Grant
 		// Running and Waiting are the server's load as its gate knows it.
 		Running, Waiting int
@@ -44,9 +44,9 @@
 		Whole, Sound bool
 	}
 
-	// Release gives a place back, with how long the work took as a part of the route's
+	// SlotRelease gives a place back, with how long the work took as a part of the route's
 	// target; zero if that is not known.
-	Release struct {
+	SlotRelease struct {
 		Owner  Proxy
 		Server string
 		From   string
@@ -57,7 +57,7 @@
 )
 
 // ask decides whether the request needs a place at the server's gate first.
-func (k *Kernel) ask(now time.Time, f *Flight, g *service, s *server, p pick) *Ask {
+func (k *Kernel) ask(now time.Time, f *ActiveRequest, g *service, s *server, p pick) *SlotRequest {
 	if !k.held(now, g) || now.Before(s.ownerLost) || s.isCold(now) {
 		// A cold server is sent what it bears in a second within that second.
 		return nil
@@ -72,11 +72,11 @@
 	// target, and refusing by that would keep routes with short time-outs out of
 	// service for good.
 	least := g.workOn(f.Route).warm
-	return &Ask{
+	return &SlotRequest{
 		Owner: owner, Server: s.id, Limit: g.holding.limits[s.Slots], Work: least,
 		Ticket: admission.Ticket{
 			ID: f.number, From: k.config.Name, Priority: f.priority(),
-			Good: f.began.Add(f.Route.Target - work - way), Last: f.Until.Add(-least - way), Until: f.Until,
+			Good: f.began.Add(f.Route.Target - work - way), Last: f.ExpiresAt.Add(-least - way), Until: f.ExpiresAt,
 		},
 	}
 }
@@ -100,19 +100,19 @@
 	return best, found
 }
 
-// Asked takes in what became of the question for a place, and decides what follows.
+// HandleSlotReply takes in what became of the question for a place, and decides what follows.
 // Without an answer the request is sent as it would have been without a gate: a
 // proxy that owns gates may be gone or cut off, and callers must not wait for it.
-func (k *Kernel) Asked(now time.Time, f *Flight, r Reply, answered bool) Decision {
+func (k *Kernel) HandleSlotReply(now time.Time, f *ActiveRequest, r SlotReply, answered bool) Decision {
 	d := k.asked(now, f, r, answered)
 	if k.config.Record != nil {
 		v := verdictOf(d)
-		k.config.Record(Call{Do: callAsked, At: now, Flight: f.number, Reply: &r, On: answered, Decision: &v})
+		k.config.Record(Call{Method: callAsked, At: now, RequestNumber: f.number, SlotReply: &r, Flag: answered, Decision: &v})
 	}
 	return d
 }
 
-func (k *Kernel) asked(now time.Time, f *Flight, r Reply, answered bool) Decision {
+func (k *Kernel) asked(now time.Time, f *ActiveRequest, r SlotReply, answered bool) Decision {
 	s, g := f.server, k.service(f.Service)
 	switch {
 	case !answered:
@@ -126,11 +126,11 @@
 		s.inFlight--
 		k.quarantine.Stopped(f.Work)
 		f.note(Event{
-			At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(f.steps)/2 + 1, Result: Refused,
-			Expected: f.expected, Took: now.Sub(f.sentAt), Load: float64(r.Running + r.Waiting),
+			At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(f.steps)/2 + 1, Result: ResultRefused,
+			Expected: f.expected, Duration: now.Sub(f.sentAt), Load: float64(r.Running + r.Waiting),
 		})
-		d := k.giveUp(now, f, ReasonQueues)
-		d.Release = release
+		d := k.giveUp(now, f, ReasonQueuesTooLong)
+		d.SlotRelease = release
 		return d
 	}
 	if reason := k.identifyAgain(f); reason != ReasonNone {
@@ -139,17 +139,17 @@
 		s.inFlight--
 		k.quarantine.Stopped(f.Work)
 		d := k.giveUp(now, f, reason)
-		d.Release = release
+		d.SlotRelease = release
 		return d
 	}
-	if !s.takesRequests() || k.evacuated[s.Domain] || s.isCold(now) || !f.allowed.has(s.regionBit) || !k.StillPermits(now, f) {
+	if !s.takesRequests() || k.evacuated[s.Domain] || s.isCold(now) || !f.allowed.has(s.regionBit) || !k.ServerStillAccepts(now, f) {
 		// The server has begun to leave, to pause or to be cold while the request waited.
 		release := f.release(0)
 		s.inFlight--
 		k.quarantine.Stopped(f.Work)
 		f.tried = append(f.tried, s)
 		d := k.send(now, f)
-		d.Release = release
+		d.SlotRelease = release
 		return d
 	}
 	if r.Unknown {
@@ -162,7 +162,7 @@
 
 // learnGate takes in what a gate tells of its server. It knows all that runs and
 // waits there, so its word is a report of the server's load.
-func (k *Kernel) learnGate(now time.Time, f *Flight, s *server, g *service, r Reply) {
+func (k *Kernel) learnGate(now time.Time, f *ActiveRequest, s *server, g *service, r SlotReply) {
 	s.report(now, r.Running, r.Waiting)
 	k.feel(now, f, s, float64(r.Waiting))
 	s.limit = r.Limit.Most
@@ -177,11 +177,11 @@
 }
 
 // release is the word to the owner of the gate that the request's place is free.
-func (f *Flight) release(ratio float64) *Release {
+func (f *ActiveRequest) release(ratio float64) *SlotRelease {
 	if f.asking == nil {
 		return nil
 	}
-	r := &Release{Owner: f.asking.Owner, Server: f.asking.Server, From: f.asking.From, ID: f.asking.ID, Rank: f.rank, Ratio: ratio}
+	r := &SlotRelease{Owner: f.asking.Owner, Server: f.asking.Server, From: f.asking.From, ID: f.asking.ID, Rank: f.rank, Ratio: ratio}
 	f.asking, f.rank = nil, 0
 	return r
 }
--- a/internal/kernel/steering/bench_test.go
+++ b/internal/kernel/steering/bench_test.go
@@ -36,7 +36,7 @@
 		})
 		services = append(services, &routing.Service{Name: name, ColdStart: 3 * time.Second, ColdPerSecond: 3.1})
 		for i := range largeServers {
-			k.SetServer(now, routing.Server{
+			k.RegisterServer(now, routing.Server{
 				ID: fmt.Sprintf("i-%d-%d", s, i), Service: name, Domain: domains[i%len(domains)], Slots: 4, ColdFor: coldFor,
 			})
 		}
@@ -47,9 +47,9 @@
 
 // request sends one request for an object of service 0 and takes its answer in.
 func request(k *Kernel, now time.Time, n int) {
-	f, d := k.Begin(now, Request{Host: "host", Path: "/0/x", Object: fmt.Sprintf("%x", n%largeObjects), Deadline: now.Add(time.Second)})
+	f, d := k.BeginRequest(now, Request{Host: "host", Path: "/0/x", Object: fmt.Sprintf("%x", n%largeObjects), Deadline: now.Add(time.Second)})
 	if d.Server != nil {
-		k.Ended(now, f, Attempt{Result: Answered})
+		k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
 	}
 }
 
@@ -69,7 +69,7 @@
 			drains := false
 			for b.Loop() {
 				drains = !drains
-				k.SetServer(now, routing.Server{ID: "i-" + c.service + "-7", Service: c.service, Domain: "north-b", Slots: 4, Draining: drains})
+				k.RegisterServer(now, routing.Server{ID: "i-" + c.service + "-7", Service: c.service, Domain: "north-b", Slots: 4, Draining: drains})
 				for n := 0; n < largeObjects; n += 12 {
 					request(k, now, n)
 				}
@@ -109,7 +109,7 @@
 			for b.Loop() {
 				k := New(Config{Name: "p", Domain: "north-a", Region: "north", RegionOf: regionOf})
 				for i := range n {
-					k.SetServer(now, routing.Server{ID: fmt.Sprintf("i-%d", i), Service: fmt.Sprint(i % 4), Domain: "north-a", Slots: 4})
+					k.RegisterServer(now, routing.Server{ID: fmt.Sprintf("i-%d", i), Service: fmt.Sprint(i % 4), Domain: "north-a", Slots: 4})
 				}
 				k.group("0")
 			}
--- a/internal/kernel/steering/call.go
+++ b/internal/kernel/steering/call.go
@@ -52,48 +52,48 @@
 	// on a request, what it decided. A kernel reads no clock and draws from its
 	// own seed, so the same calls lead to the same decisions.
 	Call struct {
-		Do       string          `json:"do"`
-		At       time.Time       `json:"at,omitzero"`
-		Config   *Config         `json:"config,omitempty"`
-		Bounds   *Bounds         `json:"bounds,omitempty"`
-		Table    *routing.Table  `json:"table,omitempty"`
-		Server   *routing.Server `json:"server,omitempty"`
-		ID       string          `json:"id,omitempty"`
-		Until    time.Time       `json:"until,omitzero"`
-		Domain   string          `json:"failure-domain,omitempty"`
-		On       bool            `json:"on,omitempty"`
-		Took     time.Duration   `json:"took,omitempty"`
-		Proxies  []Proxy         `json:"proxies,omitempty"`
-		Flight   uint64          `json:"flight,omitempty"`
-		Request  *Request        `json:"request,omitempty"`
-		Attempt  *Attempt        `json:"attempt,omitempty"`
-		Decision *Verdict        `json:"decision,omitempty"`
-		Holding  []Held          `json:"holding,omitempty"`
-		Ask      *Ask            `json:"ask,omitempty"`
-		Reply    *Reply          `json:"reply,omitempty"`
-		Release  *Release        `json:"release,omitempty"`
-		// Suspicions are what a peer knows of work that ends servers.
-		Suspicions []quarantine.Report `json:"suspicions,omitempty"`
-		// Signals are what a peer knows of what servers ask.
-		Signals []backpressure.Report `json:"signals,omitempty"`
+		Method        string            `json:"do"`
+		At            time.Time         `json:"at,omitzero"`
+		Config        *Config           `json:"config,omitempty"`
+		Bounds        *Bounds           `json:"bounds,omitempty"`
+		Table         *routing.Table    `json:"table,omitempty"`
+		Server        *routing.Server   `json:"server,omitempty"`
+		ID            string            `json:"id,omitempty"`
+		Until         time.Time         `json:"until,omitzero"`
+		Domain        string            `json:"failure-domain,omitempty"`
+		Flag          bool              `json:"on,omitempty"`
+		RoundTrip     time.Duration     `json:"took,omitempty"`
+		Proxies       []Proxy           `json:"proxies,omitempty"`
+		RequestNumber uint64            `json:"flight,omitempty"`
+		Request       *Request          `json:"request,omitempty"`
+		Attempt       *Attempt          `json:"attempt,omitempty"`
+		Decision      *RecordedDecision `json:"decision,omitempty"`
+		ServiceLimits []ServiceLimit    `json:"holding,omitempty"`
+		SlotRequest   *SlotRequest      `json:"ask,omitempty"`
+		SlotReply     *SlotReply        `json:"reply,omitempty"`
+		SlotRelease   *SlotRelease      `json:"release,omitempty"`
+		// QuarantineReports are what a peer knows of work that ends servers.
+		QuarantineReports []quarantine.Report `json:"suspicions,omitempty"`
+		// BackpressureReports are what a peer knows of what servers ask.
+		BackpressureReports []backpressure.Report `json:"signals,omitempty"`
 		// Accounts are those of a table. What follows is of their limits.
-		Accounts []*account.Account `json:"accounts,omitempty"`
-		Asked    time.Time          `json:"asked,omitzero"`
-		Report   *ratelimit.Report  `json:"report,omitempty"`
-		Grants   *ratelimit.Grants  `json:"grants,omitempty"`
-		Token    *ratelimit.Token   `json:"token,omitempty"`
-		Count    int                `json:"count,omitempty"`
-		IDs      []string           `json:"ids,omitempty"`
+		Accounts   []*account.Account `json:"accounts,omitempty"`
+		ReportedAt time.Time          `json:"asked,omitzero"`
+		Report     *ratelimit.Report  `json:"report,omitempty"`
+		Grants     *ratelimit.Grants  `json:"grants,omitempty"`
+		Token      *ratelimit.Token   `json:"token,omitempty"`
+		Count      int                `json:"count,omitempty"`
+		IDs        []string           `json:"ids,omitempty"`
 	}
 
-	// Verdict is a decision as it is recorded.
-	Verdict struct {
-		Server   string        `json:"server,omitempty"`
-		Answer   bool          `json:"answer,omitempty"`
-		Reason   Reason        `json:"reason,omitempty"`
-		NotRun   bool          `json:"not-run,omitempty"`
-		ComeBack time.Duration `json:"come-back,omitempty"`
-		Pool     string        `json:"pool,omitempty"`
+	// RecordedDecision is a decision as it is recorded.
+	RecordedDecision struct {
+		Server         string        `json:"server,omitempty"`
+		ReturnResponse bool          `json:"answer,omitempty"`
+		Reason         Reason        `json:"reason,omitempty"`
+		NotRun         bool          `json:"not-run,omitempty"`
+		RetryAfter     time.Duration `json:"come-back,omitempty"`
+		QuotaPool      string        `json:"pool,omitempty"`
 	}
 )
 
@@ -104,8 +104,8 @@
 	}
 }
 
-func verdictOf(d Decision) Verdict {
-	v := Verdict{Answer: d.Answer, Reason: d.Reason, NotRun: d.NotRun, ComeBack: d.ComeBack, Pool: d.Pool}
+func verdictOf(d Decision) RecordedDecision {
+	v := RecordedDecision{ReturnResponse: d.ReturnResponse, Reason: d.Reason, NotRun: d.NotRun, RetryAfter: d.RetryAfter, QuotaPool: d.QuotaPool}
 	if d.Server != nil {
 		v.Server = d.Server.ID
 	}
--- a/internal/kernel/steering/cause.go
+++ b/internal/kernel/steering/cause.go
@@ -7,8 +7,8 @@
 const (
 	// CauseNone goes with an answer within the target.
 	CauseNone Cause = ""
-	// CauseRepeat says that most of the time went to attempts that failed.
-	CauseRepeat Cause = "failed-attempts"
+	// CauseFailedAttempts says that most of the time went to attempts that failed.
+	CauseFailedAttempts Cause = "failed-attempts"
 	// CauseColdServer says that the server had just started.
 	CauseColdServer Cause = "cold-server"
 	// CauseSlowServer says that the answer took far longer than reckoned.
@@ -38,10 +38,10 @@
 // causeOf finds why a request that ends now is late: not answered within the
 // target, or given up on at its time-out. The server's state is that at the last
 // send.
-func (f *Flight) causeOf(now time.Time) (cause Cause, state ServerState) {
+func (f *ActiveRequest) causeOf(now time.Time) (cause Cause, state ServerState) {
 	var sent Event
 	for _, e := range f.steps {
-		if e.Kind == EventSent {
+		if e.Kind == EventRequestSent {
 			sent = e
 		}
 	}
@@ -54,12 +54,12 @@
 	took := now.Sub(sent.At)
 	switch {
 	case sent.At.Sub(f.began) > took:
-		return CauseRepeat, sent.State
+		return CauseFailedAttempts, sent.State
 	case sent.State == StateCold:
 		return CauseColdServer, sent.State
 	case took > slowFrom*sent.Expected:
 		return CauseSlowServer, sent.State
-	case 2*sent.Wait > sent.Expected:
+	case 2*sent.ExpectedWait > sent.Expected:
 		return CauseQueue, sent.State
 	case !sent.Warm:
 		return CauseFirstRun, sent.State
--- a/internal/kernel/steering/cause_test.go
+++ b/internal/kernel/steering/cause_test.go
@@ -15,7 +15,7 @@
 		target = 600 * ms
 	)
 	sent := func(at, wait, expected time.Duration, warm bool, state ServerState) Event {
-		return Event{Kind: EventSent, At: time.Unix(0, 0).Add(at), Wait: wait, Expected: expected, Warm: warm, State: state}
+		return Event{Kind: EventRequestSent, At: time.Unix(0, 0).Add(at), ExpectedWait: wait, Expected: expected, Warm: warm, State: state}
 	}
 	for name, c := range map[string]struct {
 		sent []Event
@@ -29,9 +29,9 @@
 		"cold server":              {[]Event{sent(0, 0, 600*ms, true, StateCold)}, 900 * ms, CauseColdServer},
 		"longer than reckoned":     {[]Event{sent(0, 0, 300*ms, true, StateInUse)}, 900 * ms, CauseSlowServer},
 		"work itself":              {[]Event{sent(0, 0, 800*ms, true, StateInUse)}, 900 * ms, CauseWork},
-		"second attempt came late": {[]Event{sent(0, 0, 300*ms, true, StateInUse), sent(600*ms, 0, 300*ms, true, StateInUse)}, 900 * ms, CauseRepeat},
+		"second attempt came late": {[]Event{sent(0, 0, 300*ms, true, StateInUse), sent(600*ms, 0, 300*ms, true, StateInUse)}, 900 * ms, CauseFailedAttempts},
 	} {
-		f := &Flight{began: time.Unix(0, 0), Route: &routing.Route{Target: target}, steps: c.sent}
+		f := &ActiveRequest{began: time.Unix(0, 0), Route: &routing.Route{Target: target}, steps: c.sent}
 		if got, _ := f.causeOf(f.began.Add(c.took)); got != c.want {
 			t.Errorf("%s: the cause is %q, want %q", name, got, c.want)
 		}
--- a/internal/kernel/steering/choose.go
+++ b/internal/kernel/steering/choose.go
@@ -70,7 +70,7 @@
 
 // choose picks the server with the least expected time for the request among
 // all that may take it.
-func (k *Kernel) choose(now time.Time, f *Flight, g *service) (*server, pick) {
+func (k *Kernel) choose(now time.Time, f *ActiveRequest, g *service) (*server, pick) {
 	homes := k.failover(now, f, g, k.atReplica(f, g, k.homes(f, g)))
 	if f.Object == "" && f.region == "" {
 		f.region = k.drawRegion(f, g)
@@ -87,9 +87,9 @@
 }
 
 // chooseAmong picks the server with the least expected time among some.
-func (k *Kernel) chooseAmong(now time.Time, f *Flight, g *service, homes []string, servers []*server) pick {
+func (k *Kernel) chooseAmong(now time.Time, f *ActiveRequest, g *service, homes []string, servers []*server) pick {
 	best := pick{reason: ReasonNoServer}
-	left := f.Until.Sub(now)
+	left := f.ExpiresAt.Sub(now)
 	most := k.connections(g)
 	homeFull := false
 	for _, s := range servers {
@@ -132,26 +132,26 @@
 }
 
 // mayTry reports whether the request may go to a server now.
-func (k *Kernel) mayTry(now time.Time, f *Flight, s *server) bool {
+func (k *Kernel) mayTry(now time.Time, f *ActiveRequest, s *server) bool {
 	return f.mayUse(now, s) && k.permits(now, s)
 }
 
 // mayUse reports whether it may, but for what the server asks of its senders.
-func (f *Flight) mayUse(now time.Time, s *server) bool {
+func (f *ActiveRequest) mayUse(now time.Time, s *server) bool {
 	return f.allowed.has(s.regionBit) && !slices.Contains(f.tried, s) && s.usable(now)
 }
 
 // weigh tells how a server is weighed.
-func (k *Kernel) weigh(now time.Time, f *Flight, s *server, homes []string) {
+func (k *Kernel) weigh(now time.Time, f *ActiveRequest, s *server, homes []string) {
 	p := k.reckon(now, f, s, homes)
-	k.weighed(Weighed{
+	k.weighed(Candidate{
 		Server: s.id, Usable: k.mayTry(now, f, s), Cold: s.isCold(now),
-		Home: p.home, Warm: p.warm, Load: s.load(now), Speed: s.speed, Expected: p.expected, Cost: k.placer.cost(k, f, p),
+		HomeRank: p.home, Warm: p.warm, Load: s.load(now), Slowdown: s.speed, Expected: p.expected, Cost: k.placer.cost(k, f, p),
 	})
 }
 
 // homes lists the servers on which the request's object lives, best first.
-func (k *Kernel) homes(f *Flight, g *service) []string {
+func (k *Kernel) homes(f *ActiveRequest, g *service) []string {
 	if f.Object == "" {
 		return nil
 	}
@@ -165,7 +165,7 @@
 }
 
 // newHomes deals the objects of this region's callers out.
-func (k *Kernel) newHomes(f *Flight, g *service, r reach) *placing.Homes {
+func (k *Kernel) newHomes(f *ActiveRequest, g *service, r reach) *placing.Homes {
 	candidates, weights := k.spread(f, g, r)
 	list := make([]placing.Server, 0, len(candidates))
 	for _, s := range candidates {
@@ -178,7 +178,7 @@
 
 // spread lists the servers that this region's callers may use and how much of
 // their work a slot of each region gets.
-func (k *Kernel) spread(f *Flight, g *service, r reach) (candidates []*server, weights map[string]int) {
+func (k *Kernel) spread(f *ActiveRequest, g *service, r reach) (candidates []*server, weights map[string]int) {
 	for _, s := range g.servers {
 		if f.allowed.has(s.regionBit) && (!r.near || s.region == k.config.Region) {
 			candidates = append(candidates, s)
@@ -195,7 +195,7 @@
 // taken to follow the failure domains; the truth is not known before traffic
 // begins, and homes that moved with each estimate would be cold. Only a region
 // that has lost all its proxies counts elsewhere.
-func (k *Kernel) rooms(f *Flight, candidates []*server) []placing.Room {
+func (k *Kernel) rooms(f *ActiveRequest, candidates []*server) []placing.Room {
 	slots := make(map[string]int)
 	for _, s := range candidates {
 		slots[s.region] += s.Slots
@@ -213,21 +213,21 @@
 }
 
 // reachOf says how far the work of a route may go.
-func (k *Kernel) reachOf(f *Flight) reach {
+func (k *Kernel) reachOf(f *ActiveRequest) reach {
 	farthest := time.Duration(0)
 	for domain, d := range k.distance {
 		if k.config.RegionOf[domain] != k.config.Region {
 			farthest = max(farthest, d.roundTrip)
 		}
 	}
-	if farthest > time.Duration(farShare*float64(f.Route.Target)) || !k.on(MechanismRooms) {
+	if farthest > time.Duration(farShare*float64(f.Route.Target)) || !k.on(MechanismRegionCapacity) {
 		return reach{near: true, allowed: f.allowed}
 	}
 	return reach{allowed: f.allowed}
 }
 
 // reckon estimates the time until the answer from one server.
-func (k *Kernel) reckon(now time.Time, f *Flight, s *server, homes []string) pick {
+func (k *Kernel) reckon(now time.Time, f *ActiveRequest, s *server, homes []string) pick {
 	warm := s.knows(f.Object, now)
 	slow := 1.0
 	if k.bySpeed {
@@ -246,7 +246,7 @@
 		if s.region != f.region {
 			p.cost += otherRegion
 		}
-		if k.on(MechanismUnseen) {
+		if k.on(MechanismUnseenRequests) {
 			p.cost += time.Duration(unseenWait * float64(s.inFlight*k.neighbours) / float64(s.Slots) * typical)
 		}
 	}
--- a/internal/kernel/steering/connections.go
+++ b/internal/kernel/steering/connections.go
@@ -15,7 +15,7 @@
 // server accepts, and whoever came later would be reset.
 func (k *Kernel) connections(g *service) int {
 	c := k.table.Services[g.name]
-	if c == nil || c.Connections <= 0 || !k.on(MechanismShareConnections) {
+	if c == nil || c.Connections <= 0 || !k.on(MechanismSharedConnections) {
 		return 0
 	}
 	return max(connLeast, int(connShare*float64(c.Connections)/float64(len(k.sharers))))
--- a/internal/kernel/steering/connections_test.go
+++ b/internal/kernel/steering/connections_test.go
@@ -19,15 +19,15 @@
 			table := *k.table
 			table.Services = map[string]*routing.Service{"service": {Name: "service", Connections: c.connections}}
 			k.table = &table
-			k.SetServer(now, routing.Server{ID: "hangs", Service: "service", Domain: "north-a", Slots: 1000})
+			k.RegisterServer(now, routing.Server{ID: "hangs", Service: "service", Domain: "north-a", Slots: 1000})
 			k.RemoveServer(now, "cold")
 			sent := 0
 			for range 50 {
-				_, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)})
+				_, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)})
 				if d.Server != nil {
 					sent++
-				} else if !d.NotRun || d.ComeBack <= 0 {
-					t.Errorf("refused with not run: %t, come back after %s, want a time and that it has not run", d.NotRun, d.ComeBack)
+				} else if !d.NotRun || d.RetryAfter <= 0 {
+					t.Errorf("refused with not run: %t, come back after %s, want a time and that it has not run", d.NotRun, d.RetryAfter)
 				}
 			}
 			if sent != c.each {
@@ -46,18 +46,18 @@
 	table := *k.table
 	table.Services = map[string]*routing.Service{"service": {Name: "service", Connections: 3}}
 	k.table = &table
-	ask := func(at time.Time) (*Flight, Decision) {
-		return k.Begin(at, Request{ID: "r", Host: "host", Path: "/x", Object: "1"})
+	ask := func(at time.Time) (*ActiveRequest, Decision) {
+		return k.BeginRequest(at, Request{ID: "r", Host: "host", Path: "/x", Object: "1"})
 	}
 	first, d := ask(now)
 	home := d.Server.ID
-	k.Ended(now, first, Attempt{Result: Answered})
+	k.EndAttempt(now, first, Attempt{Result: ResultAnswered})
 	for range k.connections(k.group("service")) {
 		if _, d = ask(now); d.Server == nil || d.Server.ID != home {
 			t.Fatalf("a request with a free connection gets %+v, want server %s", d, home)
 		}
 	}
-	if _, d = ask(now); d.Server != nil || !d.NotRun || d.Reason != ReasonOverload || d.ComeBack <= 0 {
+	if _, d = ask(now); d.Server != nil || !d.NotRun || d.Reason != ReasonOverload || d.RetryAfter <= 0 {
 		t.Errorf("while the home is busy: got %+v, want it refused with a time to come back", d)
 	}
 	if _, d = ask(now.Add(busyFor * 200 * time.Millisecond)); d.Server == nil || d.Server.ID == home {
--- a/internal/kernel/steering/draw.go
+++ b/internal/kernel/steering/draw.go
@@ -19,7 +19,7 @@
 // the same parts as objects are dealt out. Its server is chosen by load, but not
 // its region: when callers of one region came in a burst, a third of them ran in
 // another within two seconds, more than operators allow to shift at once.
-func (k *Kernel) drawRegion(f *Flight, g *service) string {
+func (k *Kernel) drawRegion(f *ActiveRequest, g *service) string {
 	r := k.reachOf(f)
 	shares := g.regions[r]
 	if shares == nil {
@@ -34,7 +34,7 @@
 	return shares.names[min(i, len(shares.names)-1)]
 }
 
-func (k *Kernel) newRegionShares(f *Flight, g *service, r reach) *regionShares {
+func (k *Kernel) newRegionShares(f *ActiveRequest, g *service, r reach) *regionShares {
 	candidates, weights := k.spread(f, g, r)
 	parts := make(map[string]float64)
 	for _, s := range candidates {
--- a/internal/kernel/steering/draw_test.go
+++ b/internal/kernel/steering/draw_test.go
@@ -23,13 +23,13 @@
 	shares := func(end bool) map[string]float64 {
 		of := make(map[string]float64)
 		for n := range requests {
-			f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
+			f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
 			if d.Server == nil {
 				t.Fatalf("request %d got %+v, want a server", n, d)
 			}
 			of[f.server.region] += 1.0 / requests
 			if end {
-				k.Ended(now, f, Attempt{Result: Answered})
+				k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
 			}
 		}
 		return of
@@ -52,7 +52,7 @@
 	k.SetTable(routing.NewTable(2, []*routing.Route{&plain}, nil, routing.Limits{}))
 	lose(k, now, "north-a-0", "north-a-1", "north-a-2", "north-a-3")
 	for n := range 50 {
-		if _, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/x"}); d.Server == nil || d.Server.Domain == "north-a" {
+		if _, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x"}); d.Server == nil || d.Server.Domain == "north-a" {
 			t.Fatalf("request %d got %+v, want a server of another region", n, d)
 		}
 	}
--- a/internal/kernel/steering/failover.go
+++ b/internal/kernel/steering/failover.go
@@ -22,7 +22,7 @@
 // in the region, these would have twice their share and answers would come late,
 // while other regions have room. What moves is what must move anyway; an object
 // whose home is sound stays there.
-func (k *Kernel) failover(now time.Time, f *Flight, g *service, homes []string) []string {
+func (k *Kernel) failover(now time.Time, f *ActiveRequest, g *service, homes []string) []string {
 	if len(homes) == 0 || !k.on(MechanismFailover) {
 		return homes
 	}
@@ -56,7 +56,7 @@
 
 // homeless is the part of the objects with homes that are out in a region for
 // which the region's other servers have no room.
-func (k *Kernel) homeless(now time.Time, f *Flight, g *service, region string) float64 {
+func (k *Kernel) homeless(now time.Time, f *ActiveRequest, g *service, region string) float64 {
 	all, sound, own, ownSound := 0.0, 0.0, 0.0, 0.0
 	for _, s := range g.servers {
 		if !f.allowed.has(s.regionBit) {
@@ -99,7 +99,7 @@
 }
 
 // homesWithout deals all objects out over the servers outside a region.
-func (k *Kernel) homesWithout(f *Flight, g *service, region string) *placing.Homes {
+func (k *Kernel) homesWithout(f *ActiveRequest, g *service, region string) *placing.Homes {
 	key := reach{allowed: f.allowed, without: region}
 	if h := g.homes[key]; h != nil {
 		return h
--- a/internal/kernel/steering/failover_test.go
+++ b/internal/kernel/steering/failover_test.go
@@ -15,9 +15,9 @@
 	k := New(Config{Name: "proxy-north", Domain: "north-a", Region: "north", RegionOf: domains})
 	k.SetTable(stickyTable(target, regions...))
 	for domain := range domains {
-		k.Measured(domain, 50*time.Millisecond)
+		k.RecordRoundTrip(domain, 50*time.Millisecond)
 		for i := range 4 {
-			k.SetServer(now, routing.Server{ID: fmt.Sprintf("%s-%d", domain, i), Service: "service", Domain: domain, Slots: 4})
+			k.RegisterServer(now, routing.Server{ID: fmt.Sprintf("%s-%d", domain, i), Service: "service", Domain: domain, Slots: 4})
 		}
 	}
 	return k
@@ -45,7 +45,7 @@
 	regions = make(map[string]int)
 	for n := range 96 {
 		object := fmt.Sprintf("%x", n)
-		f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/x", Object: object})
+		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: object})
 		if home := k.servers[k.homes(f, k.group("service"))[0]]; home.outs == 0 && home.id != d.Server.ID {
 			moved++
 		}
@@ -80,7 +80,7 @@
 	before, _ := placed(k, now)
 	lose(k, now, "north-a-0", "north-a-1")
 	for _, id := range []string{"south-a-0", "west-a-0"} {
-		f, _ := k.Begin(now, Request{ID: "r", Host: "host", Path: "/x", Object: "1"})
+		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: "1"})
 		for range 10 {
 			k.feel(now, f, k.servers[id], 12)
 		}
@@ -99,7 +99,7 @@
 	now = now.Add(outBase)
 	tried := make(map[string]bool)
 	for n := range 96 {
-		f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
+		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
 		if f.server.region == "north" {
 			tried[d.Server.ID] = true
 		}
@@ -137,10 +137,10 @@
 	k := threeRegions(now, 200*time.Millisecond)
 	lose(k, now, "north-a-0")
 	for _, id := range []string{"north-a-1", "north-a-2", "north-a-3"} {
-		k.servers[id].hasRefused(now, Attempt{Result: Refused, Loaded: true, Running: 4, Waiting: 12})
+		k.servers[id].hasRefused(now, Attempt{Result: ResultRefused, Loaded: true, Running: 4, Waiting: 12})
 	}
 	for n := range 96 {
-		f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
+		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
 		homes := k.homes(f, k.group("service"))
 		if got := k.failover(now, f, k.group("service"), homes); homes[0] != "north-a-0" && got[0] != homes[0] {
 			t.Fatalf("object %x of %s gets %s first (%+v), want its home to stay first", n, homes[0], got[0], d)
--- a/internal/kernel/steering/flight.go
+++ b/internal/kernel/steering/flight.go
@@ -6,21 +6,21 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/quarantine"
 )
 
-// Begin finds the route of a request and its first step.
-func (k *Kernel) Begin(now time.Time, r Request) (*Flight, Decision) {
+// BeginRequest finds the route of a request and its first step.
+func (k *Kernel) BeginRequest(now time.Time, r Request) (*ActiveRequest, Decision) {
 	k.flights++
-	f := &Flight{Request: r, number: k.flights, began: now}
+	f := &ActiveRequest{Request: r, number: k.flights, began: now}
 	d := k.begin(now, f)
 	if k.config.Record != nil {
 		given, v := r, verdictOf(d)
-		k.config.Record(Call{Do: callBegin, At: now, Flight: f.number, Request: &given, Decision: &v})
+		k.config.Record(Call{Method: callBegin, At: now, RequestNumber: f.number, Request: &given, Decision: &v})
 	}
 	return f, d
 }
 
-func (k *Kernel) begin(now time.Time, f *Flight) Decision {
+func (k *Kernel) begin(now time.Time, f *ActiveRequest) Decision {
 	if k.table == nil {
-		return k.finish(now, f, Decision{Reason: ReasonNoTable, NotRun: true, ComeBack: k.comeBack(now, f)})
+		return k.finish(now, f, Decision{Reason: ReasonNoConfiguration, NotRun: true, RetryAfter: k.comeBack(now, f)})
 	}
 	f.Route = k.table.Match(f.Host, f.Path)
 	if f.Route == nil {
@@ -29,16 +29,16 @@
 	if reason := k.identify(f); reason != ReasonNone {
 		d := Decision{Reason: reason, NotRun: true}
 		if reason == ReasonNoRegion {
-			d.ComeBack = comeBackMost
+			d.RetryAfter = comeBackMost
 		}
 		return k.finish(now, f, d)
 	}
-	f.Until = now.Add(f.Route.Timeout)
-	if !f.Deadline.IsZero() && f.Deadline.Before(f.Until) {
-		f.Until = f.Deadline
+	f.ExpiresAt = now.Add(f.Route.Timeout)
+	if !f.Deadline.IsZero() && f.Deadline.Before(f.ExpiresAt) {
+		f.ExpiresAt = f.Deadline
 	}
-	if k.leaving && k.end.Before(f.Until) {
-		f.Until = k.end
+	if k.leaving && k.end.Before(f.ExpiresAt) {
+		f.ExpiresAt = k.end
 	}
 	if !f.Route.Sticky || !k.on(MechanismHomes) {
 		// No server is faster for having handled the object, and one home each
@@ -49,7 +49,7 @@
 }
 
 // start hands a request that is within its limits to a service.
-func (k *Kernel) start(now time.Time, f *Flight) Decision {
+func (k *Kernel) start(now time.Time, f *ActiveRequest) Decision {
 	f.Service = k.splitter.Next(f.Route)
 	if f.Object != "" {
 		k.service(f.Service).demand.Heard(now, f.Object)
@@ -58,22 +58,22 @@
 }
 
 // send picks a server or gives up.
-func (k *Kernel) send(now time.Time, f *Flight) Decision {
+func (k *Kernel) send(now time.Time, f *ActiveRequest) Decision {
 	target, reason := k.place(now, f)
 	if target == nil {
 		return k.giveUp(now, f, reason)
 	}
-	return Decision{Server: target, Ask: f.asking}
+	return Decision{Server: target, SlotRequest: f.asking}
 }
 
 // place picks a server and counts the request in there.
-func (k *Kernel) place(now time.Time, f *Flight) (*Target, Reason) {
+func (k *Kernel) place(now time.Time, f *ActiveRequest) (*Target, Reason) {
 	g := k.group(f.Service)
 	if reason := k.identifyAgain(f); reason != ReasonNone {
 		return nil, reason
 	}
-	if f.Until.Sub(now) < leastLeft && len(f.tried) > 0 {
-		return nil, ReasonLate
+	if f.ExpiresAt.Sub(now) < leastLeft && len(f.tried) > 0 {
+		return nil, ReasonTimeout
 	}
 	if reason := k.rule(now, f); reason != ReasonNone {
 		return nil, reason
@@ -84,7 +84,7 @@
 	}
 	if len(f.steps) == 0 {
 		if k.sheds(now, f, g, s) {
-			return nil, ReasonQueues
+			return nil, ReasonQueuesTooLong
 		}
 		g.repeats.First(now)
 	}
@@ -95,16 +95,16 @@
 	s.turns++
 	s.asks.Sent(now)
 	f.note(Event{
-		At: now, Kind: EventSent, Server: s.id, Domain: s.Domain, Attempt: len(f.steps)/2 + 1, Expected: pick.expected,
-		Load: s.load(now), LoadAge: s.loadAge(now), Home: pick.home, Warm: pick.warm,
-		Wait: pick.start - s.domain.roundTrip, State: state,
+		At: now, Kind: EventRequestSent, Server: s.id, Domain: s.Domain, Attempt: len(f.steps)/2 + 1, Expected: pick.expected,
+		Load: s.load(now), LoadAge: s.loadAge(now), HomeRank: pick.home, Warm: pick.warm,
+		ExpectedWait: pick.start - s.domain.roundTrip, State: state,
 	})
 	f.asking, f.rank = k.ask(now, f, g, s, pick), 0
 	return k.targetOf(g, s), ReasonNone
 }
 
 // chooseFor picks the server for a request, by what is known of its work.
-func (k *Kernel) chooseFor(now time.Time, f *Flight, g *service) (*server, pick) {
+func (k *Kernel) chooseFor(now time.Time, f *ActiveRequest, g *service) (*server, pick) {
 	if f.suspected {
 		return k.chooseIdle(now, f, g)
 	}
@@ -112,18 +112,18 @@
 }
 
 func (k *Kernel) targetOf(g *service, s *server) *Target {
-	return &Target{Server: s.Server, RoundTrip: s.domain.roundTrip, Connections: k.connections(g)}
+	return &Target{Server: s.Server, RoundTrip: s.domain.roundTrip, MaxConnections: k.connections(g)}
 }
 
-// Ended takes in how an attempt ended and decides what follows. If the request had
+// EndAttempt takes in how an attempt ended and decides what follows. If the request had
 // a place at a gate, the place must be given back.
-func (k *Kernel) Ended(now time.Time, f *Flight, a Attempt) Decision {
+func (k *Kernel) EndAttempt(now time.Time, f *ActiveRequest, a Attempt) Decision {
 	release := f.release(f.ratio(now, a))
 	d := k.ended(now, f, a)
-	d.Release = release
+	d.SlotRelease = release
 	if k.config.Record != nil {
 		given, v := a, verdictOf(d)
-		k.config.Record(Call{Do: callEnded, At: now, Flight: f.number, Attempt: &given, Decision: &v})
+		k.config.Record(Call{Method: callEnded, At: now, RequestNumber: f.number, Attempt: &given, Decision: &v})
 	}
 	return d
 }
@@ -132,14 +132,14 @@
 // route's target; zero if that is not known. The target stays the same whatever the
 // servers do, so figures of different moments and proxies compare. One that was not
 // answered in time took so long at least.
-func (f *Flight) ratio(now time.Time, a Attempt) float64 {
-	if f.asking == nil || !f.warm || f.Route.Target <= 0 || a.Result != Answered && a.Result != Late {
+func (f *ActiveRequest) ratio(now time.Time, a Attempt) float64 {
+	if f.asking == nil || !f.warm || f.Route.Target <= 0 || a.Result != ResultAnswered && a.Result != ResultTimeout {
 		return 0
 	}
 	return float64(now.Sub(f.sentAt)-f.server.domain.roundTrip) / float64(f.Route.Target)
 }
 
-func (k *Kernel) ended(now time.Time, f *Flight, a Attempt) Decision {
+func (k *Kernel) ended(now time.Time, f *ActiveRequest, a Attempt) Decision {
 	s := f.server
 	s.inFlight--
 	if !a.refusedThoughFree(s.Slots) {
@@ -150,39 +150,39 @@
 	k.learn(now, f, s, a, took)
 	f.note(Event{
 		At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(f.steps)/2 + 1, Result: a.Result,
-		Expected: f.expected, Took: took, Load: float64(a.Running + a.Waiting), Err: a.Err,
+		Expected: f.expected, Duration: took, Load: float64(a.Running + a.Waiting), Err: a.Err,
 	})
 	switch a.Result {
-	case Answered:
-		return k.finish(now, f, Decision{Answer: true})
-	case Left:
-		return k.finish(now, f, Decision{Reason: ReasonLeft})
-	case Late:
+	case ResultAnswered:
+		return k.finish(now, f, Decision{ReturnResponse: true})
+	case ResultCallerGone:
+		return k.finish(now, f, Decision{Reason: ReasonCallerGone})
+	case ResultTimeout:
 		f.mayHaveRun = true
-		return k.giveUp(now, f, ReasonLate)
-	case Unreachable, Withheld:
+		return k.giveUp(now, f, ReasonTimeout)
+	case ResultUnreachable, ResultNotSent:
 		f.dials++
 		if f.dials >= sendsMost {
 			return k.giveUp(now, f, ReasonNoServer)
 		}
 		return k.send(now, f)
 	}
-	if a.Result != Mistaken {
+	if a.Result != ResultWrongServer {
 		// Another server has the address: none of the service has had it yet.
 		f.sends++
 	}
 	f.dials++
-	f.mayHaveRun = f.mayHaveRun || a.Result == Broken || a.Result == Failed
+	f.mayHaveRun = f.mayHaveRun || a.Result == ResultConnectionLost || a.Result == ResultServerError
 	reason := reasonOf(a.Result)
 	if k.mayRepeat(now, f) {
 		var target *Target
 		if target, reason = k.place(now, f); target != nil {
-			return Decision{Server: target, Ask: f.asking}
+			return Decision{Server: target, SlotRequest: f.asking}
 		}
 	}
-	if a.Result == Failed {
+	if a.Result == ResultServerError {
 		// The server's own failure is an answer, and tells more than a refusal.
-		return k.finish(now, f, Decision{Answer: true, Reason: ReasonFailed})
+		return k.finish(now, f, Decision{ReturnResponse: true, Reason: ReasonServerError})
 	}
 	return k.giveUp(now, f, reason)
 }
@@ -191,22 +191,22 @@
 // slots to spare. Such a server refuses by chance, and the next request may
 // well be taken: it knows the object, and every other would run it cold.
 func (a Attempt) refusedThoughFree(slots int) bool {
-	return a.Result == Refused && a.Loaded && a.Running < slots && a.Waiting == 0
+	return a.Result == ResultRefused && a.Loaded && a.Running < slots && a.Waiting == 0
 }
 
 func reasonOf(r Result) Reason {
-	if r == Refused || r == Mistaken {
+	if r == ResultRefused || r == ResultWrongServer {
 		return ReasonRefused
 	}
-	return ReasonBroken
+	return ReasonConnectionLost
 }
 
 // mayRepeat decides whether a request that reached a server may go to another.
-func (k *Kernel) mayRepeat(now time.Time, f *Flight) bool {
+func (k *Kernel) mayRepeat(now time.Time, f *ActiveRequest) bool {
 	if f.mayHaveRun && !f.Route.Idempotent {
 		return false
 	}
-	if !k.on(MechanismRepeats) || f.sends >= f.Route.Attempts || f.dials >= sendsMost || f.breaks >= quarantine.BreaksMost || f.Until.Sub(now) < leastLeft {
+	if !k.on(MechanismRetries) || f.sends >= f.Route.Attempts || f.dials >= sendsMost || f.breaks >= quarantine.BreaksMost || f.ExpiresAt.Sub(now) < leastLeft {
 		return false
 	}
 	if !k.service(f.Service).repeats.Spend(now, len(k.sharers)) {
@@ -219,33 +219,33 @@
 }
 
 // giveUp ends a request without an answer, at once.
-func (k *Kernel) giveUp(now time.Time, f *Flight, reason Reason) Decision {
+func (k *Kernel) giveUp(now time.Time, f *ActiveRequest, reason Reason) Decision {
 	d := Decision{Reason: reason, NotRun: !f.mayHaveRun}
 	if f.Account != nil && len(f.steps) == 0 {
 		k.limits.holder.Return(f.Account.Name)
 	}
 	if d.NotRun {
-		d.ComeBack = k.comeBack(now, f)
+		d.RetryAfter = k.comeBack(now, f)
 	}
-	if d.NotRun && reason == ReasonWithheld {
-		d.ComeBack = k.afterWait(f)
+	if d.NotRun && reason == ReasonBackpressure {
+		d.RetryAfter = k.afterWait(f)
 	}
-	if d.NotRun && reason == ReasonEndsServers {
+	if d.NotRun && reason == ReasonCrashesServers {
 		// Its work does not run before its next trial, however soon the caller returns.
-		d.ComeBack = f.away
+		d.RetryAfter = f.away
 	}
 	return k.finish(now, f, d)
 }
 
 // note keeps a decision until the request ends.
-func (f *Flight) note(e Event) { f.steps = append(f.steps, e) }
+func (f *ActiveRequest) note(e Event) { f.steps = append(f.steps, e) }
 
 // finish tells of a request's end together with the decisions before it.
-func (k *Kernel) finish(now time.Time, f *Flight, d Decision) Decision {
+func (k *Kernel) finish(now time.Time, f *ActiveRequest, d Decision) Decision {
 	e := Event{
-		At: now, Kind: EventFinished, Request: f.ID, Service: f.Service, Object: f.Object, Work: f.Work, Version: k.Version(),
-		Outcome: d.Outcome(), Reason: d.Reason, Took: now.Sub(f.began), Attempt: (len(f.steps) + 1) / 2,
-		ComeBack: d.ComeBack, Pressure: f.pressure, Steps: f.steps,
+		At: now, Kind: EventRequestEnded, Request: f.ID, Service: f.Service, Object: f.Object, Work: f.Work, Version: k.Version(),
+		Outcome: d.Outcome(), Reason: d.Reason, Duration: now.Sub(f.began), Attempt: (len(f.steps) + 1) / 2,
+		RetryAfter: d.RetryAfter, Pressure: f.pressure, Steps: f.steps,
 	}
 	if f.Route != nil {
 		e.Route, e.Target = f.Route.Name, f.Route.Target
@@ -260,7 +260,7 @@
 
 // comeBack tells a refused caller when to try again: spread, so that callers
 // refused together do not return together.
-func (k *Kernel) comeBack(now time.Time, f *Flight) time.Duration {
+func (k *Kernel) comeBack(now time.Time, f *ActiveRequest) time.Duration {
 	most := comeBackMost
 	if !f.Deadline.IsZero() {
 		most = min(most, f.Deadline.Sub(now)/3)
--- a/internal/kernel/steering/gates.go
+++ b/internal/kernel/steering/gates.go
@@ -21,12 +21,12 @@
 	gateIdle = time.Minute
 )
 
-// HearAsk answers a proxy that asks for a place at a server whose gate is here.
-func (k *Kernel) HearAsk(now time.Time, a Ask) Reply {
-	k.record(Call{Do: callHearAsk, At: now, Ask: &a})
+// HandleSlotRequest answers a proxy that asks for a place at a server whose gate is here.
+func (k *Kernel) HandleSlotRequest(now time.Time, a SlotRequest) SlotReply {
+	k.record(Call{Method: callHearAsk, At: now, SlotRequest: &a})
 	s := k.servers[a.Server]
 	if s == nil || !s.takesRequests() {
-		return Reply{Unknown: true, Grant: admission.Grant{Ticket: a.Ticket, Verdict: admission.Granted}}
+		return SlotReply{Unknown: true, Grant: admission.Grant{Ticket: a.Ticket, Verdict: admission.Granted}}
 	}
 	h := &k.service(s.Service).holding
 	h.adopt(a.Limit)
@@ -44,24 +44,24 @@
 	return q.reply(grant)
 }
 
-func (q *gate) reply(g admission.Grant) Reply {
-	r := Reply{Grant: g, Limit: q.levels.Learned(), Whole: q.levels.Whole(), Sound: q.levels.Sound()}
+func (q *gate) reply(g admission.Grant) SlotReply {
+	r := SlotReply{Grant: g, Limit: q.levels.Learned(), Whole: q.levels.Whole(), Sound: q.levels.Sound()}
 	r.Running, r.Waiting = q.Load()
 	return r
 }
 
 // next gives free places to those that wait.
-func (q *gate) next(now time.Time) []Reply {
-	var replies []Reply
+func (q *gate) next(now time.Time) []SlotReply {
+	var replies []SlotReply
 	for _, g := range q.Next(now, q.levels.Limit()) {
 		replies = append(replies, q.reply(g))
 	}
 	return replies
 }
 
-// HearRelease takes a place back and tells who gets it.
-func (k *Kernel) HearRelease(now time.Time, r Release) []Reply {
-	k.record(Call{Do: callHearRelease, At: now, Release: &r})
+// HandleSlotRelease takes a place back and tells who gets it.
+func (k *Kernel) HandleSlotRelease(now time.Time, r SlotRelease) []SlotReply {
+	k.record(Call{Method: callHearRelease, At: now, SlotRelease: &r})
 	q := k.gates[r.Server]
 	if q == nil {
 		return nil
@@ -84,8 +84,8 @@
 	}
 }
 
-// Grants hands over what the last tick has granted or denied.
-func (k *Kernel) Grants() []Reply {
+// TakeSlotReplies hands over what the last tick has granted or denied.
+func (k *Kernel) TakeSlotReplies() []SlotReply {
 	list := k.grants
 	k.grants = nil
 	return list
--- a/internal/kernel/steering/hold.go
+++ b/internal/kernel/steering/hold.go
@@ -23,8 +23,8 @@
 )
 
 type (
-	// Held is what a proxy has learned of a service whose servers slow down when full.
-	Held struct {
+	// ServiceLimit is what a proxy has learned of a service whose servers slow down when full.
+	ServiceLimit struct {
 		Service string `json:"service"`
 		admission.Limit
 	}
@@ -50,31 +50,33 @@
 	return now.Before(g.holding.until)
 }
 
-// Holding lists what this proxy knows of services whose servers slow down when full,
+// ConcurrencyLimits lists what this proxy knows of services whose servers slow down when full,
 // for its peers.
-func (k *Kernel) Holding(now time.Time) []Held {
-	var list []Held
+func (k *Kernel) ConcurrencyLimits(now time.Time) []ServiceLimit {
+	var list []ServiceLimit
 	for name, g := range k.services {
 		if !now.Before(g.holding.own) {
 			continue
 		}
 		if len(g.holding.limits) == 0 {
-			list = append(list, Held{Service: name})
+			list = append(list, ServiceLimit{Service: name})
 		}
 		for _, l := range g.holding.limits {
-			list = append(list, Held{Service: name, Limit: l})
+			list = append(list, ServiceLimit{Service: name, Limit: l})
 		}
 	}
-	slices.SortFunc(list, func(a, b Held) int { return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Slots, b.Slots)) })
+	slices.SortFunc(list, func(a, b ServiceLimit) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Slots, b.Slots))
+	})
 	return list
 }
 
-// SetHolding takes in what a peer knows.
-func (k *Kernel) SetHolding(now time.Time, list []Held) {
-	if len(list) == 0 || !k.on(MechanismHold) {
+// ApplyConcurrencyLimits takes in what a peer knows.
+func (k *Kernel) ApplyConcurrencyLimits(now time.Time, list []ServiceLimit) {
+	if len(list) == 0 || !k.on(MechanismConcurrencyLimit) {
 		return
 	}
-	k.record(Call{Do: callHolding, At: now, Holding: list})
+	k.record(Call{Method: callHolding, At: now, ServiceLimits: list})
 	for _, h := range list {
 		g := k.service(h.Service)
 		g.holding.adopt(h.Limit)
@@ -87,7 +89,7 @@
 	h := &g.holding
 	h.until, h.own, h.cleared = now, now, now.Add(clearFor)
 	h.suspicion.Reset()
-	k.config.Observe(Event{Kind: EventSound, Service: g.name})
+	k.config.Observe(Event{Kind: EventConcurrencyUnlimited, Service: g.name})
 }
 
 // adopt takes over a limit with more evidence than the own one.
@@ -124,7 +126,7 @@
 		return
 	}
 	if !now.Before(g.holding.until) {
-		k.config.Observe(Event{Kind: EventHolding, Service: g.name})
+		k.config.Observe(Event{Kind: EventConcurrencyLimited, Service: g.name})
 	}
 	g.holding.until = later(g.holding.until, now.Add(span))
 }
@@ -133,14 +135,14 @@
 // what a full server did tells whether it slows down. An answer that never came in
 // time is the strongest sign, of first runs too: where servers slow down there are
 // few others.
-func (k *Kernel) suspect(now time.Time, f *Flight, s *server, g *service, a Attempt, took time.Duration) {
-	if !k.on(MechanismHold) {
+func (k *Kernel) suspect(now time.Time, f *ActiveRequest, s *server, g *service, a Attempt, took time.Duration) {
+	if !k.on(MechanismConcurrencyLimit) {
 		return
 	}
 	alone := g.workOn(f.Route).expect(f.warm, f.Route.Target)
 	// A server that has answered nothing since is silent, not slow.
-	late := a.Result == Late && s.answeredAt.After(f.sentAt)
-	answered := a.Result == Answered && a.Loaded && f.warm
+	late := a.Result == ResultTimeout && s.answeredAt.After(f.sentAt)
+	answered := a.Result == ResultAnswered && a.Loaded && f.warm
 	if !late && !answered || s.Slots < 2 || f.rank > 0 {
 		return
 	}
--- a/internal/kernel/steering/hold_test.go
+++ b/internal/kernel/steering/hold_test.go
@@ -20,21 +20,21 @@
 			{Name: "short", Host: "host", Prefix: "/short/", Attempts: 1, Timeout: 300 * time.Millisecond, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}}},
 		}, nil, routing.Limits{}))
 		k.SetProxies(now, list)
-		k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3})
-		k.Measured("north-a", time.Millisecond)
-		k.SetHolding(now, []Held{{Service: "service", Limit: admission.Limit{Slots: 3, Most: 2, Evidence: 100}}})
+		k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3})
+		k.RecordRoundTrip("north-a", time.Millisecond)
+		k.ApplyConcurrencyLimits(now, []ServiceLimit{{Service: "service", Limit: admission.Limit{Slots: 3, Most: 2, Evidence: 100}}})
 		fleet = append(fleet, k)
 	}
 	return fleet
 }
 
-func begin(t *testing.T, k *Kernel, now time.Time, id, path string) (*Flight, Ask) {
+func begin(t *testing.T, k *Kernel, now time.Time, id, path string) (*ActiveRequest, SlotRequest) {
 	t.Helper()
-	f, d := k.Begin(now, Request{ID: id, Host: "host", Path: path, Object: id, Deadline: now.Add(4 * time.Second)})
-	if d.Server == nil || d.Ask == nil {
+	f, d := k.BeginRequest(now, Request{ID: id, Host: "host", Path: path, Object: id, Deadline: now.Add(4 * time.Second)})
+	if d.Server == nil || d.SlotRequest == nil {
 		t.Fatalf("request %s: %+v, want a question for a place", id, d)
 	}
-	return f, *d.Ask
+	return f, *d.SlotRequest
 }
 
 // Servers of three slots slow down when the third is used. Requests of two proxies
@@ -43,22 +43,22 @@
 	now := time.Unix(1_000_000, 0)
 	fleet := holdFleet(now)
 	owner := fleet[0]
-	granted, flights := 0, make(map[uint64]*Flight)
+	granted, flights := 0, make(map[uint64]*ActiveRequest)
 	for i := range 6 {
 		k := fleet[i%2]
 		f, a := begin(t, k, now, fmt.Sprint("r", i), "/a/x")
 		if a.Owner.Name != fleet[0].Name() {
 			owner = fleet[1]
 		}
-		reply := owner.HearAsk(now, a)
+		reply := owner.HandleSlotRequest(now, a)
 		if reply.Verdict == admission.Granted {
 			granted++
 			flights[a.ID] = f
-			if d := k.Asked(now, f, reply, true); d.Server == nil || d.Ask != nil {
+			if d := k.HandleSlotReply(now, f, reply, true); d.Server == nil || d.SlotRequest != nil {
 				t.Errorf("granted, and then %+v; want it sent", d)
 			}
-			d := k.Ended(now.Add(300*time.Millisecond), f, Attempt{Result: Answered, Loaded: true, Running: 1})
-			if d.Release == nil || d.Release.Server != "s" {
+			d := k.EndAttempt(now.Add(300*time.Millisecond), f, Attempt{Result: ResultAnswered, Loaded: true, Running: 1})
+			if d.SlotRelease == nil || d.SlotRelease.Server != "s" {
 				t.Fatalf("the place is not given back: %+v", d)
 			}
 			if i == 5 {
@@ -77,14 +77,14 @@
 	now := time.Unix(1_000_000, 0)
 	k := holdFleet(now)[0]
 	f, _ := begin(t, k, now, "r", "/a/x")
-	if d := k.Asked(now, f, Reply{}, false); d.Server == nil || d.Ask != nil {
+	if d := k.HandleSlotReply(now, f, SlotReply{}, false); d.Server == nil || d.SlotRequest != nil {
 		t.Errorf("no answer, and then %+v; want it sent", d)
 	}
-	_, d := k.Begin(now, Request{ID: "q", Host: "host", Path: "/a/x", Object: "q"})
-	if d.Server == nil || d.Ask != nil {
+	_, d := k.BeginRequest(now, Request{ID: "q", Host: "host", Path: "/a/x", Object: "q"})
+	if d.Server == nil || d.SlotRequest != nil {
 		t.Errorf("the next request: %+v, want it sent without a question", d)
 	}
-	if _, d := k.Begin(now.Add(2*time.Second), Request{ID: "p", Host: "host", Path: "/a/x", Object: "p"}); d.Ask == nil {
+	if _, d := k.BeginRequest(now.Add(2*time.Second), Request{ID: "p", Host: "host", Path: "/a/x", Object: "p"}); d.SlotRequest == nil {
 		t.Error("the owner is not asked again after a while")
 	}
 }
@@ -95,8 +95,8 @@
 	now := time.Unix(1_000_000, 0)
 	k := holdFleet(now)[0]
 	f, a := begin(t, k, now, "r", "/a/x")
-	d := k.Asked(now, f, Reply{Grant: admission.Grant{Ticket: a.Ticket, Verdict: admission.Denied}}, true)
-	if d.Server != nil || !d.NotRun || d.ComeBack <= 0 || d.Release == nil || d.Reason != ReasonQueues {
+	d := k.HandleSlotReply(now, f, SlotReply{Grant: admission.Grant{Ticket: a.Ticket, Verdict: admission.Denied}}, true)
+	if d.Server != nil || !d.NotRun || d.RetryAfter <= 0 || d.SlotRelease == nil || d.Reason != ReasonQueuesTooLong {
 		t.Errorf("denied, and then %+v; want it refused as not run", d)
 	}
 	if got := k.Status(now).InFlight; got != 0 {
@@ -109,7 +109,7 @@
 	now := time.Unix(1_000_000, 0)
 	k := holdFleet(now)[0]
 	f, _ := begin(t, k, now, "r", "/a/x")
-	if d := k.Ended(now, f, Attempt{Result: Left}); d.Release == nil || d.Reason != ReasonLeft {
+	if d := k.EndAttempt(now, f, Attempt{Result: ResultCallerGone}); d.SlotRelease == nil || d.Reason != ReasonCallerGone {
 		t.Errorf("left, and then %+v; want the place given back", d)
 	}
 }
@@ -125,8 +125,8 @@
 	if a.Owner.Name != owner.Name() {
 		owner = fleet[1]
 	}
-	reply := owner.HearAsk(now, a)
-	if d := fleet[0].Asked(now, f, reply, true); reply.Verdict != admission.Granted || d.Server == nil {
+	reply := owner.HandleSlotRequest(now, a)
+	if d := fleet[0].HandleSlotReply(now, f, reply, true); reply.Verdict != admission.Granted || d.Server == nil {
 		t.Errorf("verdict %d and then %+v, want it granted and sent", reply.Verdict, d)
 	}
 }
@@ -141,11 +141,11 @@
 			Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 1, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}},
 		}}, nil, routing.Limits{}))
 		for _, id := range []string{"a", "b", "c", "d"} {
-			k.SetServer(now, routing.Server{ID: id, Service: "service", Domain: "north-a", Slots: 2})
+			k.RegisterServer(now, routing.Server{ID: id, Service: "service", Domain: "north-a", Slots: 2})
 		}
 		for n := range 120 {
 			object := fmt.Sprint("o", n%12)
-			f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: object})
+			f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: object})
 			now = now.Add(50 * time.Millisecond)
 			if d.Server == nil {
 				continue
@@ -153,17 +153,17 @@
 			if !silent || n < 24 {
 				k.servers[d.Server.ID].answeredAt = now
 			}
-			result := Answered
+			result := ResultAnswered
 			if n >= 24 {
-				result = Late
+				result = ResultTimeout
 				now = now.Add(time.Second)
 				for _, s := range k.servers {
 					s.outs, s.outUntil = 0, time.Time{}
 				}
 			}
-			k.Ended(now, f, Attempt{Result: result, Loaded: result == Answered, Running: 1})
+			k.EndAttempt(now, f, Attempt{Result: result, Loaded: result == ResultAnswered, Running: 1})
 		}
-		if got := len(k.Holding(now)) > 0; got != want {
+		if got := len(k.ConcurrencyLimits(now)) > 0; got != want {
 			t.Errorf("servers silent %t: held back %t, want %t", silent, got, want)
 		}
 	}
@@ -176,21 +176,21 @@
 func TestWaitingRequestDoesNotGoToAServerThatLeaves(t *testing.T) {
 	for name, change := range map[string]func(*Kernel, time.Time){
 		"draining": func(k *Kernel, now time.Time) {
-			k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3, Draining: true})
+			k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3, Draining: true})
 		},
 		"gone":      func(k *Kernel, now time.Time) { k.RemoveServer(now, "s") },
-		"evacuated": func(k *Kernel, now time.Time) { k.SetEvacuated(now, "north-a", true) },
+		"evacuated": func(k *Kernel, now time.Time) { k.SetDomainEvacuated(now, "north-a", true) },
 		"cold": func(k *Kernel, now time.Time) {
-			k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3, ColdFor: time.Minute})
+			k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3, ColdFor: time.Minute})
 		},
 	} {
 		now := time.Unix(1_000_000, 0)
 		k := holdFleet(now)[0]
 		f, a := begin(t, k, now, "r", "/a/x")
-		k.SetServer(now, routing.Server{ID: "other", Service: "service", Domain: "north-b", Slots: 3})
+		k.RegisterServer(now, routing.Server{ID: "other", Service: "service", Domain: "north-b", Slots: 3})
 		change(k, now)
-		d := k.Asked(now.Add(time.Second), f, Reply{Grant: admission.Grant{Ticket: a.Ticket, Verdict: admission.Granted, Rank: 1}}, true)
-		if d.Server == nil || d.Server.ID != "other" || d.Release == nil || d.Release.Server != "s" {
+		d := k.HandleSlotReply(now.Add(time.Second), f, SlotReply{Grant: admission.Grant{Ticket: a.Ticket, Verdict: admission.Granted, Rank: 1}}, true)
+		if d.Server == nil || d.Server.ID != "other" || d.SlotRelease == nil || d.SlotRelease.Server != "s" {
 			t.Errorf("%s: %+v, want it at the other server and the place given back", name, d)
 		}
 	}
@@ -205,9 +205,9 @@
 		Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 2, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}},
 	}}, []*routing.Service{{Name: "service", ColdStart: time.Minute, ColdPerSecond: 10}}, routing.Limits{}))
 	k.SetBounds(Bounds{Retry: RetryBudget{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}, ColdFactor: 1.5, ColdSlack: 5})
-	k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3, ColdFor: time.Minute})
-	_, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(4 * time.Second)})
-	if d.Server == nil || d.Ask != nil {
+	k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3, ColdFor: time.Minute})
+	_, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(4 * time.Second)})
+	if d.Server == nil || d.SlotRequest != nil {
 		t.Errorf("at a cold server: %+v, want it sent without a question", d)
 	}
 }
@@ -219,14 +219,14 @@
 	fleet := holdFleet(now)
 	for _, k := range fleet {
 		k.RemoveServer(now, "s")
-		k.SetServer(now, routing.Server{ID: "wide", Service: "service", Domain: "north-a", Slots: 30})
+		k.RegisterServer(now, routing.Server{ID: "wide", Service: "service", Domain: "north-a", Slots: 30})
 	}
 	_, a := begin(t, fleet[0], now, "r", "/a/x")
 	owner := fleet[0]
 	if a.Owner.Name != owner.Name() {
 		owner = fleet[1]
 	}
-	if got := owner.HearAsk(now, a).Limit; got.Slots != 30 || got.Most != 30 {
+	if got := owner.HandleSlotRequest(now, a).Limit; got.Slots != 30 || got.Most != 30 {
 		t.Errorf("a server of 30 slots is limited to %+v", got)
 	}
 }
@@ -239,23 +239,23 @@
 		now := time.Unix(1_000_000, 0)
 		told := 0
 		c := Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf, Observe: func(e Event) {
-			if e.Kind == EventHolding {
+			if e.Kind == EventConcurrencyLimited {
 				told++
 			}
 		}}
 		if off {
-			c.Off = []Mechanism{MechanismHold}
+			c.Off = []Mechanism{MechanismConcurrencyLimit}
 		}
 		k := New(c)
-		k.SetHolding(now, []Held{{Service: "service", Limit: admission.Limit{Slots: 3, Most: 2, Evidence: 100}}})
+		k.ApplyConcurrencyLimits(now, []ServiceLimit{{Service: "service", Limit: admission.Limit{Slots: 3, Most: 2, Evidence: 100}}})
 		g := k.service("suspected")
-		f := &Flight{Route: &routing.Route{Name: "route", Sticky: true, Target: 100 * time.Millisecond}, Service: "suspected", warm: true}
+		f := &ActiveRequest{Route: &routing.Route{Name: "route", Sticky: true, Target: 100 * time.Millisecond}, Service: "suspected", warm: true}
 		for n := range 40 {
 			s := &server{id: fmt.Sprint(n % 4), Server: routing.Server{Slots: 3}, domain: &distance{}}
-			k.suspect(now, f, s, g, Attempt{Result: Answered, Loaded: true, Running: 3}, time.Second)
+			k.suspect(now, f, s, g, Attempt{Result: ResultAnswered, Loaded: true, Running: 3}, time.Second)
 		}
-		if got := told > 0 || len(k.Holding(now)) > 0; got == off {
-			t.Errorf("holding back off %t: told of %d services, tells peers %v", off, told, k.Holding(now))
+		if got := told > 0 || len(k.ConcurrencyLimits(now)) > 0; got == off {
+			t.Errorf("holding back off %t: told of %d services, tells peers %v", off, told, k.ConcurrencyLimits(now))
 		}
 	}
 }
--- a/internal/kernel/steering/kernel.go
+++ b/internal/kernel/steering/kernel.go
@@ -109,7 +109,7 @@
 		// gates are those that this proxy owns, by server; grants are what the last
 		// tick has granted there.
 		gates  map[string]*gate
-		grants []Reply
+		grants []SlotReply
 		// quarantine knows the work that ends servers. ownPlace is this proxy's place
 		// among the sharers.
 		quarantine *quarantine.Ledger
@@ -119,7 +119,7 @@
 		// flights counts the requests so far.
 		flights uint64
 		// weighed sees each server that a choice looks at; nil for none.
-		weighed func(Weighed)
+		weighed func(Candidate)
 	}
 
 	// Proxy is a proxy that is alive, this one included.
@@ -168,18 +168,18 @@
 	for _, m := range c.Off {
 		k.off[m] = true
 	}
-	k.bySpeed = k.on(MechanismSpeed)
+	k.bySpeed = k.on(MechanismServerSpeed)
 	for _, region := range k.regions {
 		k.stranded[region] = &stranding{}
 	}
 	k.setProxies(time.Time{}, nil)
-	k.record(Call{Do: callStart, Config: &c})
+	k.record(Call{Method: callStart, Config: &c})
 	return k
 }
 
 // SetBounds brings other limits into force; what was counted stands.
 func (k *Kernel) SetBounds(b Bounds) {
-	k.record(Call{Do: callBounds, Bounds: &b})
+	k.record(Call{Method: callBounds, Bounds: &b})
 	k.config.Bounds = b
 	for _, g := range k.services {
 		g.repeats.Ratio, g.repeats.Slack = b.Retry.Ratio, b.Retry.Slack
@@ -206,7 +206,7 @@
 	if k.table != nil && t.Version <= k.table.Version {
 		return false
 	}
-	k.record(Call{Do: callTable, Table: t, Accounts: t.Accounts.All()})
+	k.record(Call{Method: callTable, Table: t, Accounts: t.Accounts.All()})
 	k.table = t
 	k.allowed = make(map[string]regionSet, len(t.Routes))
 	for name, r := range t.Routes {
@@ -218,15 +218,15 @@
 	for _, g := range k.services {
 		g.forgetWork(t)
 	}
-	k.config.Observe(Event{Kind: EventTable, Version: t.Version})
+	k.config.Observe(Event{Kind: EventConfigurationInForce, Version: t.Version})
 	return true
 }
 
-// Leave marks this proxy as leaving. Requests that begin from now on get their
+// BeginShutdown marks this proxy as leaving. Requests that begin from now on get their
 // final result by end: a server that hangs would else hold them until the
 // process is gone, and their callers would see a connection that closes.
-func (k *Kernel) Leave(end time.Time) {
-	k.record(Call{Do: callLeave, Until: end})
+func (k *Kernel) BeginShutdown(end time.Time) {
+	k.record(Call{Method: callLeave, Until: end})
 	for i := range k.proxies {
 		if k.proxies[i].Name == k.config.Name {
 			k.proxies[i].Leaving = true
@@ -237,7 +237,7 @@
 
 // SetProxies tells which proxies are alive. This one always is.
 func (k *Kernel) SetProxies(now time.Time, list []Proxy) {
-	k.record(Call{Do: callProxies, At: now, Proxies: list})
+	k.record(Call{Method: callProxies, At: now, Proxies: list})
 	k.setProxies(now, list)
 }
 
--- a/internal/kernel/steering/learn.go
+++ b/internal/kernel/steering/learn.go
@@ -5,7 +5,7 @@
 )
 
 // learn takes in what an attempt tells of the server.
-func (k *Kernel) learn(now time.Time, f *Flight, s *server, a Attempt, took time.Duration) {
+func (k *Kernel) learn(now time.Time, f *ActiveRequest, s *server, a Attempt, took time.Duration) {
 	s.domain.heard(a.RoundTrip)
 	k.hearSignal(now, f, s, a)
 	if a.Loaded {
@@ -16,34 +16,34 @@
 	k.suspect(now, f, s, g, a, took)
 	outs := s.outs
 	switch a.Result {
-	case Answered:
+	case ResultAnswered:
 		s.answeredAt = now
 		k.learnWork(now, f, s, g, took)
 		if !a.Loaded {
 			k.guess(now, f, s, took-s.domain.roundTrip)
 		}
-	case Refused:
+	case ResultRefused:
 		s.hasRefused(now, a)
-	case Mistaken:
+	case ResultWrongServer:
 		// Its address belongs to another server now: this one is gone, unless it
 		// has started again meanwhile.
 		if !s.gone {
 			k.remove(now, s.id)
 		}
-	case Unreachable:
+	case ResultUnreachable:
 		s.hasFailed(now, true)
-	case Failed, Broken, Late:
+	case ResultServerError, ResultConnectionLost, ResultTimeout:
 		s.hasFailed(now, false)
 	}
-	if !k.on(MechanismOutliers) {
+	if !k.on(MechanismOutlierDetection) {
 		s.outs, s.outUntil = 0, now
 	}
 	if s.outs > outs {
-		k.config.Observe(Event{Kind: EventServerOut, Server: s.id, Service: s.Service, Result: a.Result, Took: s.outUntil.Sub(now)})
+		k.config.Observe(Event{Kind: EventServerEjected, Server: s.id, Service: s.Service, Result: a.Result, Duration: s.outUntil.Sub(now)})
 	}
 }
 
-func (k *Kernel) learnWork(now time.Time, f *Flight, s *server, g *service, took time.Duration) {
+func (k *Kernel) learnWork(now time.Time, f *ActiveRequest, s *server, g *service, took time.Duration) {
 	work := took - s.domain.roundTrip
 	s.succeeded(work, f.expected-s.domain.roundTrip)
 	// Warm work is the least that was seen, so it needs no correction for slow
--- a/internal/kernel/steering/limits.go
+++ b/internal/kernel/steering/limits.go
@@ -92,7 +92,7 @@
 }
 
 // limit decides whether a request is within its account's limit, or whom to ask.
-func (k *Kernel) limit(now time.Time, f *Flight) Decision {
+func (k *Kernel) limit(now time.Time, f *ActiveRequest) Decision {
 	if f.Account == nil {
 		return k.start(now, f)
 	}
@@ -104,15 +104,15 @@
 }
 
 // ruled goes on with a request that is within its limit, has a pool asked, or refuses it.
-func (k *Kernel) ruled(now time.Time, f *Flight, r ratelimit.Ruling) Decision {
+func (k *Kernel) ruled(now time.Time, f *ActiveRequest, r ratelimit.Ruling) Decision {
 	switch r.Verdict {
 	case ratelimit.Admitted:
 		return k.start(now, f)
 	case ratelimit.AskPool:
 		f.asked = r
-		return Decision{Pool: r.Pool}
+		return Decision{QuotaPool: r.Pool}
 	}
-	d := Decision{Reason: ReasonRateLimit, NotRun: true, ComeBack: k.returnAfter(r.Wait), Elsewhere: r.Elsewhere}
+	d := Decision{Reason: ReasonRateLimit, NotRun: true, RetryAfter: k.returnAfter(r.Wait), TryOtherProxy: r.Elsewhere}
 	return k.finish(now, f, d)
 }
 
@@ -123,79 +123,79 @@
 	return min(comeBackMost, wait+time.Duration(k.random.Int64N(int64(wait))))
 }
 
-// Token takes in the pool's answer for a request that it was asked about, if there was
+// ApplyPoolToken takes in the pool's answer for a request that it was asked about, if there was
 // one, and decides what follows.
-func (k *Kernel) Token(now time.Time, f *Flight, t ratelimit.Token, answered bool) Decision {
+func (k *Kernel) ApplyPoolToken(now time.Time, f *ActiveRequest, t ratelimit.Token, answered bool) Decision {
 	d := k.ruled(now, f, k.limits.holder.Asked(now, f.Account.Name, f.asked, t, answered))
 	if k.config.Record != nil {
 		v := verdictOf(d)
-		k.config.Record(Call{Do: callToken, At: now, Flight: f.number, Token: &t, On: answered, Decision: &v})
+		k.config.Record(Call{Method: callToken, At: now, RequestNumber: f.number, Token: &t, Flag: answered, Decision: &v})
 	}
 	return d
 }
 
-// TakeToken answers a proxy that asks the pool here for one request of an account.
-func (k *Kernel) TakeToken(now time.Time, account string) ratelimit.Token {
-	k.record(Call{Do: callTakeToken, At: now, ID: account})
+// TakePoolToken answers a proxy that asks the pool here for one request of an account.
+func (k *Kernel) TakePoolToken(now time.Time, account string) ratelimit.Token {
+	k.record(Call{Method: callTakeToken, At: now, ID: account})
 	return k.limits.pool.Take(now, account)
 }
 
-// HasLimits reports whether any account of the configuration in force has a limit.
-func (k *Kernel) HasLimits() bool {
+// HasRateLimits reports whether any account of the configuration in force has a limit.
+func (k *Kernel) HasRateLimits() bool {
 	return k.table != nil && k.table.Accounts.Limited()
 }
 
-// LimitReport tells what this proxy's pool must hear now, and who that is; best is the
+// QuotaReport tells what this proxy's pool must hear now, and who that is; best is the
 // proxy that should be the pool, others are pools of other regions.
-func (k *Kernel) LimitReport(now time.Time, best string, others []string) (string, ratelimit.Report) {
-	k.record(Call{Do: callReport, At: now, ID: best, IDs: others})
+func (k *Kernel) QuotaReport(now time.Time, best string, others []string) (string, ratelimit.Report) {
+	k.record(Call{Method: callReport, At: now, ID: best, IDs: others})
 	return k.limits.holder.Report(now, best, others)
 }
 
-// HearReport answers a proxy whose pool this is.
-func (k *Kernel) HearReport(now time.Time, r ratelimit.Report) ratelimit.Grants {
-	k.record(Call{Do: callHearReport, At: now, Report: &r})
+// HandleQuotaReport answers a proxy whose pool this is.
+func (k *Kernel) HandleQuotaReport(now time.Time, r ratelimit.Report) ratelimit.Grants {
+	k.record(Call{Method: callHearReport, At: now, Report: &r})
 	return k.limits.pool.Hear(now, r)
 }
 
-// HearGrants takes in the pool's answer to a report made at a moment, and tells whether
+// ApplyQuotaGrants takes in the pool's answer to a report made at a moment, and tells whether
 // the next one should follow at once.
-func (k *Kernel) HearGrants(now, asked time.Time, pool string, g ratelimit.Grants) bool {
-	k.record(Call{Do: callHearGrants, At: now, Asked: asked, ID: pool, Grants: &g})
+func (k *Kernel) ApplyQuotaGrants(now, asked time.Time, pool string, g ratelimit.Grants) bool {
+	k.record(Call{Method: callHearGrants, At: now, ReportedAt: asked, ID: pool, Grants: &g})
 	return k.limits.holder.Granted(now, asked, pool, g)
 }
 
-// ReportUnanswered notes that the pool did not answer a report.
-func (k *Kernel) ReportUnanswered(now time.Time, pool string) {
-	k.record(Call{Do: callUnanswered, At: now, ID: pool})
+// QuotaReportUnanswered notes that the pool did not answer a report.
+func (k *Kernel) QuotaReportUnanswered(now time.Time, pool string) {
+	k.record(Call{Method: callUnanswered, At: now, ID: pool})
 	k.limits.holder.Unanswered(now, pool)
 }
 
-// Borrow tells what other regions' pools should lend to the one here; nothing if there
+// BorrowQuota tells what other regions' pools should lend to the one here; nothing if there
 // is none here, or it has enough.
-func (k *Kernel) Borrow(now time.Time, lenders []string) []ratelimit.Loan {
-	k.record(Call{Do: callBorrow, At: now, IDs: lenders})
+func (k *Kernel) BorrowQuota(now time.Time, lenders []string) []ratelimit.Loan {
+	k.record(Call{Method: callBorrow, At: now, IDs: lenders})
 	return k.limits.pool.Borrow(now, k.config.Name+poolSuffix, lenders)
 }
 
-// HearLoan takes in what another region's pool lends, as asked for at a moment.
-func (k *Kernel) HearLoan(now, asked time.Time, lender string, g ratelimit.Grants) {
-	k.record(Call{Do: callHearLoan, At: now, Asked: asked, ID: lender, Grants: &g})
+// ApplyQuotaLoan takes in what another region's pool lends, as asked for at a moment.
+func (k *Kernel) ApplyQuotaLoan(now, asked time.Time, lender string, g ratelimit.Grants) {
+	k.record(Call{Method: callHearLoan, At: now, ReportedAt: asked, ID: lender, Grants: &g})
 	k.limits.pool.Lent(now, asked, lender, g)
 }
 
-// SetFleet tells among how many proxies limits are divided at least, as all are told.
-func (k *Kernel) SetFleet(n int) {
-	k.record(Call{Do: callFleet, Count: n})
+// SetFleetSize tells among how many proxies limits are divided at least, as all are told.
+func (k *Kernel) SetFleetSize(n int) {
+	k.record(Call{Method: callFleet, Count: n})
 	k.limits.fleet = n
 	k.limits.divide()
 }
 
-// Holders is among how many proxies limits are divided as this one knows them.
-func (k *Kernel) Holders() int { return len(k.sharers) }
+// KnownHolders is among how many proxies limits are divided as this one knows them.
+func (k *Kernel) KnownHolders() int { return len(k.sharers) }
 
-// FirstOfFleet reports whether this proxy sees to what one of all must do.
-func (k *Kernel) FirstOfFleet() bool {
+// IsLeader reports whether this proxy sees to what one of all must do.
+func (k *Kernel) IsLeader() bool {
 	for _, p := range k.proxies {
 		if !p.Leaving {
 			return p.Name == k.config.Name
@@ -204,10 +204,10 @@
 	return false
 }
 
-// Resumed notes that this process did not run for a while, or that clocks say so: what
+// HandleResume notes that this process did not run for a while, or that clocks say so: what
 // others gave it for a time may have ended.
-func (k *Kernel) Resumed(now time.Time) {
-	k.record(Call{Do: callResumed, At: now})
+func (k *Kernel) HandleResume(now time.Time) {
+	k.record(Call{Method: callResumed, At: now})
 	k.limits.holder.Resume(now)
 	k.limits.pool.Reset(now)
 }
--- a/internal/kernel/steering/mechanism.go
+++ b/internal/kernel/steering/mechanism.go
@@ -10,39 +10,39 @@
 	// MechanismHomes keeps each object at few servers; without it all requests are
 	// taken for those of routes that are not sticky.
 	MechanismHomes Mechanism = "homes"
-	// MechanismRooms deals objects out over regions by the room there; without it
+	// MechanismRegionCapacity deals objects out over regions by the room there; without it
 	// each region keeps its own.
-	MechanismRooms Mechanism = "rooms"
+	MechanismRegionCapacity Mechanism = "rooms"
 	// MechanismFailover moves objects of lost servers to regions with room.
 	MechanismFailover Mechanism = "failover"
-	// MechanismStranded counts callers of regions without proxies elsewhere.
-	MechanismStranded Mechanism = "stranded-regions"
-	// MechanismShed refuses a share of the requests where queues are long.
-	MechanismShed Mechanism = "refusals-by-queues"
-	// MechanismInfer infers the queues of servers that do not tell their load.
-	MechanismInfer Mechanism = "inferred-queues"
-	// MechanismOutliers passes servers over that fail or refuse several in a row.
-	MechanismOutliers Mechanism = "outlier-verdicts"
-	// MechanismSpeed reckons with how slow each server is.
-	MechanismSpeed Mechanism = "server-speed"
-	// MechanismShareConnections has each proxy keep to its part of the connections.
-	MechanismShareConnections Mechanism = "shared-connections"
-	// MechanismUnseen reckons with requests of others on routes without objects.
-	MechanismUnseen Mechanism = "unseen-requests"
-	// MechanismRepeats sends a request again to another server.
-	MechanismRepeats Mechanism = "repeats"
+	// MechanismStrandedRegions counts callers of regions without proxies elsewhere.
+	MechanismStrandedRegions Mechanism = "stranded-regions"
+	// MechanismLoadShedding refuses a share of the requests where queues are long.
+	MechanismLoadShedding Mechanism = "refusals-by-queues"
+	// MechanismQueueInference infers the queues of servers that do not tell their load.
+	MechanismQueueInference Mechanism = "inferred-queues"
+	// MechanismOutlierDetection passes servers over that fail or refuse several in a row.
+	MechanismOutlierDetection Mechanism = "outlier-verdicts"
+	// MechanismServerSpeed reckons with how slow each server is.
+	MechanismServerSpeed Mechanism = "server-speed"
+	// MechanismSharedConnections has each proxy keep to its part of the connections.
+	MechanismSharedConnections Mechanism = "shared-connections"
+	// MechanismUnseenRequests reckons with requests of others on routes without objects.
+	MechanismUnseenRequests Mechanism = "unseen-requests"
+	// MechanismRetries sends a request again to another server.
+	MechanismRetries Mechanism = "repeats"
 	// MechanismReplicas spreads objects that are asked for often over several servers.
 	MechanismReplicas Mechanism = "replicas"
-	// MechanismHold holds requests back before servers that slow down when full.
-	MechanismHold Mechanism = "hold-back"
+	// MechanismConcurrencyLimit holds requests back before servers that slow down when full.
+	MechanismConcurrencyLimit Mechanism = "hold-back"
 	// MechanismQuarantine keeps requests that end servers away from them.
 	MechanismQuarantine Mechanism = "quarantine"
 )
 
 var (
 	mechanisms = []Mechanism{
-		MechanismHomes, MechanismRooms, MechanismFailover, MechanismStranded, MechanismShed, MechanismInfer,
-		MechanismOutliers, MechanismSpeed, MechanismShareConnections, MechanismUnseen, MechanismRepeats, MechanismReplicas, MechanismHold,
+		MechanismHomes, MechanismRegionCapacity, MechanismFailover, MechanismStrandedRegions, MechanismLoadShedding, MechanismQueueInference,
+		MechanismOutlierDetection, MechanismServerSpeed, MechanismSharedConnections, MechanismUnseenRequests, MechanismRetries, MechanismReplicas, MechanismConcurrencyLimit,
 		MechanismQuarantine,
 	}
 )
--- a/internal/kernel/steering/mechanism_test.go
+++ b/internal/kernel/steering/mechanism_test.go
@@ -33,20 +33,20 @@
 		Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 1, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}},
 	}}, nil, routing.Limits{}))
 	for id, domain := range map[string]string{"n": "north-a", "s": "south-a"} {
-		k.SetServer(now, routing.Server{ID: id, Service: "service", Domain: domain, Slots: 100})
+		k.RegisterServer(now, routing.Server{ID: id, Service: "service", Domain: domain, Slots: 100})
 	}
 	parts := func(inFlight int) float64 {
 		south := 0
-		var flights []*Flight
+		var flights []*ActiveRequest
 		for range inFlight {
-			f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o"})
+			f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o"})
 			if d.Server != nil && d.Server.ID == "s" {
 				south++
 			}
 			flights = append(flights, f)
 		}
 		for _, f := range flights {
-			k.Ended(now, f, Attempt{Result: Answered})
+			k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
 		}
 		return float64(south) / float64(inFlight)
 	}
--- a/internal/kernel/steering/near.go
+++ b/internal/kernel/steering/near.go
@@ -8,7 +8,7 @@
 // chooseNear picks among the servers that know the request's object, and reports whether
 // no other can be better: each of the hundreds of others would run it cold, and is charged
 // for that.
-func (k *Kernel) chooseNear(now time.Time, f *Flight, g *service, homes []string) (pick, bool) {
+func (k *Kernel) chooseNear(now time.Time, f *ActiveRequest, g *service, homes []string) (pick, bool) {
 	if len(homes) == 0 || !k.placer.keepsHomes || k.weighed != nil {
 		return pick{}, false
 	}
--- a/internal/kernel/steering/placer.go
+++ b/internal/kernel/steering/placer.go
@@ -21,7 +21,7 @@
 	// All but the default are there to be measured against.
 	placer struct {
 		name string
-		cost func(k *Kernel, f *Flight, p pick) time.Duration
+		cost func(k *Kernel, f *ActiveRequest, p pick) time.Duration
 		// sheds is set if requests are refused where queues are too long, keepsHomes if
 		// servers away from an object's homes are charged for running it cold.
 		sheds      bool
@@ -32,15 +32,15 @@
 func init() {
 	registerPlacer(placer{
 		name: DefaultPlacer, sheds: true, keepsHomes: true,
-		cost: func(_ *Kernel, _ *Flight, p pick) time.Duration { return p.cost },
+		cost: func(_ *Kernel, _ *ActiveRequest, p pick) time.Duration { return p.cost },
 	})
-	registerPlacer(placer{name: "least-in-flight", cost: func(_ *Kernel, _ *Flight, p pick) time.Duration {
+	registerPlacer(placer{name: "least-in-flight", cost: func(_ *Kernel, _ *ActiveRequest, p pick) time.Duration {
 		return time.Duration(p.server.inFlight)*time.Second + p.server.domain.roundTrip
 	}})
-	registerPlacer(placer{name: "round-robin", cost: func(_ *Kernel, _ *Flight, p pick) time.Duration {
+	registerPlacer(placer{name: "round-robin", cost: func(_ *Kernel, _ *ActiveRequest, p pick) time.Duration {
 		return time.Duration(p.server.turns)
 	}})
-	registerPlacer(placer{name: "rendezvous", cost: func(_ *Kernel, f *Flight, p pick) time.Duration {
+	registerPlacer(placer{name: "rendezvous", cost: func(_ *Kernel, f *ActiveRequest, p pick) time.Duration {
 		hash := fnv.New32a()
 		_, _ = hash.Write([]byte(p.server.id + "/" + f.Object))
 		return time.Duration(hash.Sum32())
--- a/internal/kernel/steering/quarantine.go
+++ b/internal/kernel/steering/quarantine.go
@@ -8,21 +8,21 @@
 )
 
 type (
-	// Condemnation is work that is refused.
-	Condemnation struct {
+	// BlockedWork is work that is refused.
+	BlockedWork struct {
 		quarantine.Report
 		// Rank is this proxy's place among those that see to it: the first ones keep it
 		// in the platform's store, and try it again first.
 		Rank int
-		// For is how much longer it is refused here.
-		For time.Duration
+		// BlockedFor is how much longer it is refused here.
+		BlockedFor time.Duration
 	}
 )
 
 // rule says whether the request's work may run now; a reason is given if not. Work that
 // has been there at the ends of servers runs once at a time, and not again by ourselves:
 // each run may cost one more server and all that it has.
-func (k *Kernel) rule(now time.Time, f *Flight) Reason {
+func (k *Kernel) rule(now time.Time, f *ActiveRequest) Reason {
 	f.suspected = false
 	if f.Work.None() || !k.on(MechanismQuarantine) {
 		return ReasonNone
@@ -32,9 +32,9 @@
 	switch {
 	case ruling == quarantine.Condemned:
 		f.away = min(left, quarantine.AwayMost)
-		return ReasonEndsServers
+		return ReasonCrashesServers
 	case ruling == quarantine.Busy, ruling == quarantine.Suspected && f.breaks > 0:
-		return ReasonSuspected
+		return ReasonMayCrashServers
 	}
 	return ReasonNone
 }
@@ -51,7 +51,7 @@
 
 // chooseIdle picks the server with the least to lose for suspected work: of those that
 // may take it, the one that runs the fewest, near ones first.
-func (k *Kernel) chooseIdle(now time.Time, f *Flight, g *service) (*server, pick) {
+func (k *Kernel) chooseIdle(now time.Time, f *ActiveRequest, g *service) (*server, pick) {
 	best := pick{reason: ReasonNoServer}
 	f.work = g.workOn(f.Route)
 	least := 0.0
@@ -82,39 +82,39 @@
 
 // learnEnd takes in what an attempt tells of whether its server has ended, and what of
 // the request's work.
-func (k *Kernel) learnEnd(now time.Time, f *Flight, s *server, a Attempt) {
+func (k *Kernel) learnEnd(now time.Time, f *ActiveRequest, s *server, a Attempt) {
 	q := k.quarantine
 	q.Stopped(f.Work)
 	switch a.Result {
-	case Answered, Failed, Refused:
+	case ResultAnswered, ResultServerError, ResultRefused:
 		q.Answered(s.start, f.sentAt)
-		if a.Result == Answered && !a.Rejected {
+		if a.Result == ResultAnswered && !a.Rejected {
 			// A server that fails or rejects a request may not have come to what
 			// ends it.
 			q.RanWell(now, f.Work)
 		}
-	case Broken:
+	case ResultConnectionLost:
 		f.breaks++
 		if s.takesRequests() && s.absentUntil.IsZero() {
 			// A server that leaves as planned may cut what it still has.
 			q.Broke(now, f.Work, s.start)
 		}
-	case Mistaken:
+	case ResultWrongServer:
 		q.HasEnded(now, s.start)
-	case Unreachable:
+	case ResultUnreachable:
 		if a.Refusing {
 			q.HasEnded(now, s.start)
 		}
 	}
 }
 
-// Doubted lists the servers of which it must be found out whether they have ended.
-func (k *Kernel) Doubted() []routing.Server {
+// ServersToProbe lists the servers of which it must be found out whether they have ended.
+func (k *Kernel) ServersToProbe() []routing.Server {
 	doubtful := k.quarantine.Doubtful()
 	if len(doubtful) == 0 {
 		return nil
 	}
-	k.record(Call{Do: callDoubted})
+	k.record(Call{Method: callDoubted})
 	wanted := make(map[quarantine.Server]bool, len(doubtful))
 	for _, s := range doubtful {
 		wanted[s] = true
@@ -128,50 +128,50 @@
 	return list
 }
 
-// Refusing notes that nothing listens where a server was.
-func (k *Kernel) Refusing(now time.Time, id string) {
-	k.record(Call{Do: callRefusing, At: now, ID: id})
+// RecordConnectionRefused notes that nothing listens where a server was.
+func (k *Kernel) RecordConnectionRefused(now time.Time, id string) {
+	k.record(Call{Method: callRefusing, At: now, ID: id})
 	if s := k.servers[id]; s != nil {
 		k.quarantine.HasEnded(now, s.start)
 		s.hasFailed(now, true)
 	}
 }
 
-// Suspicions lists what peers should hear of work that ends servers; all of it for one
+// QuarantineReports lists what peers should hear of work that ends servers; all of it for one
 // that knows nothing yet.
-func (k *Kernel) Suspicions(now time.Time, all bool) []quarantine.Report {
+func (k *Kernel) QuarantineReports(now time.Time, all bool) []quarantine.Report {
 	return k.quarantine.Reports(now, all)
 }
 
-// Condemned lists the work that is refused.
-func (k *Kernel) Condemned(now time.Time) []Condemnation {
-	var list []Condemnation
+// BlockedWork lists the work that is refused.
+func (k *Kernel) BlockedWork(now time.Time) []BlockedWork {
+	var list []BlockedWork
 	for _, r := range k.quarantine.Condemnations(now) {
 		_, left := k.quarantine.Rule(now, r.Work)
-		list = append(list, Condemnation{Report: r, Rank: k.trialRank(r.Work), For: left})
+		list = append(list, BlockedWork{Report: r, Rank: k.trialRank(r.Work), BlockedFor: left})
 	}
 	return list
 }
 
-// HearSuspicions takes in what a peer knows.
-func (k *Kernel) HearSuspicions(now time.Time, list []quarantine.Report) {
+// ApplyQuarantineReports takes in what a peer knows.
+func (k *Kernel) ApplyQuarantineReports(now time.Time, list []quarantine.Report) {
 	if len(list) == 0 {
 		return
 	}
-	k.record(Call{Do: callSuspicions, At: now, Suspicions: list})
+	k.record(Call{Method: callSuspicions, At: now, QuarantineReports: list})
 	k.quarantine.Hear(now, list)
 }
 
-// Stirred reports whether there is anything about work that ends servers to find out or
+// QuarantinePending reports whether there is anything about work that ends servers to find out or
 // to tell at once.
-func (k *Kernel) Stirred() bool { return k.quarantine.Stirred() }
+func (k *Kernel) QuarantinePending() bool { return k.quarantine.Stirred() }
 
-// SuspicionsUrgent reports, once, whether peers should hear of suspicions at once.
-func (k *Kernel) SuspicionsUrgent() bool { return k.quarantine.Urgent() }
+// QuarantineReportsUrgent reports, once, whether peers should hear of suspicions at once.
+func (k *Kernel) QuarantineReportsUrgent() bool { return k.quarantine.Urgent() }
 
 // observeWork tells of what has become of a work or of a server that had some.
 func (k *Kernel) observeWork(n quarantine.Notice) {
-	e := Event{Kind: Kind(n.Change), Work: n.Work, Ends: n.Ends, Works: n.Works}
+	e := Event{Kind: EventKind(n.Change), Work: n.Work, Crashes: n.Ends, RunningWork: n.Works}
 	for _, s := range k.servers {
 		if n.Change == quarantine.ChangeEnded && s.start == n.Server {
 			e.Server, e.Service = s.id, s.Service
--- a/internal/kernel/steering/quarantine_test.go
+++ b/internal/kernel/steering/quarantine_test.go
@@ -24,13 +24,13 @@
 	}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 	for _, id := range []string{"s1", "s2", "s3", "s4", "s5", "s6"} {
-		k.SetServer(now, routing.Server{ID: id, Service: "service", Domain: "north-a", Slots: 4, Started: now})
+		k.RegisterServer(now, routing.Server{ID: id, Service: "service", Domain: "north-a", Slots: 4, Started: now})
 	}
 	return k
 }
 
-func beginDeadly(k *Kernel, now time.Time) (*Flight, Decision) {
-	return k.Begin(now, Request{ID: "r", Host: "host", Path: "/a/deadly", Object: "o", Work: deadlyWork, Deadline: now.Add(4 * time.Second)})
+func beginDeadly(k *Kernel, now time.Time) (*ActiveRequest, Decision) {
+	return k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/deadly", Object: "o", Work: deadlyWork, Deadline: now.Add(4 * time.Second)})
 }
 
 // runDeadly sends the work once and has the server end under it.
@@ -41,8 +41,8 @@
 		t.Fatalf("not sent: %+v", d)
 	}
 	id := d.Server.ID
-	d = k.Ended(now, f, Attempt{Result: Broken})
-	k.Refusing(now, id)
+	d = k.EndAttempt(now, f, Attempt{Result: ResultConnectionLost})
+	k.RecordConnectionRefused(now, id)
 	k.RemoveServer(now, id)
 	return d
 }
@@ -53,11 +53,11 @@
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, true)
 	f, _ := beginDeadly(k, now)
-	d := k.Ended(now, f, Attempt{Result: Broken})
+	d := k.EndAttempt(now, f, Attempt{Result: ResultConnectionLost})
 	if d.Server == nil {
 		t.Fatalf("after one break: %+v, want it sent again", d)
 	}
-	if d = k.Ended(now, f, Attempt{Result: Broken}); d.Server != nil || d.NotRun {
+	if d = k.EndAttempt(now, f, Attempt{Result: ResultConnectionLost}); d.Server != nil || d.NotRun {
 		t.Errorf("after two breaks: %+v, want it ended as one that may have run", d)
 	}
 }
@@ -73,10 +73,10 @@
 	if d.Server == nil {
 		t.Fatalf("third run: %+v, want it sent", d)
 	}
-	if _, d := beginDeadly(k, now); d.Server != nil || !d.NotRun || d.Reason != ReasonSuspected || d.ComeBack <= 0 || d.ComeBack > comeBackMost {
+	if _, d := beginDeadly(k, now); d.Server != nil || !d.NotRun || d.Reason != ReasonMayCrashServers || d.RetryAfter <= 0 || d.RetryAfter > comeBackMost {
 		t.Errorf("beside it: %+v, want it refused for a moment", d)
 	}
-	if d := k.Ended(now, f, Attempt{Result: Answered}); !d.Answer {
+	if d := k.EndAttempt(now, f, Attempt{Result: ResultAnswered}); !d.ReturnResponse {
 		t.Errorf("answered: %+v, want the answer passed on", d)
 	}
 	if _, d := beginDeadly(k, now); d.Server == nil {
@@ -99,17 +99,17 @@
 		}
 	}
 	_, d := beginDeadly(k, now)
-	if !d.NotRun || d.Reason != ReasonEndsServers || d.ComeBack != 2*time.Second {
+	if !d.NotRun || d.Reason != ReasonCrashesServers || d.RetryAfter != 2*time.Second {
 		t.Errorf("condemned: %+v, want it refused for 2s", d)
 	}
 	now = now.Add(5 * time.Second)
 	runDeadly(t, k, now)
 	_, d = beginDeadly(k, now)
-	if !d.NotRun || d.Reason != ReasonEndsServers || d.ComeBack != quarantine.AwayMost {
+	if !d.NotRun || d.Reason != ReasonCrashesServers || d.RetryAfter != quarantine.AwayMost {
 		t.Errorf("condemned after a trial: %+v, want it refused for %s", d, quarantine.AwayMost)
 	}
 	other := Request{ID: "r2", Host: "host", Path: "/a/sound", Object: "o", Work: quarantine.WorkOf("GET", "host", "/a/sound", "", nil), Deadline: now.Add(time.Second)}
-	if _, d := k.Begin(now, other); d.Server == nil {
+	if _, d := k.BeginRequest(now, other); d.Server == nil {
 		t.Errorf("other work for the same object: %+v, want it sent", d)
 	}
 }
@@ -119,7 +119,7 @@
 func TestBreaksWithoutAnEndCondemnNothing(t *testing.T) {
 	for name, between := range map[string]func(k *Kernel, now time.Time, id string){
 		"planned stop": func(k *Kernel, now time.Time, id string) {
-			k.SetServer(now, routing.Server{ID: id, Service: "service", Domain: "north-a", Slots: 4, Draining: true, Started: time.Unix(1_000_000, 0)})
+			k.RegisterServer(now, routing.Server{ID: id, Service: "service", Domain: "north-a", Slots: 4, Draining: true, Started: time.Unix(1_000_000, 0)})
 		},
 		"reset connection": func(*Kernel, time.Time, string) {},
 	} {
@@ -132,13 +132,13 @@
 			}
 			id := d.Server.ID
 			between(k, now, id)
-			k.Ended(now, f, Attempt{Result: Broken})
+			k.EndAttempt(now, f, Attempt{Result: ResultConnectionLost})
 			now = now.Add(time.Second)
 			if name == "planned stop" {
 				k.RemoveServer(now, id)
 			}
 		}
-		if _, d := beginDeadly(k, now); d.Reason == ReasonEndsServers {
+		if _, d := beginDeadly(k, now); d.Reason == ReasonCrashesServers {
 			t.Errorf("%s: got the work condemned", name)
 		}
 	}
@@ -155,12 +155,12 @@
 			t.Fatalf("refused too soon: %+v", d)
 		}
 		again := d.Server.Server
-		k.Ended(now, f, Attempt{Result: Broken})
+		k.EndAttempt(now, f, Attempt{Result: ResultConnectionLost})
 		now = now.Add(time.Second)
 		again.Started = now
-		k.SetServer(now, again)
+		k.RegisterServer(now, again)
 	}
-	if _, d := beginDeadly(k, now); d.Reason != ReasonEndsServers {
+	if _, d := beginDeadly(k, now); d.Reason != ReasonCrashesServers {
 		t.Errorf("after three starts anew: %+v, want the work condemned", d)
 	}
 }
@@ -170,9 +170,9 @@
 // before must go on counting.
 func TestFailureIsNoGoodRun(t *testing.T) {
 	for name, answer := range map[string]Attempt{
-		"failed":   {Result: Failed, Rejected: true},
-		"rejected": {Result: Answered, Rejected: true},
-		"refused":  {Result: Refused},
+		"failed":   {Result: ResultServerError, Rejected: true},
+		"rejected": {Result: ResultAnswered, Rejected: true},
+		"refused":  {Result: ResultRefused},
 	} {
 		now := time.Unix(1_000_000, 0)
 		k := quarantineKernel(now, false)
@@ -182,12 +182,12 @@
 				t.Fatalf("%s: refused too soon: %+v", name, d)
 			}
 			for d.Server != nil {
-				d = k.Ended(now, f, answer)
+				d = k.EndAttempt(now, f, answer)
 			}
 			now = now.Add(100 * time.Millisecond)
 			runDeadly(t, k, now)
 		}
-		if _, d := beginDeadly(k, now); d.Reason != ReasonEndsServers {
+		if _, d := beginDeadly(k, now); d.Reason != ReasonCrashesServers {
 			t.Errorf("%s: %+v, want the work condemned", name, d)
 		}
 	}
--- a/internal/kernel/steering/refusals_test.go
+++ b/internal/kernel/steering/refusals_test.go
@@ -17,27 +17,27 @@
 	k := fleet[0]
 	k.RemoveServer(now, "cold")
 	for _, id := range []string{"a", "b"} {
-		k.SetServer(now, routing.Server{ID: id, Service: "service", Domain: "north-a", Slots: 4})
+		k.RegisterServer(now, routing.Server{ID: id, Service: "service", Domain: "north-a", Slots: 4})
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	home := ""
 	for range 500 {
 		now = now.Add(20 * time.Millisecond)
-		f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
+		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
 		if d.Server != nil && home == "" {
 			home = d.Server.ID
 		}
 		for d.Server != nil {
-			a := Attempt{Result: Answered, Loaded: loaded}
+			a := Attempt{Result: ResultAnswered, Loaded: loaded}
 			if d.Server.ID == home {
 				atHome++
 				if random.Float64() < share {
-					a.Result = Refused
+					a.Result = ResultRefused
 				}
 			}
-			d = k.Ended(now, f, a)
+			d = k.EndAttempt(now, f, a)
 		}
-		if !d.Answer {
+		if !d.ReturnResponse {
 			refused++
 		}
 	}
--- a/internal/kernel/steering/regions.go
+++ b/internal/kernel/steering/regions.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	// RegionsMost is how many regions there may be.
-	RegionsMost = 63
+	// MaxRegions is how many regions there may be.
+	MaxRegions = 63
 	// unknownRegion stands for all that are not known: what names no region may run there
 	// too.
-	unknownRegion regionSet = 1 << RegionsMost
+	unknownRegion regionSet = 1 << MaxRegions
 	everywhere    regionSet = 1<<64 - 1
 )
 
--- a/internal/kernel/steering/replay.go
+++ b/internal/kernel/steering/replay.go
@@ -24,19 +24,19 @@
 )
 
 type (
-	// Replay is what became of a recording when a new kernel was given its calls.
-	Replay struct {
+	// ReplayResult is what became of a recording when a new kernel was given its calls.
+	ReplayResult struct {
 		Calls     int
 		Decisions int
-		// CutShort is set if the recording ends within a call, as that of a
+		// Truncated is set if the recording ends within a call, as that of a
 		// process that was killed does.
-		CutShort bool
-		// Differing counts the decisions that are others now, Differences tells
+		Truncated bool
+		// DifferenceCount counts the decisions that are others now, Differences tells
 		// of the first.
-		Differing   int
-		Differences []Difference
-		// Weighed are the servers that were weighed for the request asked about.
-		Weighed []Weighed
+		DifferenceCount int
+		Differences     []Difference
+		// Candidates are the servers that were weighed for the request asked about.
+		Candidates []Candidate
 	}
 
 	// Difference is a decision that was recorded and is another one now.
@@ -44,22 +44,22 @@
 		Call     int
 		At       time.Time
 		Request  string
-		Recorded Verdict
-		Now      Verdict
+		Recorded RecordedDecision
+		Now      RecordedDecision
 	}
 
-	// Weighed is one server as a choice saw it.
-	Weighed struct {
+	// Candidate is one server as a choice saw it.
+	Candidate struct {
 		At      time.Time
 		Attempt int
 		Server  string
 		// Usable is false for one that is out, leaves or waits for a probe.
 		Usable   bool
 		Cold     bool
-		Home     int
+		HomeRank int
 		Warm     bool
 		Load     float64
-		Speed    float64
+		Slowdown float64
 		Expected time.Duration
 		Cost     time.Duration
 		Chosen   bool
@@ -67,16 +67,16 @@
 
 	replayer struct {
 		kernel  *Kernel
-		flights map[uint64]*Flight
+		flights map[uint64]*ActiveRequest
 		about   string
-		result  Replay
+		result  ReplayResult
 	}
 )
 
 // ReplayCalls gives the calls of a recording, JSON values one after the other, to
 // a new kernel and compares its decisions with those recorded. For the request
 // named, if any, it tells how each server was weighed.
-func ReplayCalls(recording io.Reader, about string) (Replay, error) {
+func ReplayCalls(recording io.Reader, about string) (ReplayResult, error) {
 	r := &replayer{about: about}
 	for decoder := json.NewDecoder(recording); ; {
 		var c Call
@@ -85,89 +85,89 @@
 		case errors.Is(err, io.EOF):
 			return r.result, nil
 		case errors.Is(err, io.ErrUnexpectedEOF):
-			r.result.CutShort = true
+			r.result.Truncated = true
 			return r.result, nil
 		case err != nil:
 			return r.result, errors.Wrapf(err, "call %d", r.result.Calls+1)
 		}
 		r.result.Calls++
 		if err := r.call(c); err != nil {
-			return r.result, errors.Wrapf(err, "call %d, %s", r.result.Calls, c.Do)
+			return r.result, errors.Wrapf(err, "call %d, %s", r.result.Calls, c.Method)
 		}
 	}
 }
 
 func (r *replayer) call(c Call) error {
-	if c.Do == callStart && c.Config != nil {
+	if c.Method == callStart && c.Config != nil {
 		// Each start of the process is a kernel of its own.
-		r.kernel, r.flights = New(*c.Config), make(map[uint64]*Flight)
+		r.kernel, r.flights = New(*c.Config), make(map[uint64]*ActiveRequest)
 		return nil
 	}
 	if r.kernel == nil {
 		return errNoStart
 	}
 	k := r.kernel
-	switch c.Do {
+	switch c.Method {
 	case callBounds:
 		k.SetBounds(*c.Bounds)
 	case callTable:
 		k.SetTable(tableOf(c))
 	case callServer:
-		k.SetServer(c.At, *c.Server)
+		k.RegisterServer(c.At, *c.Server)
 	case callRemove:
 		k.RemoveServer(c.At, c.ID)
 	case callUnreadable:
-		k.ServerUnreadable(c.ID)
+		k.MarkServerUnreadable(c.ID)
 	case callAbsent:
-		k.ServerAbsent(c.ID, c.Until)
+		k.MarkServerAbsent(c.ID, c.Until)
 	case callTick:
 		k.Tick(c.At)
 	case callMeasured:
-		k.Measured(c.Domain, c.Took)
+		k.RecordRoundTrip(c.Domain, c.RoundTrip)
 	case callEvacuated:
-		k.SetEvacuated(c.At, c.Domain, c.On)
+		k.SetDomainEvacuated(c.At, c.Domain, c.Flag)
 	case callLeave:
-		k.Leave(c.Until)
+		k.BeginShutdown(c.Until)
 	case callProxies:
 		k.SetProxies(c.At, c.Proxies)
 	case callDoubtProxies:
-		k.DoubtProxies(c.Until)
+		k.IgnoreMissingProxiesUntil(c.Until)
 	case callDoubted:
-		k.Doubted()
+		k.ServersToProbe()
 	case callRefusing:
-		k.Refusing(c.At, c.ID)
+		k.RecordConnectionRefused(c.At, c.ID)
 	case callSuspicions:
-		k.HearSuspicions(c.At, c.Suspicions)
+		k.ApplyQuarantineReports(c.At, c.QuarantineReports)
 	case callSignals:
-		k.HearSignals(c.At, c.Signals)
+		k.ApplyBackpressureReports(c.At, c.BackpressureReports)
 	case callHolding:
-		k.SetHolding(c.At, c.Holding)
+		k.ApplyConcurrencyLimits(c.At, c.ServiceLimits)
 	case callReport:
-		k.LimitReport(c.At, c.ID, c.IDs)
+		k.QuotaReport(c.At, c.ID, c.IDs)
 	case callHearReport:
-		k.HearReport(c.At, *c.Report)
+		k.HandleQuotaReport(c.At, *c.Report)
 	case callHearGrants:
-		k.HearGrants(c.At, c.Asked, c.ID, *c.Grants)
+		k.ApplyQuotaGrants(c.At, c.ReportedAt, c.ID, *c.Grants)
 	case callUnanswered:
-		k.ReportUnanswered(c.At, c.ID)
+		k.QuotaReportUnanswered(c.At, c.ID)
 	case callTakeToken:
-		k.TakeToken(c.At, c.ID)
+		k.TakePoolToken(c.At, c.ID)
 	case callBorrow:
-		k.Borrow(c.At, c.IDs)
+		k.BorrowQuota(c.At, c.IDs)
 	case callHearLoan:
-		k.HearLoan(c.At, c.Asked, c.ID, *c.Grants)
+		k.ApplyQuotaLoan(c.At, c.ReportedAt, c.ID, *c.Grants)
 	case callFleet:
-		k.SetFleet(c.Count)
+		k.SetFleetSize(c.Count)
 	case callResumed:
-		k.Resumed(c.At)
+		k.HandleResume(c.At)
 	case callHearAsk:
-		k.HearAsk(c.At, *c.Ask)
+		k.HandleSlotRequest(c.At, *c.SlotRequest)
 	case callHearRelease:
-		k.HearRelease(c.At, *c.Release)
+		k.HandleSlotRelease(c.At, *c.SlotRelease)
 	case callBegin, callEnded, callAsked, callToken:
 		return r.request(c)
 	default:
-		return errors.Errorf("do: %q is no call", c.Do)
+		return errors.Errorf("do: %q is no call", c.Method)
 	}
 	return nil
 }
@@ -184,24 +184,24 @@
 
 // request replays a call that decides on a request.
 func (r *replayer) request(c Call) error {
-	var f *Flight
+	var f *ActiveRequest
 	var d Decision
-	if c.Do == callBegin {
+	if c.Method == callBegin {
 		r.watch(c, c.Request.ID, 1)
-		f, d = r.kernel.Begin(c.At, *c.Request)
-		r.flights[c.Flight] = f
+		f, d = r.kernel.BeginRequest(c.At, *c.Request)
+		r.flights[c.RequestNumber] = f
 	} else {
-		if f = r.flights[c.Flight]; f == nil {
+		if f = r.flights[c.RequestNumber]; f == nil {
 			return errNoFlight
 		}
 		r.watch(c, f.ID, (len(f.steps)+1)/2+1)
-		switch c.Do {
+		switch c.Method {
 		case callAsked:
-			d = r.kernel.Asked(c.At, f, *c.Reply, c.On)
+			d = r.kernel.HandleSlotReply(c.At, f, *c.SlotReply, c.Flag)
 		case callToken:
-			d = r.kernel.Token(c.At, f, *c.Token, c.On)
+			d = r.kernel.ApplyPoolToken(c.At, f, *c.Token, c.Flag)
 		default:
-			d = r.kernel.Ended(c.At, f, *c.Attempt)
+			d = r.kernel.EndAttempt(c.At, f, *c.Attempt)
 		}
 	}
 	r.compare(c, f, verdictOf(d))
@@ -212,18 +212,18 @@
 func (r *replayer) watch(c Call, id string, attempt int) {
 	r.kernel.weighed = nil
 	if r.about != "" && id == r.about {
-		r.kernel.weighed = func(w Weighed) {
+		r.kernel.weighed = func(w Candidate) {
 			w.At, w.Attempt = c.At, attempt
-			r.result.Weighed = append(r.result.Weighed, w)
+			r.result.Candidates = append(r.result.Candidates, w)
 		}
 	}
 }
 
-func (r *replayer) compare(c Call, f *Flight, now Verdict) {
+func (r *replayer) compare(c Call, f *ActiveRequest, now RecordedDecision) {
 	r.result.Decisions++
 	if now.Server != "" {
-		for i := range r.result.Weighed {
-			if w := &r.result.Weighed[i]; w.At.Equal(c.At) && w.Server == now.Server {
+		for i := range r.result.Candidates {
+			if w := &r.result.Candidates[i]; w.At.Equal(c.At) && w.Server == now.Server {
 				w.Chosen = true
 			}
 		}
@@ -231,7 +231,7 @@
 	if now == *c.Decision {
 		return
 	}
-	r.result.Differing++
+	r.result.DifferenceCount++
 	if len(r.result.Differences) < differencesMost {
 		r.result.Differences = append(r.result.Differences, Difference{
 			Call: r.result.Calls, At: c.At, Request: f.ID, Recorded: *c.Decision, Now: now,
@@ -242,7 +242,7 @@
 
 // follow puts a request at the server where it was recorded, so that what is
 // recorded of its attempt applies to the server that it was sent to.
-func (r *replayer) follow(f *Flight, id string) {
+func (r *replayer) follow(f *ActiveRequest, id string) {
 	if f.server != nil && f.server.id != id && f.server.inFlight > 0 {
 		f.server.inFlight--
 	}
--- a/internal/kernel/steering/replicas.go
+++ b/internal/kernel/steering/replicas.go
@@ -11,7 +11,7 @@
 // replicas stand in the home's region, so that the regions keep their parts of the
 // requests. Proxies may differ in how many there are: the first ones are the same for
 // all.
-func (k *Kernel) atReplica(f *Flight, g *service, homes []string) []string {
+func (k *Kernel) atReplica(f *ActiveRequest, g *service, homes []string) []string {
 	if len(homes) == 0 || !k.on(MechanismReplicas) {
 		return homes
 	}
@@ -49,7 +49,7 @@
 
 // replicasNeeded is how many servers the object of a request needs, its home
 // included. This proxy takes the others of its region to see as much as it does.
-func (k *Kernel) replicasNeeded(f *Flight, g *service, slots int) int {
+func (k *Kernel) replicasNeeded(f *ActiveRequest, g *service, slots int) int {
 	rate := g.demand.Least(f.began, f.Object) * float64(max(1, k.neighbours))
 	return placing.Replicas(rate, g.workOn(f.Route).typical(f.Route), slots)
 }
--- a/internal/kernel/steering/replicas_test.go
+++ b/internal/kernel/steering/replicas_test.go
@@ -20,9 +20,9 @@
 	k.SetProxies(now, proxies)
 	k.SetTable(stickyTable(time.Second))
 	for domain := range domains {
-		k.Measured(domain, 10*time.Millisecond)
+		k.RecordRoundTrip(domain, 10*time.Millisecond)
 		for i := range 8 {
-			k.SetServer(now, routing.Server{ID: fmt.Sprintf("%s-%d", domain, i), Service: "service", Domain: domain, Slots: 4})
+			k.RegisterServer(now, routing.Server{ID: fmt.Sprintf("%s-%d", domain, i), Service: "service", Domain: domain, Slots: 4})
 		}
 	}
 	return k
@@ -33,7 +33,7 @@
 func sendsTo(k *Kernel, now time.Time, object string, requests int) map[*server]int {
 	counts := make(map[*server]int)
 	for i := range requests {
-		f, d := k.Begin(now.Add(time.Duration(i)*10*time.Second/time.Duration(requests)), Request{ID: "r", Host: "host", Path: "/x", Object: object})
+		f, d := k.BeginRequest(now.Add(time.Duration(i)*10*time.Second/time.Duration(requests)), Request{ID: "r", Host: "host", Path: "/x", Object: object})
 		if d.Server != nil {
 			counts[f.server]++
 			f.server.inFlight--
@@ -72,7 +72,7 @@
 		t.Errorf("an object asked for twice a second goes to %d servers, want its home alone", len(rare))
 	}
 	for id := range two.servers {
-		if home := two.homes(&Flight{Request: Request{Object: "1"}, Route: two.table.Routes["route"], allowed: everywhere}, two.group("service"))[0]; id != home {
+		if home := two.homes(&ActiveRequest{Request: Request{Object: "1"}, Route: two.table.Routes["route"], allowed: everywhere}, two.group("service"))[0]; id != home {
 			two.servers[id].hasFailed(now.Add(10*time.Second), true)
 		}
 	}
--- a/internal/kernel/steering/request.go
+++ b/internal/kernel/steering/request.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	// Answered means that the server's whole answer has arrived.
-	Answered Result = iota + 1
-	// Failed means that the server's whole answer tells of its own failure.
-	Failed
-	// Refused means that the server says that it did not run the request.
-	Refused
-	// Mistaken means that another server has the address; nothing has run.
-	Mistaken
-	// Unreachable means that no byte of the request was sent.
-	Unreachable
-	// Broken means that the exchange broke after the first byte was sent.
-	Broken
-	// Late means that no answer came in time.
-	Late
-	// Left means that the caller has gone.
-	Left
-	// Withheld means that nothing was sent: the server asked for no more while a
+	// ResultAnswered means that the server's whole answer has arrived.
+	ResultAnswered Result = iota + 1
+	// ResultServerError means that the server's whole answer tells of its own failure.
+	ResultServerError
+	// ResultRefused means that the server says that it did not run the request.
+	ResultRefused
+	// ResultWrongServer means that another server has the address; nothing has run.
+	ResultWrongServer
+	// ResultUnreachable means that no byte of the request was sent.
+	ResultUnreachable
+	// ResultConnectionLost means that the exchange broke after the first byte was sent.
+	ResultConnectionLost
+	// ResultTimeout means that no answer came in time.
+	ResultTimeout
+	// ResultCallerGone means that the caller has gone.
+	ResultCallerGone
+	// ResultNotSent means that nothing was sent: the server asked for no more while a
 	// connection was opened.
-	Withheld
+	ResultNotSent
 )
 
 const (
-	// Done means that the caller gets a server's whole answer.
-	Done Outcome = iota + 1
-	// NotRun means that no server has run the request or will.
-	NotRun
-	// MayHaveRun means that nobody can say.
-	MayHaveRun
+	// OutcomeDone means that the caller gets a server's whole answer.
+	OutcomeDone Outcome = iota + 1
+	// OutcomeNotRun means that no server has run the request or will.
+	OutcomeNotRun
+	// OutcomeMayHaveRun means that nobody can say.
+	OutcomeMayHaveRun
 )
 
 const (
 	// ReasonNone goes with a good answer.
 	ReasonNone Reason = ""
-	// ReasonNoTable means that no configuration is known yet.
-	ReasonNoTable Reason = "no-configuration"
+	// ReasonNoConfiguration means that no configuration is known yet.
+	ReasonNoConfiguration Reason = "no-configuration"
 	// ReasonNoRoute means that no route matches.
 	ReasonNoRoute Reason = "no-route"
 	// ReasonNoAccount means that the request carries no key of an account.
@@ -56,30 +56,30 @@
 	ReasonNoRegion Reason = "no-region"
 	// ReasonNoServer means that no server may take the request now.
 	ReasonNoServer Reason = "no-server"
-	// ReasonWithheld means that all servers that might take the request have asked for no
+	// ReasonBackpressure means that all servers that might take the request have asked for no
 	// more of them now.
-	ReasonWithheld Reason = "withheld-by-servers"
+	ReasonBackpressure Reason = "withheld-by-servers"
 	// ReasonOverload means that no server would answer in time.
 	ReasonOverload Reason = "overload"
-	// ReasonQueues says that the queues are so long that answers come late.
-	ReasonQueues Reason = "queues-too-long"
+	// ReasonQueuesTooLong says that the queues are so long that answers come late.
+	ReasonQueuesTooLong Reason = "queues-too-long"
 	// ReasonRefused means that servers refused the request.
 	ReasonRefused Reason = "refused-by-server"
-	// ReasonBudget means that a repeat was not within the budget.
-	ReasonBudget Reason = "repeat-budget"
-	// ReasonBroken means that an exchange broke and may have run.
-	ReasonBroken Reason = "broken"
-	// ReasonSuspected means that the request's work may have ended servers and runs
+	// ReasonRetryBudget means that a repeat was not within the budget.
+	ReasonRetryBudget Reason = "repeat-budget"
+	// ReasonConnectionLost means that an exchange broke and may have run.
+	ReasonConnectionLost Reason = "broken"
+	// ReasonMayCrashServers means that the request's work may have ended servers and runs
 	// once at a time, and not again.
-	ReasonSuspected Reason = "may-end-servers"
-	// ReasonEndsServers means that the request's work has ended servers and is refused.
-	ReasonEndsServers Reason = "ends-servers"
-	// ReasonFailed goes with an answer that tells of the server's own failure.
-	ReasonFailed Reason = "server-failed"
-	// ReasonLeft means that the caller has gone.
-	ReasonLeft Reason = "caller-left"
-	// ReasonLate means that the route's timeout has passed.
-	ReasonLate Reason = "timeout"
+	ReasonMayCrashServers Reason = "may-end-servers"
+	// ReasonCrashesServers means that the request's work has ended servers and is refused.
+	ReasonCrashesServers Reason = "ends-servers"
+	// ReasonServerError goes with an answer that tells of the server's own failure.
+	ReasonServerError Reason = "server-failed"
+	// ReasonCallerGone means that the caller has gone.
+	ReasonCallerGone Reason = "caller-left"
+	// ReasonTimeout means that the route's timeout has passed.
+	ReasonTimeout Reason = "timeout"
 )
 
 const (
@@ -118,17 +118,17 @@
 		Deadline time.Time
 	}
 
-	// Flight is a request in progress.
-	Flight struct {
+	// ActiveRequest is a request in progress.
+	ActiveRequest struct {
 		Request
 		Route   *routing.Route
 		Service string
 		// Account is the client account, nil for none; Keyed is set if the configuration
 		// has accounts, so that no key may be passed on.
-		Account *account.Account
-		Keyed   bool
-		// Until is when the request ends at the latest, answered or not.
-		Until time.Time
+		Account     *account.Account
+		HasAccounts bool
+		// ExpiresAt is when the request ends at the latest, answered or not.
+		ExpiresAt time.Time
 
 		// number counts the kernel's requests.
 		number uint64
@@ -160,7 +160,7 @@
 		dials int
 		// asking is the question for a place at the server's gate, until the place is
 		// given back; rank is how many ran there with this one, zero if not asked.
-		asking *Ask
+		asking *SlotRequest
 		rank   int
 		// mayHaveRun is set once a server may have begun to run the request.
 		mayHaveRun bool
@@ -178,22 +178,22 @@
 	Decision struct {
 		// Server to send to; nil ends the request.
 		Server *Target
-		// Ask is set if a place must be asked for before it is sent, Release if one
+		// SlotRequest is set if a place must be asked for before it is sent, Release if one
 		// must be given back.
-		Ask     *Ask
-		Release *Release
-		// Pool is the proxy that must be asked whether the request is within its account's
+		SlotRequest *SlotRequest
+		SlotRelease *SlotRelease
+		// QuotaPool is the proxy that must be asked whether the request is within its account's
 		// limit, before anything else; empty for none.
-		Pool string
-		// Answer ends the request with the attempt's answer.
-		Answer bool
-		Reason Reason
+		QuotaPool string
+		// ReturnResponse ends the request with the attempt's answer.
+		ReturnResponse bool
+		Reason         Reason
 		// NotRun is set if no server has run the request or will.
 		NotRun bool
-		// ComeBack is when a refused caller may try again. Elsewhere is set if another
+		// RetryAfter is when a refused caller may try again. Elsewhere is set if another
 		// proxy may serve it now.
-		ComeBack  time.Duration
-		Elsewhere bool
+		RetryAfter    time.Duration
+		TryOtherProxy bool
 	}
 
 	// Target is the server that an attempt goes to.
@@ -201,9 +201,9 @@
 		routing.Server
 		// RoundTrip to the server's failure domain.
 		RoundTrip time.Duration
-		// Connections is how many this proxy may hold to the server, used and
+		// MaxConnections is how many this proxy may hold to the server, used and
 		// idle; zero for no bound.
-		Connections int
+		MaxConnections int
 	}
 
 	// Attempt reports how a send ended.
@@ -240,10 +240,10 @@
 // Outcome is how the request ended, if the decision ends it.
 func (d Decision) Outcome() Outcome {
 	switch {
-	case d.Answer:
-		return Done
+	case d.ReturnResponse:
+		return OutcomeDone
 	case d.NotRun:
-		return NotRun
+		return OutcomeNotRun
 	}
-	return MayHaveRun
+	return OutcomeMayHaveRun
 }
--- a/internal/kernel/steering/restart_test.go
+++ b/internal/kernel/steering/restart_test.go
@@ -16,16 +16,16 @@
 	k := fleet[0]
 	first := routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4, Started: time.UnixMilli(1000)}
 	k.RemoveServer(now, "cold")
-	k.SetServer(now, first)
-	f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)})
+	k.RegisterServer(now, first)
+	f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)})
 	if d.Server == nil {
 		t.Fatalf("not sent: %+v", d)
 	}
 	again := first
 	again.Started = time.UnixMilli(2000)
-	k.SetServer(now, again)
-	k.Ended(now, f, Attempt{Result: Mistaken})
-	if _, d := k.Begin(now, Request{ID: "q", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)}); d.Server == nil {
+	k.RegisterServer(now, again)
+	k.EndAttempt(now, f, Attempt{Result: ResultWrongServer})
+	if _, d := k.BeginRequest(now, Request{ID: "q", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)}); d.Server == nil {
 		t.Errorf("the new start gets nothing: %+v", d)
 	}
 }
@@ -41,18 +41,18 @@
 	}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 	ask := func() (warm bool) {
-		k.weighed = func(w Weighed) { warm = w.Warm }
-		f, _ := k.Begin(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
-		k.Ended(now, f, Attempt{Result: Answered})
+		k.weighed = func(w Candidate) { warm = w.Warm }
+		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
+		k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
 		return warm
 	}
 	s := routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4, Started: time.UnixMilli(1000)}
-	k.SetServer(now, s)
+	k.RegisterServer(now, s)
 	if first, second := ask(), ask(); first || !second {
 		t.Fatalf("taken to know the object: %t and then %t, want only after the first request", first, second)
 	}
 	s.Started = time.UnixMilli(2000)
-	k.SetServer(now, s)
+	k.RegisterServer(now, s)
 	if ask() {
 		t.Error("a server that has just started is taken to know the object")
 	}
--- a/internal/kernel/steering/servers.go
+++ b/internal/kernel/steering/servers.go
@@ -7,13 +7,13 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// SetServer takes in a server's registration. A server that has started again under
+// RegisterServer takes in a server's registration. A server that has started again under
 // its id is another one: what was believed of the earlier start is forgotten, or
 // its objects would be sent there as warm ones, its slowness and its drain held
 // against the new start, and its cold time not kept. News of an earlier start than
 // the one known come late, and change nothing.
-func (k *Kernel) SetServer(now time.Time, r routing.Server) {
-	k.record(Call{Do: callServer, At: now, Server: &r})
+func (k *Kernel) RegisterServer(now time.Time, r routing.Server) {
+	k.record(Call{Method: callServer, At: now, Server: &r})
 	s := k.servers[r.ID]
 	if s != nil && s.startedAfter(r) {
 		return
@@ -44,27 +44,27 @@
 		s.coldUntil = later(s.coldUntil, now.Add(r.ColdFor))
 	}
 	if moved {
-		k.config.Observe(Event{Kind: EventServer, Server: r.ID, Service: r.Service, Draining: r.Draining})
+		k.config.Observe(Event{Kind: EventServerChanged, Server: r.ID, Service: r.Service, Draining: r.Draining})
 	}
 }
 
-// ServerUnreadable notes that what stands where a server registers names no server.
+// MarkServerUnreadable notes that what stands where a server registers names no server.
 // It gets nothing until it registers again; what is known of it stays, for the text
 // may be another program's and the server as it was.
-func (k *Kernel) ServerUnreadable(id string) {
-	k.record(Call{Do: callUnreadable, ID: id})
+func (k *Kernel) MarkServerUnreadable(id string) {
+	k.record(Call{Method: callUnreadable, ID: id})
 	s := k.servers[id]
 	if s == nil || s.unreadable {
 		return
 	}
 	s.unreadable = true
 	k.service(s.Service).stale = true
-	k.config.Observe(Event{Kind: EventServer, Server: id, Service: s.Service, Draining: true})
+	k.config.Observe(Event{Kind: EventServerChanged, Server: id, Service: s.Service, Draining: true})
 }
 
 // RemoveServer forgets a server that has left.
 func (k *Kernel) RemoveServer(now time.Time, id string) {
-	k.record(Call{Do: callRemove, At: now, ID: id})
+	k.record(Call{Method: callRemove, At: now, ID: id})
 	k.remove(now, id)
 }
 
@@ -86,10 +86,10 @@
 	k.service(s.Service).drop(s)
 }
 
-// ServerAbsent notes that a server's registration is missing. If it has not
+// MarkServerAbsent notes that a server's registration is missing. If it has not
 // come back by a moment, the server is gone.
-func (k *Kernel) ServerAbsent(id string, until time.Time) {
-	k.record(Call{Do: callAbsent, ID: id, Until: until})
+func (k *Kernel) MarkServerAbsent(id string, until time.Time) {
+	k.record(Call{Method: callAbsent, ID: id, Until: until})
 	if s := k.servers[id]; s != nil && s.absentUntil.IsZero() {
 		s.absentUntil = until
 	}
@@ -98,7 +98,7 @@
 // Tick drops servers whose registration has not come back, and what else has
 // run out, and follows which regions have no proxies.
 func (k *Kernel) Tick(now time.Time) {
-	k.record(Call{Do: callTick, At: now})
+	k.record(Call{Method: callTick, At: now})
 	k.forget(now)
 	k.strand(now)
 	k.expireGates(now)
@@ -113,8 +113,8 @@
 	k.signals.Tick(now)
 }
 
-// Servers lists the ids of all registered servers.
-func (k *Kernel) Servers() []string {
+// ServerIDs lists the ids of all registered servers.
+func (k *Kernel) ServerIDs() []string {
 	ids := make([]string, 0, len(k.servers))
 	for id := range k.servers {
 		ids = append(ids, id)
@@ -122,9 +122,9 @@
 	return ids
 }
 
-// Unmeasured names one server in each failure domain to which no round trip
+// UnmeasuredServers names one server in each failure domain to which no round trip
 // was measured yet.
-func (k *Kernel) Unmeasured() []routing.Server {
+func (k *Kernel) UnmeasuredServers() []routing.Server {
 	var list []routing.Server
 	for domain, d := range k.distance {
 		if d.measured {
@@ -146,20 +146,20 @@
 	return named
 }
 
-// Measured takes in a round trip to a failure domain.
-func (k *Kernel) Measured(domain string, roundTrip time.Duration) {
-	k.record(Call{Do: callMeasured, Domain: domain, Took: roundTrip})
+// RecordRoundTrip takes in a round trip to a failure domain.
+func (k *Kernel) RecordRoundTrip(domain string, roundTrip time.Duration) {
+	k.record(Call{Method: callMeasured, Domain: domain, RoundTrip: roundTrip})
 	k.distanceTo(domain).heard(roundTrip)
 }
 
-// SetEvacuated marks a failure domain whose servers must get nothing, or takes
+// SetDomainEvacuated marks a failure domain whose servers must get nothing, or takes
 // the mark back. Servers that come back got nothing for a while and are taken
 // for cold, whatever their last registration says.
-func (k *Kernel) SetEvacuated(now time.Time, domain string, evacuated bool) {
+func (k *Kernel) SetDomainEvacuated(now time.Time, domain string, evacuated bool) {
 	if k.evacuated[domain] == evacuated {
 		return
 	}
-	k.record(Call{Do: callEvacuated, At: now, Domain: domain, On: evacuated})
+	k.record(Call{Method: callEvacuated, At: now, Domain: domain, Flag: evacuated})
 	if evacuated {
 		k.evacuated[domain] = true
 	} else {
@@ -173,11 +173,11 @@
 	for _, g := range k.services {
 		g.stale = true
 	}
-	k.config.Observe(Event{Kind: EventEvacuated, Domain: domain, Draining: evacuated})
+	k.config.Observe(Event{Kind: EventDomainEvacuated, Domain: domain, Draining: evacuated})
 }
 
-// Evacuated lists the evacuated failure domains.
-func (k *Kernel) Evacuated() []string {
+// EvacuatedDomains lists the evacuated failure domains.
+func (k *Kernel) EvacuatedDomains() []string {
 	list := make([]string, 0, len(k.evacuated))
 	for domain := range k.evacuated {
 		list = append(list, domain)
--- a/internal/kernel/steering/shares_test.go
+++ b/internal/kernel/steering/shares_test.go
@@ -40,7 +40,7 @@
 		service := &routing.Service{Name: "service", ColdStart: time.Hour, ColdPerSecond: 3.1}
 		k.SetTable(routing.NewTable(1, []*routing.Route{route}, []*routing.Service{service}, routing.Limits{}))
 		k.SetProxies(now, list)
-		k.SetServer(now, routing.Server{ID: "cold", Service: "service", Domain: "north-a", Slots: 4, ColdFor: time.Hour})
+		k.RegisterServer(now, routing.Server{ID: "cold", Service: "service", Domain: "north-a", Slots: 4, ColdFor: time.Hour})
 		fleet = append(fleet, k)
 	}
 	return fleet, list
@@ -52,10 +52,10 @@
 	for end := now.Add(time.Second); now.Before(end); now = now.Add(10 * time.Millisecond) {
 		for _, k := range fleet {
 			k.Tick(now)
-			f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)})
+			f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)})
 			if d.Server != nil {
 				sent++
-				k.Ended(now, f, Attempt{Result: Answered})
+				k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
 			}
 		}
 	}
@@ -113,10 +113,10 @@
 		var arrived []time.Time
 		for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(5 * time.Millisecond) {
 			for _, k := range fleet {
-				f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)})
+				f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)})
 				if d.Server != nil {
 					arrived = append(arrived, now.Add(time.Duration(random.Int64N(int64(late)))))
-					k.Ended(now, f, Attempt{Result: Answered})
+					k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
 				}
 			}
 		}
--- a/internal/kernel/steering/shed.go
+++ b/internal/kernel/steering/shed.go
@@ -16,7 +16,7 @@
 
 // room is how many requests may wait at a server for the last of them to be
 // answered within the route's target, if the work is warm.
-func (k *Kernel) room(f *Flight, g *service, s *server) float64 {
+func (k *Kernel) room(f *ActiveRequest, g *service, s *server) float64 {
 	work := g.workOn(f.Route).typical(f.Route)
 	if work <= 0 {
 		return 0
@@ -27,7 +27,7 @@
 
 // feel takes in how many requests wait at a server: for the server itself, and for
 // all of its service in the region.
-func (k *Kernel) feel(now time.Time, f *Flight, s *server, waiting float64) {
+func (k *Kernel) feel(now time.Time, f *ActiveRequest, s *server, waiting float64) {
 	g := k.service(s.Service)
 	p := g.pressure[s.region]
 	if p == nil {
@@ -45,8 +45,8 @@
 // alone. Work varies too, so an answer within the target is no sign of overload,
 // and neither is a late one if the work alone takes longer than the target.
 // Answers on a first run are left out: how long these take varies more.
-func (k *Kernel) guess(now time.Time, f *Flight, s *server, work time.Duration) {
-	if !f.warm && f.Object != "" || work <= 0 || !k.on(MechanismInfer) {
+func (k *Kernel) guess(now time.Time, f *ActiveRequest, s *server, work time.Duration) {
+	if !f.warm && f.Object != "" || work <= 0 || !k.on(MechanismQueueInference) {
 		return
 	}
 	alone := s.aloneOn(f.Route.Name)
@@ -72,9 +72,9 @@
 // its answer would come late, and all those behind it later. Routes that are
 // more urgent than another one of the service are spared until half of all are
 // refused.
-func (k *Kernel) sheds(now time.Time, f *Flight, g *service, s *server) bool {
+func (k *Kernel) sheds(now time.Time, f *ActiveRequest, g *service, s *server) bool {
 	p := g.pressure[s.region]
-	if p == nil || !k.placer.sheds || !k.on(MechanismShed) {
+	if p == nil || !k.placer.sheds || !k.on(MechanismLoadShedding) {
 		return false
 	}
 	// A proxy of a few hears of each server often enough to go by its own queue;
--- a/internal/kernel/steering/shed_test.go
+++ b/internal/kernel/steering/shed_test.go
@@ -22,7 +22,7 @@
 		})
 	}
 	k.SetTable(routing.NewTable(1, routes, nil, routing.Limits{}))
-	k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4})
+	k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4})
 	return k
 }
 
@@ -31,15 +31,15 @@
 	t.Helper()
 	const n = 400
 	for i := range n {
-		f, d := k.Begin(now.Add(time.Duration(i)*time.Millisecond), Request{Host: "host", Path: path})
+		f, d := k.BeginRequest(now.Add(time.Duration(i)*time.Millisecond), Request{Host: "host", Path: path})
 		if d.Server == nil {
 			refused++
-			if !d.NotRun || d.ComeBack <= 0 || d.Reason != ReasonQueues {
+			if !d.NotRun || d.RetryAfter <= 0 || d.Reason != ReasonQueuesTooLong {
 				t.Fatalf("refused with %+v, want not run, with a time to come back", d)
 			}
 			continue
 		}
-		k.Ended(now.Add(time.Duration(i)*time.Millisecond), f, Attempt{Result: Answered, Loaded: true, Running: 4, Waiting: waiting})
+		k.EndAttempt(now.Add(time.Duration(i)*time.Millisecond), f, Attempt{Result: ResultAnswered, Loaded: true, Running: 4, Waiting: waiting})
 	}
 	return refused
 }
@@ -77,12 +77,12 @@
 		longest := time.Duration(0)
 		for i := range 400 {
 			at := now.Add(time.Duration(i) * time.Millisecond)
-			f, d := k.Begin(at, Request{Host: "host", Path: "/plain/x"})
+			f, d := k.BeginRequest(at, Request{Host: "host", Path: "/plain/x"})
 			if d.Server == nil {
-				longest = max(longest, d.ComeBack)
+				longest = max(longest, d.RetryAfter)
 				continue
 			}
-			k.Ended(at, f, Attempt{Result: Answered, Loaded: true, Running: 4, Waiting: c.waiting})
+			k.EndAttempt(at, f, Attempt{Result: ResultAnswered, Loaded: true, Running: 4, Waiting: c.waiting})
 		}
 		if longest == 0 || longest > c.within || (longest > comeBackMost/2) != c.late {
 			t.Errorf("%d waiting: told to come back after %s at most, want up to %s", c.waiting, longest, c.within)
--- a/internal/kernel/steering/signals.go
+++ b/internal/kernel/steering/signals.go
@@ -13,8 +13,8 @@
 )
 
 // hearSignal takes in what an attempt tells of what the server asks of its senders.
-func (k *Kernel) hearSignal(now time.Time, f *Flight, s *server, a Attempt) {
-	whole := a.Result == Answered || a.Result == Failed || a.Result == Refused
+func (k *Kernel) hearSignal(now time.Time, f *ActiveRequest, s *server, a Attempt) {
+	whole := a.Result == ResultAnswered || a.Result == ResultServerError || a.Result == ResultRefused
 	if w := k.signals.Heard(now, f.sentAt, s.start, a.Signal, whole); w != nil {
 		s.asks = w
 	}
@@ -45,9 +45,9 @@
 	return later(at, room), !room.IsZero()
 }
 
-// StillPermits reports whether a request may still go to the server that it was placed at:
+// ServerStillAccepts reports whether a request may still go to the server that it was placed at:
 // while a connection was opened, the server may have asked for a pause or begun to leave.
-func (k *Kernel) StillPermits(now time.Time, f *Flight) bool {
+func (k *Kernel) ServerStillAccepts(now time.Time, f *ActiveRequest) bool {
 	return !f.server.asks.Paused(now) && !f.server.asks.Leaving()
 }
 
@@ -62,7 +62,7 @@
 
 // withheld is how long until a server that might take the request else takes more; false
 // if there is none.
-func (k *Kernel) withheld(now time.Time, f *Flight, g *service) (wait time.Duration, found bool) {
+func (k *Kernel) withheld(now time.Time, f *ActiveRequest, g *service) (wait time.Duration, found bool) {
 	for _, s := range g.servers {
 		if s.asks == nil || !f.mayUse(now, s) {
 			continue
@@ -80,7 +80,7 @@
 
 // withheldReason tells whether a request finds no server since those that there are have
 // asked for less.
-func (k *Kernel) withheldReason(now time.Time, f *Flight, g *service, reason Reason) Reason {
+func (k *Kernel) withheldReason(now time.Time, f *ActiveRequest, g *service, reason Reason) Reason {
 	if reason != ReasonNoServer {
 		return reason
 	}
@@ -89,28 +89,28 @@
 		return reason
 	}
 	f.withheld = wait
-	return ReasonWithheld
+	return ReasonBackpressure
 }
 
 // afterWait is when a caller may come back that servers would not take, spread so that not
 // all return as the first of them takes more.
-func (k *Kernel) afterWait(f *Flight) time.Duration {
+func (k *Kernel) afterWait(f *ActiveRequest) time.Duration {
 	wait := max(comeBackLeast, min(f.withheld, withheldMost))
 	return wait + time.Duration(k.random.Int64N(int64(min(wait, comeBackMost))))
 }
 
-// Signals lists what peers should hear of what servers ask; all of it for one that knows
+// BackpressureReports lists what peers should hear of what servers ask; all of it for one that knows
 // nothing yet.
-func (k *Kernel) Signals(now time.Time, all bool) []backpressure.Report {
+func (k *Kernel) BackpressureReports(now time.Time, all bool) []backpressure.Report {
 	return k.signals.Reports(now, all)
 }
 
-// HearSignals takes in what a peer knows.
-func (k *Kernel) HearSignals(now time.Time, list []backpressure.Report) {
+// ApplyBackpressureReports takes in what a peer knows.
+func (k *Kernel) ApplyBackpressureReports(now time.Time, list []backpressure.Report) {
 	if len(list) == 0 {
 		return
 	}
-	k.record(Call{Do: callSignals, At: now, Signals: list})
+	k.record(Call{Method: callSignals, At: now, BackpressureReports: list})
 	if !k.signals.Hear(now, list) {
 		return
 	}
@@ -124,7 +124,7 @@
 // observeSignal tells of what a server asks from now on, and lists the servers of its
 // service anew.
 func (k *Kernel) observeSignal(n backpressure.Notice) {
-	e := Event{Kind: Kind(n.Change), Limit: n.Limit, Took: n.Pause}
+	e := Event{Kind: EventKind(n.Change), Limit: n.Limit, Duration: n.Pause}
 	for _, s := range k.servers {
 		if s.start == n.Server {
 			e.Server, e.Service = s.id, s.Service
--- a/internal/kernel/steering/signals_test.go
+++ b/internal/kernel/steering/signals_test.go
@@ -50,17 +50,17 @@
 		k.RemoveServer(now, id)
 	}
 	f, _ := beginDeadly(k, now)
-	k.Ended(now, f, Attempt{Result: Answered, Signal: limited(0.5)})
+	k.EndAttempt(now, f, Attempt{Result: ResultAnswered, Signal: limited(0.5)})
 	k.RemoveServer(now, "s1")
-	k.SetServer(now, routing.Server{ID: "s1", Service: "service", Domain: "north-a", Slots: 4, Started: now})
+	k.RegisterServer(now, routing.Server{ID: "s1", Service: "service", Domain: "north-a", Slots: 4, Started: now})
 	sent := 0
 	for range 20 {
 		now = now.Add(50 * time.Millisecond)
 		f, d := beginDeadly(k, now)
 		if d.Server != nil {
 			sent++
-			k.Ended(now, f, Attempt{Result: Answered, Signal: limited(0.5)})
-		} else if d.Reason != ReasonWithheld || !d.NotRun || d.ComeBack <= 0 {
+			k.EndAttempt(now, f, Attempt{Result: ResultAnswered, Signal: limited(0.5)})
+		} else if d.Reason != ReasonBackpressure || !d.NotRun || d.RetryAfter <= 0 {
 			t.Fatalf("got %+v, want it refused since the server has asked for less", d)
 		}
 	}
@@ -68,7 +68,7 @@
 		t.Errorf("%d requests were sent within a second, want the 2 of a window", sent)
 	}
 	now = now.Add(time.Second)
-	k.SetServer(now, routing.Server{ID: "s1", Service: "service", Domain: "north-a", Slots: 4, Started: now})
+	k.RegisterServer(now, routing.Server{ID: "s1", Service: "service", Domain: "north-a", Slots: 4, Started: now})
 	if _, d := beginDeadly(k, now); d.Server == nil {
 		t.Errorf("got %+v, want a server that has started again to ask nothing", d)
 	}
@@ -82,14 +82,14 @@
 		k := quarantineKernel(now, false)
 		first, d := beginDeadly(k, now)
 		second, again := beginDeadly(k, now)
-		if d.Server == nil || again.Server == nil || d.Server.ID != again.Server.ID || !k.StillPermits(now, second) {
+		if d.Server == nil || again.Server == nil || d.Server.ID != again.Server.ID || !k.ServerStillAccepts(now, second) {
 			t.Fatalf("%s: got %+v and %+v, want both requests at one server", name, d, again)
 		}
-		k.Ended(now.Add(50*time.Millisecond), first, Attempt{Result: Refused, Signal: signal})
-		if k.StillPermits(now.Add(60*time.Millisecond), second) {
+		k.EndAttempt(now.Add(50*time.Millisecond), first, Attempt{Result: ResultRefused, Signal: signal})
+		if k.ServerStillAccepts(now.Add(60*time.Millisecond), second) {
 			t.Errorf("%s: the second request may still go there", name)
 		}
-		if d = k.Ended(now.Add(60*time.Millisecond), second, Attempt{Result: Withheld}); d.Server == nil || d.Server.ID == again.Server.ID {
+		if d = k.EndAttempt(now.Add(60*time.Millisecond), second, Attempt{Result: ResultNotSent}); d.Server == nil || d.Server.ID == again.Server.ID {
 			t.Errorf("%s: got %+v, want the request, which was not sent, at another server", name, d)
 		}
 	}
@@ -103,11 +103,11 @@
 	for range 6 {
 		f, d := beginDeadly(k, now)
 		for d.Server != nil {
-			d = k.Ended(now, f, Attempt{Result: Refused, Signal: backpressure.Signal{Pause: 3 * time.Second}})
+			d = k.EndAttempt(now, f, Attempt{Result: ResultRefused, Signal: backpressure.Signal{Pause: 3 * time.Second}})
 		}
 	}
 	_, d := beginDeadly(k, now.Add(time.Second))
-	if d.Reason != ReasonWithheld || !d.NotRun || d.ComeBack < 2*time.Second || d.ComeBack > 4*time.Second {
+	if d.Reason != ReasonBackpressure || !d.NotRun || d.RetryAfter < 2*time.Second || d.RetryAfter > 4*time.Second {
 		t.Errorf("got %+v, want it refused at once, to come back when the pause has ended, 2 s later", d)
 	}
 	if _, d = beginDeadly(k, now.Add(3*time.Second)); d.Server == nil {
--- a/internal/kernel/steering/state.go
+++ b/internal/kernel/steering/state.go
@@ -9,8 +9,8 @@
 	StateNone ServerState = ""
 	// StateCold is a server that has just started.
 	StateCold ServerState = "cold"
-	// StateOut is a server that failed and is tried again.
-	StateOut ServerState = "out"
+	// StateEjected is a server that failed and is tried again.
+	StateEjected ServerState = "out"
 	// StateFull is a server all of whose slots are taken.
 	StateFull ServerState = "full"
 	// StateInUse is any other.
@@ -28,7 +28,7 @@
 	case s.isCold(now):
 		return StateCold
 	case s.outs > 0:
-		return StateOut
+		return StateEjected
 	case s.load(now) >= float64(s.Slots):
 		return StateFull
 	}
--- a/internal/kernel/steering/status.go
+++ b/internal/kernel/steering/status.go
@@ -18,20 +18,20 @@
 		Proxies  []Proxy
 		// Evacuated failure domains take no requests.
 		Evacuated []string
-		// Stranded regions have no proxies, and their callers count with others.
-		Stranded []string
-		Servers  []ServerStatus
-		// Off are the mechanisms that are not used; Holding are the services that are
+		// RegionsWithoutProxies regions have no proxies, and their callers count with others.
+		RegionsWithoutProxies []string
+		Servers               []ServerStatus
+		// MechanismsOff are the mechanisms that are not used; Holding are the services that are
 		// held back, with what was learned of them.
-		Off     []Mechanism
-		Holding []Held
-		// Condemned is work that is refused because servers ended with it.
-		Condemned []Condemnation
+		MechanismsOff     []Mechanism
+		ConcurrencyLimits []ServiceLimit
+		// BlockedWork is work that is refused because servers ended with it.
+		BlockedWork []BlockedWork
 		// Accounts are the client accounts; limits are divided among Holders proxies, and
 		// Pool is the one that this proxy reports to.
-		Accounts []AccountStatus
-		Holders  int
-		Pool     string
+		Accounts  []AccountStatus
+		Holders   int
+		QuotaPool string
 	}
 
 	// AccountStatus is a client account and what this proxy knows of its use.
@@ -50,9 +50,9 @@
 		Draining bool
 		// Absent servers' registrations are missing for the moment.
 		Absent bool
-		// ColdFor and OutFor are zero for a warm server in use.
-		ColdFor time.Duration
-		OutFor  time.Duration
+		// ColdFor and EjectedFor are zero for a warm server in use.
+		ColdFor    time.Duration
+		EjectedFor time.Duration
 		// Load is what it was last said to run and queue, LoadAge ago.
 		Load    float64
 		LoadAge time.Duration
@@ -60,25 +60,25 @@
 		Limit backpressure.Limit
 		// PausedFor is for how long it wants nothing from this proxy.
 		PausedFor time.Duration
-		// Leaves is set if it leaves by its own word.
-		Leaves bool
-		// Speed is observed over expected time, Failed the share of failures.
-		Speed  float64
-		Failed float64
+		// Leaving is set if it leaves by its own word.
+		Leaving bool
+		// Slowdown is observed over expected time, Failed the share of failures.
+		Slowdown     float64
+		FailureShare float64
 	}
 )
 
 // Status describes the kernel at one moment.
 func (k *Kernel) Status(now time.Time) Status {
-	s := Status{Version: k.Version(), Proxies: slices.Clone(k.proxies), Evacuated: k.Evacuated(), Stranded: k.strandedRegions(), Off: k.config.Off, Holding: k.Holding(now), Condemned: k.Condemned(now)}
-	s.Accounts, s.Holders, s.Pool = k.accounts(now), max(k.limits.fleet, k.limits.holders), k.limits.holder.Pool()
+	s := Status{Version: k.Version(), Proxies: slices.Clone(k.proxies), Evacuated: k.EvacuatedDomains(), RegionsWithoutProxies: k.strandedRegions(), MechanismsOff: k.config.Off, ConcurrencyLimits: k.ConcurrencyLimits(now), BlockedWork: k.BlockedWork(now)}
+	s.Accounts, s.Holders, s.QuotaPool = k.accounts(now), max(k.limits.fleet, k.limits.holders), k.limits.holder.Pool()
 	for _, b := range k.servers {
 		s.InFlight += b.inFlight
 		s.Servers = append(s.Servers, ServerStatus{
 			ID: b.id, Service: b.Service, Domain: b.Domain, Slots: b.Slots, InFlight: b.inFlight,
 			Draining: b.Draining || b.asks.Leaving(), Absent: !b.absentUntil.IsZero(),
-			ColdFor: max(0, b.coldUntil.Sub(now)), OutFor: max(0, b.outUntil.Sub(now)),
-			Load: b.load(now), LoadAge: b.loadAge(now), Limit: b.asks.Limit(now), PausedFor: b.asks.PausedFor(now), Leaves: b.asks.Leaving(), Speed: b.speed, Failed: b.failed,
+			ColdFor: max(0, b.coldUntil.Sub(now)), EjectedFor: max(0, b.outUntil.Sub(now)),
+			Load: b.load(now), LoadAge: b.loadAge(now), Limit: b.asks.Limit(now), PausedFor: b.asks.PausedFor(now), Leaving: b.asks.Leaving(), Slowdown: b.speed, FailureShare: b.failed,
 		})
 	}
 	slices.SortFunc(s.Servers, func(a, b ServerStatus) int { return strings.Compare(a.Service+a.ID, b.Service+b.ID) })
--- a/internal/kernel/steering/story_test.go
+++ b/internal/kernel/steering/story_test.go
@@ -87,15 +87,15 @@
 		story   story
 		kernel  *Kernel
 		now     time.Time
-		flights map[string]*Flight
+		flights map[string]*ActiveRequest
 		sent    map[string]string
 	}
 )
 
 var (
 	results = map[string]Result{
-		"answered": Answered, "failed": Failed, "refused": Refused, "mistaken": Mistaken,
-		"unreachable": Unreachable, "broken": Broken, "late": Late, "left": Left, "withheld": Withheld,
+		"answered": ResultAnswered, "failed": ResultServerError, "refused": ResultRefused, "mistaken": ResultWrongServer,
+		"unreachable": ResultUnreachable, "broken": ResultConnectionLost, "late": ResultTimeout, "left": ResultCallerGone, "withheld": ResultNotSent,
 	}
 )
 
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &storyRun{t: t, now: time.Unix(1_000_000, 0), flights: make(map[string]*Flight), sent: make(map[string]string)}
+	r := &storyRun{t: t, now: time.Unix(1_000_000, 0), flights: make(map[string]*ActiveRequest), sent: make(map[string]string)}
 	decoder := json.NewDecoder(strings.NewReader(string(data)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&r.story); err != nil {
@@ -181,7 +181,7 @@
 	if s.Started > 0 {
 		server.Started = time.UnixMilli(s.Started)
 	}
-	r.kernel.SetServer(r.now, server)
+	r.kernel.RegisterServer(r.now, server)
 }
 
 func (r *storyRun) table(version uint64) bool {
@@ -245,20 +245,20 @@
 	case s.Remove != "":
 		r.kernel.RemoveServer(r.now, s.Remove)
 	case s.Absent != "":
-		r.kernel.ServerAbsent(s.Absent, r.now.Add(span(r.t, s.For)))
+		r.kernel.MarkServerAbsent(s.Absent, r.now.Add(span(r.t, s.For)))
 	case s.Garbled != "":
-		r.kernel.ServerUnreadable(s.Garbled)
+		r.kernel.MarkServerUnreadable(s.Garbled)
 	case s.Empty != "":
-		r.kernel.SetEvacuated(r.now, s.Empty, true)
+		r.kernel.SetDomainEvacuated(r.now, s.Empty, true)
 	case s.Fill != "":
-		r.kernel.SetEvacuated(r.now, s.Fill, false)
+		r.kernel.SetDomainEvacuated(r.now, s.Fill, false)
 	case s.Request != "":
 		r.kernel.Tick(r.now)
 		path := s.Path
 		if path == "" {
 			path = "/a/x"
 		}
-		f, d := r.kernel.Begin(r.now, Request{ID: s.Request, Host: "host", Path: path, Object: s.Object, Credential: r.credential(s), Deadline: r.now.Add(4 * time.Second)})
+		f, d := r.kernel.BeginRequest(r.now, Request{ID: s.Request, Host: "host", Path: path, Object: s.Object, Credential: r.credential(s), Deadline: r.now.Add(4 * time.Second)})
 		r.flights[s.Request] = f
 		r.check(i, s.Request, s.Want, d)
 	case s.End != "":
@@ -266,7 +266,7 @@
 		if len(s.Load) == 2 {
 			a.Loaded, a.Running, a.Waiting = true, s.Load[0], s.Load[1]
 		}
-		r.check(i, s.End, s.Want, r.kernel.Ended(r.now, r.flights[s.End], a))
+		r.check(i, s.End, s.Want, r.kernel.EndAttempt(r.now, r.flights[s.End], a))
 	}
 }
 
@@ -283,7 +283,7 @@
 	default:
 		r.t.Errorf("step %d, request %s: got %q, want %q", i, id, got, want)
 	}
-	if d.NotRun && d.Reason != ReasonNoRoute && d.Reason != ReasonNoAccount && d.ComeBack <= 0 {
+	if d.NotRun && d.Reason != ReasonNoRoute && d.Reason != ReasonNoAccount && d.RetryAfter <= 0 {
 		r.t.Errorf("step %d, request %s: refused without a time to come back", i, id)
 	}
 	if d.Server != nil {
@@ -295,7 +295,7 @@
 	switch {
 	case d.Server != nil:
 		return d.Server.ID
-	case d.Answer:
+	case d.ReturnResponse:
 		return "answer"
 	case d.NotRun:
 		return "not-run " + string(d.Reason)
--- a/internal/kernel/steering/stranded.go
+++ b/internal/kernel/steering/stranded.go
@@ -34,7 +34,7 @@
 // the others would idle. What moves does so at once: each second of waiting, and
 // any move in steps, runs objects cold twice and leaves the servers overloaded.
 func (k *Kernel) strand(now time.Time) {
-	if now.Sub(k.config.Joined) < joinFor || now.Before(k.doubtUntil) || !k.on(MechanismStranded) {
+	if now.Sub(k.config.Joined) < joinFor || now.Before(k.doubtUntil) || !k.on(MechanismStrandedRegions) {
 		return
 	}
 	open := make(map[string]bool)
@@ -47,17 +47,17 @@
 		if !s.heard(now, !open[region]) {
 			continue
 		}
-		k.config.Observe(Event{Kind: EventStranded, At: now, Region: region, Elsewhere: s.elsewhere})
+		k.config.Observe(Event{Kind: EventRegionWithoutProxies, At: now, Region: region, CallersElsewhere: s.elsewhere})
 		for _, g := range k.services {
 			g.forgetHomes()
 		}
 	}
 }
 
-// DoubtProxies says that proxies which are no longer listed may be back by a
+// IgnoreMissingProxiesUntil says that proxies which are no longer listed may be back by a
 // moment: the store was away, and their entries ran out though they serve on.
-func (k *Kernel) DoubtProxies(until time.Time) {
-	k.record(Call{Do: callDoubtProxies, Until: until})
+func (k *Kernel) IgnoreMissingProxiesUntil(until time.Time) {
+	k.record(Call{Method: callDoubtProxies, Until: until})
 	k.doubtUntil = later(k.doubtUntil, until)
 }
 
--- a/internal/kernel/steering/stranded_test.go
+++ b/internal/kernel/steering/stranded_test.go
@@ -26,11 +26,11 @@
 	const objects = 96
 	first, near := int(k.flights), 0
 	for n := range objects {
-		f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: fmt.Sprintf("%x", first+n), Deadline: now.Add(time.Second)})
+		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: fmt.Sprintf("%x", first+n), Deadline: now.Add(time.Second)})
 		if d.Server.Domain == "north-a" {
 			near++
 		}
-		k.Ended(now, f, Attempt{Result: Answered})
+		k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
 	}
 	return float64(near) / objects
 }
@@ -94,7 +94,7 @@
 func TestProxiesWhoseEntriesRanOutAreNotTakenForGone(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k, list := strandedWorld(now)
-	k.DoubtProxies(now.Add(2200 * time.Millisecond))
+	k.IgnoreMissingProxiesUntil(now.Add(2200 * time.Millisecond))
 	k.SetProxies(now, list[:1])
 	tickUntil(k, now, now.Add(2*time.Second))
 	now = now.Add(2 * time.Second)
--- a/internal/kernel/steering/work_test.go
+++ b/internal/kernel/steering/work_test.go
@@ -17,7 +17,7 @@
 	var sent Event
 	k := New(Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf, Observe: func(e Event) {
 		for _, s := range e.Steps {
-			if s.Kind == EventSent {
+			if s.Kind == EventRequestSent {
 				sent = s
 			}
 		}
@@ -27,11 +27,11 @@
 		{Name: "tried", Host: "host", Prefix: "/new/", Attempts: 1, Timeout: 2 * time.Second, Target: 600 * time.Millisecond, Parts: parts},
 		{Name: "browse", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 1, Timeout: 2 * time.Second, Target: 600 * time.Millisecond, Parts: parts},
 	}, nil, routing.Limits{}))
-	k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4})
+	k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4})
 	run := func(path, object string, took time.Duration) {
-		f, _ := k.Begin(now, Request{ID: "r", Host: "host", Path: path, Object: object})
+		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: path, Object: object})
 		now = now.Add(took)
-		k.Ended(now, f, Attempt{Result: Answered, Loaded: true})
+		k.EndAttempt(now, f, Attempt{Result: ResultAnswered, Loaded: true})
 	}
 	for range 5 {
 		run("/new/x", "", 1400*time.Microsecond)
@@ -40,7 +40,7 @@
 	if want := 500 * time.Millisecond; sent.Expected < want {
 		t.Errorf("a first run is reckoned at %v, want %v at least", sent.Expected, want)
 	}
-	if got := k.Status(now).Servers[0].Speed; got > 1.2 {
+	if got := k.Status(now).Servers[0].Slowdown; got > 1.2 {
 		t.Errorf("the server counts as %.1f times as slow as others, want 1.2 at most", got)
 	}
 	for n := range 20 {
@@ -62,11 +62,11 @@
 			Parts: []routing.Part{{Service: "service", Weight: 1}},
 		}}, nil, routing.Limits{}))
 	}
-	k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4})
+	k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4})
 	for version, name := range []string{"first", "second"} {
 		table(uint64(version+1), name)
-		f, _ := k.Begin(now, Request{ID: "r", Host: "host", Path: "/x"})
-		k.Ended(now.Add(time.Millisecond), f, Attempt{Result: Answered})
+		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x"})
+		k.EndAttempt(now.Add(time.Millisecond), f, Attempt{Result: ResultAnswered})
 	}
 	if work := k.service("service").work; len(work) != 1 || work["second"] == nil {
 		t.Errorf("work is known of %d routes, want the second alone", len(work))
