--- a/internal/proxy/forward/daemon.go
+++ b/internal/proxy/forward/daemon.go
@@ -124,8 +124,8 @@
 func (d *Daemon) started() int64 { return d.start.UnixMilli() }
 
 // holding lists the services that are held back by own signs.
-func (d *Daemon) holding() (held []steering.Held) {
-	d.do(func(k *steering.Kernel, now time.Time) { held = k.Holding(now) })
+func (d *Daemon) holding() (held []steering.ServiceLimit) {
+	d.do(func(k *steering.Kernel, now time.Time) { held = k.ConcurrencyLimits(now) })
 	return held
 }
 
@@ -136,10 +136,10 @@
 	clock := time.Now()
 	now := d.start.Add(clock.Sub(d.start))
 	if d.suspensions.ended(clock) {
-		d.kernel.Resumed(now)
+		d.kernel.HandleResume(now)
 	}
 	f(d.kernel, now)
-	if d.kernel.Stirred() {
+	if d.kernel.QuarantinePending() {
 		select {
 		case d.stirred <- struct{}{}:
 		default:
@@ -224,17 +224,17 @@
 func (d *Daemon) peerHandlers(ctx context.Context) peerdrpc.SyncHandlers {
 	return peerdrpc.SyncHandlers{
 		Sync: func(m peerdrpc.SyncMessage) peerdrpc.SyncMessage { return d.gossip.handle(ctx, m) },
-		Ask: func(a steering.Ask) (reply steering.Reply) {
-			d.do(func(k *steering.Kernel, now time.Time) { reply = k.HearAsk(now, a) })
+		Ask: func(a steering.SlotRequest) (reply steering.SlotReply) {
+			d.do(func(k *steering.Kernel, now time.Time) { reply = k.HandleSlotRequest(now, a) })
 			return reply
 		},
 		Release: d.places.release, Grant: d.places.hear, Now: d.now,
 		ReportLimits: func(r ratelimit.Report) (g ratelimit.Grants) {
-			d.do(func(k *steering.Kernel, now time.Time) { g = k.HearReport(now, r) })
+			d.do(func(k *steering.Kernel, now time.Time) { g = k.HandleQuotaReport(now, r) })
 			return g
 		},
 		TakeToken: func(account string) (t ratelimit.Token) {
-			d.do(func(k *steering.Kernel, now time.Time) { t = k.TakeToken(now, account) })
+			d.do(func(k *steering.Kernel, now time.Time) { t = k.TakePoolToken(now, account) })
 			return t
 		},
 	}
@@ -250,10 +250,10 @@
 			return
 		case <-ticker.C:
 			d.feed.listLate()
-			var grants []steering.Reply
+			var grants []steering.SlotReply
 			d.do(func(k *steering.Kernel, now time.Time) {
 				k.Tick(now)
-				grants = k.Grants()
+				grants = k.TakeSlotReplies()
 			})
 			d.places.tell(grants)
 		}
@@ -266,14 +266,14 @@
 	for ctx.Err() == nil {
 		sleep.For(ctx, measureEvery)
 		var list []routing.Server
-		d.do(func(k *steering.Kernel, _ time.Time) { list = k.Unmeasured() })
+		d.do(func(k *steering.Kernel, _ time.Time) { list = k.UnmeasuredServers() })
 		for _, s := range list {
 			roundTrip, err := d.servers.Measure(ctx, s.Address, measureLimit)
 			if err != nil {
 				klog.V(1).InfoS("no round trip measured", "server", s.ID, "error", err.Error())
 				continue
 			}
-			d.do(func(k *steering.Kernel, _ time.Time) { k.Measured(s.Domain, roundTrip) })
+			d.do(func(k *steering.Kernel, _ time.Time) { k.RecordRoundTrip(s.Domain, roundTrip) })
 		}
 	}
 }
--- a/internal/proxy/forward/face.go
+++ b/internal/proxy/forward/face.go
@@ -71,15 +71,15 @@
 	s := steeringhttp.Status{
 		VM: d.settings.Name, Configuration: view.Version, CopyRevision: d.feed.revision(),
 		CopyAge: d.feed.age().Round(time.Millisecond).String(), InFlight: view.InFlight, Stopping: d.isStopping(),
-		Evacuated: view.Evacuated, Stranded: view.Stranded, Off: view.Off, Holding: view.Holding, Proxies: d.feed.proxies(), At: time.Now(),
+		Evacuated: view.Evacuated, Stranded: view.RegionsWithoutProxies, Off: view.MechanismsOff, Holding: view.ConcurrencyLimits, Proxies: d.feed.proxies(), At: time.Now(),
 	}
 	for _, b := range view.Servers {
 		s.Servers = append(s.Servers, serverOf(b))
 	}
-	for _, c := range view.Condemned {
-		s.Condemned = append(s.Condemned, steeringhttp.CondemnedWork{Work: c.Work.String(), Ends: c.Open(), For: c.For.Round(time.Second).String()})
+	for _, c := range view.BlockedWork {
+		s.Condemned = append(s.Condemned, steeringhttp.CondemnedWork{Work: c.Work.String(), Ends: c.Open(), For: c.BlockedFor.Round(time.Second).String()})
 	}
-	s.Holders, s.Pool = view.Holders, view.Pool
+	s.Holders, s.Pool = view.Holders, view.QuotaPool
 	for _, a := range view.Accounts {
 		s.Accounts = append(s.Accounts, accountOf(a))
 	}
@@ -101,7 +101,7 @@
 func serverOf(b steering.ServerStatus) steeringhttp.BackendServer {
 	out := steeringhttp.BackendServer{
 		ID: b.ID, Service: b.Service, Domain: b.Domain, State: steeringhttp.StateOf(b), InFlight: b.InFlight,
-		Slots: b.Slots, Load: b.Load, Speed: b.Speed, Failed: b.Failed, Leaves: b.Leaves,
+		Slots: b.Slots, Load: b.Load, Speed: b.Slowdown, Failed: b.FailureShare, Leaves: b.Leaving,
 	}
 	if b.Limit.Named {
 		out.Limit = &b.Limit.PerSecond
--- a/internal/proxy/forward/feed.go
+++ b/internal/proxy/forward/feed.go
@@ -96,7 +96,7 @@
 			f.refused("evacuation", domain, err)
 			return
 		}
-		f.daemon.do(func(k *steering.Kernel, now time.Time) { k.SetEvacuated(now, domain, !e.Removed) })
+		f.daemon.do(func(k *steering.Kernel, now time.Time) { k.SetDomainEvacuated(now, domain, !e.Removed) })
 		return
 	}
 	if name, ok := strings.CutPrefix(e.Key, condemnedPrefix); ok {
@@ -129,7 +129,7 @@
 	if e.Removed {
 		f.daemon.do(func(k *steering.Kernel, now time.Time) {
 			if e.Doubtful {
-				k.ServerAbsent(id, now.Add(absentFor))
+				k.MarkServerAbsent(id, now.Add(absentFor))
 				return
 			}
 			k.RemoveServer(now, id)
@@ -142,10 +142,10 @@
 	}
 	if err != nil {
 		f.refused("server", id, err)
-		f.daemon.do(func(k *steering.Kernel, _ time.Time) { k.ServerUnreadable(id) })
+		f.daemon.do(func(k *steering.Kernel, _ time.Time) { k.MarkServerUnreadable(id) })
 		return
 	}
-	f.daemon.do(func(k *steering.Kernel, now time.Time) { k.SetServer(now, r) })
+	f.daemon.do(func(k *steering.Kernel, now time.Time) { k.RegisterServer(now, r) })
 }
 
 // checkDomain refuses a failure domain that is in no region, or not in the one
--- a/internal/proxy/forward/gossip.go
+++ b/internal/proxy/forward/gossip.go
@@ -113,9 +113,9 @@
 	g.feed.hear(m)
 	if len(m.Held)+len(m.Suspicions)+len(m.Signals) > 0 {
 		g.feed.daemon.do(func(k *steering.Kernel, now time.Time) {
-			k.SetHolding(now, m.Held)
-			k.HearSuspicions(now, m.Suspicions)
-			k.HearSignals(now, m.Signals)
+			k.ApplyConcurrencyLimits(now, m.Held)
+			k.ApplyQuarantineReports(now, m.Suspicions)
+			k.ApplyBackpressureReports(now, m.Signals)
 		})
 	}
 	g.mu.Lock()
--- a/internal/proxy/forward/gossip_test.go
+++ b/internal/proxy/forward/gossip_test.go
@@ -210,7 +210,7 @@
 
 // knows reports whether a daemon's kernel still holds the server of withServer.
 func knows(d *Daemon) (held bool) {
-	d.do(func(k *steering.Kernel, _ time.Time) { held = slices.Contains(k.Servers(), "s1") })
+	d.do(func(k *steering.Kernel, _ time.Time) { held = slices.Contains(k.ServerIDs(), "s1") })
 	return held
 }
 
--- a/internal/proxy/forward/journal.go
+++ b/internal/proxy/forward/journal.go
@@ -71,10 +71,10 @@
 // event takes in what the kernel tells.
 func (j *journal) event(e steering.Event) {
 	j.meters.event(e)
-	if e.Kind != steering.EventFinished {
+	if e.Kind != steering.EventRequestEnded {
 		j.keep(e)
-		klog.InfoS(string(e.Kind), "service", e.Service, "server", e.Server, "failure-domain", e.Domain, "region", e.Region, "elsewhere", e.Elsewhere,
-			"configuration", e.Version, "draining", e.Draining, "cause", e.Result.String(), "for", e.Took.String(), "limit", e.Limit.String(), "work", e.Work.String(), "ends", e.Ends, "works", names(e.Works))
+		klog.InfoS(string(e.Kind), "service", e.Service, "server", e.Server, "failure-domain", e.Domain, "region", e.Region, "elsewhere", e.CallersElsewhere,
+			"configuration", e.Version, "draining", e.Draining, "cause", e.Result.String(), "for", e.Duration.String(), "limit", e.Limit.String(), "work", e.Work.String(), "ends", e.Crashes, "works", names(e.RunningWork))
 		return
 	}
 	wanted := j.wanted(e)
@@ -90,8 +90,8 @@
 	}
 	j.keep(e)
 	klog.InfoS(string(e.Kind), "request", e.Request, "route", e.Route, "account", e.Account, "work", e.Work.String(), "configuration", e.Version,
-		"outcome", e.Outcome.String(), "reason", string(e.Reason), "took", e.Took.String(), "attempts", e.Attempt, "tried", tried(e.Steps),
-		"come-back", e.ComeBack.String(), "pressure", e.Pressure, "target", e.Target.String(), "cause", string(e.Cause), "server-state", string(e.State))
+		"outcome", e.Outcome.String(), "reason", string(e.Reason), "took", e.Duration.String(), "attempts", e.Attempt, "tried", tried(e.Steps),
+		"come-back", e.RetryAfter.String(), "pressure", e.Pressure, "target", e.Target.String(), "cause", string(e.Cause), "server-state", string(e.State))
 }
 
 // tried lists the servers that a request was sent to, with what came of it.
@@ -107,14 +107,14 @@
 
 // writeStep writes a decision of a request that ended a while after it.
 func (j *journal) writeStep(s steering.Event, ago time.Duration) {
-	if s.Kind == steering.EventSent {
+	if s.Kind == steering.EventRequestSent {
 		klog.InfoS(string(s.Kind), "request", s.Request, "route", s.Route, "configuration", s.Version, "service", s.Service,
-			"server", s.Server, "failure-domain", s.Domain, "object", s.Object, "work", s.Work.String(), "home-rank", s.Home, "warm", s.Warm, "attempt", s.Attempt,
-			"expected", s.Expected.String(), "load", s.Load, "wait", s.Wait.String(), "server-state", string(s.State), "load-age", age(s.LoadAge), "ago", ago.String())
+			"server", s.Server, "failure-domain", s.Domain, "object", s.Object, "work", s.Work.String(), "home-rank", s.HomeRank, "warm", s.Warm, "attempt", s.Attempt,
+			"expected", s.Expected.String(), "load", s.Load, "wait", s.ExpectedWait.String(), "server-state", string(s.State), "load-age", age(s.LoadAge), "ago", ago.String())
 		return
 	}
 	klog.InfoS(string(s.Kind), "request", s.Request, "work", s.Work.String(), "server", s.Server, "attempt", s.Attempt, "result", s.Result.String(),
-		"expected", s.Expected.String(), "took", s.Took.String(), "server-load", s.Load, "ago", ago.String(), "error", text(s.Err))
+		"expected", s.Expected.String(), "took", s.Duration.String(), "server-load", s.Load, "ago", ago.String(), "error", text(s.Err))
 }
 
 // names lists works for the log, as many as a line bears.
@@ -151,7 +151,7 @@
 }
 
 // late reports whether a request took longer than its route's target.
-func late(e steering.Event) bool { return e.Target > 0 && e.Took > e.Target }
+func late(e steering.Event) bool { return e.Target > 0 && e.Duration > e.Target }
 
 // ending names how a request ended, for counts.
 func ending(e steering.Event) string {
--- a/internal/proxy/forward/journal_test.go
+++ b/internal/proxy/forward/journal_test.go
@@ -81,7 +81,7 @@
 			t.Fatal(err)
 		}
 		switch l.Message {
-		case string(steering.EventFinished), string(steering.EventSent), string(steering.EventAttemptEnded), messageLeftOut:
+		case string(steering.EventRequestEnded), string(steering.EventRequestSent), string(steering.EventAttemptEnded), messageLeftOut:
 			list = append(list, l)
 		}
 	}
@@ -90,10 +90,10 @@
 
 func ended(n int, r steering.Reason) steering.Event {
 	return steering.Event{
-		Kind: steering.EventFinished, Request: fmt.Sprintf("r-%d", n), Outcome: steering.MayHaveRun, Reason: r, Attempt: 2,
+		Kind: steering.EventRequestEnded, Request: fmt.Sprintf("r-%d", n), Outcome: steering.OutcomeMayHaveRun, Reason: r, Attempt: 2,
 		Steps: []steering.Event{
-			{Kind: steering.EventSent, Server: "i-1"}, {Kind: steering.EventAttemptEnded, Server: "i-1", Result: steering.Refused},
-			{Kind: steering.EventSent, Server: "i-2"}, {Kind: steering.EventAttemptEnded, Server: "i-2", Result: steering.Late},
+			{Kind: steering.EventRequestSent, Server: "i-1"}, {Kind: steering.EventAttemptEnded, Server: "i-1", Result: steering.ResultRefused},
+			{Kind: steering.EventRequestSent, Server: "i-2"}, {Kind: steering.EventAttemptEnded, Server: "i-2", Result: steering.ResultTimeout},
 		},
 	}
 }
@@ -105,7 +105,7 @@
 	const failed = 1000
 	lines := journalLines(t, func(j *journal, clock *time.Time) {
 		for n := range failed {
-			j.event(ended(n, steering.ReasonLate))
+			j.event(ended(n, steering.ReasonTimeout))
 		}
 		*clock = clock.Add(leftOutEvery)
 		j.event(ended(failed, steering.ReasonRefused))
@@ -113,9 +113,9 @@
 	last, steps, counts := make(map[string]string), 0, map[string]int{}
 	for _, l := range lines {
 		switch l.Message {
-		case string(steering.EventFinished):
+		case string(steering.EventRequestEnded):
 			last[l.Request] = l.Tried
-		case string(steering.EventSent), string(steering.EventAttemptEnded):
+		case string(steering.EventRequestSent), string(steering.EventAttemptEnded):
 			steps++
 		case messageLeftOut:
 			counts = l.Counts
@@ -129,7 +129,7 @@
 	if want := 4 * (fullPerSecond + 1); steps != want {
 		t.Errorf("%d lines of single decisions, want %d", steps, want)
 	}
-	if got, want := counts[string(steering.ReasonLate)], failed-fullPerSecond-briefPerSecond; got != want {
+	if got, want := counts[string(steering.ReasonTimeout)], failed-fullPerSecond-briefPerSecond; got != want {
 		t.Errorf("%d requests counted as late and left out, want %d", got, want)
 	}
 }
@@ -141,15 +141,15 @@
 		k := steering.New(steering.Config{Name: "vm-1", Observe: j.event})
 		route := &routing.Route{Name: "r", Host: "h", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.Part{{Service: "s", Weight: 1}}}
 		k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
-		k.SetServer(*clock, routing.Server{ID: "i-1", Service: "s", Slots: 4})
-		f, _ := k.Begin(*clock, steering.Request{ID: "complaint", Host: "h", Path: "/"})
-		if d := k.Ended(*clock, f, steering.Attempt{Result: steering.Failed}); !d.Answer {
+		k.RegisterServer(*clock, routing.Server{ID: "i-1", Service: "s", Slots: 4})
+		f, _ := k.BeginRequest(*clock, steering.Request{ID: "complaint", Host: "h", Path: "/"})
+		if d := k.EndAttempt(*clock, f, steering.Attempt{Result: steering.ResultServerError}); !d.ReturnResponse {
 			t.Errorf("the server's answer is not passed on: %+v", d)
 		}
 	})
 	last := lines[len(lines)-1]
-	if last.Request != "complaint" || last.Reason != string(steering.ReasonFailed) || last.Tried != "i-1 failed" {
-		t.Errorf("last line is %+v, want the request with the reason %q", last, steering.ReasonFailed)
+	if last.Request != "complaint" || last.Reason != string(steering.ReasonServerError) || last.Tried != "i-1 failed" {
+		t.Errorf("last line is %+v, want the request with the reason %q", last, steering.ReasonServerError)
 	}
 }
 
@@ -157,9 +157,9 @@
 func TestGoodRequestsAreSampled(t *testing.T) {
 	lines := journalLines(t, func(j *journal, _ *time.Time) {
 		for range 3 * sampleOneIn {
-			j.event(steering.Event{Kind: steering.EventFinished, Outcome: steering.Done, Attempt: 1, Target: time.Second, Took: time.Millisecond})
+			j.event(steering.Event{Kind: steering.EventRequestEnded, Outcome: steering.OutcomeDone, Attempt: 1, Target: time.Second, Duration: time.Millisecond})
 		}
-		j.event(steering.Event{Kind: steering.EventFinished, Request: "slow", Outcome: steering.Done, Attempt: 1, Target: time.Second, Took: 2 * time.Second})
+		j.event(steering.Event{Kind: steering.EventRequestEnded, Request: "slow", Outcome: steering.OutcomeDone, Attempt: 1, Target: time.Second, Duration: 2 * time.Second})
 	})
 	if len(lines) != 4 || lines[3].Request != "slow" {
 		t.Errorf("%d lines, want three of good requests and one of the slow one: %+v", len(lines), lines)
--- a/internal/proxy/forward/keeper.go
+++ b/internal/proxy/forward/keeper.go
@@ -37,7 +37,7 @@
 		// lease is zero for none. A planned stop reads it too.
 		lease atomic.Uint64
 		// held is what the entry says of services that are held back.
-		held []steering.Held
+		held []steering.ServiceLimit
 		// written is set while the entry is taken to be there.
 		written bool
 	}
@@ -65,8 +65,10 @@
 
 // tells reports whether the entry says which services are held back, and how far.
 // How many answers speak for a limit changes all the time and is not worth a call.
-func (k *keeper) tells(held []steering.Held) bool {
-	return slices.EqualFunc(k.held, held, func(a, b steering.Held) bool { return a.Service == b.Service && a.Slots == b.Slots && a.Most == b.Most })
+func (k *keeper) tells(held []steering.ServiceLimit) bool {
+	return slices.EqualFunc(k.held, held, func(a, b steering.ServiceLimit) bool {
+		return a.Service == b.Service && a.Slots == b.Slots && a.Most == b.Most
+	})
 }
 
 // keep makes the call that is due, or the two of a new entry, and reports whether
--- a/internal/proxy/forward/members.go
+++ b/internal/proxy/forward/members.go
@@ -34,7 +34,7 @@
 		// Held is what the proxy has learned of services whose servers slow down when
 		// full. It outlives the process by its lease: proxies that have all lost power
 		// need not learn it again while every queue is full.
-		Held []steering.Held `json:"held,omitempty"`
+		Held []steering.ServiceLimit `json:"held,omitempty"`
 		// Started tells the starts of a VM under one name apart: Unix milliseconds
 		// of its own clock, zero from a proxy that does not tell.
 		Started int64 `json:"started,omitempty"`
@@ -78,7 +78,7 @@
 			f.writeSoon()
 		}
 		if e.Doubtful {
-			f.daemon.do(func(k *steering.Kernel, now time.Time) { k.DoubtProxies(now.Add(absentFor)) })
+			f.daemon.do(func(k *steering.Kernel, now time.Time) { k.IgnoreMissingProxiesUntil(now.Add(absentFor)) })
 		}
 		klog.InfoS("proxy gone", "proxy", name)
 		return
@@ -94,7 +94,7 @@
 	}
 	f.members[name] = m
 	if len(m.Held) > 0 {
-		f.daemon.do(func(k *steering.Kernel, now time.Time) { k.SetHolding(now, m.Held) })
+		f.daemon.do(func(k *steering.Kernel, now time.Time) { k.ApplyConcurrencyLimits(now, m.Held) })
 	}
 	klog.InfoS("proxy known", "proxy", name, "failure-domain", m.Domain)
 }
--- a/internal/proxy/forward/members_test.go
+++ b/internal/proxy/forward/members_test.go
@@ -35,7 +35,7 @@
 			for after := time.Duration(0); after <= 3100*time.Millisecond; after += 100 * time.Millisecond {
 				k.Tick(now.Add(after))
 			}
-			stranded = k.Status(now).Stranded
+			stranded = k.Status(now).RegionsWithoutProxies
 		})
 		if got := slices.Contains(stranded, "south"); got == doubtful {
 			t.Errorf("entry gone, doubtful %t: the region counts as one without proxies %t", doubtful, got)
--- a/internal/proxy/forward/meters.go
+++ b/internal/proxy/forward/meters.go
@@ -51,7 +51,7 @@
 
 // event counts. The kernel's lock is held, so the maps need none.
 func (m *meters) event(e steering.Event) {
-	if e.Kind != steering.EventFinished {
+	if e.Kind != steering.EventRequestEnded {
 		m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_events_total{kind=%q}", e.Kind)).Inc()
 		return
 	}
@@ -77,7 +77,7 @@
 		duration = m.set.GetOrCreateHistogram(fmt.Sprintf("gypsumquay_request_duration_seconds{service=%q}", e.Service))
 		m.durations[e.Service] = duration
 	}
-	duration.Update(e.Took.Seconds())
+	duration.Update(e.Duration.Seconds())
 }
 
 func (m *meters) attempt(labels attemptLabels) {
@@ -124,9 +124,9 @@
 	}
 	m.set.NewGauge("gypsumquay_limited_servers", servers(func(b steering.ServerStatus) bool { return b.Limit.Named }))
 	m.set.NewGauge("gypsumquay_pausing_servers", servers(func(b steering.ServerStatus) bool { return b.PausedFor > 0 }))
-	m.set.NewGauge("gypsumquay_leaving_servers", servers(func(b steering.ServerStatus) bool { return b.Leaves }))
-	m.set.NewGauge("gypsumquay_regions_without_proxies", status(func(s steering.Status) float64 { return float64(len(s.Stranded)) }))
-	m.set.NewGauge("gypsumquay_condemned_works", status(func(s steering.Status) float64 { return float64(len(s.Condemned)) }))
+	m.set.NewGauge("gypsumquay_leaving_servers", servers(func(b steering.ServerStatus) bool { return b.Leaving }))
+	m.set.NewGauge("gypsumquay_regions_without_proxies", status(func(s steering.Status) float64 { return float64(len(s.RegionsWithoutProxies)) }))
+	m.set.NewGauge("gypsumquay_condemned_works", status(func(s steering.Status) float64 { return float64(len(s.BlockedWork)) }))
 	m.set.NewGauge("gypsumquay_store_copy_age_seconds", func() float64 { return d.feed.age().Seconds() })
 	m.set.NewGauge("gypsumquay_log_lines_dropped", func() float64 { return float64(dropped()) })
 }
--- a/internal/proxy/forward/places.go
+++ b/internal/proxy/forward/places.go
@@ -26,17 +26,17 @@
 
 		mu sync.Mutex
 		// waiting are the own questions that are queued, by their ids.
-		waiting map[uint64]chan steering.Reply
+		waiting map[uint64]chan steering.SlotReply
 	}
 )
 
 func newPlaces(d *Daemon) *places {
-	return &places{daemon: d, waiting: make(map[uint64]chan steering.Reply)}
+	return &places{daemon: d, waiting: make(map[uint64]chan steering.SlotReply)}
 }
 
 // ask waits until a place is granted or denied, but not for longer than one is of
 // use. It reports false if the owner of the gate does not answer, or the context ends.
-func (p *places) ask(ctx context.Context, a steering.Ask) (steering.Reply, bool) {
+func (p *places) ask(ctx context.Context, a steering.SlotRequest) (steering.SlotReply, bool) {
 	granted := p.register(a.ID)
 	defer p.forget(a.ID)
 	last := time.NewTimer(a.Last.Sub(p.daemon.now()))
@@ -57,16 +57,16 @@
 			return reply, true
 		case <-ctx.Done():
 			again.Stop()
-			return steering.Reply{}, false
+			return steering.SlotReply{}, false
 		case <-again.C:
 		}
 	}
 }
 
-func (p *places) askOnce(ctx context.Context, a steering.Ask) (reply steering.Reply, answered bool) {
+func (p *places) askOnce(ctx context.Context, a steering.SlotRequest) (reply steering.SlotReply, answered bool) {
 	d := p.daemon
 	if a.Owner.Name == d.settings.Name {
-		d.do(func(k *steering.Kernel, now time.Time) { reply = k.HearAsk(now, a) })
+		d.do(func(k *steering.Kernel, now time.Time) { reply = k.HandleSlotRequest(now, a) })
 		return reply, true
 	}
 	peer, known := d.feed.peerOf(a.Owner.Name)
@@ -80,10 +80,10 @@
 	return reply, err == nil
 }
 
-func (p *places) register(id uint64) chan steering.Reply {
+func (p *places) register(id uint64) chan steering.SlotReply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	granted := make(chan steering.Reply, 1)
+	granted := make(chan steering.SlotReply, 1)
 	p.waiting[id] = granted
 	return granted
 }
@@ -96,7 +96,7 @@
 
 // hear takes in what has become of an own question. Whoever no longer waits for it
 // has given the place back.
-func (p *places) hear(r steering.Reply) {
+func (p *places) hear(r steering.SlotReply) {
 	p.mu.Lock()
 	granted := p.waiting[r.ID]
 	p.mu.Unlock()
@@ -110,7 +110,7 @@
 }
 
 // giveBack tells the owner of a gate that a place is free.
-func (p *places) giveBack(r steering.Release) {
+func (p *places) giveBack(r steering.SlotRelease) {
 	d := p.daemon
 	if r.Owner.Name == d.settings.Name {
 		p.release(r)
@@ -128,14 +128,14 @@
 }
 
 // release takes a place at an own gate back and tells who gets it.
-func (p *places) release(r steering.Release) {
-	var grants []steering.Reply
-	p.daemon.do(func(k *steering.Kernel, now time.Time) { grants = k.HearRelease(now, r) })
+func (p *places) release(r steering.SlotRelease) {
+	var grants []steering.SlotReply
+	p.daemon.do(func(k *steering.Kernel, now time.Time) { grants = k.HandleSlotRelease(now, r) })
 	p.tell(grants)
 }
 
 // tell carries what own gates have granted or denied to those that asked.
-func (p *places) tell(grants []steering.Reply) {
+func (p *places) tell(grants []steering.SlotReply) {
 	d := p.daemon
 	for _, g := range grants {
 		if g.From == d.settings.Name {
@@ -148,7 +148,7 @@
 	}
 }
 
-func (p *places) send(peer netip.AddrPort, g steering.Reply) {
+func (p *places) send(peer netip.AddrPort, g steering.SlotReply) {
 	if err := p.daemon.peers.Grant(context.Background(), peer, g); err != nil {
 		klog.V(1).InfoS("grant not delivered; the proxy asks again", "proxy", g.From, "error", err.Error())
 	}
--- a/internal/proxy/forward/places_test.go
+++ b/internal/proxy/forward/places_test.go
@@ -11,10 +11,10 @@
 
 // askFor is a question of one proxy of a fleet to another for a place at the only
 // server, whose gate lets one run.
-func (f *fleet) askFor(from, owner int, id uint64) steering.Ask {
+func (f *fleet) askFor(from, owner int, id uint64) steering.SlotRequest {
 	d := f.daemons[from]
 	now := d.now()
-	return steering.Ask{
+	return steering.SlotRequest{
 		Owner: steering.Proxy{Name: f.daemons[owner].settings.Name}, Server: "s1", Limit: admission.Limit{Slots: 4, Most: 1, Evidence: 100},
 		Ticket: admission.Ticket{ID: id, From: d.settings.Name, Good: now.Add(time.Second), Last: now.Add(5 * time.Second), Until: now.Add(10 * time.Second)},
 	}
@@ -44,7 +44,7 @@
 	if r, answered := first.ask(context.Background(), own); !answered || r.Verdict != admission.Granted {
 		t.Fatalf("the first gets verdict %d (%t)", r.Verdict, answered)
 	}
-	granted := make(chan steering.Reply, 1)
+	granted := make(chan steering.SlotReply, 1)
 	go func() {
 		r, _ := second.ask(context.Background(), f.askFor(1, 0, 1))
 		granted <- r
@@ -52,11 +52,11 @@
 	f.eventually("the second waits", func() bool {
 		var waiting int
 		f.daemons[0].do(func(k *steering.Kernel, now time.Time) {
-			waiting = k.HearAsk(now, own).Waiting
+			waiting = k.HandleSlotRequest(now, own).Waiting
 		})
 		return waiting == 1
 	})
-	first.giveBack(steering.Release{Owner: own.Owner, Server: "s1", From: own.From, ID: own.ID})
+	first.giveBack(steering.SlotRelease{Owner: own.Owner, Server: "s1", From: own.From, ID: own.ID})
 	if r := <-granted; r.Verdict != admission.Granted {
 		t.Errorf("the second gets verdict %d, want its place", r.Verdict)
 	}
@@ -109,23 +109,23 @@
 func TestLearnedLimitsOutliveTheProcess(t *testing.T) {
 	f := newFleet(t, 2)
 	f.knowEachOther()
-	held := []steering.Held{{Service: "service", Limit: admission.Limit{Slots: 4, Most: 2, Evidence: 50}}}
+	held := []steering.ServiceLimit{{Service: "service", Limit: admission.Limit{Slots: 4, Most: 2, Evidence: 50}}}
 	f.daemons[0].do(func(k *steering.Kernel, now time.Time) {
 		// A gate that says that fewer should run is a proxy's own sign.
-		k.SetHolding(now, held)
-		f, d := k.Begin(now, steering.Request{ID: "r", Host: "127.0.0.1", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
-		if d.Ask == nil {
+		k.ApplyConcurrencyLimits(now, held)
+		f, d := k.BeginRequest(now, steering.Request{ID: "r", Host: "127.0.0.1", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
+		if d.SlotRequest == nil {
 			t.Errorf("not held back: %+v", d)
 			return
 		}
-		k.Asked(now, f, steering.Reply{Grant: admission.Grant{Verdict: admission.Granted}, Limit: held[0].Limit}, true)
+		k.HandleSlotReply(now, f, steering.SlotReply{Grant: admission.Grant{Verdict: admission.Granted}, Limit: held[0].Limit}, true)
 	})
 	f.eventually("the entry tells the limit, and the other proxy holds back", func() bool {
 		asks := false
 		f.daemons[1].do(func(k *steering.Kernel, now time.Time) {
-			f, d := k.Begin(now, steering.Request{ID: "q", Host: "127.0.0.1", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
-			if asks = d.Ask != nil; d.Server != nil {
-				k.Ended(now, f, steering.Attempt{Result: steering.Left})
+			f, d := k.BeginRequest(now, steering.Request{ID: "q", Host: "127.0.0.1", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
+			if asks = d.SlotRequest != nil; d.Server != nil {
+				k.EndAttempt(now, f, steering.Attempt{Result: steering.ResultCallerGone})
 			}
 		})
 		return asks
--- a/internal/proxy/forward/quotas.go
+++ b/internal/proxy/forward/quotas.go
@@ -95,7 +95,7 @@
 	q.mu.Lock()
 	q.stored = n
 	q.mu.Unlock()
-	q.daemon.do(func(k *steering.Kernel, _ time.Time) { k.SetFleet(n) })
+	q.daemon.do(func(k *steering.Kernel, _ time.Time) { k.SetFleetSize(n) })
 }
 
 func decodeFleet(data []byte) (int, error) {
@@ -130,7 +130,7 @@
 }
 
 func (q *quotas) limited() (limited bool) {
-	q.daemon.do(func(k *steering.Kernel, _ time.Time) { limited = k.HasLimits() })
+	q.daemon.do(func(k *steering.Kernel, _ time.Time) { limited = k.HasRateLimits() })
 	return limited
 }
 
@@ -146,15 +146,15 @@
 	var asked time.Time
 	d.do(func(k *steering.Kernel, now time.Time) {
 		asked = now
-		to, r = k.LimitReport(now, best, others[:min(len(others), askedMost)])
+		to, r = k.QuotaReport(now, best, others[:min(len(others), askedMost)])
 	})
 	g, err := q.tell(ctx, to, r)
 	d.do(func(k *steering.Kernel, now time.Time) {
 		if err != nil {
-			k.ReportUnanswered(now, to)
+			k.QuotaReportUnanswered(now, to)
 			return
 		}
-		again = k.HearGrants(now, asked, to, g)
+		again = k.ApplyQuotaGrants(now, asked, to, g)
 	})
 	return again
 }
@@ -170,12 +170,12 @@
 	var asked time.Time
 	d.do(func(k *steering.Kernel, now time.Time) {
 		asked = now
-		loans = k.Borrow(now, lenders)
+		loans = k.BorrowQuota(now, lenders)
 	})
 	for _, l := range loans {
 		go func() {
 			if g, err := q.tell(ctx, l.Lender, l.Report); err == nil {
-				d.do(func(k *steering.Kernel, now time.Time) { k.HearLoan(now, asked, l.Lender, g) })
+				d.do(func(k *steering.Kernel, now time.Time) { k.ApplyQuotaLoan(now, asked, l.Lender, g) })
 			}
 		}()
 	}
@@ -185,7 +185,7 @@
 func (q *quotas) tell(ctx context.Context, to string, r ratelimit.Report) (g ratelimit.Grants, err error) {
 	d := q.daemon
 	if to == d.settings.Name {
-		d.do(func(k *steering.Kernel, now time.Time) { g = k.HearReport(now, r) })
+		d.do(func(k *steering.Kernel, now time.Time) { g = k.HandleQuotaReport(now, r) })
 		return g, nil
 	}
 	peer, known := d.feed.peerOf(to)
@@ -326,7 +326,7 @@
 func (q *quotas) due() (n int, due bool) {
 	d := q.daemon
 	first := false
-	d.do(func(k *steering.Kernel, _ time.Time) { n, first = k.Holders(), k.HasLimits() && k.FirstOfFleet() })
+	d.do(func(k *steering.Kernel, _ time.Time) { n, first = k.KnownHolders(), k.HasRateLimits() && k.IsLeader() })
 	now := d.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/proxy/forward/stop.go
+++ b/internal/proxy/forward/stop.go
@@ -32,7 +32,7 @@
 	end := began.Add(grace - stopMargin)
 	klog.InfoS("stopping", "grace", grace.String())
 	close(d.stopping)
-	d.do(func(k *steering.Kernel, _ time.Time) { k.Leave(end.Add(-answerMargin)) })
+	d.do(func(k *steering.Kernel, _ time.Time) { k.BeginShutdown(end.Add(-answerMargin)) })
 	d.gossip.spread(ctx, d.feed.revision())
 	// A store that is cut off lets this call hang for over a second, which the
 	// requests in progress would lack at the end.
--- a/internal/proxy/forward/suspicions.go
+++ b/internal/proxy/forward/suspicions.go
@@ -26,7 +26,7 @@
 
 // suspicions are what a peer should hear of work that ends servers.
 func (d *Daemon) suspicions(all bool) (list []quarantine.Report) {
-	d.do(func(k *steering.Kernel, now time.Time) { list = k.Suspicions(now, all) })
+	d.do(func(k *steering.Kernel, now time.Time) { list = k.QuarantineReports(now, all) })
 	return list
 }
 
@@ -53,9 +53,9 @@
 	var doubted []routing.Server
 	urgent, reports := false, 0
 	d.do(func(k *steering.Kernel, now time.Time) {
-		doubted, urgent = k.Doubted(), k.SuspicionsUrgent()
+		doubted, urgent = k.ServersToProbe(), k.QuarantineReportsUrgent()
 		if urgent {
-			reports = len(k.Suspicions(now, false))
+			reports = len(k.QuarantineReports(now, false))
 		}
 	})
 	for _, s := range doubted {
@@ -73,5 +73,5 @@
 		klog.V(1).InfoS("a server at which exchanges broke has not ended, as far as is known", "server", s.ID, "error", text(err))
 		return
 	}
-	d.do(func(k *steering.Kernel, now time.Time) { k.Refusing(now, s.ID) })
+	d.do(func(k *steering.Kernel, now time.Time) { k.RecordConnectionRefused(now, s.ID) })
 }
--- a/internal/proxy/recording/file_test.go
+++ b/internal/proxy/recording/file_test.go
@@ -25,11 +25,11 @@
 	k := steering.New(steering.Config{Name: "vm-1", Domain: "north-a", Region: "north", RegionOf: map[string]string{"north-a": "north"}, Record: file.Write})
 	route := &routing.Route{Name: "route", Host: "host", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}}}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
-	k.SetServer(now, routing.Server{ID: "server-1", Service: "service", Domain: "north-a", Slots: 4})
-	f, _ := k.Begin(now, steering.Request{ID: "first", Host: "host", Path: "/"})
-	k.Ended(now.Add(time.Millisecond), f, steering.Attempt{Result: steering.Answered})
+	k.RegisterServer(now, routing.Server{ID: "server-1", Service: "service", Domain: "north-a", Slots: 4})
+	f, _ := k.BeginRequest(now, steering.Request{ID: "first", Host: "host", Path: "/"})
+	k.EndAttempt(now.Add(time.Millisecond), f, steering.Attempt{Result: steering.ResultAnswered})
 	k.RemoveServer(now, "server-1")
-	k.Begin(now, steering.Request{ID: "second", Host: "host", Path: "/"})
+	k.BeginRequest(now, steering.Request{ID: "second", Host: "host", Path: "/"})
 	if err := file.Close(); err != nil {
 		t.Fatal(err)
 	}
