--- a/internal/kernel/steering/access.go
+++ b/internal/kernel/steering/access.go
@@ -4,11 +4,11 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/account"
 )
 
-// identify finds whose request it is, and where it may run: the regions of both its
+// authorize finds whose request it is, and where it may run: the regions of both its
 // route and its account bind.
-func (k *Kernel) identify(f *ActiveRequest) Reason {
-	f.version, f.HasAccounts = k.table.Version, k.table.Accounts != nil
-	f.Account, f.allowed = nil, k.allowed[f.Route.Name]
+func (k *Kernel) authorize(f *ActiveRequest) Reason {
+	f.tableVersion, f.HasAccounts = k.table.Version, k.table.Accounts != nil
+	f.Account, f.allowedRegions = nil, k.routeRegions[f.Route.Name]
 	if !f.HasAccounts {
 		return ReasonNone
 	}
@@ -21,21 +21,21 @@
 		}
 		return ReasonNoAccount
 	}
-	f.allowed &= k.regionSet(f.Account.Regions)
-	if f.allowed == 0 {
+	f.allowedRegions &= k.regionSet(f.Account.Regions)
+	if f.allowedRegions == 0 {
 		return ReasonNoRegion
 	}
 	return ReasonNone
 }
 
-// identifyAgain does so before a request is sent, if another configuration has come into
+// reauthorize does so before a request is sent, if another configuration has come into
 // force since: its key may have been taken away while it waited.
-func (k *Kernel) identifyAgain(f *ActiveRequest) Reason {
-	if f.version == k.table.Version {
+func (k *Kernel) reauthorize(f *ActiveRequest) Reason {
+	if f.tableVersion == k.table.Version {
 		return ReasonNone
 	}
 	had := f.Account
-	reason := k.identify(f)
+	reason := k.authorize(f)
 	if reason == ReasonNone && had != nil && f.Account != nil && had.Name != f.Account.Name {
 		// The request counts for the account that it was admitted for.
 		return ReasonNoAccount
--- a/internal/kernel/steering/access_test.go
+++ b/internal/kernel/steering/access_test.go
@@ -101,7 +101,7 @@
 	if got := f.priority(); got != urgent {
 		t.Errorf("priority is %d, want the account's %d", got, urgent)
 	}
-	if got := k.leastUrgent["service"]; got != urgent {
+	if got := k.lowestPriority["service"]; got != urgent {
 		t.Errorf("the least urgent requests have priority %d, want %d: all are of the account", got, urgent)
 	}
 	k, now = accountsKernel(t, account.Account{}, Config{})
--- a/internal/kernel/steering/ask.go
+++ b/internal/kernel/steering/ask.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// askShare is the largest part of a route's target that the way to a gate may
+	// maxSlotRequestShare is the largest part of a route's target that the way to a gate may
 	// take. The request takes the same way again after it.
-	askShare = 0.2
-	// ownerPause is how long the owner of a gate that did not answer is not asked.
-	ownerPause = time.Second
+	maxSlotRequestShare = 0.2
+	// unresponsiveOwnerPause is how long the owner of a gate that did not answer is not asked.
+	unresponsiveOwnerPause = time.Second
 )
 
 type (
@@ -56,37 +56,37 @@
 	}
 )
 
-// ask decides whether the request needs a place at the server's gate first.
-func (k *Kernel) ask(now time.Time, f *ActiveRequest, g *service, s *server, p pick) *SlotRequest {
-	if !k.held(now, g) || now.Before(s.ownerLost) || s.isCold(now) {
+// newSlotRequest decides whether the request needs a place at the server's gate first.
+func (k *Kernel) newSlotRequest(now time.Time, f *ActiveRequest, g *service, s *server, p choice) *SlotRequest {
+	if !k.isLimited(now, g) || now.Before(s.skipOwnerUntil) || s.isCold(now) {
 		// A cold server is sent what it bears in a second within that second.
 		return nil
 	}
-	owner, found := k.gateOwner(s)
-	way := s.domain.roundTrip
-	if !found || way > time.Duration(askShare*float64(f.Route.Target)) {
+	owner, found := k.slotQueueOwner(s)
+	way := s.rtt.roundTrip
+	if !found || way > time.Duration(maxSlotRequestShare*float64(f.Route.Target)) {
 		return nil
 	}
-	work := p.expected - p.start
+	work := p.expected - p.untilStart
 	// Nothing is denied by a guess: the work of a route that was not seen yet is its
 	// target, and refusing by that would keep routes with short time-outs out of
 	// service for good.
-	least := g.workOn(f.Route).warm
+	least := g.workOf(f.Route).warm
 	return &SlotRequest{
-		Owner: owner, Server: s.id, Limit: g.holding.limits[s.Slots], Work: least,
+		Owner: owner, Server: s.id, Limit: g.concurrency.learnedLimits[s.Slots], Work: least,
 		Ticket: admission.Ticket{
-			ID: f.number, From: k.config.Name, Priority: f.priority(),
-			Good: f.began.Add(f.Route.Target - work - way), Last: f.ExpiresAt.Add(-least - way), Until: f.ExpiresAt,
+			ID: f.seq, From: k.config.Name, Priority: f.priority(),
+			Good: f.startedAt.Add(f.Route.Target - work - way), Last: f.ExpiresAt.Add(-least - way), Until: f.ExpiresAt,
 		},
 	}
 }
 
-// gateOwner is the proxy whose gate stands before a server, the same for all that
+// slotQueueOwner is the proxy whose gate stands before a server, the same for all that
 // know the same proxies: one of the server's failure domain if there is one, else of
 // its region, by a hash.
-func (k *Kernel) gateOwner(s *server) (Proxy, bool) {
+func (k *Kernel) slotQueueOwner(s *server) (Proxy, bool) {
 	best, found := Proxy{}, false
-	rank := func(p Proxy) (int, uint64) { return farness(p, s), xxhash.Sum64String(p.Name + "/" + s.id) }
+	rank := func(p Proxy) (int, uint64) { return proximity(p, s), xxhash.Sum64String(p.Name + "/" + s.id) }
 	for _, p := range k.proxies {
 		if p.Leaving || p.Region != s.region {
 			continue
@@ -104,84 +104,84 @@
 // Without an answer the request is sent as it would have been without a gate: a
 // proxy that owns gates may be gone or cut off, and callers must not wait for it.
 func (k *Kernel) HandleSlotReply(now time.Time, f *ActiveRequest, r SlotReply, answered bool) Decision {
-	d := k.asked(now, f, r, answered)
+	d := k.handleSlotReply(now, f, r, answered)
 	if k.config.Record != nil {
-		v := verdictOf(d)
-		k.config.Record(Call{Method: callAsked, At: now, RequestNumber: f.number, SlotReply: &r, Flag: answered, Decision: &v})
+		v := recordedDecisionOf(d)
+		k.config.Record(Call{Method: callSlotReply, At: now, RequestNumber: f.seq, SlotReply: &r, Flag: answered, Decision: &v})
 	}
 	return d
 }
 
-func (k *Kernel) asked(now time.Time, f *ActiveRequest, r SlotReply, answered bool) Decision {
+func (k *Kernel) handleSlotReply(now time.Time, f *ActiveRequest, r SlotReply, answered bool) Decision {
 	s, g := f.server, k.service(f.Service)
 	switch {
 	case !answered:
-		s.ownerLost = now.Add(ownerPause)
+		s.skipOwnerUntil = now.Add(unresponsiveOwnerPause)
 	case !r.Unknown:
-		k.learnGate(now, f, s, g, r)
+		k.learnFromSlotReply(now, f, s, g, r)
 	}
-	if answered && r.Verdict == admission.Denied || now.After(f.asking.Last) {
+	if answered && r.Verdict == admission.Denied || now.After(f.slotRequest.Last) {
 		// The place, if there is one, is given back: the owner's answer may be lost.
-		release := f.release(0)
+		release := f.takeSlotRelease(0)
 		s.inFlight--
 		k.quarantine.Stopped(f.Work)
-		f.note(Event{
+		f.addStep(Event{
 			At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(f.steps)/2 + 1, Result: ResultRefused,
 			Expected: f.expected, Duration: now.Sub(f.sentAt), Load: float64(r.Running + r.Waiting),
 		})
-		d := k.giveUp(now, f, ReasonQueuesTooLong)
+		d := k.fail(now, f, ReasonQueuesTooLong)
 		d.SlotRelease = release
 		return d
 	}
-	if reason := k.identifyAgain(f); reason != ReasonNone {
+	if reason := k.reauthorize(f); reason != ReasonNone {
 		// Its key was taken away while the request waited.
-		release := f.release(0)
+		release := f.takeSlotRelease(0)
 		s.inFlight--
 		k.quarantine.Stopped(f.Work)
-		d := k.giveUp(now, f, reason)
+		d := k.fail(now, f, reason)
 		d.SlotRelease = release
 		return d
 	}
-	if !s.takesRequests() || k.evacuated[s.Domain] || s.isCold(now) || !f.allowed.has(s.regionBit) || !k.ServerStillAccepts(now, f) {
+	if !s.isEligible() || k.evacuatedDomains[s.Domain] || s.isCold(now) || !f.allowedRegions.has(s.regionBit) || !k.ServerStillAccepts(now, f) {
 		// The server has begun to leave, to pause or to be cold while the request waited.
-		release := f.release(0)
+		release := f.takeSlotRelease(0)
 		s.inFlight--
 		k.quarantine.Stopped(f.Work)
-		f.tried = append(f.tried, s)
+		f.triedServers = append(f.triedServers, s)
 		d := k.send(now, f)
 		d.SlotRelease = release
 		return d
 	}
 	if r.Unknown {
-		f.asking = nil
+		f.slotRequest = nil
 	}
-	f.rank, f.sentAt = r.Rank, now
-	f.expected = s.domain.roundTrip + g.workOn(f.Route).expect(f.warm, f.Route.Target)
-	return Decision{Server: k.targetOf(g, s)}
+	f.slotRank, f.sentAt = r.Rank, now
+	f.expected = s.rtt.roundTrip + g.workOf(f.Route).expected(f.warm, f.Route.Target)
+	return Decision{Server: k.newTarget(g, s)}
 }
 
-// learnGate takes in what a gate tells of its server. It knows all that runs and
+// learnFromSlotReply takes in what a gate tells of its server. It knows all that runs and
 // waits there, so its word is a report of the server's load.
-func (k *Kernel) learnGate(now time.Time, f *ActiveRequest, s *server, g *service, r SlotReply) {
-	s.report(now, r.Running, r.Waiting)
-	k.feel(now, f, s, float64(r.Waiting))
-	s.limit = r.Limit.Most
-	g.holding.adopt(r.Limit)
+func (k *Kernel) learnFromSlotReply(now time.Time, f *ActiveRequest, s *server, g *service, r SlotReply) {
+	s.recordLoad(now, r.Running, r.Waiting)
+	k.recordQueue(now, f, s, float64(r.Waiting))
+	s.concurrencyLimit = r.Limit.Most
+	g.concurrency.adopt(r.Limit)
 	switch {
 	case !r.Whole:
-		g.holding.own = later(g.holding.own, now.Add(holdFor))
-		k.hold(now, g, holdFor)
-	case r.Sound && g.holding.limits[s.Slots].Most >= s.Slots:
-		k.clear(now, g)
+		g.concurrency.ownEvidenceUntil = laterOf(g.concurrency.ownEvidenceUntil, now.Add(limitFor))
+		k.startLimiting(now, g, limitFor)
+	case r.Sound && g.concurrency.learnedLimits[s.Slots].Most >= s.Slots:
+		k.stopLimiting(now, g)
 	}
 }
 
-// release is the word to the owner of the gate that the request's place is free.
-func (f *ActiveRequest) release(ratio float64) *SlotRelease {
-	if f.asking == nil {
+// takeSlotRelease is the word to the owner of the gate that the request's place is free.
+func (f *ActiveRequest) takeSlotRelease(ratio float64) *SlotRelease {
+	if f.slotRequest == nil {
 		return nil
 	}
-	r := &SlotRelease{Owner: f.asking.Owner, Server: f.asking.Server, From: f.asking.From, ID: f.asking.ID, Rank: f.rank, Ratio: ratio}
-	f.asking, f.rank = nil, 0
+	r := &SlotRelease{Owner: f.slotRequest.Owner, Server: f.slotRequest.Server, From: f.slotRequest.From, ID: f.slotRequest.ID, Rank: f.slotRank, Ratio: ratio}
+	f.slotRequest, f.slotRank = nil, 0
 	return r
 }
--- a/internal/kernel/steering/bench_test.go
+++ b/internal/kernel/steering/bench_test.go
@@ -111,7 +111,7 @@
 				for i := range n {
 					k.RegisterServer(now, routing.Server{ID: fmt.Sprintf("i-%d", i), Service: fmt.Sprint(i % 4), Domain: "north-a", Slots: 4})
 				}
-				k.group("0")
+				k.eligibleService("0")
 			}
 		})
 	}
--- a/internal/kernel/steering/bound.go
+++ b/internal/kernel/steering/bound.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// boundStep is how far a region's part of bound requests moves at most within
-	// boundEvery: objects of other requests move with it, and operators allow a region's
+	// reservedStep is how far a region's part of bound requests moves at most within
+	// reservedInterval: objects of other requests move with it, and operators allow a region's
 	// callers so much within that time.
-	boundStep  = 0.01
-	boundEvery = 2 * time.Second
+	reservedStep     = 0.01
+	reservedInterval = 2 * time.Second
 )
 
 type (
-	// bound are the parts of all requests that must run in one region each, because their
+	// reservedShares are the parts of all requests that must run in one region each, because their
 	// accounts are bound to it. What is not bound must leave them room. They follow from
 	// the configuration, so that all proxies come to the same homes.
-	bound struct {
-		now, target map[string]float64
-		moved       time.Time
+	reservedShares struct {
+		current, target map[string]float64
+		movedAt         time.Time
 	}
 )
 
-// boundOf estimates each region's part of the requests by the accounts' limits: what an
+// reservedSharesOf estimates each region's part of the requests by the accounts' limits: what an
 // account may send is the best that a proxy can know before it has sent it. An account
 // without a limit counts as the mean of the others.
-func (k *Kernel) boundOf(t *routing.Table) map[string]float64 {
+func (k *Kernel) reservedSharesOf(t *routing.Table) map[string]float64 {
 	all, limited := 0.0, 0
 	accounts := t.Accounts.All()
 	for _, a := range accounts {
@@ -55,27 +55,27 @@
 	return parts
 }
 
-// setBound takes in a configuration. The first one holds at once: nothing lives anywhere
+// setReservedTarget takes in a configuration. The first one holds at once: nothing lives anywhere
 // yet.
-func (k *Kernel) setBound(t *routing.Table) {
-	k.bound.target = k.boundOf(t)
-	if k.bound.now == nil {
-		k.bound.now = maps.Clone(k.bound.target)
+func (k *Kernel) setReservedTarget(t *routing.Table) {
+	k.reservedShares.target = k.reservedSharesOf(t)
+	if k.reservedShares.current == nil {
+		k.reservedShares.current = maps.Clone(k.reservedShares.target)
 	}
 }
 
-// moveBound brings the parts in force closer to those of the configuration.
-func (k *Kernel) moveBound(now time.Time) {
-	b := &k.bound
-	if now.Sub(b.moved) < boundEvery {
+// moveReservedShares brings the parts in force closer to those of the configuration.
+func (k *Kernel) moveReservedShares(now time.Time) {
+	b := &k.reservedShares
+	if now.Sub(b.movedAt) < reservedInterval {
 		return
 	}
-	b.moved = now
+	b.movedAt = now
 	changed := false
 	for _, region := range k.regions {
-		step := max(-boundStep, min(boundStep, b.target[region]-b.now[region]))
+		step := max(-reservedStep, min(reservedStep, b.target[region]-b.current[region]))
 		if step != 0 {
-			b.now[region] += step
+			b.current[region] += step
 			changed = true
 		}
 	}
@@ -83,6 +83,6 @@
 		return
 	}
 	for _, g := range k.services {
-		g.forgetHomes()
+		g.invalidateHomes()
 	}
 }
--- a/internal/kernel/steering/call.go
+++ b/internal/kernel/steering/call.go
@@ -12,39 +12,39 @@
 
 const (
 	// The calls that change what a kernel knows or decide on a request.
-	callStart        = "start"
-	callBounds       = "bounds"
-	callTable        = "table"
-	callServer       = "server"
-	callRemove       = "remove-server"
-	callAbsent       = "server-absent"
-	callHolding      = "holding"
-	callAsked        = "asked"
-	callHearAsk      = "hear-ask"
-	callHearRelease  = "hear-release"
-	callUnreadable   = "server-unreadable"
-	callTick         = "tick"
-	callMeasured     = "measured"
-	callEvacuated    = "evacuated"
-	callLeave        = "leave"
-	callProxies      = "proxies"
-	callDoubtProxies = "doubt-proxies"
-	callBegin        = "begin"
-	callEnded        = "ended"
-	callDoubted      = "doubted"
-	callRefusing     = "server-refusing"
-	callSuspicions   = "suspicions"
-	callSignals      = "signals"
-	callReport       = "limit-report"
-	callHearReport   = "hear-limit-report"
-	callHearGrants   = "hear-grants"
-	callUnanswered   = "limit-report-unanswered"
-	callTakeToken    = "take-token"
-	callToken        = "token"
-	callBorrow       = "borrow"
-	callHearLoan     = "hear-loan"
-	callFleet        = "fleet"
-	callResumed      = "resumed"
+	callStart                 = "start"
+	callBounds                = "bounds"
+	callTable                 = "table"
+	callServer                = "server"
+	callRemove                = "remove-server"
+	callAbsent                = "server-absent"
+	callConcurrencyLimits     = "holding"
+	callSlotReply             = "asked"
+	callSlotRequest           = "hear-ask"
+	callSlotRelease           = "hear-release"
+	callUnreadable            = "server-unreadable"
+	callTick                  = "tick"
+	callRoundTrip             = "measured"
+	callEvacuated             = "evacuated"
+	callLeave                 = "leave"
+	callProxies               = "proxies"
+	callIgnoreMissingProxies  = "doubt-proxies"
+	callBegin                 = "begin"
+	callEnded                 = "ended"
+	callServersToProbe        = "doubted"
+	callConnectionRefused     = "server-refusing"
+	callQuarantineReports     = "suspicions"
+	callBackpressureReports   = "signals"
+	callQuotaReport           = "limit-report"
+	callHandleQuotaReport     = "hear-limit-report"
+	callQuotaGrants           = "hear-grants"
+	callQuotaReportUnanswered = "limit-report-unanswered"
+	callTakePoolToken         = "take-token"
+	callPoolToken             = "token"
+	callBorrowQuota           = "borrow"
+	callQuotaLoan             = "hear-loan"
+	callFleetSize             = "fleet"
+	callResume                = "resumed"
 )
 
 type (
@@ -104,7 +104,7 @@
 	}
 }
 
-func verdictOf(d Decision) RecordedDecision {
+func recordedDecisionOf(d Decision) RecordedDecision {
 	v := RecordedDecision{ReturnResponse: d.ReturnResponse, Reason: d.Reason, NotRun: d.NotRun, RetryAfter: d.RetryAfter, QuotaPool: d.QuotaPool}
 	if d.Server != nil {
 		v.Server = d.Server.ID
--- a/internal/kernel/steering/cause.go
+++ b/internal/kernel/steering/cause.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	// slowFrom is how many times the time reckoned an answer must have taken for
+	// slowServerFactor is how many times the time reckoned an answer must have taken for
 	// its server to be called slow. Work varies by a third on its own, and a queue
 	// that was not known of yet by half.
-	slowFrom = 2
+	slowServerFactor = 2
 )
 
 type (
@@ -35,10 +35,10 @@
 	Cause string
 )
 
-// causeOf finds why a request that ends now is late: not answered within the
+// latencyCause finds why a request that ends now is late: not answered within the
 // target, or given up on at its time-out. The server's state is that at the last
 // send.
-func (f *ActiveRequest) causeOf(now time.Time) (cause Cause, state ServerState) {
+func (f *ActiveRequest) latencyCause(now time.Time) (cause Cause, state ServerState) {
 	var sent Event
 	for _, e := range f.steps {
 		if e.Kind == EventRequestSent {
@@ -48,16 +48,16 @@
 	if sent.Kind == "" || f.Route == nil {
 		return CauseNone, StateNone
 	}
-	if now.Sub(f.began) <= f.Route.Target {
+	if now.Sub(f.startedAt) <= f.Route.Target {
 		return CauseNone, sent.State
 	}
 	took := now.Sub(sent.At)
 	switch {
-	case sent.At.Sub(f.began) > took:
+	case sent.At.Sub(f.startedAt) > took:
 		return CauseFailedAttempts, sent.State
 	case sent.State == StateCold:
 		return CauseColdServer, sent.State
-	case took > slowFrom*sent.Expected:
+	case took > slowServerFactor*sent.Expected:
 		return CauseSlowServer, sent.State
 	case 2*sent.ExpectedWait > sent.Expected:
 		return CauseQueue, sent.State
--- a/internal/kernel/steering/choose.go
+++ b/internal/kernel/steering/choose.go
@@ -9,100 +9,100 @@
 )
 
 const (
-	// farShare is the largest part of a route's target that a round trip to
+	// maxRemoteRTTShare is the largest part of a route's target that a round trip to
 	// another region may take for objects of this region to live there. Half
 	// leaves as much for the work.
-	farShare = 0.5
-	// spillCost is charged for work on a server that does not know the
+	maxRemoteRTTShare = 0.5
+	// coldRunPenalty is charged for work on a server that does not know the
 	// object, as a part of that work and for each rank away from home: it takes
 	// the slots of others.
-	spillCost = 6.0
-	// unseenWait is the part of their work for which a request without an object is
+	coldRunPenalty = 6.0
+	// unreportedWaitShare is the part of their work for which a request without an object is
 	// taken to wait for others that nobody has told of, as many of each proxy of the
 	// region as of this one. Reports are behind by some requests, and all proxies see
 	// the same idle server.
-	unseenWait = 0.5
-	// busyFor is for how many times a route's target a server without an answer may
+	unreportedWaitShare = 0.5
+	// busyTargets is for how many times a route's target a server without an answer may
 	// be busy. Work that the target allows for takes longer on a first run.
-	busyFor = 2
-	// plainShare takes the place of placing.RoomShare for requests without an
+	busyTargets = 2
+	// objectlessRoomShare takes the place of placing.RoomShare for requests without an
 	// object: nothing runs cold in another region, so each gets what its slots are.
-	plainShare = 1.0
-	// otherRegion is charged a request without an object for a region that was not
+	objectlessRoomShare = 1.0
+	// otherRegionPenalty is charged a request without an object for a region that was not
 	// drawn for it: more than any wait, so that it goes there only if no server of
 	// its own region may take it.
-	otherRegion = time.Hour
-	// coldWork is how many times as long work is taken to last on a server that has
+	otherRegionPenalty = time.Hour
+	// coldWorkFactor is how many times as long work is taken to last on a server that has
 	// just started. Servers don't tell; too much only spares those that warm up.
-	coldWork = 2
-	// memory is how long an answer's object is taken to be remembered.
-	memory = 10 * time.Second
-	// memoryMost bounds the objects noted for each server.
-	memoryMost = 64
-	// knownObjectsMost is from how many objects on those are swept that no server knows.
-	knownObjectsMost = 8192
+	coldWorkFactor = 2
+	// objectMemory is how long an answer's object is taken to be remembered.
+	objectMemory = 10 * time.Second
+	// maxObjectsPerServer bounds the objects noted for each server.
+	maxObjectsPerServer = 64
+	// warmServersSweepSize is from how many objects on those are swept that no server knows.
+	warmServersSweepSize = 8192
 )
 
 type (
-	// reach is how far requests may go: near, in this region only, if a round trip to
+	// placementScope is how far requests may go: near, in this region only, if a round trip to
 	// another takes too much of the route's target; in the regions allowed, but for one
 	// that is left out.
-	reach struct {
-		near    bool
-		allowed regionSet
-		without string
+	placementScope struct {
+		ownRegionOnly  bool
+		regions        regionSet
+		excludedRegion string
 	}
 
-	// pick is a choice and what it was reckoned to take.
-	pick struct {
+	// choice is a choice and what it was reckoned to take.
+	choice struct {
 		server   *server
 		expected time.Duration
-		// start is the part of it until a slot is free: how long the work
+		// untilStart is the part of it until a slot is free: how long the work
 		// takes then is a guess, and not one to refuse a request for.
-		start time.Duration
-		cost  time.Duration
-		warm  bool
-		// home is the server's rank among the object's homes.
-		home   int
-		reason Reason
+		untilStart time.Duration
+		cost       time.Duration
+		warm       bool
+		// homeRank is the server's rank among the object's homes.
+		homeRank int
+		reason   Reason
 	}
 )
 
-// choose picks the server with the least expected time for the request among
+// chooseByCost picks the server with the least expected time for the request among
 // all that may take it.
-func (k *Kernel) choose(now time.Time, f *ActiveRequest, g *service) (*server, pick) {
-	homes := k.failover(now, f, g, k.atReplica(f, g, k.homes(f, g)))
-	if f.Object == "" && f.region == "" {
-		f.region = k.drawRegion(f, g)
+func (k *Kernel) chooseByCost(now time.Time, f *ActiveRequest, g *service) (*server, choice) {
+	homes := k.failover(now, f, g, k.withReplica(f, g, k.homes(f, g)))
+	if f.Object == "" && f.drawnRegion == "" {
+		f.drawnRegion = k.drawRegion(f, g)
 	}
-	f.work = g.workOn(f.Route)
-	best, settled := k.chooseNear(now, f, g, homes)
+	f.workEstimate = g.workOf(f.Route)
+	best, settled := k.chooseWarm(now, f, g, homes)
 	if !settled {
-		best = k.chooseAmong(now, f, g, homes, g.servers)
+		best = k.chooseAmong(now, f, g, homes, g.eligible)
 	}
 	if best.server != nil && best.server.isCold(now) {
-		best.server.cold.Take(now)
+		best.server.coldRate.Take(now)
 	}
 	return best.server, best
 }
 
 // chooseAmong picks the server with the least expected time among some.
-func (k *Kernel) chooseAmong(now time.Time, f *ActiveRequest, g *service, homes []string, servers []*server) pick {
-	best := pick{reason: ReasonNoServer}
+func (k *Kernel) chooseAmong(now time.Time, f *ActiveRequest, g *service, homes []string, servers []*server) choice {
+	best := choice{reason: ReasonNoServer}
 	left := f.ExpiresAt.Sub(now)
-	most := k.connections(g)
+	most := k.maxConnections(g)
 	homeFull := false
 	for _, s := range servers {
-		if k.weighed != nil {
-			k.weigh(now, f, s, homes)
+		if k.observeCandidate != nil {
+			k.reportCandidate(now, f, s, homes)
 		}
-		if !k.mayTry(now, f, s) {
+		if !k.mayUse(now, f, s) {
 			continue
 		}
-		p := k.reckon(now, f, s, homes)
+		p := k.estimate(now, f, s, homes)
 		full := most > 0 && s.inFlight >= most
-		homeFull = homeFull || full && len(homes) > 0 && p.home == 0 && now.Sub(s.answeredAt) < busyFor*f.Route.Target
-		if full || p.start > left {
+		homeFull = homeFull || full && len(homes) > 0 && p.homeRank == 0 && now.Sub(s.answeredAt) < busyTargets*f.Route.Target
+		if full || p.untilStart > left {
 			if best.server == nil {
 				best.reason = ReasonOverload
 			}
@@ -117,8 +117,8 @@
 		}
 		best = p
 	}
-	if k.keptFromSpilling(now, g, homes, best) {
-		return pick{reason: ReasonOverload}
+	if k.mustNotSpill(now, g, homes, best) {
+		return choice{reason: ReasonOverload}
 	}
 	if homeFull && !best.warm {
 		// This proxy has all its connections to the object's home in use, and the
@@ -126,27 +126,27 @@
 		// would run cold elsewhere and leave the servers with three times the work,
 		// until nearly all requests of the service come late. Refused callers come
 		// back when the home has caught up.
-		return pick{reason: ReasonOverload}
+		return choice{reason: ReasonOverload}
 	}
 	return best
 }
 
-// mayTry reports whether the request may go to a server now.
-func (k *Kernel) mayTry(now time.Time, f *ActiveRequest, s *server) bool {
-	return f.mayUse(now, s) && k.permits(now, s)
+// mayUse reports whether the request may go to a server now.
+func (k *Kernel) mayUse(now time.Time, f *ActiveRequest, s *server) bool {
+	return f.isCandidate(now, s) && k.serverPermits(now, s)
 }
 
-// mayUse reports whether it may, but for what the server asks of its senders.
-func (f *ActiveRequest) mayUse(now time.Time, s *server) bool {
-	return f.allowed.has(s.regionBit) && !slices.Contains(f.tried, s) && s.usable(now)
+// isCandidate reports whether it may, but for what the server asks of its senders.
+func (f *ActiveRequest) isCandidate(now time.Time, s *server) bool {
+	return f.allowedRegions.has(s.regionBit) && !slices.Contains(f.triedServers, s) && s.usable(now)
 }
 
-// weigh tells how a server is weighed.
-func (k *Kernel) weigh(now time.Time, f *ActiveRequest, s *server, homes []string) {
-	p := k.reckon(now, f, s, homes)
-	k.weighed(Candidate{
-		Server: s.id, Usable: k.mayTry(now, f, s), Cold: s.isCold(now),
-		HomeRank: p.home, Warm: p.warm, Load: s.load(now), Slowdown: s.speed, Expected: p.expected, Cost: k.placer.cost(k, f, p),
+// reportCandidate tells how a server is weighed.
+func (k *Kernel) reportCandidate(now time.Time, f *ActiveRequest, s *server, homes []string) {
+	p := k.estimate(now, f, s, homes)
+	k.observeCandidate(Candidate{
+		Server: s.id, Usable: k.mayUse(now, f, s), Cold: s.isCold(now),
+		HomeRank: p.homeRank, Warm: p.warm, Load: s.load(now), Slowdown: s.slowdown, Expected: p.expected, Cost: k.placer.cost(k, f, p),
 	})
 }
 
@@ -155,7 +155,7 @@
 	if f.Object == "" {
 		return nil
 	}
-	r := k.reachOf(f)
+	r := k.scopeOf(f)
 	h := g.homes[r]
 	if h == nil {
 		h = k.newHomes(f, g, r)
@@ -165,8 +165,8 @@
 }
 
 // newHomes deals the objects of this region's callers out.
-func (k *Kernel) newHomes(f *ActiveRequest, g *service, r reach) *placing.Homes {
-	candidates, weights := k.spread(f, g, r)
+func (k *Kernel) newHomes(f *ActiveRequest, g *service, r placementScope) *placing.Homes {
+	candidates, weights := k.regionWeights(f, g, r)
 	list := make([]placing.Server, 0, len(candidates))
 	for _, s := range candidates {
 		if w := weights[s.region] * s.Slots; w > 0 {
@@ -176,35 +176,35 @@
 	return placing.NewHomes(list, g.ranking)
 }
 
-// spread lists the servers that this region's callers may use and how much of
+// regionWeights lists the servers that this region's callers may use and how much of
 // their work a slot of each region gets.
-func (k *Kernel) spread(f *ActiveRequest, g *service, r reach) (candidates []*server, weights map[string]int) {
-	for _, s := range g.servers {
-		if f.allowed.has(s.regionBit) && (!r.near || s.region == k.config.Region) {
+func (k *Kernel) regionWeights(f *ActiveRequest, g *service, r placementScope) (candidates []*server, weights map[string]int) {
+	for _, s := range g.eligible {
+		if f.allowedRegions.has(s.regionBit) && (!r.ownRegionOnly || s.region == k.config.Region) {
 			candidates = append(candidates, s)
 		}
 	}
 	share := placing.RoomShare
 	if f.Object == "" {
-		share = plainShare
+		share = objectlessRoomShare
 	}
-	return candidates, placing.Spread(k.rooms(f, candidates), k.config.Region, share)
+	return candidates, placing.Spread(k.regionCapacities(f, candidates), k.config.Region, share)
 }
 
-// rooms lists the regions that may serve the route. The callers' shares are
+// regionCapacities lists the regions that may serve the route. The callers' shares are
 // taken to follow the failure domains; the truth is not known before traffic
 // begins, and homes that moved with each estimate would be cold. Only a region
 // that has lost all its proxies counts elsewhere.
-func (k *Kernel) rooms(f *ActiveRequest, candidates []*server) []placing.Room {
+func (k *Kernel) regionCapacities(f *ActiveRequest, candidates []*server) []placing.Room {
 	slots := make(map[string]int)
 	for _, s := range candidates {
 		slots[s.region] += s.Slots
 	}
 	var list []placing.Room
-	for region, n := range k.demand(f.allowed) {
+	for region, n := range k.regionDemand(f.allowedRegions) {
 		room := placing.Room{Region: region, Slots: slots[region], Demand: n}
-		if f.allowed == everywhere {
-			room.Bound = k.bound.now[region]
+		if f.allowedRegions == allRegions {
+			room.Bound = k.reservedShares.current[region]
 		}
 		list = append(list, room)
 	}
@@ -212,80 +212,80 @@
 	return list
 }
 
-// reachOf says how far the work of a route may go.
-func (k *Kernel) reachOf(f *ActiveRequest) reach {
+// scopeOf says how far the work of a route may go.
+func (k *Kernel) scopeOf(f *ActiveRequest) placementScope {
 	farthest := time.Duration(0)
-	for domain, d := range k.distance {
+	for domain, d := range k.roundTrips {
 		if k.config.RegionOf[domain] != k.config.Region {
 			farthest = max(farthest, d.roundTrip)
 		}
 	}
-	if farthest > time.Duration(farShare*float64(f.Route.Target)) || !k.on(MechanismRegionCapacity) {
-		return reach{near: true, allowed: f.allowed}
+	if farthest > time.Duration(maxRemoteRTTShare*float64(f.Route.Target)) || !k.isEnabled(MechanismRegionCapacity) {
+		return placementScope{ownRegionOnly: true, regions: f.allowedRegions}
 	}
-	return reach{allowed: f.allowed}
+	return placementScope{regions: f.allowedRegions}
 }
 
-// reckon estimates the time until the answer from one server.
-func (k *Kernel) reckon(now time.Time, f *ActiveRequest, s *server, homes []string) pick {
-	warm := s.knows(f.Object, now)
+// estimate estimates the time until the answer from one server.
+func (k *Kernel) estimate(now time.Time, f *ActiveRequest, s *server, homes []string) choice {
+	warm := s.isWarm(f.Object, now)
 	slow := 1.0
-	if k.bySpeed {
-		slow = max(1, s.speed)
+	if k.useSlowdown {
+		slow = max(1, s.slowdown)
 	}
-	work := time.Duration(float64(f.work.expect(warm, f.Route.Target)) * slow)
+	work := time.Duration(float64(f.workEstimate.expected(warm, f.Route.Target)) * slow)
 	if s.isCold(now) {
-		work *= coldWork
+		work *= coldWorkFactor
 	}
-	typical := float64(f.work.typical(f.Route)) * slow
-	places := float64(s.places())
+	typical := float64(f.workEstimate.typical(f.Route)) * slow
+	places := float64(s.usableSlots())
 	wait := time.Duration(max(0, s.load(now)+1-places) / places * typical)
-	p := pick{server: s, warm: warm, home: rank(homes, s.id), start: s.domain.roundTrip + wait, expected: s.domain.roundTrip + wait + work}
-	p.cost = p.expected + time.Duration(s.failed*float64(f.Route.Target))
+	p := choice{server: s, warm: warm, homeRank: homeRank(homes, s.id), untilStart: s.rtt.roundTrip + wait, expected: s.rtt.roundTrip + wait + work}
+	p.cost = p.expected + time.Duration(s.failureShare*float64(f.Route.Target))
 	if f.Object == "" {
-		if s.region != f.region {
-			p.cost += otherRegion
+		if s.region != f.drawnRegion {
+			p.cost += otherRegionPenalty
 		}
-		if k.on(MechanismUnseenRequests) {
-			p.cost += time.Duration(unseenWait * float64(s.inFlight*k.neighbours) / float64(s.Slots) * typical)
+		if k.isEnabled(MechanismUnseenRequests) {
+			p.cost += time.Duration(unreportedWaitShare * float64(s.inFlight*k.sharersInRegion) / float64(s.Slots) * typical)
 		}
 	}
 	if len(homes) > 0 && !warm {
-		p.cost += time.Duration(spillCost * float64(p.home) * float64(work))
+		p.cost += time.Duration(coldRunPenalty * float64(p.homeRank) * float64(work))
 	}
 	return p
 }
 
-// rank is a server's place among an object's homes, from 0 for the first.
-func rank(homes []string, id string) int {
+// homeRank is a server's place among an object's homes, from 0 for the first.
+func homeRank(homes []string, id string) int {
 	if i := slices.Index(homes, id); i >= 0 {
 		return i
 	}
 	return len(homes)
 }
 
-// knows reports whether this proxy saw the server handle the object lately.
-func (s *server) knows(object string, now time.Time) bool {
-	at, seen := s.objects[object]
-	return seen && now.Sub(at) < memory
+// isWarm reports whether this proxy saw the server handle the object lately.
+func (s *server) isWarm(object string, now time.Time) bool {
+	at, seen := s.warmObjects[object]
+	return seen && now.Sub(at) < objectMemory
 }
 
-func (s *server) handled(object string, now time.Time) {
+func (s *server) recordObject(object string, now time.Time) {
 	if object == "" {
 		return
 	}
-	if s.objects == nil {
-		s.objects = make(map[string]time.Time)
+	if s.warmObjects == nil {
+		s.warmObjects = make(map[string]time.Time)
 	}
-	if len(s.objects) >= memoryMost {
-		for o, at := range s.objects {
-			if now.Sub(at) >= memory {
-				delete(s.objects, o)
+	if len(s.warmObjects) >= maxObjectsPerServer {
+		for o, at := range s.warmObjects {
+			if now.Sub(at) >= objectMemory {
+				delete(s.warmObjects, o)
 			}
 		}
-		if len(s.objects) >= memoryMost {
+		if len(s.warmObjects) >= maxObjectsPerServer {
 			return
 		}
 	}
-	s.objects[object] = now
+	s.warmObjects[object] = now
 }
--- a/internal/kernel/steering/cold.go
+++ b/internal/kernel/steering/cold.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// joinFor is how long a proxy that has started sends nothing to cold
+	// startupGrace is how long a proxy that has started sends nothing to cold
 	// servers. If all lost power for longer than their leases, each that comes
 	// back is alone on the list at first and would take all that a server bears
 	// for its part; the news of the others take up to a second or two.
-	joinFor = 2 * time.Second
+	startupGrace = 2 * time.Second
 )
 
 const (
 	// The farness of a proxy: in a server's failure domain, in its region, or in another.
-	farnessDomain = iota
-	farnessRegion
-	farnessOther
+	proximityDomain = iota
+	proximityRegion
+	proximityRemote
 )
 
 // coldRoom reports whether this proxy may send a cold server one more request
 // in this second.
 func (k *Kernel) coldRoom(now time.Time, g *service, s *server) bool {
-	if now.Sub(k.config.Joined) < joinFor {
+	if now.Sub(k.config.Joined) < startupGrace {
 		return false
 	}
-	return s.cold.Room(now, k.coldShare(g, s))
+	return s.coldRate.Room(now, k.coldShare(g, s))
 }
 
 // coldShare is this proxy's part of what a cold server bears. The nearest
@@ -40,34 +40,34 @@
 		return 0
 	}
 	rate := admission.ColdRate{PerSecond: c.ColdPerSecond, Factor: k.config.ColdFactor, Slack: k.config.ColdSlack}
-	return rate.Share(k.rankAt(s).Place, len(k.sharers))
+	return rate.Share(k.rankAt(s).Place, len(k.limitSharers))
 }
 
 // rankAt is this proxy's place among all proxies at a server. It is kept for each failure
 // domain: all its servers are as near, and after a failure domain's return each choice asks
 // for hundreds of them.
 func (k *Kernel) rankAt(s *server) backpressure.Rank {
-	if rank, known := k.ranks[s.Domain]; known {
+	if rank, known := k.ranksByDomain[s.Domain]; known {
 		return rank
 	}
-	ordered := slices.Clone(k.sharers)
-	slices.SortStableFunc(ordered, func(a, b sharer) int { return farness(a.Proxy, s) - farness(b.Proxy, s) })
-	rank := backpressure.Rank{All: len(ordered), Place: slices.IndexFunc(ordered, func(p sharer) bool { return p.Name == k.config.Name })}
+	ordered := slices.Clone(k.limitSharers)
+	slices.SortStableFunc(ordered, func(a, b limitSharer) int { return proximity(a.Proxy, s) - proximity(b.Proxy, s) })
+	rank := backpressure.Rank{All: len(ordered), Place: slices.IndexFunc(ordered, func(p limitSharer) bool { return p.Name == k.config.Name })}
 	for _, p := range ordered {
-		if farness(p.Proxy, s) < farnessOther {
+		if proximity(p.Proxy, s) < proximityRemote {
 			rank.Near++
 		}
 	}
-	k.ranks[s.Domain] = rank
+	k.ranksByDomain[s.Domain] = rank
 	return rank
 }
 
-func farness(p Proxy, s *server) int {
+func proximity(p Proxy, s *server) int {
 	switch {
 	case p.Domain == s.Domain:
-		return farnessDomain
+		return proximityDomain
 	case p.Region == s.region:
-		return farnessRegion
+		return proximityRegion
 	}
-	return farnessOther
+	return proximityRemote
 }
--- a/internal/kernel/steering/connections_test.go
+++ b/internal/kernel/steering/connections_test.go
@@ -52,7 +52,7 @@
 	first, d := ask(now)
 	home := d.Server.ID
 	k.EndAttempt(now, first, Attempt{Result: ResultAnswered})
-	for range k.connections(k.group("service")) {
+	for range k.maxConnections(k.eligibleService("service")) {
 		if _, d = ask(now); d.Server == nil || d.Server.ID != home {
 			t.Fatalf("a request with a free connection gets %+v, want server %s", d, home)
 		}
@@ -60,7 +60,7 @@
 	if _, d = ask(now); d.Server != nil || !d.NotRun || d.Reason != ReasonOverload || d.RetryAfter <= 0 {
 		t.Errorf("while the home is busy: got %+v, want it refused with a time to come back", d)
 	}
-	if _, d = ask(now.Add(busyFor * 200 * time.Millisecond)); d.Server == nil || d.Server.ID == home {
+	if _, d = ask(now.Add(busyTargets * 200 * time.Millisecond)); d.Server == nil || d.Server.ID == home {
 		t.Errorf("once the home hangs: got %+v, want another server", d)
 	}
 }
--- a/internal/kernel/steering/draw.go
+++ b/internal/kernel/steering/draw.go
@@ -6,12 +6,12 @@
 )
 
 type (
-	// regionShares are the parts that regions have in the requests of this region's
+	// regionDistribution are the parts that regions have in the requests of this region's
 	// callers that name no object.
-	regionShares struct {
+	regionDistribution struct {
 		names []string
-		// upTo sums the parts up to each region.
-		upTo []float64
+		// cumulative sums the parts up to each region.
+		cumulative []float64
 	}
 )
 
@@ -20,32 +20,32 @@
 // its region: when callers of one region came in a burst, a third of them ran in
 // another within two seconds, more than operators allow to shift at once.
 func (k *Kernel) drawRegion(f *ActiveRequest, g *service) string {
-	r := k.reachOf(f)
-	shares := g.regions[r]
+	r := k.scopeOf(f)
+	shares := g.regionDraws[r]
 	if shares == nil {
-		shares = k.newRegionShares(f, g, r)
-		g.regions[r] = shares
+		shares = k.newRegionDistribution(f, g, r)
+		g.regionDraws[r] = shares
 	}
 	if len(shares.names) == 0 {
 		return k.config.Region
 	}
-	x := k.random.Float64() * shares.upTo[len(shares.upTo)-1]
-	i, _ := slices.BinarySearch(shares.upTo, x)
+	x := k.random.Float64() * shares.cumulative[len(shares.cumulative)-1]
+	i, _ := slices.BinarySearch(shares.cumulative, x)
 	return shares.names[min(i, len(shares.names)-1)]
 }
 
-func (k *Kernel) newRegionShares(f *ActiveRequest, g *service, r reach) *regionShares {
-	candidates, weights := k.spread(f, g, r)
+func (k *Kernel) newRegionDistribution(f *ActiveRequest, g *service, r placementScope) *regionDistribution {
+	candidates, weights := k.regionWeights(f, g, r)
 	parts := make(map[string]float64)
 	for _, s := range candidates {
 		parts[s.region] += float64(weights[s.region] * s.Slots)
 	}
-	shares := &regionShares{}
+	shares := &regionDistribution{}
 	sum := 0.0
 	for _, region := range slices.Sorted(maps.Keys(parts)) {
 		if parts[region] > 0 {
 			sum += parts[region]
-			shares.names, shares.upTo = append(shares.names, region), append(shares.upTo, sum)
+			shares.names, shares.cumulative = append(shares.names, region), append(shares.cumulative, sum)
 		}
 	}
 	return shares
--- a/internal/kernel/steering/failover.go
+++ b/internal/kernel/steering/failover.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// failoverIdle is the queue, as a part of the room for requests that can still
+	// failoverMaxPressure is the queue, as a part of the room for requests that can still
 	// be answered in time, up to which a region takes objects of another one. It
 	// is half of that from which requests are refused.
-	failoverIdle = 0.25
+	failoverMaxPressure = 0.25
 )
 
 // failover names the servers for an object whose home is out or takes less than usual: for a part of these
@@ -23,48 +23,48 @@
 // while other regions have room. What moves is what must move anyway; an object
 // whose home is sound stays there.
 func (k *Kernel) failover(now time.Time, f *ActiveRequest, g *service, homes []string) []string {
-	if len(homes) == 0 || !k.on(MechanismFailover) {
+	if len(homes) == 0 || !k.isEnabled(MechanismFailover) {
 		return homes
 	}
-	home := g.members[homes[0]]
+	home := g.registered[homes[0]]
 	if home == nil {
 		return homes
 	}
-	switch fit := k.fitness(now, g, home); {
-	case fit == 1, home.outs > 0 && home.usable(now) && !home.asks.Paused(now):
+	switch fit := k.availableShare(now, g, home); {
+	case fit == 1, home.ejections > 0 && home.usable(now) && !home.backpressure.Paused(now):
 		// One that is out but due to be tried gets a request, to see; one that is
 		// passed over for a moment is sound.
 		return homes
-	case fit > 0 && chance(f.Object+"@"+home.id) < fit:
+	case fit > 0 && objectFraction(f.Object+"@"+home.id) < fit:
 		return homes
 	case fit > 0:
 		// The same objects leave a limited home at all proxies, so that they are warm
 		// where they go.
 		homes = append(slices.Clone(homes[1:]), home.id)
 	}
-	if k.reachOf(f).near || chance(f.Object) >= k.homeless(now, f, g, home.region) {
+	if k.scopeOf(f).ownRegionOnly || objectFraction(f.Object) >= k.displacedShare(now, f, g, home.region) {
 		return homes
 	}
-	for _, id := range k.homesWithout(f, g, home.region).Of(f.Object) {
-		s := g.members[id]
-		if p := g.pressure[s.region]; s.sound(now) && (p == nil || p.Level(now) <= failoverIdle) {
+	for _, id := range k.homesOutside(f, g, home.region).Of(f.Object) {
+		s := g.registered[id]
+		if p := g.queuePressure[s.region]; s.isHealthy(now) && (p == nil || p.Level(now) <= failoverMaxPressure) {
 			return append([]string{id}, homes...)
 		}
 	}
 	return homes
 }
 
-// homeless is the part of the objects with homes that are out in a region for
+// displacedShare is the part of the objects with homes that are out in a region for
 // which the region's other servers have no room.
-func (k *Kernel) homeless(now time.Time, f *ActiveRequest, g *service, region string) float64 {
+func (k *Kernel) displacedShare(now time.Time, f *ActiveRequest, g *service, region string) float64 {
 	all, sound, own, ownSound := 0.0, 0.0, 0.0, 0.0
-	for _, s := range g.servers {
-		if !f.allowed.has(s.regionBit) {
+	for _, s := range g.eligible {
+		if !f.allowedRegions.has(s.regionBit) {
 			continue
 		}
 		slots := float64(s.Slots)
 		all += slots
-		fit := k.fitness(now, g, s) * slots
+		fit := k.availableShare(now, g, s) * slots
 		sound += fit
 
 		if s.region != region {
@@ -80,33 +80,33 @@
 	return (1 - kept) / (1 - ownSound/own)
 }
 
-// fitness is the part of its usual requests that a server takes now: none while it is out or
+// availableShare is the part of its usual requests that a server takes now: none while it is out or
 // pauses, what its limit leaves if it names one.
-func (k *Kernel) fitness(now time.Time, g *service, s *server) float64 {
-	if !s.sound(now) {
+func (k *Kernel) availableShare(now time.Time, g *service, s *server) float64 {
+	if !s.isHealthy(now) {
 		return 0
 	}
-	limit := s.asks.Limit(now)
+	limit := s.backpressure.Limit(now)
 	if !limit.Named {
 		return 1
 	}
 	// This proxy takes the others to see as much as it does.
-	usual := g.repeats.Rate(now) * float64(len(k.sharers)) * float64(s.Slots) / float64(max(1, g.slots))
+	usual := g.retries.Rate(now) * float64(len(k.limitSharers)) * float64(s.Slots) / float64(max(1, g.totalSlots))
 	if limit.PerSecond >= usual {
 		return 1
 	}
 	return limit.PerSecond / usual
 }
 
-// homesWithout deals all objects out over the servers outside a region.
-func (k *Kernel) homesWithout(f *ActiveRequest, g *service, region string) *placing.Homes {
-	key := reach{allowed: f.allowed, without: region}
+// homesOutside deals all objects out over the servers outside a region.
+func (k *Kernel) homesOutside(f *ActiveRequest, g *service, region string) *placing.Homes {
+	key := placementScope{regions: f.allowedRegions, excludedRegion: region}
 	if h := g.homes[key]; h != nil {
 		return h
 	}
 	var list []placing.Server
-	for _, s := range g.servers {
-		if f.allowed.has(s.regionBit) && s.region != region {
+	for _, s := range g.eligible {
+		if f.allowedRegions.has(s.regionBit) && s.region != region {
 			list = append(list, placing.Server{ID: s.id, Weight: s.Slots, Class: s.class()})
 		}
 	}
@@ -114,7 +114,7 @@
 	return g.homes[key]
 }
 
-// chance turns an object into a number from 0 to 1, the same at all proxies.
-func chance(object string) float64 {
+// objectFraction turns an object into a number from 0 to 1, the same at all proxies.
+func objectFraction(object string) float64 {
 	return float64(xxhash.Sum64String(object)>>11) / (1 << 53)
 }
--- a/internal/kernel/steering/failover_test.go
+++ b/internal/kernel/steering/failover_test.go
@@ -35,7 +35,7 @@
 // lose finds some servers of the north to be out, as failed connections do.
 func lose(k *Kernel, now time.Time, ids ...string) {
 	for _, id := range ids {
-		k.servers[id].hasFailed(now, true)
+		k.servers[id].recordFailure(now, true)
 	}
 }
 
@@ -46,7 +46,7 @@
 	for n := range 96 {
 		object := fmt.Sprintf("%x", n)
 		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: object})
-		if home := k.servers[k.homes(f, k.group("service"))[0]]; home.outs == 0 && home.id != d.Server.ID {
+		if home := k.servers[k.homes(f, k.eligibleService("service"))[0]]; home.ejections == 0 && home.id != d.Server.ID {
 			moved++
 		}
 		regions[f.server.region]++
@@ -82,7 +82,7 @@
 	for _, id := range []string{"south-a-0", "west-a-0"} {
 		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: "1"})
 		for range 10 {
-			k.feel(now, f, k.servers[id], 12)
+			k.recordQueue(now, f, k.servers[id], 12)
 		}
 	}
 	if after, _ := placed(k, now); after["north"] < before["north"] {
@@ -96,7 +96,7 @@
 	now := time.Unix(1_000_000, 0)
 	k := threeRegions(now, 200*time.Millisecond)
 	lose(k, now, "north-a-0", "north-a-1", "north-a-2", "north-a-3")
-	now = now.Add(outBase)
+	now = now.Add(ejectionBase)
 	tried := make(map[string]bool)
 	for n := range 96 {
 		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
@@ -137,12 +137,12 @@
 	k := threeRegions(now, 200*time.Millisecond)
 	lose(k, now, "north-a-0")
 	for _, id := range []string{"north-a-1", "north-a-2", "north-a-3"} {
-		k.servers[id].hasRefused(now, Attempt{Result: ResultRefused, Loaded: true, Running: 4, Waiting: 12})
+		k.servers[id].recordRefusal(now, Attempt{Result: ResultRefused, Loaded: true, Running: 4, Waiting: 12})
 	}
 	for n := range 96 {
 		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
-		homes := k.homes(f, k.group("service"))
-		if got := k.failover(now, f, k.group("service"), homes); homes[0] != "north-a-0" && got[0] != homes[0] {
+		homes := k.homes(f, k.eligibleService("service"))
+		if got := k.failover(now, f, k.eligibleService("service"), homes); homes[0] != "north-a-0" && got[0] != homes[0] {
 			t.Fatalf("object %x of %s gets %s first (%+v), want its home to stay first", n, homes[0], got[0], d)
 		}
 	}
--- a/internal/kernel/steering/gates.go
+++ b/internal/kernel/steering/gates.go
@@ -7,86 +7,86 @@
 )
 
 type (
-	// gate is the queue before a server that this proxy owns.
-	gate struct {
+	// slotQueue is the queue before a server that this proxy owns.
+	slotQueue struct {
 		admission.Gate
-		levels *admission.Concurrency
-		// used is when it last had a ticket.
-		used time.Time
+		concurrency *admission.Concurrency
+		// lastUsedAt is when it last had a ticket.
+		lastUsedAt time.Time
 	}
 )
 
 const (
-	// gateIdle is how long a gate that nobody asks is kept.
-	gateIdle = time.Minute
+	// slotQueueIdleTTL is how long a gate that nobody asks is kept.
+	slotQueueIdleTTL = time.Minute
 )
 
 // HandleSlotRequest answers a proxy that asks for a place at a server whose gate is here.
 func (k *Kernel) HandleSlotRequest(now time.Time, a SlotRequest) SlotReply {
-	k.record(Call{Method: callHearAsk, At: now, SlotRequest: &a})
+	k.record(Call{Method: callSlotRequest, At: now, SlotRequest: &a})
 	s := k.servers[a.Server]
-	if s == nil || !s.takesRequests() {
+	if s == nil || !s.isEligible() {
 		return SlotReply{Unknown: true, Grant: admission.Grant{Ticket: a.Ticket, Verdict: admission.Granted}}
 	}
-	h := &k.service(s.Service).holding
+	h := &k.service(s.Service).concurrency
 	h.adopt(a.Limit)
-	q := k.gates[a.Server]
+	q := k.slotQueues[a.Server]
 	if q == nil {
-		q = &gate{}
-		k.gates[a.Server] = q
+		q = &slotQueue{}
+		k.slotQueues[a.Server] = q
 	}
-	q.levels, q.used = h.levelsOf(s.Slots), now
-	limit := q.levels.Trial(now)
+	q.concurrency, q.lastUsedAt = h.estimatorFor(s.Slots), now
+	limit := q.concurrency.Trial(now)
 	grant := q.Ask(now, a.Ticket, limit, a.Work)
-	if grant.Rank > q.levels.Limit() {
-		q.levels.Tried(now)
+	if grant.Rank > q.concurrency.Limit() {
+		q.concurrency.Tried(now)
 	}
-	return q.reply(grant)
+	return q.newReply(grant)
 }
 
-func (q *gate) reply(g admission.Grant) SlotReply {
-	r := SlotReply{Grant: g, Limit: q.levels.Learned(), Whole: q.levels.Whole(), Sound: q.levels.Sound()}
+func (q *slotQueue) newReply(g admission.Grant) SlotReply {
+	r := SlotReply{Grant: g, Limit: q.concurrency.Learned(), Whole: q.concurrency.Whole(), Sound: q.concurrency.Sound()}
 	r.Running, r.Waiting = q.Load()
 	return r
 }
 
-// next gives free places to those that wait.
-func (q *gate) next(now time.Time) []SlotReply {
+// grantNext gives free places to those that wait.
+func (q *slotQueue) grantNext(now time.Time) []SlotReply {
 	var replies []SlotReply
-	for _, g := range q.Next(now, q.levels.Limit()) {
-		replies = append(replies, q.reply(g))
+	for _, g := range q.Next(now, q.concurrency.Limit()) {
+		replies = append(replies, q.newReply(g))
 	}
 	return replies
 }
 
 // HandleSlotRelease takes a place back and tells who gets it.
 func (k *Kernel) HandleSlotRelease(now time.Time, r SlotRelease) []SlotReply {
-	k.record(Call{Method: callHearRelease, At: now, SlotRelease: &r})
-	q := k.gates[r.Server]
+	k.record(Call{Method: callSlotRelease, At: now, SlotRelease: &r})
+	q := k.slotQueues[r.Server]
 	if q == nil {
 		return nil
 	}
 	q.GiveBack(r.From, r.ID)
 	if r.Ratio > 0 {
-		q.levels.Heard(now, r.Rank, r.Ratio)
+		q.concurrency.Heard(now, r.Rank, r.Ratio)
 	}
-	return q.next(now)
+	return q.grantNext(now)
 }
 
-// expireGates ends waits that have become useless and places that were not given
+// expireSlotQueues ends waits that have become useless and places that were not given
 // back, and drops gates that nobody uses. What follows is told by Grants.
-func (k *Kernel) expireGates(now time.Time) {
-	for id, q := range k.gates {
-		k.grants = append(k.grants, q.next(now)...)
-		if now.Sub(q.used) > gateIdle {
-			delete(k.gates, id)
+func (k *Kernel) expireSlotQueues(now time.Time) {
+	for id, q := range k.slotQueues {
+		k.pendingSlotReplies = append(k.pendingSlotReplies, q.grantNext(now)...)
+		if now.Sub(q.lastUsedAt) > slotQueueIdleTTL {
+			delete(k.slotQueues, id)
 		}
 	}
 }
 
 // TakeSlotReplies hands over what the last tick has granted or denied.
 func (k *Kernel) TakeSlotReplies() []SlotReply {
-	list := k.grants
-	k.grants = nil
+	list := k.pendingSlotReplies
+	k.pendingSlotReplies = nil
 	return list
 }
--- a/internal/kernel/steering/hold_test.go
+++ b/internal/kernel/steering/hold_test.go
@@ -158,7 +158,7 @@
 				result = ResultTimeout
 				now = now.Add(time.Second)
 				for _, s := range k.servers {
-					s.outs, s.outUntil = 0, time.Time{}
+					s.ejections, s.ejectedUntil = 0, time.Time{}
 				}
 			}
 			k.EndAttempt(now, f, Attempt{Result: result, Loaded: result == ResultAnswered, Running: 1})
@@ -251,8 +251,8 @@
 		g := k.service("suspected")
 		f := &ActiveRequest{Route: &routing.Route{Name: "route", Sticky: true, Target: 100 * time.Millisecond}, Service: "suspected", warm: true}
 		for n := range 40 {
-			s := &server{id: fmt.Sprint(n % 4), Server: routing.Server{Slots: 3}, domain: &distance{}}
-			k.suspect(now, f, s, g, Attempt{Result: ResultAnswered, Loaded: true, Running: 3}, time.Second)
+			s := &server{id: fmt.Sprint(n % 4), Server: routing.Server{Slots: 3}, rtt: &rttEstimate{}}
+			k.detectSlowdown(now, f, s, g, Attempt{Result: ResultAnswered, Loaded: true, Running: 3}, time.Second)
 		}
 		if got := told > 0 || len(k.ConcurrencyLimits(now)) > 0; got == off {
 			t.Errorf("holding back off %t: told of %d services, tells peers %v", off, told, k.ConcurrencyLimits(now))
--- a/internal/kernel/steering/kernel.go
+++ b/internal/kernel/steering/kernel.go
@@ -67,59 +67,59 @@
 	// Kernel is one proxy's state and decisions. It is not safe for use by
 	// several goroutines at once.
 	Kernel struct {
-		config Config
-		placer placer
-		off    map[Mechanism]bool
-		// bySpeed is set if servers' speed is reckoned with: asked for each server of
+		config   Config
+		placer   placer
+		disabled map[Mechanism]bool
+		// useSlowdown is set if servers' speed is reckoned with: asked for each server of
 		// each choice, where a look-up by name would show.
-		bySpeed  bool
-		random   *rand.Rand
-		table    *routing.Table
-		splitter *routing.Splitter
-		// allowed are the regions of each route, by its name.
-		allowed map[string]regionSet
-		// leastUrgent is the priority of each service's least urgent requests.
-		leastUrgent map[string]int
-		limits      *limits
-		bound       bound
-		servers     map[string]*server
-		services    map[string]*service
-		// evacuated failure domains take no requests.
-		evacuated map[string]bool
-		proxies   []Proxy
-		// sharers are the proxies among which limits are divided: those that are
+		useSlowdown bool
+		random      *rand.Rand
+		table       *routing.Table
+		splitter    *routing.Splitter
+		// routeRegions are the regions of each route, by its name.
+		routeRegions map[string]regionSet
+		// lowestPriority is the priority of each service's least urgent requests.
+		lowestPriority map[string]int
+		quotas         *quotas
+		reservedShares reservedShares
+		servers        map[string]*server
+		services       map[string]*service
+		// evacuatedDomains failure domains take no requests.
+		evacuatedDomains map[string]bool
+		proxies          []Proxy
+		// limitSharers are the proxies among which limits are divided: those that are
 		// alive and those that may be.
-		sharers []sharer
-		// neighbours counts those of them in this region, this proxy included.
-		neighbours int
-		distance   map[string]*distance
+		limitSharers []limitSharer
+		// sharersInRegion counts those of them in this region, this proxy included.
+		sharersInRegion int
+		roundTrips      map[string]*rttEstimate
 		// regions are all that there are, in order; stranded tells of each whether
 		// its callers are elsewhere.
-		regions  []string
-		stranded map[string]*stranding
-		// doubtUntil is how long proxies that are not listed may be alive.
-		doubtUntil time.Time
-		// leaving is set once the process stops; end is when the last request
+		regions      []string
+		regionStates map[string]*regionState
+		// ignoreMissingUntil is how long proxies that are not listed may be alive.
+		ignoreMissingUntil time.Time
+		// shuttingDown is set once the process stops; end is when the last request
 		// must have its result then.
-		leaving bool
-		end     time.Time
-		// ranks caches this proxy's rank at the servers of a failure domain, until the
+		shuttingDown     bool
+		shutdownDeadline time.Time
+		// ranksByDomain caches this proxy's rank at the servers of a failure domain, until the
 		// sharers change.
-		ranks map[string]backpressure.Rank
-		// gates are those that this proxy owns, by server; grants are what the last
+		ranksByDomain map[string]backpressure.Rank
+		// slotQueues are those that this proxy owns, by server; grants are what the last
 		// tick has granted there.
-		gates  map[string]*gate
-		grants []SlotReply
-		// quarantine knows the work that ends servers. ownPlace is this proxy's place
+		slotQueues         map[string]*slotQueue
+		pendingSlotReplies []SlotReply
+		// quarantine knows the work that ends servers. ownIndex is this proxy's place
 		// among the sharers.
 		quarantine *quarantine.Ledger
-		// signals are what servers ask of their senders.
-		signals  *backpressure.Ledger
-		ownPlace int
-		// flights counts the requests so far.
-		flights uint64
-		// weighed sees each server that a choice looks at; nil for none.
-		weighed func(Candidate)
+		// backpressure are what servers ask of their senders.
+		backpressure *backpressure.Ledger
+		ownIndex     int
+		// requestCount counts the requests so far.
+		requestCount uint64
+		// observeCandidate sees each server that a choice looks at; nil for none.
+		observeCandidate func(Candidate)
 	}
 
 	// Proxy is a proxy that is alive, this one included.
@@ -143,34 +143,34 @@
 		c.Observe = func(Event) {}
 	}
 	k := &Kernel{
-		config:    c,
-		placer:    placers[c.Placer],
-		random:    rand.New(rand.NewChaCha8(c.Seed)),
-		splitter:  routing.NewSplitter(),
-		servers:   make(map[string]*server),
-		services:  make(map[string]*service),
-		evacuated: make(map[string]bool),
-		distance:  make(map[string]*distance),
-		ranks:     make(map[string]backpressure.Rank),
-		gates:     make(map[string]*gate),
-		off:       make(map[Mechanism]bool),
-		regions:   regionsOf(c.RegionOf),
-		stranded:  make(map[string]*stranding),
-
-		quarantine: quarantine.NewLedger(), signals: backpressure.NewLedger(),
-	}
-	k.limits = newLimits(k)
-	k.quarantine.Observe, k.quarantine.Rank = k.observeWork, k.trialRank
-	k.signals.Observe = k.observeSignal
+		config:           c,
+		placer:           placers[c.Placer],
+		random:           rand.New(rand.NewChaCha8(c.Seed)),
+		splitter:         routing.NewSplitter(),
+		servers:          make(map[string]*server),
+		services:         make(map[string]*service),
+		evacuatedDomains: make(map[string]bool),
+		roundTrips:       make(map[string]*rttEstimate),
+		ranksByDomain:    make(map[string]backpressure.Rank),
+		slotQueues:       make(map[string]*slotQueue),
+		disabled:         make(map[Mechanism]bool),
+		regions:          regionsOf(c.RegionOf),
+		regionStates:     make(map[string]*regionState),
+
+		quarantine: quarantine.NewLedger(), backpressure: backpressure.NewLedger(),
+	}
+	k.quotas = newQuotas(k)
+	k.quarantine.Observe, k.quarantine.Rank = k.observeQuarantine, k.trialRank
+	k.backpressure.Observe = k.observeBackpressure
 	if c.EndsToCondemn > 0 {
 		k.quarantine.Condemn = c.EndsToCondemn
 	}
 	for _, m := range c.Off {
-		k.off[m] = true
+		k.disabled[m] = true
 	}
-	k.bySpeed = k.on(MechanismServerSpeed)
+	k.useSlowdown = k.isEnabled(MechanismServerSpeed)
 	for _, region := range k.regions {
-		k.stranded[region] = &stranding{}
+		k.regionStates[region] = &regionState{}
 	}
 	k.setProxies(time.Time{}, nil)
 	k.record(Call{Method: callStart, Config: &c})
@@ -182,7 +182,7 @@
 	k.record(Call{Method: callBounds, Bounds: &b})
 	k.config.Bounds = b
 	for _, g := range k.services {
-		g.repeats.Ratio, g.repeats.Slack = b.Retry.Ratio, b.Retry.Slack
+		g.retries.Ratio, g.retries.Slack = b.Retry.Ratio, b.Retry.Slack
 	}
 }
 
@@ -208,15 +208,15 @@
 	}
 	k.record(Call{Method: callTable, Table: t, Accounts: t.Accounts.All()})
 	k.table = t
-	k.allowed = make(map[string]regionSet, len(t.Routes))
+	k.routeRegions = make(map[string]regionSet, len(t.Routes))
 	for name, r := range t.Routes {
-		k.allowed[name] = k.regionSet(r.Regions)
+		k.routeRegions[name] = k.regionSet(r.Regions)
 	}
-	k.leastUrgent = leastUrgentOf(t)
-	k.setBound(t)
+	k.lowestPriority = lowestPriorities(t)
+	k.setReservedTarget(t)
 	k.splitter.Forget(t)
 	for _, g := range k.services {
-		g.forgetWork(t)
+		g.pruneWork(t)
 	}
 	k.config.Observe(Event{Kind: EventConfigurationInForce, Version: t.Version})
 	return true
@@ -232,7 +232,7 @@
 			k.proxies[i].Leaving = true
 		}
 	}
-	k.leaving, k.end = true, end
+	k.shuttingDown, k.shutdownDeadline = true, end
 }
 
 // SetProxies tells which proxies are alive. This one always is.
@@ -242,9 +242,9 @@
 }
 
 func (k *Kernel) setProxies(now time.Time, list []Proxy) {
-	self := Proxy{Name: k.config.Name, Domain: k.config.Domain, Region: k.config.Region, Address: k.config.Address, Leaving: k.leaving}
+	self := Proxy{Name: k.config.Name, Domain: k.config.Domain, Region: k.config.Region, Address: k.config.Address, Leaving: k.shuttingDown}
 	list = slices.DeleteFunc(slices.Clone(list), func(p Proxy) bool { return p.Name == self.Name })
 	k.proxies = append(list, self)
 	slices.SortFunc(k.proxies, func(a, b Proxy) int { return strings.Compare(a.Name, b.Name) })
-	k.share(now, k.proxies)
+	k.updateSharers(now, k.proxies)
 }
--- a/internal/kernel/steering/limits.go
+++ b/internal/kernel/steering/limits.go
@@ -8,51 +8,51 @@
 )
 
 const (
-	// fleetWait is how long after its start a proxy waits to be told of how many proxies
+	// fleetSizeWait is how long after its start a proxy waits to be told of how many proxies
 	// limits are divided. Later it takes those that it knows, twice.
-	fleetWait = 4 * time.Second
+	fleetSizeWait = 4 * time.Second
 	// poolSuffix tells what a proxy asks as a pool from what it asks for itself.
 	poolSuffix = "/pool"
 )
 
 type (
-	// limits are this proxy's shares of the limits of client accounts, and what others
+	// quotas are this proxy's shares of the limits of client accounts, and what others
 	// have given to it as their region's pool.
-	limits struct {
+	quotas struct {
 		kernel *Kernel
 		holder *ratelimit.Holder
 		pool   *ratelimit.Pool
-		// fleet is among how many proxies limits are divided at least, as all have been
+		// fleetSize is among how many proxies limits are divided at least, as all have been
 		// told; zero if this one has not. holders are those that it knows.
-		fleet   int
-		holders int
-		// waited is set once this proxy need not be told any more.
-		waited bool
+		fleetSize    int
+		knownHolders int
+		// waitOver is set once this proxy need not be told any more.
+		waitOver bool
 	}
 )
 
-func newLimits(k *Kernel) *limits {
-	l := &limits{
+func newQuotas(k *Kernel) *quotas {
+	l := &quotas{
 		kernel: k,
 		holder: ratelimit.NewHolder(k.config.Name, k.config.Joined),
 		pool:   ratelimit.NewPool(uint64(max(1, k.config.Joined.UnixMilli())), k.config.Joined),
 	}
-	l.holder.Limits, l.pool.Limits, l.pool.Starter = l.of, l.of, l.starter
+	l.holder.Limits, l.pool.Limits, l.pool.Starter = l.limitOf, l.limitOf, l.startAllowance
 	return l
 }
 
-// starter is how many requests of an account all processes may let through at their start.
-func (l *limits) starter(name string) float64 {
+// startAllowance is how many requests of an account all processes may let through at their start.
+func (l *quotas) startAllowance(name string) float64 {
 	return l.account(name).Limit.Starter(l.kernel.config.Quota)
 }
 
-// of is the limit that an account is held to, with a part of what is allowed beyond it.
-func (l *limits) of(name string) ratelimit.Limit {
+// limitOf is the limit that an account is held to, with a part of what is allowed beyond it.
+func (l *quotas) limitOf(name string) ratelimit.Limit {
 	return l.account(name).Limit.With(l.kernel.config.Quota)
 }
 
 // account is the account of a name; one that is not known has no limit and no share of one.
-func (l *limits) account(name string) account.Account {
+func (l *quotas) account(name string) account.Account {
 	if l.kernel.table == nil {
 		return account.Account{}
 	}
@@ -63,81 +63,81 @@
 	return *a
 }
 
-// setHolders sets among how many proxies limits are divided. Shares of proxies that no
+// setKnownHolders sets among how many proxies limits are divided. Shares of proxies that no
 // longer count but may be alive must not be taken, so they count too.
-func (l *limits) setHolders(n int) {
-	l.holders = n
-	l.divide()
+func (l *quotas) setKnownHolders(n int) {
+	l.knownHolders = n
+	l.updatePart()
 }
 
-// divide settles the own part. While nobody has told how many there are, a proxy that
+// updatePart settles the own part. While nobody has told how many there are, a proxy that
 // has just started knows too few others, and takes nothing.
-func (l *limits) divide() {
+func (l *quotas) updatePart() {
 	switch {
-	case l.fleet > 0:
-		l.holder.SetPart(ratelimit.Part(max(l.fleet, l.holders)))
-	case l.waited:
-		l.holder.SetPart(ratelimit.Part(2 * l.holders))
+	case l.fleetSize > 0:
+		l.holder.SetPart(ratelimit.Part(max(l.fleetSize, l.knownHolders)))
+	case l.waitOver:
+		l.holder.SetPart(ratelimit.Part(2 * l.knownHolders))
 	}
 }
 
 // tick drops what has run out.
-func (l *limits) tick(now time.Time) {
-	if !l.waited && now.Sub(l.kernel.config.Joined) >= fleetWait {
-		l.waited = true
-		l.divide()
+func (l *quotas) tick(now time.Time) {
+	if !l.waitOver && now.Sub(l.kernel.config.Joined) >= fleetSizeWait {
+		l.waitOver = true
+		l.updatePart()
 	}
 	l.holder.Tick(now)
 	l.pool.Tick(now)
 }
 
-// limit decides whether a request is within its account's limit, or whom to ask.
-func (k *Kernel) limit(now time.Time, f *ActiveRequest) Decision {
+// checkQuota decides whether a request is within its account's limit, or whom to ask.
+func (k *Kernel) checkQuota(now time.Time, f *ActiveRequest) Decision {
 	if f.Account == nil {
-		return k.start(now, f)
+		return k.dispatch(now, f)
 	}
-	ruling := k.limits.holder.Take(now, f.Account.Name)
+	ruling := k.quotas.holder.Take(now, f.Account.Name)
 	if ruling.Verdict == ratelimit.AskPool && ruling.Pool == k.config.Name {
-		ruling = k.limits.holder.Asked(now, f.Account.Name, ruling, k.limits.pool.Take(now, f.Account.Name), true)
+		ruling = k.quotas.holder.Asked(now, f.Account.Name, ruling, k.quotas.pool.Take(now, f.Account.Name), true)
 	}
-	return k.ruled(now, f, ruling)
+	return k.applyQuotaRuling(now, f, ruling)
 }
 
-// ruled goes on with a request that is within its limit, has a pool asked, or refuses it.
-func (k *Kernel) ruled(now time.Time, f *ActiveRequest, r ratelimit.Ruling) Decision {
+// applyQuotaRuling goes on with a request that is within its limit, has a pool asked, or refuses it.
+func (k *Kernel) applyQuotaRuling(now time.Time, f *ActiveRequest, r ratelimit.Ruling) Decision {
 	switch r.Verdict {
 	case ratelimit.Admitted:
-		return k.start(now, f)
+		return k.dispatch(now, f)
 	case ratelimit.AskPool:
-		f.asked = r
+		f.quotaRuling = r
 		return Decision{QuotaPool: r.Pool}
 	}
-	d := Decision{Reason: ReasonRateLimit, NotRun: true, RetryAfter: k.returnAfter(r.Wait), TryOtherProxy: r.Elsewhere}
+	d := Decision{Reason: ReasonRateLimit, NotRun: true, RetryAfter: k.retryAfterQuota(r.Wait), TryOtherProxy: r.Elsewhere}
 	return k.finish(now, f, d)
 }
 
-// returnAfter is when a caller may come back for whom there is no token before a wait,
+// retryAfterQuota is when a caller may come back for whom there is no token before a wait,
 // spread so that not all return to the same one.
-func (k *Kernel) returnAfter(wait time.Duration) time.Duration {
-	wait = max(wait, comeBackLeast)
-	return min(comeBackMost, wait+time.Duration(k.random.Int64N(int64(wait))))
+func (k *Kernel) retryAfterQuota(wait time.Duration) time.Duration {
+	wait = max(wait, minRetryAfter)
+	return min(maxRetryAfter, wait+time.Duration(k.random.Int64N(int64(wait))))
 }
 
 // ApplyPoolToken takes in the pool's answer for a request that it was asked about, if there was
 // one, and decides what follows.
 func (k *Kernel) ApplyPoolToken(now time.Time, f *ActiveRequest, t ratelimit.Token, answered bool) Decision {
-	d := k.ruled(now, f, k.limits.holder.Asked(now, f.Account.Name, f.asked, t, answered))
+	d := k.applyQuotaRuling(now, f, k.quotas.holder.Asked(now, f.Account.Name, f.quotaRuling, t, answered))
 	if k.config.Record != nil {
-		v := verdictOf(d)
-		k.config.Record(Call{Method: callToken, At: now, RequestNumber: f.number, Token: &t, Flag: answered, Decision: &v})
+		v := recordedDecisionOf(d)
+		k.config.Record(Call{Method: callPoolToken, At: now, RequestNumber: f.seq, Token: &t, Flag: answered, Decision: &v})
 	}
 	return d
 }
 
 // TakePoolToken answers a proxy that asks the pool here for one request of an account.
 func (k *Kernel) TakePoolToken(now time.Time, account string) ratelimit.Token {
-	k.record(Call{Method: callTakeToken, At: now, ID: account})
-	return k.limits.pool.Take(now, account)
+	k.record(Call{Method: callTakePoolToken, At: now, ID: account})
+	return k.quotas.pool.Take(now, account)
 }
 
 // HasRateLimits reports whether any account of the configuration in force has a limit.
@@ -148,51 +148,51 @@
 // QuotaReport tells what this proxy's pool must hear now, and who that is; best is the
 // proxy that should be the pool, others are pools of other regions.
 func (k *Kernel) QuotaReport(now time.Time, best string, others []string) (string, ratelimit.Report) {
-	k.record(Call{Method: callReport, At: now, ID: best, IDs: others})
-	return k.limits.holder.Report(now, best, others)
+	k.record(Call{Method: callQuotaReport, At: now, ID: best, IDs: others})
+	return k.quotas.holder.Report(now, best, others)
 }
 
 // HandleQuotaReport answers a proxy whose pool this is.
 func (k *Kernel) HandleQuotaReport(now time.Time, r ratelimit.Report) ratelimit.Grants {
-	k.record(Call{Method: callHearReport, At: now, Report: &r})
-	return k.limits.pool.Hear(now, r)
+	k.record(Call{Method: callHandleQuotaReport, At: now, Report: &r})
+	return k.quotas.pool.Hear(now, r)
 }
 
 // ApplyQuotaGrants takes in the pool's answer to a report made at a moment, and tells whether
 // the next one should follow at once.
 func (k *Kernel) ApplyQuotaGrants(now, asked time.Time, pool string, g ratelimit.Grants) bool {
-	k.record(Call{Method: callHearGrants, At: now, ReportedAt: asked, ID: pool, Grants: &g})
-	return k.limits.holder.Granted(now, asked, pool, g)
+	k.record(Call{Method: callQuotaGrants, At: now, ReportedAt: asked, ID: pool, Grants: &g})
+	return k.quotas.holder.Granted(now, asked, pool, g)
 }
 
 // QuotaReportUnanswered notes that the pool did not answer a report.
 func (k *Kernel) QuotaReportUnanswered(now time.Time, pool string) {
-	k.record(Call{Method: callUnanswered, At: now, ID: pool})
-	k.limits.holder.Unanswered(now, pool)
+	k.record(Call{Method: callQuotaReportUnanswered, At: now, ID: pool})
+	k.quotas.holder.Unanswered(now, pool)
 }
 
 // BorrowQuota tells what other regions' pools should lend to the one here; nothing if there
 // is none here, or it has enough.
 func (k *Kernel) BorrowQuota(now time.Time, lenders []string) []ratelimit.Loan {
-	k.record(Call{Method: callBorrow, At: now, IDs: lenders})
-	return k.limits.pool.Borrow(now, k.config.Name+poolSuffix, lenders)
+	k.record(Call{Method: callBorrowQuota, At: now, IDs: lenders})
+	return k.quotas.pool.Borrow(now, k.config.Name+poolSuffix, lenders)
 }
 
 // ApplyQuotaLoan takes in what another region's pool lends, as asked for at a moment.
 func (k *Kernel) ApplyQuotaLoan(now, asked time.Time, lender string, g ratelimit.Grants) {
-	k.record(Call{Method: callHearLoan, At: now, ReportedAt: asked, ID: lender, Grants: &g})
-	k.limits.pool.Lent(now, asked, lender, g)
+	k.record(Call{Method: callQuotaLoan, At: now, ReportedAt: asked, ID: lender, Grants: &g})
+	k.quotas.pool.Lent(now, asked, lender, g)
 }
 
 // SetFleetSize tells among how many proxies limits are divided at least, as all are told.
 func (k *Kernel) SetFleetSize(n int) {
-	k.record(Call{Method: callFleet, Count: n})
-	k.limits.fleet = n
-	k.limits.divide()
+	k.record(Call{Method: callFleetSize, Count: n})
+	k.quotas.fleetSize = n
+	k.quotas.updatePart()
 }
 
 // KnownHolders is among how many proxies limits are divided as this one knows them.
-func (k *Kernel) KnownHolders() int { return len(k.sharers) }
+func (k *Kernel) KnownHolders() int { return len(k.limitSharers) }
 
 // IsLeader reports whether this proxy sees to what one of all must do.
 func (k *Kernel) IsLeader() bool {
@@ -207,7 +207,7 @@
 // HandleResume notes that this process did not run for a while, or that clocks say so: what
 // others gave it for a time may have ended.
 func (k *Kernel) HandleResume(now time.Time) {
-	k.record(Call{Method: callResumed, At: now})
-	k.limits.holder.Resume(now)
-	k.limits.pool.Reset(now)
+	k.record(Call{Method: callResume, At: now})
+	k.quotas.holder.Resume(now)
+	k.quotas.pool.Reset(now)
 }
--- a/internal/kernel/steering/lookup.go
+++ b/internal/kernel/steering/lookup.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// lookupMost is how many proxies one answer names at most.
-	lookupMost = 64
-	// lookupLeast is how many proxies an answer names if there are so many:
+	// maxLookupProxies is how many proxies one answer names at most.
+	maxLookupProxies = 64
+	// minLookupProxies is how many proxies an answer names if there are so many:
 	// a caller that finds the only one dead has nowhere to go.
-	lookupLeast = 2
+	minLookupProxies = 2
 )
 
 // Lookup names the proxies that a caller should use: those of its failure
@@ -23,26 +23,26 @@
 // which the host may be served are left out, for they would take in requests that
 // they may not pass on; a caller's own region always may.
 func (k *Kernel) Lookup(host, region, domain string) []netip.AddrPort {
-	if list := k.open(func(p Proxy) bool { return p.Domain == domain }); len(list) >= lookupLeast {
+	if list := k.acceptingProxies(func(p Proxy) bool { return p.Domain == domain }); len(list) >= minLookupProxies {
 		return addresses(list)
 	}
-	own := k.open(func(p Proxy) bool { return p.Region == region })
-	if len(own) >= lookupLeast {
+	own := k.acceptingProxies(func(p Proxy) bool { return p.Region == region })
+	if len(own) >= minLookupProxies {
 		return addresses(own)
 	}
-	others := k.open(func(p Proxy) bool { return p.Region != region && k.serves(host, p.Region) })
+	others := k.acceptingProxies(func(p Proxy) bool { return p.Region != region && k.mayServeHost(host, p.Region) })
 	if len(others) == 0 && len(own) == 0 {
-		others = k.open(func(Proxy) bool { return true })
+		others = k.acceptingProxies(func(Proxy) bool { return true })
 	}
 	if len(own) > 0 {
-		byHash(others, domain)
-		others = others[:min(len(others), lookupLeast-len(own))]
+		sortByHash(others, domain)
+		others = others[:min(len(others), minLookupProxies-len(own))]
 	}
 	return addresses(slices.Concat(own, others))
 }
 
-// open lists the proxies that take callers and match, in order.
-func (k *Kernel) open(matches func(Proxy) bool) []Proxy {
+// acceptingProxies lists the proxies that take callers and match, in order.
+func (k *Kernel) acceptingProxies(matches func(Proxy) bool) []Proxy {
 	var list []Proxy
 	for _, p := range k.proxies {
 		if !p.Leaving && matches(p) {
@@ -52,8 +52,8 @@
 	return list
 }
 
-// serves reports whether a host may be served in a region.
-func (k *Kernel) serves(host, region string) bool {
+// mayServeHost reports whether a host may be served in a region.
+func (k *Kernel) mayServeHost(host, region string) bool {
 	if k.table == nil {
 		return true
 	}
@@ -61,9 +61,9 @@
 	return len(allowed) == 0 || slices.Contains(allowed, region)
 }
 
-// byHash puts proxies in the order of a hash of their names and a failure domain,
+// sortByHash puts proxies in the order of a hash of their names and a failure domain,
 // so that the callers of each are sent to others and all look-ups agree.
-func byHash(list []Proxy, domain string) {
+func sortByHash(list []Proxy, domain string) {
 	rank := func(p Proxy) uint64 { return xxhash.Sum64String(p.Name + " " + domain) }
 	slices.SortFunc(list, func(a, b Proxy) int { return cmp.Compare(rank(a), rank(b)) })
 }
@@ -71,7 +71,7 @@
 // addresses are where callers reach proxies, as many as one answer names.
 func addresses(list []Proxy) []netip.AddrPort {
 	var out []netip.AddrPort
-	for _, p := range list[:min(len(list), lookupMost)] {
+	for _, p := range list[:min(len(list), maxLookupProxies)] {
 		out = append(out, p.Address)
 	}
 	return out
--- a/internal/kernel/steering/lookup_test.go
+++ b/internal/kernel/steering/lookup_test.go
@@ -70,7 +70,7 @@
 	others := make(map[string]bool)
 	for i := range 20 {
 		got := lookupNames("north", fmt.Sprintf("north-%d", i), "free", proxies...)
-		if len(got) != lookupLeast || got[0] != "north-1" {
+		if len(got) != minLookupProxies || got[0] != "north-1" {
 			t.Fatalf("got %v, want north-1 and one other", got)
 		}
 		others[got[1]] = true
--- a/internal/kernel/steering/mechanism.go
+++ b/internal/kernel/steering/mechanism.go
@@ -71,5 +71,5 @@
 	return nil
 }
 
-// on reports whether a mechanism is in use.
-func (k *Kernel) on(m Mechanism) bool { return !k.off[m] }
+// isEnabled reports whether a mechanism is in use.
+func (k *Kernel) isEnabled(m Mechanism) bool { return !k.disabled[m] }
--- a/internal/kernel/steering/near.go
+++ b/internal/kernel/steering/near.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// chooseNear picks among the servers that know the request's object, and reports whether
+// chooseWarm picks among the servers that know the request's object, and reports whether
 // no other can be better: each of the hundreds of others would run it cold, and is charged
 // for that.
-func (k *Kernel) chooseNear(now time.Time, f *ActiveRequest, g *service, homes []string) (pick, bool) {
-	if len(homes) == 0 || !k.placer.keepsHomes || k.weighed != nil {
-		return pick{}, false
+func (k *Kernel) chooseWarm(now time.Time, f *ActiveRequest, g *service, homes []string) (choice, bool) {
+	if len(homes) == 0 || !k.placer.chargesColdRuns || k.observeCandidate != nil {
+		return choice{}, false
 	}
-	near := make([]*server, 0, len(homes)+len(g.knowers[f.Object]))
+	near := make([]*server, 0, len(homes)+len(g.warmServers[f.Object]))
 	for _, id := range homes {
-		if s := g.members[id]; s != nil {
+		if s := g.registered[id]; s != nil {
 			near = append(near, s)
 		}
 	}
-	for _, s := range g.knowers[f.Object] {
-		if g.members[s.id] == s && !k.evacuated[s.Domain] && !slices.Contains(near, s) {
+	for _, s := range g.warmServers[f.Object] {
+		if g.registered[s.id] == s && !k.evacuatedDomains[s.Domain] && !slices.Contains(near, s) {
 			near = append(near, s)
 		}
 	}
@@ -27,25 +27,25 @@
 	if best.server == nil {
 		return best, false
 	}
-	work := f.work.expect(false, f.Route.Target)
-	elsewhere := work + time.Duration(spillCost*float64(len(homes))*float64(work))
+	work := f.workEstimate.expected(false, f.Route.Target)
+	elsewhere := work + time.Duration(coldRunPenalty*float64(len(homes))*float64(work))
 	return best, best.cost < elsewhere
 }
 
-// knows notes that a server has handled an object.
-func (g *service) knows(now time.Time, s *server, object string) {
+// markWarm notes that a server has handled an object.
+func (g *service) markWarm(now time.Time, s *server, object string) {
 	if object == "" {
 		return
 	}
-	if g.knowers == nil {
-		g.knowers = make(map[string][]*server)
+	if g.warmServers == nil {
+		g.warmServers = make(map[string][]*server)
 	}
-	known := slices.DeleteFunc(g.knowers[object], func(other *server) bool { return other == s || !other.knows(object, now) })
-	g.knowers[object] = append(known, s)
-	if len(g.knowers) > knownObjectsMost {
-		for other, list := range g.knowers {
-			if list = slices.DeleteFunc(list, func(s *server) bool { return !s.knows(other, now) }); len(list) == 0 {
-				delete(g.knowers, other)
+	known := slices.DeleteFunc(g.warmServers[object], func(other *server) bool { return other == s || !other.isWarm(object, now) })
+	g.warmServers[object] = append(known, s)
+	if len(g.warmServers) > warmServersSweepSize {
+		for other, list := range g.warmServers {
+			if list = slices.DeleteFunc(list, func(s *server) bool { return !s.isWarm(other, now) }); len(list) == 0 {
+				delete(g.warmServers, other)
 			}
 		}
 	}
--- a/internal/kernel/steering/placer.go
+++ b/internal/kernel/steering/placer.go
@@ -21,26 +21,26 @@
 	// All but the default are there to be measured against.
 	placer struct {
 		name string
-		cost func(k *Kernel, f *ActiveRequest, p pick) time.Duration
-		// sheds is set if requests are refused where queues are too long, keepsHomes if
+		cost func(k *Kernel, f *ActiveRequest, p choice) time.Duration
+		// shedsLoad is set if requests are refused where queues are too long, chargesColdRuns if
 		// servers away from an object's homes are charged for running it cold.
-		sheds      bool
-		keepsHomes bool
+		shedsLoad       bool
+		chargesColdRuns bool
 	}
 )
 
 func init() {
 	registerPlacer(placer{
-		name: DefaultPlacer, sheds: true, keepsHomes: true,
-		cost: func(_ *Kernel, _ *ActiveRequest, p pick) time.Duration { return p.cost },
+		name: DefaultPlacer, shedsLoad: true, chargesColdRuns: true,
+		cost: func(_ *Kernel, _ *ActiveRequest, p choice) time.Duration { return p.cost },
 	})
-	registerPlacer(placer{name: "least-in-flight", cost: func(_ *Kernel, _ *ActiveRequest, p pick) time.Duration {
-		return time.Duration(p.server.inFlight)*time.Second + p.server.domain.roundTrip
+	registerPlacer(placer{name: "least-in-flight", cost: func(_ *Kernel, _ *ActiveRequest, p choice) time.Duration {
+		return time.Duration(p.server.inFlight)*time.Second + p.server.rtt.roundTrip
 	}})
-	registerPlacer(placer{name: "round-robin", cost: func(_ *Kernel, _ *ActiveRequest, p pick) time.Duration {
-		return time.Duration(p.server.turns)
+	registerPlacer(placer{name: "round-robin", cost: func(_ *Kernel, _ *ActiveRequest, p choice) time.Duration {
+		return time.Duration(p.server.sentCount)
 	}})
-	registerPlacer(placer{name: "rendezvous", cost: func(_ *Kernel, f *ActiveRequest, p pick) time.Duration {
+	registerPlacer(placer{name: "rendezvous", cost: func(_ *Kernel, f *ActiveRequest, p choice) time.Duration {
 		hash := fnv.New32a()
 		_, _ = hash.Write([]byte(p.server.id + "/" + f.Object))
 		return time.Duration(hash.Sum32())
--- a/internal/kernel/steering/quarantine.go
+++ b/internal/kernel/steering/quarantine.go
@@ -19,21 +19,21 @@
 	}
 )
 
-// rule says whether the request's work may run now; a reason is given if not. Work that
+// checkQuarantine says whether the request's work may run now; a reason is given if not. Work that
 // has been there at the ends of servers runs once at a time, and not again by ourselves:
 // each run may cost one more server and all that it has.
-func (k *Kernel) rule(now time.Time, f *ActiveRequest) Reason {
-	f.suspected = false
-	if f.Work.None() || !k.on(MechanismQuarantine) {
+func (k *Kernel) checkQuarantine(now time.Time, f *ActiveRequest) Reason {
+	f.workSuspected = false
+	if f.Work.None() || !k.isEnabled(MechanismQuarantine) {
 		return ReasonNone
 	}
 	ruling, left := k.quarantine.Rule(now, f.Work)
-	f.suspected = ruling != quarantine.Clear
+	f.workSuspected = ruling != quarantine.Clear
 	switch {
 	case ruling == quarantine.Condemned:
-		f.away = min(left, quarantine.AwayMost)
+		f.workBlockedFor = min(left, quarantine.AwayMost)
 		return ReasonCrashesServers
-	case ruling == quarantine.Busy, ruling == quarantine.Suspected && f.breaks > 0:
+	case ruling == quarantine.Busy, ruling == quarantine.Suspected && f.connectionsLost > 0:
 		return ReasonMayCrashServers
 	}
 	return ReasonNone
@@ -42,24 +42,24 @@
 // trialRank is this proxy's place in the order in which proxies try refused work again,
 // another one for each work.
 func (k *Kernel) trialRank(w quarantine.Work) int {
-	n := len(k.sharers)
+	n := len(k.limitSharers)
 	if n == 0 {
 		return 0
 	}
-	return (k.ownPlace + int(w[0])<<8 + int(w[1])) % n
+	return (k.ownIndex + int(w[0])<<8 + int(w[1])) % n
 }
 
-// chooseIdle picks the server with the least to lose for suspected work: of those that
+// chooseLeastLoaded picks the server with the least to lose for suspected work: of those that
 // may take it, the one that runs the fewest, near ones first.
-func (k *Kernel) chooseIdle(now time.Time, f *ActiveRequest, g *service) (*server, pick) {
-	best := pick{reason: ReasonNoServer}
-	f.work = g.workOn(f.Route)
+func (k *Kernel) chooseLeastLoaded(now time.Time, f *ActiveRequest, g *service) (*server, choice) {
+	best := choice{reason: ReasonNoServer}
+	f.workEstimate = g.workOf(f.Route)
 	least := 0.0
-	for _, s := range g.servers {
-		if !k.mayTry(now, f, s) {
+	for _, s := range g.eligible {
+		if !k.mayUse(now, f, s) {
 			continue
 		}
-		load := s.load(now) + float64(s.domain.roundTrip)/float64(max(f.Route.Target, time.Millisecond))
+		load := s.load(now) + float64(s.rtt.roundTrip)/float64(max(f.Route.Target, time.Millisecond))
 		if s.isCold(now) {
 			if !k.coldRoom(now, g, s) {
 				continue
@@ -72,38 +72,38 @@
 			continue
 		}
 		least = load
-		best = k.reckon(now, f, s, nil)
+		best = k.estimate(now, f, s, nil)
 	}
 	if best.server != nil && best.server.isCold(now) {
-		best.server.cold.Take(now)
+		best.server.coldRate.Take(now)
 	}
 	return best.server, best
 }
 
-// learnEnd takes in what an attempt tells of whether its server has ended, and what of
+// recordCrashEvidence takes in what an attempt tells of whether its server has ended, and what of
 // the request's work.
-func (k *Kernel) learnEnd(now time.Time, f *ActiveRequest, s *server, a Attempt) {
+func (k *Kernel) recordCrashEvidence(now time.Time, f *ActiveRequest, s *server, a Attempt) {
 	q := k.quarantine
 	q.Stopped(f.Work)
 	switch a.Result {
 	case ResultAnswered, ResultServerError, ResultRefused:
-		q.Answered(s.start, f.sentAt)
+		q.Answered(s.startID, f.sentAt)
 		if a.Result == ResultAnswered && !a.Rejected {
 			// A server that fails or rejects a request may not have come to what
 			// ends it.
 			q.RanWell(now, f.Work)
 		}
 	case ResultConnectionLost:
-		f.breaks++
-		if s.takesRequests() && s.absentUntil.IsZero() {
+		f.connectionsLost++
+		if s.isEligible() && s.absentUntil.IsZero() {
 			// A server that leaves as planned may cut what it still has.
-			q.Broke(now, f.Work, s.start)
+			q.Broke(now, f.Work, s.startID)
 		}
 	case ResultWrongServer:
-		q.HasEnded(now, s.start)
+		q.HasEnded(now, s.startID)
 	case ResultUnreachable:
 		if a.Refusing {
-			q.HasEnded(now, s.start)
+			q.HasEnded(now, s.startID)
 		}
 	}
 }
@@ -114,14 +114,14 @@
 	if len(doubtful) == 0 {
 		return nil
 	}
-	k.record(Call{Method: callDoubted})
+	k.record(Call{Method: callServersToProbe})
 	wanted := make(map[quarantine.Server]bool, len(doubtful))
 	for _, s := range doubtful {
 		wanted[s] = true
 	}
 	var list []routing.Server
 	for _, s := range k.servers {
-		if wanted[s.start] {
+		if wanted[s.startID] {
 			list = append(list, s.Server)
 		}
 	}
@@ -130,10 +130,10 @@
 
 // RecordConnectionRefused notes that nothing listens where a server was.
 func (k *Kernel) RecordConnectionRefused(now time.Time, id string) {
-	k.record(Call{Method: callRefusing, At: now, ID: id})
+	k.record(Call{Method: callConnectionRefused, At: now, ID: id})
 	if s := k.servers[id]; s != nil {
-		k.quarantine.HasEnded(now, s.start)
-		s.hasFailed(now, true)
+		k.quarantine.HasEnded(now, s.startID)
+		s.recordFailure(now, true)
 	}
 }
 
@@ -158,7 +158,7 @@
 	if len(list) == 0 {
 		return
 	}
-	k.record(Call{Method: callSuspicions, At: now, QuarantineReports: list})
+	k.record(Call{Method: callQuarantineReports, At: now, QuarantineReports: list})
 	k.quarantine.Hear(now, list)
 }
 
@@ -169,11 +169,11 @@
 // QuarantineReportsUrgent reports, once, whether peers should hear of suspicions at once.
 func (k *Kernel) QuarantineReportsUrgent() bool { return k.quarantine.Urgent() }
 
-// observeWork tells of what has become of a work or of a server that had some.
-func (k *Kernel) observeWork(n quarantine.Notice) {
+// observeQuarantine tells of what has become of a work or of a server that had some.
+func (k *Kernel) observeQuarantine(n quarantine.Notice) {
 	e := Event{Kind: EventKind(n.Change), Work: n.Work, Crashes: n.Ends, RunningWork: n.Works}
 	for _, s := range k.servers {
-		if n.Change == quarantine.ChangeEnded && s.start == n.Server {
+		if n.Change == quarantine.ChangeEnded && s.startID == n.Server {
 			e.Server, e.Service = s.id, s.Service
 		}
 	}
--- a/internal/kernel/steering/quarantine_test.go
+++ b/internal/kernel/steering/quarantine_test.go
@@ -73,7 +73,7 @@
 	if d.Server == nil {
 		t.Fatalf("third run: %+v, want it sent", d)
 	}
-	if _, d := beginDeadly(k, now); d.Server != nil || !d.NotRun || d.Reason != ReasonMayCrashServers || d.RetryAfter <= 0 || d.RetryAfter > comeBackMost {
+	if _, d := beginDeadly(k, now); d.Server != nil || !d.NotRun || d.Reason != ReasonMayCrashServers || d.RetryAfter <= 0 || d.RetryAfter > maxRetryAfter {
 		t.Errorf("beside it: %+v, want it refused for a moment", d)
 	}
 	if d := k.EndAttempt(now, f, Attempt{Result: ResultAnswered}); !d.ReturnResponse {
--- a/internal/kernel/steering/regions.go
+++ b/internal/kernel/steering/regions.go
@@ -10,7 +10,7 @@
 	// unknownRegion stands for all that are not known: what names no region may run there
 	// too.
 	unknownRegion regionSet = 1 << MaxRegions
-	everywhere    regionSet = 1<<64 - 1
+	allRegions    regionSet = 1<<64 - 1
 )
 
 type (
@@ -32,7 +32,7 @@
 // regionSet is the set of the regions named; no name means all.
 func (k *Kernel) regionSet(names []string) regionSet {
 	if len(names) == 0 {
-		return everywhere
+		return allRegions
 	}
 	set := regionSet(0)
 	for _, name := range names {
--- a/internal/kernel/steering/replay.go
+++ b/internal/kernel/steering/replay.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// differencesMost bounds the differences that a replay keeps.
-	differencesMost = 20
+	// maxDifferences bounds the differences that a replay keeps.
+	maxDifferences = 20
 )
 
 var (
-	errNoStart  = errors.New("recording does not begin with the start of a proxy")
-	errNoFlight = errors.New("recording ends an attempt of a request that it does not begin")
+	errNoStart        = errors.New("recording does not begin with the start of a proxy")
+	errUnknownRequest = errors.New("recording ends an attempt of a request that it does not begin")
 )
 
 type (
@@ -66,10 +66,10 @@
 	}
 
 	replayer struct {
-		kernel  *Kernel
-		flights map[uint64]*ActiveRequest
-		about   string
-		result  ReplayResult
+		kernel    *Kernel
+		requests  map[uint64]*ActiveRequest
+		requestID string
+		result    ReplayResult
 	}
 )
 
@@ -77,7 +77,7 @@
 // a new kernel and compares its decisions with those recorded. For the request
 // named, if any, it tells how each server was weighed.
 func ReplayCalls(recording io.Reader, about string) (ReplayResult, error) {
-	r := &replayer{about: about}
+	r := &replayer{requestID: about}
 	for decoder := json.NewDecoder(recording); ; {
 		var c Call
 		err := decoder.Decode(&c)
@@ -91,16 +91,16 @@
 			return r.result, errors.Wrapf(err, "call %d", r.result.Calls+1)
 		}
 		r.result.Calls++
-		if err := r.call(c); err != nil {
+		if err := r.replayCall(c); err != nil {
 			return r.result, errors.Wrapf(err, "call %d, %s", r.result.Calls, c.Method)
 		}
 	}
 }
 
-func (r *replayer) call(c Call) error {
+func (r *replayer) replayCall(c Call) error {
 	if c.Method == callStart && c.Config != nil {
 		// Each start of the process is a kernel of its own.
-		r.kernel, r.flights = New(*c.Config), make(map[uint64]*ActiveRequest)
+		r.kernel, r.requests = New(*c.Config), make(map[uint64]*ActiveRequest)
 		return nil
 	}
 	if r.kernel == nil {
@@ -122,7 +122,7 @@
 		k.MarkServerAbsent(c.ID, c.Until)
 	case callTick:
 		k.Tick(c.At)
-	case callMeasured:
+	case callRoundTrip:
 		k.RecordRoundTrip(c.Domain, c.RoundTrip)
 	case callEvacuated:
 		k.SetDomainEvacuated(c.At, c.Domain, c.Flag)
@@ -130,42 +130,42 @@
 		k.BeginShutdown(c.Until)
 	case callProxies:
 		k.SetProxies(c.At, c.Proxies)
-	case callDoubtProxies:
+	case callIgnoreMissingProxies:
 		k.IgnoreMissingProxiesUntil(c.Until)
-	case callDoubted:
+	case callServersToProbe:
 		k.ServersToProbe()
-	case callRefusing:
+	case callConnectionRefused:
 		k.RecordConnectionRefused(c.At, c.ID)
-	case callSuspicions:
+	case callQuarantineReports:
 		k.ApplyQuarantineReports(c.At, c.QuarantineReports)
-	case callSignals:
+	case callBackpressureReports:
 		k.ApplyBackpressureReports(c.At, c.BackpressureReports)
-	case callHolding:
+	case callConcurrencyLimits:
 		k.ApplyConcurrencyLimits(c.At, c.ServiceLimits)
-	case callReport:
+	case callQuotaReport:
 		k.QuotaReport(c.At, c.ID, c.IDs)
-	case callHearReport:
+	case callHandleQuotaReport:
 		k.HandleQuotaReport(c.At, *c.Report)
-	case callHearGrants:
+	case callQuotaGrants:
 		k.ApplyQuotaGrants(c.At, c.ReportedAt, c.ID, *c.Grants)
-	case callUnanswered:
+	case callQuotaReportUnanswered:
 		k.QuotaReportUnanswered(c.At, c.ID)
-	case callTakeToken:
+	case callTakePoolToken:
 		k.TakePoolToken(c.At, c.ID)
-	case callBorrow:
+	case callBorrowQuota:
 		k.BorrowQuota(c.At, c.IDs)
-	case callHearLoan:
+	case callQuotaLoan:
 		k.ApplyQuotaLoan(c.At, c.ReportedAt, c.ID, *c.Grants)
-	case callFleet:
+	case callFleetSize:
 		k.SetFleetSize(c.Count)
-	case callResumed:
+	case callResume:
 		k.HandleResume(c.At)
-	case callHearAsk:
+	case callSlotRequest:
 		k.HandleSlotRequest(c.At, *c.SlotRequest)
-	case callHearRelease:
+	case callSlotRelease:
 		k.HandleSlotRelease(c.At, *c.SlotRelease)
-	case callBegin, callEnded, callAsked, callToken:
-		return r.request(c)
+	case callBegin, callEnded, callSlotReply, callPoolToken:
+		return r.replayRequest(c)
 	default:
 		return errors.Errorf("do: %q is no call", c.Method)
 	}
@@ -182,37 +182,37 @@
 	return t.WithAccounts(accounts)
 }
 
-// request replays a call that decides on a request.
-func (r *replayer) request(c Call) error {
+// replayRequest replays a call that decides on a request.
+func (r *replayer) replayRequest(c Call) error {
 	var f *ActiveRequest
 	var d Decision
 	if c.Method == callBegin {
-		r.watch(c, c.Request.ID, 1)
+		r.observeCandidates(c, c.Request.ID, 1)
 		f, d = r.kernel.BeginRequest(c.At, *c.Request)
-		r.flights[c.RequestNumber] = f
+		r.requests[c.RequestNumber] = f
 	} else {
-		if f = r.flights[c.RequestNumber]; f == nil {
-			return errNoFlight
+		if f = r.requests[c.RequestNumber]; f == nil {
+			return errUnknownRequest
 		}
-		r.watch(c, f.ID, (len(f.steps)+1)/2+1)
+		r.observeCandidates(c, f.ID, (len(f.steps)+1)/2+1)
 		switch c.Method {
-		case callAsked:
+		case callSlotReply:
 			d = r.kernel.HandleSlotReply(c.At, f, *c.SlotReply, c.Flag)
-		case callToken:
+		case callPoolToken:
 			d = r.kernel.ApplyPoolToken(c.At, f, *c.Token, c.Flag)
 		default:
 			d = r.kernel.EndAttempt(c.At, f, *c.Attempt)
 		}
 	}
-	r.compare(c, f, verdictOf(d))
+	r.compare(c, f, recordedDecisionOf(d))
 	return nil
 }
 
-// watch notes how servers are weighed if the request is the one asked about.
-func (r *replayer) watch(c Call, id string, attempt int) {
-	r.kernel.weighed = nil
-	if r.about != "" && id == r.about {
-		r.kernel.weighed = func(w Candidate) {
+// observeCandidates notes how servers are weighed if the request is the one asked about.
+func (r *replayer) observeCandidates(c Call, id string, attempt int) {
+	r.kernel.observeCandidate = nil
+	if r.requestID != "" && id == r.requestID {
+		r.kernel.observeCandidate = func(w Candidate) {
 			w.At, w.Attempt = c.At, attempt
 			r.result.Candidates = append(r.result.Candidates, w)
 		}
@@ -232,23 +232,23 @@
 		return
 	}
 	r.result.DifferenceCount++
-	if len(r.result.Differences) < differencesMost {
+	if len(r.result.Differences) < maxDifferences {
 		r.result.Differences = append(r.result.Differences, Difference{
 			Call: r.result.Calls, At: c.At, Request: f.ID, Recorded: *c.Decision, Now: now,
 		})
 	}
-	r.follow(f, c.Decision.Server)
+	r.moveToRecorded(f, c.Decision.Server)
 }
 
-// follow puts a request at the server where it was recorded, so that what is
+// moveToRecorded puts a request at the server where it was recorded, so that what is
 // recorded of its attempt applies to the server that it was sent to.
-func (r *replayer) follow(f *ActiveRequest, id string) {
+func (r *replayer) moveToRecorded(f *ActiveRequest, id string) {
 	if f.server != nil && f.server.id != id && f.server.inFlight > 0 {
 		f.server.inFlight--
 	}
 	s := r.kernel.servers[id]
 	if s == nil {
-		s = &server{id: id, speed: 1, domain: &distance{}}
+		s = &server{id: id, slowdown: 1, rtt: &rttEstimate{}}
 	}
 	if s != f.server {
 		s.inFlight++
--- a/internal/kernel/steering/replicas.go
+++ b/internal/kernel/steering/replicas.go
@@ -6,16 +6,16 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/placing"
 )
 
-// atReplica names the servers for an object that is asked for more often than its home
+// withReplica names the servers for an object that is asked for more often than its home
 // can answer: one of its replicas first, drawn for each request, then its homes. The
 // replicas stand in the home's region, so that the regions keep their parts of the
 // requests. Proxies may differ in how many there are: the first ones are the same for
 // all.
-func (k *Kernel) atReplica(f *ActiveRequest, g *service, homes []string) []string {
-	if len(homes) == 0 || !k.on(MechanismReplicas) {
+func (k *Kernel) withReplica(f *ActiveRequest, g *service, homes []string) []string {
+	if len(homes) == 0 || !k.isEnabled(MechanismReplicas) {
 		return homes
 	}
-	home := g.members[homes[0]]
+	home := g.registered[homes[0]]
 	if home == nil {
 		return homes
 	}
@@ -34,7 +34,7 @@
 		return homes
 	}
 	chosen := nearest[i-1]
-	if g.members[chosen].outs > 0 {
+	if g.registered[chosen].ejections > 0 {
 		// Its home is sound: the request must not be taken for one whose home is lost.
 		return homes
 	}
@@ -50,6 +50,6 @@
 // replicasNeeded is how many servers the object of a request needs, its home
 // included. This proxy takes the others of its region to see as much as it does.
 func (k *Kernel) replicasNeeded(f *ActiveRequest, g *service, slots int) int {
-	rate := g.demand.Least(f.began, f.Object) * float64(max(1, k.neighbours))
-	return placing.Replicas(rate, g.workOn(f.Route).typical(f.Route), slots)
+	rate := g.demand.Least(f.startedAt, f.Object) * float64(max(1, k.sharersInRegion))
+	return placing.Replicas(rate, g.workOf(f.Route).typical(f.Route), slots)
 }
--- a/internal/kernel/steering/replicas_test.go
+++ b/internal/kernel/steering/replicas_test.go
@@ -72,8 +72,8 @@
 		t.Errorf("an object asked for twice a second goes to %d servers, want its home alone", len(rare))
 	}
 	for id := range two.servers {
-		if home := two.homes(&ActiveRequest{Request: Request{Object: "1"}, Route: two.table.Routes["route"], allowed: everywhere}, two.group("service"))[0]; id != home {
-			two.servers[id].hasFailed(now.Add(10*time.Second), true)
+		if home := two.homes(&ActiveRequest{Request: Request{Object: "1"}, Route: two.table.Routes["route"], allowedRegions: allRegions}, two.eligibleService("service"))[0]; id != home {
+			two.servers[id].recordFailure(now.Add(10*time.Second), true)
 		}
 	}
 	if c := sendsTo(two, now.Add(10*time.Second), "1", 10); len(c) != 1 {
--- a/internal/kernel/steering/request.go
+++ b/internal/kernel/steering/request.go
@@ -83,15 +83,15 @@
 )
 
 const (
-	// sendsMost bounds the sends of one request to servers that turn out to
+	// maxSends bounds the sends of one request to servers that turn out to
 	// be unreachable: each costs a connection's time-out.
-	sendsMost = 4
-	// leastLeft is the time below which another attempt is not worth it.
-	leastLeft = 20 * time.Millisecond
-	// comeBackLeast and comeBackMost bound the time that a refused caller is
+	maxSends = 4
+	// minAttemptTime is the time below which another attempt is not worth it.
+	minAttemptTime = 20 * time.Millisecond
+	// minRetryAfter and comeBackMost bound the time that a refused caller is
 	// told to stay away. Callers give up a third of their time at most.
-	comeBackLeast = 80 * time.Millisecond
-	comeBackMost  = 2 * time.Second
+	minRetryAfter = 80 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
 type (
@@ -130,48 +130,48 @@
 		// ExpiresAt is when the request ends at the latest, answered or not.
 		ExpiresAt time.Time
 
-		// number counts the kernel's requests.
-		number uint64
-		// version is that of the table by which the account was found.
-		version uint64
-		// allowed are the regions in which the request may run.
-		allowed regionSet
-		// asked is the ruling by which a pool is asked for a token.
-		asked    ratelimit.Ruling
-		began    time.Time
-		server   *server
-		sentAt   time.Time
-		expected time.Duration
-		warm     bool
-		// work is what is known of how long such requests take at the service.
-		work *workModel
-		// load is what the server was reckoned to run and queue when it was sent.
-		load float64
-		// region is where a request without an object should run.
-		region string
-		tried  []*server
-		// breaks counts the exchanges that broke; suspected is set if the work has been
+		// seq counts the kernel's requests.
+		seq uint64
+		// tableVersion is that of the table by which the account was found.
+		tableVersion uint64
+		// allowedRegions are the regions in which the request may run.
+		allowedRegions regionSet
+		// quotaRuling is the ruling by which a pool is asked for a token.
+		quotaRuling ratelimit.Ruling
+		startedAt   time.Time
+		server      *server
+		sentAt      time.Time
+		expected    time.Duration
+		warm        bool
+		// workEstimate is what is known of how long such requests take at the service.
+		workEstimate *workEstimate
+		// loadAtSend is what the server was reckoned to run and queue when it was sent.
+		loadAtSend float64
+		// drawnRegion is where a request without an object should run.
+		drawnRegion  string
+		triedServers []*server
+		// connectionsLost counts the exchanges that broke; suspected is set if the work has been
 		// there at the ends of servers, and away is for how long it is refused.
-		breaks    int
-		suspected bool
-		away      time.Duration
-		// sends counts sends that reached or may have reached a server.
-		sends int
-		dials int
-		// asking is the question for a place at the server's gate, until the place is
+		connectionsLost int
+		workSuspected   bool
+		workBlockedFor  time.Duration
+		// reachedServers counts sends that reached or may have reached a server.
+		reachedServers int
+		sendAttempts   int
+		// slotRequest is the question for a place at the server's gate, until the place is
 		// given back; rank is how many ran there with this one, zero if not asked.
-		asking *SlotRequest
-		rank   int
+		slotRequest *SlotRequest
+		slotRank    int
 		// mayHaveRun is set once a server may have begun to run the request.
 		mayHaveRun bool
-		// pressure is how long the queues were where it would have gone.
-		pressure float64
-		// soon is the longest time until a refused caller's return in which it
+		// queuePressure is how long the queues were where it would have gone.
+		queuePressure float64
+		// maxRetryAfter is the longest time until a refused caller's return in which it
 		// can still be answered within the target; zero if it can't.
-		soon time.Duration
-		// withheld is how long until a server that has asked for less takes more.
-		withheld time.Duration
-		steps    []Event
+		maxRetryAfter time.Duration
+		// backpressureWait is how long until a server that has asked for less takes more.
+		backpressureWait time.Duration
+		steps            []Event
 	}
 
 	// Decision is the next step of a request.
--- a/internal/kernel/steering/restart_test.go
+++ b/internal/kernel/steering/restart_test.go
@@ -41,7 +41,7 @@
 	}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 	ask := func() (warm bool) {
-		k.weighed = func(w Candidate) { warm = w.Warm }
+		k.observeCandidate = func(w Candidate) { warm = w.Warm }
 		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
 		k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
 		return warm
--- a/internal/kernel/steering/servers.go
+++ b/internal/kernel/steering/servers.go
@@ -15,33 +15,33 @@
 func (k *Kernel) RegisterServer(now time.Time, r routing.Server) {
 	k.record(Call{Method: callServer, At: now, Server: &r})
 	s := k.servers[r.ID]
-	if s != nil && s.startedAfter(r) {
+	if s != nil && s.isNewerThan(r) {
 		return
 	}
 	if s != nil && !s.Started.IsZero() && r.Started.After(s.Started) {
 		k.config.Observe(Event{Kind: EventServerRestarted, Server: r.ID, Service: r.Service, Address: s.Address})
-		k.quarantine.HasRestarted(now, s.start)
+		k.quarantine.HasRestarted(now, s.startID)
 		k.forgetServer(s)
 		s = nil
 	}
 	if s == nil {
 		start := quarantine.ServerOf(r.ID, r.Started)
-		s = &server{id: r.ID, start: start, asks: k.signals.Of(start), speed: 1}
+		s = &server{id: r.ID, startID: start, backpressure: k.backpressure.Of(start), slowdown: 1}
 		k.servers[r.ID] = s
 	}
 	moved := s.Service != r.Service || s.Slots != r.Slots || s.Draining != r.Draining || s.Domain != r.Domain || s.unreadable
 	if moved {
-		k.service(s.Service).drop(s)
-		k.service(r.Service).add(s)
+		k.service(s.Service).removeServer(s)
+		k.service(r.Service).addServer(s)
 	}
 	s.Server = r
 	s.unreadable = false
 	s.absentUntil = time.Time{}
 	s.region = k.config.RegionOf[r.Domain]
 	s.regionBit = k.regionBit(s.region)
-	s.domain = k.distanceTo(r.Domain)
+	s.rtt = k.rttTo(r.Domain)
 	if r.ColdFor > 0 {
-		s.coldUntil = later(s.coldUntil, now.Add(r.ColdFor))
+		s.coldUntil = laterOf(s.coldUntil, now.Add(r.ColdFor))
 	}
 	if moved {
 		k.config.Observe(Event{Kind: EventServerChanged, Server: r.ID, Service: r.Service, Draining: r.Draining})
@@ -73,7 +73,7 @@
 	if s == nil {
 		return
 	}
-	k.quarantine.HasEnded(now, s.start)
+	k.quarantine.HasEnded(now, s.startID)
 	k.forgetServer(s)
 	k.config.Observe(Event{Kind: EventServerGone, Server: id, Service: s.Service})
 }
@@ -81,9 +81,9 @@
 // forgetServer drops a server and all that is known of it. Requests that it has
 // still end there.
 func (k *Kernel) forgetServer(s *server) {
-	s.gone = true
+	s.removed = true
 	delete(k.servers, s.id)
-	k.service(s.Service).drop(s)
+	k.service(s.Service).removeServer(s)
 }
 
 // MarkServerAbsent notes that a server's registration is missing. If it has not
@@ -99,18 +99,18 @@
 // run out, and follows which regions have no proxies.
 func (k *Kernel) Tick(now time.Time) {
 	k.record(Call{Method: callTick, At: now})
-	k.forget(now)
-	k.strand(now)
-	k.expireGates(now)
-	k.limits.tick(now)
-	k.moveBound(now)
+	k.expireSharers(now)
+	k.updateRegionStates(now)
+	k.expireSlotQueues(now)
+	k.quotas.tick(now)
+	k.moveReservedShares(now)
 	for id, s := range k.servers {
 		if !s.absentUntil.IsZero() && now.After(s.absentUntil) {
 			k.remove(now, id)
 		}
 	}
 	k.quarantine.Tick(now)
-	k.signals.Tick(now)
+	k.backpressure.Tick(now)
 }
 
 // ServerIDs lists the ids of all registered servers.
@@ -126,12 +126,12 @@
 // was measured yet.
 func (k *Kernel) UnmeasuredServers() []routing.Server {
 	var list []routing.Server
-	for domain, d := range k.distance {
+	for domain, d := range k.roundTrips {
 		if d.measured {
 			continue
 		}
 		for _, s := range k.servers {
-			if s.Domain == domain && s.takesRequests() && k.names(s.Service) {
+			if s.Domain == domain && s.isEligible() && k.isRouted(s.Service) {
 				list = append(list, s.Server)
 				break
 			}
@@ -140,33 +140,33 @@
 	return list
 }
 
-// names reports whether a route of the configuration in force leads to a service.
-func (k *Kernel) names(service string) bool {
-	_, named := k.leastUrgent[service]
+// isRouted reports whether a route of the configuration in force leads to a service.
+func (k *Kernel) isRouted(service string) bool {
+	_, named := k.lowestPriority[service]
 	return named
 }
 
 // RecordRoundTrip takes in a round trip to a failure domain.
 func (k *Kernel) RecordRoundTrip(domain string, roundTrip time.Duration) {
-	k.record(Call{Method: callMeasured, Domain: domain, RoundTrip: roundTrip})
-	k.distanceTo(domain).heard(roundTrip)
+	k.record(Call{Method: callRoundTrip, Domain: domain, RoundTrip: roundTrip})
+	k.rttTo(domain).observe(roundTrip)
 }
 
 // SetDomainEvacuated marks a failure domain whose servers must get nothing, or takes
 // the mark back. Servers that come back got nothing for a while and are taken
 // for cold, whatever their last registration says.
 func (k *Kernel) SetDomainEvacuated(now time.Time, domain string, evacuated bool) {
-	if k.evacuated[domain] == evacuated {
+	if k.evacuatedDomains[domain] == evacuated {
 		return
 	}
 	k.record(Call{Method: callEvacuated, At: now, Domain: domain, Flag: evacuated})
 	if evacuated {
-		k.evacuated[domain] = true
+		k.evacuatedDomains[domain] = true
 	} else {
-		delete(k.evacuated, domain)
+		delete(k.evacuatedDomains, domain)
 		for _, s := range k.servers {
 			if s.Domain == domain {
-				s.coldUntil = later(s.coldUntil, now.Add(k.coldStart(s.Service)))
+				s.coldUntil = laterOf(s.coldUntil, now.Add(k.coldStart(s.Service)))
 			}
 		}
 	}
@@ -178,8 +178,8 @@
 
 // EvacuatedDomains lists the evacuated failure domains.
 func (k *Kernel) EvacuatedDomains() []string {
-	list := make([]string, 0, len(k.evacuated))
-	for domain := range k.evacuated {
+	list := make([]string, 0, len(k.evacuatedDomains))
+	for domain := range k.evacuatedDomains {
 		list = append(list, domain)
 	}
 	return list
@@ -192,7 +192,7 @@
 	return k.table.Services[service].ColdStart
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/kernel/steering/service.go
+++ b/internal/kernel/steering/service.go
@@ -12,70 +12,70 @@
 type (
 	service struct {
 		name string
-		// members are all registered servers, by id; servers those of them
+		// registered are all registered servers, by id; servers those of them
 		// that may take requests, in order, unless stale is set.
-		members map[string]*server
-		servers []*server
-		stale   bool
-		// slots are those of all servers.
-		slots   int
-		repeats admission.Repeats
-		holding holding
-		// work is how long the requests of each route take, by its name.
-		work  map[string]*workModel
-		homes map[reach]*placing.Homes
-		// knowers are the servers that have handled each object lately.
-		knowers map[string][]*server
+		registered map[string]*server
+		eligible   []*server
+		stale      bool
+		// totalSlots are those of all servers.
+		totalSlots  int
+		retries     admission.Repeats
+		concurrency concurrencyState
+		// workByRoute is how long the requests of each route take, by its name.
+		workByRoute map[string]*workEstimate
+		homes       map[placementScope]*placing.Homes
+		// warmServers are the servers that have handled each object lately.
+		warmServers map[string][]*server
 		// ranking keeps what dealing objects out to the servers is made from.
 		ranking *placing.Ranking
 		// demand is how often objects are asked for.
 		demand placing.Demand
-		// regions are the parts of the regions in requests without objects.
-		regions map[reach]*regionShares
-		// pressure is how long the queues are, by the servers' region.
-		pressure map[string]*admission.Pressure
+		// regionDraws are the parts of the regions in requests without objects.
+		regionDraws map[placementScope]*regionDistribution
+		// queuePressure is how long the queues are, by the servers' region.
+		queuePressure map[string]*admission.Pressure
 	}
 )
 
-// group is a service with the servers that may take its requests. They are
+// eligibleService is a service with the servers that may take its requests. They are
 // listed anew when next asked for and not at each change: a proxy that starts
 // hears of thousands of servers at once. Other services keep their lists and
 // homes: to deal out the objects of 1,000 servers takes tens of milliseconds.
-func (k *Kernel) group(name string) *service {
+func (k *Kernel) eligibleService(name string) *service {
 	g := k.service(name)
 	if g.stale {
-		g.list(k.evacuated)
+		g.refreshEligible(k.evacuatedDomains)
 	}
 	return g
 }
 
-func (g *service) add(s *server) {
-	g.members[s.id] = s
+func (g *service) addServer(s *server) {
+	g.registered[s.id] = s
 	g.stale = true
 }
 
-func (g *service) drop(s *server) {
-	if g.members[s.id] != nil {
-		delete(g.members, s.id)
+func (g *service) removeServer(s *server) {
+	if g.registered[s.id] != nil {
+		delete(g.registered, s.id)
 		g.stale = true
 	}
 }
 
-// list lists the servers that may take requests anew after changes.
-func (g *service) list(evacuated map[string]bool) {
+// refreshEligible lists the servers that may take requests anew after changes.
+func (g *service) refreshEligible(evacuated map[string]bool) {
 	g.stale = false
-	g.servers = g.servers[:0]
-	g.forgetHomes()
-	for _, s := range g.members {
-		if s.takesRequests() && !evacuated[s.Domain] {
-			g.servers = append(g.servers, s)
+	g.eligible = g.eligible[:0]
+	g.invalidateHomes()
+	for _, s := range g.registered {
+		if s.isEligible() && !evacuated[s.Domain] {
+			g.eligible = append(g.eligible, s)
 		}
 	}
-	slices.SortFunc(g.servers, func(a, b *server) int { return strings.Compare(a.id, b.id) })
-	ranked := make([]placing.Server, 0, len(g.servers))
-	g.slots = 0
-	for _, s := range g.servers {
-		g.slots += s.Slots
+	slices.SortFunc(g.eligible, func(a, b *server) int { return strings.Compare(a.id, b.id) })
+	ranked := make([]placing.Server, 0, len(g.eligible))
+	g.totalSlots = 0
+	for _, s := range g.eligible {
+		g.totalSlots += s.Slots
 		ranked = append(ranked, placing.Server{ID: s.id, Class: s.class()})
 	}
 	g.ranking.Update(ranked)
@@ -88,11 +88,11 @@
 	s := k.services[name]
 	if s == nil {
 		s = &service{
-			name: name, homes: make(map[reach]*placing.Homes), regions: make(map[reach]*regionShares), members: make(map[string]*server),
-			work:     make(map[string]*workModel),
-			ranking:  placing.NewRanking(),
-			pressure: make(map[string]*admission.Pressure),
-			repeats: admission.Repeats{
+			name: name, homes: make(map[placementScope]*placing.Homes), regionDraws: make(map[placementScope]*regionDistribution), registered: make(map[string]*server),
+			workByRoute:   make(map[string]*workEstimate),
+			ranking:       placing.NewRanking(),
+			queuePressure: make(map[string]*admission.Pressure),
+			retries: admission.Repeats{
 				Ratio: k.config.Retry.Ratio, Slack: k.config.Retry.Slack, Window: k.config.Retry.Window,
 			},
 		}
@@ -101,8 +101,8 @@
 	return s
 }
 
-// forgetHomes has the work of the service dealt out anew when next asked for.
-func (g *service) forgetHomes() {
+// invalidateHomes has the work of the service dealt out anew when next asked for.
+func (g *service) invalidateHomes() {
 	clear(g.homes)
-	clear(g.regions)
+	clear(g.regionDraws)
 }
--- a/internal/kernel/steering/shares_test.go
+++ b/internal/kernel/steering/shares_test.go
@@ -107,8 +107,8 @@
 		fleet, _ := shareFleet(now)
 		fleet = fleet[:3]
 		for _, k := range fleet {
-			k.sharers = k.sharers[:3]
-			clear(k.ranks)
+			k.limitSharers = k.limitSharers[:3]
+			clear(k.ranksByDomain)
 		}
 		var arrived []time.Time
 		for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(5 * time.Millisecond) {
@@ -158,13 +158,13 @@
 	const bears = 3.1*1.5 + 5
 	fleet, list := joinFleet(now, now)
 	for i, k := range fleet {
-		k.sharers = nil
+		k.limitSharers = nil
 		k.SetProxies(now, list[i:i+1])
 	}
 	if got := inOneSecond(fleet, now); float64(got) > bears {
 		t.Errorf("%d requests reach the cold server in the first second, want at most %.1f", got, bears)
 	}
-	now = now.Add(joinFor)
+	now = now.Add(startupGrace)
 	for _, k := range fleet {
 		k.SetProxies(now, list)
 	}
--- a/internal/kernel/steering/shed.go
+++ b/internal/kernel/steering/shed.go
@@ -8,98 +8,98 @@
 )
 
 const (
-	// soonMost is the share refused up to which a refused caller is told to come
+	// maxShareForSoonRetry is the share refused up to which a refused caller is told to come
 	// back within the target: more than half of those that do are taken then, and
 	// answered in time. At more it had better wait for the overload to end.
-	soonMost = 0.5
+	maxShareForSoonRetry = 0.5
 )
 
-// room is how many requests may wait at a server for the last of them to be
+// queueRoom is how many requests may wait at a server for the last of them to be
 // answered within the route's target, if the work is warm.
-func (k *Kernel) room(f *ActiveRequest, g *service, s *server) float64 {
-	work := g.workOn(f.Route).typical(f.Route)
+func (k *Kernel) queueRoom(f *ActiveRequest, g *service, s *server) float64 {
+	work := g.workOf(f.Route).typical(f.Route)
 	if work <= 0 {
 		return 0
 	}
-	left := f.Route.Target - s.domain.roundTrip - work
-	return float64(s.places()) * max(1, float64(left)/float64(work))
+	left := f.Route.Target - s.rtt.roundTrip - work
+	return float64(s.usableSlots()) * max(1, float64(left)/float64(work))
 }
 
-// feel takes in how many requests wait at a server: for the server itself, and for
+// recordQueue takes in how many requests wait at a server: for the server itself, and for
 // all of its service in the region.
-func (k *Kernel) feel(now time.Time, f *ActiveRequest, s *server, waiting float64) {
+func (k *Kernel) recordQueue(now time.Time, f *ActiveRequest, s *server, waiting float64) {
 	g := k.service(s.Service)
-	p := g.pressure[s.region]
+	p := g.queuePressure[s.region]
 	if p == nil {
 		p = &admission.Pressure{}
-		g.pressure[s.region] = p
+		g.queuePressure[s.region] = p
 	}
-	room := k.room(f, g, s)
+	room := k.queueRoom(f, g, s)
 	p.Heard(now, waiting, room)
-	s.pressure.Heard(now, waiting, room)
-	s.feltAt = now
+	s.queuePressure.Heard(now, waiting, room)
+	s.pressureAt = now
 }
 
-// guess infers the queue of a server that does not tell its load from how much
+// inferQueue infers the queue of a server that does not tell its load from how much
 // longer an answer took than the least of late for the route, which is the work
 // alone. Work varies too, so an answer within the target is no sign of overload,
 // and neither is a late one if the work alone takes longer than the target.
 // Answers on a first run are left out: how long these take varies more.
-func (k *Kernel) guess(now time.Time, f *ActiveRequest, s *server, work time.Duration) {
-	if !f.warm && f.Object != "" || work <= 0 || !k.on(MechanismQueueInference) {
+func (k *Kernel) inferQueue(now time.Time, f *ActiveRequest, s *server, work time.Duration) {
+	if !f.warm && f.Object != "" || work <= 0 || !k.isEnabled(MechanismQueueInference) {
 		return
 	}
-	alone := s.aloneOn(f.Route.Name)
-	alone.heard(true, work, f.Route.Target)
+	alone := s.unqueuedWorkOf(f.Route.Name)
+	alone.observe(true, work, f.Route.Target)
 	waiting := max(0, float64(work-alone.warm)/float64(alone.warm)*float64(s.Slots))
 	if waiting >= 1 && f.Object != "" {
 		// Without an object, the choice reckons with others' requests by itself,
 		// and does better without a guess.
-		s.report(now, s.Slots, int(waiting))
+		s.recordLoad(now, s.Slots, int(waiting))
 	}
-	left := f.Route.Target - s.domain.roundTrip
+	left := f.Route.Target - s.rtt.roundTrip
 	switch {
 	case alone.warm > left:
 		return
 	case work <= left:
-		waiting = min(waiting, admission.ShedFrom*k.room(f, k.service(s.Service), s))
+		waiting = min(waiting, admission.ShedFrom*k.queueRoom(f, k.service(s.Service), s))
 	}
-	k.feel(now, f, s, waiting)
+	k.recordQueue(now, f, s, waiting)
 }
 
-// sheds decides whether a request that has not been sent yet is refused because
+// shouldShed decides whether a request that has not been sent yet is refused because
 // of the queues where its server is: the load is more than the servers can do,
 // its answer would come late, and all those behind it later. Routes that are
 // more urgent than another one of the service are spared until half of all are
 // refused.
-func (k *Kernel) sheds(now time.Time, f *ActiveRequest, g *service, s *server) bool {
-	p := g.pressure[s.region]
-	if p == nil || !k.placer.sheds || !k.on(MechanismLoadShedding) {
+func (k *Kernel) shouldShed(now time.Time, f *ActiveRequest, g *service, s *server) bool {
+	p := g.queuePressure[s.region]
+	if p == nil || !k.placer.shedsLoad || !k.isEnabled(MechanismLoadShedding) {
 		return false
 	}
 	// A proxy of a few hears of each server often enough to go by its own queue;
 	// one of many by that of the region's servers together.
-	if now.Sub(s.feltAt) < reportHorizon {
-		p = &s.pressure
+	if now.Sub(s.pressureAt) < loadReportTTL {
+		p = &s.queuePressure
 	}
-	f.pressure = p.Level(now)
+	f.queuePressure = p.Level(now)
 	share := p.Shed(now)
-	if f.priority() < k.leastUrgent[g.name] {
+	if f.priority() < k.lowestPriority[g.name] {
 		share = max(0, 2*share-1)
 	}
 	if share == 0 || k.random.Float64() >= share {
 		return false
 	}
-	if share <= soonMost {
-		work := s.domain.roundTrip + g.workOn(f.Route).typical(f.Route)
-		f.soon = max(0, (f.Route.Target-now.Sub(f.began)-work)/2)
+	if share <= maxShareForSoonRetry {
+		work := s.rtt.roundTrip + g.workOf(f.Route).typical(f.Route)
+		f.maxRetryAfter = max(0, (f.Route.Target-now.Sub(f.startedAt)-work)/2)
 	}
 	return true
 }
 
-// leastUrgentOf finds the priority of the least urgent requests of each service. That of
+// lowestPriorities finds the priority of the least urgent requests of each service. That of
 // an account goes before that of a route.
-func leastUrgentOf(t *routing.Table) map[string]int {
+func lowestPriorities(t *routing.Table) map[string]int {
 	least := make(map[string]int)
 	accounts := t.Accounts.All()
 	for _, r := range t.Routes {
--- a/internal/kernel/steering/shed_test.go
+++ b/internal/kernel/steering/shed_test.go
@@ -72,7 +72,7 @@
 		waiting int
 		within  time.Duration
 		late    bool
-	}{{8, 300 * time.Millisecond, false}, {40, comeBackMost, true}} {
+	}{{8, 300 * time.Millisecond, false}, {40, maxRetryAfter, true}} {
 		k := shedKernel(now)
 		longest := time.Duration(0)
 		for i := range 400 {
@@ -84,7 +84,7 @@
 			}
 			k.EndAttempt(at, f, Attempt{Result: ResultAnswered, Loaded: true, Running: 4, Waiting: c.waiting})
 		}
-		if longest == 0 || longest > c.within || (longest > comeBackMost/2) != c.late {
+		if longest == 0 || longest > c.within || (longest > maxRetryAfter/2) != c.late {
 			t.Errorf("%d waiting: told to come back after %s at most, want up to %s", c.waiting, longest, c.within)
 		}
 	}
--- a/internal/kernel/steering/signals_test.go
+++ b/internal/kernel/steering/signals_test.go
@@ -20,7 +20,7 @@
 		for _, window := range []int{1, 2, 3, 26, 400, 4001} {
 			sum := 0
 			for _, k := range fleet {
-				sum += k.limitShare(now, k.servers["cold"], window)
+				sum += k.backpressureShare(now, k.servers["cold"], window)
 			}
 			if sum != window {
 				t.Errorf("%d proxies may send %d in a window, want %d", proxies, sum, window)
@@ -33,10 +33,10 @@
 func TestProxyThatJoinsHasNoPartOfALimit(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	fleet, _ := fleetOf(now, now, 1, []string{"north-a"})
-	if got := fleet[0].limitShare(now.Add(time.Second), fleet[0].servers["cold"], 26); got != 0 {
+	if got := fleet[0].backpressureShare(now.Add(time.Second), fleet[0].servers["cold"], 26); got != 0 {
 		t.Errorf("got a part of %d a second after the start, want none", got)
 	}
-	if got := fleet[0].limitShare(now.Add(3*time.Second), fleet[0].servers["cold"], 26); got != 26 {
+	if got := fleet[0].backpressureShare(now.Add(3*time.Second), fleet[0].servers["cold"], 26); got != 26 {
 		t.Errorf("got a part of %d 3 s after the start, want 26", got)
 	}
 }
--- a/internal/kernel/steering/state.go
+++ b/internal/kernel/steering/state.go
@@ -27,7 +27,7 @@
 	switch {
 	case s.isCold(now):
 		return StateCold
-	case s.outs > 0:
+	case s.ejections > 0:
 		return StateEjected
 	case s.load(now) >= float64(s.Slots):
 		return StateFull
--- a/internal/kernel/steering/status.go
+++ b/internal/kernel/steering/status.go
@@ -70,15 +70,15 @@
 
 // Status describes the kernel at one moment.
 func (k *Kernel) Status(now time.Time) Status {
-	s := Status{Version: k.Version(), Proxies: slices.Clone(k.proxies), Evacuated: k.EvacuatedDomains(), RegionsWithoutProxies: k.strandedRegions(), MechanismsOff: k.config.Off, ConcurrencyLimits: k.ConcurrencyLimits(now), BlockedWork: k.BlockedWork(now)}
-	s.Accounts, s.Holders, s.QuotaPool = k.accounts(now), max(k.limits.fleet, k.limits.holders), k.limits.holder.Pool()
+	s := Status{Version: k.Version(), Proxies: slices.Clone(k.proxies), Evacuated: k.EvacuatedDomains(), RegionsWithoutProxies: k.regionsWithoutProxies(), MechanismsOff: k.config.Off, ConcurrencyLimits: k.ConcurrencyLimits(now), BlockedWork: k.BlockedWork(now)}
+	s.Accounts, s.Holders, s.QuotaPool = k.accounts(now), max(k.quotas.fleetSize, k.quotas.knownHolders), k.quotas.holder.Pool()
 	for _, b := range k.servers {
 		s.InFlight += b.inFlight
 		s.Servers = append(s.Servers, ServerStatus{
 			ID: b.id, Service: b.Service, Domain: b.Domain, Slots: b.Slots, InFlight: b.inFlight,
-			Draining: b.Draining || b.asks.Leaving(), Absent: !b.absentUntil.IsZero(),
-			ColdFor: max(0, b.coldUntil.Sub(now)), EjectedFor: max(0, b.outUntil.Sub(now)),
-			Load: b.load(now), LoadAge: b.loadAge(now), Limit: b.asks.Limit(now), PausedFor: b.asks.PausedFor(now), Leaving: b.asks.Leaving(), Slowdown: b.speed, FailureShare: b.failed,
+			Draining: b.Draining || b.backpressure.Leaving(), Absent: !b.absentUntil.IsZero(),
+			ColdFor: max(0, b.coldUntil.Sub(now)), EjectedFor: max(0, b.ejectedUntil.Sub(now)),
+			Load: b.load(now), LoadAge: b.loadAge(now), Limit: b.backpressure.Limit(now), PausedFor: b.backpressure.PausedFor(now), Leaving: b.backpressure.Leaving(), Slowdown: b.slowdown, FailureShare: b.failureShare,
 		})
 	}
 	slices.SortFunc(s.Servers, func(a, b ServerStatus) int { return strings.Compare(a.Service+a.ID, b.Service+b.ID) })
@@ -91,7 +91,7 @@
 		return nil
 	}
 	held := make(map[string]ratelimit.Held)
-	for _, h := range k.limits.holder.Held(now) {
+	for _, h := range k.quotas.holder.Held(now) {
 		held[h.Account] = h
 	}
 	var list []AccountStatus
--- a/internal/kernel/steering/stranded_test.go
+++ b/internal/kernel/steering/stranded_test.go
@@ -24,7 +24,7 @@
 // keeps it for a while.
 func keptNear(k *Kernel, now time.Time) float64 {
 	const objects = 96
-	first, near := int(k.flights), 0
+	first, near := int(k.requestCount), 0
 	for n := range objects {
 		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: fmt.Sprintf("%x", first+n), Deadline: now.Add(time.Second)})
 		if d.Server.Domain == "north-a" {
@@ -54,21 +54,21 @@
 		t.Fatalf("with proxies everywhere %.2f of the objects live near, want all", got)
 	}
 	k.SetProxies(now, list[:1])
-	tickUntil(k, now, now.Add(strandedAfter-time.Millisecond))
-	if got := keptNear(k, now.Add(strandedAfter)); got != 1 {
+	tickUntil(k, now, now.Add(regionLostAfter-time.Millisecond))
+	if got := keptNear(k, now.Add(regionLostAfter)); got != 1 {
 		t.Errorf("just after the others went %.2f of the objects live near, want all: they may be back", got)
 	}
-	now = now.Add(strandedAfter)
+	now = now.Add(regionLostAfter)
 	tickUntil(k, now, now)
 	if got := keptNear(k, now); got < 0.3 || got > 0.45 {
 		t.Errorf("without the other regions' proxies %.2f of the objects live near, want a little over a third", got)
 	}
 	k.SetProxies(now, list)
-	tickUntil(k, now, now.Add(returnedAfter-time.Second))
+	tickUntil(k, now, now.Add(regionBackAfter-time.Second))
 	if got := keptNear(k, now); got > 0.45 {
 		t.Errorf("while callers still keep old look-ups %.2f of the objects live near, want no change yet", got)
 	}
-	now = now.Add(returnedAfter)
+	now = now.Add(regionBackAfter)
 	tickUntil(k, now, now)
 	if got := keptNear(k, now); got != 1 {
 		t.Errorf("with proxies everywhere again %.2f of the objects live near, want all", got)
@@ -82,8 +82,8 @@
 	k, list := strandedWorld(now)
 	list[1].Leaving, list[2].Leaving = true, true
 	k.SetProxies(now, list)
-	tickUntil(k, now, now.Add(strandedAfter))
-	if got := keptNear(k, now.Add(strandedAfter)); got > 0.45 {
+	tickUntil(k, now, now.Add(regionLostAfter))
+	if got := keptNear(k, now.Add(regionLostAfter)); got > 0.45 {
 		t.Errorf("%.2f of the objects live near, want a little over a third", got)
 	}
 }
@@ -114,10 +114,10 @@
 	k, list := strandedWorld(now)
 	k.config.Joined = now
 	k.SetProxies(now, list[:1])
-	tickUntil(k, now, now.Add(joinFor-100*time.Millisecond))
+	tickUntil(k, now, now.Add(startupGrace-100*time.Millisecond))
 	k.SetProxies(now, list)
-	tickUntil(k, now.Add(joinFor), now.Add(joinFor+2*strandedAfter))
-	if got := keptNear(k, now.Add(joinFor)); got != 1 {
+	tickUntil(k, now.Add(startupGrace), now.Add(startupGrace+2*regionLostAfter))
+	if got := keptNear(k, now.Add(startupGrace)); got != 1 {
 		t.Errorf("%.2f of the objects live near, want all", got)
 	}
 }
--- a/internal/kernel/steering/work_test.go
+++ b/internal/kernel/steering/work_test.go
@@ -68,7 +68,7 @@
 		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x"})
 		k.EndAttempt(now.Add(time.Millisecond), f, Attempt{Result: ResultAnswered})
 	}
-	if work := k.service("service").work; len(work) != 1 || work["second"] == nil {
+	if work := k.service("service").workByRoute; len(work) != 1 || work["second"] == nil {
 		t.Errorf("work is known of %d routes, want the second alone", len(work))
 	}
 }
