--- a/internal/adapter/steeringhttp/api.go
+++ b/internal/adapter/steeringhttp/api.go
@@ -162,7 +162,7 @@
 func EventOf(vm string, e steering.Event) Event {
 	out := Event{
 		At: e.At, VM: vm, Kind: string(e.Kind), Request: e.Request, Route: e.Route, Account: e.Account, Configuration: e.Version,
-		Service: e.Service, Server: e.Server, Object: e.Object, Work: e.Work.String(), Domain: e.Domain, Region: e.Region, Elsewhere: e.CallersElsewhere, Attempt: e.Attempt,
+		Service: e.Service, Server: e.Server, Object: e.Object, Work: e.Fingerprint.String(), Domain: e.Domain, Region: e.Region, Elsewhere: e.CallersElsewhere, Attempt: e.Attempt,
 		Reason: string(e.Reason), Load: e.Load, Warm: e.Warm, Draining: e.Draining,
 		Expected: span(e.Expected), Took: span(e.Duration), ComeBack: span(e.RetryAfter), Pressure: e.Pressure,
 		Wait: span(e.ExpectedWait), State: string(e.State), Cause: string(e.Cause), Target: span(e.Target), Limit: e.Limit.String(),
--- a/internal/kernel/steering/ask.go
+++ b/internal/kernel/steering/ask.go
@@ -62,7 +62,7 @@
 		// A cold server is sent what it bears in a second within that second.
 		return nil
 	}
-	owner, found := k.slotQueueOwner(s)
+	owner, found := k.limiterOwner(s)
 	way := s.rtt.roundTrip
 	if !found || way > time.Duration(maxSlotRequestShare*float64(f.Route.Target)) {
 		return nil
@@ -81,10 +81,10 @@
 	}
 }
 
-// slotQueueOwner is the proxy whose gate stands before a server, the same for all that
+// limiterOwner is the proxy whose gate stands before a server, the same for all that
 // know the same proxies: one of the server's failure domain if there is one, else of
 // its region, by a hash.
-func (k *Kernel) slotQueueOwner(s *server) (Proxy, bool) {
+func (k *Kernel) limiterOwner(s *server) (Proxy, bool) {
 	best, found := Proxy{}, false
 	rank := func(p Proxy) (int, uint64) { return proximity(p, s), xxhash.Sum64String(p.Name + "/" + s.id) }
 	for _, p := range k.proxies {
--- a/internal/kernel/steering/bound.go
+++ b/internal/kernel/steering/bound.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// reservedStep is how far a region's part of bound requests moves at most within
-	// reservedInterval: objects of other requests move with it, and operators allow a region's
+	// pinnedStep is how far a region's part of bound requests moves at most within
+	// pinnedInterval: objects of other requests move with it, and operators allow a region's
 	// callers so much within that time.
-	reservedStep     = 0.01
-	reservedInterval = 2 * time.Second
+	pinnedStep     = 0.01
+	pinnedInterval = 2 * time.Second
 )
 
 type (
-	// reservedShares are the parts of all requests that must run in one region each, because their
+	// pinnedShares are the parts of all requests that must run in one region each, because their
 	// accounts are bound to it. What is not bound must leave them room. They follow from
 	// the configuration, so that all proxies come to the same homes.
-	reservedShares struct {
+	pinnedShares struct {
 		current, target map[string]float64
 		movedAt         time.Time
 	}
 )
 
-// reservedSharesOf estimates each region's part of the requests by the accounts' limits: what an
+// pinnedSharesOf estimates each region's part of the requests by the accounts' limits: what an
 // account may send is the best that a proxy can know before it has sent it. An account
 // without a limit counts as the mean of the others.
-func (k *Kernel) reservedSharesOf(t *routing.Table) map[string]float64 {
+func (k *Kernel) pinnedSharesOf(t *routing.Table) map[string]float64 {
 	all, limited := 0.0, 0
 	accounts := t.Accounts.All()
 	for _, a := range accounts {
@@ -55,25 +55,25 @@
 	return parts
 }
 
-// setReservedTarget takes in a configuration. The first one holds at once: nothing lives anywhere
+// setPinnedTarget takes in a configuration. The first one holds at once: nothing lives anywhere
 // yet.
-func (k *Kernel) setReservedTarget(t *routing.Table) {
-	k.reservedShares.target = k.reservedSharesOf(t)
-	if k.reservedShares.current == nil {
-		k.reservedShares.current = maps.Clone(k.reservedShares.target)
+func (k *Kernel) setPinnedTarget(t *routing.Table) {
+	k.pinnedShares.target = k.pinnedSharesOf(t)
+	if k.pinnedShares.current == nil {
+		k.pinnedShares.current = maps.Clone(k.pinnedShares.target)
 	}
 }
 
-// moveReservedShares brings the parts in force closer to those of the configuration.
-func (k *Kernel) moveReservedShares(now time.Time) {
-	b := &k.reservedShares
-	if now.Sub(b.movedAt) < reservedInterval {
+// movePinnedShares brings the parts in force closer to those of the configuration.
+func (k *Kernel) movePinnedShares(now time.Time) {
+	b := &k.pinnedShares
+	if now.Sub(b.movedAt) < pinnedInterval {
 		return
 	}
 	b.movedAt = now
 	changed := false
 	for _, region := range k.regions {
-		step := max(-reservedStep, min(reservedStep, b.target[region]-b.current[region]))
+		step := max(-pinnedStep, min(pinnedStep, b.target[region]-b.current[region]))
 		if step != 0 {
 			b.current[region] += step
 			changed = true
@@ -83,6 +83,6 @@
 		return
 	}
 	for _, g := range k.services {
-		g.invalidateHomes()
+		g.invalidatePlacements()
 	}
 }
--- a/internal/kernel/steering/choose.go
+++ b/internal/kernel/steering/choose.go
@@ -25,9 +25,9 @@
 	// busyTargets is for how many times a route's target a server without an answer may
 	// be busy. Work that the target allows for takes longer on a first run.
 	busyTargets = 2
-	// objectlessRoomShare takes the place of placing.RoomShare for requests without an
+	// objectlessLoadFactor takes the place of placing.RoomShare for requests without an
 	// object: nothing runs cold in another region, so each gets what its slots are.
-	objectlessRoomShare = 1.0
+	objectlessLoadFactor = 1.0
 	// otherRegionPenalty is charged a request without an object for a region that was not
 	// drawn for it: more than any wait, so that it goes there only if no server of
 	// its own region may take it.
@@ -156,16 +156,16 @@
 		return nil
 	}
 	r := k.scopeOf(f)
-	h := g.homes[r]
+	h := g.placements[r]
 	if h == nil {
-		h = k.newHomes(f, g, r)
-		g.homes[r] = h
+		h = k.newPlacement(f, g, r)
+		g.placements[r] = h
 	}
 	return h.Of(f.Object)
 }
 
-// newHomes deals the objects of this region's callers out.
-func (k *Kernel) newHomes(f *ActiveRequest, g *service, r placementScope) *placing.Homes {
+// newPlacement deals the objects of this region's callers out.
+func (k *Kernel) newPlacement(f *ActiveRequest, g *service, r placementScope) *placing.Homes {
 	candidates, weights := k.regionWeights(f, g, r)
 	list := make([]placing.Server, 0, len(candidates))
 	for _, s := range candidates {
@@ -186,7 +186,7 @@
 	}
 	share := placing.RoomShare
 	if f.Object == "" {
-		share = objectlessRoomShare
+		share = objectlessLoadFactor
 	}
 	return candidates, placing.Spread(k.regionCapacities(f, candidates), k.config.Region, share)
 }
@@ -204,7 +204,7 @@
 	for region, n := range k.regionDemand(f.allowedRegions) {
 		room := placing.Room{Region: region, Slots: slots[region], Demand: n}
 		if f.allowedRegions == allRegions {
-			room.Bound = k.reservedShares.current[region]
+			room.Bound = k.pinnedShares.current[region]
 		}
 		list = append(list, room)
 	}
--- a/internal/kernel/steering/event.go
+++ b/internal/kernel/steering/event.go
@@ -26,8 +26,8 @@
 	EventServerLimit = EventKind(backpressure.ChangeLimit)
 	// EventServerPause marks a server that wants nothing from this proxy for a while.
 	EventServerPause = EventKind(backpressure.ChangePause)
-	// EventServerLeaving marks a server that leaves by its own word.
-	EventServerLeaving = EventKind(backpressure.ChangeLeaving)
+	// EventServerDraining marks a server that leaves by its own word.
+	EventServerDraining = EventKind(backpressure.ChangeLeaving)
 	// EventServerEjected marks a server passed over after failures.
 	EventServerEjected EventKind = "server-out"
 	// EventDomainEvacuated marks a failure domain emptied or taken back.
@@ -39,8 +39,8 @@
 	EventServerCrashed EventKind = EventKind(quarantine.ChangeEnded)
 	// EventWorkSuspected marks work that was there at the ends of more than one server.
 	EventWorkSuspected EventKind = EventKind(quarantine.ChangeSuspected)
-	// EventWorkBlocked marks work that is refused since servers ended with it.
-	EventWorkBlocked EventKind = EventKind(quarantine.ChangeCondemned)
+	// EventWorkQuarantined marks work that is refused since servers ended with it.
+	EventWorkQuarantined EventKind = EventKind(quarantine.ChangeCondemned)
 	// EventWorkCleared marks work that ran well after servers had ended with it.
 	EventWorkCleared EventKind = EventKind(quarantine.ChangeCleared)
 	// EventRequestSent marks a request sent to a server.
@@ -67,14 +67,14 @@
 		Service string
 		Server  string
 		Object  string
-		// Work names what a request asks a server to do.
-		Work quarantine.Work
+		// Fingerprint names what a request asks a server to do.
+		Fingerprint quarantine.Work
 		// Crashes counts the servers that have ended with the work there; Works are those
 		// that were there at a server's end.
-		Crashes     int
-		RunningWork []quarantine.Work
-		Domain      string
-		Region      string
+		Crashes             int
+		RunningFingerprints []quarantine.Work
+		Domain              string
+		Region              string
 		// Address is where a server that has started again was before.
 		Address netip.AddrPort
 		// CallersElsewhere is set if the region's callers count with other regions.
--- a/internal/kernel/steering/failover.go
+++ b/internal/kernel/steering/failover.go
@@ -45,7 +45,7 @@
 	if k.scopeOf(f).ownRegionOnly || objectFraction(f.Object) >= k.displacedShare(now, f, g, home.region) {
 		return homes
 	}
-	for _, id := range k.homesOutside(f, g, home.region).Of(f.Object) {
+	for _, id := range k.placementOutside(f, g, home.region).Of(f.Object) {
 		s := g.registered[id]
 		if p := g.queuePressure[s.region]; s.isHealthy(now) && (p == nil || p.Level(now) <= failoverMaxPressure) {
 			return append([]string{id}, homes...)
@@ -98,10 +98,10 @@
 	return limit.PerSecond / usual
 }
 
-// homesOutside deals all objects out over the servers outside a region.
-func (k *Kernel) homesOutside(f *ActiveRequest, g *service, region string) *placing.Homes {
+// placementOutside deals all objects out over the servers outside a region.
+func (k *Kernel) placementOutside(f *ActiveRequest, g *service, region string) *placing.Homes {
 	key := placementScope{regions: f.allowedRegions, excludedRegion: region}
-	if h := g.homes[key]; h != nil {
+	if h := g.placements[key]; h != nil {
 		return h
 	}
 	var list []placing.Server
@@ -110,8 +110,8 @@
 			list = append(list, placing.Server{ID: s.id, Weight: s.Slots, Class: s.class()})
 		}
 	}
-	g.homes[key] = placing.NewHomes(list, g.ranking)
-	return g.homes[key]
+	g.placements[key] = placing.NewHomes(list, g.ranking)
+	return g.placements[key]
 }
 
 // objectFraction turns an object into a number from 0 to 1, the same at all proxies.
--- a/internal/kernel/steering/flight.go
+++ b/internal/kernel/steering/flight.go
@@ -213,7 +213,7 @@
 		return false
 	}
 	if f.mayHaveRun && f.Account != nil {
-		k.quotas.holder.Charge(f.Account.Name)
+		k.quotas.limiter.Charge(f.Account.Name)
 	}
 	return true
 }
@@ -222,7 +222,7 @@
 func (k *Kernel) fail(now time.Time, f *ActiveRequest, reason Reason) Decision {
 	d := Decision{Reason: reason, NotRun: !f.mayHaveRun}
 	if f.Account != nil && len(f.steps) == 0 {
-		k.quotas.holder.Return(f.Account.Name)
+		k.quotas.limiter.Return(f.Account.Name)
 	}
 	if d.NotRun {
 		d.RetryAfter = k.retryAfter(now, f)
@@ -232,7 +232,7 @@
 	}
 	if d.NotRun && reason == ReasonCrashesServers {
 		// Its work does not run before its next trial, however soon the caller returns.
-		d.RetryAfter = f.workBlockedFor
+		d.RetryAfter = f.quarantinedFor
 	}
 	return k.finish(now, f, d)
 }
@@ -243,7 +243,7 @@
 // finish tells of a request's end together with the decisions before it.
 func (k *Kernel) finish(now time.Time, f *ActiveRequest, d Decision) Decision {
 	e := Event{
-		At: now, Kind: EventRequestEnded, Request: f.ID, Service: f.Service, Object: f.Object, Work: f.Work, Version: k.Version(),
+		At: now, Kind: EventRequestEnded, Request: f.ID, Service: f.Service, Object: f.Object, Fingerprint: f.Work, Version: k.Version(),
 		Outcome: d.Outcome(), Reason: d.Reason, Duration: now.Sub(f.startedAt), Attempt: (len(f.steps) + 1) / 2,
 		RetryAfter: d.RetryAfter, Pressure: f.queuePressure, Steps: f.steps,
 	}
--- a/internal/kernel/steering/gates.go
+++ b/internal/kernel/steering/gates.go
@@ -7,18 +7,18 @@
 )
 
 type (
-	// slotQueue is the queue before a server that this proxy owns.
-	slotQueue struct {
+	// serverLimiter is the queue before a server that this proxy owns.
+	serverLimiter struct {
 		admission.Gate
-		concurrency *admission.Concurrency
+		adaptiveLimit *admission.Concurrency
 		// lastUsedAt is when it last had a ticket.
 		lastUsedAt time.Time
 	}
 )
 
 const (
-	// slotQueueIdleTTL is how long a gate that nobody asks is kept.
-	slotQueueIdleTTL = time.Minute
+	// limiterIdleTTL is how long a gate that nobody asks is kept.
+	limiterIdleTTL = time.Minute
 )
 
 // HandleSlotRequest answers a proxy that asks for a place at a server whose gate is here.
@@ -30,30 +30,30 @@
 	}
 	h := &k.service(s.Service).concurrency
 	h.adopt(a.Limit)
-	q := k.slotQueues[a.Server]
+	q := k.limiters[a.Server]
 	if q == nil {
-		q = &slotQueue{}
-		k.slotQueues[a.Server] = q
+		q = &serverLimiter{}
+		k.limiters[a.Server] = q
 	}
-	q.concurrency, q.lastUsedAt = h.estimatorFor(s.Slots), now
-	limit := q.concurrency.Trial(now)
+	q.adaptiveLimit, q.lastUsedAt = h.adaptiveLimitFor(s.Slots), now
+	limit := q.adaptiveLimit.Trial(now)
 	grant := q.Ask(now, a.Ticket, limit, a.Work)
-	if grant.Rank > q.concurrency.Limit() {
-		q.concurrency.Tried(now)
+	if grant.Rank > q.adaptiveLimit.Limit() {
+		q.adaptiveLimit.Tried(now)
 	}
 	return q.newReply(grant)
 }
 
-func (q *slotQueue) newReply(g admission.Grant) SlotReply {
-	r := SlotReply{Grant: g, Limit: q.concurrency.Learned(), Whole: q.concurrency.Whole(), Sound: q.concurrency.Sound()}
+func (q *serverLimiter) newReply(g admission.Grant) SlotReply {
+	r := SlotReply{Grant: g, Limit: q.adaptiveLimit.Learned(), Whole: q.adaptiveLimit.Whole(), Sound: q.adaptiveLimit.Sound()}
 	r.Running, r.Waiting = q.Load()
 	return r
 }
 
 // grantNext gives free places to those that wait.
-func (q *slotQueue) grantNext(now time.Time) []SlotReply {
+func (q *serverLimiter) grantNext(now time.Time) []SlotReply {
 	var replies []SlotReply
-	for _, g := range q.Next(now, q.concurrency.Limit()) {
+	for _, g := range q.Next(now, q.adaptiveLimit.Limit()) {
 		replies = append(replies, q.newReply(g))
 	}
 	return replies
@@ -62,24 +62,24 @@
 // HandleSlotRelease takes a place back and tells who gets it.
 func (k *Kernel) HandleSlotRelease(now time.Time, r SlotRelease) []SlotReply {
 	k.record(Call{Method: callSlotRelease, At: now, SlotRelease: &r})
-	q := k.slotQueues[r.Server]
+	q := k.limiters[r.Server]
 	if q == nil {
 		return nil
 	}
 	q.GiveBack(r.From, r.ID)
 	if r.Ratio > 0 {
-		q.concurrency.Heard(now, r.Rank, r.Ratio)
+		q.adaptiveLimit.Heard(now, r.Rank, r.Ratio)
 	}
 	return q.grantNext(now)
 }
 
-// expireSlotQueues ends waits that have become useless and places that were not given
+// expireLimiters ends waits that have become useless and places that were not given
 // back, and drops gates that nobody uses. What follows is told by Grants.
-func (k *Kernel) expireSlotQueues(now time.Time) {
-	for id, q := range k.slotQueues {
+func (k *Kernel) expireLimiters(now time.Time) {
+	for id, q := range k.limiters {
 		k.pendingSlotReplies = append(k.pendingSlotReplies, q.grantNext(now)...)
-		if now.Sub(q.lastUsedAt) > slotQueueIdleTTL {
-			delete(k.slotQueues, id)
+		if now.Sub(q.lastUsedAt) > limiterIdleTTL {
+			delete(k.limiters, id)
 		}
 	}
 }
--- a/internal/kernel/steering/hold.go
+++ b/internal/kernel/steering/hold.go
@@ -31,17 +31,17 @@
 
 	// concurrencyState is whether requests of a service are held back.
 	concurrencyState struct {
-		suspicion    admission.Suspicion
+		detector     admission.Suspicion
 		limitedUntil time.Time
 		// clearedUntil is until when no suspicion counts, since the servers were found to
 		// be sound.
 		clearedUntil time.Time
 		// ownEvidenceUntil is until when this proxy has seen signs itself.
 		ownEvidenceUntil time.Time
-		// estimators learn for the gates that this proxy owns, limits are what was heard with
+		// adaptiveLimits learn for the gates that this proxy owns, limits are what was heard with
 		// the most evidence: by the slots of the servers.
-		estimators    map[int]*admission.Concurrency
-		learnedLimits map[int]admission.Limit
+		adaptiveLimits map[int]*admission.Concurrency
+		learnedLimits  map[int]admission.Limit
 	}
 )
 
@@ -88,7 +88,7 @@
 func (k *Kernel) stopLimiting(now time.Time, g *service) {
 	h := &g.concurrency
 	h.limitedUntil, h.ownEvidenceUntil, h.clearedUntil = now, now, now.Add(unsuspectedFor)
-	h.suspicion.Reset()
+	h.detector.Reset()
 	k.config.Observe(Event{Kind: EventConcurrencyUnlimited, Service: g.name})
 }
 
@@ -101,23 +101,23 @@
 		h.learnedLimits = make(map[int]admission.Limit)
 	}
 	h.learnedLimits[l.Slots] = l
-	if c := h.estimators[l.Slots]; c != nil {
+	if c := h.adaptiveLimits[l.Slots]; c != nil {
 		c.Adopt(l)
 	}
 }
 
-// estimatorFor learns for the gates before servers with a number of slots.
-func (h *concurrencyState) estimatorFor(slots int) *admission.Concurrency {
-	c := h.estimators[slots]
+// adaptiveLimitFor learns for the gates before servers with a number of slots.
+func (h *concurrencyState) adaptiveLimitFor(slots int) *admission.Concurrency {
+	c := h.adaptiveLimits[slots]
 	if c != nil {
 		return c
 	}
-	if h.estimators == nil {
-		h.estimators = make(map[int]*admission.Concurrency)
+	if h.adaptiveLimits == nil {
+		h.adaptiveLimits = make(map[int]*admission.Concurrency)
 	}
 	c = admission.NewConcurrency(slots)
 	c.Adopt(h.learnedLimits[slots])
-	h.estimators[slots] = c
+	h.adaptiveLimits[slots] = c
 	return c
 }
 
@@ -150,9 +150,9 @@
 	queue := max(float64(a.Waiting), f.loadAtSend+1-float64(s.Slots))
 	wait := time.Duration(max(0, queue) / float64(s.Slots) * float64(g.workOf(f.Route).typical(f.Route)))
 	h := &g.concurrency
-	h.suspicion.Heard(now, s.id, full, took-s.rtt.roundTrip, alone+wait)
-	if h.suspicion.Arisen(now) {
-		h.suspicion.Reset()
+	h.detector.Heard(now, s.id, full, took-s.rtt.roundTrip, alone+wait)
+	if h.detector.Arisen(now) {
+		h.detector.Reset()
 		h.ownEvidenceUntil = now.Add(measureConcurrencyFor)
 		k.startLimiting(now, g, measureConcurrencyFor)
 	}
--- a/internal/kernel/steering/kernel.go
+++ b/internal/kernel/steering/kernel.go
@@ -81,7 +81,7 @@
 		// lowestPriority is the priority of each service's least urgent requests.
 		lowestPriority map[string]int
 		quotas         *quotas
-		reservedShares reservedShares
+		pinnedShares   pinnedShares
 		servers        map[string]*server
 		services       map[string]*service
 		// evacuatedDomains failure domains take no requests.
@@ -106,9 +106,9 @@
 		// ranksByDomain caches this proxy's rank at the servers of a failure domain, until the
 		// sharers change.
 		ranksByDomain map[string]backpressure.Rank
-		// slotQueues are those that this proxy owns, by server; grants are what the last
+		// limiters are those that this proxy owns, by server; grants are what the last
 		// tick has granted there.
-		slotQueues         map[string]*slotQueue
+		limiters           map[string]*serverLimiter
 		pendingSlotReplies []SlotReply
 		// quarantine knows the work that ends servers. ownIndex is this proxy's place
 		// among the sharers.
@@ -152,7 +152,7 @@
 		evacuatedDomains: make(map[string]bool),
 		roundTrips:       make(map[string]*rttEstimate),
 		ranksByDomain:    make(map[string]backpressure.Rank),
-		slotQueues:       make(map[string]*slotQueue),
+		limiters:         make(map[string]*serverLimiter),
 		disabled:         make(map[Mechanism]bool),
 		regions:          regionsOf(c.RegionOf),
 		regionStates:     make(map[string]*regionState),
@@ -213,7 +213,7 @@
 		k.routeRegions[name] = k.regionSet(r.Regions)
 	}
 	k.lowestPriority = lowestPriorities(t)
-	k.setReservedTarget(t)
+	k.setPinnedTarget(t)
 	k.splitter.Forget(t)
 	for _, g := range k.services {
 		g.pruneWork(t)
--- a/internal/kernel/steering/limits.go
+++ b/internal/kernel/steering/limits.go
@@ -19,13 +19,13 @@
 	// quotas are this proxy's shares of the limits of client accounts, and what others
 	// have given to it as their region's pool.
 	quotas struct {
-		kernel *Kernel
-		holder *ratelimit.Holder
-		pool   *ratelimit.Pool
+		kernel  *Kernel
+		limiter *ratelimit.Holder
+		pool    *ratelimit.Pool
 		// fleetSize is among how many proxies limits are divided at least, as all have been
 		// told; zero if this one has not. holders are those that it knows.
 		fleetSize    int
-		knownHolders int
+		knownProxies int
 		// waitOver is set once this proxy need not be told any more.
 		waitOver bool
 	}
@@ -33,11 +33,11 @@
 
 func newQuotas(k *Kernel) *quotas {
 	l := &quotas{
-		kernel: k,
-		holder: ratelimit.NewHolder(k.config.Name, k.config.Joined),
-		pool:   ratelimit.NewPool(uint64(max(1, k.config.Joined.UnixMilli())), k.config.Joined),
+		kernel:  k,
+		limiter: ratelimit.NewHolder(k.config.Name, k.config.Joined),
+		pool:    ratelimit.NewPool(uint64(max(1, k.config.Joined.UnixMilli())), k.config.Joined),
 	}
-	l.holder.Limits, l.pool.Limits, l.pool.Starter = l.limitOf, l.limitOf, l.startAllowance
+	l.limiter.Limits, l.pool.Limits, l.pool.Starter = l.limitOf, l.limitOf, l.startAllowance
 	return l
 }
 
@@ -63,10 +63,10 @@
 	return *a
 }
 
-// setKnownHolders sets among how many proxies limits are divided. Shares of proxies that no
+// setKnownProxies sets among how many proxies limits are divided. Shares of proxies that no
 // longer count but may be alive must not be taken, so they count too.
-func (l *quotas) setKnownHolders(n int) {
-	l.knownHolders = n
+func (l *quotas) setKnownProxies(n int) {
+	l.knownProxies = n
 	l.updatePart()
 }
 
@@ -75,9 +75,9 @@
 func (l *quotas) updatePart() {
 	switch {
 	case l.fleetSize > 0:
-		l.holder.SetPart(ratelimit.Part(max(l.fleetSize, l.knownHolders)))
+		l.limiter.SetPart(ratelimit.Part(max(l.fleetSize, l.knownProxies)))
 	case l.waitOver:
-		l.holder.SetPart(ratelimit.Part(2 * l.knownHolders))
+		l.limiter.SetPart(ratelimit.Part(2 * l.knownProxies))
 	}
 }
 
@@ -87,7 +87,7 @@
 		l.waitOver = true
 		l.updatePart()
 	}
-	l.holder.Tick(now)
+	l.limiter.Tick(now)
 	l.pool.Tick(now)
 }
 
@@ -96,9 +96,9 @@
 	if f.Account == nil {
 		return k.dispatch(now, f)
 	}
-	ruling := k.quotas.holder.Take(now, f.Account.Name)
+	ruling := k.quotas.limiter.Take(now, f.Account.Name)
 	if ruling.Verdict == ratelimit.AskPool && ruling.Pool == k.config.Name {
-		ruling = k.quotas.holder.Asked(now, f.Account.Name, ruling, k.quotas.pool.Take(now, f.Account.Name), true)
+		ruling = k.quotas.limiter.Asked(now, f.Account.Name, ruling, k.quotas.pool.Take(now, f.Account.Name), true)
 	}
 	return k.applyQuotaRuling(now, f, ruling)
 }
@@ -126,7 +126,7 @@
 // ApplyPoolToken takes in the pool's answer for a request that it was asked about, if there was
 // one, and decides what follows.
 func (k *Kernel) ApplyPoolToken(now time.Time, f *ActiveRequest, t ratelimit.Token, answered bool) Decision {
-	d := k.applyQuotaRuling(now, f, k.quotas.holder.Asked(now, f.Account.Name, f.quotaRuling, t, answered))
+	d := k.applyQuotaRuling(now, f, k.quotas.limiter.Asked(now, f.Account.Name, f.quotaRuling, t, answered))
 	if k.config.Record != nil {
 		v := recordedDecisionOf(d)
 		k.config.Record(Call{Method: callPoolToken, At: now, RequestNumber: f.seq, Token: &t, Flag: answered, Decision: &v})
@@ -149,7 +149,7 @@
 // proxy that should be the pool, others are pools of other regions.
 func (k *Kernel) QuotaReport(now time.Time, best string, others []string) (string, ratelimit.Report) {
 	k.record(Call{Method: callQuotaReport, At: now, ID: best, IDs: others})
-	return k.quotas.holder.Report(now, best, others)
+	return k.quotas.limiter.Report(now, best, others)
 }
 
 // HandleQuotaReport answers a proxy whose pool this is.
@@ -162,13 +162,13 @@
 // the next one should follow at once.
 func (k *Kernel) ApplyQuotaGrants(now, asked time.Time, pool string, g ratelimit.Grants) bool {
 	k.record(Call{Method: callQuotaGrants, At: now, ReportedAt: asked, ID: pool, Grants: &g})
-	return k.quotas.holder.Granted(now, asked, pool, g)
+	return k.quotas.limiter.Granted(now, asked, pool, g)
 }
 
 // QuotaReportUnanswered notes that the pool did not answer a report.
 func (k *Kernel) QuotaReportUnanswered(now time.Time, pool string) {
 	k.record(Call{Method: callQuotaReportUnanswered, At: now, ID: pool})
-	k.quotas.holder.Unanswered(now, pool)
+	k.quotas.limiter.Unanswered(now, pool)
 }
 
 // BorrowQuota tells what other regions' pools should lend to the one here; nothing if there
@@ -191,8 +191,8 @@
 	k.quotas.updatePart()
 }
 
-// KnownHolders is among how many proxies limits are divided as this one knows them.
-func (k *Kernel) KnownHolders() int { return len(k.limitSharers) }
+// QuotaProxies is among how many proxies limits are divided as this one knows them.
+func (k *Kernel) QuotaProxies() int { return len(k.limitSharers) }
 
 // IsLeader reports whether this proxy sees to what one of all must do.
 func (k *Kernel) IsLeader() bool {
@@ -208,6 +208,6 @@
 // others gave it for a time may have ended.
 func (k *Kernel) HandleResume(now time.Time) {
 	k.record(Call{Method: callResume, At: now})
-	k.quotas.holder.Resume(now)
+	k.quotas.limiter.Resume(now)
 	k.quotas.pool.Reset(now)
 }
--- a/internal/kernel/steering/quarantine.go
+++ b/internal/kernel/steering/quarantine.go
@@ -8,14 +8,14 @@
 )
 
 type (
-	// BlockedWork is work that is refused.
-	BlockedWork struct {
+	// QuarantinedWork is work that is refused.
+	QuarantinedWork struct {
 		quarantine.Report
 		// Rank is this proxy's place among those that see to it: the first ones keep it
 		// in the platform's store, and try it again first.
 		Rank int
-		// BlockedFor is how much longer it is refused here.
-		BlockedFor time.Duration
+		// QuarantinedFor is how much longer it is refused here.
+		QuarantinedFor time.Duration
 	}
 )
 
@@ -31,7 +31,7 @@
 	f.workSuspected = ruling != quarantine.Clear
 	switch {
 	case ruling == quarantine.Condemned:
-		f.workBlockedFor = min(left, quarantine.AwayMost)
+		f.quarantinedFor = min(left, quarantine.AwayMost)
 		return ReasonCrashesServers
 	case ruling == quarantine.Busy, ruling == quarantine.Suspected && f.connectionsLost > 0:
 		return ReasonMayCrashServers
@@ -143,12 +143,12 @@
 	return k.quarantine.Reports(now, all)
 }
 
-// BlockedWork lists the work that is refused.
-func (k *Kernel) BlockedWork(now time.Time) []BlockedWork {
-	var list []BlockedWork
+// QuarantinedWork lists the work that is refused.
+func (k *Kernel) QuarantinedWork(now time.Time) []QuarantinedWork {
+	var list []QuarantinedWork
 	for _, r := range k.quarantine.Condemnations(now) {
 		_, left := k.quarantine.Rule(now, r.Work)
-		list = append(list, BlockedWork{Report: r, Rank: k.trialRank(r.Work), BlockedFor: left})
+		list = append(list, QuarantinedWork{Report: r, Rank: k.trialRank(r.Work), QuarantinedFor: left})
 	}
 	return list
 }
@@ -171,7 +171,7 @@
 
 // observeQuarantine tells of what has become of a work or of a server that had some.
 func (k *Kernel) observeQuarantine(n quarantine.Notice) {
-	e := Event{Kind: EventKind(n.Change), Work: n.Work, Crashes: n.Ends, RunningWork: n.Works}
+	e := Event{Kind: EventKind(n.Change), Fingerprint: n.Work, Crashes: n.Ends, RunningFingerprints: n.Works}
 	for _, s := range k.servers {
 		if n.Change == quarantine.ChangeEnded && s.startID == n.Server {
 			e.Server, e.Service = s.id, s.Service
--- a/internal/kernel/steering/request.go
+++ b/internal/kernel/steering/request.go
@@ -154,7 +154,7 @@
 		// there at the ends of servers, and away is for how long it is refused.
 		connectionsLost int
 		workSuspected   bool
-		workBlockedFor  time.Duration
+		quarantinedFor  time.Duration
 		// reachedServers counts sends that reached or may have reached a server.
 		reachedServers int
 		sendAttempts   int
--- a/internal/kernel/steering/servers.go
+++ b/internal/kernel/steering/servers.go
@@ -101,9 +101,9 @@
 	k.record(Call{Method: callTick, At: now})
 	k.expireSharers(now)
 	k.updateRegionStates(now)
-	k.expireSlotQueues(now)
+	k.expireLimiters(now)
 	k.quotas.tick(now)
-	k.moveReservedShares(now)
+	k.movePinnedShares(now)
 	for id, s := range k.servers {
 		if !s.absentUntil.IsZero() && now.After(s.absentUntil) {
 			k.remove(now, id)
--- a/internal/kernel/steering/service.go
+++ b/internal/kernel/steering/service.go
@@ -23,7 +23,7 @@
 		concurrency concurrencyState
 		// workByRoute is how long the requests of each route take, by its name.
 		workByRoute map[string]*workEstimate
-		homes       map[placementScope]*placing.Homes
+		placements  map[placementScope]*placing.Homes
 		// warmServers are the servers that have handled each object lately.
 		warmServers map[string][]*server
 		// ranking keeps what dealing objects out to the servers is made from.
@@ -65,7 +65,7 @@
 func (g *service) refreshEligible(evacuated map[string]bool) {
 	g.stale = false
 	g.eligible = g.eligible[:0]
-	g.invalidateHomes()
+	g.invalidatePlacements()
 	for _, s := range g.registered {
 		if s.isEligible() && !evacuated[s.Domain] {
 			g.eligible = append(g.eligible, s)
@@ -88,7 +88,7 @@
 	s := k.services[name]
 	if s == nil {
 		s = &service{
-			name: name, homes: make(map[placementScope]*placing.Homes), regionDraws: make(map[placementScope]*regionDistribution), registered: make(map[string]*server),
+			name: name, placements: make(map[placementScope]*placing.Homes), regionDraws: make(map[placementScope]*regionDistribution), registered: make(map[string]*server),
 			workByRoute:   make(map[string]*workEstimate),
 			ranking:       placing.NewRanking(),
 			queuePressure: make(map[string]*admission.Pressure),
@@ -101,8 +101,8 @@
 	return s
 }
 
-// invalidateHomes has the work of the service dealt out anew when next asked for.
-func (g *service) invalidateHomes() {
-	clear(g.homes)
+// invalidatePlacements has the work of the service dealt out anew when next asked for.
+func (g *service) invalidatePlacements() {
+	clear(g.placements)
 	clear(g.regionDraws)
 }
--- a/internal/kernel/steering/sharers.go
+++ b/internal/kernel/steering/sharers.go
@@ -62,7 +62,7 @@
 // applySharers renews what follows from the list of sharers.
 func (k *Kernel) applySharers() {
 	clear(k.ranksByDomain)
-	k.quotas.setKnownHolders(len(k.limitSharers))
+	k.quotas.setKnownProxies(len(k.limitSharers))
 	k.sharersInRegion = 0
 	for i, s := range k.limitSharers {
 		if s.Name == k.config.Name {
--- a/internal/kernel/steering/status.go
+++ b/internal/kernel/steering/status.go
@@ -25,13 +25,13 @@
 		// held back, with what was learned of them.
 		MechanismsOff     []Mechanism
 		ConcurrencyLimits []ServiceLimit
-		// BlockedWork is work that is refused because servers ended with it.
-		BlockedWork []BlockedWork
+		// QuarantinedWork is work that is refused because servers ended with it.
+		QuarantinedWork []QuarantinedWork
 		// Accounts are the client accounts; limits are divided among Holders proxies, and
 		// Pool is the one that this proxy reports to.
-		Accounts  []AccountStatus
-		Holders   int
-		QuotaPool string
+		Accounts     []AccountStatus
+		QuotaProxies int
+		QuotaPool    string
 	}
 
 	// AccountStatus is a client account and what this proxy knows of its use.
@@ -60,8 +60,8 @@
 		Limit backpressure.Limit
 		// PausedFor is for how long it wants nothing from this proxy.
 		PausedFor time.Duration
-		// Leaving is set if it leaves by its own word.
-		Leaving bool
+		// ReportsDraining is set if it leaves by its own word.
+		ReportsDraining bool
 		// Slowdown is observed over expected time, Failed the share of failures.
 		Slowdown     float64
 		FailureShare float64
@@ -70,15 +70,15 @@
 
 // Status describes the kernel at one moment.
 func (k *Kernel) Status(now time.Time) Status {
-	s := Status{Version: k.Version(), Proxies: slices.Clone(k.proxies), Evacuated: k.EvacuatedDomains(), RegionsWithoutProxies: k.regionsWithoutProxies(), MechanismsOff: k.config.Off, ConcurrencyLimits: k.ConcurrencyLimits(now), BlockedWork: k.BlockedWork(now)}
-	s.Accounts, s.Holders, s.QuotaPool = k.accounts(now), max(k.quotas.fleetSize, k.quotas.knownHolders), k.quotas.holder.Pool()
+	s := Status{Version: k.Version(), Proxies: slices.Clone(k.proxies), Evacuated: k.EvacuatedDomains(), RegionsWithoutProxies: k.regionsWithoutProxies(), MechanismsOff: k.config.Off, ConcurrencyLimits: k.ConcurrencyLimits(now), QuarantinedWork: k.QuarantinedWork(now)}
+	s.Accounts, s.QuotaProxies, s.QuotaPool = k.accounts(now), max(k.quotas.fleetSize, k.quotas.knownProxies), k.quotas.limiter.Pool()
 	for _, b := range k.servers {
 		s.InFlight += b.inFlight
 		s.Servers = append(s.Servers, ServerStatus{
 			ID: b.id, Service: b.Service, Domain: b.Domain, Slots: b.Slots, InFlight: b.inFlight,
 			Draining: b.Draining || b.backpressure.Leaving(), Absent: !b.absentUntil.IsZero(),
 			ColdFor: max(0, b.coldUntil.Sub(now)), EjectedFor: max(0, b.ejectedUntil.Sub(now)),
-			Load: b.load(now), LoadAge: b.loadAge(now), Limit: b.backpressure.Limit(now), PausedFor: b.backpressure.PausedFor(now), Leaving: b.backpressure.Leaving(), Slowdown: b.slowdown, FailureShare: b.failureShare,
+			Load: b.load(now), LoadAge: b.loadAge(now), Limit: b.backpressure.Limit(now), PausedFor: b.backpressure.PausedFor(now), ReportsDraining: b.backpressure.Leaving(), Slowdown: b.slowdown, FailureShare: b.failureShare,
 		})
 	}
 	slices.SortFunc(s.Servers, func(a, b ServerStatus) int { return strings.Compare(a.Service+a.ID, b.Service+b.ID) })
@@ -91,7 +91,7 @@
 		return nil
 	}
 	held := make(map[string]ratelimit.Held)
-	for _, h := range k.quotas.holder.Held(now) {
+	for _, h := range k.quotas.limiter.Held(now) {
 		held[h.Account] = h
 	}
 	var list []AccountStatus
--- a/internal/kernel/steering/stranded.go
+++ b/internal/kernel/steering/stranded.go
@@ -49,7 +49,7 @@
 		}
 		k.config.Observe(Event{Kind: EventRegionWithoutProxies, At: now, Region: region, CallersElsewhere: s.redirected})
 		for _, g := range k.services {
-			g.invalidateHomes()
+			g.invalidatePlacements()
 		}
 	}
 }
--- a/internal/proxy/forward/face.go
+++ b/internal/proxy/forward/face.go
@@ -76,10 +76,10 @@
 	for _, b := range view.Servers {
 		s.Servers = append(s.Servers, serverOf(b))
 	}
-	for _, c := range view.BlockedWork {
-		s.Condemned = append(s.Condemned, steeringhttp.CondemnedWork{Work: c.Work.String(), Ends: c.Open(), For: c.BlockedFor.Round(time.Second).String()})
+	for _, c := range view.QuarantinedWork {
+		s.Condemned = append(s.Condemned, steeringhttp.CondemnedWork{Work: c.Work.String(), Ends: c.Open(), For: c.QuarantinedFor.Round(time.Second).String()})
 	}
-	s.Holders, s.Pool = view.Holders, view.QuotaPool
+	s.Holders, s.Pool = view.QuotaProxies, view.QuotaPool
 	for _, a := range view.Accounts {
 		s.Accounts = append(s.Accounts, accountOf(a))
 	}
@@ -101,7 +101,7 @@
 func serverOf(b steering.ServerStatus) steeringhttp.BackendServer {
 	out := steeringhttp.BackendServer{
 		ID: b.ID, Service: b.Service, Domain: b.Domain, State: steeringhttp.StateOf(b), InFlight: b.InFlight,
-		Slots: b.Slots, Load: b.Load, Speed: b.Slowdown, Failed: b.FailureShare, Leaves: b.Leaving,
+		Slots: b.Slots, Load: b.Load, Speed: b.Slowdown, Failed: b.FailureShare, Leaves: b.ReportsDraining,
 	}
 	if b.Limit.Named {
 		out.Limit = &b.Limit.PerSecond
--- a/internal/proxy/forward/frail_test.go
+++ b/internal/proxy/forward/frail_test.go
@@ -164,7 +164,7 @@
 	condemned := func(proxy int) bool {
 		f.ask(proxy, deadlyPath)
 		list := 0
-		f.daemons[proxy].do(func(k *steering.Kernel, now time.Time) { list = len(k.BlockedWork(now)) })
+		f.daemons[proxy].do(func(k *steering.Kernel, now time.Time) { list = len(k.QuarantinedWork(now)) })
 		return list > 0
 	}
 	f.eventually("the request is condemned", func() bool { return condemned(0) && condemned(1) })
--- a/internal/proxy/forward/journal.go
+++ b/internal/proxy/forward/journal.go
@@ -74,7 +74,7 @@
 	if e.Kind != steering.EventRequestEnded {
 		j.keep(e)
 		klog.InfoS(string(e.Kind), "service", e.Service, "server", e.Server, "failure-domain", e.Domain, "region", e.Region, "elsewhere", e.CallersElsewhere,
-			"configuration", e.Version, "draining", e.Draining, "cause", e.Result.String(), "for", e.Duration.String(), "limit", e.Limit.String(), "work", e.Work.String(), "ends", e.Crashes, "works", names(e.RunningWork))
+			"configuration", e.Version, "draining", e.Draining, "cause", e.Result.String(), "for", e.Duration.String(), "limit", e.Limit.String(), "work", e.Fingerprint.String(), "ends", e.Crashes, "works", names(e.RunningFingerprints))
 		return
 	}
 	wanted := j.wanted(e)
@@ -83,13 +83,13 @@
 	}
 	if wanted == allLines {
 		for _, s := range e.Steps {
-			s.Request, s.Route, s.Service, s.Object, s.Work, s.Version = e.Request, e.Route, e.Service, e.Object, e.Work, e.Version
+			s.Request, s.Route, s.Service, s.Object, s.Fingerprint, s.Version = e.Request, e.Route, e.Service, e.Object, e.Fingerprint, e.Version
 			j.keep(s)
 			j.writeStep(s, e.At.Sub(s.At))
 		}
 	}
 	j.keep(e)
-	klog.InfoS(string(e.Kind), "request", e.Request, "route", e.Route, "account", e.Account, "work", e.Work.String(), "configuration", e.Version,
+	klog.InfoS(string(e.Kind), "request", e.Request, "route", e.Route, "account", e.Account, "work", e.Fingerprint.String(), "configuration", e.Version,
 		"outcome", e.Outcome.String(), "reason", string(e.Reason), "took", e.Duration.String(), "attempts", e.Attempt, "tried", tried(e.Steps),
 		"come-back", e.RetryAfter.String(), "pressure", e.Pressure, "target", e.Target.String(), "cause", string(e.Cause), "server-state", string(e.State))
 }
@@ -109,11 +109,11 @@
 func (j *journal) writeStep(s steering.Event, ago time.Duration) {
 	if s.Kind == steering.EventRequestSent {
 		klog.InfoS(string(s.Kind), "request", s.Request, "route", s.Route, "configuration", s.Version, "service", s.Service,
-			"server", s.Server, "failure-domain", s.Domain, "object", s.Object, "work", s.Work.String(), "home-rank", s.HomeRank, "warm", s.Warm, "attempt", s.Attempt,
+			"server", s.Server, "failure-domain", s.Domain, "object", s.Object, "work", s.Fingerprint.String(), "home-rank", s.HomeRank, "warm", s.Warm, "attempt", s.Attempt,
 			"expected", s.Expected.String(), "load", s.Load, "wait", s.ExpectedWait.String(), "server-state", string(s.State), "load-age", age(s.LoadAge), "ago", ago.String())
 		return
 	}
-	klog.InfoS(string(s.Kind), "request", s.Request, "work", s.Work.String(), "server", s.Server, "attempt", s.Attempt, "result", s.Result.String(),
+	klog.InfoS(string(s.Kind), "request", s.Request, "work", s.Fingerprint.String(), "server", s.Server, "attempt", s.Attempt, "result", s.Result.String(),
 		"expected", s.Expected.String(), "took", s.Duration.String(), "server-load", s.Load, "ago", ago.String(), "error", text(s.Err))
 }
 
--- a/internal/proxy/forward/meters.go
+++ b/internal/proxy/forward/meters.go
@@ -124,9 +124,9 @@
 	}
 	m.set.NewGauge("gypsumquay_limited_servers", servers(func(b steering.ServerStatus) bool { return b.Limit.Named }))
 	m.set.NewGauge("gypsumquay_pausing_servers", servers(func(b steering.ServerStatus) bool { return b.PausedFor > 0 }))
-	m.set.NewGauge("gypsumquay_leaving_servers", servers(func(b steering.ServerStatus) bool { return b.Leaving }))
+	m.set.NewGauge("gypsumquay_leaving_servers", servers(func(b steering.ServerStatus) bool { return b.ReportsDraining }))
 	m.set.NewGauge("gypsumquay_regions_without_proxies", status(func(s steering.Status) float64 { return float64(len(s.RegionsWithoutProxies)) }))
-	m.set.NewGauge("gypsumquay_condemned_works", status(func(s steering.Status) float64 { return float64(len(s.BlockedWork)) }))
+	m.set.NewGauge("gypsumquay_condemned_works", status(func(s steering.Status) float64 { return float64(len(s.QuarantinedWork)) }))
 	m.set.NewGauge("gypsumquay_store_copy_age_seconds", func() float64 { return d.feed.age().Seconds() })
 	m.set.NewGauge("gypsumquay_log_lines_dropped", func() float64 { return float64(dropped()) })
 }
--- a/internal/proxy/forward/quotas.go
+++ b/internal/proxy/forward/quotas.go
@@ -326,7 +326,7 @@
 func (q *quotas) due() (n int, due bool) {
 	d := q.daemon
 	first := false
-	d.do(func(k *steering.Kernel, _ time.Time) { n, first = k.KnownHolders(), k.HasRateLimits() && k.IsLeader() })
+	d.do(func(k *steering.Kernel, _ time.Time) { n, first = k.QuotaProxies(), k.HasRateLimits() && k.IsLeader() })
 	now := d.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/proxy/forward/verdicts.go
+++ b/internal/proxy/forward/verdicts.go
@@ -123,8 +123,8 @@
 func (v *verdicts) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep.For(ctx, verdictEvery)
-		var list []steering.BlockedWork
-		v.daemon.do(func(k *steering.Kernel, now time.Time) { list = k.BlockedWork(now) })
+		var list []steering.QuarantinedWork
+		v.daemon.do(func(k *steering.Kernel, now time.Time) { list = k.QuarantinedWork(now) })
 		if err := v.keep(ctx, list[:min(len(list), verdictsMost)]); err != nil {
 			klog.InfoS("verdicts not stored yet", "condemned", len(list), "error", err.Error())
 			sleep.For(ctx, verdictPause)
@@ -134,7 +134,7 @@
 
 // keep stores what is not stored, renews what this proxy has stored, and takes back what
 // is no longer condemned.
-func (v *verdicts) keep(ctx context.Context, list []steering.BlockedWork) error {
+func (v *verdicts) keep(ctx context.Context, list []steering.QuarantinedWork) error {
 	condemned := make(map[quarantine.Work]bool, len(list))
 	for _, c := range list {
 		condemned[c.Work] = true
@@ -156,7 +156,7 @@
 
 // due reports whether this proxy should store a verdict now: the first in rank at once,
 // each other if those before it have not.
-func (v *verdicts) due(c steering.BlockedWork) bool {
+func (v *verdicts) due(c steering.QuarantinedWork) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.stored[c.Work] {
