--- a/internal/kernel/steering/access.go
+++ b/internal/kernel/steering/access.go
@@ -6,23 +6,23 @@
 
 // authorize finds whose request it is, and where it may run: the regions of both its
 // route and its account bind.
-func (k *Kernel) authorize(f *ActiveRequest) Reason {
-	f.tableVersion, f.HasAccounts = k.table.Version, k.table.Accounts != nil
-	f.Account, f.allowedRegions = nil, k.routeRegions[f.Route.Name]
-	if !f.HasAccounts {
+func (k *Kernel) authorize(req *ActiveRequest) Reason {
+	req.tableVersion, req.HasAccounts = k.table.Version, k.table.Accounts != nil
+	req.Account, req.allowedRegions = nil, k.routeRegions[req.Route.Name]
+	if !req.HasAccounts {
 		return ReasonNone
 	}
-	if f.Credential.State == account.Present {
-		f.Account = k.table.Accounts.Holder(f.Credential.Key)
+	if req.Credential.State == account.Present {
+		req.Account = k.table.Accounts.Holder(req.Credential.Key)
 	}
-	if f.Account == nil {
-		if f.Route.Public {
+	if req.Account == nil {
+		if req.Route.Public {
 			return ReasonNone
 		}
 		return ReasonNoAccount
 	}
-	f.allowedRegions &= k.regionSet(f.Account.Regions)
-	if f.allowedRegions == 0 {
+	req.allowedRegions &= k.regionSet(req.Account.Regions)
+	if req.allowedRegions == 0 {
 		return ReasonNoRegion
 	}
 	return ReasonNone
@@ -30,13 +30,13 @@
 
 // reauthorize does so before a request is sent, if another configuration has come into
 // force since: its key may have been taken away while it waited.
-func (k *Kernel) reauthorize(f *ActiveRequest) Reason {
-	if f.tableVersion == k.table.Version {
+func (k *Kernel) reauthorize(req *ActiveRequest) Reason {
+	if req.tableVersion == k.table.Version {
 		return ReasonNone
 	}
-	had := f.Account
-	reason := k.authorize(f)
-	if reason == ReasonNone && had != nil && f.Account != nil && had.Name != f.Account.Name {
+	had := req.Account
+	reason := k.authorize(req)
+	if reason == ReasonNone && had != nil && req.Account != nil && had.Name != req.Account.Name {
 		// The request counts for the account that it was admitted for.
 		return ReasonNoAccount
 	}
@@ -44,9 +44,9 @@
 }
 
 // priority ranks the request, 0 first.
-func (f *ActiveRequest) priority() int {
-	if f.Account != nil && f.Account.Priority != nil {
-		return *f.Account.Priority
+func (req *ActiveRequest) priority() int {
+	if req.Account != nil && req.Account.Priority != nil {
+		return *req.Account.Priority
 	}
-	return f.Route.Priority
+	return req.Route.Priority
 }
--- a/internal/kernel/steering/ask.go
+++ b/internal/kernel/steering/ask.go
@@ -57,26 +57,26 @@
 )
 
 // newSlotRequest decides whether the request needs a place at the server's gate first.
-func (k *Kernel) newSlotRequest(now time.Time, f *ActiveRequest, g *service, s *server, p choice) *SlotRequest {
-	if !k.isLimited(now, g) || now.Before(s.skipOwnerUntil) || s.isCold(now) {
+func (k *Kernel) newSlotRequest(now time.Time, req *ActiveRequest, svc *service, s *server, p choice) *SlotRequest {
+	if !k.isLimited(now, svc) || now.Before(s.skipOwnerUntil) || s.isCold(now) {
 		// A cold server is sent what it bears in a second within that second.
 		return nil
 	}
 	owner, found := k.limiterOwner(s)
 	way := s.rtt.roundTrip
-	if !found || way > time.Duration(maxSlotRequestShare*float64(f.Route.Target)) {
+	if !found || way > time.Duration(maxSlotRequestShare*float64(req.Route.Target)) {
 		return nil
 	}
 	work := p.expected - p.untilStart
 	// Nothing is denied by a guess: the work of a route that was not seen yet is its
 	// target, and refusing by that would keep routes with short time-outs out of
 	// service for good.
-	least := g.workOf(f.Route).warm
+	least := svc.workOf(req.Route).warm
 	return &SlotRequest{
-		Owner: owner, Server: s.id, Limit: g.concurrency.learnedLimits[s.Slots], Work: least,
+		Owner: owner, Server: s.id, Limit: svc.concurrency.learnedLimits[s.Slots], Work: least,
 		Ticket: admission.Ticket{
-			ID: f.seq, From: k.config.Name, Priority: f.priority(),
-			Good: f.startedAt.Add(f.Route.Target - work - way), Last: f.ExpiresAt.Add(-least - way), Until: f.ExpiresAt,
+			ID: req.seq, From: k.config.Name, Priority: req.priority(),
+			Good: req.startedAt.Add(req.Route.Target - work - way), Last: req.ExpiresAt.Add(-least - way), Until: req.ExpiresAt,
 		},
 	}
 }
@@ -103,85 +103,85 @@
 // HandleSlotReply takes in what became of the question for a place, and decides what follows.
 // Without an answer the request is sent as it would have been without a gate: a
 // proxy that owns gates may be gone or cut off, and callers must not wait for it.
-func (k *Kernel) HandleSlotReply(now time.Time, f *ActiveRequest, r SlotReply, answered bool) Decision {
-	d := k.handleSlotReply(now, f, r, answered)
+func (k *Kernel) HandleSlotReply(now time.Time, req *ActiveRequest, r SlotReply, answered bool) Decision {
+	d := k.handleSlotReply(now, req, r, answered)
 	if k.config.Record != nil {
 		v := recordedDecisionOf(d)
-		k.config.Record(Call{Method: callSlotReply, At: now, RequestNumber: f.seq, SlotReply: &r, Flag: answered, Decision: &v})
+		k.config.Record(Call{Method: callSlotReply, At: now, RequestNumber: req.seq, SlotReply: &r, Flag: answered, Decision: &v})
 	}
 	return d
 }
 
-func (k *Kernel) handleSlotReply(now time.Time, f *ActiveRequest, r SlotReply, answered bool) Decision {
-	s, g := f.server, k.service(f.Service)
+func (k *Kernel) handleSlotReply(now time.Time, req *ActiveRequest, r SlotReply, answered bool) Decision {
+	s, svc := req.server, k.service(req.Service)
 	switch {
 	case !answered:
 		s.skipOwnerUntil = now.Add(unresponsiveOwnerPause)
 	case !r.Unknown:
-		k.learnFromSlotReply(now, f, s, g, r)
+		k.learnFromSlotReply(now, req, s, svc, r)
 	}
-	if answered && r.Verdict == admission.Denied || now.After(f.slotRequest.Last) {
+	if answered && r.Verdict == admission.Denied || now.After(req.slotRequest.Last) {
 		// The place, if there is one, is given back: the owner's answer may be lost.
-		release := f.takeSlotRelease(0)
+		release := req.takeSlotRelease(0)
 		s.inFlight--
-		k.quarantine.Stopped(f.Work)
-		f.addStep(Event{
-			At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(f.steps)/2 + 1, Result: ResultRefused,
-			Expected: f.expected, Duration: now.Sub(f.sentAt), Load: float64(r.Running + r.Waiting),
+		k.quarantine.Stopped(req.Work)
+		req.addStep(Event{
+			At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(req.steps)/2 + 1, Result: ResultRefused,
+			Expected: req.expected, Duration: now.Sub(req.sentAt), Load: float64(r.Running + r.Waiting),
 		})
-		d := k.fail(now, f, ReasonQueuesTooLong)
+		d := k.fail(now, req, ReasonQueuesTooLong)
 		d.SlotRelease = release
 		return d
 	}
-	if reason := k.reauthorize(f); reason != ReasonNone {
+	if reason := k.reauthorize(req); reason != ReasonNone {
 		// Its key was taken away while the request waited.
-		release := f.takeSlotRelease(0)
+		release := req.takeSlotRelease(0)
 		s.inFlight--
-		k.quarantine.Stopped(f.Work)
-		d := k.fail(now, f, reason)
+		k.quarantine.Stopped(req.Work)
+		d := k.fail(now, req, reason)
 		d.SlotRelease = release
 		return d
 	}
-	if !s.isEligible() || k.evacuatedDomains[s.Domain] || s.isCold(now) || !f.allowedRegions.has(s.regionBit) || !k.ServerStillAccepts(now, f) {
+	if !s.isEligible() || k.evacuatedDomains[s.Domain] || s.isCold(now) || !req.allowedRegions.has(s.regionBit) || !k.ServerStillAccepts(now, req) {
 		// The server has begun to leave, to pause or to be cold while the request waited.
-		release := f.takeSlotRelease(0)
+		release := req.takeSlotRelease(0)
 		s.inFlight--
-		k.quarantine.Stopped(f.Work)
-		f.triedServers = append(f.triedServers, s)
-		d := k.send(now, f)
+		k.quarantine.Stopped(req.Work)
+		req.triedServers = append(req.triedServers, s)
+		d := k.send(now, req)
 		d.SlotRelease = release
 		return d
 	}
 	if r.Unknown {
-		f.slotRequest = nil
+		req.slotRequest = nil
 	}
-	f.slotRank, f.sentAt = r.Rank, now
-	f.expected = s.rtt.roundTrip + g.workOf(f.Route).expected(f.warm, f.Route.Target)
-	return Decision{Server: k.newTarget(g, s)}
+	req.slotRank, req.sentAt = r.Rank, now
+	req.expected = s.rtt.roundTrip + svc.workOf(req.Route).expected(req.warm, req.Route.Target)
+	return Decision{Server: k.newTarget(svc, s)}
 }
 
 // learnFromSlotReply takes in what a gate tells of its server. It knows all that runs and
 // waits there, so its word is a report of the server's load.
-func (k *Kernel) learnFromSlotReply(now time.Time, f *ActiveRequest, s *server, g *service, r SlotReply) {
+func (k *Kernel) learnFromSlotReply(now time.Time, req *ActiveRequest, s *server, svc *service, r SlotReply) {
 	s.recordLoad(now, r.Running, r.Waiting)
-	k.recordQueue(now, f, s, float64(r.Waiting))
+	k.recordQueue(now, req, s, float64(r.Waiting))
 	s.concurrencyLimit = r.Limit.Most
-	g.concurrency.adopt(r.Limit)
+	svc.concurrency.adopt(r.Limit)
 	switch {
 	case !r.Whole:
-		g.concurrency.ownEvidenceUntil = laterOf(g.concurrency.ownEvidenceUntil, now.Add(limitFor))
-		k.startLimiting(now, g, limitFor)
-	case r.Sound && g.concurrency.learnedLimits[s.Slots].Most >= s.Slots:
-		k.stopLimiting(now, g)
+		svc.concurrency.ownEvidenceUntil = laterOf(svc.concurrency.ownEvidenceUntil, now.Add(limitFor))
+		k.startLimiting(now, svc, limitFor)
+	case r.Sound && svc.concurrency.learnedLimits[s.Slots].Most >= s.Slots:
+		k.stopLimiting(now, svc)
 	}
 }
 
 // takeSlotRelease is the word to the owner of the gate that the request's place is free.
-func (f *ActiveRequest) takeSlotRelease(ratio float64) *SlotRelease {
-	if f.slotRequest == nil {
+func (req *ActiveRequest) takeSlotRelease(ratio float64) *SlotRelease {
+	if req.slotRequest == nil {
 		return nil
 	}
-	r := &SlotRelease{Owner: f.slotRequest.Owner, Server: f.slotRequest.Server, From: f.slotRequest.From, ID: f.slotRequest.ID, Rank: f.slotRank, Ratio: ratio}
-	f.slotRequest, f.slotRank = nil, 0
+	r := &SlotRelease{Owner: req.slotRequest.Owner, Server: req.slotRequest.Server, From: req.slotRequest.From, ID: req.slotRequest.ID, Rank: req.slotRank, Ratio: ratio}
+	req.slotRequest, req.slotRank = nil, 0
 	return r
 }
--- a/internal/kernel/steering/bound.go
+++ b/internal/kernel/steering/bound.go
@@ -82,7 +82,7 @@
 	if !changed {
 		return
 	}
-	for _, g := range k.services {
-		g.invalidatePlacements()
+	for _, svc := range k.services {
+		svc.invalidatePlacements()
 	}
 }
--- a/internal/kernel/steering/cause.go
+++ b/internal/kernel/steering/cause.go
@@ -38,22 +38,22 @@
 // latencyCause finds why a request that ends now is late: not answered within the
 // target, or given up on at its time-out. The server's state is that at the last
 // send.
-func (f *ActiveRequest) latencyCause(now time.Time) (cause Cause, state ServerState) {
+func (req *ActiveRequest) latencyCause(now time.Time) (cause Cause, state ServerState) {
 	var sent Event
-	for _, e := range f.steps {
+	for _, e := range req.steps {
 		if e.Kind == EventRequestSent {
 			sent = e
 		}
 	}
-	if sent.Kind == "" || f.Route == nil {
+	if sent.Kind == "" || req.Route == nil {
 		return CauseNone, StateNone
 	}
-	if now.Sub(f.startedAt) <= f.Route.Target {
+	if now.Sub(req.startedAt) <= req.Route.Target {
 		return CauseNone, sent.State
 	}
 	took := now.Sub(sent.At)
 	switch {
-	case sent.At.Sub(f.startedAt) > took:
+	case sent.At.Sub(req.startedAt) > took:
 		return CauseFailedAttempts, sent.State
 	case sent.State == StateCold:
 		return CauseColdServer, sent.State
--- a/internal/kernel/steering/cause_test.go
+++ b/internal/kernel/steering/cause_test.go
@@ -31,8 +31,8 @@
 		"work itself":              {[]Event{sent(0, 0, 800*ms, true, StateInUse)}, 900 * ms, CauseWork},
 		"second attempt came late": {[]Event{sent(0, 0, 300*ms, true, StateInUse), sent(600*ms, 0, 300*ms, true, StateInUse)}, 900 * ms, CauseFailedAttempts},
 	} {
-		f := &ActiveRequest{startedAt: time.Unix(0, 0), Route: &routing.Route{Target: target}, steps: c.sent}
-		if got, _ := f.latencyCause(f.startedAt.Add(c.took)); got != c.want {
+		req := &ActiveRequest{startedAt: time.Unix(0, 0), Route: &routing.Route{Target: target}, steps: c.sent}
+		if got, _ := req.latencyCause(req.startedAt.Add(c.took)); got != c.want {
 			t.Errorf("%s: the cause is %q, want %q", name, got, c.want)
 		}
 	}
--- a/internal/kernel/steering/choose.go
+++ b/internal/kernel/steering/choose.go
@@ -70,15 +70,15 @@
 
 // chooseByCost picks the server with the least expected time for the request among
 // all that may take it.
-func (k *Kernel) chooseByCost(now time.Time, f *ActiveRequest, g *service) (*server, choice) {
-	homes := k.failover(now, f, g, k.withReplica(f, g, k.homes(f, g)))
-	if f.Object == "" && f.drawnRegion == "" {
-		f.drawnRegion = k.drawRegion(f, g)
+func (k *Kernel) chooseByCost(now time.Time, req *ActiveRequest, svc *service) (*server, choice) {
+	homes := k.failover(now, req, svc, k.withReplica(req, svc, k.homes(req, svc)))
+	if req.Object == "" && req.drawnRegion == "" {
+		req.drawnRegion = k.drawRegion(req, svc)
 	}
-	f.workEstimate = g.workOf(f.Route)
-	best, settled := k.chooseWarm(now, f, g, homes)
+	req.workEstimate = svc.workOf(req.Route)
+	best, settled := k.chooseWarm(now, req, svc, homes)
 	if !settled {
-		best = k.chooseAmong(now, f, g, homes, g.eligible)
+		best = k.chooseAmong(now, req, svc, homes, svc.eligible)
 	}
 	if best.server != nil && best.server.isCold(now) {
 		best.server.coldRate.Take(now)
@@ -87,37 +87,37 @@
 }
 
 // chooseAmong picks the server with the least expected time among some.
-func (k *Kernel) chooseAmong(now time.Time, f *ActiveRequest, g *service, homes []string, servers []*server) choice {
+func (k *Kernel) chooseAmong(now time.Time, req *ActiveRequest, svc *service, homes []string, servers []*server) choice {
 	best := choice{reason: ReasonNoServer}
-	left := f.ExpiresAt.Sub(now)
-	most := k.maxConnections(g)
+	left := req.ExpiresAt.Sub(now)
+	most := k.maxConnections(svc)
 	homeFull := false
 	for _, s := range servers {
 		if k.observeCandidate != nil {
-			k.reportCandidate(now, f, s, homes)
+			k.reportCandidate(now, req, s, homes)
 		}
-		if !k.mayUse(now, f, s) {
+		if !k.mayUse(now, req, s) {
 			continue
 		}
-		p := k.estimate(now, f, s, homes)
+		p := k.estimate(now, req, s, homes)
 		full := most > 0 && s.inFlight >= most
-		homeFull = homeFull || full && len(homes) > 0 && p.homeRank == 0 && now.Sub(s.answeredAt) < busyTargets*f.Route.Target
+		homeFull = homeFull || full && len(homes) > 0 && p.homeRank == 0 && now.Sub(s.answeredAt) < busyTargets*req.Route.Target
 		if full || p.untilStart > left {
 			if best.server == nil {
 				best.reason = ReasonOverload
 			}
 			continue
 		}
-		p.cost = k.placer.cost(k, f, p)
+		p.cost = k.placer.cost(k, req, p)
 		if best.server != nil && p.cost >= best.cost {
 			continue
 		}
-		if s.isCold(now) && !k.coldRoom(now, g, s) {
+		if s.isCold(now) && !k.coldRoom(now, svc, s) {
 			continue
 		}
 		best = p
 	}
-	if k.mustNotSpill(now, g, homes, best) {
+	if k.mustNotSpill(now, svc, homes, best) {
 		return choice{reason: ReasonOverload}
 	}
 	if homeFull && !best.warm {
@@ -132,78 +132,78 @@
 }
 
 // mayUse reports whether the request may go to a server now.
-func (k *Kernel) mayUse(now time.Time, f *ActiveRequest, s *server) bool {
-	return f.isCandidate(now, s) && k.serverPermits(now, s)
+func (k *Kernel) mayUse(now time.Time, req *ActiveRequest, s *server) bool {
+	return req.isCandidate(now, s) && k.serverPermits(now, s)
 }
 
 // isCandidate reports whether it may, but for what the server asks of its senders.
-func (f *ActiveRequest) isCandidate(now time.Time, s *server) bool {
-	return f.allowedRegions.has(s.regionBit) && !slices.Contains(f.triedServers, s) && s.usable(now)
+func (req *ActiveRequest) isCandidate(now time.Time, s *server) bool {
+	return req.allowedRegions.has(s.regionBit) && !slices.Contains(req.triedServers, s) && s.usable(now)
 }
 
 // reportCandidate tells how a server is weighed.
-func (k *Kernel) reportCandidate(now time.Time, f *ActiveRequest, s *server, homes []string) {
-	p := k.estimate(now, f, s, homes)
+func (k *Kernel) reportCandidate(now time.Time, req *ActiveRequest, s *server, homes []string) {
+	p := k.estimate(now, req, s, homes)
 	k.observeCandidate(Candidate{
-		Server: s.id, Usable: k.mayUse(now, f, s), Cold: s.isCold(now),
-		HomeRank: p.homeRank, Warm: p.warm, Load: s.load(now), Slowdown: s.slowdown, Expected: p.expected, Cost: k.placer.cost(k, f, p),
+		Server: s.id, Usable: k.mayUse(now, req, s), Cold: s.isCold(now),
+		HomeRank: p.homeRank, Warm: p.warm, Load: s.load(now), Slowdown: s.slowdown, Expected: p.expected, Cost: k.placer.cost(k, req, p),
 	})
 }
 
 // homes lists the servers on which the request's object lives, best first.
-func (k *Kernel) homes(f *ActiveRequest, g *service) []string {
-	if f.Object == "" {
+func (k *Kernel) homes(req *ActiveRequest, svc *service) []string {
+	if req.Object == "" {
 		return nil
 	}
-	r := k.scopeOf(f)
-	h := g.placements[r]
+	r := k.scopeOf(req)
+	h := svc.placements[r]
 	if h == nil {
-		h = k.newPlacement(f, g, r)
-		g.placements[r] = h
+		h = k.newPlacement(req, svc, r)
+		svc.placements[r] = h
 	}
-	return h.Of(f.Object)
+	return h.Of(req.Object)
 }
 
 // newPlacement deals the objects of this region's callers out.
-func (k *Kernel) newPlacement(f *ActiveRequest, g *service, r placementScope) *placing.Homes {
-	candidates, weights := k.regionWeights(f, g, r)
+func (k *Kernel) newPlacement(req *ActiveRequest, svc *service, r placementScope) *placing.Homes {
+	candidates, weights := k.regionWeights(req, svc, r)
 	list := make([]placing.Server, 0, len(candidates))
 	for _, s := range candidates {
 		if w := weights[s.region] * s.Slots; w > 0 {
 			list = append(list, placing.Server{ID: s.id, Weight: w, Class: s.class()})
 		}
 	}
-	return placing.NewHomes(list, g.ranking)
+	return placing.NewHomes(list, svc.ranking)
 }
 
 // regionWeights lists the servers that this region's callers may use and how much of
 // their work a slot of each region gets.
-func (k *Kernel) regionWeights(f *ActiveRequest, g *service, r placementScope) (candidates []*server, weights map[string]int) {
-	for _, s := range g.eligible {
-		if f.allowedRegions.has(s.regionBit) && (!r.ownRegionOnly || s.region == k.config.Region) {
+func (k *Kernel) regionWeights(req *ActiveRequest, svc *service, r placementScope) (candidates []*server, weights map[string]int) {
+	for _, s := range svc.eligible {
+		if req.allowedRegions.has(s.regionBit) && (!r.ownRegionOnly || s.region == k.config.Region) {
 			candidates = append(candidates, s)
 		}
 	}
 	share := placing.RoomShare
-	if f.Object == "" {
+	if req.Object == "" {
 		share = objectlessLoadFactor
 	}
-	return candidates, placing.Spread(k.regionCapacities(f, candidates), k.config.Region, share)
+	return candidates, placing.Spread(k.regionCapacities(req, candidates), k.config.Region, share)
 }
 
 // regionCapacities lists the regions that may serve the route. The callers' shares are
 // taken to follow the failure domains; the truth is not known before traffic
 // begins, and homes that moved with each estimate would be cold. Only a region
 // that has lost all its proxies counts elsewhere.
-func (k *Kernel) regionCapacities(f *ActiveRequest, candidates []*server) []placing.Room {
+func (k *Kernel) regionCapacities(req *ActiveRequest, candidates []*server) []placing.Room {
 	slots := make(map[string]int)
 	for _, s := range candidates {
 		slots[s.region] += s.Slots
 	}
 	var list []placing.Room
-	for region, n := range k.regionDemand(f.allowedRegions) {
+	for region, n := range k.regionDemand(req.allowedRegions) {
 		room := placing.Room{Region: region, Slots: slots[region], Demand: n}
-		if f.allowedRegions == allRegions {
+		if req.allowedRegions == allRegions {
 			room.Bound = k.pinnedShares.current[region]
 		}
 		list = append(list, room)
@@ -213,37 +213,37 @@
 }
 
 // scopeOf says how far the work of a route may go.
-func (k *Kernel) scopeOf(f *ActiveRequest) placementScope {
+func (k *Kernel) scopeOf(req *ActiveRequest) placementScope {
 	farthest := time.Duration(0)
 	for domain, d := range k.roundTrips {
 		if k.config.RegionOf[domain] != k.config.Region {
 			farthest = max(farthest, d.roundTrip)
 		}
 	}
-	if farthest > time.Duration(maxRemoteRTTShare*float64(f.Route.Target)) || !k.isEnabled(MechanismRegionCapacity) {
-		return placementScope{ownRegionOnly: true, regions: f.allowedRegions}
+	if farthest > time.Duration(maxRemoteRTTShare*float64(req.Route.Target)) || !k.isEnabled(MechanismRegionCapacity) {
+		return placementScope{ownRegionOnly: true, regions: req.allowedRegions}
 	}
-	return placementScope{regions: f.allowedRegions}
+	return placementScope{regions: req.allowedRegions}
 }
 
 // estimate estimates the time until the answer from one server.
-func (k *Kernel) estimate(now time.Time, f *ActiveRequest, s *server, homes []string) choice {
-	warm := s.isWarm(f.Object, now)
+func (k *Kernel) estimate(now time.Time, req *ActiveRequest, s *server, homes []string) choice {
+	warm := s.isWarm(req.Object, now)
 	slow := 1.0
 	if k.useSlowdown {
 		slow = max(1, s.slowdown)
 	}
-	work := time.Duration(float64(f.workEstimate.expected(warm, f.Route.Target)) * slow)
+	work := time.Duration(float64(req.workEstimate.expected(warm, req.Route.Target)) * slow)
 	if s.isCold(now) {
 		work *= coldWorkFactor
 	}
-	typical := float64(f.workEstimate.typical(f.Route)) * slow
+	typical := float64(req.workEstimate.typical(req.Route)) * slow
 	places := float64(s.usableSlots())
 	wait := time.Duration(max(0, s.load(now)+1-places) / places * typical)
 	p := choice{server: s, warm: warm, homeRank: homeRank(homes, s.id), untilStart: s.rtt.roundTrip + wait, expected: s.rtt.roundTrip + wait + work}
-	p.cost = p.expected + time.Duration(s.failureShare*float64(f.Route.Target))
-	if f.Object == "" {
-		if s.region != f.drawnRegion {
+	p.cost = p.expected + time.Duration(s.failureShare*float64(req.Route.Target))
+	if req.Object == "" {
+		if s.region != req.drawnRegion {
 			p.cost += otherRegionPenalty
 		}
 		if k.isEnabled(MechanismUnseenRequests) {
--- a/internal/kernel/steering/cold.go
+++ b/internal/kernel/steering/cold.go
@@ -25,17 +25,17 @@
 
 // coldRoom reports whether this proxy may send a cold server one more request
 // in this second.
-func (k *Kernel) coldRoom(now time.Time, g *service, s *server) bool {
+func (k *Kernel) coldRoom(now time.Time, svc *service, s *server) bool {
 	if now.Sub(k.config.Joined) < startupGrace {
 		return false
 	}
-	return s.coldRate.Room(now, k.coldShare(g, s))
+	return s.coldRate.Room(now, k.coldShare(svc, s))
 }
 
 // coldShare is this proxy's part of what a cold server bears. The nearest
 // proxies have the first ranks: their requests are the likeliest to go there.
-func (k *Kernel) coldShare(g *service, s *server) int {
-	c := k.table.Services[g.name]
+func (k *Kernel) coldShare(svc *service, s *server) int {
+	c := k.table.Services[svc.name]
 	if c == nil {
 		return 0
 	}
--- a/internal/kernel/steering/connections.go
+++ b/internal/kernel/steering/connections.go
@@ -13,8 +13,8 @@
 // service, zero for no bound if the configuration names none. Without it eight idle
 // connections of each of 1,300 proxies would be seven times the 1,400 that a
 // server accepts, and whoever came later would be reset.
-func (k *Kernel) maxConnections(g *service) int {
-	c := k.table.Services[g.name]
+func (k *Kernel) maxConnections(svc *service) int {
+	c := k.table.Services[svc.name]
 	if c == nil || c.Connections <= 0 || !k.isEnabled(MechanismSharedConnections) {
 		return 0
 	}
--- a/internal/kernel/steering/draw.go
+++ b/internal/kernel/steering/draw.go
@@ -19,12 +19,12 @@
 // the same parts as objects are dealt out. Its server is chosen by load, but not
 // its region: when callers of one region came in a burst, a third of them ran in
 // another within two seconds, more than operators allow to shift at once.
-func (k *Kernel) drawRegion(f *ActiveRequest, g *service) string {
-	r := k.scopeOf(f)
-	shares := g.regionDraws[r]
+func (k *Kernel) drawRegion(req *ActiveRequest, svc *service) string {
+	r := k.scopeOf(req)
+	shares := svc.regionDraws[r]
 	if shares == nil {
-		shares = k.newRegionDistribution(f, g, r)
-		g.regionDraws[r] = shares
+		shares = k.newRegionDistribution(req, svc, r)
+		svc.regionDraws[r] = shares
 	}
 	if len(shares.names) == 0 {
 		return k.config.Region
@@ -34,8 +34,8 @@
 	return shares.names[min(i, len(shares.names)-1)]
 }
 
-func (k *Kernel) newRegionDistribution(f *ActiveRequest, g *service, r placementScope) *regionDistribution {
-	candidates, weights := k.regionWeights(f, g, r)
+func (k *Kernel) newRegionDistribution(req *ActiveRequest, svc *service, r placementScope) *regionDistribution {
+	candidates, weights := k.regionWeights(req, svc, r)
 	parts := make(map[string]float64)
 	for _, s := range candidates {
 		parts[s.region] += float64(weights[s.region] * s.Slots)
--- a/internal/kernel/steering/failover.go
+++ b/internal/kernel/steering/failover.go
@@ -22,32 +22,32 @@
 // in the region, these would have twice their share and answers would come late,
 // while other regions have room. What moves is what must move anyway; an object
 // whose home is sound stays there.
-func (k *Kernel) failover(now time.Time, f *ActiveRequest, g *service, homes []string) []string {
+func (k *Kernel) failover(now time.Time, req *ActiveRequest, svc *service, homes []string) []string {
 	if len(homes) == 0 || !k.isEnabled(MechanismFailover) {
 		return homes
 	}
-	home := g.registered[homes[0]]
+	home := svc.registered[homes[0]]
 	if home == nil {
 		return homes
 	}
-	switch fit := k.availableShare(now, g, home); {
+	switch fit := k.availableShare(now, svc, home); {
 	case fit == 1, home.ejections > 0 && home.usable(now) && !home.backpressure.Paused(now):
 		// One that is out but due to be tried gets a request, to see; one that is
 		// passed over for a moment is sound.
 		return homes
-	case fit > 0 && objectFraction(f.Object+"@"+home.id) < fit:
+	case fit > 0 && objectFraction(req.Object+"@"+home.id) < fit:
 		return homes
 	case fit > 0:
 		// The same objects leave a limited home at all proxies, so that they are warm
 		// where they go.
 		homes = append(slices.Clone(homes[1:]), home.id)
 	}
-	if k.scopeOf(f).ownRegionOnly || objectFraction(f.Object) >= k.displacedShare(now, f, g, home.region) {
+	if k.scopeOf(req).ownRegionOnly || objectFraction(req.Object) >= k.displacedShare(now, req, svc, home.region) {
 		return homes
 	}
-	for _, id := range k.placementOutside(f, g, home.region).Of(f.Object) {
-		s := g.registered[id]
-		if p := g.queuePressure[s.region]; s.isHealthy(now) && (p == nil || p.Level(now) <= failoverMaxPressure) {
+	for _, id := range k.placementOutside(req, svc, home.region).Of(req.Object) {
+		s := svc.registered[id]
+		if p := svc.queuePressure[s.region]; s.isHealthy(now) && (p == nil || p.Level(now) <= failoverMaxPressure) {
 			return append([]string{id}, homes...)
 		}
 	}
@@ -56,15 +56,15 @@
 
 // displacedShare is the part of the objects with homes that are out in a region for
 // which the region's other servers have no room.
-func (k *Kernel) displacedShare(now time.Time, f *ActiveRequest, g *service, region string) float64 {
+func (k *Kernel) displacedShare(now time.Time, req *ActiveRequest, svc *service, region string) float64 {
 	all, sound, own, ownSound := 0.0, 0.0, 0.0, 0.0
-	for _, s := range g.eligible {
-		if !f.allowedRegions.has(s.regionBit) {
+	for _, s := range svc.eligible {
+		if !req.allowedRegions.has(s.regionBit) {
 			continue
 		}
 		slots := float64(s.Slots)
 		all += slots
-		fit := k.availableShare(now, g, s) * slots
+		fit := k.availableShare(now, svc, s) * slots
 		sound += fit
 
 		if s.region != region {
@@ -82,7 +82,7 @@
 
 // availableShare is the part of its usual requests that a server takes now: none while it is out or
 // pauses, what its limit leaves if it names one.
-func (k *Kernel) availableShare(now time.Time, g *service, s *server) float64 {
+func (k *Kernel) availableShare(now time.Time, svc *service, s *server) float64 {
 	if !s.isHealthy(now) {
 		return 0
 	}
@@ -91,7 +91,7 @@
 		return 1
 	}
 	// This proxy takes the others to see as much as it does.
-	usual := g.retries.Rate(now) * float64(len(k.limitSharers)) * float64(s.Slots) / float64(max(1, g.totalSlots))
+	usual := svc.retries.Rate(now) * float64(len(k.limitSharers)) * float64(s.Slots) / float64(max(1, svc.totalSlots))
 	if limit.PerSecond >= usual {
 		return 1
 	}
@@ -99,19 +99,19 @@
 }
 
 // placementOutside deals all objects out over the servers outside a region.
-func (k *Kernel) placementOutside(f *ActiveRequest, g *service, region string) *placing.Homes {
-	key := placementScope{regions: f.allowedRegions, excludedRegion: region}
-	if h := g.placements[key]; h != nil {
+func (k *Kernel) placementOutside(req *ActiveRequest, svc *service, region string) *placing.Homes {
+	key := placementScope{regions: req.allowedRegions, excludedRegion: region}
+	if h := svc.placements[key]; h != nil {
 		return h
 	}
 	var list []placing.Server
-	for _, s := range g.eligible {
-		if f.allowedRegions.has(s.regionBit) && s.region != region {
+	for _, s := range svc.eligible {
+		if req.allowedRegions.has(s.regionBit) && s.region != region {
 			list = append(list, placing.Server{ID: s.id, Weight: s.Slots, Class: s.class()})
 		}
 	}
-	g.placements[key] = placing.NewHomes(list, g.ranking)
-	return g.placements[key]
+	svc.placements[key] = placing.NewHomes(list, svc.ranking)
+	return svc.placements[key]
 }
 
 // objectFraction turns an object into a number from 0 to 1, the same at all proxies.
--- a/internal/kernel/steering/flight.go
+++ b/internal/kernel/steering/flight.go
@@ -9,121 +9,121 @@
 // BeginRequest finds the route of a request and its first step.
 func (k *Kernel) BeginRequest(now time.Time, r Request) (*ActiveRequest, Decision) {
 	k.requestCount++
-	f := &ActiveRequest{Request: r, seq: k.requestCount, startedAt: now}
-	d := k.beginRequest(now, f)
+	req := &ActiveRequest{Request: r, seq: k.requestCount, startedAt: now}
+	d := k.beginRequest(now, req)
 	if k.config.Record != nil {
 		given, v := r, recordedDecisionOf(d)
-		k.config.Record(Call{Method: callBegin, At: now, RequestNumber: f.seq, Request: &given, Decision: &v})
+		k.config.Record(Call{Method: callBegin, At: now, RequestNumber: req.seq, Request: &given, Decision: &v})
 	}
-	return f, d
+	return req, d
 }
 
-func (k *Kernel) beginRequest(now time.Time, f *ActiveRequest) Decision {
+func (k *Kernel) beginRequest(now time.Time, req *ActiveRequest) Decision {
 	if k.table == nil {
-		return k.finish(now, f, Decision{Reason: ReasonNoConfiguration, NotRun: true, RetryAfter: k.retryAfter(now, f)})
+		return k.finish(now, req, Decision{Reason: ReasonNoConfiguration, NotRun: true, RetryAfter: k.retryAfter(now, req)})
 	}
-	f.Route = k.table.Match(f.Host, f.Path)
-	if f.Route == nil {
-		return k.finish(now, f, Decision{Reason: ReasonNoRoute, NotRun: true})
+	req.Route = k.table.Match(req.Host, req.Path)
+	if req.Route == nil {
+		return k.finish(now, req, Decision{Reason: ReasonNoRoute, NotRun: true})
 	}
-	if reason := k.authorize(f); reason != ReasonNone {
+	if reason := k.authorize(req); reason != ReasonNone {
 		d := Decision{Reason: reason, NotRun: true}
 		if reason == ReasonNoRegion {
 			d.RetryAfter = maxRetryAfter
 		}
-		return k.finish(now, f, d)
+		return k.finish(now, req, d)
 	}
-	f.ExpiresAt = now.Add(f.Route.Timeout)
-	if !f.Deadline.IsZero() && f.Deadline.Before(f.ExpiresAt) {
-		f.ExpiresAt = f.Deadline
+	req.ExpiresAt = now.Add(req.Route.Timeout)
+	if !req.Deadline.IsZero() && req.Deadline.Before(req.ExpiresAt) {
+		req.ExpiresAt = req.Deadline
 	}
-	if k.shuttingDown && k.shutdownDeadline.Before(f.ExpiresAt) {
-		f.ExpiresAt = k.shutdownDeadline
+	if k.shuttingDown && k.shutdownDeadline.Before(req.ExpiresAt) {
+		req.ExpiresAt = k.shutdownDeadline
 	}
-	if !f.Route.Sticky || !k.isEnabled(MechanismHomes) {
+	if !req.Route.Sticky || !k.isEnabled(MechanismHomes) {
 		// No server is faster for having handled the object, and one home each
 		// would only leave some servers with long queues while others idle.
-		f.Object = ""
+		req.Object = ""
 	}
-	return k.checkQuota(now, f)
+	return k.checkQuota(now, req)
 }
 
 // dispatch hands a request that is within its limits to a service.
-func (k *Kernel) dispatch(now time.Time, f *ActiveRequest) Decision {
-	f.Service = k.splitter.Next(f.Route)
-	if f.Object != "" {
-		k.service(f.Service).demand.Heard(now, f.Object)
+func (k *Kernel) dispatch(now time.Time, req *ActiveRequest) Decision {
+	req.Service = k.splitter.Next(req.Route)
+	if req.Object != "" {
+		k.service(req.Service).demand.Heard(now, req.Object)
 	}
-	return k.send(now, f)
+	return k.send(now, req)
 }
 
 // send picks a server or gives up.
-func (k *Kernel) send(now time.Time, f *ActiveRequest) Decision {
-	target, reason := k.place(now, f)
+func (k *Kernel) send(now time.Time, req *ActiveRequest) Decision {
+	target, reason := k.place(now, req)
 	if target == nil {
-		return k.fail(now, f, reason)
+		return k.fail(now, req, reason)
 	}
-	return Decision{Server: target, SlotRequest: f.slotRequest}
+	return Decision{Server: target, SlotRequest: req.slotRequest}
 }
 
 // place picks a server and counts the request in there.
-func (k *Kernel) place(now time.Time, f *ActiveRequest) (*Target, Reason) {
-	g := k.eligibleService(f.Service)
-	if reason := k.reauthorize(f); reason != ReasonNone {
+func (k *Kernel) place(now time.Time, req *ActiveRequest) (*Target, Reason) {
+	svc := k.eligibleService(req.Service)
+	if reason := k.reauthorize(req); reason != ReasonNone {
 		return nil, reason
 	}
-	if f.ExpiresAt.Sub(now) < minAttemptTime && len(f.triedServers) > 0 {
+	if req.ExpiresAt.Sub(now) < minAttemptTime && len(req.triedServers) > 0 {
 		return nil, ReasonTimeout
 	}
-	if reason := k.checkQuarantine(now, f); reason != ReasonNone {
+	if reason := k.checkQuarantine(now, req); reason != ReasonNone {
 		return nil, reason
 	}
-	s, pick := k.chooseServer(now, f, g)
+	s, pick := k.chooseServer(now, req, svc)
 	if s == nil {
-		return nil, k.noServerReason(now, f, g, pick.reason)
+		return nil, k.noServerReason(now, req, svc, pick.reason)
 	}
-	if len(f.steps) == 0 {
-		if k.shouldShed(now, f, g, s) {
+	if len(req.steps) == 0 {
+		if k.shouldShed(now, req, svc, s) {
 			return nil, ReasonQueuesTooLong
 		}
-		g.retries.First(now)
+		svc.retries.First(now)
 	}
-	k.quarantine.Started(f.Work)
-	f.server, f.sentAt, f.expected, f.warm, f.loadAtSend = s, now, pick.expected, pick.warm, s.load(now)
+	k.quarantine.Started(req.Work)
+	req.server, req.sentAt, req.expected, req.warm, req.loadAtSend = s, now, pick.expected, pick.warm, s.load(now)
 	state := s.state(now)
 	s.inFlight++
 	s.sentCount++
 	s.backpressure.Sent(now)
-	f.addStep(Event{
-		At: now, Kind: EventRequestSent, Server: s.id, Domain: s.Domain, Attempt: len(f.steps)/2 + 1, Expected: pick.expected,
+	req.addStep(Event{
+		At: now, Kind: EventRequestSent, Server: s.id, Domain: s.Domain, Attempt: len(req.steps)/2 + 1, Expected: pick.expected,
 		Load: s.load(now), LoadAge: s.loadAge(now), HomeRank: pick.homeRank, Warm: pick.warm,
 		ExpectedWait: pick.untilStart - s.rtt.roundTrip, State: state,
 	})
-	f.slotRequest, f.slotRank = k.newSlotRequest(now, f, g, s, pick), 0
-	return k.newTarget(g, s), ReasonNone
+	req.slotRequest, req.slotRank = k.newSlotRequest(now, req, svc, s, pick), 0
+	return k.newTarget(svc, s), ReasonNone
 }
 
 // chooseServer picks the server for a request, by what is known of its work.
-func (k *Kernel) chooseServer(now time.Time, f *ActiveRequest, g *service) (*server, choice) {
-	if f.workSuspected {
-		return k.chooseLeastLoaded(now, f, g)
+func (k *Kernel) chooseServer(now time.Time, req *ActiveRequest, svc *service) (*server, choice) {
+	if req.workSuspected {
+		return k.chooseLeastLoaded(now, req, svc)
 	}
-	return k.chooseByCost(now, f, g)
+	return k.chooseByCost(now, req, svc)
 }
 
-func (k *Kernel) newTarget(g *service, s *server) *Target {
-	return &Target{Server: s.Server, RoundTrip: s.rtt.roundTrip, MaxConnections: k.maxConnections(g)}
+func (k *Kernel) newTarget(svc *service, s *server) *Target {
+	return &Target{Server: s.Server, RoundTrip: s.rtt.roundTrip, MaxConnections: k.maxConnections(svc)}
 }
 
 // EndAttempt takes in how an attempt ended and decides what follows. If the request had
 // a place at a gate, the place must be given back.
-func (k *Kernel) EndAttempt(now time.Time, f *ActiveRequest, a Attempt) Decision {
-	release := f.takeSlotRelease(f.latencyRatio(now, a))
-	d := k.endAttempt(now, f, a)
+func (k *Kernel) EndAttempt(now time.Time, req *ActiveRequest, a Attempt) Decision {
+	release := req.takeSlotRelease(req.latencyRatio(now, a))
+	d := k.endAttempt(now, req, a)
 	d.SlotRelease = release
 	if k.config.Record != nil {
 		given, v := a, recordedDecisionOf(d)
-		k.config.Record(Call{Method: callEnded, At: now, RequestNumber: f.seq, Attempt: &given, Decision: &v})
+		k.config.Record(Call{Method: callEnded, At: now, RequestNumber: req.seq, Attempt: &given, Decision: &v})
 	}
 	return d
 }
@@ -132,59 +132,59 @@
 // route's target; zero if that is not known. The target stays the same whatever the
 // servers do, so figures of different moments and proxies compare. One that was not
 // answered in time took so long at least.
-func (f *ActiveRequest) latencyRatio(now time.Time, a Attempt) float64 {
-	if f.slotRequest == nil || !f.warm || f.Route.Target <= 0 || a.Result != ResultAnswered && a.Result != ResultTimeout {
+func (req *ActiveRequest) latencyRatio(now time.Time, a Attempt) float64 {
+	if req.slotRequest == nil || !req.warm || req.Route.Target <= 0 || a.Result != ResultAnswered && a.Result != ResultTimeout {
 		return 0
 	}
-	return float64(now.Sub(f.sentAt)-f.server.rtt.roundTrip) / float64(f.Route.Target)
+	return float64(now.Sub(req.sentAt)-req.server.rtt.roundTrip) / float64(req.Route.Target)
 }
 
-func (k *Kernel) endAttempt(now time.Time, f *ActiveRequest, a Attempt) Decision {
-	s := f.server
+func (k *Kernel) endAttempt(now time.Time, req *ActiveRequest, a Attempt) Decision {
+	s := req.server
 	s.inFlight--
 	if !a.refusedWithFreeSlots(s.Slots) {
-		f.triedServers = append(f.triedServers, s)
-	}
-	took := now.Sub(f.sentAt)
-	k.recordCrashEvidence(now, f, s, a)
-	k.learnFromAttempt(now, f, s, a, took)
-	f.addStep(Event{
-		At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(f.steps)/2 + 1, Result: a.Result,
-		Expected: f.expected, Duration: took, Load: float64(a.Running + a.Waiting), Err: a.Err,
+		req.triedServers = append(req.triedServers, s)
+	}
+	took := now.Sub(req.sentAt)
+	k.recordCrashEvidence(now, req, s, a)
+	k.learnFromAttempt(now, req, s, a, took)
+	req.addStep(Event{
+		At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(req.steps)/2 + 1, Result: a.Result,
+		Expected: req.expected, Duration: took, Load: float64(a.Running + a.Waiting), Err: a.Err,
 	})
 	switch a.Result {
 	case ResultAnswered:
-		return k.finish(now, f, Decision{ReturnResponse: true})
+		return k.finish(now, req, Decision{ReturnResponse: true})
 	case ResultCallerGone:
-		return k.finish(now, f, Decision{Reason: ReasonCallerGone})
+		return k.finish(now, req, Decision{Reason: ReasonCallerGone})
 	case ResultTimeout:
-		f.mayHaveRun = true
-		return k.fail(now, f, ReasonTimeout)
+		req.mayHaveRun = true
+		return k.fail(now, req, ReasonTimeout)
 	case ResultUnreachable, ResultNotSent:
-		f.sendAttempts++
-		if f.sendAttempts >= maxSends {
-			return k.fail(now, f, ReasonNoServer)
+		req.sendAttempts++
+		if req.sendAttempts >= maxSends {
+			return k.fail(now, req, ReasonNoServer)
 		}
-		return k.send(now, f)
+		return k.send(now, req)
 	}
 	if a.Result != ResultWrongServer {
 		// Another server has the address: none of the service has had it yet.
-		f.reachedServers++
+		req.reachedServers++
 	}
-	f.sendAttempts++
-	f.mayHaveRun = f.mayHaveRun || a.Result == ResultConnectionLost || a.Result == ResultServerError
+	req.sendAttempts++
+	req.mayHaveRun = req.mayHaveRun || a.Result == ResultConnectionLost || a.Result == ResultServerError
 	reason := reasonOf(a.Result)
-	if k.mayRetry(now, f) {
+	if k.mayRetry(now, req) {
 		var target *Target
-		if target, reason = k.place(now, f); target != nil {
-			return Decision{Server: target, SlotRequest: f.slotRequest}
+		if target, reason = k.place(now, req); target != nil {
+			return Decision{Server: target, SlotRequest: req.slotRequest}
 		}
 	}
 	if a.Result == ResultServerError {
 		// The server's own failure is an answer, and tells more than a refusal.
-		return k.finish(now, f, Decision{ReturnResponse: true, Reason: ReasonServerError})
+		return k.finish(now, req, Decision{ReturnResponse: true, Reason: ReasonServerError})
 	}
-	return k.fail(now, f, reason)
+	return k.fail(now, req, reason)
 }
 
 // refusedWithFreeSlots reports whether the server refused the request while it had
@@ -202,71 +202,71 @@
 }
 
 // mayRetry decides whether a request that reached a server may go to another.
-func (k *Kernel) mayRetry(now time.Time, f *ActiveRequest) bool {
-	if f.mayHaveRun && !f.Route.Idempotent {
+func (k *Kernel) mayRetry(now time.Time, req *ActiveRequest) bool {
+	if req.mayHaveRun && !req.Route.Idempotent {
 		return false
 	}
-	if !k.isEnabled(MechanismRetries) || f.reachedServers >= f.Route.Attempts || f.sendAttempts >= maxSends || f.connectionsLost >= quarantine.BreaksMost || f.ExpiresAt.Sub(now) < minAttemptTime {
+	if !k.isEnabled(MechanismRetries) || req.reachedServers >= req.Route.Attempts || req.sendAttempts >= maxSends || req.connectionsLost >= quarantine.BreaksMost || req.ExpiresAt.Sub(now) < minAttemptTime {
 		return false
 	}
-	if !k.service(f.Service).retries.Spend(now, len(k.limitSharers)) {
+	if !k.service(req.Service).retries.Spend(now, len(k.limitSharers)) {
 		return false
 	}
-	if f.mayHaveRun && f.Account != nil {
-		k.quotas.limiter.Charge(f.Account.Name)
+	if req.mayHaveRun && req.Account != nil {
+		k.quotas.limiter.Charge(req.Account.Name)
 	}
 	return true
 }
 
 // fail ends a request without an answer, at once.
-func (k *Kernel) fail(now time.Time, f *ActiveRequest, reason Reason) Decision {
-	d := Decision{Reason: reason, NotRun: !f.mayHaveRun}
-	if f.Account != nil && len(f.steps) == 0 {
-		k.quotas.limiter.Return(f.Account.Name)
+func (k *Kernel) fail(now time.Time, req *ActiveRequest, reason Reason) Decision {
+	d := Decision{Reason: reason, NotRun: !req.mayHaveRun}
+	if req.Account != nil && len(req.steps) == 0 {
+		k.quotas.limiter.Return(req.Account.Name)
 	}
 	if d.NotRun {
-		d.RetryAfter = k.retryAfter(now, f)
+		d.RetryAfter = k.retryAfter(now, req)
 	}
 	if d.NotRun && reason == ReasonBackpressure {
-		d.RetryAfter = k.retryAfterBackpressure(f)
+		d.RetryAfter = k.retryAfterBackpressure(req)
 	}
 	if d.NotRun && reason == ReasonCrashesServers {
 		// Its work does not run before its next trial, however soon the caller returns.
-		d.RetryAfter = f.quarantinedFor
+		d.RetryAfter = req.quarantinedFor
 	}
-	return k.finish(now, f, d)
+	return k.finish(now, req, d)
 }
 
 // addStep keeps a decision until the request ends.
-func (f *ActiveRequest) addStep(e Event) { f.steps = append(f.steps, e) }
+func (req *ActiveRequest) addStep(e Event) { req.steps = append(req.steps, e) }
 
 // finish tells of a request's end together with the decisions before it.
-func (k *Kernel) finish(now time.Time, f *ActiveRequest, d Decision) Decision {
+func (k *Kernel) finish(now time.Time, req *ActiveRequest, d Decision) Decision {
 	e := Event{
-		At: now, Kind: EventRequestEnded, Request: f.ID, Service: f.Service, Object: f.Object, Fingerprint: f.Work, Version: k.Version(),
-		Outcome: d.Outcome(), Reason: d.Reason, Duration: now.Sub(f.startedAt), Attempt: (len(f.steps) + 1) / 2,
-		RetryAfter: d.RetryAfter, Pressure: f.queuePressure, Steps: f.steps,
+		At: now, Kind: EventRequestEnded, Request: req.ID, Service: req.Service, Object: req.Object, Fingerprint: req.Work, Version: k.Version(),
+		Outcome: d.Outcome(), Reason: d.Reason, Duration: now.Sub(req.startedAt), Attempt: (len(req.steps) + 1) / 2,
+		RetryAfter: d.RetryAfter, Pressure: req.queuePressure, Steps: req.steps,
 	}
-	if f.Route != nil {
-		e.Route, e.Target = f.Route.Name, f.Route.Target
+	if req.Route != nil {
+		e.Route, e.Target = req.Route.Name, req.Route.Target
 	}
-	if f.Account != nil {
-		e.Account = f.Account.Name
+	if req.Account != nil {
+		e.Account = req.Account.Name
 	}
-	e.Cause, e.State = f.latencyCause(now)
+	e.Cause, e.State = req.latencyCause(now)
 	k.config.Observe(e)
 	return d
 }
 
 // retryAfter tells a refused caller when to try again: spread, so that callers
 // refused together do not return together.
-func (k *Kernel) retryAfter(now time.Time, f *ActiveRequest) time.Duration {
+func (k *Kernel) retryAfter(now time.Time, req *ActiveRequest) time.Duration {
 	most := maxRetryAfter
-	if !f.Deadline.IsZero() {
-		most = min(most, f.Deadline.Sub(now)/3)
+	if !req.Deadline.IsZero() {
+		most = min(most, req.Deadline.Sub(now)/3)
 	}
-	if f.maxRetryAfter > 0 {
-		most = min(most, f.maxRetryAfter)
+	if req.maxRetryAfter > 0 {
+		most = min(most, req.maxRetryAfter)
 	}
 	if most <= minRetryAfter {
 		return minRetryAfter
--- a/internal/kernel/steering/hold.go
+++ b/internal/kernel/steering/hold.go
@@ -46,22 +46,22 @@
 )
 
 // isLimited reports whether requests of a service are held back.
-func (k *Kernel) isLimited(now time.Time, g *service) bool {
-	return now.Before(g.concurrency.limitedUntil)
+func (k *Kernel) isLimited(now time.Time, svc *service) bool {
+	return now.Before(svc.concurrency.limitedUntil)
 }
 
 // ConcurrencyLimits lists what this proxy knows of services whose servers slow down when full,
 // for its peers.
 func (k *Kernel) ConcurrencyLimits(now time.Time) []ServiceLimit {
 	var list []ServiceLimit
-	for name, g := range k.services {
-		if !now.Before(g.concurrency.ownEvidenceUntil) {
+	for name, svc := range k.services {
+		if !now.Before(svc.concurrency.ownEvidenceUntil) {
 			continue
 		}
-		if len(g.concurrency.learnedLimits) == 0 {
+		if len(svc.concurrency.learnedLimits) == 0 {
 			list = append(list, ServiceLimit{Service: name})
 		}
-		for _, l := range g.concurrency.learnedLimits {
+		for _, l := range svc.concurrency.learnedLimits {
 			list = append(list, ServiceLimit{Service: name, Limit: l})
 		}
 	}
@@ -78,18 +78,18 @@
 	}
 	k.record(Call{Method: callConcurrencyLimits, At: now, ServiceLimits: list})
 	for _, h := range list {
-		g := k.service(h.Service)
-		g.concurrency.adopt(h.Limit)
-		k.startLimiting(now, g, measureConcurrencyFor)
+		svc := k.service(h.Service)
+		svc.concurrency.adopt(h.Limit)
+		k.startLimiting(now, svc, measureConcurrencyFor)
 	}
 }
 
 // stopLimiting ends the holding back: the servers do not slow down.
-func (k *Kernel) stopLimiting(now time.Time, g *service) {
-	h := &g.concurrency
+func (k *Kernel) stopLimiting(now time.Time, svc *service) {
+	h := &svc.concurrency
 	h.limitedUntil, h.ownEvidenceUntil, h.clearedUntil = now, now, now.Add(unsuspectedFor)
 	h.detector.Reset()
-	k.config.Observe(Event{Kind: EventConcurrencyUnlimited, Service: g.name})
+	k.config.Observe(Event{Kind: EventConcurrencyUnlimited, Service: svc.name})
 }
 
 // adopt takes over a limit with more evidence than the own one.
@@ -121,39 +121,39 @@
 	return c
 }
 
-func (k *Kernel) startLimiting(now time.Time, g *service, span time.Duration) {
-	if now.Before(g.concurrency.clearedUntil) {
+func (k *Kernel) startLimiting(now time.Time, svc *service, span time.Duration) {
+	if now.Before(svc.concurrency.clearedUntil) {
 		return
 	}
-	if !now.Before(g.concurrency.limitedUntil) {
-		k.config.Observe(Event{Kind: EventConcurrencyLimited, Service: g.name})
+	if !now.Before(svc.concurrency.limitedUntil) {
+		k.config.Observe(Event{Kind: EventConcurrencyLimited, Service: svc.name})
 	}
-	g.concurrency.limitedUntil = laterOf(g.concurrency.limitedUntil, now.Add(span))
+	svc.concurrency.limitedUntil = laterOf(svc.concurrency.limitedUntil, now.Add(span))
 }
 
 // detectSlowdown takes in how long a request took at a server that knew the object. Only
 // what a full server did tells whether it slows down. An answer that never came in
 // time is the strongest sign, of first runs too: where servers slow down there are
 // few others.
-func (k *Kernel) detectSlowdown(now time.Time, f *ActiveRequest, s *server, g *service, a Attempt, took time.Duration) {
+func (k *Kernel) detectSlowdown(now time.Time, req *ActiveRequest, s *server, svc *service, a Attempt, took time.Duration) {
 	if !k.isEnabled(MechanismConcurrencyLimit) {
 		return
 	}
-	alone := g.workOf(f.Route).expected(f.warm, f.Route.Target)
+	alone := svc.workOf(req.Route).expected(req.warm, req.Route.Target)
 	// A server that has answered nothing since is silent, not slow.
-	late := a.Result == ResultTimeout && s.answeredAt.After(f.sentAt)
-	answered := a.Result == ResultAnswered && a.Loaded && f.warm
-	if !late && !answered || s.Slots < 2 || f.slotRank > 0 {
+	late := a.Result == ResultTimeout && s.answeredAt.After(req.sentAt)
+	answered := a.Result == ResultAnswered && a.Loaded && req.warm
+	if !late && !answered || s.Slots < 2 || req.slotRank > 0 {
 		return
 	}
 	full := late || a.Running >= s.Slots
-	queue := max(float64(a.Waiting), f.loadAtSend+1-float64(s.Slots))
-	wait := time.Duration(max(0, queue) / float64(s.Slots) * float64(g.workOf(f.Route).typical(f.Route)))
-	h := &g.concurrency
+	queue := max(float64(a.Waiting), req.loadAtSend+1-float64(s.Slots))
+	wait := time.Duration(max(0, queue) / float64(s.Slots) * float64(svc.workOf(req.Route).typical(req.Route)))
+	h := &svc.concurrency
 	h.detector.Heard(now, s.id, full, took-s.rtt.roundTrip, alone+wait)
 	if h.detector.Arisen(now) {
 		h.detector.Reset()
 		h.ownEvidenceUntil = now.Add(measureConcurrencyFor)
-		k.startLimiting(now, g, measureConcurrencyFor)
+		k.startLimiting(now, svc, measureConcurrencyFor)
 	}
 }
--- a/internal/kernel/steering/hold_test.go
+++ b/internal/kernel/steering/hold_test.go
@@ -248,11 +248,11 @@
 		}
 		k := New(c)
 		k.ApplyConcurrencyLimits(now, []ServiceLimit{{Service: "service", Limit: admission.Limit{Slots: 3, Most: 2, Evidence: 100}}})
-		g := k.service("suspected")
-		f := &ActiveRequest{Route: &routing.Route{Name: "route", Sticky: true, Target: 100 * time.Millisecond}, Service: "suspected", warm: true}
+		svc := k.service("suspected")
+		req := &ActiveRequest{Route: &routing.Route{Name: "route", Sticky: true, Target: 100 * time.Millisecond}, Service: "suspected", warm: true}
 		for n := range 40 {
 			s := &server{id: fmt.Sprint(n % 4), Server: routing.Server{Slots: 3}, rtt: &rttEstimate{}}
-			k.detectSlowdown(now, f, s, g, Attempt{Result: ResultAnswered, Loaded: true, Running: 3}, time.Second)
+			k.detectSlowdown(now, req, s, svc, Attempt{Result: ResultAnswered, Loaded: true, Running: 3}, time.Second)
 		}
 		if got := told > 0 || len(k.ConcurrencyLimits(now)) > 0; got == off {
 			t.Errorf("holding back off %t: told of %d services, tells peers %v", off, told, k.ConcurrencyLimits(now))
--- a/internal/kernel/steering/kernel.go
+++ b/internal/kernel/steering/kernel.go
@@ -181,8 +181,8 @@
 func (k *Kernel) SetBounds(b Bounds) {
 	k.record(Call{Method: callBounds, Bounds: &b})
 	k.config.Bounds = b
-	for _, g := range k.services {
-		g.retries.Ratio, g.retries.Slack = b.Retry.Ratio, b.Retry.Slack
+	for _, svc := range k.services {
+		svc.retries.Ratio, svc.retries.Slack = b.Retry.Ratio, b.Retry.Slack
 	}
 }
 
@@ -215,8 +215,8 @@
 	k.lowestPriority = lowestPriorities(t)
 	k.setPinnedTarget(t)
 	k.splitter.Forget(t)
-	for _, g := range k.services {
-		g.pruneWork(t)
+	for _, svc := range k.services {
+		svc.pruneWork(t)
 	}
 	k.config.Observe(Event{Kind: EventConfigurationInForce, Version: t.Version})
 	return true
--- a/internal/kernel/steering/learn.go
+++ b/internal/kernel/steering/learn.go
@@ -5,22 +5,22 @@
 )
 
 // learnFromAttempt takes in what an attempt tells of the server.
-func (k *Kernel) learnFromAttempt(now time.Time, f *ActiveRequest, s *server, a Attempt, took time.Duration) {
+func (k *Kernel) learnFromAttempt(now time.Time, req *ActiveRequest, s *server, a Attempt, took time.Duration) {
 	s.rtt.observe(a.RoundTrip)
-	k.recordBackpressure(now, f, s, a)
+	k.recordBackpressure(now, req, s, a)
 	if a.Loaded {
 		s.recordLoad(now, a.Running, a.Waiting)
-		k.recordQueue(now, f, s, float64(a.Waiting))
+		k.recordQueue(now, req, s, float64(a.Waiting))
 	}
-	g := k.service(s.Service)
-	k.detectSlowdown(now, f, s, g, a, took)
+	svc := k.service(s.Service)
+	k.detectSlowdown(now, req, s, svc, a, took)
 	outs := s.ejections
 	switch a.Result {
 	case ResultAnswered:
 		s.answeredAt = now
-		k.learnWork(now, f, s, g, took)
+		k.learnWork(now, req, s, svc, took)
 		if !a.Loaded {
-			k.inferQueue(now, f, s, took-s.rtt.roundTrip)
+			k.inferQueue(now, req, s, took-s.rtt.roundTrip)
 		}
 	case ResultRefused:
 		s.recordRefusal(now, a)
@@ -43,19 +43,19 @@
 	}
 }
 
-func (k *Kernel) learnWork(now time.Time, f *ActiveRequest, s *server, g *service, took time.Duration) {
+func (k *Kernel) learnWork(now time.Time, req *ActiveRequest, s *server, svc *service, took time.Duration) {
 	work := took - s.rtt.roundTrip
-	s.recordSuccess(work, f.expected-s.rtt.roundTrip)
+	s.recordSuccess(work, req.expected-s.rtt.roundTrip)
 	// Warm work is the least that was seen, so it needs no correction for slow
 	// servers: queues inflate their speed.
-	if !f.warm {
+	if !req.warm {
 		work = time.Duration(float64(work) / max(1, s.slowdown))
 	}
 	idle := s.load(now) < float64(s.Slots)
-	model := g.workOf(f.Route)
-	if work > 0 && (idle || f.warm && model.exceeds(work)) {
-		model.observe(f.warm, work, f.Route.Target)
+	model := svc.workOf(req.Route)
+	if work > 0 && (idle || req.warm && model.exceeds(work)) {
+		model.observe(req.warm, work, req.Route.Target)
 	}
-	s.recordObject(f.Object, now)
-	g.markWarm(now, s, f.Object)
+	s.recordObject(req.Object, now)
+	svc.markWarm(now, s, req.Object)
 }
--- a/internal/kernel/steering/limits.go
+++ b/internal/kernel/steering/limits.go
@@ -92,28 +92,28 @@
 }
 
 // checkQuota decides whether a request is within its account's limit, or whom to ask.
-func (k *Kernel) checkQuota(now time.Time, f *ActiveRequest) Decision {
-	if f.Account == nil {
-		return k.dispatch(now, f)
+func (k *Kernel) checkQuota(now time.Time, req *ActiveRequest) Decision {
+	if req.Account == nil {
+		return k.dispatch(now, req)
 	}
-	ruling := k.quotas.limiter.Take(now, f.Account.Name)
+	ruling := k.quotas.limiter.Take(now, req.Account.Name)
 	if ruling.Verdict == ratelimit.AskPool && ruling.Pool == k.config.Name {
-		ruling = k.quotas.limiter.Asked(now, f.Account.Name, ruling, k.quotas.pool.Take(now, f.Account.Name), true)
+		ruling = k.quotas.limiter.Asked(now, req.Account.Name, ruling, k.quotas.pool.Take(now, req.Account.Name), true)
 	}
-	return k.applyQuotaRuling(now, f, ruling)
+	return k.applyQuotaRuling(now, req, ruling)
 }
 
 // applyQuotaRuling goes on with a request that is within its limit, has a pool asked, or refuses it.
-func (k *Kernel) applyQuotaRuling(now time.Time, f *ActiveRequest, r ratelimit.Ruling) Decision {
+func (k *Kernel) applyQuotaRuling(now time.Time, req *ActiveRequest, r ratelimit.Ruling) Decision {
 	switch r.Verdict {
 	case ratelimit.Admitted:
-		return k.dispatch(now, f)
+		return k.dispatch(now, req)
 	case ratelimit.AskPool:
-		f.quotaRuling = r
+		req.quotaRuling = r
 		return Decision{QuotaPool: r.Pool}
 	}
 	d := Decision{Reason: ReasonRateLimit, NotRun: true, RetryAfter: k.retryAfterQuota(r.Wait), TryOtherProxy: r.Elsewhere}
-	return k.finish(now, f, d)
+	return k.finish(now, req, d)
 }
 
 // retryAfterQuota is when a caller may come back for whom there is no token before a wait,
@@ -125,11 +125,11 @@
 
 // ApplyPoolToken takes in the pool's answer for a request that it was asked about, if there was
 // one, and decides what follows.
-func (k *Kernel) ApplyPoolToken(now time.Time, f *ActiveRequest, t ratelimit.Token, answered bool) Decision {
-	d := k.applyQuotaRuling(now, f, k.quotas.limiter.Asked(now, f.Account.Name, f.quotaRuling, t, answered))
+func (k *Kernel) ApplyPoolToken(now time.Time, req *ActiveRequest, t ratelimit.Token, answered bool) Decision {
+	d := k.applyQuotaRuling(now, req, k.quotas.limiter.Asked(now, req.Account.Name, req.quotaRuling, t, answered))
 	if k.config.Record != nil {
 		v := recordedDecisionOf(d)
-		k.config.Record(Call{Method: callPoolToken, At: now, RequestNumber: f.seq, Token: &t, Flag: answered, Decision: &v})
+		k.config.Record(Call{Method: callPoolToken, At: now, RequestNumber: req.seq, Token: &t, Flag: answered, Decision: &v})
 	}
 	return d
 }
--- a/internal/kernel/steering/mechanism_test.go
+++ b/internal/kernel/steering/mechanism_test.go
@@ -39,14 +39,14 @@
 		south := 0
 		var flights []*ActiveRequest
 		for range inFlight {
-			f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o"})
+			req, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o"})
 			if d.Server != nil && d.Server.ID == "s" {
 				south++
 			}
-			flights = append(flights, f)
+			flights = append(flights, req)
 		}
-		for _, f := range flights {
-			k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
+		for _, req := range flights {
+			k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
 		}
 		return float64(south) / float64(inFlight)
 	}
--- a/internal/kernel/steering/placer.go
+++ b/internal/kernel/steering/placer.go
@@ -40,9 +40,9 @@
 	registerPlacer(placer{name: "round-robin", cost: func(_ *Kernel, _ *ActiveRequest, p choice) time.Duration {
 		return time.Duration(p.server.sentCount)
 	}})
-	registerPlacer(placer{name: "rendezvous", cost: func(_ *Kernel, f *ActiveRequest, p choice) time.Duration {
+	registerPlacer(placer{name: "rendezvous", cost: func(_ *Kernel, req *ActiveRequest, p choice) time.Duration {
 		hash := fnv.New32a()
-		_, _ = hash.Write([]byte(p.server.id + "/" + f.Object))
+		_, _ = hash.Write([]byte(p.server.id + "/" + req.Object))
 		return time.Duration(hash.Sum32())
 	}})
 }
--- a/internal/kernel/steering/quarantine.go
+++ b/internal/kernel/steering/quarantine.go
@@ -22,18 +22,18 @@
 // checkQuarantine says whether the request's work may run now; a reason is given if not. Work that
 // has been there at the ends of servers runs once at a time, and not again by ourselves:
 // each run may cost one more server and all that it has.
-func (k *Kernel) checkQuarantine(now time.Time, f *ActiveRequest) Reason {
-	f.workSuspected = false
-	if f.Work.None() || !k.isEnabled(MechanismQuarantine) {
+func (k *Kernel) checkQuarantine(now time.Time, req *ActiveRequest) Reason {
+	req.workSuspected = false
+	if req.Work.None() || !k.isEnabled(MechanismQuarantine) {
 		return ReasonNone
 	}
-	ruling, left := k.quarantine.Rule(now, f.Work)
-	f.workSuspected = ruling != quarantine.Clear
+	ruling, left := k.quarantine.Rule(now, req.Work)
+	req.workSuspected = ruling != quarantine.Clear
 	switch {
 	case ruling == quarantine.Condemned:
-		f.quarantinedFor = min(left, quarantine.AwayMost)
+		req.quarantinedFor = min(left, quarantine.AwayMost)
 		return ReasonCrashesServers
-	case ruling == quarantine.Busy, ruling == quarantine.Suspected && f.connectionsLost > 0:
+	case ruling == quarantine.Busy, ruling == quarantine.Suspected && req.connectionsLost > 0:
 		return ReasonMayCrashServers
 	}
 	return ReasonNone
@@ -51,17 +51,17 @@
 
 // chooseLeastLoaded picks the server with the least to lose for suspected work: of those that
 // may take it, the one that runs the fewest, near ones first.
-func (k *Kernel) chooseLeastLoaded(now time.Time, f *ActiveRequest, g *service) (*server, choice) {
+func (k *Kernel) chooseLeastLoaded(now time.Time, req *ActiveRequest, svc *service) (*server, choice) {
 	best := choice{reason: ReasonNoServer}
-	f.workEstimate = g.workOf(f.Route)
+	req.workEstimate = svc.workOf(req.Route)
 	least := 0.0
-	for _, s := range g.eligible {
-		if !k.mayUse(now, f, s) {
+	for _, s := range svc.eligible {
+		if !k.mayUse(now, req, s) {
 			continue
 		}
-		load := s.load(now) + float64(s.rtt.roundTrip)/float64(max(f.Route.Target, time.Millisecond))
+		load := s.load(now) + float64(s.rtt.roundTrip)/float64(max(req.Route.Target, time.Millisecond))
 		if s.isCold(now) {
-			if !k.coldRoom(now, g, s) {
+			if !k.coldRoom(now, svc, s) {
 				continue
 			}
 			// After the servers of a service have ended all are cold, and work that
@@ -72,7 +72,7 @@
 			continue
 		}
 		least = load
-		best = k.estimate(now, f, s, nil)
+		best = k.estimate(now, req, s, nil)
 	}
 	if best.server != nil && best.server.isCold(now) {
 		best.server.coldRate.Take(now)
@@ -82,22 +82,22 @@
 
 // recordCrashEvidence takes in what an attempt tells of whether its server has ended, and what of
 // the request's work.
-func (k *Kernel) recordCrashEvidence(now time.Time, f *ActiveRequest, s *server, a Attempt) {
+func (k *Kernel) recordCrashEvidence(now time.Time, req *ActiveRequest, s *server, a Attempt) {
 	q := k.quarantine
-	q.Stopped(f.Work)
+	q.Stopped(req.Work)
 	switch a.Result {
 	case ResultAnswered, ResultServerError, ResultRefused:
-		q.Answered(s.startID, f.sentAt)
+		q.Answered(s.startID, req.sentAt)
 		if a.Result == ResultAnswered && !a.Rejected {
 			// A server that fails or rejects a request may not have come to what
 			// ends it.
-			q.RanWell(now, f.Work)
+			q.RanWell(now, req.Work)
 		}
 	case ResultConnectionLost:
-		f.connectionsLost++
+		req.connectionsLost++
 		if s.isEligible() && s.absentUntil.IsZero() {
 			// A server that leaves as planned may cut what it still has.
-			q.Broke(now, f.Work, s.startID)
+			q.Broke(now, req.Work, s.startID)
 		}
 	case ResultWrongServer:
 		q.HasEnded(now, s.startID)
--- a/internal/kernel/steering/replay.go
+++ b/internal/kernel/steering/replay.go
@@ -184,27 +184,27 @@
 
 // replayRequest replays a call that decides on a request.
 func (r *replayer) replayRequest(c Call) error {
-	var f *ActiveRequest
+	var req *ActiveRequest
 	var d Decision
 	if c.Method == callBegin {
 		r.observeCandidates(c, c.Request.ID, 1)
-		f, d = r.kernel.BeginRequest(c.At, *c.Request)
-		r.requests[c.RequestNumber] = f
+		req, d = r.kernel.BeginRequest(c.At, *c.Request)
+		r.requests[c.RequestNumber] = req
 	} else {
-		if f = r.requests[c.RequestNumber]; f == nil {
+		if req = r.requests[c.RequestNumber]; req == nil {
 			return errUnknownRequest
 		}
-		r.observeCandidates(c, f.ID, (len(f.steps)+1)/2+1)
+		r.observeCandidates(c, req.ID, (len(req.steps)+1)/2+1)
 		switch c.Method {
 		case callSlotReply:
-			d = r.kernel.HandleSlotReply(c.At, f, *c.SlotReply, c.Flag)
+			d = r.kernel.HandleSlotReply(c.At, req, *c.SlotReply, c.Flag)
 		case callPoolToken:
-			d = r.kernel.ApplyPoolToken(c.At, f, *c.Token, c.Flag)
+			d = r.kernel.ApplyPoolToken(c.At, req, *c.Token, c.Flag)
 		default:
-			d = r.kernel.EndAttempt(c.At, f, *c.Attempt)
+			d = r.kernel.EndAttempt(c.At, req, *c.Attempt)
 		}
 	}
-	r.compare(c, f, recordedDecisionOf(d))
+	r.compare(c, req, recordedDecisionOf(d))
 	return nil
 }
 
@@ -219,7 +219,7 @@
 	}
 }
 
-func (r *replayer) compare(c Call, f *ActiveRequest, now RecordedDecision) {
+func (r *replayer) compare(c Call, req *ActiveRequest, now RecordedDecision) {
 	r.result.Decisions++
 	if now.Server != "" {
 		for i := range r.result.Candidates {
@@ -234,24 +234,24 @@
 	r.result.DifferenceCount++
 	if len(r.result.Differences) < maxDifferences {
 		r.result.Differences = append(r.result.Differences, Difference{
-			Call: r.result.Calls, At: c.At, Request: f.ID, Recorded: *c.Decision, Now: now,
+			Call: r.result.Calls, At: c.At, Request: req.ID, Recorded: *c.Decision, Now: now,
 		})
 	}
-	r.moveToRecorded(f, c.Decision.Server)
+	r.moveToRecorded(req, c.Decision.Server)
 }
 
 // moveToRecorded puts a request at the server where it was recorded, so that what is
 // recorded of its attempt applies to the server that it was sent to.
-func (r *replayer) moveToRecorded(f *ActiveRequest, id string) {
-	if f.server != nil && f.server.id != id && f.server.inFlight > 0 {
-		f.server.inFlight--
+func (r *replayer) moveToRecorded(req *ActiveRequest, id string) {
+	if req.server != nil && req.server.id != id && req.server.inFlight > 0 {
+		req.server.inFlight--
 	}
 	s := r.kernel.servers[id]
 	if s == nil {
 		s = &server{id: id, slowdown: 1, rtt: &rttEstimate{}}
 	}
-	if s != f.server {
+	if s != req.server {
 		s.inFlight++
 	}
-	f.server = s
+	req.server = s
 }
--- a/internal/kernel/steering/replicas.go
+++ b/internal/kernel/steering/replicas.go
@@ -11,15 +11,15 @@
 // replicas stand in the home's region, so that the regions keep their parts of the
 // requests. Proxies may differ in how many there are: the first ones are the same for
 // all.
-func (k *Kernel) withReplica(f *ActiveRequest, g *service, homes []string) []string {
+func (k *Kernel) withReplica(req *ActiveRequest, svc *service, homes []string) []string {
 	if len(homes) == 0 || !k.isEnabled(MechanismReplicas) {
 		return homes
 	}
-	home := g.registered[homes[0]]
+	home := svc.registered[homes[0]]
 	if home == nil {
 		return homes
 	}
-	n := k.replicasNeeded(f, g, home.Slots)
+	n := k.replicasNeeded(req, svc, home.Slots)
 	if n < 2 {
 		return homes
 	}
@@ -29,12 +29,12 @@
 	}
 	// The nearest of the home's class are the same at all proxies; the home itself is
 	// mostly one of them.
-	nearest := slices.DeleteFunc(g.ranking.Nearest(home.class(), f.Object), func(id string) bool { return id == home.id })
+	nearest := slices.DeleteFunc(svc.ranking.Nearest(home.class(), req.Object), func(id string) bool { return id == home.id })
 	if i > len(nearest) {
 		return homes
 	}
 	chosen := nearest[i-1]
-	if g.registered[chosen].ejections > 0 {
+	if svc.registered[chosen].ejections > 0 {
 		// Its home is sound: the request must not be taken for one whose home is lost.
 		return homes
 	}
@@ -49,7 +49,7 @@
 
 // replicasNeeded is how many servers the object of a request needs, its home
 // included. This proxy takes the others of its region to see as much as it does.
-func (k *Kernel) replicasNeeded(f *ActiveRequest, g *service, slots int) int {
-	rate := g.demand.Least(f.startedAt, f.Object) * float64(max(1, k.sharersInRegion))
-	return placing.Replicas(rate, g.workOf(f.Route).typical(f.Route), slots)
+func (k *Kernel) replicasNeeded(req *ActiveRequest, svc *service, slots int) int {
+	rate := svc.demand.Least(req.startedAt, req.Object) * float64(max(1, k.sharersInRegion))
+	return placing.Replicas(rate, svc.workOf(req.Route).typical(req.Route), slots)
 }
--- a/internal/kernel/steering/servers.go
+++ b/internal/kernel/steering/servers.go
@@ -170,8 +170,8 @@
 			}
 		}
 	}
-	for _, g := range k.services {
-		g.stale = true
+	for _, svc := range k.services {
+		svc.stale = true
 	}
 	k.config.Observe(Event{Kind: EventDomainEvacuated, Domain: domain, Draining: evacuated})
 }
--- a/internal/kernel/steering/service.go
+++ b/internal/kernel/steering/service.go
@@ -42,43 +42,43 @@
 // hears of thousands of servers at once. Other services keep their lists and
 // homes: to deal out the objects of 1,000 servers takes tens of milliseconds.
 func (k *Kernel) eligibleService(name string) *service {
-	g := k.service(name)
-	if g.stale {
-		g.refreshEligible(k.evacuatedDomains)
+	svc := k.service(name)
+	if svc.stale {
+		svc.refreshEligible(k.evacuatedDomains)
 	}
-	return g
+	return svc
 }
 
-func (g *service) addServer(s *server) {
-	g.registered[s.id] = s
-	g.stale = true
+func (svc *service) addServer(s *server) {
+	svc.registered[s.id] = s
+	svc.stale = true
 }
 
-func (g *service) removeServer(s *server) {
-	if g.registered[s.id] != nil {
-		delete(g.registered, s.id)
-		g.stale = true
+func (svc *service) removeServer(s *server) {
+	if svc.registered[s.id] != nil {
+		delete(svc.registered, s.id)
+		svc.stale = true
 	}
 }
 
 // refreshEligible lists the servers that may take requests anew after changes.
-func (g *service) refreshEligible(evacuated map[string]bool) {
-	g.stale = false
-	g.eligible = g.eligible[:0]
-	g.invalidatePlacements()
-	for _, s := range g.registered {
+func (svc *service) refreshEligible(evacuated map[string]bool) {
+	svc.stale = false
+	svc.eligible = svc.eligible[:0]
+	svc.invalidatePlacements()
+	for _, s := range svc.registered {
 		if s.isEligible() && !evacuated[s.Domain] {
-			g.eligible = append(g.eligible, s)
+			svc.eligible = append(svc.eligible, s)
 		}
 	}
-	slices.SortFunc(g.eligible, func(a, b *server) int { return strings.Compare(a.id, b.id) })
-	ranked := make([]placing.Server, 0, len(g.eligible))
-	g.totalSlots = 0
-	for _, s := range g.eligible {
-		g.totalSlots += s.Slots
+	slices.SortFunc(svc.eligible, func(a, b *server) int { return strings.Compare(a.id, b.id) })
+	ranked := make([]placing.Server, 0, len(svc.eligible))
+	svc.totalSlots = 0
+	for _, s := range svc.eligible {
+		svc.totalSlots += s.Slots
 		ranked = append(ranked, placing.Server{ID: s.id, Class: s.class()})
 	}
-	g.ranking.Update(ranked)
+	svc.ranking.Update(ranked)
 }
 
 // class names the servers of a service that take the same share of its objects.
@@ -102,7 +102,7 @@
 }
 
 // invalidatePlacements has the work of the service dealt out anew when next asked for.
-func (g *service) invalidatePlacements() {
-	clear(g.placements)
-	clear(g.regionDraws)
+func (svc *service) invalidatePlacements() {
+	clear(svc.placements)
+	clear(svc.regionDraws)
 }
--- a/internal/kernel/steering/shed.go
+++ b/internal/kernel/steering/shed.go
@@ -16,25 +16,25 @@
 
 // queueRoom is how many requests may wait at a server for the last of them to be
 // answered within the route's target, if the work is warm.
-func (k *Kernel) queueRoom(f *ActiveRequest, g *service, s *server) float64 {
-	work := g.workOf(f.Route).typical(f.Route)
+func (k *Kernel) queueRoom(req *ActiveRequest, svc *service, s *server) float64 {
+	work := svc.workOf(req.Route).typical(req.Route)
 	if work <= 0 {
 		return 0
 	}
-	left := f.Route.Target - s.rtt.roundTrip - work
+	left := req.Route.Target - s.rtt.roundTrip - work
 	return float64(s.usableSlots()) * max(1, float64(left)/float64(work))
 }
 
 // recordQueue takes in how many requests wait at a server: for the server itself, and for
 // all of its service in the region.
-func (k *Kernel) recordQueue(now time.Time, f *ActiveRequest, s *server, waiting float64) {
-	g := k.service(s.Service)
-	p := g.queuePressure[s.region]
+func (k *Kernel) recordQueue(now time.Time, req *ActiveRequest, s *server, waiting float64) {
+	svc := k.service(s.Service)
+	p := svc.queuePressure[s.region]
 	if p == nil {
 		p = &admission.Pressure{}
-		g.queuePressure[s.region] = p
+		svc.queuePressure[s.region] = p
 	}
-	room := k.queueRoom(f, g, s)
+	room := k.queueRoom(req, svc, s)
 	p.Heard(now, waiting, room)
 	s.queuePressure.Heard(now, waiting, room)
 	s.pressureAt = now
@@ -45,26 +45,26 @@
 // alone. Work varies too, so an answer within the target is no sign of overload,
 // and neither is a late one if the work alone takes longer than the target.
 // Answers on a first run are left out: how long these take varies more.
-func (k *Kernel) inferQueue(now time.Time, f *ActiveRequest, s *server, work time.Duration) {
-	if !f.warm && f.Object != "" || work <= 0 || !k.isEnabled(MechanismQueueInference) {
+func (k *Kernel) inferQueue(now time.Time, req *ActiveRequest, s *server, work time.Duration) {
+	if !req.warm && req.Object != "" || work <= 0 || !k.isEnabled(MechanismQueueInference) {
 		return
 	}
-	alone := s.unqueuedWorkOf(f.Route.Name)
-	alone.observe(true, work, f.Route.Target)
+	alone := s.unqueuedWorkOf(req.Route.Name)
+	alone.observe(true, work, req.Route.Target)
 	waiting := max(0, float64(work-alone.warm)/float64(alone.warm)*float64(s.Slots))
-	if waiting >= 1 && f.Object != "" {
+	if waiting >= 1 && req.Object != "" {
 		// Without an object, the choice reckons with others' requests by itself,
 		// and does better without a guess.
 		s.recordLoad(now, s.Slots, int(waiting))
 	}
-	left := f.Route.Target - s.rtt.roundTrip
+	left := req.Route.Target - s.rtt.roundTrip
 	switch {
 	case alone.warm > left:
 		return
 	case work <= left:
-		waiting = min(waiting, admission.ShedFrom*k.queueRoom(f, k.service(s.Service), s))
+		waiting = min(waiting, admission.ShedFrom*k.queueRoom(req, k.service(s.Service), s))
 	}
-	k.recordQueue(now, f, s, waiting)
+	k.recordQueue(now, req, s, waiting)
 }
 
 // shouldShed decides whether a request that has not been sent yet is refused because
@@ -72,8 +72,8 @@
 // its answer would come late, and all those behind it later. Routes that are
 // more urgent than another one of the service are spared until half of all are
 // refused.
-func (k *Kernel) shouldShed(now time.Time, f *ActiveRequest, g *service, s *server) bool {
-	p := g.queuePressure[s.region]
+func (k *Kernel) shouldShed(now time.Time, req *ActiveRequest, svc *service, s *server) bool {
+	p := svc.queuePressure[s.region]
 	if p == nil || !k.placer.shedsLoad || !k.isEnabled(MechanismLoadShedding) {
 		return false
 	}
@@ -82,17 +82,17 @@
 	if now.Sub(s.pressureAt) < loadReportTTL {
 		p = &s.queuePressure
 	}
-	f.queuePressure = p.Level(now)
+	req.queuePressure = p.Level(now)
 	share := p.Shed(now)
-	if f.priority() < k.lowestPriority[g.name] {
+	if req.priority() < k.lowestPriority[svc.name] {
 		share = max(0, 2*share-1)
 	}
 	if share == 0 || k.random.Float64() >= share {
 		return false
 	}
 	if share <= maxShareForSoonRetry {
-		work := s.rtt.roundTrip + g.workOf(f.Route).typical(f.Route)
-		f.maxRetryAfter = max(0, (f.Route.Target-now.Sub(f.startedAt)-work)/2)
+		work := s.rtt.roundTrip + svc.workOf(req.Route).typical(req.Route)
+		req.maxRetryAfter = max(0, (req.Route.Target-now.Sub(req.startedAt)-work)/2)
 	}
 	return true
 }
--- a/internal/kernel/steering/signals.go
+++ b/internal/kernel/steering/signals.go
@@ -13,9 +13,9 @@
 )
 
 // recordBackpressure takes in what an attempt tells of what the server asks of its senders.
-func (k *Kernel) recordBackpressure(now time.Time, f *ActiveRequest, s *server, a Attempt) {
+func (k *Kernel) recordBackpressure(now time.Time, req *ActiveRequest, s *server, a Attempt) {
 	whole := a.Result == ResultAnswered || a.Result == ResultServerError || a.Result == ResultRefused
-	if w := k.backpressure.Heard(now, f.sentAt, s.startID, a.Signal, whole); w != nil {
+	if w := k.backpressure.Heard(now, req.sentAt, s.startID, a.Signal, whole); w != nil {
 		s.backpressure = w
 	}
 }
@@ -47,8 +47,8 @@
 
 // ServerStillAccepts reports whether a request may still go to the server that it was placed at:
 // while a connection was opened, the server may have asked for a pause or begun to leave.
-func (k *Kernel) ServerStillAccepts(now time.Time, f *ActiveRequest) bool {
-	return !f.server.backpressure.Paused(now) && !f.server.backpressure.Leaving()
+func (k *Kernel) ServerStillAccepts(now time.Time, req *ActiveRequest) bool {
+	return !req.server.backpressure.Paused(now) && !req.server.backpressure.Leaving()
 }
 
 // backpressureShare is this proxy's part of the requests that a server takes in a window. One that
@@ -62,9 +62,9 @@
 
 // backpressureWait is how long until a server that might take the request else takes more; false
 // if there is none.
-func (k *Kernel) backpressureWait(now time.Time, f *ActiveRequest, g *service) (wait time.Duration, found bool) {
-	for _, s := range g.eligible {
-		if s.backpressure == nil || !f.isCandidate(now, s) {
+func (k *Kernel) backpressureWait(now time.Time, req *ActiveRequest, svc *service) (wait time.Duration, found bool) {
+	for _, s := range svc.eligible {
+		if s.backpressure == nil || !req.isCandidate(now, s) {
 			continue
 		}
 		at, known := k.serverPermitsAt(now, s)
@@ -80,22 +80,22 @@
 
 // noServerReason tells whether a request finds no server since those that there are have
 // asked for less.
-func (k *Kernel) noServerReason(now time.Time, f *ActiveRequest, g *service, reason Reason) Reason {
+func (k *Kernel) noServerReason(now time.Time, req *ActiveRequest, svc *service, reason Reason) Reason {
 	if reason != ReasonNoServer {
 		return reason
 	}
-	wait, found := k.backpressureWait(now, f, g)
+	wait, found := k.backpressureWait(now, req, svc)
 	if !found {
 		return reason
 	}
-	f.backpressureWait = wait
+	req.backpressureWait = wait
 	return ReasonBackpressure
 }
 
 // retryAfterBackpressure is when a caller may come back that servers would not take, spread so that not
 // all return as the first of them takes more.
-func (k *Kernel) retryAfterBackpressure(f *ActiveRequest) time.Duration {
-	wait := max(minRetryAfter, min(f.backpressureWait, maxBackpressureWait))
+func (k *Kernel) retryAfterBackpressure(req *ActiveRequest) time.Duration {
+	wait := max(minRetryAfter, min(req.backpressureWait, maxBackpressureWait))
 	return wait + time.Duration(k.random.Int64N(int64(min(wait, maxRetryAfter))))
 }
 
--- a/internal/kernel/steering/spill.go
+++ b/internal/kernel/steering/spill.go
@@ -14,15 +14,15 @@
 // servers where it would run cold have queues. Run there, it takes several times the work
 // that it takes at home, so a service that is hardly overloaded does less and less until
 // nearly all its answers come late. Refused callers come back when the home has caught up.
-func (k *Kernel) mustNotSpill(now time.Time, g *service, homes []string, best choice) bool {
+func (k *Kernel) mustNotSpill(now time.Time, svc *service, homes []string, best choice) bool {
 	if best.server == nil || best.warm || len(homes) == 0 {
 		return false
 	}
-	home := g.registered[homes[0]]
+	home := svc.registered[homes[0]]
 	if home == nil || !home.isFull(now) {
 		return false
 	}
-	p := g.queuePressure[best.server.region]
+	p := svc.queuePressure[best.server.region]
 	return p != nil && p.Level(now) > spillMaxPressure
 }
 
--- a/internal/kernel/steering/stranded.go
+++ b/internal/kernel/steering/stranded.go
@@ -48,8 +48,8 @@
 			continue
 		}
 		k.config.Observe(Event{Kind: EventRegionWithoutProxies, At: now, Region: region, CallersElsewhere: s.redirected})
-		for _, g := range k.services {
-			g.invalidatePlacements()
+		for _, svc := range k.services {
+			svc.invalidatePlacements()
 		}
 	}
 }
--- a/internal/kernel/steering/work.go
+++ b/internal/kernel/steering/work.go
@@ -32,20 +32,20 @@
 )
 
 // workOf is the model of a route's work at the service.
-func (g *service) workOf(r *routing.Route) *workEstimate {
-	w := g.workByRoute[r.Name]
+func (svc *service) workOf(r *routing.Route) *workEstimate {
+	w := svc.workByRoute[r.Name]
 	if w == nil {
 		w = &workEstimate{}
-		g.workByRoute[r.Name] = w
+		svc.workByRoute[r.Name] = w
 	}
 	return w
 }
 
 // pruneWork drops the models of routes that the configuration no longer has.
-func (g *service) pruneWork(t *routing.Table) {
-	for name := range g.workByRoute {
+func (svc *service) pruneWork(t *routing.Table) {
+	for name := range svc.workByRoute {
 		if t.Routes[name] == nil {
-			delete(g.workByRoute, name)
+			delete(svc.workByRoute, name)
 		}
 	}
 }
