--- a/internal/kernel/steering/access.go
+++ b/internal/kernel/steering/access.go
@@ -4,8 +4,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/account"
 )
 
-// authorize finds whose request it is, and where it may run: the regions of both its
-// route and its account bind.
+// authorize looks up the client account of a request and the regions in which it may run: those
+// allowed by both its route and its account.
 func (k *Kernel) authorize(req *ActiveRequest) Reason {
 	req.tableVersion, req.HasAccounts = k.table.Version, k.table.Accounts != nil
 	req.Account, req.allowedRegions = nil, k.routeRegions[req.Route.Name]
@@ -28,8 +28,8 @@
 	return ReasonNone
 }
 
-// reauthorize does so before a request is sent, if another configuration has come into
-// force since: its key may have been taken away while it waited.
+// reauthorize repeats authorize before a request is sent if another configuration has become active
+// since. The key may have been revoked while the request waited.
 func (k *Kernel) reauthorize(req *ActiveRequest) Reason {
 	if req.tableVersion == k.table.Version {
 		return ReasonNone
@@ -37,13 +37,13 @@
 	had := req.Account
 	reason := k.authorize(req)
 	if reason == ReasonNone && had != nil && req.Account != nil && had.Name != req.Account.Name {
-		// The request counts for the account that it was admitted for.
+		// The request is charged to the account that it was admitted for.
 		return ReasonNoAccount
 	}
 	return reason
 }
 
-// priority ranks the request, 0 first.
+// priority returns the priority of the request, where 0 is the most urgent.
 func (req *ActiveRequest) priority() int {
 	if req.Account != nil && req.Account.Priority != nil {
 		return *req.Account.Priority
--- a/internal/kernel/steering/ask.go
+++ b/internal/kernel/steering/ask.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// maxSlotRequestShare is the largest part of a route's target that the way to a gate may
-	// take. The request takes the same way again after it.
+	// maxSlotRequestShare is the largest part of a route's target that the round trip for a slot
+	// request may take. The request itself takes the same round trip afterwards.
 	maxSlotRequestShare = 0.2
-	// unresponsiveOwnerPause is how long the owner of a gate that did not answer is not asked.
+	// unresponsiveOwnerPause is how long the owner of a limiter that did not reply is not asked
+	// again.
 	unresponsiveOwnerPause = time.Second
 )
 
 type (
-	// SlotRequest is the question for a place at a server, to the proxy that owns the gate
-	// before it.
+	// SlotRequest asks the proxy that owns a server's limiter for a slot at the server.
 	SlotRequest struct {
 		Owner  Proxy
 		Server string
-		// Limit is what the asking proxy has heard.
+		// Limit is the concurrency limit known to the requesting proxy.
 		Limit admission.Limit
-		// Work is how long such requests take there at least, zero if not known.
+		// Work is the minimum duration of such requests at the server, or zero if it is unknown.
 		Work time.Duration
 		admission.Ticket
 	}
 
-	// SlotReply is what the owner says at once.
+	// SlotReply is the owner's immediate reply to a SlotRequest.
 	SlotReply struct {
 		admission.Grant
-		// Running and Waiting are the server's load as its gate knows it.
+		// Running and Waiting are the load of the server as seen by its limiter.
 		Running, Waiting int
-		// Limit is how many may run there at once, as the owner has learned it.
+		// Limit is the concurrency limit of the server as learned by the owner.
 		Limit admission.Limit
-		// Unknown is set if the owner does not know the server: ask nobody.
+		// Unknown is set if the owner does not know the server. The request then needs no slot.
 		Unknown bool
-		// Whole is set if the servers may use all their slots so far, Sound if they
-		// are known not to slow down.
+		// Whole is set if the servers may use all their slots at present. Sound is set if they are
+		// known not to slow down when all slots are in use.
 		Whole, Sound bool
 	}
 
-	// SlotRelease gives a place back, with how long the work took as a part of the route's
-	// target; zero if that is not known.
+	// SlotRelease returns a slot. Ratio is the duration of the request relative to the route's
+	// target, or zero if it is unknown.
 	SlotRelease struct {
 		Owner  Proxy
 		Server string
@@ -56,10 +56,11 @@
 	}
 )
 
-// newSlotRequest decides whether the request needs a place at the server's gate first.
+// newSlotRequest returns the slot request that must precede the request, or nil if none is needed.
 func (k *Kernel) newSlotRequest(now time.Time, req *ActiveRequest, svc *service, s *server, p choice) *SlotRequest {
 	if !k.isLimited(now, svc) || now.Before(s.skipOwnerUntil) || s.isCold(now) {
-		// A cold server is sent what it bears in a second within that second.
+		// A cold server gets the requests that its rate allows within the same second, without a
+		// wait for slots.
 		return nil
 	}
 	owner, found := k.limiterOwner(s)
@@ -68,9 +69,9 @@
 		return nil
 	}
 	work := p.expected - p.untilStart
-	// Nothing is denied by a guess: the work of a route that was not seen yet is its
-	// target, and refusing by that would keep routes with short time-outs out of
-	// service for good.
+	// Requests are denied only on measured durations. For a route without measurements the estimate
+	// is its target, and denying on that basis would keep routes with short timeouts from ever
+	// being served.
 	least := svc.workOf(req.Route).warm
 	return &SlotRequest{
 		Owner: owner, Server: s.id, Limit: svc.concurrency.learnedLimits[s.Slots], Work: least,
@@ -81,9 +82,9 @@
 	}
 }
 
-// limiterOwner is the proxy whose gate stands before a server, the same for all that
-// know the same proxies: one of the server's failure domain if there is one, else of
-// its region, by a hash.
+// limiterOwner returns the proxy that owns the limiter of a server. All proxies that know the same
+// proxies agree on it: it is chosen by hash from the proxies of the server's failure domain, or of
+// its region if the domain has none.
 func (k *Kernel) limiterOwner(s *server) (Proxy, bool) {
 	best, found := Proxy{}, false
 	rank := func(p Proxy) (int, uint64) { return proximity(p, s), xxhash.Sum64String(p.Name + "/" + s.id) }
@@ -100,9 +101,9 @@
 	return best, found
 }
 
-// HandleSlotReply takes in what became of the question for a place, and decides what follows.
-// Without an answer the request is sent as it would have been without a gate: a
-// proxy that owns gates may be gone or cut off, and callers must not wait for it.
+// HandleSlotReply handles the reply to a slot request, or its absence, and returns the next step.
+// Without a reply the request is sent as if there were no limiter: the owner may be gone or
+// partitioned, and callers must not wait for it.
 func (k *Kernel) HandleSlotReply(now time.Time, req *ActiveRequest, r SlotReply, answered bool) Decision {
 	d := k.handleSlotReply(now, req, r, answered)
 	if k.config.Record != nil {
@@ -121,7 +122,7 @@
 		k.learnFromSlotReply(now, req, s, svc, r)
 	}
 	if answered && r.Verdict == admission.Denied || now.After(req.slotRequest.Last) {
-		// The place, if there is one, is given back: the owner's answer may be lost.
+		// Any slot is released, since the owner's grant may have been lost.
 		release := req.takeSlotRelease(0)
 		s.inFlight--
 		k.quarantine.Stopped(req.Work)
@@ -134,7 +135,7 @@
 		return d
 	}
 	if reason := k.reauthorize(req); reason != ReasonNone {
-		// Its key was taken away while the request waited.
+		// The key of the account was revoked while the request waited.
 		release := req.takeSlotRelease(0)
 		s.inFlight--
 		k.quarantine.Stopped(req.Work)
@@ -143,7 +144,7 @@
 		return d
 	}
 	if !s.isEligible() || k.evacuatedDomains[s.Domain] || s.isCold(now) || !req.allowedRegions.has(s.regionBit) || !k.ServerStillAccepts(now, req) {
-		// The server has begun to leave, to pause or to be cold while the request waited.
+		// The server started to drain, was paused or became cold while the request waited.
 		release := req.takeSlotRelease(0)
 		s.inFlight--
 		k.quarantine.Stopped(req.Work)
@@ -160,8 +161,8 @@
 	return Decision{Server: k.newTarget(svc, s)}
 }
 
-// learnFromSlotReply takes in what a gate tells of its server. It knows all that runs and
-// waits there, so its word is a report of the server's load.
+// learnFromSlotReply records what a limiter reports about its server. The limiter knows all
+// requests that run and wait there, so its figures count as a load report of the server.
 func (k *Kernel) learnFromSlotReply(now time.Time, req *ActiveRequest, s *server, svc *service, r SlotReply) {
 	s.recordLoad(now, r.Running, r.Waiting)
 	k.recordQueue(now, req, s, float64(r.Waiting))
@@ -176,7 +177,8 @@
 	}
 }
 
-// takeSlotRelease is the word to the owner of the gate that the request's place is free.
+// takeSlotRelease returns the release of the request's slot and clears the slot, or returns nil if
+// the request holds none.
 func (req *ActiveRequest) takeSlotRelease(ratio float64) *SlotRelease {
 	if req.slotRequest == nil {
 		return nil
--- a/internal/kernel/steering/bound.go
+++ b/internal/kernel/steering/bound.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// pinnedStep is how far a region's part of bound requests moves at most within
-	// pinnedInterval: objects of other requests move with it, and operators allow a region's
-	// callers so much within that time.
+	// pinnedStep is the largest change of a region's pinned share within pinnedInterval. Objects of
+	// other requests move along with it, and the operators permit at most this shift of a region's
+	// callers within that time.
 	pinnedStep     = 0.01
 	pinnedInterval = 2 * time.Second
 )
 
 type (
-	// pinnedShares are the parts of all requests that must run in one region each, because their
-	// accounts are bound to it. What is not bound must leave them room. They follow from
-	// the configuration, so that all proxies come to the same homes.
+	// pinnedShares are, for each region, the share of all requests that must run there because
+	// their accounts are restricted to it. Requests that are not restricted must leave room for
+	// them. The shares follow from the configuration alone, so that all proxies compute the same
+	// homes.
 	pinnedShares struct {
 		current, target map[string]float64
 		movedAt         time.Time
 	}
 )
 
-// pinnedSharesOf estimates each region's part of the requests by the accounts' limits: what an
-// account may send is the best that a proxy can know before it has sent it. An account
-// without a limit counts as the mean of the others.
+// pinnedSharesOf estimates the pinned share of each region from the rate limits of the accounts,
+// which is the best estimate available before an account has sent requests. An account without a
+// limit counts as the mean of the others.
 func (k *Kernel) pinnedSharesOf(t *routing.Table) map[string]float64 {
 	all, limited := 0.0, 0
 	accounts := t.Accounts.All()
@@ -55,8 +56,8 @@
 	return parts
 }
 
-// setPinnedTarget takes in a configuration. The first one holds at once: nothing lives anywhere
-// yet.
+// setPinnedTarget takes the target shares from a configuration. Those of the first configuration
+// apply immediately, because no objects have been placed yet.
 func (k *Kernel) setPinnedTarget(t *routing.Table) {
 	k.pinnedShares.target = k.pinnedSharesOf(t)
 	if k.pinnedShares.current == nil {
@@ -64,7 +65,7 @@
 	}
 }
 
-// movePinnedShares brings the parts in force closer to those of the configuration.
+// movePinnedShares moves the current shares towards the target shares.
 func (k *Kernel) movePinnedShares(now time.Time) {
 	b := &k.pinnedShares
 	if now.Sub(b.movedAt) < pinnedInterval {
--- a/internal/kernel/steering/call.go
+++ b/internal/kernel/steering/call.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// The calls that change what a kernel knows or decide on a request.
+	// Names of the recorded calls: those that change the state of a kernel or decide on a request.
 	callStart                 = "start"
 	callBounds                = "bounds"
 	callTable                 = "table"
@@ -48,9 +48,9 @@
 )
 
 type (
-	// Call is one call of a kernel with all that it was given and, if it decided
-	// on a request, what it decided. A kernel reads no clock and draws from its
-	// own seed, so the same calls lead to the same decisions.
+	// Call records one call of a kernel with its arguments and, if it decided on a request, the
+	// decision. A kernel reads no clock and uses its own random seed, so the same calls lead to the
+	// same decisions.
 	Call struct {
 		Method        string            `json:"do"`
 		At            time.Time         `json:"at,omitzero"`
@@ -72,11 +72,12 @@
 		SlotRequest   *SlotRequest      `json:"ask,omitempty"`
 		SlotReply     *SlotReply        `json:"reply,omitempty"`
 		SlotRelease   *SlotRelease      `json:"release,omitempty"`
-		// QuarantineReports are what a peer knows of work that ends servers.
+		// QuarantineReports are a peer's reports on request fingerprints that crash servers.
 		QuarantineReports []quarantine.Report `json:"suspicions,omitempty"`
-		// BackpressureReports are what a peer knows of what servers ask.
+		// BackpressureReports are a peer's reports on the backpressure of servers.
 		BackpressureReports []backpressure.Report `json:"signals,omitempty"`
-		// Accounts are those of a table. What follows is of their limits.
+		// Accounts are the client accounts of a table. The fields that follow belong to calls about
+		// their limits.
 		Accounts   []*account.Account `json:"accounts,omitempty"`
 		ReportedAt time.Time          `json:"asked,omitzero"`
 		Report     *ratelimit.Report  `json:"report,omitempty"`
@@ -86,7 +87,7 @@
 		IDs        []string           `json:"ids,omitempty"`
 	}
 
-	// RecordedDecision is a decision as it is recorded.
+	// RecordedDecision is a decision in its recorded form.
 	RecordedDecision struct {
 		Server         string        `json:"server,omitempty"`
 		ReturnResponse bool          `json:"answer,omitempty"`
@@ -97,7 +98,7 @@
 	}
 )
 
-// record tells of a call, if anybody wants to know.
+// record passes a call to Config.Record if it is set.
 func (k *Kernel) record(c Call) {
 	if k.config.Record != nil {
 		k.config.Record(c)
--- a/internal/kernel/steering/cause.go
+++ b/internal/kernel/steering/cause.go
@@ -5,39 +5,37 @@
 )
 
 const (
-	// CauseNone goes with an answer within the target.
+	// CauseNone goes with a response within the target.
 	CauseNone Cause = ""
-	// CauseFailedAttempts says that most of the time went to attempts that failed.
+	// CauseFailedAttempts means that most of the time was spent on failed attempts.
 	CauseFailedAttempts Cause = "failed-attempts"
-	// CauseColdServer says that the server had just started.
+	// CauseColdServer means that the server had just started.
 	CauseColdServer Cause = "cold-server"
-	// CauseSlowServer says that the answer took far longer than reckoned.
+	// CauseSlowServer means that the response took much longer than expected.
 	CauseSlowServer Cause = "slow-server"
-	// CauseQueue says that most of the time was reckoned to pass in the server's
-	// queue.
+	// CauseQueue means that most of the expected time was a wait in the server's queue.
 	CauseQueue Cause = "queue"
-	// CauseFirstRun says that the server did not know the object.
+	// CauseFirstRun means that the server was not warm for the object.
 	CauseFirstRun Cause = "first-run"
-	// CauseWork says that nothing but the work itself took the time.
+	// CauseWork means that the time was spent on the work itself.
 	CauseWork Cause = "work"
 )
 
 const (
-	// slowServerFactor is how many times the time reckoned an answer must have taken for
-	// its server to be called slow. Work varies by a third on its own, and a queue
-	// that was not known of yet by half.
+	// slowServerFactor is the factor by which a response must exceed its expected time for the
+	// server to be reported as slow. The duration of the work alone varies by a third, and an
+	// unknown queue adds up to a half.
 	slowServerFactor = 2
 )
 
 type (
-	// Cause says where most of the time of a late request went, for operators.
-	// Nothing is decided by it.
+	// Cause tells operators where most of the time of a late request was spent. No decision depends
+	// on it.
 	Cause string
 )
 
-// latencyCause finds why a request that ends now is late: not answered within the
-// target, or given up on at its time-out. The server's state is that at the last
-// send.
+// latencyCause returns why a request that ends now is late, that is, it exceeded the target or
+// timed out. The server state is the one at the last send.
 func (req *ActiveRequest) latencyCause(now time.Time) (cause Cause, state ServerState) {
 	var sent Event
 	for _, e := range req.steps {
--- a/internal/kernel/steering/choose.go
+++ b/internal/kernel/steering/choose.go
@@ -9,67 +9,70 @@
 )
 
 const (
-	// maxRemoteRTTShare is the largest part of a route's target that a round trip to
-	// another region may take for objects of this region to live there. Half
-	// leaves as much for the work.
+	// maxRemoteRTTShare is the largest part of a route's target that the round trip to another
+	// region may take if objects of this region are to be placed there. A half leaves the other
+	// half for running the request.
 	maxRemoteRTTShare = 0.5
-	// coldRunPenalty is charged for work on a server that does not know the
-	// object, as a part of that work and for each rank away from home: it takes
-	// the slots of others.
+	// coldRunPenalty is the extra cost of a cold run, as a multiple of its duration, for each rank
+	// that the server is away from the first home. A cold run occupies slots that other requests
+	// need.
 	coldRunPenalty = 6.0
-	// unreportedWaitShare is the part of their work for which a request without an object is
-	// taken to wait for others that nobody has told of, as many of each proxy of the
-	// region as of this one. Reports are behind by some requests, and all proxies see
-	// the same idle server.
+	// unreportedWaitShare estimates, for a request without an object, the wait behind requests that
+	// no load report covers yet: this part of their work, assuming that each proxy of the region
+	// has as many requests there as this one. Load reports lag by some requests, and all proxies
+	// see the same idle server.
 	unreportedWaitShare = 0.5
-	// busyTargets is for how many times a route's target a server without an answer may
-	// be busy. Work that the target allows for takes longer on a first run.
+	// busyTargets is how long, as a multiple of the route's target, a server that has not responded
+	// may still be considered busy rather than hung. Requests that meet the target on a warm server
+	// take longer on a cold run.
 	busyTargets = 2
-	// objectlessLoadFactor takes the place of placing.RoomShare for requests without an
-	// object: nothing runs cold in another region, so each gets what its slots are.
+	// objectlessLoadFactor replaces placing.RoomShare for requests without an object. They do not
+	// run colder in another region, so each region gets a share in proportion to its slots.
 	objectlessLoadFactor = 1.0
-	// otherRegionPenalty is charged a request without an object for a region that was not
-	// drawn for it: more than any wait, so that it goes there only if no server of
-	// its own region may take it.
+	// otherRegionPenalty is the extra cost for a request without an object in a region that was not
+	// drawn for it. It exceeds any wait, so that the request leaves the drawn region only if no
+	// server there can take it.
 	otherRegionPenalty = time.Hour
-	// coldWorkFactor is how many times as long work is taken to last on a server that has
-	// just started. Servers don't tell; too much only spares those that warm up.
+	// coldWorkFactor is the assumed factor by which requests take longer on a server that has just
+	// started. Servers don't report it. A value that is too high only spares servers that are
+	// warming up.
 	coldWorkFactor = 2
-	// objectMemory is how long an answer's object is taken to be remembered.
+	// objectMemory is how long a server is assumed to stay warm for an object after a response.
 	objectMemory = 10 * time.Second
-	// maxObjectsPerServer bounds the objects noted for each server.
+	// maxObjectsPerServer limits the objects recorded for each server.
 	maxObjectsPerServer = 64
-	// warmServersSweepSize is from how many objects on those are swept that no server knows.
+	// warmServersSweepSize is the number of recorded objects above which objects without a warm
+	// server are removed.
 	warmServersSweepSize = 8192
 )
 
 type (
-	// placementScope is how far requests may go: near, in this region only, if a round trip to
-	// another takes too much of the route's target; in the regions allowed, but for one
-	// that is left out.
+	// placementScope is the set of regions in which requests may be placed: only this region if a
+	// round trip to another one takes too much of the route's target, otherwise the allowed regions
+	// without the excluded one.
 	placementScope struct {
 		ownRegionOnly  bool
 		regions        regionSet
 		excludedRegion string
 	}
 
-	// choice is a choice and what it was reckoned to take.
+	// choice is a chosen server with the estimates that it was chosen by.
 	choice struct {
 		server   *server
 		expected time.Duration
-		// untilStart is the part of it until a slot is free: how long the work
-		// takes then is a guess, and not one to refuse a request for.
+		// untilStart is the part of expected until a slot is free. The rest, the duration of the
+		// work, is only an estimate and no basis for refusing a request.
 		untilStart time.Duration
 		cost       time.Duration
 		warm       bool
-		// homeRank is the server's rank among the object's homes.
+		// homeRank is the rank of the server among the object's homes.
 		homeRank int
 		reason   Reason
 	}
 )
 
-// chooseByCost picks the server with the least expected time for the request among
-// all that may take it.
+// chooseByCost chooses the server with the lowest cost for the request, mostly the expected time,
+// among all that can take it.
 func (k *Kernel) chooseByCost(now time.Time, req *ActiveRequest, svc *service) (*server, choice) {
 	homes := k.failover(now, req, svc, k.withReplica(req, svc, k.homes(req, svc)))
 	if req.Object == "" && req.drawnRegion == "" {
@@ -86,7 +89,7 @@
 	return best.server, best
 }
 
-// chooseAmong picks the server with the least expected time among some.
+// chooseAmong chooses the server with the lowest cost among the given ones.
 func (k *Kernel) chooseAmong(now time.Time, req *ActiveRequest, svc *service, homes []string, servers []*server) choice {
 	best := choice{reason: ReasonNoServer}
 	left := req.ExpiresAt.Sub(now)
@@ -121,27 +124,26 @@
 		return choice{reason: ReasonOverload}
 	}
 	if homeFull && !best.warm {
-		// This proxy has all its connections to the object's home in use, and the
-		// home has answered lately, so it does not hang but is busy. Its requests
-		// would run cold elsewhere and leave the servers with three times the work,
-		// until nearly all requests of the service come late. Refused callers come
-		// back when the home has caught up.
+		// All connections of this proxy to the object's home are in use, and the home has responded
+		// recently, so it is busy and does not hang. Running the requests cold on other servers
+		// would triple the work there until nearly all requests of the service miss the target.
+		// Refused callers return when the home has caught up.
 		return choice{reason: ReasonOverload}
 	}
 	return best
 }
 
-// mayUse reports whether the request may go to a server now.
+// mayUse reports whether the request may go to the server now.
 func (k *Kernel) mayUse(now time.Time, req *ActiveRequest, s *server) bool {
 	return req.isCandidate(now, s) && k.serverPermits(now, s)
 }
 
-// isCandidate reports whether it may, but for what the server asks of its senders.
+// isCandidate is mayUse without the server's backpressure.
 func (req *ActiveRequest) isCandidate(now time.Time, s *server) bool {
 	return req.allowedRegions.has(s.regionBit) && !slices.Contains(req.triedServers, s) && s.usable(now)
 }
 
-// reportCandidate tells how a server is weighed.
+// reportCandidate reports the estimates for a server to observeCandidate.
 func (k *Kernel) reportCandidate(now time.Time, req *ActiveRequest, s *server, homes []string) {
 	p := k.estimate(now, req, s, homes)
 	k.observeCandidate(Candidate{
@@ -150,7 +152,7 @@
 	})
 }
 
-// homes lists the servers on which the request's object lives, best first.
+// homes lists the home servers of the request's object, best first.
 func (k *Kernel) homes(req *ActiveRequest, svc *service) []string {
 	if req.Object == "" {
 		return nil
@@ -164,7 +166,7 @@
 	return h.Of(req.Object)
 }
 
-// newPlacement deals the objects of this region's callers out.
+// newPlacement assigns the objects of this region's callers to servers.
 func (k *Kernel) newPlacement(req *ActiveRequest, svc *service, r placementScope) *placing.Homes {
 	candidates, weights := k.regionWeights(req, svc, r)
 	list := make([]placing.Server, 0, len(candidates))
@@ -176,8 +178,8 @@
 	return placing.NewHomes(list, svc.ranking)
 }
 
-// regionWeights lists the servers that this region's callers may use and how much of
-// their work a slot of each region gets.
+// regionWeights lists the servers that callers of this region may use, and the weight of one slot
+// in each region for their requests.
 func (k *Kernel) regionWeights(req *ActiveRequest, svc *service, r placementScope) (candidates []*server, weights map[string]int) {
 	for _, s := range svc.eligible {
 		if req.allowedRegions.has(s.regionBit) && (!r.ownRegionOnly || s.region == k.config.Region) {
@@ -191,10 +193,10 @@
 	return candidates, placing.Spread(k.regionCapacities(req, candidates), k.config.Region, share)
 }
 
-// regionCapacities lists the regions that may serve the route. The callers' shares are
-// taken to follow the failure domains; the truth is not known before traffic
-// begins, and homes that moved with each estimate would be cold. Only a region
-// that has lost all its proxies counts elsewhere.
+// regionCapacities lists the regions that may serve the route. The demand of each region is assumed
+// to be proportional to its number of failure domains. The actual demand is unknown before traffic
+// starts, and homes that moved with each new estimate would be cold. Only the demand of a region
+// that has lost all its proxies is counted in other regions.
 func (k *Kernel) regionCapacities(req *ActiveRequest, candidates []*server) []placing.Room {
 	slots := make(map[string]int)
 	for _, s := range candidates {
@@ -212,7 +214,7 @@
 	return list
 }
 
-// scopeOf says how far the work of a route may go.
+// scopeOf returns the regions in which requests of a route may be placed.
 func (k *Kernel) scopeOf(req *ActiveRequest) placementScope {
 	farthest := time.Duration(0)
 	for domain, d := range k.roundTrips {
@@ -226,7 +228,7 @@
 	return placementScope{regions: req.allowedRegions}
 }
 
-// estimate estimates the time until the answer from one server.
+// estimate estimates the time until the response from one server, and its cost.
 func (k *Kernel) estimate(now time.Time, req *ActiveRequest, s *server, homes []string) choice {
 	warm := s.isWarm(req.Object, now)
 	slow := 1.0
@@ -256,7 +258,7 @@
 	return p
 }
 
-// homeRank is a server's place among an object's homes, from 0 for the first.
+// homeRank returns the rank of a server among an object's homes, starting at 0 for the first.
 func homeRank(homes []string, id string) int {
 	if i := slices.Index(homes, id); i >= 0 {
 		return i
@@ -264,7 +266,7 @@
 	return len(homes)
 }
 
-// isWarm reports whether this proxy saw the server handle the object lately.
+// isWarm reports whether this proxy has recently seen the server handle the object.
 func (s *server) isWarm(object string, now time.Time) bool {
 	at, seen := s.warmObjects[object]
 	return seen && now.Sub(at) < objectMemory
--- a/internal/kernel/steering/cold.go
+++ b/internal/kernel/steering/cold.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// startupGrace is how long a proxy that has started sends nothing to cold
-	// servers. If all lost power for longer than their leases, each that comes
-	// back is alone on the list at first and would take all that a server bears
-	// for its part; the news of the others take up to a second or two.
+	// startupGrace is how long a proxy sends nothing to cold servers after its own start. If all
+	// proxies lose power for longer than their leases, each one that returns is alone on the list
+	// at first and would claim the whole rate of a cold server. The registrations of the others
+	// arrive within a second or two.
 	startupGrace = 2 * time.Second
 )
 
 const (
-	// The farness of a proxy: in a server's failure domain, in its region, or in another.
+	// Proximity of a proxy to a server: in the same failure domain, in the same region, or in
+	// another region.
 	proximityDomain = iota
 	proximityRegion
 	proximityRemote
 )
 
-// coldRoom reports whether this proxy may send a cold server one more request
-// in this second.
+// coldRoom reports whether this proxy may send a cold server one more request in this second.
 func (k *Kernel) coldRoom(now time.Time, svc *service, s *server) bool {
 	if now.Sub(k.config.Joined) < startupGrace {
 		return false
@@ -32,8 +32,8 @@
 	return s.coldRate.Room(now, k.coldShare(svc, s))
 }
 
-// coldShare is this proxy's part of what a cold server bears. The nearest
-// proxies have the first ranks: their requests are the likeliest to go there.
+// coldShare returns this proxy's share of the request rate of a cold server. The nearest proxies
+// have the first ranks, because their requests are the most likely to go there.
 func (k *Kernel) coldShare(svc *service, s *server) int {
 	c := k.table.Services[svc.name]
 	if c == nil {
@@ -43,9 +43,9 @@
 	return rate.Share(k.rankAt(s).Place, len(k.limitSharers))
 }
 
-// rankAt is this proxy's place among all proxies at a server. It is kept for each failure
-// domain: all its servers are as near, and after a failure domain's return each choice asks
-// for hundreds of them.
+// rankAt returns the rank of this proxy among all proxies at a server. It is cached by failure
+// domain: all servers of a domain are equally near, and after a domain returns, each choice needs
+// the rank for hundreds of them.
 func (k *Kernel) rankAt(s *server) backpressure.Rank {
 	if rank, known := k.ranksByDomain[s.Domain]; known {
 		return rank
--- a/internal/kernel/steering/connections.go
+++ b/internal/kernel/steering/connections.go
@@ -1,18 +1,17 @@
 package steering
 
 const (
-	// connectionShare is the part of a server's connections that all proxies use
-	// together: one with a long queue accepts fewer, and what it does not accept
-	// it resets.
+	// connectionShare is the part of a server's connection limit that all proxies use together. A
+	// server with a long queue accepts fewer connections and resets the rest.
 	connectionShare = 0.8
-	// minConnections is what a proxy may hold however many share the server.
+	// minConnections is the connection limit of a proxy however many proxies share the server.
 	minConnections = 1
 )
 
-// maxConnections is how many connections a proxy may hold to each server of a
-// service, zero for no bound if the configuration names none. Without it eight idle
-// connections of each of 1,300 proxies would be seven times the 1,400 that a
-// server accepts, and whoever came later would be reset.
+// maxConnections returns how many connections this proxy may hold to each server of a service, or
+// zero for no limit if the configuration sets none. Without it, eight idle connections of each of
+// 1,300 proxies would be seven times the 1,400 that a server accepts, and later connections would
+// be reset.
 func (k *Kernel) maxConnections(svc *service) int {
 	c := k.table.Services[svc.name]
 	if c == nil || c.Connections <= 0 || !k.isEnabled(MechanismSharedConnections) {
--- a/internal/kernel/steering/draw.go
+++ b/internal/kernel/steering/draw.go
@@ -6,19 +6,19 @@
 )
 
 type (
-	// regionDistribution are the parts that regions have in the requests of this region's
-	// callers that name no object.
+	// regionDistribution holds the shares of the regions in the requests without an object from
+	// callers of this region.
 	regionDistribution struct {
 		names []string
-		// cumulative sums the parts up to each region.
+		// cumulative holds the cumulative sums of the shares.
 		cumulative []float64
 	}
 )
 
-// drawRegion draws the region in which a request without an object should run, by
-// the same parts as objects are dealt out. Its server is chosen by load, but not
-// its region: when callers of one region came in a burst, a third of them ran in
-// another within two seconds, more than operators allow to shift at once.
+// drawRegion draws the region for a request without an object, in the same proportions as objects
+// are assigned. The server is then chosen by load, but the region is not: when it was, a burst of
+// one region's callers moved a third of them to another region within two seconds, more than the
+// operators permit to shift at once.
 func (k *Kernel) drawRegion(req *ActiveRequest, svc *service) string {
 	r := k.scopeOf(req)
 	shares := svc.regionDraws[r]
--- a/internal/kernel/steering/event.go
+++ b/internal/kernel/steering/event.go
@@ -9,111 +9,116 @@
 )
 
 const (
-	// EventConfigurationInForce marks a configuration that came into force.
+	// EventConfigurationInForce reports that a configuration became active.
 	EventConfigurationInForce EventKind = "configuration-in-force"
-	// EventServerChanged marks a server that joined, changed or drains.
+	// EventServerChanged reports that a server joined, changed or drains.
 	EventServerChanged EventKind = "server-changed"
-	// EventServerGone marks a server that left.
+	// EventServerGone reports that a server left.
 	EventServerGone EventKind = "server-gone"
-	// EventServerRestarted marks a server that has started again under its id.
+	// EventServerRestarted reports that a server restarted under its ID.
 	EventServerRestarted EventKind = "server-restarted"
-	// EventConcurrencyLimited marks a service whose requests are held back from now on.
+	// EventConcurrencyLimited reports that requests of a service are subject to concurrency limits
+	// from now on.
 	EventConcurrencyLimited EventKind = "holding-back"
-	// EventConcurrencyUnlimited marks a service whose servers were found to be as good when full: its
-	// requests are no longer held back.
+	// EventConcurrencyUnlimited reports that the servers of a service do not slow down when full,
+	// so that its requests are no longer subject to concurrency limits.
 	EventConcurrencyUnlimited EventKind = "no-longer-held-back"
-	// EventServerLimit marks a server that names a limit, another one, or none any more.
+	// EventServerLimit reports that a server announced, changed or lifted a rate limit.
 	EventServerLimit = EventKind(backpressure.ChangeLimit)
-	// EventServerPause marks a server that wants nothing from this proxy for a while.
+	// EventServerPause reports that a server asked this proxy to pause.
 	EventServerPause = EventKind(backpressure.ChangePause)
-	// EventServerDraining marks a server that leaves by its own word.
+	// EventServerDraining reports that a server announced that it drains.
 	EventServerDraining = EventKind(backpressure.ChangeLeaving)
-	// EventServerEjected marks a server passed over after failures.
+	// EventServerEjected reports that a server was ejected after failures.
 	EventServerEjected EventKind = "server-out"
-	// EventDomainEvacuated marks a failure domain emptied or taken back.
+	// EventDomainEvacuated reports that a failure domain was evacuated or restored.
 	EventDomainEvacuated EventKind = "domain-evacuated"
-	// EventRegionWithoutProxies marks a region that has lost all its proxies, or has some
-	// again: its callers count with the other regions, or no longer do.
+	// EventRegionWithoutProxies reports that a region has lost all its proxies, so that its callers
+	// are counted in other regions, or that it has some again.
 	EventRegionWithoutProxies EventKind = "region-without-proxies"
-	// EventServerCrashed marks a server that has ended with requests of this proxy there.
+	// EventServerCrashed reports that a server crashed or stopped while it had requests of this
+	// proxy.
 	EventServerCrashed EventKind = EventKind(quarantine.ChangeEnded)
-	// EventWorkSuspected marks work that was there at the ends of more than one server.
+	// EventWorkSuspected reports a request fingerprint that was in flight at the crashes of more
+	// than one server.
 	EventWorkSuspected EventKind = EventKind(quarantine.ChangeSuspected)
-	// EventWorkQuarantined marks work that is refused since servers ended with it.
+	// EventWorkQuarantined reports a request fingerprint that is refused because it crashed
+	// servers.
 	EventWorkQuarantined EventKind = EventKind(quarantine.ChangeCondemned)
-	// EventWorkCleared marks work that ran well after servers had ended with it.
+	// EventWorkCleared reports a request fingerprint that succeeded after servers had crashed with
+	// it.
 	EventWorkCleared EventKind = EventKind(quarantine.ChangeCleared)
-	// EventRequestSent marks a request sent to a server.
+	// EventRequestSent reports that a request was sent to a server.
 	EventRequestSent EventKind = "request-sent"
-	// EventAttemptEnded marks the end of one attempt.
+	// EventAttemptEnded reports the end of one attempt.
 	EventAttemptEnded EventKind = "attempt-ended"
-	// EventRequestEnded marks a request's final outcome.
+	// EventRequestEnded reports the final outcome of a request.
 	EventRequestEnded EventKind = "request-ended"
 )
 
 type (
-	// EventKind names a type of event.
+	// EventKind is the type of an event.
 	EventKind string
 
-	// Event is one decision, with what decided it. Those of a request are
-	// told together when it ends.
+	// Event describes one decision and its basis. The events of a request are reported together
+	// when it ends.
 	Event struct {
 		At      time.Time
 		Kind    EventKind
 		Request string
 		Route   string
-		// Account is the client account.
+		// Account is the name of the client account.
 		Account string
 		Service string
 		Server  string
 		Object  string
-		// Fingerprint names what a request asks a server to do.
+		// Fingerprint identifies the work of a request.
 		Fingerprint quarantine.Work
-		// Crashes counts the servers that have ended with the work there; Works are those
-		// that were there at a server's end.
+		// Crashes counts the servers that crashed with the fingerprint in flight.
+		// RunningFingerprints are those that were in flight when a server crashed.
 		Crashes             int
 		RunningFingerprints []quarantine.Work
 		Domain              string
 		Region              string
-		// Address is where a server that has started again was before.
+		// Address is the address of a restarted server before its restart.
 		Address netip.AddrPort
-		// CallersElsewhere is set if the region's callers count with other regions.
+		// CallersElsewhere is set if the callers of the region are counted in other regions.
 		CallersElsewhere bool
-		// Version is that of the configuration.
+		// Version is the version of the configuration.
 		Version uint64
-		// Attempt counts the sends of a request from 1.
+		// Attempt is the number of the attempt, starting at 1.
 		Attempt int
 		Result  Result
 		Outcome Outcome
 		Reason  Reason
-		// Limit is what a server takes from all proxies together.
+		// Limit is the rate limit that a server announced for all proxies together.
 		Limit    backpressure.Limit
 		Draining bool
-		// Expected is the time until the answer that the choice reckoned
-		// with, Load and LoadAge the load it saw and how old that was, negative
-		// if the server never told it.
+		// Expected is the time until the response that the choice expected. Load is the server load
+		// that it assumed, and LoadAge is the age of the last load report, negative if there was
+		// none.
 		Expected time.Duration
 		Load     float64
 		LoadAge  time.Duration
-		// ExpectedWait is the part of Expected until a slot is free, and State how the server
-		// stood then.
+		// ExpectedWait is the part of Expected until a slot is free. State is the state of the
+		// server at that time.
 		ExpectedWait time.Duration
 		State        ServerState
-		// Cause says where the time of a late request went.
+		// Cause tells where the time of a late request was spent.
 		Cause Cause
-		// HomeRank is the server's rank among the object's homes, from 0.
+		// HomeRank is the rank of the server among the object's homes, starting at 0.
 		HomeRank int
 		Warm     bool
-		// Duration is how long the attempt or the request lasted, or for how long
-		// a server is out.
+		// Duration is how long the attempt or the request took, or for how long a server is
+		// ejected.
 		Duration time.Duration
-		// RetryAfter is when a refused caller was told to try again.
+		// RetryAfter is the retry delay that a refused caller was given.
 		RetryAfter time.Duration
-		// Pressure is how long the queues were where a request would go, as a
-		// part of what may wait there and still be answered in time.
+		// Pressure is the queue pressure where the request would have run: the queue length
+		// relative to the number of requests that can wait there and still meet the target.
 		Pressure float64
 		Err      error
-		// Target is the route's time for a good answer.
+		// Target is the target response time of the route.
 		Target time.Duration
 		// Steps are the earlier decisions of a request that ends.
 		Steps []Event
--- a/internal/kernel/steering/failover.go
+++ b/internal/kernel/steering/failover.go
@@ -10,18 +10,17 @@
 )
 
 const (
-	// failoverMaxPressure is the queue, as a part of the room for requests that can still
-	// be answered in time, up to which a region takes objects of another one. It
-	// is half of that from which requests are refused.
+	// failoverMaxPressure is the queue pressure up to which a region takes over objects of another
+	// region. It is half of the pressure from which requests are shed.
 	failoverMaxPressure = 0.25
 )
 
-// failover names the servers for an object whose home is out or takes less than usual: for a part of these
-// objects one in another region first. A failure domain is lost and its servers
-// are registered for seconds more. If all their objects went to the servers left
-// in the region, these would have twice their share and answers would come late,
-// while other regions have room. What moves is what must move anyway; an object
-// whose home is sound stays there.
+// failover returns the servers for an object, with another order if its home is ejected or takes
+// less than usual: for part of these objects, a server in another region comes first. Servers of a
+// lost failure domain stay registered for some seconds. If all their objects went to the remaining
+// servers of the region, these would get twice their share and respond late while other regions
+// have free capacity. Only objects that must move anyway are moved; those with a healthy home stay
+// there.
 func (k *Kernel) failover(now time.Time, req *ActiveRequest, svc *service, homes []string) []string {
 	if len(homes) == 0 || !k.isEnabled(MechanismFailover) {
 		return homes
@@ -32,14 +31,14 @@
 	}
 	switch fit := k.availableShare(now, svc, home); {
 	case fit == 1, home.ejections > 0 && home.usable(now) && !home.backpressure.Paused(now):
-		// One that is out but due to be tried gets a request, to see; one that is
-		// passed over for a moment is sound.
+		// An ejected server that is due for a trial gets a request to test it. A server that is
+		// only skipped for a moment is healthy.
 		return homes
 	case fit > 0 && objectFraction(req.Object+"@"+home.id) < fit:
 		return homes
 	case fit > 0:
-		// The same objects leave a limited home at all proxies, so that they are warm
-		// where they go.
+		// All proxies move the same objects away from a rate-limited home, so that they are warm at
+		// their new servers.
 		homes = append(slices.Clone(homes[1:]), home.id)
 	}
 	if k.scopeOf(req).ownRegionOnly || objectFraction(req.Object) >= k.displacedShare(now, req, svc, home.region) {
@@ -54,8 +53,8 @@
 	return homes
 }
 
-// displacedShare is the part of the objects with homes that are out in a region for
-// which the region's other servers have no room.
+// displacedShare returns, among the objects whose homes in a region are unavailable, the share for
+// which the other servers of the region have no room.
 func (k *Kernel) displacedShare(now time.Time, req *ActiveRequest, svc *service, region string) float64 {
 	all, sound, own, ownSound := 0.0, 0.0, 0.0, 0.0
 	for _, s := range svc.eligible {
@@ -80,8 +79,8 @@
 	return (1 - kept) / (1 - ownSound/own)
 }
 
-// availableShare is the part of its usual requests that a server takes now: none while it is out or
-// pauses, what its limit leaves if it names one.
+// availableShare returns the share of its usual requests that a server takes now: zero while it is
+// ejected or paused, otherwise what its announced limit allows.
 func (k *Kernel) availableShare(now time.Time, svc *service, s *server) float64 {
 	if !s.isHealthy(now) {
 		return 0
@@ -90,7 +89,7 @@
 	if !limit.Named {
 		return 1
 	}
-	// This proxy takes the others to see as much as it does.
+	// The other proxies are assumed to have the same request rate as this one.
 	usual := svc.retries.Rate(now) * float64(len(k.limitSharers)) * float64(s.Slots) / float64(max(1, svc.totalSlots))
 	if limit.PerSecond >= usual {
 		return 1
@@ -98,7 +97,7 @@
 	return limit.PerSecond / usual
 }
 
-// placementOutside deals all objects out over the servers outside a region.
+// placementOutside assigns all objects to the servers outside a region.
 func (k *Kernel) placementOutside(req *ActiveRequest, svc *service, region string) *placing.Homes {
 	key := placementScope{regions: req.allowedRegions, excludedRegion: region}
 	if h := svc.placements[key]; h != nil {
@@ -114,7 +113,7 @@
 	return svc.placements[key]
 }
 
-// objectFraction turns an object into a number from 0 to 1, the same at all proxies.
+// objectFraction hashes an object to a number from 0 to 1 that is the same at all proxies.
 func objectFraction(object string) float64 {
 	return float64(xxhash.Sum64String(object)>>11) / (1 << 53)
 }
--- a/internal/kernel/steering/flight.go
+++ b/internal/kernel/steering/flight.go
@@ -6,7 +6,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/quarantine"
 )
 
-// BeginRequest finds the route of a request and its first step.
+// BeginRequest starts a request: it matches the route and returns the first step.
 func (k *Kernel) BeginRequest(now time.Time, r Request) (*ActiveRequest, Decision) {
 	k.requestCount++
 	req := &ActiveRequest{Request: r, seq: k.requestCount, startedAt: now}
@@ -41,14 +41,14 @@
 		req.ExpiresAt = k.shutdownDeadline
 	}
 	if !req.Route.Sticky || !k.isEnabled(MechanismHomes) {
-		// No server is faster for having handled the object, and one home each
-		// would only leave some servers with long queues while others idle.
+		// Servers of this route gain nothing from having handled the object before. A single home
+		// server per object would only build long queues on some servers while others are idle.
 		req.Object = ""
 	}
 	return k.checkQuota(now, req)
 }
 
-// dispatch hands a request that is within its limits to a service.
+// dispatch selects the service of a request that is within its rate limit and sends it.
 func (k *Kernel) dispatch(now time.Time, req *ActiveRequest) Decision {
 	req.Service = k.splitter.Next(req.Route)
 	if req.Object != "" {
@@ -57,7 +57,7 @@
 	return k.send(now, req)
 }
 
-// send picks a server or gives up.
+// send chooses a server for the request, or ends the request if there is none.
 func (k *Kernel) send(now time.Time, req *ActiveRequest) Decision {
 	target, reason := k.place(now, req)
 	if target == nil {
@@ -66,7 +66,7 @@
 	return Decision{Server: target, SlotRequest: req.slotRequest}
 }
 
-// place picks a server and counts the request in there.
+// place chooses a server and counts the request as in flight there.
 func (k *Kernel) place(now time.Time, req *ActiveRequest) (*Target, Reason) {
 	svc := k.eligibleService(req.Service)
 	if reason := k.reauthorize(req); reason != ReasonNone {
@@ -103,7 +103,8 @@
 	return k.newTarget(svc, s), ReasonNone
 }
 
-// chooseServer picks the server for a request, by what is known of its work.
+// chooseServer chooses the server for a request. Requests that are suspected of crashing servers go
+// to the least loaded one.
 func (k *Kernel) chooseServer(now time.Time, req *ActiveRequest, svc *service) (*server, choice) {
 	if req.workSuspected {
 		return k.chooseLeastLoaded(now, req, svc)
@@ -115,8 +116,8 @@
 	return &Target{Server: s.Server, RoundTrip: s.rtt.roundTrip, MaxConnections: k.maxConnections(svc)}
 }
 
-// EndAttempt takes in how an attempt ended and decides what follows. If the request had
-// a place at a gate, the place must be given back.
+// EndAttempt records how an attempt ended and returns the next step. If the request held a slot,
+// the decision contains its release.
 func (k *Kernel) EndAttempt(now time.Time, req *ActiveRequest, a Attempt) Decision {
 	release := req.takeSlotRelease(req.latencyRatio(now, a))
 	d := k.endAttempt(now, req, a)
@@ -128,10 +129,10 @@
 	return d
 }
 
-// latencyRatio is how long the work took at a server that knew the object, as a part of the
-// route's target; zero if that is not known. The target stays the same whatever the
-// servers do, so figures of different moments and proxies compare. One that was not
-// answered in time took so long at least.
+// latencyRatio returns how long the request took on a warm server relative to the route's target,
+// or zero if that is unknown. The target does not depend on how fast the servers are, so ratios
+// from different times and proxies are comparable. For a request that timed out, the time so far is
+// a lower bound.
 func (req *ActiveRequest) latencyRatio(now time.Time, a Attempt) float64 {
 	if req.slotRequest == nil || !req.warm || req.Route.Target <= 0 || a.Result != ResultAnswered && a.Result != ResultTimeout {
 		return 0
@@ -168,7 +169,8 @@
 		return k.send(now, req)
 	}
 	if a.Result != ResultWrongServer {
-		// Another server has the address: none of the service has had it yet.
+		// With ResultWrongServer another server has the address, so no server of the service has
+		// received the request yet.
 		req.reachedServers++
 	}
 	req.sendAttempts++
@@ -181,15 +183,16 @@
 		}
 	}
 	if a.Result == ResultServerError {
-		// The server's own failure is an answer, and tells more than a refusal.
+		// A response that reports the server's failure tells the caller more than a refusal by the
+		// proxy.
 		return k.finish(now, req, Decision{ReturnResponse: true, Reason: ReasonServerError})
 	}
 	return k.fail(now, req, reason)
 }
 
-// refusedWithFreeSlots reports whether the server refused the request while it had
-// slots to spare. Such a server refuses by chance, and the next request may
-// well be taken: it knows the object, and every other would run it cold.
+// refusedWithFreeSlots reports whether the server refused the request while it had free slots. Such
+// a server refuses at random and may well accept the next request. It is warm for the object,
+// whereas any other server would run it cold.
 func (a Attempt) refusedWithFreeSlots(slots int) bool {
 	return a.Result == ResultRefused && a.Loaded && a.Running < slots && a.Waiting == 0
 }
@@ -201,7 +204,7 @@
 	return ReasonConnectionLost
 }
 
-// mayRetry decides whether a request that reached a server may go to another.
+// mayRetry reports whether a request that reached a server may be sent to another one.
 func (k *Kernel) mayRetry(now time.Time, req *ActiveRequest) bool {
 	if req.mayHaveRun && !req.Route.Idempotent {
 		return false
@@ -218,7 +221,7 @@
 	return true
 }
 
-// fail ends a request without an answer, at once.
+// fail ends a request immediately without a response.
 func (k *Kernel) fail(now time.Time, req *ActiveRequest, reason Reason) Decision {
 	d := Decision{Reason: reason, NotRun: !req.mayHaveRun}
 	if req.Account != nil && len(req.steps) == 0 {
@@ -231,16 +234,16 @@
 		d.RetryAfter = k.retryAfterBackpressure(req)
 	}
 	if d.NotRun && reason == ReasonCrashesServers {
-		// Its work does not run before its next trial, however soon the caller returns.
+		// The fingerprint does not run before its next trial, however early the caller retries.
 		d.RetryAfter = req.quarantinedFor
 	}
 	return k.finish(now, req, d)
 }
 
-// addStep keeps a decision until the request ends.
+// addStep stores a decision until the request ends.
 func (req *ActiveRequest) addStep(e Event) { req.steps = append(req.steps, e) }
 
-// finish tells of a request's end together with the decisions before it.
+// finish reports the end of a request together with its earlier decisions.
 func (k *Kernel) finish(now time.Time, req *ActiveRequest, d Decision) Decision {
 	e := Event{
 		At: now, Kind: EventRequestEnded, Request: req.ID, Service: req.Service, Object: req.Object, Fingerprint: req.Work, Version: k.Version(),
@@ -258,8 +261,8 @@
 	return d
 }
 
-// retryAfter tells a refused caller when to try again: spread, so that callers
-// refused together do not return together.
+// retryAfter returns the retry delay for a refused caller. It is randomized so that callers refused
+// at the same time do not return at the same time.
 func (k *Kernel) retryAfter(now time.Time, req *ActiveRequest) time.Duration {
 	most := maxRetryAfter
 	if !req.Deadline.IsZero() {
--- a/internal/kernel/steering/gates.go
+++ b/internal/kernel/steering/gates.go
@@ -7,21 +7,23 @@
 )
 
 type (
-	// serverLimiter is the queue before a server that this proxy owns.
+	// serverLimiter limits the concurrent requests to a server. It queues slot requests and is
+	// owned by this proxy.
 	serverLimiter struct {
 		admission.Gate
 		adaptiveLimit *admission.Concurrency
-		// lastUsedAt is when it last had a ticket.
+		// lastUsedAt is the time of the last slot request.
 		lastUsedAt time.Time
 	}
 )
 
 const (
-	// limiterIdleTTL is how long a gate that nobody asks is kept.
+	// limiterIdleTTL is how long an unused limiter is kept.
 	limiterIdleTTL = time.Minute
 )
 
-// HandleSlotRequest answers a proxy that asks for a place at a server whose gate is here.
+// HandleSlotRequest replies to a proxy that requests a slot at a server whose limiter this proxy
+// owns.
 func (k *Kernel) HandleSlotRequest(now time.Time, a SlotRequest) SlotReply {
 	k.record(Call{Method: callSlotRequest, At: now, SlotRequest: &a})
 	s := k.servers[a.Server]
@@ -50,7 +52,7 @@
 	return r
 }
 
-// grantNext gives free places to those that wait.
+// grantNext grants free slots to waiting requests.
 func (q *serverLimiter) grantNext(now time.Time) []SlotReply {
 	var replies []SlotReply
 	for _, g := range q.Next(now, q.adaptiveLimit.Limit()) {
@@ -59,7 +61,8 @@
 	return replies
 }
 
-// HandleSlotRelease takes a place back and tells who gets it.
+// HandleSlotRelease takes back a slot and returns the replies for the waiting requests that get one
+// now.
 func (k *Kernel) HandleSlotRelease(now time.Time, r SlotRelease) []SlotReply {
 	k.record(Call{Method: callSlotRelease, At: now, SlotRelease: &r})
 	q := k.limiters[r.Server]
@@ -73,8 +76,8 @@
 	return q.grantNext(now)
 }
 
-// expireLimiters ends waits that have become useless and places that were not given
-// back, and drops gates that nobody uses. What follows is told by Grants.
+// expireLimiters ends waits that have become useless, reclaims slots that were not released, and
+// removes unused limiters. The resulting replies are returned by TakeSlotReplies.
 func (k *Kernel) expireLimiters(now time.Time) {
 	for id, q := range k.limiters {
 		k.pendingSlotReplies = append(k.pendingSlotReplies, q.grantNext(now)...)
@@ -84,7 +87,7 @@
 	}
 }
 
-// TakeSlotReplies hands over what the last tick has granted or denied.
+// TakeSlotReplies returns the grants and denials of the last tick and clears them.
 func (k *Kernel) TakeSlotReplies() []SlotReply {
 	list := k.pendingSlotReplies
 	k.pendingSlotReplies = nil
--- a/internal/kernel/steering/hold.go
+++ b/internal/kernel/steering/hold.go
@@ -9,49 +9,49 @@
 )
 
 const (
-	// limitFor is how long requests of a service are held back after the last sign
-	// that its servers slow down when full. Signs are rare while it works, and all
-	// proxies must hold back for it to work.
+	// limitFor is how long requests of a service stay subject to concurrency limits after the last
+	// evidence that its servers slow down when full. Evidence is rare while the limits work, and
+	// they work only if all proxies apply them.
 	limitFor = 20 * time.Second
-	// measureConcurrencyFor is how long requests pass gates after a first suspicion: at ten
-	// answers a second and gate, what servers do is known in one or two.
+	// measureConcurrencyFor is how long requests go through limiters after a first suspicion. At
+	// ten responses per second and limiter, one or two seconds are enough to measure the servers.
 	measureConcurrencyFor = 5 * time.Second
-	// unsuspectedFor is how long a service whose servers do not slow down is not suspected
-	// again. Places that are asked for from far away stand empty for the way, so a
-	// gate that is not needed costs some of what servers can do.
+	// unsuspectedFor is how long a service whose servers do not slow down is not suspected again. A
+	// slot that a remote proxy requests stays empty for the round trip, so an unneeded limiter
+	// costs capacity.
 	unsuspectedFor = 30 * time.Second
 )
 
 type (
-	// ServiceLimit is what a proxy has learned of a service whose servers slow down when full.
+	// ServiceLimit is what a proxy has learned about a service whose servers slow down when full.
 	ServiceLimit struct {
 		Service string `json:"service"`
 		admission.Limit
 	}
 
-	// concurrencyState is whether requests of a service are held back.
+	// concurrencyState tells whether requests of a service are subject to concurrency limits.
 	concurrencyState struct {
 		detector     admission.Suspicion
 		limitedUntil time.Time
-		// clearedUntil is until when no suspicion counts, since the servers were found to
-		// be sound.
+		// clearedUntil is until when suspicions are ignored because the servers were found not to
+		// slow down.
 		clearedUntil time.Time
-		// ownEvidenceUntil is until when this proxy has seen signs itself.
+		// ownEvidenceUntil is until when this proxy has evidence of its own.
 		ownEvidenceUntil time.Time
-		// adaptiveLimits learn for the gates that this proxy owns, limits are what was heard with
-		// the most evidence: by the slots of the servers.
+		// adaptiveLimits learn the limits for the limiters that this proxy owns. learnedLimits are
+		// the limits known with the most evidence. Both are by the number of slots of the servers.
 		adaptiveLimits map[int]*admission.Concurrency
 		learnedLimits  map[int]admission.Limit
 	}
 )
 
-// isLimited reports whether requests of a service are held back.
+// isLimited reports whether requests of a service are subject to concurrency limits.
 func (k *Kernel) isLimited(now time.Time, svc *service) bool {
 	return now.Before(svc.concurrency.limitedUntil)
 }
 
-// ConcurrencyLimits lists what this proxy knows of services whose servers slow down when full,
-// for its peers.
+// ConcurrencyLimits lists what this proxy knows about services whose servers slow down when full,
+// to be sent to its peers.
 func (k *Kernel) ConcurrencyLimits(now time.Time) []ServiceLimit {
 	var list []ServiceLimit
 	for name, svc := range k.services {
@@ -71,7 +71,7 @@
 	return list
 }
 
-// ApplyConcurrencyLimits takes in what a peer knows.
+// ApplyConcurrencyLimits merges what a peer knows.
 func (k *Kernel) ApplyConcurrencyLimits(now time.Time, list []ServiceLimit) {
 	if len(list) == 0 || !k.isEnabled(MechanismConcurrencyLimit) {
 		return
@@ -84,7 +84,7 @@
 	}
 }
 
-// stopLimiting ends the holding back: the servers do not slow down.
+// stopLimiting lifts the concurrency limits because the servers do not slow down.
 func (k *Kernel) stopLimiting(now time.Time, svc *service) {
 	h := &svc.concurrency
 	h.limitedUntil, h.ownEvidenceUntil, h.clearedUntil = now, now, now.Add(unsuspectedFor)
@@ -92,7 +92,7 @@
 	k.config.Observe(Event{Kind: EventConcurrencyUnlimited, Service: svc.name})
 }
 
-// adopt takes over a limit with more evidence than the own one.
+// adopt takes over a limit that is based on more evidence than the known one.
 func (h *concurrencyState) adopt(l admission.Limit) {
 	if l.Slots < 1 || l.Evidence <= h.learnedLimits[l.Slots].Evidence {
 		return
@@ -106,7 +106,7 @@
 	}
 }
 
-// adaptiveLimitFor learns for the gates before servers with a number of slots.
+// adaptiveLimitFor returns the adaptive limit for servers with the given number of slots.
 func (h *concurrencyState) adaptiveLimitFor(slots int) *admission.Concurrency {
 	c := h.adaptiveLimits[slots]
 	if c != nil {
@@ -131,16 +131,15 @@
 	svc.concurrency.limitedUntil = laterOf(svc.concurrency.limitedUntil, now.Add(span))
 }
 
-// detectSlowdown takes in how long a request took at a server that knew the object. Only
-// what a full server did tells whether it slows down. An answer that never came in
-// time is the strongest sign, of first runs too: where servers slow down there are
-// few others.
+// detectSlowdown records how long a request took at a warm server. Only the times at a full server
+// show whether it slows down. A timeout is the strongest evidence, even on a cold run: where
+// servers slow down, there is little other evidence.
 func (k *Kernel) detectSlowdown(now time.Time, req *ActiveRequest, s *server, svc *service, a Attempt, took time.Duration) {
 	if !k.isEnabled(MechanismConcurrencyLimit) {
 		return
 	}
 	alone := svc.workOf(req.Route).expected(req.warm, req.Route.Target)
-	// A server that has answered nothing since is silent, not slow.
+	// A server that has not responded since the request was sent is unresponsive, not slow.
 	late := a.Result == ResultTimeout && s.answeredAt.After(req.sentAt)
 	answered := a.Result == ResultAnswered && a.Loaded && req.warm
 	if !late && !answered || s.Slots < 2 || req.slotRank > 0 {
--- a/internal/kernel/steering/kernel.go
+++ b/internal/kernel/steering/kernel.go
@@ -1,9 +1,10 @@
-// Package steering is the state machine of a proxy on the platform: from the
-// configuration in force, the registered backend servers, the proxies alive
-// and what its own requests taught it, it decides where each request goes,
-// what follows from how an attempt ended, and when to refuse.
+// Package steering implements the routing decisions of one proxy as a deterministic state machine.
+// From the active configuration, the registered backend servers, the live proxies and the results
+// of its own requests, it decides which server gets a request, what to do after an attempt, and
+// when to refuse a request.
 //
-// It does no I/O and reads no clock; two kernels live in one process.
+// It does no I/O and reads no clock: callers pass in the time. One process can hold several
+// independent kernels.
 package steering
 
 import (
@@ -20,121 +21,122 @@
 )
 
 type (
-	// Config is what a kernel is made of.
+	// Config holds the settings of a kernel.
 	Config struct {
 		Name   string
 		Domain string
 		Region string
-		// Address is where callers reach this proxy.
+		// Address is the address at which callers reach this proxy.
 		Address netip.AddrPort
-		// RegionOf tells the region of each failure domain.
+		// RegionOf maps each failure domain to its region.
 		RegionOf map[string]string
 		Bounds
-		// Joined is when this proxy started; zero for long ago.
+		// Joined is when this proxy started. The zero value means that its start lies long ago.
 		Joined time.Time
 		Seed   [32]byte
-		// Placer names a registered placer; empty for the default.
+		// Placer is the name of a registered load-balancing policy. Empty selects DefaultPlacer.
 		Placer string
-		// EndsToCondemn is from how many ends of servers on work is refused; zero for as
-		// many as the operators have agreed on.
+		// EndsToCondemn is the number of server crashes after which a request fingerprint is
+		// quarantined. Zero selects the default agreed with the operators.
 		EndsToCondemn int
-		// Off lists the mechanisms that are not used.
+		// Off lists the disabled mechanisms.
 		Off []Mechanism
-		// Observe sees each decision; nil for none.
+		// Observe is called for each decision. It may be nil.
 		Observe func(Event) `json:"-"`
-		// Record sees each call, for a replay; nil for none.
+		// Record is called for each call of the kernel so that it can be replayed later. It may be
+		// nil.
 		Record func(Call) `json:"-"`
 	}
 
-	// Bounds are the limits that the operators have agreed on.
+	// Bounds are the limits agreed with the operators.
 	Bounds struct {
-		// Retry is the shared budget of repeats, for each service.
+		// Retry is the retry budget of each service, shared by all proxies.
 		Retry RetryBudget
-		// ColdFactor and ColdSlack bound what a cold server gets in a second.
+		// ColdFactor and ColdSlack bound the requests per second to a cold server.
 		ColdFactor float64
 		ColdSlack  float64
-		// Quota is what is allowed beyond the limits of client accounts.
+		// Quota is the overage allowed beyond the rate limits of client accounts.
 		Quota ratelimit.Allowance
 	}
 
-	// RetryBudget bounds repeats over all proxies.
+	// RetryBudget limits the retries of all proxies together.
 	RetryBudget struct {
 		Ratio  float64
 		Slack  float64
 		Window time.Duration
 	}
 
-	// Kernel is one proxy's state and decisions. It is not safe for use by
-	// several goroutines at once.
+	// Kernel holds the state of one proxy and makes its decisions. It is not safe for concurrent
+	// use.
 	Kernel struct {
 		config   Config
 		placer   placer
 		disabled map[Mechanism]bool
-		// useSlowdown is set if servers' speed is reckoned with: asked for each server of
-		// each choice, where a look-up by name would show.
+		// useSlowdown caches whether MechanismServerSpeed is enabled. It is read for each server of
+		// each choice, where a map lookup by name would cost noticeable time.
 		useSlowdown bool
 		random      *rand.Rand
 		table       *routing.Table
 		splitter    *routing.Splitter
-		// routeRegions are the regions of each route, by its name.
+		// routeRegions are the regions allowed for each route, by route name.
 		routeRegions map[string]regionSet
-		// lowestPriority is the priority of each service's least urgent requests.
+		// lowestPriority is the priority of the least urgent requests of each service.
 		lowestPriority map[string]int
 		quotas         *quotas
 		pinnedShares   pinnedShares
 		servers        map[string]*server
 		services       map[string]*service
-		// evacuatedDomains failure domains take no requests.
+		// evacuatedDomains are the failure domains that take no requests.
 		evacuatedDomains map[string]bool
 		proxies          []Proxy
-		// limitSharers are the proxies among which limits are divided: those that are
-		// alive and those that may be.
+		// limitSharers are the proxies among which shared limits are divided: those that are alive
+		// and those that may still be.
 		limitSharers []limitSharer
-		// sharersInRegion counts those of them in this region, this proxy included.
+		// sharersInRegion counts the limit sharers in this region, including this proxy.
 		sharersInRegion int
 		roundTrips      map[string]*rttEstimate
-		// regions are all that there are, in order; stranded tells of each whether
-		// its callers are elsewhere.
+		// regions lists all regions in order. regionStates holds for each region whether its
+		// callers are redirected to other regions.
 		regions      []string
 		regionStates map[string]*regionState
-		// ignoreMissingUntil is how long proxies that are not listed may be alive.
+		// ignoreMissingUntil is until when proxies missing from the list may still be alive.
 		ignoreMissingUntil time.Time
-		// shuttingDown is set once the process stops; end is when the last request
-		// must have its result then.
+		// shuttingDown is set once the process stops. All requests must have ended by
+		// shutdownDeadline then.
 		shuttingDown     bool
 		shutdownDeadline time.Time
-		// ranksByDomain caches this proxy's rank at the servers of a failure domain, until the
-		// sharers change.
+		// ranksByDomain caches this proxy's rank at the servers of each failure domain until the
+		// limit sharers change.
 		ranksByDomain map[string]backpressure.Rank
-		// limiters are those that this proxy owns, by server; grants are what the last
-		// tick has granted there.
+		// limiters are the concurrency limiters that this proxy owns, by server. pendingSlotReplies
+		// are the replies that the last tick produced for waiting requests.
 		limiters           map[string]*serverLimiter
 		pendingSlotReplies []SlotReply
-		// quarantine knows the work that ends servers. ownIndex is this proxy's place
-		// among the sharers.
+		// quarantine tracks the request fingerprints that crash servers. ownIndex is this proxy's
+		// index among the limit sharers.
 		quarantine *quarantine.Ledger
-		// backpressure are what servers ask of their senders.
+		// backpressure tracks the limits, pauses and drains that servers announce to their clients.
 		backpressure *backpressure.Ledger
 		ownIndex     int
 		// requestCount counts the requests so far.
 		requestCount uint64
-		// observeCandidate sees each server that a choice looks at; nil for none.
+		// observeCandidate is called for each server that a choice considers. It may be nil.
 		observeCandidate func(Candidate)
 	}
 
-	// Proxy is a proxy that is alive, this one included.
+	// Proxy is a live proxy. This proxy is included in lists of them.
 	Proxy struct {
 		Name   string
 		Domain string
 		Region string
-		// Address is where callers reach it.
+		// Address is the address at which callers reach it.
 		Address netip.AddrPort
-		// Leaving proxies still serve but are not named to callers.
+		// Leaving marks a proxy that still serves requests but is no longer returned by lookups.
 		Leaving bool
 	}
 )
 
-// New makes a kernel that knows no configuration yet.
+// New returns a kernel without a configuration.
 func New(c Config) *Kernel {
 	if c.Placer == "" {
 		c.Placer = DefaultPlacer
@@ -177,7 +179,7 @@
 	return k
 }
 
-// SetBounds brings other limits into force; what was counted stands.
+// SetBounds replaces the bounds. Counters keep their values.
 func (k *Kernel) SetBounds(b Bounds) {
 	k.record(Call{Method: callBounds, Bounds: &b})
 	k.config.Bounds = b
@@ -186,10 +188,10 @@
 	}
 }
 
-// Name is this proxy's name.
+// Name returns this proxy's name.
 func (k *Kernel) Name() string { return k.config.Name }
 
-// Version is the version in force, zero for none.
+// Version returns the version of the active configuration, or zero if there is none.
 func (k *Kernel) Version() uint64 {
 	if k.table == nil {
 		return 0
@@ -197,11 +199,11 @@
 	return k.table.Version
 }
 
-// Table is the configuration in force, nil for none; it must not be changed.
+// Table returns the active configuration, or nil if there is none. It must not be modified.
 func (k *Kernel) Table() *routing.Table { return k.table }
 
-// SetTable brings a configuration into force. An older one than that in force
-// is refused, whoever sent it: a stale read must not take a change back.
+// SetTable activates a configuration and reports whether it did. It ignores versions that are not
+// newer than the active one, whatever their source, so that a stale read cannot revert a change.
 func (k *Kernel) SetTable(t *routing.Table) bool {
 	if k.table != nil && t.Version <= k.table.Version {
 		return false
@@ -222,9 +224,9 @@
 	return true
 }
 
-// BeginShutdown marks this proxy as leaving. Requests that begin from now on get their
-// final result by end: a server that hangs would else hold them until the
-// process is gone, and their callers would see a connection that closes.
+// BeginShutdown marks this proxy as leaving. Requests that begin from now on end by the given time
+// at the latest. Without that bound, a server that hangs would hold them until the process exits,
+// and their callers would see a closed connection instead of a result.
 func (k *Kernel) BeginShutdown(end time.Time) {
 	k.record(Call{Method: callLeave, Until: end})
 	for i := range k.proxies {
@@ -235,7 +237,7 @@
 	k.shuttingDown, k.shutdownDeadline = true, end
 }
 
-// SetProxies tells which proxies are alive. This one always is.
+// SetProxies sets the live proxies. This proxy is always one of them.
 func (k *Kernel) SetProxies(now time.Time, list []Proxy) {
 	k.record(Call{Method: callProxies, At: now, Proxies: list})
 	k.setProxies(now, list)
--- a/internal/kernel/steering/learn.go
+++ b/internal/kernel/steering/learn.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// learnFromAttempt takes in what an attempt tells of the server.
+// learnFromAttempt updates the state of the server from the result of an attempt.
 func (k *Kernel) learnFromAttempt(now time.Time, req *ActiveRequest, s *server, a Attempt, took time.Duration) {
 	s.rtt.observe(a.RoundTrip)
 	k.recordBackpressure(now, req, s, a)
@@ -25,8 +25,8 @@
 	case ResultRefused:
 		s.recordRefusal(now, a)
 	case ResultWrongServer:
-		// Its address belongs to another server now: this one is gone, unless it
-		// has started again meanwhile.
+		// The address belongs to another server now, so this one is gone, unless it has restarted
+		// in the meantime.
 		if !s.removed {
 			k.remove(now, s.id)
 		}
@@ -46,8 +46,8 @@
 func (k *Kernel) learnWork(now time.Time, req *ActiveRequest, s *server, svc *service, took time.Duration) {
 	work := took - s.rtt.roundTrip
 	s.recordSuccess(work, req.expected-s.rtt.roundTrip)
-	// Warm work is the least that was seen, so it needs no correction for slow
-	// servers: queues inflate their speed.
+	// The warm estimate follows the shortest times seen, so it needs no correction for slow
+	// servers, whose slowdown includes queueing.
 	if !req.warm {
 		work = time.Duration(float64(work) / max(1, s.slowdown))
 	}
--- a/internal/kernel/steering/limits.go
+++ b/internal/kernel/steering/limits.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// fleetSizeWait is how long after its start a proxy waits to be told of how many proxies
-	// limits are divided. Later it takes those that it knows, twice.
+	// fleetSizeWait is how long after its start a proxy waits to be told the number of proxies
+	// among which limits are divided. After that it assumes twice the number that it knows.
 	fleetSizeWait = 4 * time.Second
-	// poolSuffix tells what a proxy asks as a pool from what it asks for itself.
+	// poolSuffix marks requests that a proxy makes as a pool, as opposed to those for itself.
 	poolSuffix = "/pool"
 )
 
 type (
-	// quotas are this proxy's shares of the limits of client accounts, and what others
-	// have given to it as their region's pool.
+	// quotas holds this proxy's shares of the rate limits of client accounts, and the shares that
+	// others have deposited with it as the quota pool of their region.
 	quotas struct {
 		kernel  *Kernel
 		limiter *ratelimit.Holder
 		pool    *ratelimit.Pool
-		// fleetSize is among how many proxies limits are divided at least, as all have been
-		// told; zero if this one has not. holders are those that it knows.
+		// fleetSize is the minimum number of proxies among which limits are divided, as announced
+		// to all; zero if this proxy has not received it. knownProxies is the number of proxies
+		// that it knows.
 		fleetSize    int
 		knownProxies int
-		// waitOver is set once this proxy need not be told any more.
+		// waitOver is set once this proxy no longer waits to be told the fleet size.
 		waitOver bool
 	}
 )
@@ -41,17 +42,18 @@
 	return l
 }
 
-// startAllowance is how many requests of an account all processes may let through at their start.
+// startAllowance is the number of requests of an account that all processes may admit at their
+// start.
 func (l *quotas) startAllowance(name string) float64 {
 	return l.account(name).Limit.Starter(l.kernel.config.Quota)
 }
 
-// limitOf is the limit that an account is held to, with a part of what is allowed beyond it.
+// limitOf returns the limit enforced for an account, which includes part of the permitted overage.
 func (l *quotas) limitOf(name string) ratelimit.Limit {
 	return l.account(name).Limit.With(l.kernel.config.Quota)
 }
 
-// account is the account of a name; one that is not known has no limit and no share of one.
+// account returns the account with a name. An unknown account has no limit and no share of one.
 func (l *quotas) account(name string) account.Account {
 	if l.kernel.table == nil {
 		return account.Account{}
@@ -63,15 +65,15 @@
 	return *a
 }
 
-// setKnownProxies sets among how many proxies limits are divided. Shares of proxies that no
-// longer count but may be alive must not be taken, so they count too.
+// setKnownProxies sets the number of known proxies among which limits are divided. It includes
+// proxies that are no longer listed but may be alive, because their shares must not be reused.
 func (l *quotas) setKnownProxies(n int) {
 	l.knownProxies = n
 	l.updatePart()
 }
 
-// updatePart settles the own part. While nobody has told how many there are, a proxy that
-// has just started knows too few others, and takes nothing.
+// updatePart updates the share of this proxy. Until the fleet size has been announced, a proxy that
+// has just started knows too few others and takes no share.
 func (l *quotas) updatePart() {
 	switch {
 	case l.fleetSize > 0:
@@ -81,7 +83,7 @@
 	}
 }
 
-// tick drops what has run out.
+// tick expires old state.
 func (l *quotas) tick(now time.Time) {
 	if !l.waitOver && now.Sub(l.kernel.config.Joined) >= fleetSizeWait {
 		l.waitOver = true
@@ -91,7 +93,8 @@
 	l.pool.Tick(now)
 }
 
-// checkQuota decides whether a request is within its account's limit, or whom to ask.
+// checkQuota decides whether a request is within the rate limit of its account, or which pool to
+// ask.
 func (k *Kernel) checkQuota(now time.Time, req *ActiveRequest) Decision {
 	if req.Account == nil {
 		return k.dispatch(now, req)
@@ -103,7 +106,8 @@
 	return k.applyQuotaRuling(now, req, ruling)
 }
 
-// applyQuotaRuling goes on with a request that is within its limit, has a pool asked, or refuses it.
+// applyQuotaRuling sends a request that is within its limit, has a pool asked for a token, or
+// refuses the request.
 func (k *Kernel) applyQuotaRuling(now time.Time, req *ActiveRequest, r ratelimit.Ruling) Decision {
 	switch r.Verdict {
 	case ratelimit.Admitted:
@@ -116,15 +120,14 @@
 	return k.finish(now, req, d)
 }
 
-// retryAfterQuota is when a caller may come back for whom there is no token before a wait,
-// spread so that not all return to the same one.
+// retryAfterQuota returns the retry delay for a caller who must wait for a token. It is randomized
+// so that callers do not all return for the same token.
 func (k *Kernel) retryAfterQuota(wait time.Duration) time.Duration {
 	wait = max(wait, minRetryAfter)
 	return min(maxRetryAfter, wait+time.Duration(k.random.Int64N(int64(wait))))
 }
 
-// ApplyPoolToken takes in the pool's answer for a request that it was asked about, if there was
-// one, and decides what follows.
+// ApplyPoolToken handles the pool's reply for a request, or its absence, and returns the next step.
 func (k *Kernel) ApplyPoolToken(now time.Time, req *ActiveRequest, t ratelimit.Token, answered bool) Decision {
 	d := k.applyQuotaRuling(now, req, k.quotas.limiter.Asked(now, req.Account.Name, req.quotaRuling, t, answered))
 	if k.config.Record != nil {
@@ -134,67 +137,69 @@
 	return d
 }
 
-// TakePoolToken answers a proxy that asks the pool here for one request of an account.
+// TakePoolToken replies to a proxy that asks the pool at this proxy for one request of an account.
 func (k *Kernel) TakePoolToken(now time.Time, account string) ratelimit.Token {
 	k.record(Call{Method: callTakePoolToken, At: now, ID: account})
 	return k.quotas.pool.Take(now, account)
 }
 
-// HasRateLimits reports whether any account of the configuration in force has a limit.
+// HasRateLimits reports whether any account of the active configuration has a limit.
 func (k *Kernel) HasRateLimits() bool {
 	return k.table != nil && k.table.Accounts.Limited()
 }
 
-// QuotaReport tells what this proxy's pool must hear now, and who that is; best is the
-// proxy that should be the pool, others are pools of other regions.
+// QuotaReport returns the report that is due to this proxy's pool, and the name of that pool. best
+// is the proxy that should be the pool, others are pools of other regions.
 func (k *Kernel) QuotaReport(now time.Time, best string, others []string) (string, ratelimit.Report) {
 	k.record(Call{Method: callQuotaReport, At: now, ID: best, IDs: others})
 	return k.quotas.limiter.Report(now, best, others)
 }
 
-// HandleQuotaReport answers a proxy whose pool this is.
+// HandleQuotaReport replies to a proxy that uses this proxy as its pool.
 func (k *Kernel) HandleQuotaReport(now time.Time, r ratelimit.Report) ratelimit.Grants {
 	k.record(Call{Method: callHandleQuotaReport, At: now, Report: &r})
 	return k.quotas.pool.Hear(now, r)
 }
 
-// ApplyQuotaGrants takes in the pool's answer to a report made at a moment, and tells whether
-// the next one should follow at once.
+// ApplyQuotaGrants applies the pool's reply to a report that was sent at the given time, and
+// reports whether the next report should follow immediately.
 func (k *Kernel) ApplyQuotaGrants(now, asked time.Time, pool string, g ratelimit.Grants) bool {
 	k.record(Call{Method: callQuotaGrants, At: now, ReportedAt: asked, ID: pool, Grants: &g})
 	return k.quotas.limiter.Granted(now, asked, pool, g)
 }
 
-// QuotaReportUnanswered notes that the pool did not answer a report.
+// QuotaReportUnanswered records that the pool did not reply to a report.
 func (k *Kernel) QuotaReportUnanswered(now time.Time, pool string) {
 	k.record(Call{Method: callQuotaReportUnanswered, At: now, ID: pool})
 	k.quotas.limiter.Unanswered(now, pool)
 }
 
-// BorrowQuota tells what other regions' pools should lend to the one here; nothing if there
-// is none here, or it has enough.
+// BorrowQuota returns the loans to request from the pools of other regions. There are none if this
+// proxy is not a pool or if it has enough.
 func (k *Kernel) BorrowQuota(now time.Time, lenders []string) []ratelimit.Loan {
 	k.record(Call{Method: callBorrowQuota, At: now, IDs: lenders})
 	return k.quotas.pool.Borrow(now, k.config.Name+poolSuffix, lenders)
 }
 
-// ApplyQuotaLoan takes in what another region's pool lends, as asked for at a moment.
+// ApplyQuotaLoan applies a loan from another region's pool that was requested at the given time.
 func (k *Kernel) ApplyQuotaLoan(now, asked time.Time, lender string, g ratelimit.Grants) {
 	k.record(Call{Method: callQuotaLoan, At: now, ReportedAt: asked, ID: lender, Grants: &g})
 	k.quotas.pool.Lent(now, asked, lender, g)
 }
 
-// SetFleetSize tells among how many proxies limits are divided at least, as all are told.
+// SetFleetSize sets the minimum number of proxies among which limits are divided, as announced to
+// all proxies.
 func (k *Kernel) SetFleetSize(n int) {
 	k.record(Call{Method: callFleetSize, Count: n})
 	k.quotas.fleetSize = n
 	k.quotas.updatePart()
 }
 
-// QuotaProxies is among how many proxies limits are divided as this one knows them.
+// QuotaProxies returns the number of proxies that this one knows among which limits are divided.
 func (k *Kernel) QuotaProxies() int { return len(k.limitSharers) }
 
-// IsLeader reports whether this proxy sees to what one of all must do.
+// IsLeader reports whether this proxy does the tasks that only one of all proxies must do. It is
+// the first one by name that is not leaving.
 func (k *Kernel) IsLeader() bool {
 	for _, p := range k.proxies {
 		if !p.Leaving {
@@ -204,8 +209,8 @@
 	return false
 }
 
-// HandleResume notes that this process did not run for a while, or that clocks say so: what
-// others gave it for a time may have ended.
+// HandleResume records that this process was suspended or that its clock jumped. Shares granted for
+// a limited time may have expired.
 func (k *Kernel) HandleResume(now time.Time) {
 	k.record(Call{Method: callResume, At: now})
 	k.quotas.limiter.Resume(now)
--- a/internal/kernel/steering/lookup.go
+++ b/internal/kernel/steering/lookup.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// maxLookupProxies is how many proxies one answer names at most.
+	// maxLookupProxies is the largest number of proxies in one answer.
 	maxLookupProxies = 64
-	// minLookupProxies is how many proxies an answer names if there are so many:
-	// a caller that finds the only one dead has nowhere to go.
+	// minLookupProxies is the smallest number of proxies in an answer if there are that many. A
+	// caller that knows only one proxy has no alternative when it fails.
 	minLookupProxies = 2
 )
 
-// Lookup names the proxies that a caller should use: those of its failure
-// domain, and if they are few, those of its region. If its region has hardly any,
-// just enough of others come with them: a caller takes any of those named, and
-// its own is near. If it has none, all are named. Proxies outside the regions in
-// which the host may be served are left out, for they would take in requests that
-// they may not pass on; a caller's own region always may.
+// Lookup returns the proxies that a caller should use: those of its failure domain or, if there are
+// too few, those of its region. If its region has too few as well, just enough others are added,
+// because callers choose any returned proxy and those of their own region are nearer. If its region
+// has none, all others are returned. Proxies outside the regions in which the host may be served
+// are omitted, because they would accept requests that they may not forward. Proxies in the
+// caller's own region are always allowed.
 func (k *Kernel) Lookup(host, region, domain string) []netip.AddrPort {
 	if list := k.acceptingProxies(func(p Proxy) bool { return p.Domain == domain }); len(list) >= minLookupProxies {
 		return addresses(list)
@@ -41,7 +41,7 @@
 	return addresses(slices.Concat(own, others))
 }
 
-// acceptingProxies lists the proxies that take callers and match, in order.
+// acceptingProxies lists the matching proxies that accept callers, in order.
 func (k *Kernel) acceptingProxies(matches func(Proxy) bool) []Proxy {
 	var list []Proxy
 	for _, p := range k.proxies {
@@ -61,14 +61,14 @@
 	return len(allowed) == 0 || slices.Contains(allowed, region)
 }
 
-// sortByHash puts proxies in the order of a hash of their names and a failure domain,
-// so that the callers of each are sent to others and all look-ups agree.
+// sortByHash sorts proxies by a hash of their names and a failure domain, so that the callers of
+// different domains use different proxies and all lookups agree.
 func sortByHash(list []Proxy, domain string) {
 	rank := func(p Proxy) uint64 { return xxhash.Sum64String(p.Name + " " + domain) }
 	slices.SortFunc(list, func(a, b Proxy) int { return cmp.Compare(rank(a), rank(b)) })
 }
 
-// addresses are where callers reach proxies, as many as one answer names.
+// addresses returns the addresses of proxies, up to the maximum of one answer.
 func addresses(list []Proxy) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, p := range list[:min(len(list), maxLookupProxies)] {
--- a/internal/kernel/steering/mechanism.go
+++ b/internal/kernel/steering/mechanism.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	// MechanismHomes keeps each object at few servers; without it all requests are
-	// taken for those of routes that are not sticky.
+	// MechanismHomes keeps each object on few servers. Without it, all requests are treated like
+	// those of routes that are not sticky.
 	MechanismHomes Mechanism = "homes"
-	// MechanismRegionCapacity deals objects out over regions by the room there; without it
-	// each region keeps its own.
+	// MechanismRegionCapacity assigns objects to regions by their capacity. Without it, each region
+	// keeps its own objects.
 	MechanismRegionCapacity Mechanism = "rooms"
-	// MechanismFailover moves objects of lost servers to regions with room.
+	// MechanismFailover moves objects of lost servers to regions with free capacity.
 	MechanismFailover Mechanism = "failover"
-	// MechanismStrandedRegions counts callers of regions without proxies elsewhere.
+	// MechanismStrandedRegions counts the callers of regions without proxies in other regions.
 	MechanismStrandedRegions Mechanism = "stranded-regions"
 	// MechanismLoadShedding refuses a share of the requests where queues are long.
 	MechanismLoadShedding Mechanism = "refusals-by-queues"
-	// MechanismQueueInference infers the queues of servers that do not tell their load.
+	// MechanismQueueInference infers the queues of servers that do not report their load.
 	MechanismQueueInference Mechanism = "inferred-queues"
-	// MechanismOutlierDetection passes servers over that fail or refuse several in a row.
+	// MechanismOutlierDetection ejects servers that fail or refuse several requests in a row.
 	MechanismOutlierDetection Mechanism = "outlier-verdicts"
-	// MechanismServerSpeed reckons with how slow each server is.
+	// MechanismServerSpeed takes the slowdown of each server into account.
 	MechanismServerSpeed Mechanism = "server-speed"
-	// MechanismSharedConnections has each proxy keep to its part of the connections.
+	// MechanismSharedConnections limits each proxy to its share of a server's connections.
 	MechanismSharedConnections Mechanism = "shared-connections"
-	// MechanismUnseenRequests reckons with requests of others on routes without objects.
+	// MechanismUnseenRequests takes unreported requests of other proxies into account on routes
+	// without objects.
 	MechanismUnseenRequests Mechanism = "unseen-requests"
-	// MechanismRetries sends a request again to another server.
+	// MechanismRetries retries requests on other servers.
 	MechanismRetries Mechanism = "repeats"
-	// MechanismReplicas spreads objects that are asked for often over several servers.
+	// MechanismReplicas spreads frequently requested objects over several servers.
 	MechanismReplicas Mechanism = "replicas"
-	// MechanismConcurrencyLimit holds requests back before servers that slow down when full.
+	// MechanismConcurrencyLimit limits the concurrent requests to servers that slow down when full.
 	MechanismConcurrencyLimit Mechanism = "hold-back"
-	// MechanismQuarantine keeps requests that end servers away from them.
+	// MechanismQuarantine keeps requests that crash servers away from them.
 	MechanismQuarantine Mechanism = "quarantine"
 )
 
@@ -48,28 +49,28 @@
 )
 
 type (
-	// Mechanism names a part of the decisions that can be switched off: by operators
-	// on a bad night, and to measure what it is worth. What keeps a promise (cold
-	// servers' rate, budgets, drains, regions) is none of them, but the quarantine: where
-	// it refuses a sound request, a good run at one proxy without it frees it.
+	// Mechanism is a part of the decisions that can be disabled, by operators during an incident or
+	// to measure its effect. Parts that enforce guarantees (the rate of cold servers, budgets,
+	// draining, regions) cannot be disabled. The quarantine is an exception: if it refuses a
+	// harmless request, one success at a proxy on which it is disabled clears it.
 	Mechanism string
 )
 
-// Mechanisms lists all that can be switched off.
+// Mechanisms lists all mechanisms that can be disabled.
 func Mechanisms() []Mechanism { return slices.Clone(mechanisms) }
 
-// UnmarshalText reads a mechanism's name.
+// UnmarshalText parses the name of a mechanism.
 func (m *Mechanism) UnmarshalText(text []byte) error {
 	if !slices.Contains(mechanisms, Mechanism(text)) {
 		names := make([]string, 0, len(mechanisms))
 		for _, known := range mechanisms {
 			names = append(names, string(known))
 		}
-		return fmt.Errorf("%q is no mechanism; known are %s", text, strings.Join(names, ", "))
+		return fmt.Errorf("unknown mechanism %q; known mechanisms: %s", text, strings.Join(names, ", "))
 	}
 	*m = Mechanism(text)
 	return nil
 }
 
-// isEnabled reports whether a mechanism is in use.
+// isEnabled reports whether a mechanism is enabled.
 func (k *Kernel) isEnabled(m Mechanism) bool { return !k.disabled[m] }
--- a/internal/kernel/steering/near.go
+++ b/internal/kernel/steering/near.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// chooseWarm picks among the servers that know the request's object, and reports whether
-// no other can be better: each of the hundreds of others would run it cold, and is charged
-// for that.
+// chooseWarm chooses among the servers that are warm for the request's object, and reports whether
+// no other server can have a lower cost. Hundreds of other servers need not be considered then:
+// each would run the request cold and is charged for that.
 func (k *Kernel) chooseWarm(now time.Time, req *ActiveRequest, svc *service, homes []string) (choice, bool) {
 	if len(homes) == 0 || !k.placer.chargesColdRuns || k.observeCandidate != nil {
 		return choice{}, false
@@ -32,7 +32,7 @@
 	return best, best.cost < elsewhere
 }
 
-// markWarm notes that a server has handled an object.
+// markWarm records that a server has handled an object.
 func (svc *service) markWarm(now time.Time, s *server, object string) {
 	if object == "" {
 		return
--- a/internal/kernel/steering/placer.go
+++ b/internal/kernel/steering/placer.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// DefaultPlacer keeps objects at their homes.
+	// DefaultPlacer prefers the home servers of objects.
 	DefaultPlacer = "homes"
 )
 
@@ -17,13 +17,14 @@
 )
 
 type (
-	// placer weighs the servers that may take a request; the least cost wins.
-	// All but the default are there to be measured against.
+	// placer is a load-balancing policy. It assigns a cost to each server that can take a request,
+	// and the lowest cost wins. All policies but the default serve only as baselines for
+	// measurements.
 	placer struct {
 		name string
 		cost func(k *Kernel, f *ActiveRequest, p choice) time.Duration
-		// shedsLoad is set if requests are refused where queues are too long, chargesColdRuns if
-		// servers away from an object's homes are charged for running it cold.
+		// shedsLoad is set if requests are refused where queues are too long. chargesColdRuns is
+		// set if servers other than an object's homes are charged for running it cold.
 		shedsLoad       bool
 		chargesColdRuns bool
 	}
@@ -47,8 +48,8 @@
 	}})
 }
 
-// registerPlacer adds a placer. It is called from init only, so the registry
-// is constant once main runs.
+// registerPlacer adds a policy. It is called only from init, so the registry does not change once
+// main runs.
 func registerPlacer(p placer) {
 	if _, taken := placers[p.name]; taken {
 		panic(fmt.Sprintf("steering: placer %q registered twice", p.name))
@@ -56,7 +57,7 @@
 	placers[p.name] = p
 }
 
-// Placers lists the registered names in order.
+// Placers lists the names of the registered policies in order.
 func Placers() []string {
 	names := make([]string, 0, len(placers))
 	for name := range placers {
--- a/internal/kernel/steering/quarantine.go
+++ b/internal/kernel/steering/quarantine.go
@@ -8,20 +8,20 @@
 )
 
 type (
-	// QuarantinedWork is work that is refused.
+	// QuarantinedWork is a request fingerprint that is refused.
 	QuarantinedWork struct {
 		quarantine.Report
-		// Rank is this proxy's place among those that see to it: the first ones keep it
-		// in the platform's store, and try it again first.
+		// Rank is this proxy's rank among those responsible for the fingerprint. The first ones
+		// keep it in the platform's store and are the first to try it again.
 		Rank int
-		// QuarantinedFor is how much longer it is refused here.
+		// QuarantinedFor is how much longer it is refused at this proxy.
 		QuarantinedFor time.Duration
 	}
 )
 
-// checkQuarantine says whether the request's work may run now; a reason is given if not. Work that
-// has been there at the ends of servers runs once at a time, and not again by ourselves:
-// each run may cost one more server and all that it has.
+// checkQuarantine returns the reason why the request's fingerprint must not run now, or ReasonNone
+// if it may. A fingerprint that was in flight when servers crashed runs one request at a time and
+// is not retried by the proxy: each run may crash another server with all its requests.
 func (k *Kernel) checkQuarantine(now time.Time, req *ActiveRequest) Reason {
 	req.workSuspected = false
 	if req.Work.None() || !k.isEnabled(MechanismQuarantine) {
@@ -39,8 +39,8 @@
 	return ReasonNone
 }
 
-// trialRank is this proxy's place in the order in which proxies try refused work again,
-// another one for each work.
+// trialRank returns this proxy's rank in the order in which proxies try a quarantined fingerprint
+// again. The order differs between fingerprints.
 func (k *Kernel) trialRank(w quarantine.Work) int {
 	n := len(k.limitSharers)
 	if n == 0 {
@@ -49,8 +49,9 @@
 	return (k.ownIndex + int(w[0])<<8 + int(w[1])) % n
 }
 
-// chooseLeastLoaded picks the server with the least to lose for suspected work: of those that
-// may take it, the one that runs the fewest, near ones first.
+// chooseLeastLoaded chooses a server for a suspected fingerprint. It takes the one with the fewest
+// running requests among those that can take it, preferring near ones, so that a crash loses the
+// least.
 func (k *Kernel) chooseLeastLoaded(now time.Time, req *ActiveRequest, svc *service) (*server, choice) {
 	best := choice{reason: ReasonNoServer}
 	req.workEstimate = svc.workOf(req.Route)
@@ -64,8 +65,8 @@
 			if !k.coldRoom(now, svc, s) {
 				continue
 			}
-			// After the servers of a service have ended all are cold, and work that
-			// is sound must be able to show it.
+			// After the servers of a service have crashed, all of them are cold, and a harmless
+			// fingerprint must still get the chance to succeed.
 			load += float64(s.Slots)
 		}
 		if best.server != nil && load >= least {
@@ -80,8 +81,8 @@
 	return best.server, best
 }
 
-// recordCrashEvidence takes in what an attempt tells of whether its server has ended, and what of
-// the request's work.
+// recordCrashEvidence records what an attempt shows about whether its server crashed and about the
+// request's fingerprint.
 func (k *Kernel) recordCrashEvidence(now time.Time, req *ActiveRequest, s *server, a Attempt) {
 	q := k.quarantine
 	q.Stopped(req.Work)
@@ -89,14 +90,14 @@
 	case ResultAnswered, ResultServerError, ResultRefused:
 		q.Answered(s.startID, req.sentAt)
 		if a.Result == ResultAnswered && !a.Rejected {
-			// A server that fails or rejects a request may not have come to what
-			// ends it.
+			// A server that fails or rejects a request may not have reached the part that crashes
+			// it.
 			q.RanWell(now, req.Work)
 		}
 	case ResultConnectionLost:
 		req.connectionsLost++
 		if s.isEligible() && s.absentUntil.IsZero() {
-			// A server that leaves as planned may cut what it still has.
+			// A server that drains as planned may close the connections of its remaining requests.
 			q.Broke(now, req.Work, s.startID)
 		}
 	case ResultWrongServer:
@@ -108,7 +109,7 @@
 	}
 }
 
-// ServersToProbe lists the servers of which it must be found out whether they have ended.
+// ServersToProbe lists the servers that must be probed to find out whether they have crashed.
 func (k *Kernel) ServersToProbe() []routing.Server {
 	doubtful := k.quarantine.Doubtful()
 	if len(doubtful) == 0 {
@@ -128,7 +129,7 @@
 	return list
 }
 
-// RecordConnectionRefused notes that nothing listens where a server was.
+// RecordConnectionRefused records that no process listens at the address of a server.
 func (k *Kernel) RecordConnectionRefused(now time.Time, id string) {
 	k.record(Call{Method: callConnectionRefused, At: now, ID: id})
 	if s := k.servers[id]; s != nil {
@@ -137,13 +138,13 @@
 	}
 }
 
-// QuarantineReports lists what peers should hear of work that ends servers; all of it for one
-// that knows nothing yet.
+// QuarantineReports lists the reports on fingerprints that are due to peers, or all of them for a
+// peer that knows nothing yet.
 func (k *Kernel) QuarantineReports(now time.Time, all bool) []quarantine.Report {
 	return k.quarantine.Reports(now, all)
 }
 
-// QuarantinedWork lists the work that is refused.
+// QuarantinedWork lists the fingerprints that are refused.
 func (k *Kernel) QuarantinedWork(now time.Time) []QuarantinedWork {
 	var list []QuarantinedWork
 	for _, r := range k.quarantine.Condemnations(now) {
@@ -153,7 +154,7 @@
 	return list
 }
 
-// ApplyQuarantineReports takes in what a peer knows.
+// ApplyQuarantineReports merges the reports of a peer.
 func (k *Kernel) ApplyQuarantineReports(now time.Time, list []quarantine.Report) {
 	if len(list) == 0 {
 		return
@@ -162,14 +163,16 @@
 	k.quarantine.Hear(now, list)
 }
 
-// QuarantinePending reports whether there is anything about work that ends servers to find out or
-// to tell at once.
+// QuarantinePending reports whether the quarantine has servers to probe or reports to send
+// immediately.
 func (k *Kernel) QuarantinePending() bool { return k.quarantine.Stirred() }
 
-// QuarantineReportsUrgent reports, once, whether peers should hear of suspicions at once.
+// QuarantineReportsUrgent reports whether peers should get quarantine reports immediately. It
+// reports this only once.
 func (k *Kernel) QuarantineReportsUrgent() bool { return k.quarantine.Urgent() }
 
-// observeQuarantine tells of what has become of a work or of a server that had some.
+// observeQuarantine reports a change of a fingerprint's status or a crash of a server with
+// fingerprints in flight.
 func (k *Kernel) observeQuarantine(n quarantine.Notice) {
 	e := Event{Kind: EventKind(n.Change), Fingerprint: n.Work, Crashes: n.Ends, RunningFingerprints: n.Works}
 	for _, s := range k.servers {
--- a/internal/kernel/steering/regions.go
+++ b/internal/kernel/steering/regions.go
@@ -5,23 +5,23 @@
 )
 
 const (
-	// MaxRegions is how many regions there may be.
+	// MaxRegions is the largest supported number of regions.
 	MaxRegions = 63
-	// unknownRegion stands for all that are not known: what names no region may run there
-	// too.
+	// unknownRegion is the bit of all unknown regions. Requests without a region restriction may
+	// run there, too.
 	unknownRegion regionSet = 1 << MaxRegions
 	allRegions    regionSet = 1<<64 - 1
 )
 
 type (
-	// regionSet is a set of regions, a bit each.
+	// regionSet is a set of regions with one bit each.
 	regionSet uint64
 )
 
 // has reports whether a region is in the set.
 func (s regionSet) has(bit regionSet) bool { return s&bit != 0 }
 
-// regionBit stands for a region.
+// regionBit returns the bit of a region.
 func (k *Kernel) regionBit(region string) regionSet {
 	if i := slices.Index(k.regions, region); i >= 0 {
 		return 1 << i
@@ -29,7 +29,7 @@
 	return unknownRegion
 }
 
-// regionSet is the set of the regions named; no name means all.
+// regionSet returns the set of the named regions. No names mean all regions.
 func (k *Kernel) regionSet(names []string) regionSet {
 	if len(names) == 0 {
 		return allRegions
--- a/internal/kernel/steering/replay.go
+++ b/internal/kernel/steering/replay.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxDifferences bounds the differences that a replay keeps.
+	// maxDifferences limits the differences that a replay keeps.
 	maxDifferences = 20
 )
 
@@ -24,22 +24,22 @@
 )
 
 type (
-	// ReplayResult is what became of a recording when a new kernel was given its calls.
+	// ReplayResult is the result of replaying a recording on a new kernel.
 	ReplayResult struct {
 		Calls     int
 		Decisions int
-		// Truncated is set if the recording ends within a call, as that of a
-		// process that was killed does.
+		// Truncated is set if the recording ends within a call, for example because the process was
+		// killed.
 		Truncated bool
-		// DifferenceCount counts the decisions that are others now, Differences tells
-		// of the first.
+		// DifferenceCount counts the decisions that differ from the recording. Differences holds
+		// the first of them.
 		DifferenceCount int
 		Differences     []Difference
-		// Candidates are the servers that were weighed for the request asked about.
+		// Candidates are the servers that were considered for the selected request.
 		Candidates []Candidate
 	}
 
-	// Difference is a decision that was recorded and is another one now.
+	// Difference is a decision that differs from the recorded one.
 	Difference struct {
 		Call     int
 		At       time.Time
@@ -48,12 +48,12 @@
 		Now      RecordedDecision
 	}
 
-	// Candidate is one server as a choice saw it.
+	// Candidate describes one server as it was considered by a choice.
 	Candidate struct {
 		At      time.Time
 		Attempt int
 		Server  string
-		// Usable is false for one that is out, leaves or waits for a probe.
+		// Usable is false for a server that is ejected, drains or waits for a probe.
 		Usable   bool
 		Cold     bool
 		HomeRank int
@@ -73,9 +73,9 @@
 	}
 )
 
-// ReplayCalls gives the calls of a recording, JSON values one after the other, to
-// a new kernel and compares its decisions with those recorded. For the request
-// named, if any, it tells how each server was weighed.
+// ReplayCalls replays the calls of a recording, a sequence of JSON values, on a new kernel and
+// compares its decisions with the recorded ones. If about is the ID of a request, the result lists
+// the servers that were considered for it.
 func ReplayCalls(recording io.Reader, about string) (ReplayResult, error) {
 	r := &replayer{requestID: about}
 	for decoder := json.NewDecoder(recording); ; {
@@ -99,7 +99,7 @@
 
 func (r *replayer) replayCall(c Call) error {
 	if c.Method == callStart && c.Config != nil {
-		// Each start of the process is a kernel of its own.
+		// Each start of the process has its own kernel.
 		r.kernel, r.requests = New(*c.Config), make(map[uint64]*ActiveRequest)
 		return nil
 	}
@@ -172,7 +172,8 @@
 	return nil
 }
 
-// tableOf is the table of a call. Its keys are fingerprints, as those of its requests.
+// tableOf returns the table of a call. Its account keys are fingerprints, as are those of the
+// recorded requests.
 func tableOf(c Call) *routing.Table {
 	t := routing.NewTable(c.Table.Version, slices.Collect(maps.Values(c.Table.Routes)), slices.Collect(maps.Values(c.Table.Services)), c.Table.Limits)
 	if c.Accounts == nil {
@@ -208,7 +209,7 @@
 	return nil
 }
 
-// observeCandidates notes how servers are weighed if the request is the one asked about.
+// observeCandidates records the considered servers if the request is the selected one.
 func (r *replayer) observeCandidates(c Call, id string, attempt int) {
 	r.kernel.observeCandidate = nil
 	if r.requestID != "" && id == r.requestID {
@@ -240,8 +241,8 @@
 	r.moveToRecorded(req, c.Decision.Server)
 }
 
-// moveToRecorded puts a request at the server where it was recorded, so that what is
-// recorded of its attempt applies to the server that it was sent to.
+// moveToRecorded moves a request to the server that was recorded for it, so that the recorded
+// result of its attempt is applied to the server that it was sent to.
 func (r *replayer) moveToRecorded(req *ActiveRequest, id string) {
 	if req.server != nil && req.server.id != id && req.server.inFlight > 0 {
 		req.server.inFlight--
--- a/internal/kernel/steering/replicas.go
+++ b/internal/kernel/steering/replicas.go
@@ -6,11 +6,10 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/placing"
 )
 
-// withReplica names the servers for an object that is asked for more often than its home
-// can answer: one of its replicas first, drawn for each request, then its homes. The
-// replicas stand in the home's region, so that the regions keep their parts of the
-// requests. Proxies may differ in how many there are: the first ones are the same for
-// all.
+// withReplica returns the servers for an object that is requested more often than its home can
+// serve: a random one of its replicas first, drawn for each request, followed by its homes. The
+// replicas are in the region of the home, so that the regions keep their shares of the requests.
+// Proxies may disagree on the number of replicas, but the first ones are the same for all.
 func (k *Kernel) withReplica(req *ActiveRequest, svc *service, homes []string) []string {
 	if len(homes) == 0 || !k.isEnabled(MechanismReplicas) {
 		return homes
@@ -27,15 +26,15 @@
 	if i == 0 {
 		return homes
 	}
-	// The nearest of the home's class are the same at all proxies; the home itself is
-	// mostly one of them.
+	// The nearest servers of the home's class are the same at all proxies. They usually include the
+	// home itself.
 	nearest := slices.DeleteFunc(svc.ranking.Nearest(home.class(), req.Object), func(id string) bool { return id == home.id })
 	if i > len(nearest) {
 		return homes
 	}
 	chosen := nearest[i-1]
 	if svc.registered[chosen].ejections > 0 {
-		// Its home is sound: the request must not be taken for one whose home is lost.
+		// The home is healthy, so the request must not be treated as one whose home is lost.
 		return homes
 	}
 	list := append(make([]string, 0, len(homes)+1), chosen)
@@ -47,8 +46,8 @@
 	return list
 }
 
-// replicasNeeded is how many servers the object of a request needs, its home
-// included. This proxy takes the others of its region to see as much as it does.
+// replicasNeeded returns how many servers the object of a request needs, including its home. The
+// other proxies of the region are assumed to have the same request rate as this one.
 func (k *Kernel) replicasNeeded(req *ActiveRequest, svc *service, slots int) int {
 	rate := svc.demand.Least(req.startedAt, req.Object) * float64(max(1, k.sharersInRegion))
 	return placing.Replicas(rate, svc.workOf(req.Route).typical(req.Route), slots)
--- a/internal/kernel/steering/request.go
+++ b/internal/kernel/steering/request.go
@@ -11,85 +11,89 @@
 )
 
 const (
-	// ResultAnswered means that the server's whole answer has arrived.
+	// ResultAnswered means that the server's complete response has arrived.
 	ResultAnswered Result = iota + 1
-	// ResultServerError means that the server's whole answer tells of its own failure.
+	// ResultServerError means that the server's complete response reports a failure of the server.
 	ResultServerError
-	// ResultRefused means that the server says that it did not run the request.
+	// ResultRefused means that the server reported that it did not run the request.
 	ResultRefused
-	// ResultWrongServer means that another server has the address; nothing has run.
+	// ResultWrongServer means that another server now has the address. The request has not run.
 	ResultWrongServer
 	// ResultUnreachable means that no byte of the request was sent.
 	ResultUnreachable
-	// ResultConnectionLost means that the exchange broke after the first byte was sent.
+	// ResultConnectionLost means that the connection failed after the first byte was sent.
 	ResultConnectionLost
-	// ResultTimeout means that no answer came in time.
+	// ResultTimeout means that no response arrived in time.
 	ResultTimeout
-	// ResultCallerGone means that the caller has gone.
+	// ResultCallerGone means that the caller disconnected.
 	ResultCallerGone
-	// ResultNotSent means that nothing was sent: the server asked for no more while a
-	// connection was opened.
+	// ResultNotSent means that nothing was sent: while the connection was being opened, the server
+	// announced that it takes no more requests.
 	ResultNotSent
 )
 
 const (
-	// OutcomeDone means that the caller gets a server's whole answer.
+	// OutcomeDone means that the caller gets a server's complete response.
 	OutcomeDone Outcome = iota + 1
-	// OutcomeNotRun means that no server has run the request or will.
+	// OutcomeNotRun means that no server has run the request or will run it.
 	OutcomeNotRun
-	// OutcomeMayHaveRun means that nobody can say.
+	// OutcomeMayHaveRun means that it is unknown whether a server has run the request.
 	OutcomeMayHaveRun
 )
 
 const (
-	// ReasonNone goes with a good answer.
+	// ReasonNone goes with a successful response.
 	ReasonNone Reason = ""
-	// ReasonNoConfiguration means that no configuration is known yet.
+	// ReasonNoConfiguration means that no configuration is active yet.
 	ReasonNoConfiguration Reason = "no-configuration"
-	// ReasonNoRoute means that no route matches.
+	// ReasonNoRoute means that no route matches the request.
 	ReasonNoRoute Reason = "no-route"
-	// ReasonNoAccount means that the request carries no key of an account.
+	// ReasonNoAccount means that the request carries no valid key of a client account.
 	ReasonNoAccount Reason = "no-account"
-	// ReasonRateLimit means that its account has sent as many as it may.
+	// ReasonRateLimit means that the client account has exceeded its rate limit.
 	ReasonRateLimit Reason = "rate-limit"
-	// ReasonNoRegion means that no region may serve both its route and its account.
+	// ReasonNoRegion means that the regions allowed by the route and by the client account do not
+	// overlap.
 	ReasonNoRegion Reason = "no-region"
-	// ReasonNoServer means that no server may take the request now.
+	// ReasonNoServer means that no server can take the request now.
 	ReasonNoServer Reason = "no-server"
-	// ReasonBackpressure means that all servers that might take the request have asked for no
-	// more of them now.
+	// ReasonBackpressure means that all servers that could take the request have announced that
+	// they take no more requests for now.
 	ReasonBackpressure Reason = "withheld-by-servers"
-	// ReasonOverload means that no server would answer in time.
+	// ReasonOverload means that no server would respond in time.
 	ReasonOverload Reason = "overload"
-	// ReasonQueuesTooLong says that the queues are so long that answers come late.
+	// ReasonQueuesTooLong means that the server queues are so long that responses would miss the
+	// target.
 	ReasonQueuesTooLong Reason = "queues-too-long"
 	// ReasonRefused means that servers refused the request.
 	ReasonRefused Reason = "refused-by-server"
-	// ReasonRetryBudget means that a repeat was not within the budget.
+	// ReasonRetryBudget means that the retry budget was exhausted.
 	ReasonRetryBudget Reason = "repeat-budget"
-	// ReasonConnectionLost means that an exchange broke and may have run.
+	// ReasonConnectionLost means that a connection was lost and the request may have run.
 	ReasonConnectionLost Reason = "broken"
-	// ReasonMayCrashServers means that the request's work may have ended servers and runs
-	// once at a time, and not again.
+	// ReasonMayCrashServers means that the request may have crashed servers. Requests with its
+	// fingerprint run one at a time and are not retried.
 	ReasonMayCrashServers Reason = "may-end-servers"
-	// ReasonCrashesServers means that the request's work has ended servers and is refused.
+	// ReasonCrashesServers means that the request's fingerprint is quarantined because it crashed
+	// servers.
 	ReasonCrashesServers Reason = "ends-servers"
-	// ReasonServerError goes with an answer that tells of the server's own failure.
+	// ReasonServerError goes with a response that reports a failure of the server.
 	ReasonServerError Reason = "server-failed"
-	// ReasonCallerGone means that the caller has gone.
+	// ReasonCallerGone means that the caller disconnected.
 	ReasonCallerGone Reason = "caller-left"
-	// ReasonTimeout means that the route's timeout has passed.
+	// ReasonTimeout means that the request reached its deadline: the route's timeout, the caller's
+	// deadline or the shutdown of this proxy.
 	ReasonTimeout Reason = "timeout"
 )
 
 const (
-	// maxSends bounds the sends of one request to servers that turn out to
-	// be unreachable: each costs a connection's time-out.
+	// maxSends limits the attempts of one request on servers that turn out to be unreachable. Each
+	// of them can cost a connection timeout.
 	maxSends = 4
-	// minAttemptTime is the time below which another attempt is not worth it.
+	// minAttemptTime is the remaining time below which another attempt is not worthwhile.
 	minAttemptTime = 20 * time.Millisecond
-	// minRetryAfter and comeBackMost bound the time that a refused caller is
-	// told to stay away. Callers give up a third of their time at most.
+	// minRetryAfter and maxRetryAfter bound the retry delay that a refused caller is given. The
+	// delay is also at most a third of the time that the caller has left.
 	minRetryAfter = 80 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 )
@@ -101,143 +105,149 @@
 	// Outcome is how a request ended for its caller.
 	Outcome uint8
 
-	// Reason says why a request ended as it did, for programs.
+	// Reason is the machine-readable reason why a request ended as it did.
 	Reason string
 
-	// Request is what a decision needs to know of a caller's request.
+	// Request describes a caller's request as far as decisions depend on it.
 	Request struct {
 		ID     string
 		Host   string
 		Path   string
 		Object string
-		// Credential shows whose request it is.
+		// Credential identifies the client account of the request.
 		Credential account.Credential
-		// Work names what a server would run.
+		// Work is the fingerprint of what the server would run.
 		Work quarantine.Work
-		// Deadline is when the caller stops waiting; zero if it did not say.
+		// Deadline is when the caller stops waiting. It is zero if the caller did not set one.
 		Deadline time.Time
 	}
 
-	// ActiveRequest is a request in progress.
+	// ActiveRequest is the state of a request in progress.
 	ActiveRequest struct {
 		Request
 		Route   *routing.Route
 		Service string
-		// Account is the client account, nil for none; Keyed is set if the configuration
-		// has accounts, so that no key may be passed on.
+		// Account is the client account, or nil if there is none. HasAccounts is set if the
+		// configuration has client accounts; their keys must then not be forwarded to servers.
 		Account     *account.Account
 		HasAccounts bool
-		// ExpiresAt is when the request ends at the latest, answered or not.
+		// ExpiresAt is when the request ends at the latest, with or without a response.
 		ExpiresAt time.Time
 
-		// seq counts the kernel's requests.
+		// seq is the sequence number of the request in this kernel.
 		seq uint64
-		// tableVersion is that of the table by which the account was found.
+		// tableVersion is the version of the configuration in which the account was looked up.
 		tableVersion uint64
 		// allowedRegions are the regions in which the request may run.
 		allowedRegions regionSet
-		// quotaRuling is the ruling by which a pool is asked for a token.
+		// quotaRuling is the pending decision for which a quota pool is asked for a token.
 		quotaRuling ratelimit.Ruling
 		startedAt   time.Time
 		server      *server
 		sentAt      time.Time
 		expected    time.Duration
 		warm        bool
-		// workEstimate is what is known of how long such requests take at the service.
+		// workEstimate estimates how long requests of the route take at the service.
 		workEstimate *workEstimate
-		// loadAtSend is what the server was reckoned to run and queue when it was sent.
+		// loadAtSend is the estimated number of requests that ran and waited at the server when
+		// this one was sent.
 		loadAtSend float64
-		// drawnRegion is where a request without an object should run.
+		// drawnRegion is the region drawn for a request without an object.
 		drawnRegion  string
 		triedServers []*server
-		// connectionsLost counts the exchanges that broke; suspected is set if the work has been
-		// there at the ends of servers, and away is for how long it is refused.
+		// connectionsLost counts the attempts that lost their connection. workSuspected is set if
+		// the request's fingerprint is suspected of crashing servers, and quarantinedFor is how
+		// long it stays quarantined.
 		connectionsLost int
 		workSuspected   bool
 		quarantinedFor  time.Duration
-		// reachedServers counts sends that reached or may have reached a server.
+		// reachedServers counts the attempts that reached or may have reached a server.
 		reachedServers int
 		sendAttempts   int
-		// slotRequest is the question for a place at the server's gate, until the place is
-		// given back; rank is how many ran there with this one, zero if not asked.
+		// slotRequest is the request for a slot at the server's limiter, kept until the slot is
+		// released. slotRank is how many requests ran at the server including this one, or zero if
+		// no slot was requested.
 		slotRequest *SlotRequest
 		slotRank    int
-		// mayHaveRun is set once a server may have begun to run the request.
+		// mayHaveRun is set once a server may have started to run the request.
 		mayHaveRun bool
-		// queuePressure is how long the queues were where it would have gone.
+		// queuePressure is the queue pressure where the request would have run.
 		queuePressure float64
-		// maxRetryAfter is the longest time until a refused caller's return in which it
-		// can still be answered within the target; zero if it can't.
+		// maxRetryAfter is the longest retry delay after which a refused request can still be
+		// answered within the target. It is zero if there is none.
 		maxRetryAfter time.Duration
-		// backpressureWait is how long until a server that has asked for less takes more.
+		// backpressureWait is how long until a server that announced a limit or pause takes
+		// requests again.
 		backpressureWait time.Duration
 		steps            []Event
 	}
 
 	// Decision is the next step of a request.
 	Decision struct {
-		// Server to send to; nil ends the request.
+		// Server is the server to send the request to. If it and QuotaPool are empty, the request
+		// ends.
 		Server *Target
-		// SlotRequest is set if a place must be asked for before it is sent, Release if one
-		// must be given back.
+		// SlotRequest is set if a slot must be requested before the request is sent. SlotRelease is
+		// set if a slot must be released.
 		SlotRequest *SlotRequest
 		SlotRelease *SlotRelease
-		// QuotaPool is the proxy that must be asked whether the request is within its account's
-		// limit, before anything else; empty for none.
+		// QuotaPool is the proxy to ask first whether the request is within the rate limit of its
+		// account. Empty means that none has to be asked.
 		QuotaPool string
-		// ReturnResponse ends the request with the attempt's answer.
+		// ReturnResponse ends the request with the response of the attempt.
 		ReturnResponse bool
 		Reason         Reason
-		// NotRun is set if no server has run the request or will.
+		// NotRun is set if no server has run the request or will run it.
 		NotRun bool
-		// RetryAfter is when a refused caller may try again. Elsewhere is set if another
-		// proxy may serve it now.
+		// RetryAfter is the delay after which a refused caller may try again. TryOtherProxy is set
+		// if another proxy may accept the request now.
 		RetryAfter    time.Duration
 		TryOtherProxy bool
 	}
 
-	// Target is the server that an attempt goes to.
+	// Target is the server that an attempt is sent to.
 	Target struct {
 		routing.Server
-		// RoundTrip to the server's failure domain.
+		// RoundTrip is the estimated round-trip time to the server's failure domain.
 		RoundTrip time.Duration
-		// MaxConnections is how many this proxy may hold to the server, used and
-		// idle; zero for no bound.
+		// MaxConnections is the limit on this proxy's open connections to the server, in use or
+		// idle. Zero means no limit.
 		MaxConnections int
 	}
 
-	// Attempt reports how a send ended.
+	// Attempt reports how an attempt ended.
 	Attempt struct {
 		Result Result
-		// RoundTrip to the server as measured by a new connection, or zero.
+		// RoundTrip is the round-trip time measured on a new connection, or zero if there was none.
 		RoundTrip time.Duration
-		// Loaded is set if the server told its load.
+		// Loaded is set if the server reported its load.
 		Loaded           bool
 		Running, Waiting int
-		// Rejected is set if the answer tells of a fault of the request: the server may
-		// not have begun to run it.
+		// Rejected is set if the response reports an error in the request. The server may not have
+		// started to run it.
 		Rejected bool
-		// Refusing is set if nothing listens at the server's address.
+		// Refusing is set if the connection was refused: no process listens at the server's
+		// address.
 		Refusing bool
-		// Signal is what the server asks of its senders.
+		// Signal is the backpressure signal that the server sent.
 		Signal backpressure.Signal
 		Err    error `json:"-"`
 	}
 )
 
-// String names the result for logs.
+// String returns the result as it appears in logs.
 func (r Result) String() string {
 	names := [...]string{"none", "answered", "failed", "refused", "mistaken", "unreachable", "broken", "late", "left", "withheld"}
 	return names[min(int(r), len(names)-1)]
 }
 
-// String names the outcome for logs.
+// String returns the outcome as it appears in logs.
 func (o Outcome) String() string {
 	names := [...]string{"none", "done", "not-run", "may-have-run"}
 	return names[min(int(o), len(names)-1)]
 }
 
-// Outcome is how the request ended, if the decision ends it.
+// Outcome returns how the request ended. It is meaningful only if the decision ends the request.
 func (d Decision) Outcome() Outcome {
 	switch {
 	case d.ReturnResponse:
--- a/internal/kernel/steering/server.go
+++ b/internal/kernel/steering/server.go
@@ -10,89 +10,94 @@
 )
 
 const (
-	// ejectAfterFailures failures in a row take a server out. One may be chance.
+	// ejectAfterFailures is the number of consecutive failures after which a server is ejected. A
+	// single one may be chance.
 	ejectAfterFailures = 3
 	ejectionBase       = 400 * time.Millisecond
 	maxEjection        = 5 * time.Second
-	// ejectAfterRefusals refusals in a row, with no answer between, take a server out.
-	// One that refuses 0.45 of its requests by chance comes to that in one of 600
-	// rows; it knows its objects and is worth asking again.
+	// ejectAfterRefusals is the number of consecutive refusals after which a server is ejected. A
+	// server that refuses 0.45 of its requests at random reaches it in 1 of 600 series; it is warm
+	// for its objects and worth trying again.
 	ejectAfterRefusals = 8
-	// fullServerPause is how long a server that was full is passed over.
+	// fullServerPause is how long a server is skipped after it refused a request because it was
+	// full.
 	fullServerPause = 60 * time.Millisecond
-	// loadReportTTL is the age at which a load report says nothing any more.
+	// loadReportTTL is the age from which a load report is ignored.
 	loadReportTTL = 500 * time.Millisecond
-	// slowdownWeight is the weight of one sample in a server's speed.
+	// slowdownWeight is the weight of one sample in a server's slowdown.
 	slowdownWeight = 0.2
-	// maxSlowdown bounds the speed factor, so that a slow server is tried again.
+	// maxSlowdown caps the slowdown of a server, so that a slow server is tried again.
 	maxSlowdown = 20.0
-	// failureWeight is the weight of one outcome in a server's share of failures.
+	// failureWeight is the weight of one attempt in a server's share of failures.
 	failureWeight = 0.15
-	// defaultRegionRTT is the assumed round trip to a failure domain of the own region
-	// before one was measured, faraway that to another region.
+	// defaultRegionRTT is the assumed round-trip time to a failure domain of this region before one
+	// was measured, defaultRemoteRTT that to another region.
 	defaultRegionRTT = 2 * time.Millisecond
 	defaultRemoteRTT = 60 * time.Millisecond
 )
 
 type (
-	// server is what this proxy knows of one backend server.
+	// server is what this proxy knows about one backend server.
 	server struct {
 		routing.Server
 		id string
-		// startID names this start of the server in the quarantine.
+		// startID identifies this start of the server for the quarantine.
 		startID quarantine.Server
-		// backpressure is what this start of the server asks of its senders, nil for nothing.
+		// backpressure is what this start of the server announced to its clients, or nil if it
+		// announced nothing.
 		backpressure *backpressure.State
 		region       string
-		// regionBit stands for the region in sets of them.
+		// regionBit is the bit of the server's region in a regionSet.
 		regionBit regionSet
 		removed   bool
 		rtt       *rttEstimate
-		// unreadable is set while its entry names no server.
+		// unreadable is set while the server's registration cannot be parsed.
 		unreadable bool
-		// absentUntil is set while the server's registration is missing.
+		// absentUntil is set while the server's registration is missing. The server is removed at
+		// this time.
 		absentUntil time.Time
 
-		// answeredAt is when it last answered.
+		// answeredAt is the time of the last response.
 		answeredAt time.Time
 		inFlight   int
 		// sentCount counts the requests sent so far.
 		sentCount int
-		// reportedLoad is the server's last word on all it runs and queues, and
-		// inFlightAtReport this proxy's part of it.
+		// reportedLoad is the number of running and waiting requests that the server last reported,
+		// and inFlightAtReport is this proxy's share of them.
 		reportedLoad     int
 		inFlightAtReport int
 		reportedAt       time.Time
-		// concurrencyLimit is how many it should run at once, as its gate said; zero for all its
-		// slots. skipOwnerUntil is until when nobody asks its gate.
+		// concurrencyLimit is the number of requests that the server should run at once according
+		// to its limiter. Zero means all its slots. The owner of the limiter is not asked before
+		// skipOwnerUntil.
 		concurrencyLimit int
 		skipOwnerUntil   time.Time
-		// queuePressure is how long its queue was of late, as heard at pressureAt.
+		// queuePressure is the recent queue pressure of the server, last updated at pressureAt.
 		queuePressure admission.Pressure
 		pressureAt    time.Time
-		// unqueuedWork is its work without a queue, by route, if it does not tell its
-		// load.
+		// unqueuedWork estimates the duration of requests without queueing by route, for a server
+		// that does not report its load.
 		unqueuedWork map[string]*workEstimate
 
-		// slowdown is observed over expected time of answers. What is expected takes
-		// it into account, so it settles at the square root of how many times as
-		// long the server takes. That is meant: a home that is slow keeps its
-		// objects unless it is very slow, for each would run cold elsewhere.
+		// slowdown is the ratio of observed to expected response times. The expected time already
+		// includes it, so it settles at the square root of the actual factor. This is intended: a
+		// slow home keeps its objects unless it is very slow, because they would run cold on any
+		// other server.
 		slowdown      float64
 		failureShare  float64
 		failuresInRow int
-		// refusalsInRow in a row, with no answer between.
+		// refusalsInRow counts consecutive refusals without a response in between.
 		refusalsInRow int
 		ejections     int
 		ejectedUntil  time.Time
 
 		coldUntil time.Time
 		coldRate  admission.Cold
-		// warmObjects handled lately, with the time of the last answer.
+		// warmObjects are the objects handled recently, with the time of the last response.
 		warmObjects map[string]time.Time
 	}
 
-	// rttEstimate is the measured round trip to a failure domain.
+	// rttEstimate is the measured round-trip time to a failure domain.
 	rttEstimate struct {
 		roundTrip time.Duration
 		measured  bool
@@ -111,8 +116,8 @@
 	return d
 }
 
-// observe takes in a measured round trip. The smallest counts: what lies above
-// it is queueing, and a figure that rose with the load would move homes.
+// observe records a measured round-trip time. Only the minimum counts: anything above it is
+// queueing, and a value that rose with the load would move objects to other homes.
 func (d *rttEstimate) observe(roundTrip time.Duration) {
 	if roundTrip <= 0 || d.measured && roundTrip >= d.roundTrip {
 		return
@@ -122,32 +127,32 @@
 
 func (s *server) isCold(now time.Time) bool { return now.Before(s.coldUntil) }
 
-// isEligible reports whether the server is registered and does not leave, by its
-// registration or by its own word.
+// isEligible reports whether the server is registered and not draining, according to both its
+// registration and its own signals.
 func (s *server) isEligible() bool {
 	return !s.removed && !s.Draining && !s.unreadable && !s.backpressure.Leaving()
 }
 
-// isNewerThan reports whether a registration is of an earlier start.
+// isNewerThan reports whether a registration belongs to an earlier start of the server.
 func (s *server) isNewerThan(r routing.Server) bool {
 	return !r.Started.IsZero() && r.Started.Before(s.Started)
 }
 
-// usable reports whether a request may go there now.
+// usable reports whether the server may get a request now.
 func (s *server) usable(now time.Time) bool {
 	if now.Before(s.ejectedUntil) || !s.isEligible() {
 		return false
 	}
-	// A server that was out gets one request at a time until one succeeds.
+	// A server that was ejected gets one request at a time until one succeeds.
 	return s.ejections == 0 || s.inFlight == 0
 }
 
-// isHealthy reports whether the server is neither out after failures nor pausing.
+// isHealthy reports whether the server is neither ejected nor paused.
 func (s *server) isHealthy(now time.Time) bool {
 	return s.ejections == 0 && !s.backpressure.Paused(now)
 }
 
-// usableSlots is how many requests it should run at once.
+// usableSlots is the number of requests that the server should run at once.
 func (s *server) usableSlots() int {
 	if s.concurrencyLimit > 0 && s.concurrencyLimit < s.Slots {
 		return s.concurrencyLimit
@@ -155,8 +160,7 @@
 	return s.Slots
 }
 
-// load estimates how many requests the server runs and queues, over all
-// proxies.
+// load estimates the number of running and waiting requests of all proxies at the server.
 func (s *server) load(now time.Time) float64 {
 	age := now.Sub(s.reportedAt)
 	if age >= loadReportTTL {
@@ -166,7 +170,7 @@
 	return float64(s.inFlight) + others*(1-float64(age)/float64(loadReportTTL))
 }
 
-// loadAge is how old the server's last word on its load is, negative for none.
+// loadAge returns the age of the server's last load report, or a negative value if there is none.
 func (s *server) loadAge(now time.Time) time.Duration {
 	if s.reportedAt.IsZero() {
 		return -1
@@ -174,14 +178,14 @@
 	return now.Sub(s.reportedAt)
 }
 
-// recordLoad takes in the server's own word on its load.
+// recordLoad records a load report of the server.
 func (s *server) recordLoad(now time.Time, running, waiting int) {
 	s.reportedLoad = running + waiting
 	s.inFlightAtReport = s.inFlight
 	s.reportedAt = now
 }
 
-// unqueuedWorkOf is the server's work without a queue on the requests of a route.
+// unqueuedWorkOf returns the estimate of the server's work without queueing for a route.
 func (s *server) unqueuedWorkOf(route string) *workEstimate {
 	w := s.unqueuedWork[route]
 	if w == nil {
@@ -194,7 +198,7 @@
 	return w
 }
 
-// recordSuccess notes an answer that took a time against the one expected.
+// recordSuccess records a response and compares its duration with the expected one.
 func (s *server) recordSuccess(took, expected time.Duration) {
 	s.failuresInRow, s.refusalsInRow, s.ejections = 0, 0, 0
 	s.failureShare -= failureWeight * s.failureShare
@@ -205,11 +209,11 @@
 	s.slowdown += slowdownWeight * (ratio - s.slowdown)
 }
 
-// recordRefusal notes a refusal. One while slots were free says nothing of the
-// next request; any other has the server passed over for a moment. After many in
-// a row the server is out: it would look idle for good and draw the requests of
-// its objects, each of which would be refused or cost a repeat. Those of a server
-// that tells that all its slots are busy don't count: it is at work.
+// recordRefusal records a refusal. A refusal while slots were free says nothing about the next
+// request; after any other, the server is skipped for a moment. After several consecutive refusals
+// the server is ejected: it would look idle indefinitely and attract the requests of its objects,
+// each of which would be refused or cost a retry. Refusals of a server that reports all its slots
+// in use are not counted, because it is working.
 func (s *server) recordRefusal(now time.Time, a Attempt) {
 	free := a.refusedWithFreeSlots(s.Slots)
 	if busy := a.Loaded && a.Running >= s.Slots; !busy {
@@ -223,8 +227,8 @@
 	}
 }
 
-// recordFailure notes a failed attempt and takes the server out after several in
-// a row, or at once if nothing listens there.
+// recordFailure records a failed attempt. It ejects the server after several consecutive failures,
+// or immediately if the failure is hard.
 func (s *server) recordFailure(now time.Time, hard bool) {
 	s.failureShare += failureWeight * (1 - s.failureShare)
 	s.failuresInRow++
--- a/internal/kernel/steering/servers.go
+++ b/internal/kernel/steering/servers.go
@@ -7,11 +7,11 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// RegisterServer takes in a server's registration. A server that has started again under
-// its id is another one: what was believed of the earlier start is forgotten, or
-// its objects would be sent there as warm ones, its slowness and its drain held
-// against the new start, and its cold time not kept. News of an earlier start than
-// the one known come late, and change nothing.
+// RegisterServer records the registration of a server. A server that has restarted under the same
+// ID is treated as a new one and the state of the earlier start is discarded. Otherwise its objects
+// would be sent there as if it were warm, the earlier slowness and draining would count against it,
+// and its cold start would be ignored. Registrations of an earlier start than the known one are
+// late and ignored.
 func (k *Kernel) RegisterServer(now time.Time, r routing.Server) {
 	k.record(Call{Method: callServer, At: now, Server: &r})
 	s := k.servers[r.ID]
@@ -48,9 +48,9 @@
 	}
 }
 
-// MarkServerUnreadable notes that what stands where a server registers names no server.
-// It gets nothing until it registers again; what is known of it stays, for the text
-// may be another program's and the server as it was.
+// MarkServerUnreadable records that the registration of a server cannot be parsed. The server gets
+// no requests until it registers again. Its state is kept, because the entry may have been written
+// by another program while the server is unchanged.
 func (k *Kernel) MarkServerUnreadable(id string) {
 	k.record(Call{Method: callUnreadable, ID: id})
 	s := k.servers[id]
@@ -62,7 +62,7 @@
 	k.config.Observe(Event{Kind: EventServerChanged, Server: id, Service: s.Service, Draining: true})
 }
 
-// RemoveServer forgets a server that has left.
+// RemoveServer removes a server that has left.
 func (k *Kernel) RemoveServer(now time.Time, id string) {
 	k.record(Call{Method: callRemove, At: now, ID: id})
 	k.remove(now, id)
@@ -78,16 +78,15 @@
 	k.config.Observe(Event{Kind: EventServerGone, Server: id, Service: s.Service})
 }
 
-// forgetServer drops a server and all that is known of it. Requests that it has
-// still end there.
+// forgetServer removes a server and its state. Requests in flight there still end normally.
 func (k *Kernel) forgetServer(s *server) {
 	s.removed = true
 	delete(k.servers, s.id)
 	k.service(s.Service).removeServer(s)
 }
 
-// MarkServerAbsent notes that a server's registration is missing. If it has not
-// come back by a moment, the server is gone.
+// MarkServerAbsent records that the registration of a server is missing. The server is removed if
+// it does not register again before the given time.
 func (k *Kernel) MarkServerAbsent(id string, until time.Time) {
 	k.record(Call{Method: callAbsent, ID: id, Until: until})
 	if s := k.servers[id]; s != nil && s.absentUntil.IsZero() {
@@ -95,8 +94,8 @@
 	}
 }
 
-// Tick drops servers whose registration has not come back, and what else has
-// run out, and follows which regions have no proxies.
+// Tick removes servers whose registration did not return, expires other state, and updates which
+// regions have no proxies.
 func (k *Kernel) Tick(now time.Time) {
 	k.record(Call{Method: callTick, At: now})
 	k.expireSharers(now)
@@ -113,7 +112,7 @@
 	k.backpressure.Tick(now)
 }
 
-// ServerIDs lists the ids of all registered servers.
+// ServerIDs lists the IDs of all registered servers.
 func (k *Kernel) ServerIDs() []string {
 	ids := make([]string, 0, len(k.servers))
 	for id := range k.servers {
@@ -122,8 +121,8 @@
 	return ids
 }
 
-// UnmeasuredServers names one server in each failure domain to which no round trip
-// was measured yet.
+// UnmeasuredServers returns one server of each failure domain to which no round-trip time has been
+// measured yet.
 func (k *Kernel) UnmeasuredServers() []routing.Server {
 	var list []routing.Server
 	for domain, d := range k.roundTrips {
@@ -140,21 +139,21 @@
 	return list
 }
 
-// isRouted reports whether a route of the configuration in force leads to a service.
+// isRouted reports whether a route of the active configuration leads to a service.
 func (k *Kernel) isRouted(service string) bool {
 	_, named := k.lowestPriority[service]
 	return named
 }
 
-// RecordRoundTrip takes in a round trip to a failure domain.
+// RecordRoundTrip records a measured round-trip time to a failure domain.
 func (k *Kernel) RecordRoundTrip(domain string, roundTrip time.Duration) {
 	k.record(Call{Method: callRoundTrip, Domain: domain, RoundTrip: roundTrip})
 	k.rttTo(domain).observe(roundTrip)
 }
 
-// SetDomainEvacuated marks a failure domain whose servers must get nothing, or takes
-// the mark back. Servers that come back got nothing for a while and are taken
-// for cold, whatever their last registration says.
+// SetDomainEvacuated sets whether a failure domain is evacuated. Servers of an evacuated domain get
+// no requests. Servers that return from an evacuation were idle for a while and are treated as
+// cold, whatever their last registration says.
 func (k *Kernel) SetDomainEvacuated(now time.Time, domain string, evacuated bool) {
 	if k.evacuatedDomains[domain] == evacuated {
 		return
--- a/internal/kernel/steering/service.go
+++ b/internal/kernel/steering/service.go
@@ -12,35 +12,35 @@
 type (
 	service struct {
 		name string
-		// registered are all registered servers, by id; servers those of them
-		// that may take requests, in order, unless stale is set.
+		// registered are all registered servers, by ID. eligible are those that may take requests,
+		// sorted by ID; the list is out of date while stale is set.
 		registered map[string]*server
 		eligible   []*server
 		stale      bool
-		// totalSlots are those of all servers.
+		// totalSlots is the number of slots of all eligible servers.
 		totalSlots  int
 		retries     admission.Repeats
 		concurrency concurrencyState
-		// workByRoute is how long the requests of each route take, by its name.
+		// workByRoute estimates how long the requests of each route take, by route name.
 		workByRoute map[string]*workEstimate
 		placements  map[placementScope]*placing.Homes
-		// warmServers are the servers that have handled each object lately.
+		// warmServers are the servers that have recently handled each object.
 		warmServers map[string][]*server
-		// ranking keeps what dealing objects out to the servers is made from.
+		// ranking holds the server rankings from which objects are assigned to servers.
 		ranking *placing.Ranking
-		// demand is how often objects are asked for.
+		// demand measures how often objects are requested.
 		demand placing.Demand
-		// regionDraws are the parts of the regions in requests without objects.
+		// regionDraws are the shares of the regions in requests without an object.
 		regionDraws map[placementScope]*regionDistribution
-		// queuePressure is how long the queues are, by the servers' region.
+		// queuePressure is the pressure of the server queues, by region of the servers.
 		queuePressure map[string]*admission.Pressure
 	}
 )
 
-// eligibleService is a service with the servers that may take its requests. They are
-// listed anew when next asked for and not at each change: a proxy that starts
-// hears of thousands of servers at once. Other services keep their lists and
-// homes: to deal out the objects of 1,000 servers takes tens of milliseconds.
+// eligibleService returns a service with an up-to-date list of eligible servers. The list is
+// rebuilt on demand and not at each change, because a proxy that starts learns of thousands of
+// servers at once. Other services keep their lists and placements, since assigning the objects of
+// 1,000 servers takes tens of milliseconds.
 func (k *Kernel) eligibleService(name string) *service {
 	svc := k.service(name)
 	if svc.stale {
@@ -61,7 +61,7 @@
 	}
 }
 
-// refreshEligible lists the servers that may take requests anew after changes.
+// refreshEligible rebuilds the list of eligible servers.
 func (svc *service) refreshEligible(evacuated map[string]bool) {
 	svc.stale = false
 	svc.eligible = svc.eligible[:0]
@@ -81,7 +81,7 @@
 	svc.ranking.Update(ranked)
 }
 
-// class names the servers of a service that take the same share of its objects.
+// class groups the servers of a service that get the same share of its objects.
 func (s *server) class() string { return s.region + "/" + strconv.Itoa(s.Slots) }
 
 func (k *Kernel) service(name string) *service {
@@ -101,7 +101,8 @@
 	return s
 }
 
-// invalidatePlacements has the work of the service dealt out anew when next asked for.
+// invalidatePlacements discards the assignment of requests to servers. It is computed again on
+// demand.
 func (svc *service) invalidatePlacements() {
 	clear(svc.placements)
 	clear(svc.regionDraws)
--- a/internal/kernel/steering/sharers.go
+++ b/internal/kernel/steering/sharers.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// sharerGrace is how long a proxy that is no longer listed still counts where
-	// limits are divided. One that is cut off from the store loses its entry
-	// after its lease of 5 s and goes on serving; platforms heal such cuts
-	// within some ten seconds, and one that stays away is gone for good. Until
-	// then its part is lost to the others, which slows the warming of servers.
+	// sharerGrace is how long a proxy that is no longer listed still counts when limits are
+	// divided. A proxy that is partitioned from the store loses its entry when its lease of 5 s
+	// expires and continues to serve. Such partitions heal within about ten seconds; a proxy that
+	// stays away longer is gone for good. Until then its share is unavailable to the others, which
+	// slows down the warm-up of servers.
 	sharerGrace = 30 * time.Second
 )
 
@@ -19,16 +19,16 @@
 	// limitSharer is a proxy among which limits are divided.
 	limitSharer struct {
 		Proxy
-		// expiresAt is when one that is no longer listed stops to count; zero for
-		// one that is listed.
+		// expiresAt is when a proxy that is no longer listed stops counting. It is zero while the
+		// proxy is listed.
 		expiresAt time.Time
 	}
 )
 
-// updateSharers notes the proxies listed. Those that are no longer listed linger: the
-// platform may take all entries away while their proxies serve on, and if each
-// then took itself for the only one, a cold server would get the whole of what
-// it bears from every one of them.
+// updateSharers updates the limit sharers from the listed proxies. Proxies that are no longer
+// listed are kept for a while: the store may lose all entries while the proxies continue to serve,
+// and if each of them then considered itself the only one, a cold server would get its full rate
+// from every proxy.
 func (k *Kernel) updateSharers(now time.Time, listed []Proxy) {
 	sharers := make([]limitSharer, 0, len(listed))
 	alive := make(map[string]bool, len(listed))
@@ -50,7 +50,7 @@
 	k.applySharers()
 }
 
-// expireSharers drops sharers that have lingered long enough.
+// expireSharers removes sharers whose grace period has passed.
 func (k *Kernel) expireSharers(now time.Time) {
 	count := len(k.limitSharers)
 	k.limitSharers = slices.DeleteFunc(k.limitSharers, func(s limitSharer) bool { return !s.expiresAt.IsZero() && now.After(s.expiresAt) })
@@ -59,7 +59,7 @@
 	}
 }
 
-// applySharers renews what follows from the list of sharers.
+// applySharers updates the state derived from the list of sharers.
 func (k *Kernel) applySharers() {
 	clear(k.ranksByDomain)
 	k.quotas.setKnownProxies(len(k.limitSharers))
--- a/internal/kernel/steering/shed.go
+++ b/internal/kernel/steering/shed.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxShareForSoonRetry is the share refused up to which a refused caller is told to come
-	// back within the target: more than half of those that do are taken then, and
-	// answered in time. At more it had better wait for the overload to end.
+	// maxShareForSoonRetry is the largest share of refused requests at which a refused caller is
+	// told to retry within the target. Up to it, more than half of the retries are accepted and
+	// answered in time. Above it, callers should wait for the overload to end.
 	maxShareForSoonRetry = 0.5
 )
 
-// queueRoom is how many requests may wait at a server for the last of them to be
-// answered within the route's target, if the work is warm.
+// queueRoom returns how many requests may wait at a server so that the last of them is still
+// answered within the route's target, assuming that the server is warm for them.
 func (k *Kernel) queueRoom(req *ActiveRequest, svc *service, s *server) float64 {
 	work := svc.workOf(req.Route).typical(req.Route)
 	if work <= 0 {
@@ -25,8 +25,8 @@
 	return float64(s.usableSlots()) * max(1, float64(left)/float64(work))
 }
 
-// recordQueue takes in how many requests wait at a server: for the server itself, and for
-// all of its service in the region.
+// recordQueue records the number of requests that wait at a server, for the server itself and for
+// all servers of its service in the region.
 func (k *Kernel) recordQueue(now time.Time, req *ActiveRequest, s *server, waiting float64) {
 	svc := k.service(s.Service)
 	p := svc.queuePressure[s.region]
@@ -40,11 +40,11 @@
 	s.pressureAt = now
 }
 
-// inferQueue infers the queue of a server that does not tell its load from how much
-// longer an answer took than the least of late for the route, which is the work
-// alone. Work varies too, so an answer within the target is no sign of overload,
-// and neither is a late one if the work alone takes longer than the target.
-// Answers on a first run are left out: how long these take varies more.
+// inferQueue infers the queue of a server that does not report its load. It compares the duration
+// of a response with the recent minimum for the route, which is the duration of the work alone.
+// Durations vary without a queue, too, so a response within the target is no evidence of overload.
+// Neither is a late one if the work alone takes longer than the target. Cold runs are ignored,
+// because their durations vary more.
 func (k *Kernel) inferQueue(now time.Time, req *ActiveRequest, s *server, work time.Duration) {
 	if !req.warm && req.Object != "" || work <= 0 || !k.isEnabled(MechanismQueueInference) {
 		return
@@ -53,8 +53,8 @@
 	alone.observe(true, work, req.Route.Target)
 	waiting := max(0, float64(work-alone.warm)/float64(alone.warm)*float64(s.Slots))
 	if waiting >= 1 && req.Object != "" {
-		// Without an object, the choice reckons with others' requests by itself,
-		// and does better without a guess.
+		// Without an object, the choice itself accounts for requests of other proxies and does
+		// better without an inferred load.
 		s.recordLoad(now, s.Slots, int(waiting))
 	}
 	left := req.Route.Target - s.rtt.roundTrip
@@ -67,18 +67,18 @@
 	k.recordQueue(now, req, s, waiting)
 }
 
-// shouldShed decides whether a request that has not been sent yet is refused because
-// of the queues where its server is: the load is more than the servers can do,
-// its answer would come late, and all those behind it later. Routes that are
-// more urgent than another one of the service are spared until half of all are
-// refused.
+// shouldShed decides whether to refuse a request that has not been sent yet because of the queues
+// at its server: the load exceeds the capacity, its response would be late, and those of all later
+// requests would be later still. Routes that are more urgent than others of the service are spared
+// until half of all requests are refused.
 func (k *Kernel) shouldShed(now time.Time, req *ActiveRequest, svc *service, s *server) bool {
 	p := svc.queuePressure[s.region]
 	if p == nil || !k.placer.shedsLoad || !k.isEnabled(MechanismLoadShedding) {
 		return false
 	}
-	// A proxy of a few hears of each server often enough to go by its own queue;
-	// one of many by that of the region's servers together.
+	// If there are only a few proxies, each receives load reports from each server often enough to
+	// rely on that server's queue. If there are many, the queues of all servers in the region are
+	// used together.
 	if now.Sub(s.pressureAt) < loadReportTTL {
 		p = &s.queuePressure
 	}
@@ -97,8 +97,8 @@
 	return true
 }
 
-// lowestPriorities finds the priority of the least urgent requests of each service. That of
-// an account goes before that of a route.
+// lowestPriorities returns the priority of the least urgent requests of each service. The priority
+// of an account overrides that of a route.
 func lowestPriorities(t *routing.Table) map[string]int {
 	least := make(map[string]int)
 	accounts := t.Accounts.All()
--- a/internal/kernel/steering/signals.go
+++ b/internal/kernel/steering/signals.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// maxBackpressureWait bounds the time that a caller is told to stay away since servers have
-	// asked for less.
+	// maxBackpressureWait limits the retry delay given to callers because of backpressure from
+	// servers.
 	maxBackpressureWait = time.Minute
 )
 
-// recordBackpressure takes in what an attempt tells of what the server asks of its senders.
+// recordBackpressure records the backpressure signal of an attempt.
 func (k *Kernel) recordBackpressure(now time.Time, req *ActiveRequest, s *server, a Attempt) {
 	whole := a.Result == ResultAnswered || a.Result == ResultServerError || a.Result == ResultRefused
 	if w := k.backpressure.Heard(now, req.sentAt, s.startID, a.Signal, whole); w != nil {
@@ -20,8 +20,8 @@
 	}
 }
 
-// serverPermits reports whether a server takes a request of this proxy now, by what it asks of
-// its senders. Every way to a server asks this.
+// serverPermits reports whether the backpressure of a server allows a request of this proxy now. It
+// is checked for every request that is sent.
 func (k *Kernel) serverPermits(now time.Time, s *server) bool {
 	if s.backpressure == nil {
 		return true
@@ -33,8 +33,8 @@
 	return !limited || s.backpressure.Room(now, k.backpressureShare(now, s, window))
 }
 
-// serverPermitsAt is when a server takes a request of this proxy again; false if that is not
-// known before it says otherwise.
+// serverPermitsAt returns when the backpressure of a server allows a request of this proxy again,
+// or false if that is unknown until the server signals otherwise.
 func (k *Kernel) serverPermitsAt(now time.Time, s *server) (time.Time, bool) {
 	at := laterOf(now, s.backpressure.PausedUntil())
 	window, limited := s.backpressure.Window(now)
@@ -45,14 +45,14 @@
 	return laterOf(at, room), !room.IsZero()
 }
 
-// ServerStillAccepts reports whether a request may still go to the server that it was placed at:
-// while a connection was opened, the server may have asked for a pause or begun to leave.
+// ServerStillAccepts reports whether a request may still be sent to the server chosen for it. The
+// server may have paused or started to drain while the connection was being opened.
 func (k *Kernel) ServerStillAccepts(now time.Time, req *ActiveRequest) bool {
 	return !req.server.backpressure.Paused(now) && !req.server.backpressure.Leaving()
 }
 
-// backpressureShare is this proxy's part of the requests that a server takes in a window. One that
-// has just started knows too few others, and has no part.
+// backpressureShare returns this proxy's share of the requests that a server accepts in a window. A
+// proxy that has just started knows too few others and gets no share.
 func (k *Kernel) backpressureShare(now time.Time, s *server, window int) int {
 	if now.Sub(k.config.Joined) < startupGrace {
 		return 0
@@ -60,8 +60,8 @@
 	return k.rankAt(s).Share(window)
 }
 
-// backpressureWait is how long until a server that might take the request else takes more; false
-// if there is none.
+// backpressureWait returns how long until the backpressure of a server that could otherwise take
+// the request allows one again, or false if there is no such server.
 func (k *Kernel) backpressureWait(now time.Time, req *ActiveRequest, svc *service) (wait time.Duration, found bool) {
 	for _, s := range svc.eligible {
 		if s.backpressure == nil || !req.isCandidate(now, s) {
@@ -78,8 +78,8 @@
 	return wait, found
 }
 
-// noServerReason tells whether a request finds no server since those that there are have
-// asked for less.
+// noServerReason returns ReasonBackpressure instead of ReasonNoServer if only backpressure keeps
+// the request from all servers.
 func (k *Kernel) noServerReason(now time.Time, req *ActiveRequest, svc *service, reason Reason) Reason {
 	if reason != ReasonNoServer {
 		return reason
@@ -92,20 +92,20 @@
 	return ReasonBackpressure
 }
 
-// retryAfterBackpressure is when a caller may come back that servers would not take, spread so that not
-// all return as the first of them takes more.
+// retryAfterBackpressure returns the retry delay for a caller refused because of backpressure. It
+// is randomized so that callers do not all return when the first server takes requests again.
 func (k *Kernel) retryAfterBackpressure(req *ActiveRequest) time.Duration {
 	wait := max(minRetryAfter, min(req.backpressureWait, maxBackpressureWait))
 	return wait + time.Duration(k.random.Int64N(int64(min(wait, maxRetryAfter))))
 }
 
-// BackpressureReports lists what peers should hear of what servers ask; all of it for one that knows
-// nothing yet.
+// BackpressureReports lists the reports on servers that are due to peers, or all of them for a peer
+// that knows nothing yet.
 func (k *Kernel) BackpressureReports(now time.Time, all bool) []backpressure.Report {
 	return k.backpressure.Reports(now, all)
 }
 
-// ApplyBackpressureReports takes in what a peer knows.
+// ApplyBackpressureReports merges the reports of a peer.
 func (k *Kernel) ApplyBackpressureReports(now time.Time, list []backpressure.Report) {
 	if len(list) == 0 {
 		return
@@ -121,8 +121,8 @@
 	}
 }
 
-// observeBackpressure tells of what a server asks from now on, and lists the servers of its
-// service anew.
+// observeBackpressure reports a new signal of a server. If the server drains, the eligible servers
+// of its service are listed again.
 func (k *Kernel) observeBackpressure(n backpressure.Notice) {
 	e := Event{Kind: EventKind(n.Change), Limit: n.Limit, Duration: n.Pause}
 	for _, s := range k.servers {
--- a/internal/kernel/steering/spill.go
+++ b/internal/kernel/steering/spill.go
@@ -5,15 +5,15 @@
 )
 
 const (
-	// spillMaxPressure is the queue, as a part of the room for requests that can still be
-	// answered in time, up to which servers take requests whose home is full.
+	// spillMaxPressure is the queue pressure up to which other servers take requests whose home is
+	// full.
 	spillMaxPressure = 0.25
 )
 
-// mustNotSpill reports whether a request is refused because its home is full and the
-// servers where it would run cold have queues. Run there, it takes several times the work
-// that it takes at home, so a service that is hardly overloaded does less and less until
-// nearly all its answers come late. Refused callers come back when the home has caught up.
+// mustNotSpill reports whether a request must be refused because its home is full and the other
+// servers, where it would run cold, have queues. A cold run takes several times as long as a run at
+// the home, so a service that is only slightly overloaded would complete fewer and fewer requests
+// until nearly all of its responses are late. Refused callers return when the home has caught up.
 func (k *Kernel) mustNotSpill(now time.Time, svc *service, homes []string, best choice) bool {
 	if best.server == nil || best.warm || len(homes) == 0 {
 		return false
@@ -26,6 +26,6 @@
 	return p != nil && p.Level(now) > spillMaxPressure
 }
 
-// isFull reports whether the server has just refused a request since its queue was full, and
-// may take the next. One that pauses may not.
+// isFull reports whether the server has just refused a request because its queue was full, and may
+// take the next one. This excludes a server that is paused.
 func (s *server) isFull(now time.Time) bool { return s.isHealthy(now) && now.Before(s.ejectedUntil) }
--- a/internal/kernel/steering/state.go
+++ b/internal/kernel/steering/state.go
@@ -9,20 +9,20 @@
 	StateNone ServerState = ""
 	// StateCold is a server that has just started.
 	StateCold ServerState = "cold"
-	// StateEjected is a server that failed and is tried again.
+	// StateEjected is a server that failed and is being tried again.
 	StateEjected ServerState = "out"
-	// StateFull is a server all of whose slots are taken.
+	// StateFull is a server with all slots in use.
 	StateFull ServerState = "full"
-	// StateInUse is any other.
+	// StateInUse is any other server.
 	StateInUse ServerState = "in-use"
 )
 
 type (
-	// ServerState is how a server stood when a request was sent there.
+	// ServerState is the state of a server when a request was sent to it.
 	ServerState string
 )
 
-// state is how the server stands before it gets one more request.
+// state returns the state of the server before it gets another request.
 func (s *server) state(now time.Time) ServerState {
 	switch {
 	case s.isCold(now):
--- a/internal/kernel/steering/status.go
+++ b/internal/kernel/steering/status.go
@@ -11,36 +11,38 @@
 )
 
 type (
-	// Status is what one proxy knows and believes at one moment.
+	// Status is a snapshot of the state of one proxy.
 	Status struct {
 		Version  uint64
 		InFlight int
 		Proxies  []Proxy
-		// Evacuated failure domains take no requests.
+		// Evacuated are the failure domains that take no requests.
 		Evacuated []string
-		// RegionsWithoutProxies regions have no proxies, and their callers count with others.
+		// RegionsWithoutProxies are the regions without proxies, whose callers are counted in other
+		// regions.
 		RegionsWithoutProxies []string
 		Servers               []ServerStatus
-		// MechanismsOff are the mechanisms that are not used; Holding are the services that are
-		// held back, with what was learned of them.
+		// MechanismsOff are the disabled mechanisms. ConcurrencyLimits are the services that are
+		// subject to concurrency limits, with the limits learned for them.
 		MechanismsOff     []Mechanism
 		ConcurrencyLimits []ServiceLimit
-		// QuarantinedWork is work that is refused because servers ended with it.
+		// QuarantinedWork are the request fingerprints that are refused because they crashed
+		// servers.
 		QuarantinedWork []QuarantinedWork
-		// Accounts are the client accounts; limits are divided among Holders proxies, and
-		// Pool is the one that this proxy reports to.
+		// Accounts are the client accounts. Their limits are divided among QuotaProxies proxies,
+		// and QuotaPool is the pool that this proxy reports to.
 		Accounts     []AccountStatus
 		QuotaProxies int
 		QuotaPool    string
 	}
 
-	// AccountStatus is a client account and what this proxy knows of its use.
+	// AccountStatus is a client account and its usage at this proxy.
 	AccountStatus struct {
 		*account.Account
 		ratelimit.Held
 	}
 
-	// ServerStatus is one backend server as one proxy sees it.
+	// ServerStatus is the state of one backend server as seen by one proxy.
 	ServerStatus struct {
 		ID       string
 		Service  string
@@ -48,27 +50,29 @@
 		Slots    int
 		InFlight int
 		Draining bool
-		// Absent servers' registrations are missing for the moment.
+		// Absent is set while the registration of the server is missing.
 		Absent bool
 		// ColdFor and EjectedFor are zero for a warm server in use.
 		ColdFor    time.Duration
 		EjectedFor time.Duration
-		// Load is what it was last said to run and queue, LoadAge ago.
+		// Load is the estimated number of running and waiting requests at the server. LoadAge is
+		// the age of its last load report.
 		Load    float64
 		LoadAge time.Duration
-		// Limit is what it takes from all proxies together, if it names a limit.
+		// Limit is the rate limit that the server announced for all proxies together, if any.
 		Limit backpressure.Limit
-		// PausedFor is for how long it wants nothing from this proxy.
+		// PausedFor is for how long the server asked this proxy to pause.
 		PausedFor time.Duration
-		// ReportsDraining is set if it leaves by its own word.
+		// ReportsDraining is set if the server announced that it drains.
 		ReportsDraining bool
-		// Slowdown is observed over expected time, Failed the share of failures.
+		// Slowdown is the ratio of observed to expected response times. FailureShare is the share
+		// of failed attempts.
 		Slowdown     float64
 		FailureShare float64
 	}
 )
 
-// Status describes the kernel at one moment.
+// Status returns a snapshot of the kernel.
 func (k *Kernel) Status(now time.Time) Status {
 	s := Status{Version: k.Version(), Proxies: slices.Clone(k.proxies), Evacuated: k.EvacuatedDomains(), RegionsWithoutProxies: k.regionsWithoutProxies(), MechanismsOff: k.config.Off, ConcurrencyLimits: k.ConcurrencyLimits(now), QuarantinedWork: k.QuarantinedWork(now)}
 	s.Accounts, s.QuotaProxies, s.QuotaPool = k.accounts(now), max(k.quotas.fleetSize, k.quotas.knownProxies), k.quotas.limiter.Pool()
@@ -85,7 +89,7 @@
 	return s
 }
 
-// accounts lists the client accounts with their use here, by name.
+// accounts lists the client accounts with their usage at this proxy, by name.
 func (k *Kernel) accounts(now time.Time) []AccountStatus {
 	if k.table == nil {
 		return nil
--- a/internal/kernel/steering/stranded.go
+++ b/internal/kernel/steering/stranded.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	// regionLostAfter is how long a region must have been without proxies before
-	// its callers count with other regions. A single proxy whose entry the store
-	// takes away writes it again within half a second.
+	// regionLostAfter is how long a region must have been without proxies before its callers are
+	// counted in other regions. A single proxy whose entry the store removes writes it again within
+	// half a second.
 	regionLostAfter = time.Second
-	// regionBackAfter is how long a region must have had proxies again. Callers
-	// keep a look-up's answer for two seconds, some for three times as long.
+	// regionBackAfter is how long a region must have had proxies again before its callers are
+	// counted there. Callers keep the answer of a lookup for two seconds, some for three times as
+	// long.
 	regionBackAfter = 6 * time.Second
 )
 
 type (
-	// regionState is whether a region's callers must ask other regions' proxies.
+	// regionState tells whether the callers of a region have to use proxies of other regions.
 	regionState struct {
-		// noProxies is set while the region has no proxy for callers, since when
-		// is known too.
+		// noProxies is set while the region has no proxy for callers. since is the time of its last
+		// change.
 		noProxies bool
 		since     time.Time
-		// redirected is set while its callers count with the other regions.
+		// redirected is set while the callers of the region are counted in other regions.
 		redirected bool
 	}
 )
 
-// updateRegionStates follows which regions have lost all their proxies, or have some again.
-// Their callers ask the proxies of other regions. If these dealt objects out as
-// before, their own servers would get what is meant for those of all regions and
-// the others would idle. What moves does so at once: each second of waiting, and
-// any move in steps, runs objects cold twice and leaves the servers overloaded.
+// updateRegionStates updates which regions have no proxies. Callers of such a region use the
+// proxies of other regions. If these proxies assigned objects as before, the servers of their own
+// regions would get the requests meant for all regions while the others are idle. The change takes
+// effect at once: each second of delay, and any gradual change, runs objects cold twice and
+// overloads the servers.
 func (k *Kernel) updateRegionStates(now time.Time) {
 	if now.Sub(k.config.Joined) < startupGrace || now.Before(k.ignoreMissingUntil) || !k.isEnabled(MechanismStrandedRegions) {
 		return
@@ -54,15 +55,14 @@
 	}
 }
 
-// IgnoreMissingProxiesUntil says that proxies which are no longer listed may be back by a
-// moment: the store was away, and their entries ran out though they serve on.
+// IgnoreMissingProxiesUntil tells that proxies missing from the list may be back until the given
+// time: the store was unavailable, and their entries expired although they continue to serve.
 func (k *Kernel) IgnoreMissingProxiesUntil(until time.Time) {
 	k.record(Call{Method: callIgnoreMissingProxies, Until: until})
 	k.ignoreMissingUntil = laterOf(k.ignoreMissingUntil, until)
 }
 
-// update takes in whether the region has no proxies now and reports whether its
-// callers count elsewhere from now on, or no longer do.
+// update records whether the region has no proxies now and reports whether redirected changed.
 func (s *regionState) update(now time.Time, without bool) bool {
 	if s.noProxies != without || s.since.IsZero() {
 		s.noProxies, s.since = without, now
@@ -78,9 +78,9 @@
 	return true
 }
 
-// regionDemand tells each region's part of the callers of the regions allowed, by its
-// failure domains. The callers of a region without proxies ask any proxy of the
-// other regions, and so count there in equal parts.
+// regionDemand returns the demand of each allowed region, measured by its number of failure
+// domains. Callers of a region without proxies use any proxy of the other regions, so their demand
+// is divided equally among those.
 func (k *Kernel) regionDemand(allowed regionSet) map[string]float64 {
 	demand := make(map[string]float64)
 	for _, region := range k.config.RegionOf {
@@ -104,12 +104,12 @@
 	return demand
 }
 
-// regionsWithoutProxies lists the regions whose callers count with others.
+// regionsWithoutProxies lists the regions whose callers are counted in other regions.
 func (k *Kernel) regionsWithoutProxies() []string {
 	return slices.DeleteFunc(slices.Clone(k.regions), func(region string) bool { return !k.regionStates[region].redirected })
 }
 
-// regionsOf lists the regions of failure domains, in order.
+// regionsOf lists the regions of the failure domains in order.
 func regionsOf(domains map[string]string) []string {
 	return slices.Compact(slices.Sorted(maps.Values(domains)))
 }
--- a/internal/kernel/steering/work.go
+++ b/internal/kernel/steering/work.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// defaultWarmShare is the assumed part of the work that is left on a server that
-	// has handled the object, before it was measured.
+	// defaultWarmShare is the assumed duration of a warm run relative to a cold one before any was
+	// measured.
 	defaultWarmShare = 0.3
-	// warmDownDivisor, warmUpDivisor and maxColdSamples are the divisors of one sample's
-	// difference in the estimates of the work.
+	// warmDownDivisor, warmUpDivisor and maxColdSamples are the smoothing divisors of the
+	// estimates: each sample moves an estimate by its difference divided by one of them.
 	warmDownDivisor = 4
 	warmUpDivisor   = 64
 	maxColdSamples  = 16
 )
 
 type (
-	// workEstimate learns how long a route's requests take at a service's servers: on
-	// one that has handled the object lately and on one that has not. Each route has
-	// its own, since a service may serve routes whose work differs a thousandfold.
-	// One model for a service was set by whichever request came first: after one of
-	// a millisecond, runs of 880 ms were reckoned at 1.4, servers were taken for
-	// twenty times too slow, and objects ran cold on one server after the other.
+	// workEstimate estimates how long requests of a route take at the servers of a service,
+	// separately for warm and cold runs. Each route has its own, because a service may serve routes
+	// whose durations differ by a factor of a thousand. With one estimate for a service, the first
+	// request determined it: after one of 1 ms, runs of 880 ms were expected to take 1.4 ms,
+	// servers were considered twenty times too slow, and objects ran cold on one server after the
+	// other.
 	workEstimate struct {
 		warm, cold time.Duration
-		// coldSamples counts the first runs that cold was learned from, up to maxColdSamples.
+		// coldSamples counts the cold runs that the cold estimate is based on, up to
+		// maxColdSamples.
 		coldSamples int
 	}
 )
 
-// workOf is the model of a route's work at the service.
+// workOf returns the estimate for a route at the service.
 func (svc *service) workOf(r *routing.Route) *workEstimate {
 	w := svc.workByRoute[r.Name]
 	if w == nil {
@@ -41,7 +42,7 @@
 	return w
 }
 
-// pruneWork drops the models of routes that the configuration no longer has.
+// pruneWork removes the estimates of routes that are no longer in the configuration.
 func (svc *service) pruneWork(t *routing.Table) {
 	for name := range svc.workByRoute {
 		if t.Routes[name] == nil {
@@ -50,10 +51,10 @@
 	}
 }
 
-// observe takes in one answer's work. The warm estimate follows shorter times at
-// once and longer ones slowly: an answer that took long may have waited or met
-// a server that had forgotten the object. The cold one is the mean of the first
-// runs, with the route's target as one more of them, and follows them later.
+// observe records the duration of one response. The warm estimate follows shorter durations quickly
+// and longer ones slowly, because a long one may include a wait or come from a server that is no
+// longer warm for the object. The cold estimate is the mean of the first cold runs, with the
+// route's target as an additional sample, and then a moving average.
 func (w *workEstimate) observe(warm bool, took, target time.Duration) {
 	switch {
 	case warm && (w.warm == 0 || took < w.warm):
@@ -72,12 +73,12 @@
 	}
 }
 
-// exceeds reports whether the warm estimate is longer than an answer took, with
-// whatever it waited, or is not known: then it is too long by that at least.
+// exceeds reports whether the warm estimate is unknown or longer than a response took. As that
+// includes any wait, the estimate is then too long by at least the difference.
 func (w *workEstimate) exceeds(took time.Duration) bool { return w.warm == 0 || took < w.warm }
 
-// expected is the time that a request's work takes, from target where nothing
-// was measured.
+// expected returns the estimated duration of a request. It defaults to target if nothing was
+// measured.
 func (w *workEstimate) expected(warm bool, target time.Duration) time.Duration {
 	cold := w.cold
 	if cold == 0 {
@@ -92,6 +93,6 @@
 	return min(w.warm, cold)
 }
 
-// typical is the time that the work of most requests of a route takes: warm where
-// servers are faster for having handled the object.
+// typical returns the estimated duration of most requests of a route: that of a warm run if servers
+// get faster by having handled the object.
 func (w *workEstimate) typical(r *routing.Route) time.Duration { return w.expected(r.Sticky, r.Target) }
