--- a/internal/kernel/steering/ask.go
+++ b/internal/kernel/steering/ask.go
@@ -57,27 +57,27 @@
 )
 
 // newSlotRequest returns the slot request that must precede the request, or nil if none is needed.
-func (k *Kernel) newSlotRequest(now time.Time, req *ActiveRequest, svc *service, s *server, p choice) *SlotRequest {
+func (k *Kernel) newSlotRequest(now time.Time, req *ActiveRequest, svc *service, s *server, chosen choice) *SlotRequest {
 	if !k.isLimited(now, svc) || now.Before(s.skipOwnerUntil) || s.isCold(now) {
 		// A cold server gets the requests that its rate allows within the same second, without a
 		// wait for slots.
 		return nil
 	}
 	owner, found := k.limiterOwner(s)
-	way := s.rtt.roundTrip
-	if !found || way > time.Duration(maxSlotRequestShare*float64(req.Route.Target)) {
+	roundTrip := s.rtt.roundTrip
+	if !found || roundTrip > time.Duration(maxSlotRequestShare*float64(req.Route.Target)) {
 		return nil
 	}
-	work := p.expected - p.untilStart
+	work := chosen.expected - chosen.untilStart
 	// Requests are denied only on measured durations. For a route without measurements the estimate
 	// is its target, and denying on that basis would keep routes with short timeouts from ever
 	// being served.
-	least := svc.workOf(req.Route).warm
+	minWork := svc.workOf(req.Route).warm
 	return &SlotRequest{
-		Owner: owner, Server: s.id, Limit: svc.concurrency.learnedLimits[s.Slots], Work: least,
+		Owner: owner, Server: s.id, Limit: svc.concurrency.learnedLimits[s.Slots], Work: minWork,
 		Ticket: admission.Ticket{
 			ID: req.seq, From: k.config.Name, Priority: req.priority(),
-			Good: req.startedAt.Add(req.Route.Target - work - way), Last: req.ExpiresAt.Add(-least - way), Until: req.ExpiresAt,
+			Good: req.startedAt.Add(req.Route.Target - work - roundTrip), Last: req.ExpiresAt.Add(-minWork - roundTrip), Until: req.ExpiresAt,
 		},
 	}
 }
@@ -87,14 +87,14 @@
 // its region if the domain has none.
 func (k *Kernel) limiterOwner(s *server) (Proxy, bool) {
 	best, found := Proxy{}, false
-	rank := func(p Proxy) (int, uint64) { return proximity(p, s), xxhash.Sum64String(p.Name + "/" + s.id) }
+	rankOf := func(p Proxy) (int, uint64) { return proximity(p, s), xxhash.Sum64String(p.Name + "/" + s.id) }
 	for _, p := range k.proxies {
 		if p.Leaving || p.Region != s.region {
 			continue
 		}
-		far, score := rank(p)
-		bestFar, bestScore := rank(best)
-		if !found || cmp.Or(cmp.Compare(far, bestFar), cmp.Compare(score, bestScore)) < 0 {
+		distance, score := rankOf(p)
+		bestDistance, bestScore := rankOf(best)
+		if !found || cmp.Or(cmp.Compare(distance, bestDistance), cmp.Compare(score, bestScore)) < 0 {
 			best, found = p, true
 		}
 	}
@@ -107,8 +107,8 @@
 func (k *Kernel) HandleSlotReply(now time.Time, req *ActiveRequest, r SlotReply, answered bool) Decision {
 	d := k.handleSlotReply(now, req, r, answered)
 	if k.config.Record != nil {
-		v := recordedDecisionOf(d)
-		k.config.Record(Call{Method: callSlotReply, At: now, RequestNumber: req.seq, SlotReply: &r, Flag: answered, Decision: &v})
+		decision := recordedDecisionOf(d)
+		k.config.Record(Call{Method: callSlotReply, At: now, RequestNumber: req.seq, SlotReply: &r, Flag: answered, Decision: &decision})
 	}
 	return d
 }
--- a/internal/kernel/steering/bound.go
+++ b/internal/kernel/steering/bound.go
@@ -30,30 +30,30 @@
 // which is the best estimate available before an account has sent requests. An account without a
 // limit counts as the mean of the others.
 func (k *Kernel) pinnedSharesOf(t *routing.Table) map[string]float64 {
-	all, limited := 0.0, 0
+	total, limited := 0.0, 0
 	accounts := t.Accounts.All()
 	for _, a := range accounts {
 		if !a.Limit.None() {
-			all += a.Limit.PerSecond
+			total += a.Limit.PerSecond
 			limited++
 		}
 	}
 	mean := 1.0
 	if limited > 0 {
-		mean = all / float64(limited)
+		mean = total / float64(limited)
 	}
-	all += mean * float64(len(accounts)-limited)
-	parts := make(map[string]float64)
+	total += mean * float64(len(accounts)-limited)
+	shares := make(map[string]float64)
 	for _, a := range accounts {
 		rate := mean
 		if !a.Limit.None() {
 			rate = a.Limit.PerSecond
 		}
 		for _, region := range a.Regions {
-			parts[region] += rate / all / float64(len(a.Regions))
+			shares[region] += rate / total / float64(len(a.Regions))
 		}
 	}
-	return parts
+	return shares
 }
 
 // setPinnedTarget takes the target shares from a configuration. Those of the first configuration
@@ -67,16 +67,16 @@
 
 // movePinnedShares moves the current shares towards the target shares.
 func (k *Kernel) movePinnedShares(now time.Time) {
-	b := &k.pinnedShares
-	if now.Sub(b.movedAt) < pinnedInterval {
+	shares := &k.pinnedShares
+	if now.Sub(shares.movedAt) < pinnedInterval {
 		return
 	}
-	b.movedAt = now
+	shares.movedAt = now
 	changed := false
 	for _, region := range k.regions {
-		step := max(-pinnedStep, min(pinnedStep, b.target[region]-b.current[region]))
+		step := max(-pinnedStep, min(pinnedStep, shares.target[region]-shares.current[region]))
 		if step != 0 {
-			b.current[region] += step
+			shares.current[region] += step
 			changed = true
 		}
 	}
--- a/internal/kernel/steering/cause.go
+++ b/internal/kernel/steering/cause.go
@@ -49,13 +49,13 @@
 	if now.Sub(req.startedAt) <= req.Route.Target {
 		return CauseNone, sent.State
 	}
-	took := now.Sub(sent.At)
+	elapsed := now.Sub(sent.At)
 	switch {
-	case sent.At.Sub(req.startedAt) > took:
+	case sent.At.Sub(req.startedAt) > elapsed:
 		return CauseFailedAttempts, sent.State
 	case sent.State == StateCold:
 		return CauseColdServer, sent.State
-	case took > slowServerFactor*sent.Expected:
+	case elapsed > slowServerFactor*sent.Expected:
 		return CauseSlowServer, sent.State
 	case 2*sent.ExpectedWait > sent.Expected:
 		return CauseQueue, sent.State
--- a/internal/kernel/steering/choose.go
+++ b/internal/kernel/steering/choose.go
@@ -79,8 +79,8 @@
 		req.drawnRegion = k.drawRegion(req, svc)
 	}
 	req.workEstimate = svc.workOf(req.Route)
-	best, settled := k.chooseWarm(now, req, svc, homes)
-	if !settled {
+	best, isBest := k.chooseWarm(now, req, svc, homes)
+	if !isBest {
 		best = k.chooseAmong(now, req, svc, homes, svc.eligible)
 	}
 	if best.server != nil && best.server.isCold(now) {
@@ -92,8 +92,8 @@
 // chooseAmong chooses the server with the lowest cost among the given ones.
 func (k *Kernel) chooseAmong(now time.Time, req *ActiveRequest, svc *service, homes []string, servers []*server) choice {
 	best := choice{reason: ReasonNoServer}
-	left := req.ExpiresAt.Sub(now)
-	most := k.maxConnections(svc)
+	remaining := req.ExpiresAt.Sub(now)
+	connectionLimit := k.maxConnections(svc)
 	homeFull := false
 	for _, s := range servers {
 		if k.observeCandidate != nil {
@@ -102,23 +102,23 @@
 		if !k.mayUse(now, req, s) {
 			continue
 		}
-		p := k.estimate(now, req, s, homes)
-		full := most > 0 && s.inFlight >= most
-		homeFull = homeFull || full && len(homes) > 0 && p.homeRank == 0 && now.Sub(s.answeredAt) < busyTargets*req.Route.Target
-		if full || p.untilStart > left {
+		candidate := k.estimate(now, req, s, homes)
+		full := connectionLimit > 0 && s.inFlight >= connectionLimit
+		homeFull = homeFull || full && len(homes) > 0 && candidate.homeRank == 0 && now.Sub(s.answeredAt) < busyTargets*req.Route.Target
+		if full || candidate.untilStart > remaining {
 			if best.server == nil {
 				best.reason = ReasonOverload
 			}
 			continue
 		}
-		p.cost = k.placer.cost(k, req, p)
-		if best.server != nil && p.cost >= best.cost {
+		candidate.cost = k.placer.cost(k, req, candidate)
+		if best.server != nil && candidate.cost >= best.cost {
 			continue
 		}
 		if s.isCold(now) && !k.coldRoom(now, svc, s) {
 			continue
 		}
-		best = p
+		best = candidate
 	}
 	if k.mustNotSpill(now, svc, homes, best) {
 		return choice{reason: ReasonOverload}
@@ -145,10 +145,10 @@
 
 // reportCandidate reports the estimates for a server to observeCandidate.
 func (k *Kernel) reportCandidate(now time.Time, req *ActiveRequest, s *server, homes []string) {
-	p := k.estimate(now, req, s, homes)
+	estimated := k.estimate(now, req, s, homes)
 	k.observeCandidate(Candidate{
 		Server: s.id, Usable: k.mayUse(now, req, s), Cold: s.isCold(now),
-		HomeRank: p.homeRank, Warm: p.warm, Load: s.load(now), Slowdown: s.slowdown, Expected: p.expected, Cost: k.placer.cost(k, req, p),
+		HomeRank: estimated.homeRank, Warm: estimated.warm, Load: s.load(now), Slowdown: s.slowdown, Expected: estimated.expected, Cost: k.placer.cost(k, req, estimated),
 	})
 }
 
@@ -157,22 +157,22 @@
 	if req.Object == "" {
 		return nil
 	}
-	r := k.scopeOf(req)
-	h := svc.placements[r]
-	if h == nil {
-		h = k.newPlacement(req, svc, r)
-		svc.placements[r] = h
+	scope := k.scopeOf(req)
+	placement := svc.placements[scope]
+	if placement == nil {
+		placement = k.newPlacement(req, svc, scope)
+		svc.placements[scope] = placement
 	}
-	return h.Of(req.Object)
+	return placement.Of(req.Object)
 }
 
 // newPlacement assigns the objects of this region's callers to servers.
-func (k *Kernel) newPlacement(req *ActiveRequest, svc *service, r placementScope) *placing.Homes {
-	candidates, weights := k.regionWeights(req, svc, r)
+func (k *Kernel) newPlacement(req *ActiveRequest, svc *service, scope placementScope) *placing.Homes {
+	candidates, weights := k.regionWeights(req, svc, scope)
 	list := make([]placing.Server, 0, len(candidates))
 	for _, s := range candidates {
-		if w := weights[s.region] * s.Slots; w > 0 {
-			list = append(list, placing.Server{ID: s.id, Weight: w, Class: s.class()})
+		if weight := weights[s.region] * s.Slots; weight > 0 {
+			list = append(list, placing.Server{ID: s.id, Weight: weight, Class: s.class()})
 		}
 	}
 	return placing.NewHomes(list, svc.ranking)
@@ -180,9 +180,9 @@
 
 // regionWeights lists the servers that callers of this region may use, and the weight of one slot
 // in each region for their requests.
-func (k *Kernel) regionWeights(req *ActiveRequest, svc *service, r placementScope) (candidates []*server, weights map[string]int) {
+func (k *Kernel) regionWeights(req *ActiveRequest, svc *service, scope placementScope) (candidates []*server, weights map[string]int) {
 	for _, s := range svc.eligible {
-		if req.allowedRegions.has(s.regionBit) && (!r.ownRegionOnly || s.region == k.config.Region) {
+		if req.allowedRegions.has(s.regionBit) && (!scope.ownRegionOnly || s.region == k.config.Region) {
 			candidates = append(candidates, s)
 		}
 	}
@@ -203,8 +203,8 @@
 		slots[s.region] += s.Slots
 	}
 	var list []placing.Room
-	for region, n := range k.regionDemand(req.allowedRegions) {
-		room := placing.Room{Region: region, Slots: slots[region], Demand: n}
+	for region, demand := range k.regionDemand(req.allowedRegions) {
+		room := placing.Room{Region: region, Slots: slots[region], Demand: demand}
 		if req.allowedRegions == allRegions {
 			room.Bound = k.pinnedShares.current[region]
 		}
@@ -231,31 +231,31 @@
 // estimate estimates the time until the response from one server, and its cost.
 func (k *Kernel) estimate(now time.Time, req *ActiveRequest, s *server, homes []string) choice {
 	warm := s.isWarm(req.Object, now)
-	slow := 1.0
+	slowdown := 1.0
 	if k.useSlowdown {
-		slow = max(1, s.slowdown)
+		slowdown = max(1, s.slowdown)
 	}
-	work := time.Duration(float64(req.workEstimate.expected(warm, req.Route.Target)) * slow)
+	work := time.Duration(float64(req.workEstimate.expected(warm, req.Route.Target)) * slowdown)
 	if s.isCold(now) {
 		work *= coldWorkFactor
 	}
-	typical := float64(req.workEstimate.typical(req.Route)) * slow
-	places := float64(s.usableSlots())
-	wait := time.Duration(max(0, s.load(now)+1-places) / places * typical)
-	p := choice{server: s, warm: warm, homeRank: homeRank(homes, s.id), untilStart: s.rtt.roundTrip + wait, expected: s.rtt.roundTrip + wait + work}
-	p.cost = p.expected + time.Duration(s.failureShare*float64(req.Route.Target))
+	typical := float64(req.workEstimate.typical(req.Route)) * slowdown
+	slots := float64(s.usableSlots())
+	wait := time.Duration(max(0, s.load(now)+1-slots) / slots * typical)
+	estimated := choice{server: s, warm: warm, homeRank: homeRank(homes, s.id), untilStart: s.rtt.roundTrip + wait, expected: s.rtt.roundTrip + wait + work}
+	estimated.cost = estimated.expected + time.Duration(s.failureShare*float64(req.Route.Target))
 	if req.Object == "" {
 		if s.region != req.drawnRegion {
-			p.cost += otherRegionPenalty
+			estimated.cost += otherRegionPenalty
 		}
 		if k.isEnabled(MechanismUnseenRequests) {
-			p.cost += time.Duration(unreportedWaitShare * float64(s.inFlight*k.sharersInRegion) / float64(s.Slots) * typical)
+			estimated.cost += time.Duration(unreportedWaitShare * float64(s.inFlight*k.sharersInRegion) / float64(s.Slots) * typical)
 		}
 	}
 	if len(homes) > 0 && !warm {
-		p.cost += time.Duration(coldRunPenalty * float64(p.homeRank) * float64(work))
+		estimated.cost += time.Duration(coldRunPenalty * float64(estimated.homeRank) * float64(work))
 	}
-	return p
+	return estimated
 }
 
 // homeRank returns the rank of a server among an object's homes, starting at 0 for the first.
--- a/internal/kernel/steering/cold.go
+++ b/internal/kernel/steering/cold.go
@@ -47,7 +47,7 @@
 // domain: all servers of a domain are equally near, and after a domain returns, each choice needs
 // the rank for hundreds of them.
 func (k *Kernel) rankAt(s *server) backpressure.Rank {
-	if rank, known := k.ranksByDomain[s.Domain]; known {
+	if rank, cached := k.ranksByDomain[s.Domain]; cached {
 		return rank
 	}
 	ordered := slices.Clone(k.limitSharers)
--- a/internal/kernel/steering/draw.go
+++ b/internal/kernel/steering/draw.go
@@ -20,33 +20,33 @@
 // one region's callers moved a third of them to another region within two seconds, more than the
 // operators permit to shift at once.
 func (k *Kernel) drawRegion(req *ActiveRequest, svc *service) string {
-	r := k.scopeOf(req)
-	shares := svc.regionDraws[r]
-	if shares == nil {
-		shares = k.newRegionDistribution(req, svc, r)
-		svc.regionDraws[r] = shares
+	scope := k.scopeOf(req)
+	distribution := svc.regionDraws[scope]
+	if distribution == nil {
+		distribution = k.newRegionDistribution(req, svc, scope)
+		svc.regionDraws[scope] = distribution
 	}
-	if len(shares.names) == 0 {
+	if len(distribution.names) == 0 {
 		return k.config.Region
 	}
-	x := k.random.Float64() * shares.cumulative[len(shares.cumulative)-1]
-	i, _ := slices.BinarySearch(shares.cumulative, x)
-	return shares.names[min(i, len(shares.names)-1)]
+	x := k.random.Float64() * distribution.cumulative[len(distribution.cumulative)-1]
+	i, _ := slices.BinarySearch(distribution.cumulative, x)
+	return distribution.names[min(i, len(distribution.names)-1)]
 }
 
-func (k *Kernel) newRegionDistribution(req *ActiveRequest, svc *service, r placementScope) *regionDistribution {
-	candidates, weights := k.regionWeights(req, svc, r)
-	parts := make(map[string]float64)
+func (k *Kernel) newRegionDistribution(req *ActiveRequest, svc *service, scope placementScope) *regionDistribution {
+	candidates, weights := k.regionWeights(req, svc, scope)
+	weightByRegion := make(map[string]float64)
 	for _, s := range candidates {
-		parts[s.region] += float64(weights[s.region] * s.Slots)
+		weightByRegion[s.region] += float64(weights[s.region] * s.Slots)
 	}
-	shares := &regionDistribution{}
+	distribution := &regionDistribution{}
 	sum := 0.0
-	for _, region := range slices.Sorted(maps.Keys(parts)) {
-		if parts[region] > 0 {
-			sum += parts[region]
-			shares.names, shares.cumulative = append(shares.names, region), append(shares.cumulative, sum)
+	for _, region := range slices.Sorted(maps.Keys(weightByRegion)) {
+		if weightByRegion[region] > 0 {
+			sum += weightByRegion[region]
+			distribution.names, distribution.cumulative = append(distribution.names, region), append(distribution.cumulative, sum)
 		}
 	}
-	return shares
+	return distribution
 }
--- a/internal/kernel/steering/failover.go
+++ b/internal/kernel/steering/failover.go
@@ -29,14 +29,14 @@
 	if home == nil {
 		return homes
 	}
-	switch fit := k.availableShare(now, svc, home); {
-	case fit == 1, home.ejections > 0 && home.usable(now) && !home.backpressure.Paused(now):
+	switch available := k.availableShare(now, svc, home); {
+	case available == 1, home.ejections > 0 && home.usable(now) && !home.backpressure.Paused(now):
 		// An ejected server that is due for a trial gets a request to test it. A server that is
 		// only skipped for a moment is healthy.
 		return homes
-	case fit > 0 && objectFraction(req.Object+"@"+home.id) < fit:
+	case available > 0 && objectFraction(req.Object+"@"+home.id) < available:
 		return homes
-	case fit > 0:
+	case available > 0:
 		// All proxies move the same objects away from a rate-limited home, so that they are warm at
 		// their new servers.
 		homes = append(slices.Clone(homes[1:]), home.id)
@@ -56,27 +56,27 @@
 // displacedShare returns, among the objects whose homes in a region are unavailable, the share for
 // which the other servers of the region have no room.
 func (k *Kernel) displacedShare(now time.Time, req *ActiveRequest, svc *service, region string) float64 {
-	all, sound, own, ownSound := 0.0, 0.0, 0.0, 0.0
+	total, totalAvailable, regional, regionalAvailable := 0.0, 0.0, 0.0, 0.0
 	for _, s := range svc.eligible {
 		if !req.allowedRegions.has(s.regionBit) {
 			continue
 		}
 		slots := float64(s.Slots)
-		all += slots
-		fit := k.availableShare(now, svc, s) * slots
-		sound += fit
+		total += slots
+		available := k.availableShare(now, svc, s) * slots
+		totalAvailable += available
 
 		if s.region != region {
 			continue
 		}
-		own += slots
-		ownSound += fit
+		regional += slots
+		regionalAvailable += available
 	}
-	if own == ownSound || sound == 0 {
+	if regional == regionalAvailable || totalAvailable == 0 {
 		return 0
 	}
-	kept := min(1, placing.RoomShare*(ownSound/sound)/(own/all))
-	return (1 - kept) / (1 - ownSound/own)
+	kept := min(1, placing.RoomShare*(regionalAvailable/totalAvailable)/(regional/total))
+	return (1 - kept) / (1 - regionalAvailable/regional)
 }
 
 // availableShare returns the share of its usual requests that a server takes now: zero while it is
@@ -100,8 +100,8 @@
 // placementOutside assigns all objects to the servers outside a region.
 func (k *Kernel) placementOutside(req *ActiveRequest, svc *service, region string) *placing.Homes {
 	key := placementScope{regions: req.allowedRegions, excludedRegion: region}
-	if h := svc.placements[key]; h != nil {
-		return h
+	if placement := svc.placements[key]; placement != nil {
+		return placement
 	}
 	var list []placing.Server
 	for _, s := range svc.eligible {
--- a/internal/kernel/steering/flight.go
+++ b/internal/kernel/steering/flight.go
@@ -12,8 +12,8 @@
 	req := &ActiveRequest{Request: r, seq: k.requestCount, startedAt: now}
 	d := k.beginRequest(now, req)
 	if k.config.Record != nil {
-		given, v := r, recordedDecisionOf(d)
-		k.config.Record(Call{Method: callBegin, At: now, RequestNumber: req.seq, Request: &given, Decision: &v})
+		recorded, decision := r, recordedDecisionOf(d)
+		k.config.Record(Call{Method: callBegin, At: now, RequestNumber: req.seq, Request: &recorded, Decision: &decision})
 	}
 	return req, d
 }
@@ -123,8 +123,8 @@
 	d := k.endAttempt(now, req, a)
 	d.SlotRelease = release
 	if k.config.Record != nil {
-		given, v := a, recordedDecisionOf(d)
-		k.config.Record(Call{Method: callEnded, At: now, RequestNumber: req.seq, Attempt: &given, Decision: &v})
+		recorded, decision := a, recordedDecisionOf(d)
+		k.config.Record(Call{Method: callEnded, At: now, RequestNumber: req.seq, Attempt: &recorded, Decision: &decision})
 	}
 	return d
 }
@@ -146,12 +146,12 @@
 	if !a.refusedWithFreeSlots(s.Slots) {
 		req.triedServers = append(req.triedServers, s)
 	}
-	took := now.Sub(req.sentAt)
+	elapsed := now.Sub(req.sentAt)
 	k.recordCrashEvidence(now, req, s, a)
-	k.learnFromAttempt(now, req, s, a, took)
+	k.learnFromAttempt(now, req, s, a, elapsed)
 	req.addStep(Event{
 		At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(req.steps)/2 + 1, Result: a.Result,
-		Expected: req.expected, Duration: took, Load: float64(a.Running + a.Waiting), Err: a.Err,
+		Expected: req.expected, Duration: elapsed, Load: float64(a.Running + a.Waiting), Err: a.Err,
 	})
 	switch a.Result {
 	case ResultAnswered:
@@ -264,15 +264,15 @@
 // retryAfter returns the retry delay for a refused caller. It is randomized so that callers refused
 // at the same time do not return at the same time.
 func (k *Kernel) retryAfter(now time.Time, req *ActiveRequest) time.Duration {
-	most := maxRetryAfter
+	maxWait := maxRetryAfter
 	if !req.Deadline.IsZero() {
-		most = min(most, req.Deadline.Sub(now)/3)
+		maxWait = min(maxWait, req.Deadline.Sub(now)/3)
 	}
 	if req.maxRetryAfter > 0 {
-		most = min(most, req.maxRetryAfter)
+		maxWait = min(maxWait, req.maxRetryAfter)
 	}
-	if most <= minRetryAfter {
+	if maxWait <= minRetryAfter {
 		return minRetryAfter
 	}
-	return minRetryAfter + time.Duration(k.random.Int64N(int64(most-minRetryAfter)))
+	return minRetryAfter + time.Duration(k.random.Int64N(int64(maxWait-minRetryAfter)))
 }
--- a/internal/kernel/steering/gates.go
+++ b/internal/kernel/steering/gates.go
@@ -24,30 +24,30 @@
 
 // HandleSlotRequest replies to a proxy that requests a slot at a server whose limiter this proxy
 // owns.
-func (k *Kernel) HandleSlotRequest(now time.Time, a SlotRequest) SlotReply {
-	k.record(Call{Method: callSlotRequest, At: now, SlotRequest: &a})
-	s := k.servers[a.Server]
+func (k *Kernel) HandleSlotRequest(now time.Time, request SlotRequest) SlotReply {
+	k.record(Call{Method: callSlotRequest, At: now, SlotRequest: &request})
+	s := k.servers[request.Server]
 	if s == nil || !s.isEligible() {
-		return SlotReply{Unknown: true, Grant: admission.Grant{Ticket: a.Ticket, Verdict: admission.Granted}}
+		return SlotReply{Unknown: true, Grant: admission.Grant{Ticket: request.Ticket, Verdict: admission.Granted}}
 	}
-	h := &k.service(s.Service).concurrency
-	h.adopt(a.Limit)
-	q := k.limiters[a.Server]
-	if q == nil {
-		q = &serverLimiter{}
-		k.limiters[a.Server] = q
+	state := &k.service(s.Service).concurrency
+	state.adopt(request.Limit)
+	limiter := k.limiters[request.Server]
+	if limiter == nil {
+		limiter = &serverLimiter{}
+		k.limiters[request.Server] = limiter
 	}
-	q.adaptiveLimit, q.lastUsedAt = h.adaptiveLimitFor(s.Slots), now
-	limit := q.adaptiveLimit.Trial(now)
-	grant := q.Ask(now, a.Ticket, limit, a.Work)
-	if grant.Rank > q.adaptiveLimit.Limit() {
-		q.adaptiveLimit.Tried(now)
+	limiter.adaptiveLimit, limiter.lastUsedAt = state.adaptiveLimitFor(s.Slots), now
+	limit := limiter.adaptiveLimit.Trial(now)
+	grant := limiter.Ask(now, request.Ticket, limit, request.Work)
+	if grant.Rank > limiter.adaptiveLimit.Limit() {
+		limiter.adaptiveLimit.Tried(now)
 	}
-	return q.newReply(grant)
+	return limiter.newReply(grant)
 }
 
-func (q *serverLimiter) newReply(g admission.Grant) SlotReply {
-	r := SlotReply{Grant: g, Limit: q.adaptiveLimit.Learned(), Whole: q.adaptiveLimit.Whole(), Sound: q.adaptiveLimit.Sound()}
+func (q *serverLimiter) newReply(grant admission.Grant) SlotReply {
+	r := SlotReply{Grant: grant, Limit: q.adaptiveLimit.Learned(), Whole: q.adaptiveLimit.Whole(), Sound: q.adaptiveLimit.Sound()}
 	r.Running, r.Waiting = q.Load()
 	return r
 }
@@ -55,8 +55,8 @@
 // grantNext grants free slots to waiting requests.
 func (q *serverLimiter) grantNext(now time.Time) []SlotReply {
 	var replies []SlotReply
-	for _, g := range q.Next(now, q.adaptiveLimit.Limit()) {
-		replies = append(replies, q.newReply(g))
+	for _, grant := range q.Next(now, q.adaptiveLimit.Limit()) {
+		replies = append(replies, q.newReply(grant))
 	}
 	return replies
 }
@@ -65,23 +65,23 @@
 // now.
 func (k *Kernel) HandleSlotRelease(now time.Time, r SlotRelease) []SlotReply {
 	k.record(Call{Method: callSlotRelease, At: now, SlotRelease: &r})
-	q := k.limiters[r.Server]
-	if q == nil {
+	limiter := k.limiters[r.Server]
+	if limiter == nil {
 		return nil
 	}
-	q.GiveBack(r.From, r.ID)
+	limiter.GiveBack(r.From, r.ID)
 	if r.Ratio > 0 {
-		q.adaptiveLimit.Heard(now, r.Rank, r.Ratio)
+		limiter.adaptiveLimit.Heard(now, r.Rank, r.Ratio)
 	}
-	return q.grantNext(now)
+	return limiter.grantNext(now)
 }
 
 // expireLimiters ends waits that have become useless, reclaims slots that were not released, and
 // removes unused limiters. The resulting replies are returned by TakeSlotReplies.
 func (k *Kernel) expireLimiters(now time.Time) {
-	for id, q := range k.limiters {
-		k.pendingSlotReplies = append(k.pendingSlotReplies, q.grantNext(now)...)
-		if now.Sub(q.lastUsedAt) > limiterIdleTTL {
+	for id, limiter := range k.limiters {
+		k.pendingSlotReplies = append(k.pendingSlotReplies, limiter.grantNext(now)...)
+		if now.Sub(limiter.lastUsedAt) > limiterIdleTTL {
 			delete(k.limiters, id)
 		}
 	}
--- a/internal/kernel/steering/hold.go
+++ b/internal/kernel/steering/hold.go
@@ -134,11 +134,11 @@
 // detectSlowdown records how long a request took at a warm server. Only the times at a full server
 // show whether it slows down. A timeout is the strongest evidence, even on a cold run: where
 // servers slow down, there is little other evidence.
-func (k *Kernel) detectSlowdown(now time.Time, req *ActiveRequest, s *server, svc *service, a Attempt, took time.Duration) {
+func (k *Kernel) detectSlowdown(now time.Time, req *ActiveRequest, s *server, svc *service, a Attempt, elapsed time.Duration) {
 	if !k.isEnabled(MechanismConcurrencyLimit) {
 		return
 	}
-	alone := svc.workOf(req.Route).expected(req.warm, req.Route.Target)
+	unqueued := svc.workOf(req.Route).expected(req.warm, req.Route.Target)
 	// A server that has not responded since the request was sent is unresponsive, not slow.
 	late := a.Result == ResultTimeout && s.answeredAt.After(req.sentAt)
 	answered := a.Result == ResultAnswered && a.Loaded && req.warm
@@ -146,10 +146,10 @@
 		return
 	}
 	full := late || a.Running >= s.Slots
-	queue := max(float64(a.Waiting), req.loadAtSend+1-float64(s.Slots))
-	wait := time.Duration(max(0, queue) / float64(s.Slots) * float64(svc.workOf(req.Route).typical(req.Route)))
+	queued := max(float64(a.Waiting), req.loadAtSend+1-float64(s.Slots))
+	wait := time.Duration(max(0, queued) / float64(s.Slots) * float64(svc.workOf(req.Route).typical(req.Route)))
 	h := &svc.concurrency
-	h.detector.Heard(now, s.id, full, took-s.rtt.roundTrip, alone+wait)
+	h.detector.Heard(now, s.id, full, elapsed-s.rtt.roundTrip, unqueued+wait)
 	if h.detector.Arisen(now) {
 		h.detector.Reset()
 		h.ownEvidenceUntil = now.Add(measureConcurrencyFor)
--- a/internal/kernel/steering/kernel.go
+++ b/internal/kernel/steering/kernel.go
@@ -227,14 +227,14 @@
 // BeginShutdown marks this proxy as leaving. Requests that begin from now on end by the given time
 // at the latest. Without that bound, a server that hangs would hold them until the process exits,
 // and their callers would see a closed connection instead of a result.
-func (k *Kernel) BeginShutdown(end time.Time) {
-	k.record(Call{Method: callLeave, Until: end})
+func (k *Kernel) BeginShutdown(deadline time.Time) {
+	k.record(Call{Method: callLeave, Until: deadline})
 	for i := range k.proxies {
 		if k.proxies[i].Name == k.config.Name {
 			k.proxies[i].Leaving = true
 		}
 	}
-	k.shuttingDown, k.shutdownDeadline = true, end
+	k.shuttingDown, k.shutdownDeadline = true, deadline
 }
 
 // SetProxies sets the live proxies. This proxy is always one of them.
--- a/internal/kernel/steering/learn.go
+++ b/internal/kernel/steering/learn.go
@@ -5,7 +5,7 @@
 )
 
 // learnFromAttempt updates the state of the server from the result of an attempt.
-func (k *Kernel) learnFromAttempt(now time.Time, req *ActiveRequest, s *server, a Attempt, took time.Duration) {
+func (k *Kernel) learnFromAttempt(now time.Time, req *ActiveRequest, s *server, a Attempt, elapsed time.Duration) {
 	s.rtt.observe(a.RoundTrip)
 	k.recordBackpressure(now, req, s, a)
 	if a.Loaded {
@@ -13,14 +13,14 @@
 		k.recordQueue(now, req, s, float64(a.Waiting))
 	}
 	svc := k.service(s.Service)
-	k.detectSlowdown(now, req, s, svc, a, took)
-	outs := s.ejections
+	k.detectSlowdown(now, req, s, svc, a, elapsed)
+	ejections := s.ejections
 	switch a.Result {
 	case ResultAnswered:
 		s.answeredAt = now
-		k.learnWork(now, req, s, svc, took)
+		k.learnWork(now, req, s, svc, elapsed)
 		if !a.Loaded {
-			k.inferQueue(now, req, s, took-s.rtt.roundTrip)
+			k.inferQueue(now, req, s, elapsed-s.rtt.roundTrip)
 		}
 	case ResultRefused:
 		s.recordRefusal(now, a)
@@ -38,13 +38,13 @@
 	if !k.isEnabled(MechanismOutlierDetection) {
 		s.ejections, s.ejectedUntil = 0, now
 	}
-	if s.ejections > outs {
+	if s.ejections > ejections {
 		k.config.Observe(Event{Kind: EventServerEjected, Server: s.id, Service: s.Service, Result: a.Result, Duration: s.ejectedUntil.Sub(now)})
 	}
 }
 
-func (k *Kernel) learnWork(now time.Time, req *ActiveRequest, s *server, svc *service, took time.Duration) {
-	work := took - s.rtt.roundTrip
+func (k *Kernel) learnWork(now time.Time, req *ActiveRequest, s *server, svc *service, elapsed time.Duration) {
+	work := elapsed - s.rtt.roundTrip
 	s.recordSuccess(work, req.expected-s.rtt.roundTrip)
 	// The warm estimate follows the shortest times seen, so it needs no correction for slow
 	// servers, whose slowdown includes queueing.
--- a/internal/kernel/steering/limits.go
+++ b/internal/kernel/steering/limits.go
@@ -67,8 +67,8 @@
 
 // setKnownProxies sets the number of known proxies among which limits are divided. It includes
 // proxies that are no longer listed but may be alive, because their shares must not be reused.
-func (l *quotas) setKnownProxies(n int) {
-	l.knownProxies = n
+func (l *quotas) setKnownProxies(count int) {
+	l.knownProxies = count
 	l.updatePart()
 }
 
@@ -99,11 +99,11 @@
 	if req.Account == nil {
 		return k.dispatch(now, req)
 	}
-	ruling := k.quotas.limiter.Take(now, req.Account.Name)
-	if ruling.Verdict == ratelimit.AskPool && ruling.Pool == k.config.Name {
-		ruling = k.quotas.limiter.Asked(now, req.Account.Name, ruling, k.quotas.pool.Take(now, req.Account.Name), true)
+	decision := k.quotas.limiter.Take(now, req.Account.Name)
+	if decision.Verdict == ratelimit.AskPool && decision.Pool == k.config.Name {
+		decision = k.quotas.limiter.Asked(now, req.Account.Name, decision, k.quotas.pool.Take(now, req.Account.Name), true)
 	}
-	return k.applyQuotaRuling(now, req, ruling)
+	return k.applyQuotaRuling(now, req, decision)
 }
 
 // applyQuotaRuling sends a request that is within its limit, has a pool asked for a token, or
@@ -131,8 +131,8 @@
 func (k *Kernel) ApplyPoolToken(now time.Time, req *ActiveRequest, t ratelimit.Token, answered bool) Decision {
 	d := k.applyQuotaRuling(now, req, k.quotas.limiter.Asked(now, req.Account.Name, req.quotaRuling, t, answered))
 	if k.config.Record != nil {
-		v := recordedDecisionOf(d)
-		k.config.Record(Call{Method: callPoolToken, At: now, RequestNumber: req.seq, Token: &t, Flag: answered, Decision: &v})
+		decision := recordedDecisionOf(d)
+		k.config.Record(Call{Method: callPoolToken, At: now, RequestNumber: req.seq, Token: &t, Flag: answered, Decision: &decision})
 	}
 	return d
 }
@@ -150,9 +150,9 @@
 
 // QuotaReport returns the report that is due to this proxy's pool, and the name of that pool. best
 // is the proxy that should be the pool, others are pools of other regions.
-func (k *Kernel) QuotaReport(now time.Time, best string, others []string) (string, ratelimit.Report) {
-	k.record(Call{Method: callQuotaReport, At: now, ID: best, IDs: others})
-	return k.quotas.limiter.Report(now, best, others)
+func (k *Kernel) QuotaReport(now time.Time, bestPool string, otherPools []string) (string, ratelimit.Report) {
+	k.record(Call{Method: callQuotaReport, At: now, ID: bestPool, IDs: otherPools})
+	return k.quotas.limiter.Report(now, bestPool, otherPools)
 }
 
 // HandleQuotaReport replies to a proxy that uses this proxy as its pool.
@@ -163,9 +163,9 @@
 
 // ApplyQuotaGrants applies the pool's reply to a report that was sent at the given time, and
 // reports whether the next report should follow immediately.
-func (k *Kernel) ApplyQuotaGrants(now, asked time.Time, pool string, g ratelimit.Grants) bool {
-	k.record(Call{Method: callQuotaGrants, At: now, ReportedAt: asked, ID: pool, Grants: &g})
-	return k.quotas.limiter.Granted(now, asked, pool, g)
+func (k *Kernel) ApplyQuotaGrants(now, reportedAt time.Time, pool string, g ratelimit.Grants) bool {
+	k.record(Call{Method: callQuotaGrants, At: now, ReportedAt: reportedAt, ID: pool, Grants: &g})
+	return k.quotas.limiter.Granted(now, reportedAt, pool, g)
 }
 
 // QuotaReportUnanswered records that the pool did not reply to a report.
@@ -182,16 +182,16 @@
 }
 
 // ApplyQuotaLoan applies a loan from another region's pool that was requested at the given time.
-func (k *Kernel) ApplyQuotaLoan(now, asked time.Time, lender string, g ratelimit.Grants) {
-	k.record(Call{Method: callQuotaLoan, At: now, ReportedAt: asked, ID: lender, Grants: &g})
-	k.quotas.pool.Lent(now, asked, lender, g)
+func (k *Kernel) ApplyQuotaLoan(now, requestedAt time.Time, lender string, g ratelimit.Grants) {
+	k.record(Call{Method: callQuotaLoan, At: now, ReportedAt: requestedAt, ID: lender, Grants: &g})
+	k.quotas.pool.Lent(now, requestedAt, lender, g)
 }
 
 // SetFleetSize sets the minimum number of proxies among which limits are divided, as announced to
 // all proxies.
-func (k *Kernel) SetFleetSize(n int) {
-	k.record(Call{Method: callFleetSize, Count: n})
-	k.quotas.fleetSize = n
+func (k *Kernel) SetFleetSize(size int) {
+	k.record(Call{Method: callFleetSize, Count: size})
+	k.quotas.fleetSize = size
 	k.quotas.updatePart()
 }
 
--- a/internal/kernel/steering/near.go
+++ b/internal/kernel/steering/near.go
@@ -12,24 +12,24 @@
 	if len(homes) == 0 || !k.placer.chargesColdRuns || k.observeCandidate != nil {
 		return choice{}, false
 	}
-	near := make([]*server, 0, len(homes)+len(svc.warmServers[req.Object]))
+	candidates := make([]*server, 0, len(homes)+len(svc.warmServers[req.Object]))
 	for _, id := range homes {
 		if s := svc.registered[id]; s != nil {
-			near = append(near, s)
+			candidates = append(candidates, s)
 		}
 	}
 	for _, s := range svc.warmServers[req.Object] {
-		if svc.registered[s.id] == s && !k.evacuatedDomains[s.Domain] && !slices.Contains(near, s) {
-			near = append(near, s)
+		if svc.registered[s.id] == s && !k.evacuatedDomains[s.Domain] && !slices.Contains(candidates, s) {
+			candidates = append(candidates, s)
 		}
 	}
-	best := k.chooseAmong(now, req, svc, homes, near)
+	best := k.chooseAmong(now, req, svc, homes, candidates)
 	if best.server == nil {
 		return best, false
 	}
-	work := req.workEstimate.expected(false, req.Route.Target)
-	elsewhere := work + time.Duration(coldRunPenalty*float64(len(homes))*float64(work))
-	return best, best.cost < elsewhere
+	coldWork := req.workEstimate.expected(false, req.Route.Target)
+	minColdCost := coldWork + time.Duration(coldRunPenalty*float64(len(homes))*float64(coldWork))
+	return best, best.cost < minColdCost
 }
 
 // markWarm records that a server has handled an object.
@@ -40,8 +40,8 @@
 	if svc.warmServers == nil {
 		svc.warmServers = make(map[string][]*server)
 	}
-	known := slices.DeleteFunc(svc.warmServers[object], func(other *server) bool { return other == s || !other.isWarm(object, now) })
-	svc.warmServers[object] = append(known, s)
+	warm := slices.DeleteFunc(svc.warmServers[object], func(other *server) bool { return other == s || !other.isWarm(object, now) })
+	svc.warmServers[object] = append(warm, s)
 	if len(svc.warmServers) > warmServersSweepSize {
 		for other, list := range svc.warmServers {
 			if list = slices.DeleteFunc(list, func(s *server) bool { return !s.isWarm(other, now) }); len(list) == 0 {
--- a/internal/kernel/steering/quarantine.go
+++ b/internal/kernel/steering/quarantine.go
@@ -27,11 +27,11 @@
 	if req.Work.None() || !k.isEnabled(MechanismQuarantine) {
 		return ReasonNone
 	}
-	ruling, left := k.quarantine.Rule(now, req.Work)
+	ruling, remaining := k.quarantine.Rule(now, req.Work)
 	req.workSuspected = ruling != quarantine.Clear
 	switch {
 	case ruling == quarantine.Condemned:
-		req.quarantinedFor = min(left, quarantine.AwayMost)
+		req.quarantinedFor = min(remaining, quarantine.AwayMost)
 		return ReasonCrashesServers
 	case ruling == quarantine.Busy, ruling == quarantine.Suspected && req.connectionsLost > 0:
 		return ReasonMayCrashServers
@@ -55,7 +55,7 @@
 func (k *Kernel) chooseLeastLoaded(now time.Time, req *ActiveRequest, svc *service) (*server, choice) {
 	best := choice{reason: ReasonNoServer}
 	req.workEstimate = svc.workOf(req.Route)
-	least := 0.0
+	minLoad := 0.0
 	for _, s := range svc.eligible {
 		if !k.mayUse(now, req, s) {
 			continue
@@ -69,10 +69,10 @@
 			// fingerprint must still get the chance to succeed.
 			load += float64(s.Slots)
 		}
-		if best.server != nil && load >= least {
+		if best.server != nil && load >= minLoad {
 			continue
 		}
-		least = load
+		minLoad = load
 		best = k.estimate(now, req, s, nil)
 	}
 	if best.server != nil && best.server.isCold(now) {
@@ -111,13 +111,13 @@
 
 // ServersToProbe lists the servers that must be probed to find out whether they have crashed.
 func (k *Kernel) ServersToProbe() []routing.Server {
-	doubtful := k.quarantine.Doubtful()
-	if len(doubtful) == 0 {
+	ids := k.quarantine.Doubtful()
+	if len(ids) == 0 {
 		return nil
 	}
 	k.record(Call{Method: callServersToProbe})
-	wanted := make(map[quarantine.Server]bool, len(doubtful))
-	for _, s := range doubtful {
+	wanted := make(map[quarantine.Server]bool, len(ids))
+	for _, s := range ids {
 		wanted[s] = true
 	}
 	var list []routing.Server
@@ -148,8 +148,8 @@
 func (k *Kernel) QuarantinedWork(now time.Time) []QuarantinedWork {
 	var list []QuarantinedWork
 	for _, r := range k.quarantine.Condemnations(now) {
-		_, left := k.quarantine.Rule(now, r.Work)
-		list = append(list, QuarantinedWork{Report: r, Rank: k.trialRank(r.Work), QuarantinedFor: left})
+		_, remaining := k.quarantine.Rule(now, r.Work)
+		list = append(list, QuarantinedWork{Report: r, Rank: k.trialRank(r.Work), QuarantinedFor: remaining})
 	}
 	return list
 }
@@ -173,10 +173,10 @@
 
 // observeQuarantine reports a change of a fingerprint's status or a crash of a server with
 // fingerprints in flight.
-func (k *Kernel) observeQuarantine(n quarantine.Notice) {
-	e := Event{Kind: EventKind(n.Change), Fingerprint: n.Work, Crashes: n.Ends, RunningFingerprints: n.Works}
+func (k *Kernel) observeQuarantine(change quarantine.Notice) {
+	e := Event{Kind: EventKind(change.Change), Fingerprint: change.Work, Crashes: change.Ends, RunningFingerprints: change.Works}
 	for _, s := range k.servers {
-		if n.Change == quarantine.ChangeEnded && s.startID == n.Server {
+		if change.Change == quarantine.ChangeEnded && s.startID == change.Server {
 			e.Server, e.Service = s.id, s.Service
 		}
 	}
--- a/internal/kernel/steering/replay.go
+++ b/internal/kernel/steering/replay.go
@@ -76,8 +76,8 @@
 // ReplayCalls replays the calls of a recording, a sequence of JSON values, on a new kernel and
 // compares its decisions with the recorded ones. If about is the ID of a request, the result lists
 // the servers that were considered for it.
-func ReplayCalls(recording io.Reader, about string) (ReplayResult, error) {
-	r := &replayer{requestID: about}
+func ReplayCalls(recording io.Reader, requestID string) (ReplayResult, error) {
+	r := &replayer{requestID: requestID}
 	for decoder := json.NewDecoder(recording); ; {
 		var c Call
 		err := decoder.Decode(&c)
--- a/internal/kernel/steering/server.go
+++ b/internal/kernel/steering/server.go
@@ -199,13 +199,13 @@
 }
 
 // recordSuccess records a response and compares its duration with the expected one.
-func (s *server) recordSuccess(took, expected time.Duration) {
+func (s *server) recordSuccess(elapsed, expected time.Duration) {
 	s.failuresInRow, s.refusalsInRow, s.ejections = 0, 0, 0
 	s.failureShare -= failureWeight * s.failureShare
 	if expected <= 0 {
 		return
 	}
-	ratio := min(maxSlowdown, float64(took)/float64(expected))
+	ratio := min(maxSlowdown, float64(elapsed)/float64(expected))
 	s.slowdown += slowdownWeight * (ratio - s.slowdown)
 }
 
@@ -229,10 +229,10 @@
 
 // recordFailure records a failed attempt. It ejects the server after several consecutive failures,
 // or immediately if the failure is hard.
-func (s *server) recordFailure(now time.Time, hard bool) {
+func (s *server) recordFailure(now time.Time, ejectNow bool) {
 	s.failureShare += failureWeight * (1 - s.failureShare)
 	s.failuresInRow++
-	if s.failuresInRow < ejectAfterFailures && !hard {
+	if s.failuresInRow < ejectAfterFailures && !ejectNow {
 		return
 	}
 	s.ejectedUntil = now.Add(min(ejectionBase<<min(s.ejections, 6), maxEjection))
--- a/internal/kernel/steering/servers.go
+++ b/internal/kernel/steering/servers.go
@@ -29,8 +29,8 @@
 		s = &server{id: r.ID, startID: start, backpressure: k.backpressure.Of(start), slowdown: 1}
 		k.servers[r.ID] = s
 	}
-	moved := s.Service != r.Service || s.Slots != r.Slots || s.Draining != r.Draining || s.Domain != r.Domain || s.unreadable
-	if moved {
+	changed := s.Service != r.Service || s.Slots != r.Slots || s.Draining != r.Draining || s.Domain != r.Domain || s.unreadable
+	if changed {
 		k.service(s.Service).removeServer(s)
 		k.service(r.Service).addServer(s)
 	}
@@ -43,7 +43,7 @@
 	if r.ColdFor > 0 {
 		s.coldUntil = laterOf(s.coldUntil, now.Add(r.ColdFor))
 	}
-	if moved {
+	if changed {
 		k.config.Observe(Event{Kind: EventServerChanged, Server: r.ID, Service: r.Service, Draining: r.Draining})
 	}
 }
@@ -87,10 +87,10 @@
 
 // MarkServerAbsent records that the registration of a server is missing. The server is removed if
 // it does not register again before the given time.
-func (k *Kernel) MarkServerAbsent(id string, until time.Time) {
-	k.record(Call{Method: callAbsent, ID: id, Until: until})
+func (k *Kernel) MarkServerAbsent(id string, deadline time.Time) {
+	k.record(Call{Method: callAbsent, ID: id, Until: deadline})
 	if s := k.servers[id]; s != nil && s.absentUntil.IsZero() {
-		s.absentUntil = until
+		s.absentUntil = deadline
 	}
 }
 
--- a/internal/kernel/steering/sharers.go
+++ b/internal/kernel/steering/sharers.go
@@ -31,13 +31,13 @@
 // from every proxy.
 func (k *Kernel) updateSharers(now time.Time, listed []Proxy) {
 	sharers := make([]limitSharer, 0, len(listed))
-	alive := make(map[string]bool, len(listed))
+	isListed := make(map[string]bool, len(listed))
 	for _, p := range listed {
 		sharers = append(sharers, limitSharer{Proxy: p})
-		alive[p.Name] = true
+		isListed[p.Name] = true
 	}
 	for _, old := range k.limitSharers {
-		if alive[old.Name] {
+		if isListed[old.Name] {
 			continue
 		}
 		if old.expiresAt.IsZero() {
--- a/internal/kernel/steering/shed.go
+++ b/internal/kernel/steering/shed.go
@@ -21,8 +21,8 @@
 	if work <= 0 {
 		return 0
 	}
-	left := req.Route.Target - s.rtt.roundTrip - work
-	return float64(s.usableSlots()) * max(1, float64(left)/float64(work))
+	available := req.Route.Target - s.rtt.roundTrip - work
+	return float64(s.usableSlots()) * max(1, float64(available)/float64(work))
 }
 
 // recordQueue records the number of requests that wait at a server, for the server itself and for
@@ -49,19 +49,19 @@
 	if !req.warm && req.Object != "" || work <= 0 || !k.isEnabled(MechanismQueueInference) {
 		return
 	}
-	alone := s.unqueuedWorkOf(req.Route.Name)
-	alone.observe(true, work, req.Route.Target)
-	waiting := max(0, float64(work-alone.warm)/float64(alone.warm)*float64(s.Slots))
+	unqueued := s.unqueuedWorkOf(req.Route.Name)
+	unqueued.observe(true, work, req.Route.Target)
+	waiting := max(0, float64(work-unqueued.warm)/float64(unqueued.warm)*float64(s.Slots))
 	if waiting >= 1 && req.Object != "" {
 		// Without an object, the choice itself accounts for requests of other proxies and does
 		// better without an inferred load.
 		s.recordLoad(now, s.Slots, int(waiting))
 	}
-	left := req.Route.Target - s.rtt.roundTrip
+	available := req.Route.Target - s.rtt.roundTrip
 	switch {
-	case alone.warm > left:
+	case unqueued.warm > available:
 		return
-	case work <= left:
+	case work <= available:
 		waiting = min(waiting, admission.ShedFrom*k.queueRoom(req, k.service(s.Service), s))
 	}
 	k.recordQueue(now, req, s, waiting)
@@ -100,7 +100,7 @@
 // lowestPriorities returns the priority of the least urgent requests of each service. The priority
 // of an account overrides that of a route.
 func lowestPriorities(t *routing.Table) map[string]int {
-	least := make(map[string]int)
+	lowest := make(map[string]int)
 	accounts := t.Accounts.All()
 	for _, r := range t.Routes {
 		priority := r.Priority
@@ -112,8 +112,8 @@
 			}
 		}
 		for _, part := range r.Parts {
-			least[part.Service] = max(least[part.Service], priority)
+			lowest[part.Service] = max(lowest[part.Service], priority)
 		}
 	}
-	return least
+	return lowest
 }
--- a/internal/kernel/steering/signals.go
+++ b/internal/kernel/steering/signals.go
@@ -14,9 +14,9 @@
 
 // recordBackpressure records the backpressure signal of an attempt.
 func (k *Kernel) recordBackpressure(now time.Time, req *ActiveRequest, s *server, a Attempt) {
-	whole := a.Result == ResultAnswered || a.Result == ResultServerError || a.Result == ResultRefused
-	if w := k.backpressure.Heard(now, req.sentAt, s.startID, a.Signal, whole); w != nil {
-		s.backpressure = w
+	complete := a.Result == ResultAnswered || a.Result == ResultServerError || a.Result == ResultRefused
+	if state := k.backpressure.Heard(now, req.sentAt, s.startID, a.Signal, complete); state != nil {
+		s.backpressure = state
 	}
 }
 
@@ -67,12 +67,12 @@
 		if s.backpressure == nil || !req.isCandidate(now, s) {
 			continue
 		}
-		at, known := k.serverPermitsAt(now, s)
+		permittedAt, known := k.serverPermitsAt(now, s)
 		if !known {
-			at = now.Add(maxRetryAfter)
+			permittedAt = now.Add(maxRetryAfter)
 		}
-		if left := at.Sub(now); !found || left < wait {
-			wait, found = left, true
+		if remaining := permittedAt.Sub(now); !found || remaining < wait {
+			wait, found = remaining, true
 		}
 	}
 	return wait, found
@@ -115,20 +115,20 @@
 		return
 	}
 	for _, s := range k.servers {
-		if w := k.backpressure.Of(s.startID); w != nil {
-			s.backpressure = w
+		if state := k.backpressure.Of(s.startID); state != nil {
+			s.backpressure = state
 		}
 	}
 }
 
 // observeBackpressure reports a new signal of a server. If the server drains, the eligible servers
 // of its service are listed again.
-func (k *Kernel) observeBackpressure(n backpressure.Notice) {
-	e := Event{Kind: EventKind(n.Change), Limit: n.Limit, Duration: n.Pause}
+func (k *Kernel) observeBackpressure(change backpressure.Notice) {
+	e := Event{Kind: EventKind(change.Change), Limit: change.Limit, Duration: change.Pause}
 	for _, s := range k.servers {
-		if s.startID == n.Server {
+		if s.startID == change.Server {
 			e.Server, e.Service = s.id, s.Service
-			k.service(s.Service).stale = k.service(s.Service).stale || n.Change == backpressure.ChangeLeaving
+			k.service(s.Service).stale = k.service(s.Service).stale || change.Change == backpressure.ChangeLeaving
 		}
 	}
 	k.config.Observe(e)
--- a/internal/kernel/steering/status.go
+++ b/internal/kernel/steering/status.go
@@ -76,16 +76,16 @@
 func (k *Kernel) Status(now time.Time) Status {
 	s := Status{Version: k.Version(), Proxies: slices.Clone(k.proxies), Evacuated: k.EvacuatedDomains(), RegionsWithoutProxies: k.regionsWithoutProxies(), MechanismsOff: k.config.Off, ConcurrencyLimits: k.ConcurrencyLimits(now), QuarantinedWork: k.QuarantinedWork(now)}
 	s.Accounts, s.QuotaProxies, s.QuotaPool = k.accounts(now), max(k.quotas.fleetSize, k.quotas.knownProxies), k.quotas.limiter.Pool()
-	for _, b := range k.servers {
-		s.InFlight += b.inFlight
+	for _, server := range k.servers {
+		s.InFlight += server.inFlight
 		s.Servers = append(s.Servers, ServerStatus{
-			ID: b.id, Service: b.Service, Domain: b.Domain, Slots: b.Slots, InFlight: b.inFlight,
-			Draining: b.Draining || b.backpressure.Leaving(), Absent: !b.absentUntil.IsZero(),
-			ColdFor: max(0, b.coldUntil.Sub(now)), EjectedFor: max(0, b.ejectedUntil.Sub(now)),
-			Load: b.load(now), LoadAge: b.loadAge(now), Limit: b.backpressure.Limit(now), PausedFor: b.backpressure.PausedFor(now), ReportsDraining: b.backpressure.Leaving(), Slowdown: b.slowdown, FailureShare: b.failureShare,
+			ID: server.id, Service: server.Service, Domain: server.Domain, Slots: server.Slots, InFlight: server.inFlight,
+			Draining: server.Draining || server.backpressure.Leaving(), Absent: !server.absentUntil.IsZero(),
+			ColdFor: max(0, server.coldUntil.Sub(now)), EjectedFor: max(0, server.ejectedUntil.Sub(now)),
+			Load: server.load(now), LoadAge: server.loadAge(now), Limit: server.backpressure.Limit(now), PausedFor: server.backpressure.PausedFor(now), ReportsDraining: server.backpressure.Leaving(), Slowdown: server.slowdown, FailureShare: server.failureShare,
 		})
 	}
-	slices.SortFunc(s.Servers, func(a, b ServerStatus) int { return strings.Compare(a.Service+a.ID, b.Service+b.ID) })
+	slices.SortFunc(s.Servers, func(a, server ServerStatus) int { return strings.Compare(a.Service+a.ID, server.Service+server.ID) })
 	return s
 }
 
--- a/internal/kernel/steering/stranded.go
+++ b/internal/kernel/steering/stranded.go
@@ -38,14 +38,14 @@
 	if now.Sub(k.config.Joined) < startupGrace || now.Before(k.ignoreMissingUntil) || !k.isEnabled(MechanismStrandedRegions) {
 		return
 	}
-	open := make(map[string]bool)
+	hasProxies := make(map[string]bool)
 	for _, p := range k.proxies {
-		open[p.Region] = open[p.Region] || !p.Leaving
+		hasProxies[p.Region] = hasProxies[p.Region] || !p.Leaving
 	}
-	open[k.config.Region] = true
+	hasProxies[k.config.Region] = true
 	for _, region := range k.regions {
 		s := k.regionStates[region]
-		if !s.update(now, !open[region]) {
+		if !s.update(now, !hasProxies[region]) {
 			continue
 		}
 		k.config.Observe(Event{Kind: EventRegionWithoutProxies, At: now, Region: region, CallersElsewhere: s.redirected})
@@ -63,18 +63,18 @@
 }
 
 // update records whether the region has no proxies now and reports whether redirected changed.
-func (s *regionState) update(now time.Time, without bool) bool {
-	if s.noProxies != without || s.since.IsZero() {
-		s.noProxies, s.since = without, now
+func (s *regionState) update(now time.Time, noProxies bool) bool {
+	if s.noProxies != noProxies || s.since.IsZero() {
+		s.noProxies, s.since = noProxies, now
 	}
 	wait := regionBackAfter
-	if without {
+	if noProxies {
 		wait = regionLostAfter
 	}
-	if s.redirected == without || now.Sub(s.since) < wait {
+	if s.redirected == noProxies || now.Sub(s.since) < wait {
 		return false
 	}
-	s.redirected = without
+	s.redirected = noProxies
 	return true
 }
 
@@ -88,18 +88,18 @@
 			demand[region]++
 		}
 	}
-	elsewhere := 0.0
-	var open []string
+	redirected := 0.0
+	var served []string
 	for region := range demand {
 		if k.regionStates[region].redirected {
-			elsewhere += demand[region]
+			redirected += demand[region]
 			demand[region] = 0
 		} else {
-			open = append(open, region)
+			served = append(served, region)
 		}
 	}
-	for _, region := range open {
-		demand[region] += elsewhere / float64(len(open))
+	for _, region := range served {
+		demand[region] += redirected / float64(len(served))
 	}
 	return demand
 }
--- a/internal/kernel/steering/work.go
+++ b/internal/kernel/steering/work.go
@@ -55,27 +55,27 @@
 // and longer ones slowly, because a long one may include a wait or come from a server that is no
 // longer warm for the object. The cold estimate is the mean of the first cold runs, with the
 // route's target as an additional sample, and then a moving average.
-func (w *workEstimate) observe(warm bool, took, target time.Duration) {
+func (w *workEstimate) observe(warm bool, sample, target time.Duration) {
 	switch {
-	case warm && (w.warm == 0 || took < w.warm):
-		w.warm += (took - w.warm) / warmDownDivisor
-		if w.warm < took {
-			w.warm = took
+	case warm && (w.warm == 0 || sample < w.warm):
+		w.warm += (sample - w.warm) / warmDownDivisor
+		if w.warm < sample {
+			w.warm = sample
 		}
 	case warm:
-		w.warm += (took - w.warm) / warmUpDivisor
+		w.warm += (sample - w.warm) / warmUpDivisor
 	default:
 		if w.coldSamples == 0 {
 			w.cold = target
 		}
 		w.coldSamples = min(w.coldSamples+1, maxColdSamples-1)
-		w.cold += (took - w.cold) / time.Duration(w.coldSamples+1)
+		w.cold += (sample - w.cold) / time.Duration(w.coldSamples+1)
 	}
 }
 
 // exceeds reports whether the warm estimate is unknown or longer than a response took. As that
 // includes any wait, the estimate is then too long by at least the difference.
-func (w *workEstimate) exceeds(took time.Duration) bool { return w.warm == 0 || took < w.warm }
+func (w *workEstimate) exceeds(sample time.Duration) bool { return w.warm == 0 || sample < w.warm }
 
 // expected returns the estimated duration of a request. It defaults to target if nothing was
 // measured.
