--- a/internal/kernel/steering/call.go
+++ b/internal/kernel/steering/call.go
@@ -78,13 +78,13 @@
 		BackpressureReports []backpressure.Report `json:"signals,omitempty"`
 		// Accounts are the client accounts of a table. The fields that follow belong to calls about
 		// their limits.
-		Accounts   []*account.Account `json:"accounts,omitempty"`
-		ReportedAt time.Time          `json:"asked,omitzero"`
-		Report     *ratelimit.Report  `json:"report,omitempty"`
-		Grants     *ratelimit.Grants  `json:"grants,omitempty"`
-		Token      *ratelimit.Token   `json:"token,omitempty"`
-		Count      int                `json:"count,omitempty"`
-		IDs        []string           `json:"ids,omitempty"`
+		Accounts    []*account.Account `json:"accounts,omitempty"`
+		RequestedAt time.Time          `json:"asked,omitzero"`
+		Report      *ratelimit.Report  `json:"report,omitempty"`
+		Grants      *ratelimit.Grants  `json:"grants,omitempty"`
+		Token       *ratelimit.Token   `json:"token,omitempty"`
+		Count       int                `json:"count,omitempty"`
+		IDs         []string           `json:"ids,omitempty"`
 	}
 
 	// RecordedDecision is a decision in its recorded form.
--- a/internal/kernel/steering/concurrencylimit.go
+++ b/internal/kernel/steering/concurrencylimit.go
@@ -101,8 +101,8 @@
 		h.learnedLimits = make(map[int]admission.Limit)
 	}
 	h.learnedLimits[l.Slots] = l
-	if c := h.adaptiveLimits[l.Slots]; c != nil {
-		c.Adopt(l)
+	if limit := h.adaptiveLimits[l.Slots]; limit != nil {
+		limit.Adopt(l)
 	}
 }
 
@@ -148,11 +148,11 @@
 	full := late || a.Running >= s.Slots
 	queued := max(float64(a.Waiting), req.loadAtSend+1-float64(s.Slots))
 	wait := time.Duration(max(0, queued) / float64(s.Slots) * float64(svc.workOf(req.Route).typical(req.Route)))
-	h := &svc.concurrency
-	h.detector.Heard(now, s.id, full, elapsed-s.rtt.roundTrip, unqueued+wait)
-	if h.detector.Arisen(now) {
-		h.detector.Reset()
-		h.ownEvidenceUntil = now.Add(measureConcurrencyFor)
+	state := &svc.concurrency
+	state.detector.Heard(now, s.id, full, elapsed-s.rtt.roundTrip, unqueued+wait)
+	if state.detector.Arisen(now) {
+		state.detector.Reset()
+		state.ownEvidenceUntil = now.Add(measureConcurrencyFor)
 		k.startLimiting(now, svc, measureConcurrencyFor)
 	}
 }
--- a/internal/kernel/steering/lifecycle.go
+++ b/internal/kernel/steering/lifecycle.go
@@ -78,9 +78,9 @@
 	if reason := k.checkQuarantine(now, req); reason != ReasonNone {
 		return nil, reason
 	}
-	s, pick := k.chooseServer(now, req, svc)
+	s, chosen := k.chooseServer(now, req, svc)
 	if s == nil {
-		return nil, k.noServerReason(now, req, svc, pick.reason)
+		return nil, k.noServerReason(now, req, svc, chosen.reason)
 	}
 	if len(req.steps) == 0 {
 		if k.shouldShed(now, req, svc, s) {
@@ -89,17 +89,17 @@
 		svc.retries.First(now)
 	}
 	k.quarantine.Started(req.Work)
-	req.server, req.sentAt, req.expected, req.warm, req.loadAtSend = s, now, pick.expected, pick.warm, s.load(now)
+	req.server, req.sentAt, req.expected, req.warm, req.loadAtSend = s, now, chosen.expected, chosen.warm, s.load(now)
 	state := s.state(now)
 	s.inFlight++
 	s.sentCount++
 	s.backpressure.Sent(now)
 	req.addStep(Event{
-		At: now, Kind: EventRequestSent, Server: s.id, Domain: s.Domain, Attempt: len(req.steps)/2 + 1, Expected: pick.expected,
-		Load: s.load(now), LoadAge: s.loadAge(now), HomeRank: pick.homeRank, Warm: pick.warm,
-		ExpectedWait: pick.untilStart - s.rtt.roundTrip, State: state,
+		At: now, Kind: EventRequestSent, Server: s.id, Domain: s.Domain, Attempt: len(req.steps)/2 + 1, Expected: chosen.expected,
+		Load: s.load(now), LoadAge: s.loadAge(now), HomeRank: chosen.homeRank, Warm: chosen.warm,
+		ExpectedWait: chosen.untilStart - s.rtt.roundTrip, State: state,
 	})
-	req.slotRequest, req.slotRank = k.newSlotRequest(now, req, svc, s, pick), 0
+	req.slotRequest, req.slotRank = k.newSlotRequest(now, req, svc, s, chosen), 0
 	return k.newTarget(svc, s), ReasonNone
 }
 
--- a/internal/kernel/steering/quarantine.go
+++ b/internal/kernel/steering/quarantine.go
@@ -27,13 +27,13 @@
 	if req.Work.None() || !k.isEnabled(MechanismQuarantine) {
 		return ReasonNone
 	}
-	ruling, remaining := k.quarantine.Rule(now, req.Work)
-	req.workSuspected = ruling != quarantine.Clear
+	status, remaining := k.quarantine.Rule(now, req.Work)
+	req.workSuspected = status != quarantine.Clear
 	switch {
-	case ruling == quarantine.Condemned:
+	case status == quarantine.Condemned:
 		req.quarantinedFor = min(remaining, quarantine.AwayMost)
 		return ReasonCrashesServers
-	case ruling == quarantine.Busy, ruling == quarantine.Suspected && req.connectionsLost > 0:
+	case status == quarantine.Busy, status == quarantine.Suspected && req.connectionsLost > 0:
 		return ReasonMayCrashServers
 	}
 	return ReasonNone
@@ -84,40 +84,40 @@
 // recordCrashEvidence records what an attempt shows about whether its server crashed and about the
 // request's fingerprint.
 func (k *Kernel) recordCrashEvidence(now time.Time, req *ActiveRequest, s *server, a Attempt) {
-	q := k.quarantine
-	q.Stopped(req.Work)
+	tracker := k.quarantine
+	tracker.Stopped(req.Work)
 	switch a.Result {
 	case ResultAnswered, ResultServerError, ResultRefused:
-		q.Answered(s.startID, req.sentAt)
+		tracker.Answered(s.startID, req.sentAt)
 		if a.Result == ResultAnswered && !a.Rejected {
 			// A server that fails or rejects a request may not have reached the part that crashes
 			// it.
-			q.RanWell(now, req.Work)
+			tracker.RanWell(now, req.Work)
 		}
 	case ResultConnectionLost:
 		req.connectionsLost++
 		if s.isEligible() && s.absentUntil.IsZero() {
 			// A server that drains as planned may close the connections of its remaining requests.
-			q.Broke(now, req.Work, s.startID)
+			tracker.Broke(now, req.Work, s.startID)
 		}
 	case ResultWrongServer:
-		q.HasEnded(now, s.startID)
+		tracker.HasEnded(now, s.startID)
 	case ResultUnreachable:
 		if a.Refusing {
-			q.HasEnded(now, s.startID)
+			tracker.HasEnded(now, s.startID)
 		}
 	}
 }
 
 // ServersToProbe lists the servers that must be probed to find out whether they have crashed.
 func (k *Kernel) ServersToProbe() []routing.Server {
-	ids := k.quarantine.Doubtful()
-	if len(ids) == 0 {
+	instances := k.quarantine.Doubtful()
+	if len(instances) == 0 {
 		return nil
 	}
 	k.record(Call{Method: callServersToProbe})
-	wanted := make(map[quarantine.Server]bool, len(ids))
-	for _, s := range ids {
+	wanted := make(map[quarantine.Server]bool, len(instances))
+	for _, s := range instances {
 		wanted[s] = true
 	}
 	var list []routing.Server
--- a/internal/kernel/steering/quotas.go
+++ b/internal/kernel/steering/quotas.go
@@ -69,12 +69,12 @@
 // proxies that are no longer listed but may be alive, because their shares must not be reused.
 func (l *quotas) setKnownProxies(count int) {
 	l.knownProxies = count
-	l.updatePart()
+	l.updateBaseShare()
 }
 
-// updatePart updates the share of this proxy. Until the fleet size has been announced, a proxy that
+// updateBaseShare updates the share of this proxy. Until the fleet size has been announced, a proxy that
 // has just started knows too few others and takes no share.
-func (l *quotas) updatePart() {
+func (l *quotas) updateBaseShare() {
 	switch {
 	case l.fleetSize > 0:
 		l.limiter.SetPart(ratelimit.Part(max(l.fleetSize, l.knownProxies)))
@@ -87,7 +87,7 @@
 func (l *quotas) tick(now time.Time) {
 	if !l.waitOver && now.Sub(l.kernel.config.Joined) >= fleetSizeWait {
 		l.waitOver = true
-		l.updatePart()
+		l.updateBaseShare()
 	}
 	l.limiter.Tick(now)
 	l.pool.Tick(now)
@@ -103,17 +103,17 @@
 	if decision.Verdict == ratelimit.AskPool && decision.Pool == k.config.Name {
 		decision = k.quotas.limiter.Asked(now, req.Account.Name, decision, k.quotas.pool.Take(now, req.Account.Name), true)
 	}
-	return k.applyQuotaRuling(now, req, decision)
+	return k.applyQuotaDecision(now, req, decision)
 }
 
-// applyQuotaRuling sends a request that is within its limit, has a pool asked for a token, or
+// applyQuotaDecision sends a request that is within its limit, has a pool asked for a token, or
 // refuses the request.
-func (k *Kernel) applyQuotaRuling(now time.Time, req *ActiveRequest, r ratelimit.Ruling) Decision {
+func (k *Kernel) applyQuotaDecision(now time.Time, req *ActiveRequest, r ratelimit.Ruling) Decision {
 	switch r.Verdict {
 	case ratelimit.Admitted:
 		return k.dispatch(now, req)
 	case ratelimit.AskPool:
-		req.quotaRuling = r
+		req.quotaDecision = r
 		return Decision{QuotaPool: r.Pool}
 	}
 	d := Decision{Reason: ReasonRateLimit, NotRun: true, RetryAfter: k.retryAfterQuota(r.Wait), TryOtherProxy: r.Elsewhere}
@@ -129,7 +129,7 @@
 
 // ApplyPoolToken handles the pool's reply for a request, or its absence, and returns the next step.
 func (k *Kernel) ApplyPoolToken(now time.Time, req *ActiveRequest, t ratelimit.Token, answered bool) Decision {
-	d := k.applyQuotaRuling(now, req, k.quotas.limiter.Asked(now, req.Account.Name, req.quotaRuling, t, answered))
+	d := k.applyQuotaDecision(now, req, k.quotas.limiter.Asked(now, req.Account.Name, req.quotaDecision, t, answered))
 	if k.config.Record != nil {
 		decision := recordedDecisionOf(d)
 		k.config.Record(Call{Method: callPoolToken, At: now, RequestNumber: req.seq, Token: &t, Flag: answered, Decision: &decision})
@@ -148,8 +148,8 @@
 	return k.table != nil && k.table.Accounts.Limited()
 }
 
-// QuotaReport returns the report that is due to this proxy's pool, and the name of that pool. best
-// is the proxy that should be the pool, others are pools of other regions.
+// QuotaReport returns the name of this proxy's pool and the report that is due to it. bestPool is
+// the proxy that should be the pool, otherPools are the pools of other regions.
 func (k *Kernel) QuotaReport(now time.Time, bestPool string, otherPools []string) (string, ratelimit.Report) {
 	k.record(Call{Method: callQuotaReport, At: now, ID: bestPool, IDs: otherPools})
 	return k.quotas.limiter.Report(now, bestPool, otherPools)
@@ -164,7 +164,7 @@
 // ApplyQuotaGrants applies the pool's reply to a report that was sent at the given time, and
 // reports whether the next report should follow immediately.
 func (k *Kernel) ApplyQuotaGrants(now, reportedAt time.Time, pool string, g ratelimit.Grants) bool {
-	k.record(Call{Method: callQuotaGrants, At: now, ReportedAt: reportedAt, ID: pool, Grants: &g})
+	k.record(Call{Method: callQuotaGrants, At: now, RequestedAt: reportedAt, ID: pool, Grants: &g})
 	return k.quotas.limiter.Granted(now, reportedAt, pool, g)
 }
 
@@ -183,7 +183,7 @@
 
 // ApplyQuotaLoan applies a loan from another region's pool that was requested at the given time.
 func (k *Kernel) ApplyQuotaLoan(now, requestedAt time.Time, lender string, g ratelimit.Grants) {
-	k.record(Call{Method: callQuotaLoan, At: now, ReportedAt: requestedAt, ID: lender, Grants: &g})
+	k.record(Call{Method: callQuotaLoan, At: now, RequestedAt: requestedAt, ID: lender, Grants: &g})
 	k.quotas.pool.Lent(now, requestedAt, lender, g)
 }
 
@@ -192,7 +192,7 @@
 func (k *Kernel) SetFleetSize(size int) {
 	k.record(Call{Method: callFleetSize, Count: size})
 	k.quotas.fleetSize = size
-	k.quotas.updatePart()
+	k.quotas.updateBaseShare()
 }
 
 // QuotaProxies returns the number of proxies that this one knows among which limits are divided.
--- a/internal/kernel/steering/replay.go
+++ b/internal/kernel/steering/replay.go
@@ -74,8 +74,8 @@
 )
 
 // ReplayCalls replays the calls of a recording, a sequence of JSON values, on a new kernel and
-// compares its decisions with the recorded ones. If about is the ID of a request, the result lists
-// the servers that were considered for it.
+// compares its decisions with the recorded ones. If requestID names a request, the result lists the
+// servers that were considered for it.
 func ReplayCalls(recording io.Reader, requestID string) (ReplayResult, error) {
 	r := &replayer{requestID: requestID}
 	for decoder := json.NewDecoder(recording); ; {
@@ -147,7 +147,7 @@
 	case callHandleQuotaReport:
 		k.HandleQuotaReport(c.At, *c.Report)
 	case callQuotaGrants:
-		k.ApplyQuotaGrants(c.At, c.ReportedAt, c.ID, *c.Grants)
+		k.ApplyQuotaGrants(c.At, c.RequestedAt, c.ID, *c.Grants)
 	case callQuotaReportUnanswered:
 		k.QuotaReportUnanswered(c.At, c.ID)
 	case callTakePoolToken:
@@ -155,7 +155,7 @@
 	case callBorrowQuota:
 		k.BorrowQuota(c.At, c.IDs)
 	case callQuotaLoan:
-		k.ApplyQuotaLoan(c.At, c.ReportedAt, c.ID, *c.Grants)
+		k.ApplyQuotaLoan(c.At, c.RequestedAt, c.ID, *c.Grants)
 	case callFleetSize:
 		k.SetFleetSize(c.Count)
 	case callResume:
@@ -213,29 +213,29 @@
 func (r *replayer) observeCandidates(c Call, id string, attempt int) {
 	r.kernel.observeCandidate = nil
 	if r.requestID != "" && id == r.requestID {
-		r.kernel.observeCandidate = func(w Candidate) {
-			w.At, w.Attempt = c.At, attempt
-			r.result.Candidates = append(r.result.Candidates, w)
+		r.kernel.observeCandidate = func(candidate Candidate) {
+			candidate.At, candidate.Attempt = c.At, attempt
+			r.result.Candidates = append(r.result.Candidates, candidate)
 		}
 	}
 }
 
-func (r *replayer) compare(c Call, req *ActiveRequest, now RecordedDecision) {
+func (r *replayer) compare(c Call, req *ActiveRequest, replayed RecordedDecision) {
 	r.result.Decisions++
-	if now.Server != "" {
+	if replayed.Server != "" {
 		for i := range r.result.Candidates {
-			if w := &r.result.Candidates[i]; w.At.Equal(c.At) && w.Server == now.Server {
-				w.Chosen = true
+			if candidate := &r.result.Candidates[i]; candidate.At.Equal(c.At) && candidate.Server == replayed.Server {
+				candidate.Chosen = true
 			}
 		}
 	}
-	if now == *c.Decision {
+	if replayed == *c.Decision {
 		return
 	}
 	r.result.DifferenceCount++
 	if len(r.result.Differences) < maxDifferences {
 		r.result.Differences = append(r.result.Differences, Difference{
-			Call: r.result.Calls, At: c.At, Request: req.ID, Recorded: *c.Decision, Now: now,
+			Call: r.result.Calls, At: c.At, Request: req.ID, Recorded: *c.Decision, Now: replayed,
 		})
 	}
 	r.moveToRecorded(req, c.Decision.Server)
--- a/internal/kernel/steering/request.go
+++ b/internal/kernel/steering/request.go
@@ -140,13 +140,13 @@
 		tableVersion uint64
 		// allowedRegions are the regions in which the request may run.
 		allowedRegions regionSet
-		// quotaRuling is the pending decision for which a quota pool is asked for a token.
-		quotaRuling ratelimit.Ruling
-		startedAt   time.Time
-		server      *server
-		sentAt      time.Time
-		expected    time.Duration
-		warm        bool
+		// quotaDecision is the pending decision for which a quota pool is asked for a token.
+		quotaDecision ratelimit.Ruling
+		startedAt     time.Time
+		server        *server
+		sentAt        time.Time
+		expected      time.Duration
+		warm          bool
 		// workEstimate estimates how long requests of the route take at the service.
 		workEstimate *workEstimate
 		// loadAtSend is the estimated number of requests that ran and waited at the server when
