--- a/internal/kernel/steering/call.go
+++ b/internal/kernel/steering/call.go
@@ -11,101 +11,102 @@
 )
 
 const (
-	// The calls that change what a kernel knows or decide on a request.
-	callStart        = "start"
-	callBounds       = "bounds"
-	callTable        = "table"
-	callServer       = "server"
-	callRemove       = "remove-server"
-	callAbsent       = "server-absent"
-	callHolding      = "holding"
-	callAsked        = "asked"
-	callHearAsk      = "hear-ask"
-	callHearRelease  = "hear-release"
-	callUnreadable   = "server-unreadable"
-	callTick         = "tick"
-	callMeasured     = "measured"
-	callEvacuated    = "evacuated"
-	callLeave        = "leave"
-	callProxies      = "proxies"
-	callDoubtProxies = "doubt-proxies"
-	callBegin        = "begin"
-	callEnded        = "ended"
-	callDoubted      = "doubted"
-	callRefusing     = "server-refusing"
-	callSuspicions   = "suspicions"
-	callSignals      = "signals"
-	callReport       = "limit-report"
-	callHearReport   = "hear-limit-report"
-	callHearGrants   = "hear-grants"
-	callUnanswered   = "limit-report-unanswered"
-	callTakeToken    = "take-token"
-	callToken        = "token"
-	callBorrow       = "borrow"
-	callHearLoan     = "hear-loan"
-	callFleet        = "fleet"
-	callResumed      = "resumed"
+	// Names of the recorded calls: those that change the state of a kernel or decide on a request.
+	callStart                 = "start"
+	callBounds                = "bounds"
+	callTable                 = "table"
+	callServer                = "server"
+	callRemove                = "remove-server"
+	callAbsent                = "server-absent"
+	callConcurrencyLimits     = "holding"
+	callSlotReply             = "asked"
+	callSlotRequest           = "hear-ask"
+	callSlotRelease           = "hear-release"
+	callUnreadable            = "server-unreadable"
+	callTick                  = "tick"
+	callRoundTrip             = "measured"
+	callEvacuated             = "evacuated"
+	callLeave                 = "leave"
+	callProxies               = "proxies"
+	callIgnoreMissingProxies  = "doubt-proxies"
+	callBegin                 = "begin"
+	callEnded                 = "ended"
+	callServersToProbe        = "doubted"
+	callConnectionRefused     = "server-refusing"
+	callQuarantineReports     = "suspicions"
+	callBackpressureReports   = "signals"
+	callQuotaReport           = "limit-report"
+	callHandleQuotaReport     = "hear-limit-report"
+	callQuotaGrants           = "hear-grants"
+	callQuotaReportUnanswered = "limit-report-unanswered"
+	callTakePoolToken         = "take-token"
+	callPoolToken             = "token"
+	callBorrowQuota           = "borrow"
+	callQuotaLoan             = "hear-loan"
+	callFleetSize             = "fleet"
+	callResume                = "resumed"
 )
 
 type (
-	// Call is one call of a kernel with all that it was given and, if it decided
-	// on a request, what it decided. A kernel reads no clock and draws from its
-	// own seed, so the same calls lead to the same decisions.
+	// Call records one call of a kernel with its arguments and, if it decided on a request, the
+	// decision. A kernel reads no clock and uses its own random seed, so the same calls lead to the
+	// same decisions.
 	Call struct {
-		Do       string          `json:"do"`
-		At       time.Time       `json:"at,omitzero"`
-		Config   *Config         `json:"config,omitempty"`
-		Bounds   *Bounds         `json:"bounds,omitempty"`
-		Table    *routing.Table  `json:"table,omitempty"`
-		Server   *routing.Server `json:"server,omitempty"`
-		ID       string          `json:"id,omitempty"`
-		Until    time.Time       `json:"until,omitzero"`
-		Domain   string          `json:"failure-domain,omitempty"`
-		On       bool            `json:"on,omitempty"`
-		Took     time.Duration   `json:"took,omitempty"`
-		Proxies  []Proxy         `json:"proxies,omitempty"`
-		Flight   uint64          `json:"flight,omitempty"`
-		Request  *Request        `json:"request,omitempty"`
-		Attempt  *Attempt        `json:"attempt,omitempty"`
-		Decision *Verdict        `json:"decision,omitempty"`
-		Holding  []Held          `json:"holding,omitempty"`
-		Ask      *Ask            `json:"ask,omitempty"`
-		Reply    *Reply          `json:"reply,omitempty"`
-		Release  *Release        `json:"release,omitempty"`
-		// Suspicions are what a peer knows of work that ends servers.
-		Suspicions []quarantine.Report `json:"suspicions,omitempty"`
-		// Signals are what a peer knows of what servers ask.
-		Signals []backpressure.Report `json:"signals,omitempty"`
-		// Accounts are those of a table. What follows is of their limits.
-		Accounts []*account.Account    `json:"accounts,omitempty"`
-		Asked    time.Time             `json:"asked,omitzero"`
-		Report   *ratelimit.Report     `json:"report,omitempty"`
-		Grants   *ratelimit.Grants     `json:"grants,omitempty"`
-		Token    *ratelimit.TokenReply `json:"token,omitempty"`
-		Count    int                   `json:"count,omitempty"`
-		IDs      []string              `json:"ids,omitempty"`
+		Method        string            `json:"do"`
+		At            time.Time         `json:"at,omitzero"`
+		Config        *Config           `json:"config,omitempty"`
+		Bounds        *Bounds           `json:"bounds,omitempty"`
+		Table         *routing.Table    `json:"table,omitempty"`
+		Server        *routing.Server   `json:"server,omitempty"`
+		ID            string            `json:"id,omitempty"`
+		Until         time.Time         `json:"until,omitzero"`
+		Domain        string            `json:"failure-domain,omitempty"`
+		Flag          bool              `json:"on,omitempty"`
+		RoundTrip     time.Duration     `json:"took,omitempty"`
+		Proxies       []Proxy           `json:"proxies,omitempty"`
+		RequestNumber uint64            `json:"flight,omitempty"`
+		Request       *Request          `json:"request,omitempty"`
+		Attempt       *Attempt          `json:"attempt,omitempty"`
+		Decision      *RecordedDecision `json:"decision,omitempty"`
+		ServiceLimits []ServiceLimit    `json:"holding,omitempty"`
+		SlotRequest   *SlotRequest      `json:"ask,omitempty"`
+		SlotReply     *SlotReply        `json:"reply,omitempty"`
+		SlotRelease   *SlotRelease      `json:"release,omitempty"`
+		// QuarantineReports are a peer's reports on request fingerprints that crash servers.
+		QuarantineReports []quarantine.Report `json:"suspicions,omitempty"`
+		// BackpressureReports are a peer's reports on the backpressure of servers.
+		BackpressureReports []backpressure.Report `json:"signals,omitempty"`
+		// Accounts are the client accounts of a table. The fields that follow belong to calls about
+		// their limits.
+		Accounts    []*account.Account    `json:"accounts,omitempty"`
+		RequestedAt time.Time             `json:"asked,omitzero"`
+		Report      *ratelimit.Report     `json:"report,omitempty"`
+		Grants      *ratelimit.Grants     `json:"grants,omitempty"`
+		Token       *ratelimit.TokenReply `json:"token,omitempty"`
+		Count       int                   `json:"count,omitempty"`
+		IDs         []string              `json:"ids,omitempty"`
 	}
 
-	// Verdict is a decision as it is recorded.
-	Verdict struct {
-		Server   string        `json:"server,omitempty"`
-		Answer   bool          `json:"answer,omitempty"`
-		Reason   Reason        `json:"reason,omitempty"`
-		NotRun   bool          `json:"not-run,omitempty"`
-		ComeBack time.Duration `json:"come-back,omitempty"`
-		Pool     string        `json:"pool,omitempty"`
+	// RecordedDecision is a decision in its recorded form.
+	RecordedDecision struct {
+		Server         string        `json:"server,omitempty"`
+		ReturnResponse bool          `json:"answer,omitempty"`
+		Reason         Reason        `json:"reason,omitempty"`
+		NotRun         bool          `json:"not-run,omitempty"`
+		RetryAfter     time.Duration `json:"come-back,omitempty"`
+		QuotaPool      string        `json:"pool,omitempty"`
 	}
 )
 
-// record tells of a call, if anybody wants to know.
+// record passes a call to Config.Record if it is set.
 func (k *Kernel) record(c Call) {
 	if k.config.Record != nil {
 		k.config.Record(c)
 	}
 }
 
-func verdictOf(d Decision) Verdict {
-	v := Verdict{Answer: d.Answer, Reason: d.Reason, NotRun: d.NotRun, ComeBack: d.ComeBack, Pool: d.Pool}
+func recordedDecisionOf(d Decision) RecordedDecision {
+	v := RecordedDecision{ReturnResponse: d.ReturnResponse, Reason: d.Reason, NotRun: d.NotRun, RetryAfter: d.RetryAfter, QuotaPool: d.QuotaPool}
 	if d.Server != nil {
 		v.Server = d.Server.ID
 	}
--- a/internal/kernel/steering/choose.go
+++ b/internal/kernel/steering/choose.go
@@ -9,202 +9,204 @@
 )
 
 const (
-	// farShare is the largest part of a route's target that a round trip to
-	// another region may take for objects of this region to live there. Half
-	// leaves as much for the work.
-	farShare = 0.5
-	// spillCost is charged for work on a server that does not know the
-	// object, as a part of that work and for each rank away from home: it takes
-	// the slots of others.
-	spillCost = 6.0
-	// unseenWait is the part of their work for which a request without an object is
-	// taken to wait for others that nobody has told of, as many of each proxy of the
-	// region as of this one. Reports are behind by some requests, and all proxies see
-	// the same idle server.
-	unseenWait = 0.5
-	// busyFor is for how many times a route's target a server without an answer may
-	// be busy. Work that the target allows for takes longer on a first run.
-	busyFor = 2
-	// plainShare takes the place of placing.MaxLoadFactor for requests without an
-	// object: nothing runs cold in another region, so each gets what its slots are.
-	plainShare = 1.0
-	// otherRegion is charged a request without an object for a region that was not
-	// drawn for it: more than any wait, so that it goes there only if no server of
-	// its own region may take it.
-	otherRegion = time.Hour
-	// coldWork is how many times as long work is taken to last on a server that has
-	// just started. Servers don't tell; too much only spares those that warm up.
-	coldWork = 2
-	// memory is how long an answer's object is taken to be remembered.
-	memory = 10 * time.Second
-	// memoryMost bounds the objects noted for each server.
-	memoryMost = 64
-	// knownObjectsMost is from how many objects on those are swept that no server knows.
-	knownObjectsMost = 8192
+	// maxRemoteRTTShare is the largest part of a route's target that the round trip to another
+	// region may take if objects of this region are to be placed there. A half leaves the other
+	// half for running the request.
+	maxRemoteRTTShare = 0.5
+	// coldRunPenalty is the extra cost of a cold run, as a multiple of its duration, for each rank
+	// that the server is away from the first home. A cold run occupies slots that other requests
+	// need.
+	coldRunPenalty = 6.0
+	// unreportedWaitShare estimates, for a request without an object, the wait behind requests that
+	// no load report covers yet: this part of their work, assuming that each proxy of the region
+	// has as many requests there as this one. Load reports lag by some requests, and all proxies
+	// see the same idle server.
+	unreportedWaitShare = 0.5
+	// busyTargets is how long, as a multiple of the route's target, a server that has not responded
+	// may still be considered busy rather than hung. Requests that meet the target on a warm server
+	// take longer on a cold run.
+	busyTargets = 2
+	// objectlessLoadFactor replaces placing.MaxLoadFactor for requests without an object. They do not
+	// run colder in another region, so each region gets a share in proportion to its slots.
+	objectlessLoadFactor = 1.0
+	// otherRegionPenalty is the extra cost for a request without an object in a region that was not
+	// drawn for it. It exceeds any wait, so that the request leaves the drawn region only if no
+	// server there can take it.
+	otherRegionPenalty = time.Hour
+	// coldWorkFactor is the assumed factor by which requests take longer on a server that has just
+	// started. Servers don't report it. A value that is too high only spares servers that are
+	// warming up.
+	coldWorkFactor = 2
+	// objectMemory is how long a server is assumed to stay warm for an object after a response.
+	objectMemory = 10 * time.Second
+	// maxObjectsPerServer limits the objects recorded for each server.
+	maxObjectsPerServer = 64
+	// warmServersSweepSize is the number of recorded objects above which objects without a warm
+	// server are removed.
+	warmServersSweepSize = 8192
 )
 
 type (
-	// reach is how far requests may go: near, in this region only, if a round trip to
-	// another takes too much of the route's target; in the regions allowed, but for one
-	// that is left out.
-	reach struct {
-		near    bool
-		allowed regionSet
-		without string
+	// placementScope is the set of regions in which requests may be placed: only this region if a
+	// round trip to another one takes too much of the route's target, otherwise the allowed regions
+	// without the excluded one.
+	placementScope struct {
+		ownRegionOnly  bool
+		regions        regionSet
+		excludedRegion string
 	}
 
-	// pick is a choice and what it was reckoned to take.
-	pick struct {
+	// choice is a chosen server with the estimates that it was chosen by.
+	choice struct {
 		server   *server
 		expected time.Duration
-		// start is the part of it until a slot is free: how long the work
-		// takes then is a guess, and not one to refuse a request for.
-		start time.Duration
-		cost  time.Duration
-		warm  bool
-		// home is the server's rank among the object's homes.
-		home   int
-		reason Reason
+		// untilStart is the part of expected until a slot is free. The rest, the duration of the
+		// work, is only an estimate and no basis for refusing a request.
+		untilStart time.Duration
+		cost       time.Duration
+		warm       bool
+		// homeRank is the rank of the server among the object's homes.
+		homeRank int
+		reason   Reason
 	}
 )
 
-// choose picks the server with the least expected time for the request among
-// all that may take it.
-func (k *Kernel) choose(now time.Time, f *Flight, g *service) (*server, pick) {
-	homes := k.failover(now, f, g, k.atReplica(f, g, k.homes(f, g)))
-	if f.Object == "" && f.region == "" {
-		f.region = k.drawRegion(f, g)
+// chooseByCost chooses the server with the lowest cost for the request, mostly the expected time,
+// among all that can take it.
+func (k *Kernel) chooseByCost(now time.Time, req *ActiveRequest, svc *service) (*server, choice) {
+	homes := k.failover(now, req, svc, k.withReplica(req, svc, k.homes(req, svc)))
+	if req.Object == "" && req.drawnRegion == "" {
+		req.drawnRegion = k.drawRegion(req, svc)
 	}
-	f.work = g.workOn(f.Route)
-	best, settled := k.chooseNear(now, f, g, homes)
-	if !settled {
-		best = k.chooseAmong(now, f, g, homes, g.servers)
+	req.workEstimate = svc.workOf(req.Route)
+	best, isBest := k.chooseWarm(now, req, svc, homes)
+	if !isBest {
+		best = k.chooseAmong(now, req, svc, homes, svc.eligible)
 	}
 	if best.server != nil && best.server.isCold(now) {
-		best.server.cold.Record(now)
+		best.server.coldRate.Record(now)
 	}
 	return best.server, best
 }
 
-// chooseAmong picks the server with the least expected time among some.
-func (k *Kernel) chooseAmong(now time.Time, f *Flight, g *service, homes []string, servers []*server) pick {
-	best := pick{reason: ReasonNoServer}
-	left := f.Until.Sub(now)
-	most := k.connections(g)
+// chooseAmong chooses the server with the lowest cost among the given ones.
+func (k *Kernel) chooseAmong(now time.Time, req *ActiveRequest, svc *service, homes []string, servers []*server) choice {
+	best := choice{reason: ReasonNoServer}
+	remaining := req.ExpiresAt.Sub(now)
+	connectionLimit := k.maxConnections(svc)
 	homeFull := false
 	for _, s := range servers {
-		if k.weighed != nil {
-			k.weigh(now, f, s, homes)
+		if k.observeCandidate != nil {
+			k.reportCandidate(now, req, s, homes)
 		}
-		if !k.mayTry(now, f, s) {
+		if !k.mayUse(now, req, s) {
 			continue
 		}
-		p := k.reckon(now, f, s, homes)
-		full := most > 0 && s.inFlight >= most
-		homeFull = homeFull || full && len(homes) > 0 && p.home == 0 && now.Sub(s.answeredAt) < busyFor*f.Route.Target
-		if full || p.start > left {
+		candidate := k.estimate(now, req, s, homes)
+		full := connectionLimit > 0 && s.inFlight >= connectionLimit
+		homeFull = homeFull || full && len(homes) > 0 && candidate.homeRank == 0 && now.Sub(s.answeredAt) < busyTargets*req.Route.Target
+		if full || candidate.untilStart > remaining {
 			if best.server == nil {
 				best.reason = ReasonOverload
 			}
 			continue
 		}
-		p.cost = k.placer.cost(k, f, p)
-		if best.server != nil && p.cost >= best.cost {
+		candidate.cost = k.placer.cost(k, req, candidate)
+		if best.server != nil && candidate.cost >= best.cost {
 			continue
 		}
-		if s.isCold(now) && !k.coldRoom(now, g, s) {
+		if s.isCold(now) && !k.coldRoom(now, svc, s) {
 			continue
 		}
-		best = p
+		best = candidate
 	}
-	if k.keptFromSpilling(now, g, homes, best) {
-		return pick{reason: ReasonOverload}
+	if k.mustNotSpill(now, svc, homes, best) {
+		return choice{reason: ReasonOverload}
 	}
 	if homeFull && !best.warm {
-		// This proxy has all its connections to the object's home in use, and the
-		// home has answered lately, so it does not hang but is busy. Its requests
-		// would run cold elsewhere and leave the servers with three times the work,
-		// until nearly all requests of the service come late. Refused callers come
-		// back when the home has caught up.
-		return pick{reason: ReasonOverload}
+		// All connections of this proxy to the object's home are in use, and the home has responded
+		// recently, so it is busy and does not hang. Running the requests cold on other servers
+		// would triple the work there until nearly all requests of the service miss the target.
+		// Refused callers return when the home has caught up.
+		return choice{reason: ReasonOverload}
 	}
 	return best
 }
 
-// mayTry reports whether the request may go to a server now.
-func (k *Kernel) mayTry(now time.Time, f *Flight, s *server) bool {
-	return f.mayUse(now, s) && k.permits(now, s)
+// mayUse reports whether the request may go to the server now.
+func (k *Kernel) mayUse(now time.Time, req *ActiveRequest, s *server) bool {
+	return req.isCandidate(now, s) && k.serverPermits(now, s)
 }
 
-// mayUse reports whether it may, but for what the server asks of its senders.
-func (f *Flight) mayUse(now time.Time, s *server) bool {
-	return f.allowed.has(s.regionBit) && !slices.Contains(f.tried, s) && s.usable(now)
+// isCandidate is mayUse without the server's backpressure.
+func (req *ActiveRequest) isCandidate(now time.Time, s *server) bool {
+	return req.allowedRegions.has(s.regionBit) && !slices.Contains(req.triedServers, s) && s.usable(now)
 }
 
-// weigh tells how a server is weighed.
-func (k *Kernel) weigh(now time.Time, f *Flight, s *server, homes []string) {
-	p := k.reckon(now, f, s, homes)
-	k.weighed(Weighed{
-		Server: s.id, Usable: k.mayTry(now, f, s), Cold: s.isCold(now),
-		Home: p.home, Warm: p.warm, Load: s.load(now), Speed: s.speed, Expected: p.expected, Cost: k.placer.cost(k, f, p),
+// reportCandidate reports the estimates for a server to observeCandidate.
+func (k *Kernel) reportCandidate(now time.Time, req *ActiveRequest, s *server, homes []string) {
+	estimated := k.estimate(now, req, s, homes)
+	k.observeCandidate(Candidate{
+		Server: s.id, Usable: k.mayUse(now, req, s), Cold: s.isCold(now),
+		HomeRank: estimated.homeRank, Warm: estimated.warm, Load: s.load(now), Slowdown: s.slowdown, Expected: estimated.expected, Cost: k.placer.cost(k, req, estimated),
 	})
 }
 
-// homes lists the servers on which the request's object lives, best first.
-func (k *Kernel) homes(f *Flight, g *service) []string {
-	if f.Object == "" {
+// homes lists the home servers of the request's object, best first.
+func (k *Kernel) homes(req *ActiveRequest, svc *service) []string {
+	if req.Object == "" {
 		return nil
 	}
-	r := k.reachOf(f)
-	h := g.homes[r]
-	if h == nil {
-		h = k.newHomes(f, g, r)
-		g.homes[r] = h
+	scope := k.scopeOf(req)
+	placement := svc.placements[scope]
+	if placement == nil {
+		placement = k.newPlacement(req, svc, scope)
+		svc.placements[scope] = placement
 	}
-	return h.ServersFor(f.Object)
+	return placement.ServersFor(req.Object)
 }
 
-// newHomes deals the objects of this region's callers out.
-func (k *Kernel) newHomes(f *Flight, g *service, r reach) *placing.Placement {
-	candidates, weights := k.spread(f, g, r)
+// newPlacement assigns the objects of this region's callers to servers.
+func (k *Kernel) newPlacement(req *ActiveRequest, svc *service, scope placementScope) *placing.Placement {
+	candidates, weights := k.regionWeights(req, svc, scope)
 	list := make([]placing.Server, 0, len(candidates))
 	for _, s := range candidates {
-		if w := weights[s.region] * s.Slots; w > 0 {
-			list = append(list, placing.Server{ID: s.id, Weight: w, Class: s.class()})
+		if weight := weights[s.region] * s.Slots; weight > 0 {
+			list = append(list, placing.Server{ID: s.id, Weight: weight, Class: s.class()})
 		}
 	}
-	return placing.NewPlacement(list, g.ranking)
+	return placing.NewPlacement(list, svc.ranking)
 }
 
-// spread lists the servers that this region's callers may use and how much of
-// their work a slot of each region gets.
-func (k *Kernel) spread(f *Flight, g *service, r reach) (candidates []*server, weights map[string]int) {
-	for _, s := range g.servers {
-		if f.allowed.has(s.regionBit) && (!r.near || s.region == k.config.Region) {
+// regionWeights lists the servers that callers of this region may use, and the weight of one slot
+// in each region for their requests.
+func (k *Kernel) regionWeights(req *ActiveRequest, svc *service, scope placementScope) (candidates []*server, weights map[string]int) {
+	for _, s := range svc.eligible {
+		if req.allowedRegions.has(s.regionBit) && (!scope.ownRegionOnly || s.region == k.config.Region) {
 			candidates = append(candidates, s)
 		}
 	}
 	share := placing.MaxLoadFactor
-	if f.Object == "" {
-		share = plainShare
+	if req.Object == "" {
+		share = objectlessLoadFactor
 	}
-	return candidates, placing.RegionWeights(k.rooms(f, candidates), k.config.Region, share)
+	return candidates, placing.RegionWeights(k.regionCapacities(req, candidates), k.config.Region, share)
 }
 
-// rooms lists the regions that may serve the route. The callers' shares are
-// taken to follow the failure domains; the truth is not known before traffic
-// begins, and homes that moved with each estimate would be cold. Only a region
-// that has lost all its proxies counts elsewhere.
-func (k *Kernel) rooms(f *Flight, candidates []*server) []placing.RegionCapacity {
+// regionCapacities lists the regions that may serve the route. The demand of each region is assumed
+// to be proportional to its number of failure domains. The actual demand is unknown before traffic
+// starts, and homes that moved with each new estimate would be cold. Only the demand of a region
+// that has lost all its proxies is counted in other regions.
+func (k *Kernel) regionCapacities(req *ActiveRequest, candidates []*server) []placing.RegionCapacity {
 	slots := make(map[string]int)
 	for _, s := range candidates {
 		slots[s.region] += s.Slots
 	}
 	var list []placing.RegionCapacity
-	for region, n := range k.demand(f.allowed) {
-		room := placing.RegionCapacity{Region: region, Slots: slots[region], Demand: n}
-		if f.allowed == everywhere {
-			room.Pinned = k.bound.now[region]
+	for region, demand := range k.regionDemand(req.allowedRegions) {
+		room := placing.RegionCapacity{Region: region, Slots: slots[region], Demand: demand}
+		if req.allowedRegions == allRegions {
+			room.Pinned = k.pinnedShares.current[region]
 		}
 		list = append(list, room)
 	}
@@ -212,80 +214,80 @@
 	return list
 }
 
-// reachOf says how far the work of a route may go.
-func (k *Kernel) reachOf(f *Flight) reach {
+// scopeOf returns the regions in which requests of a route may be placed.
+func (k *Kernel) scopeOf(req *ActiveRequest) placementScope {
 	farthest := time.Duration(0)
-	for domain, d := range k.distance {
+	for domain, d := range k.roundTrips {
 		if k.config.RegionOf[domain] != k.config.Region {
 			farthest = max(farthest, d.roundTrip)
 		}
 	}
-	if farthest > time.Duration(farShare*float64(f.Route.Target)) || !k.on(MechanismRooms) {
-		return reach{near: true, allowed: f.allowed}
+	if farthest > time.Duration(maxRemoteRTTShare*float64(req.Route.Target)) || !k.isEnabled(MechanismRegionCapacity) {
+		return placementScope{ownRegionOnly: true, regions: req.allowedRegions}
 	}
-	return reach{allowed: f.allowed}
+	return placementScope{regions: req.allowedRegions}
 }
 
-// reckon estimates the time until the answer from one server.
-func (k *Kernel) reckon(now time.Time, f *Flight, s *server, homes []string) pick {
-	warm := s.knows(f.Object, now)
-	slow := 1.0
-	if k.bySpeed {
-		slow = max(1, s.speed)
+// estimate estimates the time until the response from one server, and its cost.
+func (k *Kernel) estimate(now time.Time, req *ActiveRequest, s *server, homes []string) choice {
+	warm := s.isWarm(req.Object, now)
+	slowdown := 1.0
+	if k.useSlowdown {
+		slowdown = max(1, s.slowdown)
 	}
-	work := time.Duration(float64(f.work.expect(warm, f.Route.Target)) * slow)
+	work := time.Duration(float64(req.workEstimate.expected(warm, req.Route.Target)) * slowdown)
 	if s.isCold(now) {
-		work *= coldWork
+		work *= coldWorkFactor
 	}
-	typical := float64(f.work.typical(f.Route)) * slow
-	places := float64(s.places())
-	wait := time.Duration(max(0, s.load(now)+1-places) / places * typical)
-	p := pick{server: s, warm: warm, home: rank(homes, s.id), start: s.domain.roundTrip + wait, expected: s.domain.roundTrip + wait + work}
-	p.cost = p.expected + time.Duration(s.failed*float64(f.Route.Target))
-	if f.Object == "" {
-		if s.region != f.region {
-			p.cost += otherRegion
+	typical := float64(req.workEstimate.typical(req.Route)) * slowdown
+	slots := float64(s.usableSlots())
+	wait := time.Duration(max(0, s.load(now)+1-slots) / slots * typical)
+	estimated := choice{server: s, warm: warm, homeRank: homeRank(homes, s.id), untilStart: s.rtt.roundTrip + wait, expected: s.rtt.roundTrip + wait + work}
+	estimated.cost = estimated.expected + time.Duration(s.failureShare*float64(req.Route.Target))
+	if req.Object == "" {
+		if s.region != req.drawnRegion {
+			estimated.cost += otherRegionPenalty
 		}
-		if k.on(MechanismUnseen) {
-			p.cost += time.Duration(unseenWait * float64(s.inFlight*k.neighbours) / float64(s.Slots) * typical)
+		if k.isEnabled(MechanismUnseenRequests) {
+			estimated.cost += time.Duration(unreportedWaitShare * float64(s.inFlight*k.sharersInRegion) / float64(s.Slots) * typical)
 		}
 	}
 	if len(homes) > 0 && !warm {
-		p.cost += time.Duration(spillCost * float64(p.home) * float64(work))
+		estimated.cost += time.Duration(coldRunPenalty * float64(estimated.homeRank) * float64(work))
 	}
-	return p
+	return estimated
 }
 
-// rank is a server's place among an object's homes, from 0 for the first.
-func rank(homes []string, id string) int {
+// homeRank returns the rank of a server among an object's homes, starting at 0 for the first.
+func homeRank(homes []string, id string) int {
 	if i := slices.Index(homes, id); i >= 0 {
 		return i
 	}
 	return len(homes)
 }
 
-// knows reports whether this proxy saw the server handle the object lately.
-func (s *server) knows(object string, now time.Time) bool {
-	at, seen := s.objects[object]
-	return seen && now.Sub(at) < memory
+// isWarm reports whether this proxy has recently seen the server handle the object.
+func (s *server) isWarm(object string, now time.Time) bool {
+	at, seen := s.warmObjects[object]
+	return seen && now.Sub(at) < objectMemory
 }
 
-func (s *server) handled(object string, now time.Time) {
+func (s *server) recordObject(object string, now time.Time) {
 	if object == "" {
 		return
 	}
-	if s.objects == nil {
-		s.objects = make(map[string]time.Time)
+	if s.warmObjects == nil {
+		s.warmObjects = make(map[string]time.Time)
 	}
-	if len(s.objects) >= memoryMost {
-		for o, at := range s.objects {
-			if now.Sub(at) >= memory {
-				delete(s.objects, o)
+	if len(s.warmObjects) >= maxObjectsPerServer {
+		for o, at := range s.warmObjects {
+			if now.Sub(at) >= objectMemory {
+				delete(s.warmObjects, o)
 			}
 		}
-		if len(s.objects) >= memoryMost {
+		if len(s.warmObjects) >= maxObjectsPerServer {
 			return
 		}
 	}
-	s.objects[object] = now
+	s.warmObjects[object] = now
 }
--- a/internal/kernel/steering/failover.go
+++ b/internal/kernel/steering/failover.go
@@ -10,111 +10,110 @@
 )
 
 const (
-	// failoverIdle is the queue, as a part of the room for requests that can still
-	// be answered in time, up to which a region takes objects of another one. It
-	// is half of that from which requests are refused.
-	failoverIdle = 0.25
+	// failoverMaxPressure is the queue pressure up to which a region takes over objects of another
+	// region. It is half of the pressure from which requests are shed.
+	failoverMaxPressure = 0.25
 )
 
-// failover names the servers for an object whose home is out or takes less than usual: for a part of these
-// objects one in another region first. A failure domain is lost and its servers
-// are registered for seconds more. If all their objects went to the servers left
-// in the region, these would have twice their share and answers would come late,
-// while other regions have room. What moves is what must move anyway; an object
-// whose home is sound stays there.
-func (k *Kernel) failover(now time.Time, f *Flight, g *service, homes []string) []string {
-	if len(homes) == 0 || !k.on(MechanismFailover) {
+// failover returns the servers for an object, with another order if its home is ejected or takes
+// less than usual: for part of these objects, a server in another region comes first. Servers of a
+// lost failure domain stay registered for some seconds. If all their objects went to the remaining
+// servers of the region, these would get twice their share and respond late while other regions
+// have free capacity. Only objects that must move anyway are moved; those with a healthy home stay
+// there.
+func (k *Kernel) failover(now time.Time, req *ActiveRequest, svc *service, homes []string) []string {
+	if len(homes) == 0 || !k.isEnabled(MechanismFailover) {
 		return homes
 	}
-	home := g.members[homes[0]]
+	home := svc.registered[homes[0]]
 	if home == nil {
 		return homes
 	}
-	switch fit := k.fitness(now, g, home); {
-	case fit == 1, home.outs > 0 && home.usable(now) && !home.asks.Paused(now):
-		// One that is out but due to be tried gets a request, to see; one that is
-		// passed over for a moment is sound.
+	switch available := k.availableShare(now, svc, home); {
+	case available == 1, home.ejections > 0 && home.usable(now) && !home.backpressure.Paused(now):
+		// An ejected server that is due for a trial gets a request to test it. A server that is
+		// only skipped for a moment is healthy.
 		return homes
-	case fit > 0 && chance(f.Object+"@"+home.id) < fit:
+	case available > 0 && objectFraction(req.Object+"@"+home.id) < available:
 		return homes
-	case fit > 0:
-		// The same objects leave a limited home at all proxies, so that they are warm
-		// where they go.
+	case available > 0:
+		// All proxies move the same objects away from a rate-limited home, so that they are warm at
+		// their new servers.
 		homes = append(slices.Clone(homes[1:]), home.id)
 	}
-	if k.reachOf(f).near || chance(f.Object) >= k.homeless(now, f, g, home.region) {
+	if k.scopeOf(req).ownRegionOnly || objectFraction(req.Object) >= k.displacedShare(now, req, svc, home.region) {
 		return homes
 	}
-	for _, id := range k.homesWithout(f, g, home.region).ServersFor(f.Object) {
-		s := g.members[id]
-		if p := g.pressure[s.region]; s.sound(now) && (p == nil || p.Level(now) <= failoverIdle) {
+	for _, id := range k.placementOutside(req, svc, home.region).ServersFor(req.Object) {
+		s := svc.registered[id]
+		if p := svc.queuePressure[s.region]; s.isHealthy(now) && (p == nil || p.Level(now) <= failoverMaxPressure) {
 			return append([]string{id}, homes...)
 		}
 	}
 	return homes
 }
 
-// homeless is the part of the objects with homes that are out in a region for
-// which the region's other servers have no room.
-func (k *Kernel) homeless(now time.Time, f *Flight, g *service, region string) float64 {
-	all, sound, own, ownSound := 0.0, 0.0, 0.0, 0.0
-	for _, s := range g.servers {
-		if !f.allowed.has(s.regionBit) {
+// displacedShare returns, among the objects whose homes in a region are unavailable, the share for
+// which the other servers of the region have no room.
+func (k *Kernel) displacedShare(now time.Time, req *ActiveRequest, svc *service, region string) float64 {
+	total, totalAvailable, regional, regionalAvailable := 0.0, 0.0, 0.0, 0.0
+	for _, s := range svc.eligible {
+		if !req.allowedRegions.has(s.regionBit) {
 			continue
 		}
 		slots := float64(s.Slots)
-		all += slots
-		fit := k.fitness(now, g, s) * slots
-		sound += fit
+		total += slots
+		available := k.availableShare(now, svc, s) * slots
+		totalAvailable += available
 
 		if s.region != region {
 			continue
 		}
-		own += slots
-		ownSound += fit
+		regional += slots
+		regionalAvailable += available
 	}
-	if own == ownSound || sound == 0 {
+	if regional == regionalAvailable || totalAvailable == 0 {
 		return 0
 	}
-	kept := min(1, placing.MaxLoadFactor*(ownSound/sound)/(own/all))
-	return (1 - kept) / (1 - ownSound/own)
+	kept := min(1, placing.MaxLoadFactor*(regionalAvailable/totalAvailable)/(regional/total))
+	return (1 - kept) / (1 - regionalAvailable/regional)
 }
 
-// fitness is the part of its usual requests that a server takes now: none while it is out or
-// pauses, what its limit leaves if it names one.
-func (k *Kernel) fitness(now time.Time, g *service, s *server) float64 {
-	if !s.sound(now) {
+// availableShare returns the share of its usual requests that a server takes now: zero while it is
+// ejected or paused, otherwise what its announced limit allows.
+func (k *Kernel) availableShare(now time.Time, svc *service, s *server) float64 {
+	if !s.isHealthy(now) {
 		return 0
 	}
-	limit := s.asks.Limit(now)
+	limit := s.backpressure.Limit(now)
 	if !limit.Set {
 		return 1
 	}
-	// This proxy takes the others to see as much as it does.
-	usual := g.repeats.RequestRate(now) * float64(len(k.sharers)) * float64(s.Slots) / float64(max(1, g.slots))
+	// The other proxies are assumed to have the same request rate as this one.
+	usual := svc.retries.RequestRate(now) * float64(len(k.limitSharers)) * float64(s.Slots) / float64(max(1, svc.totalSlots))
 	if limit.PerSecond >= usual {
 		return 1
 	}
 	return limit.PerSecond / usual
 }
 
-// homesWithout deals all objects out over the servers outside a region.
-func (k *Kernel) homesWithout(f *Flight, g *service, region string) *placing.Placement {
-	key := reach{allowed: f.allowed, without: region}
-	if h := g.homes[key]; h != nil {
-		return h
+// placementOutside assigns all objects to the servers outside a region.
+func (k *Kernel) placementOutside(req *ActiveRequest, svc *service, region string) *placing.Placement {
+	key := placementScope{regions: req.allowedRegions, excludedRegion: region}
+	if placement := svc.placements[key]; placement != nil {
+		return placement
 	}
 	var list []placing.Server
-	for _, s := range g.servers {
-		if f.allowed.has(s.regionBit) && s.region != region {
+	for _, s := range svc.eligible {
+		if req.allowedRegions.has(s.regionBit) && s.region != region {
 			list = append(list, placing.Server{ID: s.id, Weight: s.Slots, Class: s.class()})
 		}
 	}
-	g.homes[key] = placing.NewPlacement(list, g.ranking)
-	return g.homes[key]
+	svc.placements[key] = placing.NewPlacement(list, svc.ranking)
+	return svc.placements[key]
 }
 
-// chance turns an object into a number from 0 to 1, the same at all proxies.
-func chance(object string) float64 {
+// objectFraction hashes an object to a number from 0 to 1 that is the same at all proxies.
+func objectFraction(object string) float64 {
 	return float64(xxhash.Sum64String(object)>>11) / (1 << 53)
 }
--- a/internal/kernel/steering/failover_test.go
+++ b/internal/kernel/steering/failover_test.go
@@ -15,9 +15,9 @@
 	k := New(Config{Name: "proxy-north", Domain: "north-a", Region: "north", RegionOf: domains})
 	k.SetTable(stickyTable(target, regions...))
 	for domain := range domains {
-		k.Measured(domain, 50*time.Millisecond)
+		k.RecordRoundTrip(domain, 50*time.Millisecond)
 		for i := range 4 {
-			k.SetServer(now, routing.Server{ID: fmt.Sprintf("%s-%d", domain, i), Service: "service", Domain: domain, Slots: 4})
+			k.RegisterServer(now, routing.Server{ID: fmt.Sprintf("%s-%d", domain, i), Service: "service", Domain: domain, Slots: 4})
 		}
 	}
 	return k
@@ -35,7 +35,7 @@
 // lose finds some servers of the north to be out, as failed connections do.
 func lose(k *Kernel, now time.Time, ids ...string) {
 	for _, id := range ids {
-		k.servers[id].hasFailed(now, true)
+		k.servers[id].recordFailure(now, true)
 	}
 }
 
@@ -45,8 +45,8 @@
 	regions = make(map[string]int)
 	for n := range 96 {
 		object := fmt.Sprintf("%x", n)
-		f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/x", Object: object})
-		if home := k.servers[k.homes(f, k.group("service"))[0]]; home.outs == 0 && home.id != d.Server.ID {
+		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: object})
+		if home := k.servers[k.homes(f, k.eligibleService("service"))[0]]; home.ejections == 0 && home.id != d.Server.ID {
 			moved++
 		}
 		regions[f.server.region]++
@@ -80,9 +80,9 @@
 	before, _ := placed(k, now)
 	lose(k, now, "north-a-0", "north-a-1")
 	for _, id := range []string{"south-a-0", "west-a-0"} {
-		f, _ := k.Begin(now, Request{ID: "r", Host: "host", Path: "/x", Object: "1"})
+		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: "1"})
 		for range 10 {
-			k.feel(now, f, k.servers[id], 12)
+			k.recordQueue(now, f, k.servers[id], 12)
 		}
 	}
 	if after, _ := placed(k, now); after["north"] < before["north"] {
@@ -96,10 +96,10 @@
 	now := time.Unix(1_000_000, 0)
 	k := threeRegions(now, 200*time.Millisecond)
 	lose(k, now, "north-a-0", "north-a-1", "north-a-2", "north-a-3")
-	now = now.Add(outBase)
+	now = now.Add(ejectionBase)
 	tried := make(map[string]bool)
 	for n := range 96 {
-		f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
+		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
 		if f.server.region == "north" {
 			tried[d.Server.ID] = true
 		}
@@ -137,12 +137,12 @@
 	k := threeRegions(now, 200*time.Millisecond)
 	lose(k, now, "north-a-0")
 	for _, id := range []string{"north-a-1", "north-a-2", "north-a-3"} {
-		k.servers[id].hasRefused(now, Attempt{Result: Refused, Loaded: true, Running: 4, Waiting: 12})
+		k.servers[id].recordRefusal(now, Attempt{Result: ResultRefused, Loaded: true, Running: 4, Waiting: 12})
 	}
 	for n := range 96 {
-		f, d := k.Begin(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
-		homes := k.homes(f, k.group("service"))
-		if got := k.failover(now, f, k.group("service"), homes); homes[0] != "north-a-0" && got[0] != homes[0] {
+		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
+		homes := k.homes(f, k.eligibleService("service"))
+		if got := k.failover(now, f, k.eligibleService("service"), homes); homes[0] != "north-a-0" && got[0] != homes[0] {
 			t.Fatalf("object %x of %s gets %s first (%+v), want its home to stay first", n, homes[0], got[0], d)
 		}
 	}
--- a/internal/kernel/steering/learn.go
+++ b/internal/kernel/steering/learn.go
@@ -4,58 +4,58 @@
 	"time"
 )
 
-// learn takes in what an attempt tells of the server.
-func (k *Kernel) learn(now time.Time, f *Flight, s *server, a Attempt, took time.Duration) {
-	s.domain.heard(a.RoundTrip)
-	k.hearSignal(now, f, s, a)
+// learnFromAttempt updates the state of the server from the result of an attempt.
+func (k *Kernel) learnFromAttempt(now time.Time, req *ActiveRequest, s *server, a Attempt, elapsed time.Duration) {
+	s.rtt.observe(a.RoundTrip)
+	k.recordBackpressure(now, req, s, a)
 	if a.Loaded {
-		s.report(now, a.Running, a.Waiting)
-		k.feel(now, f, s, float64(a.Waiting))
+		s.recordLoad(now, a.Running, a.Waiting)
+		k.recordQueue(now, req, s, float64(a.Waiting))
 	}
-	g := k.service(s.Service)
-	k.suspect(now, f, s, g, a, took)
-	outs := s.outs
+	svc := k.service(s.Service)
+	k.detectSlowdown(now, req, s, svc, a, elapsed)
+	ejections := s.ejections
 	switch a.Result {
-	case Answered:
+	case ResultAnswered:
 		s.answeredAt = now
-		k.learnWork(now, f, s, g, took)
+		k.learnWork(now, req, s, svc, elapsed)
 		if !a.Loaded {
-			k.guess(now, f, s, took-s.domain.roundTrip)
+			k.inferQueue(now, req, s, elapsed-s.rtt.roundTrip)
 		}
-	case Refused:
-		s.hasRefused(now, a)
-	case Mistaken:
-		// Its address belongs to another server now: this one is gone, unless it
-		// has started again meanwhile.
-		if !s.gone {
+	case ResultRefused:
+		s.recordRefusal(now, a)
+	case ResultWrongServer:
+		// The address belongs to another server now, so this one is gone, unless it has restarted
+		// in the meantime.
+		if !s.removed {
 			k.remove(now, s.id)
 		}
-	case Unreachable:
-		s.hasFailed(now, true)
-	case Failed, Broken, Late:
-		s.hasFailed(now, false)
+	case ResultUnreachable:
+		s.recordFailure(now, true)
+	case ResultServerError, ResultConnectionLost, ResultTimeout:
+		s.recordFailure(now, false)
 	}
-	if !k.on(MechanismOutliers) {
-		s.outs, s.outUntil = 0, now
+	if !k.isEnabled(MechanismOutlierDetection) {
+		s.ejections, s.ejectedUntil = 0, now
 	}
-	if s.outs > outs {
-		k.config.Observe(Event{Kind: EventServerOut, Server: s.id, Service: s.Service, Result: a.Result, Took: s.outUntil.Sub(now)})
+	if s.ejections > ejections {
+		k.config.Observe(Event{Kind: EventServerEjected, Server: s.id, Service: s.Service, Result: a.Result, Duration: s.ejectedUntil.Sub(now)})
 	}
 }
 
-func (k *Kernel) learnWork(now time.Time, f *Flight, s *server, g *service, took time.Duration) {
-	work := took - s.domain.roundTrip
-	s.succeeded(work, f.expected-s.domain.roundTrip)
-	// Warm work is the least that was seen, so it needs no correction for slow
-	// servers: queues inflate their speed.
-	if !f.warm {
-		work = time.Duration(float64(work) / max(1, s.speed))
+func (k *Kernel) learnWork(now time.Time, req *ActiveRequest, s *server, svc *service, elapsed time.Duration) {
+	work := elapsed - s.rtt.roundTrip
+	s.recordSuccess(work, req.expected-s.rtt.roundTrip)
+	// The warm estimate follows the shortest times seen, so it needs no correction for slow
+	// servers, whose slowdown includes queueing.
+	if !req.warm {
+		work = time.Duration(float64(work) / max(1, s.slowdown))
 	}
 	idle := s.load(now) < float64(s.Slots)
-	model := g.workOn(f.Route)
-	if work > 0 && (idle || f.warm && model.longer(work)) {
-		model.heard(f.warm, work, f.Route.Target)
+	model := svc.workOf(req.Route)
+	if work > 0 && (idle || req.warm && model.exceeds(work)) {
+		model.observe(req.warm, work, req.Route.Target)
 	}
-	s.handled(f.Object, now)
-	g.knows(now, s, f.Object)
+	s.recordObject(req.Object, now)
+	svc.markWarm(now, s, req.Object)
 }
--- /dev/null
+++ b/internal/kernel/steering/lifecycle.go
@@ -0,0 +1,278 @@
+package steering
+
+import (
+	"time"
+
+	"github.com/gypsumquay/gypsumquay/internal/kernel/quarantine"
+)
+
+// BeginRequest starts a request: it matches the route and returns the first step.
+func (k *Kernel) BeginRequest(now time.Time, r Request) (*ActiveRequest, Decision) {
+	k.requestCount++
+	req := &ActiveRequest{Request: r, seq: k.requestCount, startedAt: now}
+	d := k.beginRequest(now, req)
+	if k.config.Record != nil {
+		recorded, decision := r, recordedDecisionOf(d)
+		k.config.Record(Call{Method: callBegin, At: now, RequestNumber: req.seq, Request: &recorded, Decision: &decision})
+	}
+	return req, d
+}
+
+func (k *Kernel) beginRequest(now time.Time, req *ActiveRequest) Decision {
+	if k.table == nil {
+		return k.finish(now, req, Decision{Reason: ReasonNoConfiguration, NotRun: true, RetryAfter: k.retryAfter(now, req)})
+	}
+	req.Route = k.table.Match(req.Host, req.Path)
+	if req.Route == nil {
+		return k.finish(now, req, Decision{Reason: ReasonNoRoute, NotRun: true})
+	}
+	if reason := k.authorize(req); reason != ReasonNone {
+		d := Decision{Reason: reason, NotRun: true}
+		if reason == ReasonNoRegion {
+			d.RetryAfter = maxRetryAfter
+		}
+		return k.finish(now, req, d)
+	}
+	req.ExpiresAt = now.Add(req.Route.Timeout)
+	if !req.Deadline.IsZero() && req.Deadline.Before(req.ExpiresAt) {
+		req.ExpiresAt = req.Deadline
+	}
+	if k.shuttingDown && k.shutdownDeadline.Before(req.ExpiresAt) {
+		req.ExpiresAt = k.shutdownDeadline
+	}
+	if !req.Route.Sticky || !k.isEnabled(MechanismHomes) {
+		// Servers of this route gain nothing from having handled the object before. A single home
+		// server per object would only build long queues on some servers while others are idle.
+		req.Object = ""
+	}
+	return k.checkQuota(now, req)
+}
+
+// dispatch selects the service of a request that is within its rate limit and sends it.
+func (k *Kernel) dispatch(now time.Time, req *ActiveRequest) Decision {
+	req.Service = k.splitter.Next(req.Route)
+	if req.Object != "" {
+		k.service(req.Service).demand.Record(now, req.Object)
+	}
+	return k.send(now, req)
+}
+
+// send chooses a server for the request, or ends the request if there is none.
+func (k *Kernel) send(now time.Time, req *ActiveRequest) Decision {
+	target, reason := k.place(now, req)
+	if target == nil {
+		return k.fail(now, req, reason)
+	}
+	return Decision{Server: target, SlotRequest: req.slotRequest}
+}
+
+// place chooses a server and counts the request as in flight there.
+func (k *Kernel) place(now time.Time, req *ActiveRequest) (*Target, Reason) {
+	svc := k.eligibleService(req.Service)
+	if reason := k.reauthorize(req); reason != ReasonNone {
+		return nil, reason
+	}
+	if req.ExpiresAt.Sub(now) < minAttemptTime && len(req.triedServers) > 0 {
+		return nil, ReasonTimeout
+	}
+	if reason := k.checkQuarantine(now, req); reason != ReasonNone {
+		return nil, reason
+	}
+	s, chosen := k.chooseServer(now, req, svc)
+	if s == nil {
+		return nil, k.noServerReason(now, req, svc, chosen.reason)
+	}
+	if len(req.steps) == 0 {
+		if k.shouldShed(now, req, svc, s) {
+			return nil, ReasonQueuesTooLong
+		}
+		svc.retries.RecordRequest(now)
+	}
+	k.quarantine.RecordStart(req.Work)
+	req.server, req.sentAt, req.expected, req.warm, req.loadAtSend = s, now, chosen.expected, chosen.warm, s.load(now)
+	state := s.state(now)
+	s.inFlight++
+	s.sentCount++
+	s.backpressure.RecordSent(now)
+	req.addStep(Event{
+		At: now, Kind: EventRequestSent, Server: s.id, Domain: s.Domain, Attempt: len(req.steps)/2 + 1, Expected: chosen.expected,
+		Load: s.load(now), LoadAge: s.loadAge(now), HomeRank: chosen.homeRank, Warm: chosen.warm,
+		ExpectedWait: chosen.untilStart - s.rtt.roundTrip, State: state,
+	})
+	req.slotRequest, req.slotRank = k.newSlotRequest(now, req, svc, s, chosen), 0
+	return k.newTarget(svc, s), ReasonNone
+}
+
+// chooseServer chooses the server for a request. Requests that are suspected of crashing servers go
+// to the least loaded one.
+func (k *Kernel) chooseServer(now time.Time, req *ActiveRequest, svc *service) (*server, choice) {
+	if req.workSuspected {
+		return k.chooseLeastLoaded(now, req, svc)
+	}
+	return k.chooseByCost(now, req, svc)
+}
+
+func (k *Kernel) newTarget(svc *service, s *server) *Target {
+	return &Target{Server: s.Server, RoundTrip: s.rtt.roundTrip, MaxConnections: k.maxConnections(svc)}
+}
+
+// EndAttempt records how an attempt ended and returns the next step. If the request held a slot,
+// the decision contains its release.
+func (k *Kernel) EndAttempt(now time.Time, req *ActiveRequest, a Attempt) Decision {
+	release := req.takeSlotRelease(req.latencyRatio(now, a))
+	d := k.endAttempt(now, req, a)
+	d.SlotRelease = release
+	if k.config.Record != nil {
+		recorded, decision := a, recordedDecisionOf(d)
+		k.config.Record(Call{Method: callEnded, At: now, RequestNumber: req.seq, Attempt: &recorded, Decision: &decision})
+	}
+	return d
+}
+
+// latencyRatio returns how long the request took on a warm server relative to the route's target,
+// or zero if that is unknown. The target does not depend on how fast the servers are, so ratios
+// from different times and proxies are comparable. For a request that timed out, the time so far is
+// a lower bound.
+func (req *ActiveRequest) latencyRatio(now time.Time, a Attempt) float64 {
+	if req.slotRequest == nil || !req.warm || req.Route.Target <= 0 || a.Result != ResultAnswered && a.Result != ResultTimeout {
+		return 0
+	}
+	return float64(now.Sub(req.sentAt)-req.server.rtt.roundTrip) / float64(req.Route.Target)
+}
+
+func (k *Kernel) endAttempt(now time.Time, req *ActiveRequest, a Attempt) Decision {
+	s := req.server
+	s.inFlight--
+	if !a.refusedWithFreeSlots(s.Slots) {
+		req.triedServers = append(req.triedServers, s)
+	}
+	elapsed := now.Sub(req.sentAt)
+	k.recordCrashEvidence(now, req, s, a)
+	k.learnFromAttempt(now, req, s, a, elapsed)
+	req.addStep(Event{
+		At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(req.steps)/2 + 1, Result: a.Result,
+		Expected: req.expected, Duration: elapsed, Load: float64(a.Running + a.Waiting), Err: a.Err,
+	})
+	switch a.Result {
+	case ResultAnswered:
+		return k.finish(now, req, Decision{ReturnResponse: true})
+	case ResultCallerGone:
+		return k.finish(now, req, Decision{Reason: ReasonCallerGone})
+	case ResultTimeout:
+		req.mayHaveRun = true
+		return k.fail(now, req, ReasonTimeout)
+	case ResultUnreachable, ResultNotSent:
+		req.sendAttempts++
+		if req.sendAttempts >= maxSends {
+			return k.fail(now, req, ReasonNoServer)
+		}
+		return k.send(now, req)
+	}
+	if a.Result != ResultWrongServer {
+		// With ResultWrongServer another server has the address, so no server of the service has
+		// received the request yet.
+		req.reachedServers++
+	}
+	req.sendAttempts++
+	req.mayHaveRun = req.mayHaveRun || a.Result == ResultConnectionLost || a.Result == ResultServerError
+	reason := reasonOf(a.Result)
+	if k.mayRetry(now, req) {
+		var target *Target
+		if target, reason = k.place(now, req); target != nil {
+			return Decision{Server: target, SlotRequest: req.slotRequest}
+		}
+	}
+	if a.Result == ResultServerError {
+		// A response that reports the server's failure tells the caller more than a refusal by the
+		// proxy.
+		return k.finish(now, req, Decision{ReturnResponse: true, Reason: ReasonServerError})
+	}
+	return k.fail(now, req, reason)
+}
+
+// refusedWithFreeSlots reports whether the server refused the request while it had free slots. Such
+// a server refuses at random and may well accept the next request. It is warm for the object,
+// whereas any other server would run it cold.
+func (a Attempt) refusedWithFreeSlots(slots int) bool {
+	return a.Result == ResultRefused && a.Loaded && a.Running < slots && a.Waiting == 0
+}
+
+func reasonOf(r Result) Reason {
+	if r == ResultRefused || r == ResultWrongServer {
+		return ReasonRefused
+	}
+	return ReasonConnectionLost
+}
+
+// mayRetry reports whether a request that reached a server may be sent to another one.
+func (k *Kernel) mayRetry(now time.Time, req *ActiveRequest) bool {
+	if req.mayHaveRun && !req.Route.Idempotent {
+		return false
+	}
+	if !k.isEnabled(MechanismRetries) || req.reachedServers >= req.Route.Attempts || req.sendAttempts >= maxSends || req.connectionsLost >= quarantine.MaxConnectionLosses || req.ExpiresAt.Sub(now) < minAttemptTime {
+		return false
+	}
+	if !k.service(req.Service).retries.TrySpend(now, len(k.limitSharers)) {
+		return false
+	}
+	if req.mayHaveRun && req.Account != nil {
+		k.quotas.limiter.Charge(req.Account.Name)
+	}
+	return true
+}
+
+// fail ends a request immediately without a response.
+func (k *Kernel) fail(now time.Time, req *ActiveRequest, reason Reason) Decision {
+	d := Decision{Reason: reason, NotRun: !req.mayHaveRun}
+	if req.Account != nil && len(req.steps) == 0 {
+		k.quotas.limiter.Refund(req.Account.Name)
+	}
+	if d.NotRun {
+		d.RetryAfter = k.retryAfter(now, req)
+	}
+	if d.NotRun && reason == ReasonBackpressure {
+		d.RetryAfter = k.retryAfterBackpressure(req)
+	}
+	if d.NotRun && reason == ReasonCrashesServers {
+		// The fingerprint does not run before its next trial, however early the caller retries.
+		d.RetryAfter = req.quarantinedFor
+	}
+	return k.finish(now, req, d)
+}
+
+// addStep stores a decision until the request ends.
+func (req *ActiveRequest) addStep(e Event) { req.steps = append(req.steps, e) }
+
+// finish reports the end of a request together with its earlier decisions.
+func (k *Kernel) finish(now time.Time, req *ActiveRequest, d Decision) Decision {
+	e := Event{
+		At: now, Kind: EventRequestEnded, Request: req.ID, Service: req.Service, Object: req.Object, Fingerprint: req.Work, Version: k.Version(),
+		Outcome: d.Outcome(), Reason: d.Reason, Duration: now.Sub(req.startedAt), Attempt: (len(req.steps) + 1) / 2,
+		RetryAfter: d.RetryAfter, Pressure: req.queuePressure, Steps: req.steps,
+	}
+	if req.Route != nil {
+		e.Route, e.Target = req.Route.Name, req.Route.Target
+	}
+	if req.Account != nil {
+		e.Account = req.Account.Name
+	}
+	e.Cause, e.State = req.latencyCause(now)
+	k.config.Observe(e)
+	return d
+}
+
+// retryAfter returns the retry delay for a refused caller. It is randomized so that callers refused
+// at the same time do not return at the same time.
+func (k *Kernel) retryAfter(now time.Time, req *ActiveRequest) time.Duration {
+	maxWait := maxRetryAfter
+	if !req.Deadline.IsZero() {
+		maxWait = min(maxWait, req.Deadline.Sub(now)/3)
+	}
+	if req.maxRetryAfter > 0 {
+		maxWait = min(maxWait, req.maxRetryAfter)
+	}
+	if maxWait <= minRetryAfter {
+		return minRetryAfter
+	}
+	return minRetryAfter + time.Duration(k.random.Int64N(int64(maxWait-minRetryAfter)))
+}
--- a/internal/kernel/steering/placer.go
+++ b/internal/kernel/steering/placer.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// DefaultPlacer keeps objects at their homes.
+	// DefaultPlacer prefers the home servers of objects.
 	DefaultPlacer = "homes"
 )
 
@@ -17,38 +17,39 @@
 )
 
 type (
-	// placer weighs the servers that may take a request; the least cost wins.
-	// All but the default are there to be measured against.
+	// placer is a load-balancing policy. It assigns a cost to each server that can take a request,
+	// and the lowest cost wins. All policies but the default serve only as baselines for
+	// measurements.
 	placer struct {
 		name string
-		cost func(k *Kernel, f *Flight, p pick) time.Duration
-		// sheds is set if requests are refused where queues are too long, keepsHomes if
-		// servers away from an object's homes are charged for running it cold.
-		sheds      bool
-		keepsHomes bool
+		cost func(k *Kernel, f *ActiveRequest, p choice) time.Duration
+		// shedsLoad is set if requests are refused where queues are too long. chargesColdRuns is
+		// set if servers other than an object's homes are charged for running it cold.
+		shedsLoad       bool
+		chargesColdRuns bool
 	}
 )
 
 func init() {
 	registerPlacer(placer{
-		name: DefaultPlacer, sheds: true, keepsHomes: true,
-		cost: func(_ *Kernel, _ *Flight, p pick) time.Duration { return p.cost },
+		name: DefaultPlacer, shedsLoad: true, chargesColdRuns: true,
+		cost: func(_ *Kernel, _ *ActiveRequest, p choice) time.Duration { return p.cost },
 	})
-	registerPlacer(placer{name: "least-in-flight", cost: func(_ *Kernel, _ *Flight, p pick) time.Duration {
-		return time.Duration(p.server.inFlight)*time.Second + p.server.domain.roundTrip
+	registerPlacer(placer{name: "least-in-flight", cost: func(_ *Kernel, _ *ActiveRequest, p choice) time.Duration {
+		return time.Duration(p.server.inFlight)*time.Second + p.server.rtt.roundTrip
 	}})
-	registerPlacer(placer{name: "round-robin", cost: func(_ *Kernel, _ *Flight, p pick) time.Duration {
-		return time.Duration(p.server.turns)
+	registerPlacer(placer{name: "round-robin", cost: func(_ *Kernel, _ *ActiveRequest, p choice) time.Duration {
+		return time.Duration(p.server.sentCount)
 	}})
-	registerPlacer(placer{name: "rendezvous", cost: func(_ *Kernel, f *Flight, p pick) time.Duration {
+	registerPlacer(placer{name: "rendezvous", cost: func(_ *Kernel, req *ActiveRequest, p choice) time.Duration {
 		hash := fnv.New32a()
-		_, _ = hash.Write([]byte(p.server.id + "/" + f.Object))
+		_, _ = hash.Write([]byte(p.server.id + "/" + req.Object))
 		return time.Duration(hash.Sum32())
 	}})
 }
 
-// registerPlacer adds a placer. It is called from init only, so the registry
-// is constant once main runs.
+// registerPlacer adds a policy. It is called only from init, so the registry does not change once
+// main runs.
 func registerPlacer(p placer) {
 	if _, taken := placers[p.name]; taken {
 		panic(fmt.Sprintf("steering: placer %q registered twice", p.name))
@@ -56,7 +57,7 @@
 	placers[p.name] = p
 }
 
-// Placers lists the registered names in order.
+// Placers lists the names of the registered policies in order.
 func Placers() []string {
 	names := make([]string, 0, len(placers))
 	for name := range placers {
--- a/internal/kernel/steering/quarantine.go
+++ b/internal/kernel/steering/quarantine.go
@@ -8,172 +8,175 @@
 )
 
 type (
-	// Condemnation is work that is refused.
-	Condemnation struct {
+	// QuarantinedWork is a request fingerprint that is refused.
+	QuarantinedWork struct {
 		quarantine.Report
-		// Rank is this proxy's place among those that see to it: the first ones keep it
-		// in the platform's store, and try it again first.
+		// Rank is this proxy's rank among those responsible for the fingerprint. The first ones
+		// keep it in the platform's store and are the first to try it again.
 		Rank int
-		// For is how much longer it is refused here.
-		For time.Duration
+		// QuarantinedFor is how much longer it is refused at this proxy.
+		QuarantinedFor time.Duration
 	}
 )
 
-// rule says whether the request's work may run now; a reason is given if not. Work that
-// has been there at the ends of servers runs once at a time, and not again by ourselves:
-// each run may cost one more server and all that it has.
-func (k *Kernel) rule(now time.Time, f *Flight) Reason {
-	f.suspected = false
-	if f.Work.IsEmpty() || !k.on(MechanismQuarantine) {
+// checkQuarantine returns the reason why the request's fingerprint must not run now, or ReasonNone
+// if it may. A fingerprint that was in flight when servers crashed runs one request at a time and
+// is not retried by the proxy: each run may crash another server with all its requests.
+func (k *Kernel) checkQuarantine(now time.Time, req *ActiveRequest) Reason {
+	req.workSuspected = false
+	if req.Work.IsEmpty() || !k.isEnabled(MechanismQuarantine) {
 		return ReasonNone
 	}
-	ruling, left := k.quarantine.Status(now, f.Work)
-	f.suspected = ruling != quarantine.Clear
+	status, remaining := k.quarantine.Status(now, req.Work)
+	req.workSuspected = status != quarantine.Clear
 	switch {
-	case ruling == quarantine.Quarantined:
-		f.away = min(left, quarantine.MaxRetryAfter)
-		return ReasonEndsServers
-	case ruling == quarantine.Busy, ruling == quarantine.Suspected && f.breaks > 0:
-		return ReasonSuspected
+	case status == quarantine.Quarantined:
+		req.quarantinedFor = min(remaining, quarantine.MaxRetryAfter)
+		return ReasonCrashesServers
+	case status == quarantine.Busy, status == quarantine.Suspected && req.connectionsLost > 0:
+		return ReasonMayCrashServers
 	}
 	return ReasonNone
 }
 
-// trialRank is this proxy's place in the order in which proxies try refused work again,
-// another one for each work.
+// trialRank returns this proxy's rank in the order in which proxies try a quarantined fingerprint
+// again. The order differs between fingerprints.
 func (k *Kernel) trialRank(w quarantine.Fingerprint) int {
-	n := len(k.sharers)
+	n := len(k.limitSharers)
 	if n == 0 {
 		return 0
 	}
-	return (k.ownPlace + int(w[0])<<8 + int(w[1])) % n
+	return (k.ownIndex + int(w[0])<<8 + int(w[1])) % n
 }
 
-// chooseIdle picks the server with the least to lose for suspected work: of those that
-// may take it, the one that runs the fewest, near ones first.
-func (k *Kernel) chooseIdle(now time.Time, f *Flight, g *service) (*server, pick) {
-	best := pick{reason: ReasonNoServer}
-	f.work = g.workOn(f.Route)
-	least := 0.0
-	for _, s := range g.servers {
-		if !k.mayTry(now, f, s) {
+// chooseLeastLoaded chooses a server for a suspected fingerprint. It takes the one with the fewest
+// running requests among those that can take it, preferring near ones, so that a crash loses the
+// least.
+func (k *Kernel) chooseLeastLoaded(now time.Time, req *ActiveRequest, svc *service) (*server, choice) {
+	best := choice{reason: ReasonNoServer}
+	req.workEstimate = svc.workOf(req.Route)
+	minLoad := 0.0
+	for _, s := range svc.eligible {
+		if !k.mayUse(now, req, s) {
 			continue
 		}
-		load := s.load(now) + float64(s.domain.roundTrip)/float64(max(f.Route.Target, time.Millisecond))
+		load := s.load(now) + float64(s.rtt.roundTrip)/float64(max(req.Route.Target, time.Millisecond))
 		if s.isCold(now) {
-			if !k.coldRoom(now, g, s) {
+			if !k.coldRoom(now, svc, s) {
 				continue
 			}
-			// After the servers of a service have ended all are cold, and work that
-			// is sound must be able to show it.
+			// After the servers of a service have crashed, all of them are cold, and a harmless
+			// fingerprint must still get the chance to succeed.
 			load += float64(s.Slots)
 		}
-		if best.server != nil && load >= least {
+		if best.server != nil && load >= minLoad {
 			continue
 		}
-		least = load
-		best = k.reckon(now, f, s, nil)
+		minLoad = load
+		best = k.estimate(now, req, s, nil)
 	}
 	if best.server != nil && best.server.isCold(now) {
-		best.server.cold.Record(now)
+		best.server.coldRate.Record(now)
 	}
 	return best.server, best
 }
 
-// learnEnd takes in what an attempt tells of whether its server has ended, and what of
-// the request's work.
-func (k *Kernel) learnEnd(now time.Time, f *Flight, s *server, a Attempt) {
-	q := k.quarantine
-	q.RecordStop(f.Work)
+// recordCrashEvidence records what an attempt shows about whether its server crashed and about the
+// request's fingerprint.
+func (k *Kernel) recordCrashEvidence(now time.Time, req *ActiveRequest, s *server, a Attempt) {
+	tracker := k.quarantine
+	tracker.RecordStop(req.Work)
 	switch a.Result {
-	case Answered, Failed, Refused:
-		q.RecordResponse(s.start, f.sentAt)
-		if a.Result == Answered && !a.Rejected {
-			// A server that fails or rejects a request may not have come to what
-			// ends it.
-			q.RecordSuccess(now, f.Work)
+	case ResultAnswered, ResultServerError, ResultRefused:
+		tracker.RecordResponse(s.startID, req.sentAt)
+		if a.Result == ResultAnswered && !a.Rejected {
+			// A server that fails or rejects a request may not have reached the part that crashes
+			// it.
+			tracker.RecordSuccess(now, req.Work)
 		}
-	case Broken:
-		f.breaks++
-		if s.takesRequests() && s.absentUntil.IsZero() {
-			// A server that leaves as planned may cut what it still has.
-			q.RecordConnectionLoss(now, f.Work, s.start)
+	case ResultConnectionLost:
+		req.connectionsLost++
+		if s.isEligible() && s.absentUntil.IsZero() {
+			// A server that drains as planned may close the connections of its remaining requests.
+			tracker.RecordConnectionLoss(now, req.Work, s.startID)
 		}
-	case Mistaken:
-		q.RecordServerGone(now, s.start)
-	case Unreachable:
+	case ResultWrongServer:
+		tracker.RecordServerGone(now, s.startID)
+	case ResultUnreachable:
 		if a.Refusing {
-			q.RecordServerGone(now, s.start)
+			tracker.RecordServerGone(now, s.startID)
 		}
 	}
 }
 
-// Doubted lists the servers of which it must be found out whether they have ended.
-func (k *Kernel) Doubted() []routing.Server {
-	doubtful := k.quarantine.ServersToProbe()
-	if len(doubtful) == 0 {
+// ServersToProbe lists the servers that must be probed to find out whether they have crashed.
+func (k *Kernel) ServersToProbe() []routing.Server {
+	instances := k.quarantine.ServersToProbe()
+	if len(instances) == 0 {
 		return nil
 	}
-	k.record(Call{Do: callDoubted})
-	wanted := make(map[quarantine.InstanceID]bool, len(doubtful))
-	for _, s := range doubtful {
+	k.record(Call{Method: callServersToProbe})
+	wanted := make(map[quarantine.InstanceID]bool, len(instances))
+	for _, s := range instances {
 		wanted[s] = true
 	}
 	var list []routing.Server
 	for _, s := range k.servers {
-		if wanted[s.start] {
+		if wanted[s.startID] {
 			list = append(list, s.Server)
 		}
 	}
 	return list
 }
 
-// Refusing notes that nothing listens where a server was.
-func (k *Kernel) Refusing(now time.Time, id string) {
-	k.record(Call{Do: callRefusing, At: now, ID: id})
+// RecordConnectionRefused records that no process listens at the address of a server.
+func (k *Kernel) RecordConnectionRefused(now time.Time, id string) {
+	k.record(Call{Method: callConnectionRefused, At: now, ID: id})
 	if s := k.servers[id]; s != nil {
-		k.quarantine.RecordServerGone(now, s.start)
-		s.hasFailed(now, true)
+		k.quarantine.RecordServerGone(now, s.startID)
+		s.recordFailure(now, true)
 	}
 }
 
-// Suspicions lists what peers should hear of work that ends servers; all of it for one
-// that knows nothing yet.
-func (k *Kernel) Suspicions(now time.Time, all bool) []quarantine.Report {
+// QuarantineReports lists the reports on fingerprints that are due to peers, or all of them for a
+// peer that knows nothing yet.
+func (k *Kernel) QuarantineReports(now time.Time, all bool) []quarantine.Report {
 	return k.quarantine.Reports(now, all)
 }
 
-// Condemned lists the work that is refused.
-func (k *Kernel) Condemned(now time.Time) []Condemnation {
-	var list []Condemnation
+// QuarantinedWork lists the fingerprints that are refused.
+func (k *Kernel) QuarantinedWork(now time.Time) []QuarantinedWork {
+	var list []QuarantinedWork
 	for _, r := range k.quarantine.QuarantinedReports(now) {
-		_, left := k.quarantine.Status(now, r.Fingerprint)
-		list = append(list, Condemnation{Report: r, Rank: k.trialRank(r.Fingerprint), For: left})
+		_, remaining := k.quarantine.Status(now, r.Fingerprint)
+		list = append(list, QuarantinedWork{Report: r, Rank: k.trialRank(r.Fingerprint), QuarantinedFor: remaining})
 	}
 	return list
 }
 
-// HearSuspicions takes in what a peer knows.
-func (k *Kernel) HearSuspicions(now time.Time, list []quarantine.Report) {
+// ApplyQuarantineReports merges the reports of a peer.
+func (k *Kernel) ApplyQuarantineReports(now time.Time, list []quarantine.Report) {
 	if len(list) == 0 {
 		return
 	}
-	k.record(Call{Do: callSuspicions, At: now, Suspicions: list})
+	k.record(Call{Method: callQuarantineReports, At: now, QuarantineReports: list})
 	k.quarantine.Merge(now, list)
 }
 
-// Stirred reports whether there is anything about work that ends servers to find out or
-// to tell at once.
-func (k *Kernel) Stirred() bool { return k.quarantine.NeedsAttention() }
+// QuarantinePending reports whether the quarantine has servers to probe or reports to send
+// immediately.
+func (k *Kernel) QuarantinePending() bool { return k.quarantine.NeedsAttention() }
 
-// SuspicionsUrgent reports, once, whether peers should hear of suspicions at once.
-func (k *Kernel) SuspicionsUrgent() bool { return k.quarantine.TakeUrgent() }
+// QuarantineReportsUrgent reports whether peers should get quarantine reports immediately. It
+// reports this only once.
+func (k *Kernel) QuarantineReportsUrgent() bool { return k.quarantine.TakeUrgent() }
 
-// observeWork tells of what has become of a work or of a server that had some.
-func (k *Kernel) observeWork(n quarantine.Event) {
-	e := Event{Kind: Kind(n.Type), Work: n.Fingerprint, Ends: n.Crashes, Works: n.Fingerprints}
+// observeQuarantine reports a change of a fingerprint's status or a crash of a server with
+// fingerprints in flight.
+func (k *Kernel) observeQuarantine(change quarantine.Event) {
+	e := Event{Kind: EventKind(change.Type), Fingerprint: change.Fingerprint, Crashes: change.Crashes, RunningFingerprints: change.Fingerprints}
 	for _, s := range k.servers {
-		if n.Type == quarantine.EventServerCrashed && s.start == n.Server {
+		if change.Type == quarantine.EventServerCrashed && s.startID == change.Server {
 			e.Server, e.Service = s.id, s.Service
 		}
 	}
--- a/internal/kernel/steering/replay.go
+++ b/internal/kernel/steering/replay.go
@@ -14,70 +14,70 @@
 )
 
 const (
-	// differencesMost bounds the differences that a replay keeps.
-	differencesMost = 20
+	// maxDifferences limits the differences that a replay keeps.
+	maxDifferences = 20
 )
 
 var (
-	errNoStart  = errors.New("recording does not begin with the start of a proxy")
-	errNoFlight = errors.New("recording ends an attempt of a request that it does not begin")
+	errNoStart        = errors.New("recording does not begin with the start of a proxy")
+	errUnknownRequest = errors.New("recording ends an attempt of a request that it does not begin")
 )
 
 type (
-	// Replay is what became of a recording when a new kernel was given its calls.
-	Replay struct {
+	// ReplayResult is the result of replaying a recording on a new kernel.
+	ReplayResult struct {
 		Calls     int
 		Decisions int
-		// CutShort is set if the recording ends within a call, as that of a
-		// process that was killed does.
-		CutShort bool
-		// Differing counts the decisions that are others now, Differences tells
-		// of the first.
-		Differing   int
-		Differences []Difference
-		// Weighed are the servers that were weighed for the request asked about.
-		Weighed []Weighed
+		// Truncated is set if the recording ends within a call, for example because the process was
+		// killed.
+		Truncated bool
+		// DifferenceCount counts the decisions that differ from the recording. Differences holds
+		// the first of them.
+		DifferenceCount int
+		Differences     []Difference
+		// Candidates are the servers that were considered for the selected request.
+		Candidates []Candidate
 	}
 
-	// Difference is a decision that was recorded and is another one now.
+	// Difference is a decision that differs from the recorded one.
 	Difference struct {
 		Call     int
 		At       time.Time
 		Request  string
-		Recorded Verdict
-		Now      Verdict
+		Recorded RecordedDecision
+		Now      RecordedDecision
 	}
 
-	// Weighed is one server as a choice saw it.
-	Weighed struct {
+	// Candidate describes one server as it was considered by a choice.
+	Candidate struct {
 		At      time.Time
 		Attempt int
 		Server  string
-		// Usable is false for one that is out, leaves or waits for a probe.
+		// Usable is false for a server that is ejected, drains or waits for a probe.
 		Usable   bool
 		Cold     bool
-		Home     int
+		HomeRank int
 		Warm     bool
 		Load     float64
-		Speed    float64
+		Slowdown float64
 		Expected time.Duration
 		Cost     time.Duration
 		Chosen   bool
 	}
 
 	replayer struct {
-		kernel  *Kernel
-		flights map[uint64]*Flight
-		about   string
-		result  Replay
+		kernel    *Kernel
+		requests  map[uint64]*ActiveRequest
+		requestID string
+		result    ReplayResult
 	}
 )
 
-// ReplayCalls gives the calls of a recording, JSON values one after the other, to
-// a new kernel and compares its decisions with those recorded. For the request
-// named, if any, it tells how each server was weighed.
-func ReplayCalls(recording io.Reader, about string) (Replay, error) {
-	r := &replayer{about: about}
+// ReplayCalls replays the calls of a recording, a sequence of JSON values, on a new kernel and
+// compares its decisions with the recorded ones. If requestID names a request, the result lists the
+// servers that were considered for it.
+func ReplayCalls(recording io.Reader, requestID string) (ReplayResult, error) {
+	r := &replayer{requestID: requestID}
 	for decoder := json.NewDecoder(recording); ; {
 		var c Call
 		err := decoder.Decode(&c)
@@ -85,94 +85,95 @@
 		case errors.Is(err, io.EOF):
 			return r.result, nil
 		case errors.Is(err, io.ErrUnexpectedEOF):
-			r.result.CutShort = true
+			r.result.Truncated = true
 			return r.result, nil
 		case err != nil:
 			return r.result, errors.Wrapf(err, "call %d", r.result.Calls+1)
 		}
 		r.result.Calls++
-		if err := r.call(c); err != nil {
-			return r.result, errors.Wrapf(err, "call %d, %s", r.result.Calls, c.Do)
+		if err := r.replayCall(c); err != nil {
+			return r.result, errors.Wrapf(err, "call %d, %s", r.result.Calls, c.Method)
 		}
 	}
 }
 
-func (r *replayer) call(c Call) error {
-	if c.Do == callStart && c.Config != nil {
-		// Each start of the process is a kernel of its own.
-		r.kernel, r.flights = New(*c.Config), make(map[uint64]*Flight)
+func (r *replayer) replayCall(c Call) error {
+	if c.Method == callStart && c.Config != nil {
+		// Each start of the process has its own kernel.
+		r.kernel, r.requests = New(*c.Config), make(map[uint64]*ActiveRequest)
 		return nil
 	}
 	if r.kernel == nil {
 		return errNoStart
 	}
 	k := r.kernel
-	switch c.Do {
+	switch c.Method {
 	case callBounds:
 		k.SetBounds(*c.Bounds)
 	case callTable:
 		k.SetTable(tableOf(c))
 	case callServer:
-		k.SetServer(c.At, *c.Server)
+		k.RegisterServer(c.At, *c.Server)
 	case callRemove:
 		k.RemoveServer(c.At, c.ID)
 	case callUnreadable:
-		k.ServerUnreadable(c.ID)
+		k.MarkServerUnreadable(c.ID)
 	case callAbsent:
-		k.ServerAbsent(c.ID, c.Until)
+		k.MarkServerAbsent(c.ID, c.Until)
 	case callTick:
 		k.Tick(c.At)
-	case callMeasured:
-		k.Measured(c.Domain, c.Took)
+	case callRoundTrip:
+		k.RecordRoundTrip(c.Domain, c.RoundTrip)
 	case callEvacuated:
-		k.SetEvacuated(c.At, c.Domain, c.On)
+		k.SetDomainEvacuated(c.At, c.Domain, c.Flag)
 	case callLeave:
-		k.Leave(c.Until)
+		k.BeginShutdown(c.Until)
 	case callProxies:
 		k.SetProxies(c.At, c.Proxies)
-	case callDoubtProxies:
-		k.DoubtProxies(c.Until)
-	case callDoubted:
-		k.Doubted()
-	case callRefusing:
-		k.Refusing(c.At, c.ID)
-	case callSuspicions:
-		k.HearSuspicions(c.At, c.Suspicions)
-	case callSignals:
-		k.HearSignals(c.At, c.Signals)
-	case callHolding:
-		k.SetHolding(c.At, c.Holding)
-	case callReport:
-		k.LimitReport(c.At, c.ID, c.IDs)
-	case callHearReport:
-		k.HearReport(c.At, *c.Report)
-	case callHearGrants:
-		k.HearGrants(c.At, c.Asked, c.ID, *c.Grants)
-	case callUnanswered:
-		k.ReportUnanswered(c.At, c.ID)
-	case callTakeToken:
-		k.TakeToken(c.At, c.ID)
-	case callBorrow:
-		k.Borrow(c.At, c.IDs)
-	case callHearLoan:
-		k.HearLoan(c.At, c.Asked, c.ID, *c.Grants)
-	case callFleet:
-		k.SetFleet(c.Count)
-	case callResumed:
-		k.Resumed(c.At)
-	case callHearAsk:
-		k.HearAsk(c.At, *c.Ask)
-	case callHearRelease:
-		k.HearRelease(c.At, *c.Release)
-	case callBegin, callEnded, callAsked, callToken:
-		return r.request(c)
+	case callIgnoreMissingProxies:
+		k.IgnoreMissingProxiesUntil(c.Until)
+	case callServersToProbe:
+		k.ServersToProbe()
+	case callConnectionRefused:
+		k.RecordConnectionRefused(c.At, c.ID)
+	case callQuarantineReports:
+		k.ApplyQuarantineReports(c.At, c.QuarantineReports)
+	case callBackpressureReports:
+		k.ApplyBackpressureReports(c.At, c.BackpressureReports)
+	case callConcurrencyLimits:
+		k.ApplyConcurrencyLimits(c.At, c.ServiceLimits)
+	case callQuotaReport:
+		k.QuotaReport(c.At, c.ID, c.IDs)
+	case callHandleQuotaReport:
+		k.HandleQuotaReport(c.At, *c.Report)
+	case callQuotaGrants:
+		k.ApplyQuotaGrants(c.At, c.RequestedAt, c.ID, *c.Grants)
+	case callQuotaReportUnanswered:
+		k.QuotaReportUnanswered(c.At, c.ID)
+	case callTakePoolToken:
+		k.TakePoolToken(c.At, c.ID)
+	case callBorrowQuota:
+		k.BorrowQuota(c.At, c.IDs)
+	case callQuotaLoan:
+		k.ApplyQuotaLoan(c.At, c.RequestedAt, c.ID, *c.Grants)
+	case callFleetSize:
+		k.SetFleetSize(c.Count)
+	case callResume:
+		k.HandleResume(c.At)
+	case callSlotRequest:
+		k.HandleSlotRequest(c.At, *c.SlotRequest)
+	case callSlotRelease:
+		k.HandleSlotRelease(c.At, *c.SlotRelease)
+	case callBegin, callEnded, callSlotReply, callPoolToken:
+		return r.replayRequest(c)
 	default:
-		return errors.Errorf("do: %q is no call", c.Do)
+		return errors.Errorf("do: %q is no call", c.Method)
 	}
 	return nil
 }
 
-// tableOf is the table of a call. Its keys are fingerprints, as those of its requests.
+// tableOf returns the table of a call. Its account keys are fingerprints, as are those of the
+// recorded requests.
 func tableOf(c Call) *routing.Table {
 	t := routing.NewTable(c.Table.Version, slices.Collect(maps.Values(c.Table.Routes)), slices.Collect(maps.Values(c.Table.Services)), c.Table.Limits)
 	if c.Accounts == nil {
@@ -182,76 +183,76 @@
 	return t.WithAccounts(accounts)
 }
 
-// request replays a call that decides on a request.
-func (r *replayer) request(c Call) error {
-	var f *Flight
+// replayRequest replays a call that decides on a request.
+func (r *replayer) replayRequest(c Call) error {
+	var req *ActiveRequest
 	var d Decision
-	if c.Do == callBegin {
-		r.watch(c, c.Request.ID, 1)
-		f, d = r.kernel.Begin(c.At, *c.Request)
-		r.flights[c.Flight] = f
+	if c.Method == callBegin {
+		r.observeCandidates(c, c.Request.ID, 1)
+		req, d = r.kernel.BeginRequest(c.At, *c.Request)
+		r.requests[c.RequestNumber] = req
 	} else {
-		if f = r.flights[c.Flight]; f == nil {
-			return errNoFlight
+		if req = r.requests[c.RequestNumber]; req == nil {
+			return errUnknownRequest
 		}
-		r.watch(c, f.ID, (len(f.steps)+1)/2+1)
-		switch c.Do {
-		case callAsked:
-			d = r.kernel.Asked(c.At, f, *c.Reply, c.On)
-		case callToken:
-			d = r.kernel.Token(c.At, f, *c.Token, c.On)
+		r.observeCandidates(c, req.ID, (len(req.steps)+1)/2+1)
+		switch c.Method {
+		case callSlotReply:
+			d = r.kernel.HandleSlotReply(c.At, req, *c.SlotReply, c.Flag)
+		case callPoolToken:
+			d = r.kernel.ApplyPoolToken(c.At, req, *c.Token, c.Flag)
 		default:
-			d = r.kernel.Ended(c.At, f, *c.Attempt)
+			d = r.kernel.EndAttempt(c.At, req, *c.Attempt)
 		}
 	}
-	r.compare(c, f, verdictOf(d))
+	r.compare(c, req, recordedDecisionOf(d))
 	return nil
 }
 
-// watch notes how servers are weighed if the request is the one asked about.
-func (r *replayer) watch(c Call, id string, attempt int) {
-	r.kernel.weighed = nil
-	if r.about != "" && id == r.about {
-		r.kernel.weighed = func(w Weighed) {
-			w.At, w.Attempt = c.At, attempt
-			r.result.Weighed = append(r.result.Weighed, w)
+// observeCandidates records the considered servers if the request is the selected one.
+func (r *replayer) observeCandidates(c Call, id string, attempt int) {
+	r.kernel.observeCandidate = nil
+	if r.requestID != "" && id == r.requestID {
+		r.kernel.observeCandidate = func(candidate Candidate) {
+			candidate.At, candidate.Attempt = c.At, attempt
+			r.result.Candidates = append(r.result.Candidates, candidate)
 		}
 	}
 }
 
-func (r *replayer) compare(c Call, f *Flight, now Verdict) {
+func (r *replayer) compare(c Call, req *ActiveRequest, replayed RecordedDecision) {
 	r.result.Decisions++
-	if now.Server != "" {
-		for i := range r.result.Weighed {
-			if w := &r.result.Weighed[i]; w.At.Equal(c.At) && w.Server == now.Server {
-				w.Chosen = true
+	if replayed.Server != "" {
+		for i := range r.result.Candidates {
+			if candidate := &r.result.Candidates[i]; candidate.At.Equal(c.At) && candidate.Server == replayed.Server {
+				candidate.Chosen = true
 			}
 		}
 	}
-	if now == *c.Decision {
+	if replayed == *c.Decision {
 		return
 	}
-	r.result.Differing++
-	if len(r.result.Differences) < differencesMost {
+	r.result.DifferenceCount++
+	if len(r.result.Differences) < maxDifferences {
 		r.result.Differences = append(r.result.Differences, Difference{
-			Call: r.result.Calls, At: c.At, Request: f.ID, Recorded: *c.Decision, Now: now,
+			Call: r.result.Calls, At: c.At, Request: req.ID, Recorded: *c.Decision, Now: replayed,
 		})
 	}
-	r.follow(f, c.Decision.Server)
+	r.moveToRecorded(req, c.Decision.Server)
 }
 
-// follow puts a request at the server where it was recorded, so that what is
-// recorded of its attempt applies to the server that it was sent to.
-func (r *replayer) follow(f *Flight, id string) {
-	if f.server != nil && f.server.id != id && f.server.inFlight > 0 {
-		f.server.inFlight--
+// moveToRecorded moves a request to the server that was recorded for it, so that the recorded
+// result of its attempt is applied to the server that it was sent to.
+func (r *replayer) moveToRecorded(req *ActiveRequest, id string) {
+	if req.server != nil && req.server.id != id && req.server.inFlight > 0 {
+		req.server.inFlight--
 	}
 	s := r.kernel.servers[id]
 	if s == nil {
-		s = &server{id: id, speed: 1, domain: &distance{}}
+		s = &server{id: id, slowdown: 1, rtt: &rttEstimate{}}
 	}
-	if s != f.server {
+	if s != req.server {
 		s.inFlight++
 	}
-	f.server = s
+	req.server = s
 }
--- a/internal/kernel/steering/server.go
+++ b/internal/kernel/steering/server.go
@@ -10,110 +10,115 @@
 )
 
 const (
-	// outAfter failures in a row take a server out. One may be chance.
-	outAfter = 3
-	outBase  = 400 * time.Millisecond
-	outMost  = 5 * time.Second
-	// refusalsMost refusals in a row, with no answer between, take a server out.
-	// One that refuses 0.45 of its requests by chance comes to that in one of 600
-	// rows; it knows its objects and is worth asking again.
-	refusalsMost = 8
-	// fullPause is how long a server that was full is passed over.
-	fullPause = 60 * time.Millisecond
-	// reportHorizon is the age at which a load report says nothing any more.
-	reportHorizon = 500 * time.Millisecond
-	// speedWeight is the weight of one sample in a server's speed.
-	speedWeight = 0.2
-	// speedMost bounds the speed factor, so that a slow server is tried again.
-	speedMost = 20.0
-	// failWeight is the weight of one outcome in a server's share of failures.
-	failWeight = 0.15
-	// nearby is the assumed round trip to a failure domain of the own region
-	// before one was measured, faraway that to another region.
-	nearby  = 2 * time.Millisecond
-	faraway = 60 * time.Millisecond
+	// ejectAfterFailures is the number of consecutive failures after which a server is ejected. A
+	// single one may be chance.
+	ejectAfterFailures = 3
+	ejectionBase       = 400 * time.Millisecond
+	maxEjection        = 5 * time.Second
+	// ejectAfterRefusals is the number of consecutive refusals after which a server is ejected. A
+	// server that refuses 0.45 of its requests at random reaches it in 1 of 600 series; it is warm
+	// for its objects and worth trying again.
+	ejectAfterRefusals = 8
+	// fullServerPause is how long a server is skipped after it refused a request because it was
+	// full.
+	fullServerPause = 60 * time.Millisecond
+	// loadReportTTL is the age from which a load report is ignored.
+	loadReportTTL = 500 * time.Millisecond
+	// slowdownWeight is the weight of one sample in a server's slowdown.
+	slowdownWeight = 0.2
+	// maxSlowdown caps the slowdown of a server, so that a slow server is tried again.
+	maxSlowdown = 20.0
+	// failureWeight is the weight of one attempt in a server's share of failures.
+	failureWeight = 0.15
+	// defaultRegionRTT is the assumed round-trip time to a failure domain of this region before one
+	// was measured, defaultRemoteRTT that to another region.
+	defaultRegionRTT = 2 * time.Millisecond
+	defaultRemoteRTT = 60 * time.Millisecond
 )
 
 type (
-	// server is what this proxy knows of one backend server.
+	// server is what this proxy knows about one backend server.
 	server struct {
 		routing.Server
 		id string
-		// start names this start of the server in the quarantine.
-		start quarantine.InstanceID
-		// asks is what this start of the server asks of its senders, nil for nothing.
-		asks   *backpressure.ServerState
-		region string
-		// regionBit stands for the region in sets of them.
+		// startID identifies this start of the server for the quarantine.
+		startID quarantine.InstanceID
+		// backpressure is what this start of the server announced to its clients, or nil if it
+		// announced nothing.
+		backpressure *backpressure.ServerState
+		region       string
+		// regionBit is the bit of the server's region in a regionSet.
 		regionBit regionSet
-		gone      bool
-		domain    *distance
-		// unreadable is set while its entry names no server.
+		removed   bool
+		rtt       *rttEstimate
+		// unreadable is set while the server's registration cannot be parsed.
 		unreadable bool
-		// absentUntil is set while the server's registration is missing.
+		// absentUntil is set while the server's registration is missing. The server is removed at
+		// this time.
 		absentUntil time.Time
 
-		// answeredAt is when it last answered.
+		// answeredAt is the time of the last response.
 		answeredAt time.Time
 		inFlight   int
-		// turns counts the requests sent so far.
-		turns int
-		// reported is the server's last word on all it runs and queues, and
-		// ownThen this proxy's part of it.
-		reported   int
-		ownThen    int
-		reportedAt time.Time
-		// limit is how many it should run at once, as its gate said; zero for all its
-		// slots. ownerLost is until when nobody asks its gate.
-		limit     int
-		ownerLost time.Time
-		// pressure is how long its queue was of late, as heard at feltAt.
-		pressure admission.QueuePressure
-		feltAt   time.Time
-		// alone is its work without a queue, by route, if it does not tell its
-		// load.
-		alone map[string]*workModel
-
-		// speed is observed over expected time of answers. What is expected takes
-		// it into account, so it settles at the square root of how many times as
-		// long the server takes. That is meant: a home that is slow keeps its
-		// objects unless it is very slow, for each would run cold elsewhere.
-		speed    float64
-		failed   float64
-		failures int
-		// refusals in a row, with no answer between.
-		refusals int
-		outs     int
-		outUntil time.Time
+		// sentCount counts the requests sent so far.
+		sentCount int
+		// reportedLoad is the number of running and waiting requests that the server last reported,
+		// and inFlightAtReport is this proxy's share of them.
+		reportedLoad     int
+		inFlightAtReport int
+		reportedAt       time.Time
+		// concurrencyLimit is the number of requests that the server should run at once according
+		// to its limiter. Zero means all its slots. The owner of the limiter is not asked before
+		// skipOwnerUntil.
+		concurrencyLimit int
+		skipOwnerUntil   time.Time
+		// queuePressure is the recent queue pressure of the server, last updated at pressureAt.
+		queuePressure admission.QueuePressure
+		pressureAt    time.Time
+		// unqueuedWork estimates the duration of requests without queueing by route, for a server
+		// that does not report its load.
+		unqueuedWork map[string]*workEstimate
+
+		// slowdown is the ratio of observed to expected response times. The expected time already
+		// includes it, so it settles at the square root of the actual factor. This is intended: a
+		// slow home keeps its objects unless it is very slow, because they would run cold on any
+		// other server.
+		slowdown      float64
+		failureShare  float64
+		failuresInRow int
+		// refusalsInRow counts consecutive refusals without a response in between.
+		refusalsInRow int
+		ejections     int
+		ejectedUntil  time.Time
 
 		coldUntil time.Time
-		cold      admission.ColdStartLimiter
-		// objects handled lately, with the time of the last answer.
-		objects map[string]time.Time
+		coldRate  admission.ColdStartLimiter
+		// warmObjects are the objects handled recently, with the time of the last response.
+		warmObjects map[string]time.Time
 	}
 
-	// distance is the measured round trip to a failure domain.
-	distance struct {
+	// rttEstimate is the measured round-trip time to a failure domain.
+	rttEstimate struct {
 		roundTrip time.Duration
 		measured  bool
 	}
 )
 
-func (k *Kernel) distanceTo(domain string) *distance {
-	d := k.distance[domain]
+func (k *Kernel) rttTo(domain string) *rttEstimate {
+	d := k.roundTrips[domain]
 	if d == nil {
-		d = &distance{roundTrip: faraway}
+		d = &rttEstimate{roundTrip: defaultRemoteRTT}
 		if k.config.RegionOf[domain] == k.config.Region {
-			d.roundTrip = nearby
+			d.roundTrip = defaultRegionRTT
 		}
-		k.distance[domain] = d
+		k.roundTrips[domain] = d
 	}
 	return d
 }
 
-// heard takes in a measured round trip. The smallest counts: what lies above
-// it is queueing, and a figure that rose with the load would move homes.
-func (d *distance) heard(roundTrip time.Duration) {
+// observe records a measured round-trip time. Only the minimum counts: anything above it is
+// queueing, and a value that rose with the load would move objects to other homes.
+func (d *rttEstimate) observe(roundTrip time.Duration) {
 	if roundTrip <= 0 || d.measured && roundTrip >= d.roundTrip {
 		return
 	}
@@ -122,49 +127,50 @@
 
 func (s *server) isCold(now time.Time) bool { return now.Before(s.coldUntil) }
 
-// takesRequests reports whether the server is registered and does not leave, by its
-// registration or by its own word.
-func (s *server) takesRequests() bool {
-	return !s.gone && !s.Draining && !s.unreadable && !s.asks.Draining()
+// isEligible reports whether the server is registered and not draining, according to both its
+// registration and its own signals.
+func (s *server) isEligible() bool {
+	return !s.removed && !s.Draining && !s.unreadable && !s.backpressure.Draining()
 }
 
-// startedAfter reports whether a registration is of an earlier start.
-func (s *server) startedAfter(r routing.Server) bool {
+// isNewerThan reports whether a registration belongs to an earlier start of the server.
+func (s *server) isNewerThan(r routing.Server) bool {
 	return !r.Started.IsZero() && r.Started.Before(s.Started)
 }
 
-// usable reports whether a request may go there now.
+// usable reports whether the server may get a request now.
 func (s *server) usable(now time.Time) bool {
-	if now.Before(s.outUntil) || !s.takesRequests() {
+	if now.Before(s.ejectedUntil) || !s.isEligible() {
 		return false
 	}
-	// A server that was out gets one request at a time until one succeeds.
-	return s.outs == 0 || s.inFlight == 0
+	// A server that was ejected gets one request at a time until one succeeds.
+	return s.ejections == 0 || s.inFlight == 0
 }
 
-// sound reports whether the server is neither out after failures nor pausing.
-func (s *server) sound(now time.Time) bool { return s.outs == 0 && !s.asks.Paused(now) }
+// isHealthy reports whether the server is neither ejected nor paused.
+func (s *server) isHealthy(now time.Time) bool {
+	return s.ejections == 0 && !s.backpressure.Paused(now)
+}
 
-// places is how many requests it should run at once.
-func (s *server) places() int {
-	if s.limit > 0 && s.limit < s.Slots {
-		return s.limit
+// usableSlots is the number of requests that the server should run at once.
+func (s *server) usableSlots() int {
+	if s.concurrencyLimit > 0 && s.concurrencyLimit < s.Slots {
+		return s.concurrencyLimit
 	}
 	return s.Slots
 }
 
-// load estimates how many requests the server runs and queues, over all
-// proxies.
+// load estimates the number of running and waiting requests of all proxies at the server.
 func (s *server) load(now time.Time) float64 {
 	age := now.Sub(s.reportedAt)
-	if age >= reportHorizon {
+	if age >= loadReportTTL {
 		return float64(s.inFlight)
 	}
-	others := max(0, float64(s.reported-s.ownThen))
-	return float64(s.inFlight) + others*(1-float64(age)/float64(reportHorizon))
+	others := max(0, float64(s.reportedLoad-s.inFlightAtReport))
+	return float64(s.inFlight) + others*(1-float64(age)/float64(loadReportTTL))
 }
 
-// loadAge is how old the server's last word on its load is, negative for none.
+// loadAge returns the age of the server's last load report, or a negative value if there is none.
 func (s *server) loadAge(now time.Time) time.Duration {
 	if s.reportedAt.IsZero() {
 		return -1
@@ -172,63 +178,63 @@
 	return now.Sub(s.reportedAt)
 }
 
-// report takes in the server's own word on its load.
-func (s *server) report(now time.Time, running, waiting int) {
-	s.reported = running + waiting
-	s.ownThen = s.inFlight
+// recordLoad records a load report of the server.
+func (s *server) recordLoad(now time.Time, running, waiting int) {
+	s.reportedLoad = running + waiting
+	s.inFlightAtReport = s.inFlight
 	s.reportedAt = now
 }
 
-// aloneOn is the server's work without a queue on the requests of a route.
-func (s *server) aloneOn(route string) *workModel {
-	w := s.alone[route]
+// unqueuedWorkOf returns the estimate of the server's work without queueing for a route.
+func (s *server) unqueuedWorkOf(route string) *workEstimate {
+	w := s.unqueuedWork[route]
 	if w == nil {
-		if s.alone == nil {
-			s.alone = make(map[string]*workModel)
+		if s.unqueuedWork == nil {
+			s.unqueuedWork = make(map[string]*workEstimate)
 		}
-		w = &workModel{}
-		s.alone[route] = w
+		w = &workEstimate{}
+		s.unqueuedWork[route] = w
 	}
 	return w
 }
 
-// succeeded notes an answer that took a time against the one expected.
-func (s *server) succeeded(took, expected time.Duration) {
-	s.failures, s.refusals, s.outs = 0, 0, 0
-	s.failed -= failWeight * s.failed
+// recordSuccess records a response and compares its duration with the expected one.
+func (s *server) recordSuccess(elapsed, expected time.Duration) {
+	s.failuresInRow, s.refusalsInRow, s.ejections = 0, 0, 0
+	s.failureShare -= failureWeight * s.failureShare
 	if expected <= 0 {
 		return
 	}
-	ratio := min(speedMost, float64(took)/float64(expected))
-	s.speed += speedWeight * (ratio - s.speed)
+	ratio := min(maxSlowdown, float64(elapsed)/float64(expected))
+	s.slowdown += slowdownWeight * (ratio - s.slowdown)
 }
 
-// hasRefused notes a refusal. One while slots were free says nothing of the
-// next request; any other has the server passed over for a moment. After many in
-// a row the server is out: it would look idle for good and draw the requests of
-// its objects, each of which would be refused or cost a repeat. Those of a server
-// that tells that all its slots are busy don't count: it is at work.
-func (s *server) hasRefused(now time.Time, a Attempt) {
-	free := a.refusedThoughFree(s.Slots)
+// recordRefusal records a refusal. A refusal while slots were free says nothing about the next
+// request; after any other, the server is skipped for a moment. After several consecutive refusals
+// the server is ejected: it would look idle indefinitely and attract the requests of its objects,
+// each of which would be refused or cost a retry. Refusals of a server that reports all its slots
+// in use are not counted, because it is working.
+func (s *server) recordRefusal(now time.Time, a Attempt) {
+	free := a.refusedWithFreeSlots(s.Slots)
 	if busy := a.Loaded && a.Running >= s.Slots; !busy {
-		s.refusals++
+		s.refusalsInRow++
 	}
 	switch {
-	case s.refusals >= refusalsMost:
-		s.hasFailed(now, true)
+	case s.refusalsInRow >= ejectAfterRefusals:
+		s.recordFailure(now, true)
 	case !free:
-		s.outUntil = later(s.outUntil, now.Add(fullPause))
+		s.ejectedUntil = laterOf(s.ejectedUntil, now.Add(fullServerPause))
 	}
 }
 
-// hasFailed notes a failed attempt and takes the server out after several in
-// a row, or at once if nothing listens there.
-func (s *server) hasFailed(now time.Time, hard bool) {
-	s.failed += failWeight * (1 - s.failed)
-	s.failures++
-	if s.failures < outAfter && !hard {
+// recordFailure records a failed attempt. It ejects the server after several consecutive failures,
+// or immediately if the failure is hard.
+func (s *server) recordFailure(now time.Time, ejectNow bool) {
+	s.failureShare += failureWeight * (1 - s.failureShare)
+	s.failuresInRow++
+	if s.failuresInRow < ejectAfterFailures && !ejectNow {
 		return
 	}
-	s.outUntil = now.Add(min(outBase<<min(s.outs, 6), outMost))
-	s.outs++
+	s.ejectedUntil = now.Add(min(ejectionBase<<min(s.ejections, 6), maxEjection))
+	s.ejections++
 }
--- a/internal/kernel/steering/servers.go
+++ b/internal/kernel/steering/servers.go
@@ -7,64 +7,64 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// SetServer takes in a server's registration. A server that has started again under
-// its id is another one: what was believed of the earlier start is forgotten, or
-// its objects would be sent there as warm ones, its slowness and its drain held
-// against the new start, and its cold time not kept. News of an earlier start than
-// the one known come late, and change nothing.
-func (k *Kernel) SetServer(now time.Time, r routing.Server) {
-	k.record(Call{Do: callServer, At: now, Server: &r})
+// RegisterServer records the registration of a server. A server that has restarted under the same
+// ID is treated as a new one and the state of the earlier start is discarded. Otherwise its objects
+// would be sent there as if it were warm, the earlier slowness and draining would count against it,
+// and its cold start would be ignored. Registrations of an earlier start than the known one are
+// late and ignored.
+func (k *Kernel) RegisterServer(now time.Time, r routing.Server) {
+	k.record(Call{Method: callServer, At: now, Server: &r})
 	s := k.servers[r.ID]
-	if s != nil && s.startedAfter(r) {
+	if s != nil && s.isNewerThan(r) {
 		return
 	}
 	if s != nil && !s.Started.IsZero() && r.Started.After(s.Started) {
 		k.config.Observe(Event{Kind: EventServerRestarted, Server: r.ID, Service: r.Service, Address: s.Address})
-		k.quarantine.RecordServerRestart(now, s.start)
+		k.quarantine.RecordServerRestart(now, s.startID)
 		k.forgetServer(s)
 		s = nil
 	}
 	if s == nil {
 		start := quarantine.NewInstanceID(r.ID, r.Started)
-		s = &server{id: r.ID, start: start, asks: k.signals.State(start), speed: 1}
+		s = &server{id: r.ID, startID: start, backpressure: k.backpressure.State(start), slowdown: 1}
 		k.servers[r.ID] = s
 	}
-	moved := s.Service != r.Service || s.Slots != r.Slots || s.Draining != r.Draining || s.Domain != r.Domain || s.unreadable
-	if moved {
-		k.service(s.Service).drop(s)
-		k.service(r.Service).add(s)
+	changed := s.Service != r.Service || s.Slots != r.Slots || s.Draining != r.Draining || s.Domain != r.Domain || s.unreadable
+	if changed {
+		k.service(s.Service).removeServer(s)
+		k.service(r.Service).addServer(s)
 	}
 	s.Server = r
 	s.unreadable = false
 	s.absentUntil = time.Time{}
 	s.region = k.config.RegionOf[r.Domain]
 	s.regionBit = k.regionBit(s.region)
-	s.domain = k.distanceTo(r.Domain)
+	s.rtt = k.rttTo(r.Domain)
 	if r.ColdFor > 0 {
-		s.coldUntil = later(s.coldUntil, now.Add(r.ColdFor))
+		s.coldUntil = laterOf(s.coldUntil, now.Add(r.ColdFor))
 	}
-	if moved {
-		k.config.Observe(Event{Kind: EventServer, Server: r.ID, Service: r.Service, Draining: r.Draining})
+	if changed {
+		k.config.Observe(Event{Kind: EventServerChanged, Server: r.ID, Service: r.Service, Draining: r.Draining})
 	}
 }
 
-// ServerUnreadable notes that what stands where a server registers names no server.
-// It gets nothing until it registers again; what is known of it stays, for the text
-// may be another program's and the server as it was.
-func (k *Kernel) ServerUnreadable(id string) {
-	k.record(Call{Do: callUnreadable, ID: id})
+// MarkServerUnreadable records that the registration of a server cannot be parsed. The server gets
+// no requests until it registers again. Its state is kept, because the entry may have been written
+// by another program while the server is unchanged.
+func (k *Kernel) MarkServerUnreadable(id string) {
+	k.record(Call{Method: callUnreadable, ID: id})
 	s := k.servers[id]
 	if s == nil || s.unreadable {
 		return
 	}
 	s.unreadable = true
 	k.service(s.Service).stale = true
-	k.config.Observe(Event{Kind: EventServer, Server: id, Service: s.Service, Draining: true})
+	k.config.Observe(Event{Kind: EventServerChanged, Server: id, Service: s.Service, Draining: true})
 }
 
-// RemoveServer forgets a server that has left.
+// RemoveServer removes a server that has left.
 func (k *Kernel) RemoveServer(now time.Time, id string) {
-	k.record(Call{Do: callRemove, At: now, ID: id})
+	k.record(Call{Method: callRemove, At: now, ID: id})
 	k.remove(now, id)
 }
 
@@ -73,48 +73,47 @@
 	if s == nil {
 		return
 	}
-	k.quarantine.RecordServerGone(now, s.start)
+	k.quarantine.RecordServerGone(now, s.startID)
 	k.forgetServer(s)
 	k.config.Observe(Event{Kind: EventServerGone, Server: id, Service: s.Service})
 }
 
-// forgetServer drops a server and all that is known of it. Requests that it has
-// still end there.
+// forgetServer removes a server and its state. Requests in flight there still end normally.
 func (k *Kernel) forgetServer(s *server) {
-	s.gone = true
+	s.removed = true
 	delete(k.servers, s.id)
-	k.service(s.Service).drop(s)
+	k.service(s.Service).removeServer(s)
 }
 
-// ServerAbsent notes that a server's registration is missing. If it has not
-// come back by a moment, the server is gone.
-func (k *Kernel) ServerAbsent(id string, until time.Time) {
-	k.record(Call{Do: callAbsent, ID: id, Until: until})
+// MarkServerAbsent records that the registration of a server is missing. The server is removed if
+// it does not register again before the given time.
+func (k *Kernel) MarkServerAbsent(id string, deadline time.Time) {
+	k.record(Call{Method: callAbsent, ID: id, Until: deadline})
 	if s := k.servers[id]; s != nil && s.absentUntil.IsZero() {
-		s.absentUntil = until
+		s.absentUntil = deadline
 	}
 }
 
-// Tick drops servers whose registration has not come back, and what else has
-// run out, and follows which regions have no proxies.
+// Tick removes servers whose registration did not return, expires other state, and updates which
+// regions have no proxies.
 func (k *Kernel) Tick(now time.Time) {
-	k.record(Call{Do: callTick, At: now})
-	k.forget(now)
-	k.strand(now)
-	k.expireGates(now)
-	k.limits.tick(now)
-	k.moveBound(now)
+	k.record(Call{Method: callTick, At: now})
+	k.expireSharers(now)
+	k.updateRegionStates(now)
+	k.expireLimiters(now)
+	k.quotas.tick(now)
+	k.movePinnedShares(now)
 	for id, s := range k.servers {
 		if !s.absentUntil.IsZero() && now.After(s.absentUntil) {
 			k.remove(now, id)
 		}
 	}
 	k.quarantine.Tick(now)
-	k.signals.Tick(now)
+	k.backpressure.Tick(now)
 }
 
-// Servers lists the ids of all registered servers.
-func (k *Kernel) Servers() []string {
+// ServerIDs lists the IDs of all registered servers.
+func (k *Kernel) ServerIDs() []string {
 	ids := make([]string, 0, len(k.servers))
 	for id := range k.servers {
 		ids = append(ids, id)
@@ -122,16 +121,16 @@
 	return ids
 }
 
-// Unmeasured names one server in each failure domain to which no round trip
-// was measured yet.
-func (k *Kernel) Unmeasured() []routing.Server {
+// UnmeasuredServers returns one server of each failure domain to which no round-trip time has been
+// measured yet.
+func (k *Kernel) UnmeasuredServers() []routing.Server {
 	var list []routing.Server
-	for domain, d := range k.distance {
+	for domain, d := range k.roundTrips {
 		if d.measured {
 			continue
 		}
 		for _, s := range k.servers {
-			if s.Domain == domain && s.takesRequests() && k.names(s.Service) {
+			if s.Domain == domain && s.isEligible() && k.isRouted(s.Service) {
 				list = append(list, s.Server)
 				break
 			}
@@ -140,46 +139,46 @@
 	return list
 }
 
-// names reports whether a route of the configuration in force leads to a service.
-func (k *Kernel) names(service string) bool {
-	_, named := k.leastUrgent[service]
+// isRouted reports whether a route of the active configuration leads to a service.
+func (k *Kernel) isRouted(service string) bool {
+	_, named := k.lowestPriority[service]
 	return named
 }
 
-// Measured takes in a round trip to a failure domain.
-func (k *Kernel) Measured(domain string, roundTrip time.Duration) {
-	k.record(Call{Do: callMeasured, Domain: domain, Took: roundTrip})
-	k.distanceTo(domain).heard(roundTrip)
+// RecordRoundTrip records a measured round-trip time to a failure domain.
+func (k *Kernel) RecordRoundTrip(domain string, roundTrip time.Duration) {
+	k.record(Call{Method: callRoundTrip, Domain: domain, RoundTrip: roundTrip})
+	k.rttTo(domain).observe(roundTrip)
 }
 
-// SetEvacuated marks a failure domain whose servers must get nothing, or takes
-// the mark back. Servers that come back got nothing for a while and are taken
-// for cold, whatever their last registration says.
-func (k *Kernel) SetEvacuated(now time.Time, domain string, evacuated bool) {
-	if k.evacuated[domain] == evacuated {
+// SetDomainEvacuated sets whether a failure domain is evacuated. Servers of an evacuated domain get
+// no requests. Servers that return from an evacuation were idle for a while and are treated as
+// cold, whatever their last registration says.
+func (k *Kernel) SetDomainEvacuated(now time.Time, domain string, evacuated bool) {
+	if k.evacuatedDomains[domain] == evacuated {
 		return
 	}
-	k.record(Call{Do: callEvacuated, At: now, Domain: domain, On: evacuated})
+	k.record(Call{Method: callEvacuated, At: now, Domain: domain, Flag: evacuated})
 	if evacuated {
-		k.evacuated[domain] = true
+		k.evacuatedDomains[domain] = true
 	} else {
-		delete(k.evacuated, domain)
+		delete(k.evacuatedDomains, domain)
 		for _, s := range k.servers {
 			if s.Domain == domain {
-				s.coldUntil = later(s.coldUntil, now.Add(k.coldStart(s.Service)))
+				s.coldUntil = laterOf(s.coldUntil, now.Add(k.coldStart(s.Service)))
 			}
 		}
 	}
-	for _, g := range k.services {
-		g.stale = true
+	for _, svc := range k.services {
+		svc.stale = true
 	}
-	k.config.Observe(Event{Kind: EventEvacuated, Domain: domain, Draining: evacuated})
+	k.config.Observe(Event{Kind: EventDomainEvacuated, Domain: domain, Draining: evacuated})
 }
 
-// Evacuated lists the evacuated failure domains.
-func (k *Kernel) Evacuated() []string {
-	list := make([]string, 0, len(k.evacuated))
-	for domain := range k.evacuated {
+// EvacuatedDomains lists the evacuated failure domains.
+func (k *Kernel) EvacuatedDomains() []string {
+	list := make([]string, 0, len(k.evacuatedDomains))
+	for domain := range k.evacuatedDomains {
 		list = append(list, domain)
 	}
 	return list
@@ -192,7 +191,7 @@
 	return k.table.Services[service].ColdStart
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/kernel/steering/service.go
+++ b/internal/kernel/steering/service.go
@@ -12,87 +12,87 @@
 type (
 	service struct {
 		name string
-		// members are all registered servers, by id; servers those of them
-		// that may take requests, in order, unless stale is set.
-		members map[string]*server
-		servers []*server
-		stale   bool
-		// slots are those of all servers.
-		slots   int
-		repeats admission.RetryBudget
-		holding holding
-		// work is how long the requests of each route take, by its name.
-		work  map[string]*workModel
-		homes map[reach]*placing.Placement
-		// knowers are the servers that have handled each object lately.
-		knowers map[string][]*server
-		// ranking keeps what dealing objects out to the servers is made from.
+		// registered are all registered servers, by ID. eligible are those that may take requests,
+		// sorted by ID; the list is out of date while stale is set.
+		registered map[string]*server
+		eligible   []*server
+		stale      bool
+		// totalSlots is the number of slots of all eligible servers.
+		totalSlots  int
+		retries     admission.RetryBudget
+		concurrency concurrencyState
+		// workByRoute estimates how long the requests of each route take, by route name.
+		workByRoute map[string]*workEstimate
+		placements  map[placementScope]*placing.Placement
+		// warmServers are the servers that have recently handled each object.
+		warmServers map[string][]*server
+		// ranking holds the server rankings from which objects are assigned to servers.
 		ranking *placing.Ranking
-		// demand is how often objects are asked for.
+		// demand measures how often objects are requested.
 		demand placing.Demand
-		// regions are the parts of the regions in requests without objects.
-		regions map[reach]*regionShares
-		// pressure is how long the queues are, by the servers' region.
-		pressure map[string]*admission.QueuePressure
+		// regionDraws are the shares of the regions in requests without an object.
+		regionDraws map[placementScope]*regionDistribution
+		// queuePressure is the pressure of the server queues, by region of the servers.
+		queuePressure map[string]*admission.QueuePressure
 	}
 )
 
-// group is a service with the servers that may take its requests. They are
-// listed anew when next asked for and not at each change: a proxy that starts
-// hears of thousands of servers at once. Other services keep their lists and
-// homes: to deal out the objects of 1,000 servers takes tens of milliseconds.
-func (k *Kernel) group(name string) *service {
-	g := k.service(name)
-	if g.stale {
-		g.list(k.evacuated)
+// eligibleService returns a service with an up-to-date list of eligible servers. The list is
+// rebuilt on demand and not at each change, because a proxy that starts learns of thousands of
+// servers at once. Other services keep their lists and placements, since assigning the objects of
+// 1,000 servers takes tens of milliseconds.
+func (k *Kernel) eligibleService(name string) *service {
+	svc := k.service(name)
+	if svc.stale {
+		svc.refreshEligible(k.evacuatedDomains)
 	}
-	return g
+	return svc
 }
 
-func (g *service) add(s *server) {
-	g.members[s.id] = s
-	g.stale = true
+func (svc *service) addServer(s *server) {
+	svc.registered[s.id] = s
+	svc.stale = true
 }
 
-func (g *service) drop(s *server) {
-	if g.members[s.id] != nil {
-		delete(g.members, s.id)
-		g.stale = true
+func (svc *service) removeServer(s *server) {
+	if svc.registered[s.id] != nil {
+		delete(svc.registered, s.id)
+		svc.stale = true
 	}
 }
 
-// list lists the servers that may take requests anew after changes.
-func (g *service) list(evacuated map[string]bool) {
-	g.stale = false
-	g.servers = g.servers[:0]
-	g.forgetHomes()
-	for _, s := range g.members {
-		if s.takesRequests() && !evacuated[s.Domain] {
-			g.servers = append(g.servers, s)
+// refreshEligible rebuilds the list of eligible servers.
+func (svc *service) refreshEligible(evacuated map[string]bool) {
+	svc.stale = false
+	svc.eligible = svc.eligible[:0]
+	svc.invalidatePlacements()
+	for _, s := range svc.registered {
+		if s.isEligible() && !evacuated[s.Domain] {
+			svc.eligible = append(svc.eligible, s)
 		}
 	}
-	slices.SortFunc(g.servers, func(a, b *server) int { return strings.Compare(a.id, b.id) })
-	ranked := make([]placing.Server, 0, len(g.servers))
-	g.slots = 0
-	for _, s := range g.servers {
-		g.slots += s.Slots
+	slices.SortFunc(svc.eligible, func(a, b *server) int { return strings.Compare(a.id, b.id) })
+	ranked := make([]placing.Server, 0, len(svc.eligible))
+	svc.totalSlots = 0
+	for _, s := range svc.eligible {
+		svc.totalSlots += s.Slots
 		ranked = append(ranked, placing.Server{ID: s.id, Class: s.class()})
 	}
-	g.ranking.Update(ranked)
+	svc.ranking.Update(ranked)
 }
 
-// class names the servers of a service that take the same share of its objects.
+// class groups the servers of a service that get the same share of its objects.
 func (s *server) class() string { return s.region + "/" + strconv.Itoa(s.Slots) }
 
 func (k *Kernel) service(name string) *service {
 	s := k.services[name]
 	if s == nil {
 		s = &service{
-			name: name, homes: make(map[reach]*placing.Placement), regions: make(map[reach]*regionShares), members: make(map[string]*server),
-			work:     make(map[string]*workModel),
-			ranking:  placing.NewRanking(),
-			pressure: make(map[string]*admission.QueuePressure),
-			repeats: admission.RetryBudget{
+			name: name, placements: make(map[placementScope]*placing.Placement), regionDraws: make(map[placementScope]*regionDistribution), registered: make(map[string]*server),
+			workByRoute:   make(map[string]*workEstimate),
+			ranking:       placing.NewRanking(),
+			queuePressure: make(map[string]*admission.QueuePressure),
+			retries: admission.RetryBudget{
 				Ratio: k.config.Retry.Ratio, Slack: k.config.Retry.Slack, Window: k.config.Retry.Window,
 			},
 		}
@@ -101,8 +101,9 @@
 	return s
 }
 
-// forgetHomes has the work of the service dealt out anew when next asked for.
-func (g *service) forgetHomes() {
-	clear(g.homes)
-	clear(g.regions)
+// invalidatePlacements discards the assignment of requests to servers. It is computed again on
+// demand.
+func (svc *service) invalidatePlacements() {
+	clear(svc.placements)
+	clear(svc.regionDraws)
 }
--- a/internal/kernel/steering/shed.go
+++ b/internal/kernel/steering/shed.go
@@ -8,99 +8,99 @@
 )
 
 const (
-	// soonMost is the share refused up to which a refused caller is told to come
-	// back within the target: more than half of those that do are taken then, and
-	// answered in time. At more it had better wait for the overload to end.
-	soonMost = 0.5
+	// maxShareForSoonRetry is the largest share of refused requests at which a refused caller is
+	// told to retry within the target. Up to it, more than half of the retries are accepted and
+	// answered in time. Above it, callers should wait for the overload to end.
+	maxShareForSoonRetry = 0.5
 )
 
-// room is how many requests may wait at a server for the last of them to be
-// answered within the route's target, if the work is warm.
-func (k *Kernel) room(f *Flight, g *service, s *server) float64 {
-	work := g.workOn(f.Route).typical(f.Route)
+// queueRoom returns how many requests may wait at a server so that the last of them is still
+// answered within the route's target, assuming that the server is warm for them.
+func (k *Kernel) queueRoom(req *ActiveRequest, svc *service, s *server) float64 {
+	work := svc.workOf(req.Route).typical(req.Route)
 	if work <= 0 {
 		return 0
 	}
-	left := f.Route.Target - s.domain.roundTrip - work
-	return float64(s.places()) * max(1, float64(left)/float64(work))
+	available := req.Route.Target - s.rtt.roundTrip - work
+	return float64(s.usableSlots()) * max(1, float64(available)/float64(work))
 }
 
-// feel takes in how many requests wait at a server: for the server itself, and for
-// all of its service in the region.
-func (k *Kernel) feel(now time.Time, f *Flight, s *server, waiting float64) {
-	g := k.service(s.Service)
-	p := g.pressure[s.region]
+// recordQueue records the number of requests that wait at a server, for the server itself and for
+// all servers of its service in the region.
+func (k *Kernel) recordQueue(now time.Time, req *ActiveRequest, s *server, waiting float64) {
+	svc := k.service(s.Service)
+	p := svc.queuePressure[s.region]
 	if p == nil {
 		p = &admission.QueuePressure{}
-		g.pressure[s.region] = p
+		svc.queuePressure[s.region] = p
 	}
-	room := k.room(f, g, s)
+	room := k.queueRoom(req, svc, s)
 	p.Observe(now, waiting, room)
-	s.pressure.Observe(now, waiting, room)
-	s.feltAt = now
+	s.queuePressure.Observe(now, waiting, room)
+	s.pressureAt = now
 }
 
-// guess infers the queue of a server that does not tell its load from how much
-// longer an answer took than the least of late for the route, which is the work
-// alone. Work varies too, so an answer within the target is no sign of overload,
-// and neither is a late one if the work alone takes longer than the target.
-// Answers on a first run are left out: how long these take varies more.
-func (k *Kernel) guess(now time.Time, f *Flight, s *server, work time.Duration) {
-	if !f.warm && f.Object != "" || work <= 0 || !k.on(MechanismInfer) {
+// inferQueue infers the queue of a server that does not report its load. It compares the duration
+// of a response with the recent minimum for the route, which is the duration of the work alone.
+// Durations vary without a queue, too, so a response within the target is no evidence of overload.
+// Neither is a late one if the work alone takes longer than the target. Cold runs are ignored,
+// because their durations vary more.
+func (k *Kernel) inferQueue(now time.Time, req *ActiveRequest, s *server, work time.Duration) {
+	if !req.warm && req.Object != "" || work <= 0 || !k.isEnabled(MechanismQueueInference) {
 		return
 	}
-	alone := s.aloneOn(f.Route.Name)
-	alone.heard(true, work, f.Route.Target)
-	waiting := max(0, float64(work-alone.warm)/float64(alone.warm)*float64(s.Slots))
-	if waiting >= 1 && f.Object != "" {
-		// Without an object, the choice reckons with others' requests by itself,
-		// and does better without a guess.
-		s.report(now, s.Slots, int(waiting))
+	unqueued := s.unqueuedWorkOf(req.Route.Name)
+	unqueued.observe(true, work, req.Route.Target)
+	waiting := max(0, float64(work-unqueued.warm)/float64(unqueued.warm)*float64(s.Slots))
+	if waiting >= 1 && req.Object != "" {
+		// Without an object, the choice itself accounts for requests of other proxies and does
+		// better without an inferred load.
+		s.recordLoad(now, s.Slots, int(waiting))
 	}
-	left := f.Route.Target - s.domain.roundTrip
+	available := req.Route.Target - s.rtt.roundTrip
 	switch {
-	case alone.warm > left:
+	case unqueued.warm > available:
 		return
-	case work <= left:
-		waiting = min(waiting, admission.ShedThreshold*k.room(f, k.service(s.Service), s))
+	case work <= available:
+		waiting = min(waiting, admission.ShedThreshold*k.queueRoom(req, k.service(s.Service), s))
 	}
-	k.feel(now, f, s, waiting)
+	k.recordQueue(now, req, s, waiting)
 }
 
-// sheds decides whether a request that has not been sent yet is refused because
-// of the queues where its server is: the load is more than the servers can do,
-// its answer would come late, and all those behind it later. Routes that are
-// more urgent than another one of the service are spared until half of all are
-// refused.
-func (k *Kernel) sheds(now time.Time, f *Flight, g *service, s *server) bool {
-	p := g.pressure[s.region]
-	if p == nil || !k.placer.sheds || !k.on(MechanismShed) {
+// shouldShed decides whether to refuse a request that has not been sent yet because of the queues
+// at its server: the load exceeds the capacity, its response would be late, and those of all later
+// requests would be later still. Routes that are more urgent than others of the service are spared
+// until half of all requests are refused.
+func (k *Kernel) shouldShed(now time.Time, req *ActiveRequest, svc *service, s *server) bool {
+	p := svc.queuePressure[s.region]
+	if p == nil || !k.placer.shedsLoad || !k.isEnabled(MechanismLoadShedding) {
 		return false
 	}
-	// A proxy of a few hears of each server often enough to go by its own queue;
-	// one of many by that of the region's servers together.
-	if now.Sub(s.feltAt) < reportHorizon {
-		p = &s.pressure
+	// If there are only a few proxies, each receives load reports from each server often enough to
+	// rely on that server's queue. If there are many, the queues of all servers in the region are
+	// used together.
+	if now.Sub(s.pressureAt) < loadReportTTL {
+		p = &s.queuePressure
 	}
-	f.pressure = p.Level(now)
+	req.queuePressure = p.Level(now)
 	share := p.ShedRatio(now)
-	if f.priority() < k.leastUrgent[g.name] {
+	if req.priority() < k.lowestPriority[svc.name] {
 		share = max(0, 2*share-1)
 	}
 	if share == 0 || k.random.Float64() >= share {
 		return false
 	}
-	if share <= soonMost {
-		work := s.domain.roundTrip + g.workOn(f.Route).typical(f.Route)
-		f.soon = max(0, (f.Route.Target-now.Sub(f.began)-work)/2)
+	if share <= maxShareForSoonRetry {
+		work := s.rtt.roundTrip + svc.workOf(req.Route).typical(req.Route)
+		req.maxRetryAfter = max(0, (req.Route.Target-now.Sub(req.startedAt)-work)/2)
 	}
 	return true
 }
 
-// leastUrgentOf finds the priority of the least urgent requests of each service. That of
-// an account goes before that of a route.
-func leastUrgentOf(t *routing.Table) map[string]int {
-	least := make(map[string]int)
+// lowestPriorities returns the priority of the least urgent requests of each service. The priority
+// of an account overrides that of a route.
+func lowestPriorities(t *routing.Table) map[string]int {
+	lowest := make(map[string]int)
 	accounts := t.Accounts.All()
 	for _, r := range t.Routes {
 		priority := r.Priority
@@ -112,8 +112,8 @@
 			}
 		}
 		for _, part := range r.Parts {
-			least[part.Service] = max(least[part.Service], priority)
+			lowest[part.Service] = max(lowest[part.Service], priority)
 		}
 	}
-	return least
+	return lowest
 }
--- /dev/null
+++ b/internal/kernel/steering/slotrequest.go
@@ -0,0 +1,189 @@
+package steering
+
+import (
+	"cmp"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/gypsumquay/gypsumquay/internal/kernel/admission"
+)
+
+const (
+	// maxSlotRequestShare is the largest part of a route's target that the round trip for a slot
+	// request may take. The request itself takes the same round trip afterwards.
+	maxSlotRequestShare = 0.2
+	// unresponsiveOwnerPause is how long the owner of a limiter that did not reply is not asked
+	// again.
+	unresponsiveOwnerPause = time.Second
+)
+
+type (
+	// SlotRequest asks the proxy that owns a server's limiter for a slot at the server.
+	SlotRequest struct {
+		Owner  Proxy
+		Server string
+		// Limit is the concurrency limit known to the requesting proxy.
+		Limit admission.Limit
+		// Work is the minimum duration of such requests at the server, or zero if it is unknown.
+		Work time.Duration
+		admission.Ticket
+	}
+
+	// SlotReply is the owner's immediate reply to a SlotRequest.
+	SlotReply struct {
+		admission.Grant
+		// Running and Waiting are the load of the server as seen by its limiter.
+		Running, Waiting int
+		// Limit is the concurrency limit of the server as learned by the owner.
+		Limit admission.Limit
+		// Unknown is set if the owner does not know the server. The request then needs no slot.
+		Unknown bool
+		// Whole is set if the servers may use all their slots at present. Sound is set if they are
+		// known not to slow down when all slots are in use.
+		Whole, Sound bool
+	}
+
+	// SlotRelease returns a slot. Ratio is the duration of the request relative to the route's
+	// target, or zero if it is unknown.
+	SlotRelease struct {
+		Owner  Proxy
+		Server string
+		From   string
+		ID     uint64
+		Rank   int
+		Ratio  float64
+	}
+)
+
+// newSlotRequest returns the slot request that must precede the request, or nil if none is needed.
+func (k *Kernel) newSlotRequest(now time.Time, req *ActiveRequest, svc *service, s *server, chosen choice) *SlotRequest {
+	if !k.isLimited(now, svc) || now.Before(s.skipOwnerUntil) || s.isCold(now) {
+		// A cold server gets the requests that its rate allows within the same second, without a
+		// wait for slots.
+		return nil
+	}
+	owner, found := k.limiterOwner(s)
+	roundTrip := s.rtt.roundTrip
+	if !found || roundTrip > time.Duration(maxSlotRequestShare*float64(req.Route.Target)) {
+		return nil
+	}
+	work := chosen.expected - chosen.untilStart
+	// Requests are denied only on measured durations. For a route without measurements the estimate
+	// is its target, and denying on that basis would keep routes with short timeouts from ever
+	// being served.
+	minWork := svc.workOf(req.Route).warm
+	return &SlotRequest{
+		Owner: owner, Server: s.id, Limit: svc.concurrency.learnedLimits[s.Slots], Work: minWork,
+		Ticket: admission.Ticket{
+			ID: req.seq, From: k.config.Name, Priority: req.priority(),
+			Good: req.startedAt.Add(req.Route.Target - work - roundTrip), Last: req.ExpiresAt.Add(-minWork - roundTrip), Until: req.ExpiresAt,
+		},
+	}
+}
+
+// limiterOwner returns the proxy that owns the limiter of a server. All proxies that know the same
+// proxies agree on it: it is chosen by hash from the proxies of the server's failure domain, or of
+// its region if the domain has none.
+func (k *Kernel) limiterOwner(s *server) (Proxy, bool) {
+	best, found := Proxy{}, false
+	rankOf := func(p Proxy) (int, uint64) { return proximity(p, s), xxhash.Sum64String(p.Name + "/" + s.id) }
+	for _, p := range k.proxies {
+		if p.Leaving || p.Region != s.region {
+			continue
+		}
+		distance, score := rankOf(p)
+		bestDistance, bestScore := rankOf(best)
+		if !found || cmp.Or(cmp.Compare(distance, bestDistance), cmp.Compare(score, bestScore)) < 0 {
+			best, found = p, true
+		}
+	}
+	return best, found
+}
+
+// HandleSlotReply handles the reply to a slot request, or its absence, and returns the next step.
+// Without a reply the request is sent as if there were no limiter: the owner may be gone or
+// partitioned, and callers must not wait for it.
+func (k *Kernel) HandleSlotReply(now time.Time, req *ActiveRequest, r SlotReply, answered bool) Decision {
+	d := k.handleSlotReply(now, req, r, answered)
+	if k.config.Record != nil {
+		decision := recordedDecisionOf(d)
+		k.config.Record(Call{Method: callSlotReply, At: now, RequestNumber: req.seq, SlotReply: &r, Flag: answered, Decision: &decision})
+	}
+	return d
+}
+
+func (k *Kernel) handleSlotReply(now time.Time, req *ActiveRequest, r SlotReply, answered bool) Decision {
+	s, svc := req.server, k.service(req.Service)
+	switch {
+	case !answered:
+		s.skipOwnerUntil = now.Add(unresponsiveOwnerPause)
+	case !r.Unknown:
+		k.learnFromSlotReply(now, req, s, svc, r)
+	}
+	if answered && r.Verdict == admission.Denied || now.After(req.slotRequest.Last) {
+		// Any slot is released, since the owner's grant may have been lost.
+		release := req.takeSlotRelease(0)
+		s.inFlight--
+		k.quarantine.RecordStop(req.Work)
+		req.addStep(Event{
+			At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(req.steps)/2 + 1, Result: ResultRefused,
+			Expected: req.expected, Duration: now.Sub(req.sentAt), Load: float64(r.Running + r.Waiting),
+		})
+		d := k.fail(now, req, ReasonQueuesTooLong)
+		d.SlotRelease = release
+		return d
+	}
+	if reason := k.reauthorize(req); reason != ReasonNone {
+		// The key of the account was revoked while the request waited.
+		release := req.takeSlotRelease(0)
+		s.inFlight--
+		k.quarantine.RecordStop(req.Work)
+		d := k.fail(now, req, reason)
+		d.SlotRelease = release
+		return d
+	}
+	if !s.isEligible() || k.evacuatedDomains[s.Domain] || s.isCold(now) || !req.allowedRegions.has(s.regionBit) || !k.ServerStillAccepts(now, req) {
+		// The server started to drain, was paused or became cold while the request waited.
+		release := req.takeSlotRelease(0)
+		s.inFlight--
+		k.quarantine.RecordStop(req.Work)
+		req.triedServers = append(req.triedServers, s)
+		d := k.send(now, req)
+		d.SlotRelease = release
+		return d
+	}
+	if r.Unknown {
+		req.slotRequest = nil
+	}
+	req.slotRank, req.sentAt = r.Rank, now
+	req.expected = s.rtt.roundTrip + svc.workOf(req.Route).expected(req.warm, req.Route.Target)
+	return Decision{Server: k.newTarget(svc, s)}
+}
+
+// learnFromSlotReply records what a limiter reports about its server. The limiter knows all
+// requests that run and wait there, so its figures count as a load report of the server.
+func (k *Kernel) learnFromSlotReply(now time.Time, req *ActiveRequest, s *server, svc *service, r SlotReply) {
+	s.recordLoad(now, r.Running, r.Waiting)
+	k.recordQueue(now, req, s, float64(r.Waiting))
+	s.concurrencyLimit = r.Limit.Max
+	svc.concurrency.adopt(r.Limit)
+	switch {
+	case !r.Whole:
+		svc.concurrency.ownEvidenceUntil = laterOf(svc.concurrency.ownEvidenceUntil, now.Add(limitFor))
+		k.startLimiting(now, svc, limitFor)
+	case r.Sound && svc.concurrency.learnedLimits[s.Slots].Max >= s.Slots:
+		k.stopLimiting(now, svc)
+	}
+}
+
+// takeSlotRelease returns the release of the request's slot and clears the slot, or returns nil if
+// the request holds none.
+func (req *ActiveRequest) takeSlotRelease(ratio float64) *SlotRelease {
+	if req.slotRequest == nil {
+		return nil
+	}
+	r := &SlotRelease{Owner: req.slotRequest.Owner, Server: req.slotRequest.Server, From: req.slotRequest.From, ID: req.slotRequest.ID, Rank: req.slotRank, Ratio: ratio}
+	req.slotRequest, req.slotRank = nil, 0
+	return r
+}
--- a/internal/kernel/steering/spill.go
+++ b/internal/kernel/steering/spill.go
@@ -5,27 +5,27 @@
 )
 
 const (
-	// spillPressure is the queue, as a part of the room for requests that can still be
-	// answered in time, up to which servers take requests whose home is full.
-	spillPressure = 0.25
+	// spillMaxPressure is the queue pressure up to which other servers take requests whose home is
+	// full.
+	spillMaxPressure = 0.25
 )
 
-// keptFromSpilling reports whether a request is refused because its home is full and the
-// servers where it would run cold have queues. Run there, it takes several times the work
-// that it takes at home, so a service that is hardly overloaded does less and less until
-// nearly all its answers come late. Refused callers come back when the home has caught up.
-func (k *Kernel) keptFromSpilling(now time.Time, g *service, homes []string, best pick) bool {
+// mustNotSpill reports whether a request must be refused because its home is full and the other
+// servers, where it would run cold, have queues. A cold run takes several times as long as a run at
+// the home, so a service that is only slightly overloaded would complete fewer and fewer requests
+// until nearly all of its responses are late. Refused callers return when the home has caught up.
+func (k *Kernel) mustNotSpill(now time.Time, svc *service, homes []string, best choice) bool {
 	if best.server == nil || best.warm || len(homes) == 0 {
 		return false
 	}
-	home := g.members[homes[0]]
+	home := svc.registered[homes[0]]
 	if home == nil || !home.isFull(now) {
 		return false
 	}
-	p := g.pressure[best.server.region]
-	return p != nil && p.Level(now) > spillPressure
+	p := svc.queuePressure[best.server.region]
+	return p != nil && p.Level(now) > spillMaxPressure
 }
 
-// isFull reports whether the server has just refused a request since its queue was full, and
-// may take the next. One that pauses may not.
-func (s *server) isFull(now time.Time) bool { return s.sound(now) && now.Before(s.outUntil) }
+// isFull reports whether the server has just refused a request because its queue was full, and may
+// take the next one. This excludes a server that is paused.
+func (s *server) isFull(now time.Time) bool { return s.isHealthy(now) && now.Before(s.ejectedUntil) }
--- /dev/null
+++ b/internal/kernel/steering/warmchoice.go
@@ -0,0 +1,52 @@
+package steering
+
+import (
+	"slices"
+	"time"
+)
+
+// chooseWarm chooses among the servers that are warm for the request's object, and reports whether
+// no other server can have a lower cost. Hundreds of other servers need not be considered then:
+// each would run the request cold and is charged for that.
+func (k *Kernel) chooseWarm(now time.Time, req *ActiveRequest, svc *service, homes []string) (choice, bool) {
+	if len(homes) == 0 || !k.placer.chargesColdRuns || k.observeCandidate != nil {
+		return choice{}, false
+	}
+	candidates := make([]*server, 0, len(homes)+len(svc.warmServers[req.Object]))
+	for _, id := range homes {
+		if s := svc.registered[id]; s != nil {
+			candidates = append(candidates, s)
+		}
+	}
+	for _, s := range svc.warmServers[req.Object] {
+		if svc.registered[s.id] == s && !k.evacuatedDomains[s.Domain] && !slices.Contains(candidates, s) {
+			candidates = append(candidates, s)
+		}
+	}
+	best := k.chooseAmong(now, req, svc, homes, candidates)
+	if best.server == nil {
+		return best, false
+	}
+	coldWork := req.workEstimate.expected(false, req.Route.Target)
+	minColdCost := coldWork + time.Duration(coldRunPenalty*float64(len(homes))*float64(coldWork))
+	return best, best.cost < minColdCost
+}
+
+// markWarm records that a server has handled an object.
+func (svc *service) markWarm(now time.Time, s *server, object string) {
+	if object == "" {
+		return
+	}
+	if svc.warmServers == nil {
+		svc.warmServers = make(map[string][]*server)
+	}
+	warm := slices.DeleteFunc(svc.warmServers[object], func(other *server) bool { return other == s || !other.isWarm(object, now) })
+	svc.warmServers[object] = append(warm, s)
+	if len(svc.warmServers) > warmServersSweepSize {
+		for other, list := range svc.warmServers {
+			if list = slices.DeleteFunc(list, func(s *server) bool { return !s.isWarm(other, now) }); len(list) == 0 {
+				delete(svc.warmServers, other)
+			}
+		}
+	}
+}
