--- a/cmd/gypsumquayd/main.go
+++ b/cmd/gypsumquayd/main.go
@@ -98,7 +98,7 @@
 	buffer := logs.NewBuffer(os.Stdout, logLines)
 	defer buffer.Close()
 	logs.Setup(buffer, a.Verbosity, "vm", s.Proxy.Name, "vm-region", s.Proxy.Region)
-	s.Proxy.Off = a.Off
+	s.Proxy.DisabledMechanisms = a.Off
 	seams := platform.Seams(a.Settings, s, buffer.Dropped)
 	if a.Record != "" {
 		file, err := recording.Create(a.Record, s.Proxy.Name, time.Now())
--- a/internal/proxy/forward/bench_test.go
+++ b/internal/proxy/forward/bench_test.go
@@ -44,11 +44,11 @@
 		w.Header().Set("Seal", "s")
 	}))
 	defer backend.Close()
-	names := Names{
-		Caller: forwardhttp.Headers{Attempt: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
-		Server: serverhttp.Headers{Attempt: "Attempt", Deadline: "Left", Instance: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal"},
+	names := WireNames{
+		CallerHeaders: forwardhttp.Headers{Attempt: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
+		ServerHeaders: serverhttp.Headers{Attempt: "Attempt", Deadline: "Left", Instance: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal"},
 	}
-	d, err := New(&Settings{Name: "p", Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"}}, Seams{Names: names, Dropped: func() uint64 { return 0 }})
+	d, err := New(&Settings{Name: "p", Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"}}, Dependencies{Names: names, DroppedLogLines: func() uint64 { return 0 }})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/proxy/forward/counted.go
+++ b/internal/proxy/forward/counted.go
@@ -8,7 +8,7 @@
 // counted tells of each call to a store and whether it failed.
 func counted(s Store, called func(operation string, err error)) Store {
 	return Store{
-		Range: func(ctx context.Context, prefix string, stale bool) ([]Item, uint64, error) {
+		Range: func(ctx context.Context, prefix string, stale bool) ([]KeyValue, uint64, error) {
 			items, revision, err := s.Range(ctx, prefix, stale)
 			operation := "range"
 			if stale {
@@ -17,18 +17,18 @@
 			called(operation, err)
 			return items, revision, err
 		},
-		Watch: func(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Item, error) {
+		Watch: func(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]KeyValue, error) {
 			items, err := s.Watch(ctx, prefix, after, wait)
 			called("watch", err)
 			return items, err
 		},
-		Grant: func(ctx context.Context, span time.Duration) (uint64, error) {
-			lease, err := s.Grant(ctx, span)
+		GrantLease: func(ctx context.Context, span time.Duration) (uint64, error) {
+			lease, err := s.GrantLease(ctx, span)
 			called("grant", err)
 			return lease, err
 		},
-		Renew: func(ctx context.Context, lease uint64) error {
-			err := s.Renew(ctx, lease)
+		RenewLease: func(ctx context.Context, lease uint64) error {
+			err := s.RenewLease(ctx, lease)
 			called("renew", err)
 			return err
 		},
@@ -37,8 +37,8 @@
 			called("put", err)
 			return err
 		},
-		End: func(ctx context.Context, lease uint64) error {
-			err := s.End(ctx, lease)
+		RevokeLease: func(ctx context.Context, lease uint64) error {
+			err := s.RevokeLease(ctx, lease)
 			called("end", err)
 			return err
 		},
--- a/internal/proxy/forward/daemon.go
+++ b/internal/proxy/forward/daemon.go
@@ -38,7 +38,7 @@
 	// Daemon is one proxy process.
 	Daemon struct {
 		settings *Settings
-		seams    Seams
+		seams    Dependencies
 		start    time.Time
 
 		mu     sync.Mutex
@@ -72,10 +72,10 @@
 )
 
 // New makes a daemon from checked settings.
-func New(s *Settings, seams Seams) (*Daemon, error) {
+func New(s *Settings, seams Dependencies) (*Daemon, error) {
 	config := steering.Config{
 		Name: s.Name, Domain: s.Domain, Region: s.Region, Address: s.Listen.Callers, RegionOf: s.RegionOf,
-		Bounds: boundsOf(s), Joined: time.Now(), Off: s.Off,
+		Bounds: boundsOf(s), Joined: time.Now(), Off: s.DisabledMechanisms,
 	}
 	if _, err := rand.Read(config.Seed[:]); err != nil {
 		return nil, errors.Wrap(err, "seed")
@@ -92,15 +92,15 @@
 	d.quotas = newQuotas(d, seams.Store)
 	d.peers = peerdrpc.NewClient(func() *tls.Config { return nil })
 	d.peers.Sent, d.peers.Received = d.meters.sent.Add, d.meters.received.Add
-	d.meters.watch(d, seams.Dropped)
+	d.meters.watch(d, seams.DroppedLogLines)
 	d.places = newPlaces(d)
 	d.gossip = &gossip{feed: d.feed, send: d.peers.Sync}
 	d.follower = &follower{feed: d.feed, store: seams.Store}
 	d.keeper = &keeper{feed: d.feed, store: seams.Store}
 	memory := bodies.NewMemory(bodiesMost(s.MemoryBytes))
-	d.servers = serverhttp.NewClient(seams.Names.Server, memory, d.now, d.meters.connections.Inc)
+	d.servers = serverhttp.NewClient(seams.Names.ServerHeaders, memory, d.now, d.meters.connections.Inc)
 	d.callers = (&forwardhttp.Server{
-		Headers: seams.Names.Caller, Kernel: d.do, Memory: memory, Send: d.servers.Send, Now: d.now,
+		Headers: seams.Names.CallerHeaders, Kernel: d.do, Memory: memory, Send: d.servers.Send, Now: d.now,
 		Ask: d.places.ask, GiveBack: d.places.giveBack, AskPool: d.quotas.ask,
 		Stopping: d.isStopping, Configured: d.feed.begun, Started: d.start,
 	}).HTTP()
@@ -207,8 +207,8 @@
 	go d.quotas.run(ctx)
 	go d.quotas.count(ctx)
 	go d.measure(ctx)
-	if len(d.settings.Off) > 0 {
-		klog.InfoS("mechanisms switched off", "mechanisms", d.settings.Off)
+	if len(d.settings.DisabledMechanisms) > 0 {
+		klog.InfoS("mechanisms switched off", "mechanisms", d.settings.DisabledMechanisms)
 	}
 	klog.InfoS("serving", "callers", d.settings.Listen.Callers, "directory", d.settings.Listen.Directory)
 	select {
--- a/internal/proxy/forward/face.go
+++ b/internal/proxy/forward/face.go
@@ -52,7 +52,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		data, err := d.seams.Codec.LookupAnswer(list, min(lookupLifetime, d.bounds().LookupLifetime))
+		data, err := d.seams.Codec.EncodeLookupResponse(list, min(lookupLifetime, d.bounds().MaxLookupTTL))
 		if err != nil {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
--- a/internal/proxy/forward/feed.go
+++ b/internal/proxy/forward/feed.go
@@ -84,14 +84,14 @@
 func (f *feed) tell(e replica.Entry) {
 	n := f.daemon.seams.Names
 	switch e.Key {
-	case n.Configuration:
+	case n.ConfigurationKey:
 		f.tellTable(e)
 		return
 	case fleetKey:
 		f.daemon.quotas.hear(e)
 		return
 	}
-	if domain, ok := strings.CutPrefix(e.Key, n.Evacuations); ok {
+	if domain, ok := strings.CutPrefix(e.Key, n.EvacuationPrefix); ok {
 		if err := f.checkDomain(domain, ""); err != nil && !e.Removed {
 			f.refused("evacuation", domain, err)
 			return
@@ -103,7 +103,7 @@
 		f.daemon.verdicts.hear(name, e)
 		return
 	}
-	if id, ok := strings.CutPrefix(e.Key, n.Servers); ok {
+	if id, ok := strings.CutPrefix(e.Key, n.ServerPrefix); ok {
 		f.tellServer(id, e)
 	}
 }
@@ -112,7 +112,7 @@
 	if e.Removed {
 		return
 	}
-	t, err := f.daemon.seams.Codec.Table(e.Value)
+	t, err := f.daemon.seams.Codec.DecodeTable(e.Value)
 	if err != nil {
 		f.refused("configuration", "", err)
 		return
@@ -136,7 +136,7 @@
 		})
 		return
 	}
-	r, err := f.daemon.seams.Codec.Server(id, e.Value)
+	r, err := f.daemon.seams.Codec.DecodeServer(id, e.Value)
 	if err == nil {
 		err = f.checkDomain(r.Domain, "")
 	}
--- a/internal/proxy/forward/fleet_test.go
+++ b/internal/proxy/forward/fleet_test.go
@@ -36,8 +36,8 @@
 	// memoryStore stands in for the platform's store.
 	memoryStore struct {
 		mu       sync.Mutex
-		items    map[string]Item
-		log      []Item
+		items    map[string]KeyValue
+		log      []KeyValue
 		revision uint64
 		lease    uint64
 		owner    map[uint64]string
@@ -76,7 +76,7 @@
 )
 
 func newMemoryStore() *memoryStore {
-	return &memoryStore{items: make(map[string]Item), owner: make(map[uint64]string), changed: make(chan struct{})}
+	return &memoryStore{items: make(map[string]KeyValue), owner: make(map[uint64]string), changed: make(chan struct{})}
 }
 
 func (s *memoryStore) write(key string, value any) {
@@ -86,16 +86,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.change(Item{Key: key, Value: data})
+	s.change(KeyValue{Key: key, Value: data})
 }
 
 func (s *memoryStore) remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.change(Item{Key: key, Removed: true})
+	s.change(KeyValue{Key: key, Removed: true})
 }
 
-func (s *memoryStore) change(i Item) {
+func (s *memoryStore) change(i KeyValue) {
 	s.revision++
 	i.Revision = s.revision
 	s.log = append(s.log, i)
@@ -154,7 +154,7 @@
 		return f()
 	}
 	return Store{
-		Range: func(context.Context, string, bool) (items []Item, revision uint64, err error) {
+		Range: func(context.Context, string, bool) (items []KeyValue, revision uint64, err error) {
 			err = guard(func() error {
 				for _, i := range s.items {
 					items = append(items, i)
@@ -165,28 +165,32 @@
 			return items, revision, err
 		},
 		Watch: l.watch,
-		Grant: func(context.Context, time.Duration) (lease uint64, err error) {
+		GrantLease: func(context.Context, time.Duration) (lease uint64, err error) {
 			err = guard(func() error { s.lease++; lease = s.lease; return nil })
 			return lease, err
 		},
-		Renew: func(_ context.Context, lease uint64) error {
+		RenewLease: func(_ context.Context, lease uint64) error {
 			return guard(func() error {
 				if _, held := s.owner[lease]; !held {
-					return &StoreError{Outcome: StoreAbsent}
+					return &StoreError{Code: StoreNotFound}
 				}
 				return nil
 			})
 		},
 		Put: func(_ context.Context, key string, value []byte, lease uint64) error {
-			return guard(func() error { s.owner[lease] = key; s.change(Item{Key: key, Value: value}); return nil })
+			return guard(func() error { s.owner[lease] = key; s.change(KeyValue{Key: key, Value: value}); return nil })
 		},
-		End: func(_ context.Context, lease uint64) error {
-			return guard(func() error { s.change(Item{Key: s.owner[lease], Removed: true}); delete(s.owner, lease); return nil })
+		RevokeLease: func(_ context.Context, lease uint64) error {
+			return guard(func() error {
+				s.change(KeyValue{Key: s.owner[lease], Removed: true})
+				delete(s.owner, lease)
+				return nil
+			})
 		},
 	}
 }
 
-func (l *link) watch(ctx context.Context, _ string, after uint64, wait time.Duration) ([]Item, error) {
+func (l *link) watch(ctx context.Context, _ string, after uint64, wait time.Duration) ([]KeyValue, error) {
 	end := time.After(wait)
 	for {
 		if l.down() {
@@ -195,9 +199,9 @@
 		l.store.mu.Lock()
 		if after < l.store.forgot {
 			l.store.mu.Unlock()
-			return nil, &StoreError{Outcome: StoreForgot}
+			return nil, &StoreError{Code: StoreCompacted}
 		}
-		var items []Item
+		var items []KeyValue
 		for _, i := range l.store.log {
 			if i.Revision > after && !l.store.deaf {
 				items = append(items, i)
@@ -276,22 +280,22 @@
 	l := &link{store: f.store, cut: f.outage}
 	s := &Settings{
 		Name: "proxy-" + string(rune('a'+i)), Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"},
-		Listen: Listen{Callers: freePort(f.t), Readiness: freePort(f.t), Peers: freePort(f.t), Directory: freePort(f.t), Operators: freePort(f.t)},
+		Listen: ListenAddresses{Callers: freePort(f.t), Readiness: freePort(f.t), Peers: freePort(f.t), Directory: freePort(f.t), Operators: freePort(f.t)},
 		Seeds:  seeds,
 		Bounds: Bounds{
-			Grace: 2 * time.Second, LookupLifetime: 5 * time.Second,
+			GracePeriod: 2 * time.Second, MaxLookupTTL: 5 * time.Second,
 			RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 60, ColdFactor: 1.5, ColdSlack: 5,
 		},
 	}
-	d, err := New(s, Seams{
-		Names: Names{
-			Caller:     forwardhttp.Headers{Attempt: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
-			Server:     serverhttp.Headers{Attempt: "Attempt", Deadline: "Left", Instance: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal"},
-			LookupPath: "/lookup", LookupHost: "host", LookupRegion: "region", LookupDomain: "domain", ReadinessPath: "/ready",
-			Configuration: "config", Evacuations: "evacuate/", Servers: "servers/",
+	d, err := New(s, Dependencies{
+		Names: WireNames{
+			CallerHeaders: forwardhttp.Headers{Attempt: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
+			ServerHeaders: serverhttp.Headers{Attempt: "Attempt", Deadline: "Left", Instance: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal"},
+			LookupPath:    "/lookup", LookupHost: "host", LookupRegion: "region", LookupDomain: "domain", ReadinessPath: "/ready",
+			ConfigurationKey: "config", EvacuationPrefix: "evacuate/", ServerPrefix: "servers/",
 		},
 		Store: l.seams(),
-		Codec: testCodec(), Dropped: func() uint64 { return 0 }, Settings: func() (*Settings, error) { return s, nil },
+		Codec: testCodec(), DroppedLogLines: func() uint64 { return 0 }, LoadSettings: func() (*Settings, error) { return s, nil },
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -317,7 +321,7 @@
 
 func testCodec() Codec {
 	return Codec{
-		Table: func(data []byte) (*routing.Table, error) {
+		DecodeTable: func(data []byte) (*routing.Table, error) {
 			var w testTable
 			if err := json.Unmarshal(data, &w); err != nil {
 				return nil, err
@@ -336,12 +340,12 @@
 			}
 			return table, nil
 		},
-		Server: func(id string, data []byte) (routing.Server, error) {
+		DecodeServer: func(id string, data []byte) (routing.Server, error) {
 			var w testServer
 			err := json.Unmarshal(data, &w)
 			return routing.Server{ID: id, Service: w.Service, Address: w.Address, Domain: w.Domain, Slots: 4, Draining: w.Drains}, err
 		},
-		LookupAnswer: func(list []netip.AddrPort, _ time.Duration) ([]byte, error) { return json.Marshal(list) },
+		EncodeLookupResponse: func(list []netip.AddrPort, _ time.Duration) ([]byte, error) { return json.Marshal(list) },
 	}
 }
 
@@ -458,7 +462,7 @@
 	f.eventually("requests are served", func() bool { return f.ask(0, "/a/x") == http.StatusOK })
 	f.store.mu.Lock()
 	f.store.revision++
-	f.store.items["config"] = Item{Key: "config", Value: []byte(`{"Version":7,"Service":"service"}`), Revision: f.store.revision}
+	f.store.items["config"] = KeyValue{Key: "config", Value: []byte(`{"Version":7,"Service":"service"}`), Revision: f.store.revision}
 	delete(f.store.items, "servers/s1")
 	f.store.mu.Unlock()
 	f.store.forget()
@@ -505,7 +509,7 @@
 func TestPlannedStopDoesNotWaitForTheStore(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.daemons[0]
-	d.keeper.store.End = func(ctx context.Context, _ uint64) error {
+	d.keeper.store.RevokeLease = func(ctx context.Context, _ uint64) error {
 		sleep.For(ctx, time.Minute)
 		return ctx.Err()
 	}
@@ -517,7 +521,7 @@
 	var callers sync.WaitGroup
 	for range 8 {
 		callers.Go(func() {
-			for time.Since(began) < d.bounds().Grace {
+			for time.Since(began) < d.bounds().GracePeriod {
 				response, err := http.Get("http://" + address.String() + "/a/slow")
 				switch {
 				case err == nil:
@@ -541,7 +545,7 @@
 func TestPlannedStopAnswersWhatCameLast(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.daemons[0]
-	began, taken := time.Now(), time.Duration(drainShare*float64(d.bounds().Grace))
+	began, taken := time.Now(), time.Duration(drainShare*float64(d.bounds().GracePeriod))
 	f.stops[0]()
 	go f.endConnections(0)
 	var cut, answered atomic.Int32
@@ -590,8 +594,8 @@
 func TestUnconfiguredProxyIsNotReady(t *testing.T) {
 	f := &fleet{t: t, store: newMemoryStore()}
 	l := &link{store: f.store}
-	d, err := New(&Settings{Name: "p", Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"}}, Seams{
-		Names: Names{ReadinessPath: "/ready", LookupPath: "/lookup"}, Store: l.seams(), Codec: testCodec(),
+	d, err := New(&Settings{Name: "p", Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"}}, Dependencies{
+		Names: WireNames{ReadinessPath: "/ready", LookupPath: "/lookup"}, Store: l.seams(), Codec: testCodec(),
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/forward/follow.go
+++ b/internal/proxy/forward/follow.go
@@ -104,7 +104,7 @@
 	}
 	items, err := f.store.Watch(ctx, "", before, f.wait())
 	var refused *StoreError
-	if errors.As(err, &refused) && refused.Outcome == StoreForgot {
+	if errors.As(err, &refused) && refused.Code == StoreCompacted {
 		return f.readAll(ctx, false)
 	}
 	if err != nil {
@@ -129,7 +129,7 @@
 // nothing for a while names it without the changes that led to it, and they
 // would be missed for good. From an older one the store says that its history
 // is gone, and everything is read again.
-func newest(before uint64, items []Item) uint64 {
+func newest(before uint64, items []KeyValue) uint64 {
 	for _, i := range items {
 		before = max(before, i.Revision)
 	}
@@ -183,7 +183,7 @@
 	return nil
 }
 
-func entriesOf(items []Item) []replica.Entry {
+func entriesOf(items []KeyValue) []replica.Entry {
 	list := make([]replica.Entry, 0, len(items))
 	for _, i := range items {
 		list = append(list, replica.Entry{Key: i.Key, Value: i.Value, Revision: i.Revision, Removed: i.Removed})
--- a/internal/proxy/forward/follow_test.go
+++ b/internal/proxy/forward/follow_test.go
@@ -53,9 +53,9 @@
 		d := seeded(t, isSeed)
 		var gotStale, passedOn bool
 		f := &follower{feed: d.feed, advanced: func(uint64) { passedOn = true }, store: Store{
-			Range: func(_ context.Context, _ string, stale bool) ([]Item, uint64, error) {
+			Range: func(_ context.Context, _ string, stale bool) ([]KeyValue, uint64, error) {
 				gotStale = stale
-				return []Item{{Key: "key", Revision: 4}}, 5, nil
+				return []KeyValue{{Key: "key", Revision: 4}}, 5, nil
 			},
 		}}
 		if err := f.step(context.Background()); err != nil {
--- a/internal/proxy/forward/gossip_test.go
+++ b/internal/proxy/forward/gossip_test.go
@@ -90,7 +90,7 @@
 	d := f.idle()
 	given := make(chan struct{})
 	w := &follower{feed: d.feed, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
-		Range: func(ctx context.Context, _ string, _ bool) ([]Item, uint64, error) {
+		Range: func(ctx context.Context, _ string, _ bool) ([]KeyValue, uint64, error) {
 			close(given)
 			<-ctx.Done()
 			return nil, 0, ctx.Err()
@@ -166,7 +166,7 @@
 		d.feed.members["proxy-a"] = member{Name: "proxy-a", Region: "north", LinkMbps: 200}
 		d.feed.apply(replica.Delta{Revision: 7, Whole: true})
 		w := &follower{feed: d.feed, confirmed: func() { g.confirm(context.Background()) }, store: Store{
-			Watch: func(context.Context, string, uint64, time.Duration) ([]Item, error) { return nil, nil },
+			Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) { return nil, nil },
 		}}
 		if err := w.step(context.Background()); err != nil {
 			t.Fatal(err)
@@ -255,9 +255,9 @@
 	f := newFleet(t, 1)
 	d := f.withServer()
 	d.feed.failed(errCut, d.now())
-	items := []Item{{Key: "servers/s1", Revision: 2, Removed: true}}
+	items := []KeyValue{{Key: "servers/s1", Revision: 2, Removed: true}}
 	w := &follower{feed: d.feed, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
-		Watch: func(context.Context, string, uint64, time.Duration) ([]Item, error) { return items, nil },
+		Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) { return items, nil },
 	}}
 	if err := w.step(context.Background()); err != nil {
 		t.Fatal(err)
@@ -292,14 +292,14 @@
 func TestRelaySpreadsWhatItsWatchTellsThoughItKnows(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.withServer()
-	items := []Item{{Key: "servers/s1", Revision: 2, Removed: true}}
+	items := []KeyValue{{Key: "servers/s1", Revision: 2, Removed: true}}
 	spread := 0
 	w := &follower{feed: d.feed, confirmed: func() {}, advanced: func(before uint64) {
 		spread++
 		if before != 1 {
 			t.Errorf("spreads what is newer than revision %d, want 1", before)
 		}
-	}, store: Store{Watch: func(context.Context, string, uint64, time.Duration) ([]Item, error) {
+	}, store: Store{Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) {
 		d.feed.apply(replica.Delta{Base: 1, Revision: 2, Entries: entriesOf(items)})
 		return items, nil
 	}}}
@@ -325,7 +325,7 @@
 	d.feed.members[d.settings.Name] = member{Name: d.settings.Name, Region: "north"}
 	var asked atomic.Int32
 	w := &follower{feed: d.feed, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
-		Watch: func(ctx context.Context, _ string, _ uint64, _ time.Duration) ([]Item, error) {
+		Watch: func(ctx context.Context, _ string, _ uint64, _ time.Duration) ([]KeyValue, error) {
 			asked.Add(1)
 			sleep.For(ctx, 20*time.Millisecond)
 			return nil, ctx.Err()
--- a/internal/proxy/forward/keeper.go
+++ b/internal/proxy/forward/keeper.go
@@ -87,7 +87,7 @@
 	switch {
 	case err == nil:
 		k.feed.answered()
-	case errors.As(err, &refused) && refused.Outcome == StoreAbsent:
+	case errors.As(err, &refused) && refused.Code == StoreNotFound:
 		// The lease has ended, which only the store itself can tell.
 		k.feed.answered()
 		k.lease.Store(0)
@@ -98,10 +98,10 @@
 	return err == nil && k.written
 }
 
-func (k *keeper) renew(ctx context.Context) error { return k.store.Renew(ctx, k.lease.Load()) }
+func (k *keeper) renew(ctx context.Context) error { return k.store.RenewLease(ctx, k.lease.Load()) }
 
 func (k *keeper) grant(ctx context.Context) error {
-	lease, err := k.store.Grant(ctx, leaseSpan)
+	lease, err := k.store.GrantLease(ctx, leaseSpan)
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 	if lease == 0 {
 		return
 	}
-	if err := k.store.End(ctx, lease); err != nil {
+	if err := k.store.RevokeLease(ctx, lease); err != nil {
 		klog.InfoS("own entry not taken back; it will run out", "error", err.Error())
 	}
 }
--- a/internal/proxy/forward/keeper_test.go
+++ b/internal/proxy/forward/keeper_test.go
@@ -19,9 +19,9 @@
 
 func (s *keeperStore) seams() Store {
 	return Store{
-		Grant: func(context.Context, time.Duration) (uint64, error) { s.grants++; return 7, s.err },
-		Put:   func(context.Context, string, []byte, uint64) error { s.puts++; return s.err },
-		Renew: func(context.Context, uint64) error { s.renewals++; return s.err },
+		GrantLease: func(context.Context, time.Duration) (uint64, error) { s.grants++; return 7, s.err },
+		Put:        func(context.Context, string, []byte, uint64) error { s.puts++; return s.err },
+		RenewLease: func(context.Context, uint64) error { s.renewals++; return s.err },
 	}
 }
 
@@ -58,7 +58,7 @@
 	k := &keeper{feed: f.idle().feed, store: s.seams()}
 	ctx := context.Background()
 	k.keep(ctx)
-	s.err = &StoreError{Outcome: StoreAbsent}
+	s.err = &StoreError{Code: StoreNotFound}
 	if k.keep(ctx) {
 		t.Error("the entry counts as there though its lease has ended")
 	}
@@ -118,7 +118,7 @@
 	s := &keeperStore{}
 	seams := s.seams()
 	var renewals atomic.Int32
-	seams.Renew = func(context.Context, uint64) error { renewals.Add(1); return nil }
+	seams.RenewLease = func(context.Context, uint64) error { renewals.Add(1); return nil }
 	k := &keeper{feed: f.idle().feed, store: seams}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/proxy/forward/reload.go
+++ b/internal/proxy/forward/reload.go
@@ -31,7 +31,7 @@
 			hangUp = true
 		case <-ticker.C:
 		}
-		s, err := d.seams.Settings()
+		s, err := d.seams.LoadSettings()
 		if err == nil {
 			complaint = ""
 			d.reload(s, hangUp)
--- a/internal/proxy/forward/settings.go
+++ b/internal/proxy/forward/settings.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// StoreAbsent means that the key or lease does not exist.
-	StoreAbsent StoreOutcome = iota + 1
-	// StoreForgot means that the history asked for is no longer kept.
-	StoreForgot
+	// StoreNotFound means that the key or lease does not exist.
+	StoreNotFound StoreErrorCode = iota + 1
+	// StoreCompacted means that the history asked for is no longer kept.
+	StoreCompacted
 	// StoreConflict means that a condition did not hold.
 	StoreConflict
-	// StoreBusy means that the store refused the call and did nothing.
-	StoreBusy
+	// StoreUnavailable means that the store refused the call and did nothing.
+	StoreUnavailable
 )
 
 type (
@@ -32,7 +32,7 @@
 		Name   string
 		Domain string
 		Region string
-		Listen Listen
+		Listen ListenAddresses
 		// Seeds are peer addresses of other proxies; they may be stale.
 		Seeds []netip.AddrPort
 		// FirstStart is set when the whole system starts for the first time.
@@ -44,12 +44,12 @@
 		// LinkMbps is how wide the VM's link is, in Mbit/s.
 		LinkMbps int
 		Bounds   Bounds
-		// Off lists the mechanisms that are not used, from the command line.
-		Off []steering.Mechanism
+		// DisabledMechanisms lists the mechanisms that are not used, from the command line.
+		DisabledMechanisms []steering.Mechanism
 	}
 
-	// Listen holds the addresses that the process listens on.
-	Listen struct {
+	// ListenAddresses holds the addresses that the process listens on.
+	ListenAddresses struct {
 		Callers   netip.AddrPort
 		Readiness netip.AddrPort
 		Peers     netip.AddrPort
@@ -59,10 +59,10 @@
 
 	// Bounds are the limits that the operators have agreed on.
 	Bounds struct {
-		// Grace is how long a stopping process may take.
-		Grace time.Duration
-		// LookupLifetime is the longest that callers keep an answer.
-		LookupLifetime time.Duration
+		// GracePeriod is how long a stopping process may take.
+		GracePeriod time.Duration
+		// MaxLookupTTL is the longest that callers keep an answer.
+		MaxLookupTTL time.Duration
 		// RetryRatio, RetryWindow and RetrySlack are the shared budget of
 		// repeats: a share of the requests in the window and a number on top.
 		RetryRatio  float64
@@ -78,64 +78,64 @@
 		QuotaRequests float64
 	}
 
-	// Names is how messages and keys call the product's fields.
-	Names struct {
-		Caller forwardhttp.Headers
-		Server serverhttp.Headers
+	// WireNames is how messages and keys call the product's fields.
+	WireNames struct {
+		CallerHeaders forwardhttp.Headers
+		ServerHeaders serverhttp.Headers
 		// Lookup of proxies by callers: path and query fields.
 		LookupPath, LookupHost, LookupRegion, LookupDomain string
 		ReadinessPath                                      string
-		// Configuration is the key of the configuration in force, the others
+		// ConfigurationKey is the key of the configuration in force, the others
 		// are prefixes of keys, each followed by a name.
-		Configuration, Evacuations, Servers string
+		ConfigurationKey, EvacuationPrefix, ServerPrefix string
 	}
 
-	// Item is one key of the store.
-	Item struct {
+	// KeyValue is one key of the store.
+	KeyValue struct {
 		Key      string
 		Value    []byte
 		Revision uint64
 		Removed  bool
 	}
 
-	// StoreOutcome is what the store's refusal means.
-	StoreOutcome uint8
+	// StoreErrorCode is what the store's refusal means.
+	StoreErrorCode uint8
 
 	// StoreError is a refusal by the store. Any other error of a call leaves
 	// open whether it was done.
 	StoreError struct {
-		Outcome StoreOutcome
-		Status  int
+		Code   StoreErrorCode
+		Status int
 	}
 
 	// Store is the platform's metadata store.
 	Store struct {
 		// Range reads all items under a prefix and the revision from which a watch misses
 		// nothing. What a stale reading tells may be seconds old; it costs a tenth.
-		Range func(ctx context.Context, prefix string, stale bool) ([]Item, uint64, error)
-		Watch func(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Item, error)
-		Grant func(ctx context.Context, span time.Duration) (uint64, error)
-		Renew func(ctx context.Context, lease uint64) error
-		Put   func(ctx context.Context, key string, value []byte, lease uint64) error
-		End   func(ctx context.Context, lease uint64) error
+		Range       func(ctx context.Context, prefix string, stale bool) ([]KeyValue, uint64, error)
+		Watch       func(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]KeyValue, error)
+		GrantLease  func(ctx context.Context, span time.Duration) (uint64, error)
+		RenewLease  func(ctx context.Context, lease uint64) error
+		Put         func(ctx context.Context, key string, value []byte, lease uint64) error
+		RevokeLease func(ctx context.Context, lease uint64) error
 	}
 
 	// Codec decodes what the operator and the servers write.
 	Codec struct {
-		Table        func([]byte) (*routing.Table, error)
-		Server       func(id string, data []byte) (routing.Server, error)
-		LookupAnswer func([]netip.AddrPort, time.Duration) ([]byte, error)
+		DecodeTable          func([]byte) (*routing.Table, error)
+		DecodeServer         func(id string, data []byte) (routing.Server, error)
+		EncodeLookupResponse func([]netip.AddrPort, time.Duration) ([]byte, error)
 	}
 
-	// Seams is what the main program fills in.
-	Seams struct {
-		Names Names
+	// Dependencies is what the main program fills in.
+	Dependencies struct {
+		Names WireNames
 		Store Store
 		Codec Codec
-		// Settings reads the settings again.
-		Settings func() (*Settings, error)
-		// Dropped counts the log lines that found no room.
-		Dropped func() uint64
+		// LoadSettings reads the settings again.
+		LoadSettings func() (*Settings, error)
+		// DroppedLogLines counts the log lines that found no room.
+		DroppedLogLines func() uint64
 		// Record sees each call of the kernel; nil for none.
 		Record func(steering.Call)
 	}
@@ -143,11 +143,11 @@
 
 // Error implements error.
 func (e *StoreError) Error() string {
-	texts := map[StoreOutcome]string{
-		StoreAbsent: "no such key or lease", StoreForgot: "history no longer kept",
-		StoreConflict: "condition did not hold", StoreBusy: "store refused the call",
+	texts := map[StoreErrorCode]string{
+		StoreNotFound: "no such key or lease", StoreCompacted: "history no longer kept",
+		StoreConflict: "condition did not hold", StoreUnavailable: "store refused the call",
 	}
-	if text, ok := texts[e.Outcome]; ok {
+	if text, ok := texts[e.Code]; ok {
 		return text
 	}
 	return "store answered with an unexpected status"
--- a/internal/proxy/forward/stop.go
+++ b/internal/proxy/forward/stop.go
@@ -28,7 +28,7 @@
 // ready, is no longer named to callers, serves those that still come, and
 // closes connections only when they are idle.
 func (d *Daemon) stop(ctx context.Context) {
-	began, grace := d.now(), d.bounds().Grace
+	began, grace := d.now(), d.bounds().GracePeriod
 	end := began.Add(grace - stopMargin)
 	klog.InfoS("stopping", "grace", grace.String())
 	close(d.stopping)
--- a/internal/proxy/forward/verdicts.go
+++ b/internal/proxy/forward/verdicts.go
@@ -192,7 +192,7 @@
 	if err != nil {
 		return errors.Wrap(err, "verdict")
 	}
-	lease, err := v.store.Grant(ctx, verdictSpan)
+	lease, err := v.store.GrantLease(ctx, verdictSpan)
 	if err != nil {
 		return err
 	}
@@ -223,14 +223,14 @@
 	var err error
 	switch {
 	case !condemned:
-		err = v.store.End(ctx, own.lease)
+		err = v.store.RevokeLease(ctx, own.lease)
 	case now.Sub(own.renewed) < verdictRenew:
 		return nil
 	default:
-		err = v.store.Renew(ctx, own.lease)
+		err = v.store.RenewLease(ctx, own.lease)
 	}
 	var refused *StoreError
-	gone := errors.As(err, &refused) && refused.Outcome == StoreAbsent
+	gone := errors.As(err, &refused) && refused.Code == StoreNotFound
 	if err != nil && !gone {
 		return err
 	}
