--- a/internal/proxy/forward/bench_test.go
+++ b/internal/proxy/forward/bench_test.go
@@ -26,11 +26,11 @@
 		observe func(*Daemon) func(steering.Event)
 	}{
 		{"silent", func(*Daemon) func(steering.Event) { return func(steering.Event) {} }},
-		{"sampled", func(d *Daemon) func(steering.Event) { return d.journal.event }},
+		{"sampled", func(d *Daemon) func(steering.Event) { return d.decisionLog.event }},
 		{"written", func(d *Daemon) func(steering.Event) {
 			return func(e steering.Event) {
-				d.journal.full, e.Attempt = 0, 2
-				d.journal.event(e)
+				d.decisionLog.full, e.Attempt = 0, 2
+				d.decisionLog.event(e)
 			}
 		}},
 	} {
@@ -56,7 +56,7 @@
 	route := &routing.Route{Name: "r", Host: "127.0.0.1", Prefix: "/", Attempts: 1, Timeout: time.Minute, Target: time.Minute, Parts: []routing.Part{{Service: "s", Weight: 1}}}
 	d.kernel.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 	d.kernel.SetServer(d.now(), routing.Server{ID: "s1", Service: "s", Domain: "a", Slots: 64, Address: netip.MustParseAddrPort(backend.Listener.Addr().String())})
-	front := httptest.NewServer(d.callers.Handler)
+	front := httptest.NewServer(d.callerServer.Handler)
 	defer front.Close()
 	b.ReportAllocs()
 	n := 0
--- a/internal/proxy/forward/counted.go
+++ b/internal/proxy/forward/counted.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// counted tells of each call to a store and whether it failed.
-func counted(s Store, called func(operation string, err error)) Store {
+// instrumentStore tells of each call to a store and whether it failed.
+func instrumentStore(s Store, called func(operation string, err error)) Store {
 	return Store{
 		Range: func(ctx context.Context, prefix string, stale bool) ([]KeyValue, uint64, error) {
 			items, revision, err := s.Range(ctx, prefix, stale)
--- a/internal/proxy/forward/daemon.go
+++ b/internal/proxy/forward/daemon.go
@@ -26,48 +26,48 @@
 )
 
 const (
-	// tickEvery is how late what has run out may be noticed.
-	tickEvery = 200 * time.Millisecond
-	// measureEvery is the pause between rounds of measuring, measureLimit the
+	// tickInterval is how late what has run out may be noticed.
+	tickInterval = 200 * time.Millisecond
+	// rttProbeInterval is the pause between rounds of measuring, rttProbeTimeout the
 	// longest round trip that is waited for.
-	measureEvery = time.Second
-	measureLimit = 500 * time.Millisecond
+	rttProbeInterval = time.Second
+	rttProbeTimeout  = 500 * time.Millisecond
 )
 
 type (
 	// Daemon is one proxy process.
 	Daemon struct {
 		settings *Settings
-		seams    Dependencies
+		deps     Dependencies
 		start    time.Time
 
 		mu     sync.Mutex
 		kernel *steering.Kernel
-		// inForce are the bounds in force; those of settings are the first.
-		inForce     Bounds
-		suspensions suspensions
+		// currentBounds are the bounds in force; those of settings are the first.
+		currentBounds   Bounds
+		suspendDetector suspendDetector
 
-		callers *http.Server
-		// callerConnections is what callers' connections are accepted by.
-		callerConnections *forwardhttp.Listener
-		servers           *serverhttp.Client
-		readiness         *http.Server
-		directory         *http.Server
-		operators         *http.Server
-		journal           *journal
-		meters            *meters
-		feed              *feed
-		follower          *follower
-		gossip            *gossip
-		keeper            *keeper
-		peers             *peerdrpc.Client
-		places            *places
-		verdicts          *verdicts
-		quotas            *quotas
+		callerServer *http.Server
+		// callerListener is what callers' connections are accepted by.
+		callerListener  *forwardhttp.Listener
+		serverClient    *serverhttp.Client
+		readinessServer *http.Server
+		directoryServer *http.Server
+		operatorServer  *http.Server
+		decisionLog     *decisionLog
+		metrics         *proxyMetrics
+		replica         *storeReplica
+		storeWatcher    *storeWatcher
+		gossip          *gossip
+		registrar       *registrar
+		peerClient      *peerdrpc.Client
+		permits         *permitClient
+		quarantine      *quarantineStore
+		quotas          *quotaClient
 
 		stopping chan struct{}
-		// stirred asks for suspicions to be followed soon.
-		stirred chan struct{}
+		// suspicionsChanged asks for suspicions to be followed soon.
+		suspicionsChanged chan struct{}
 	}
 )
 
@@ -75,73 +75,73 @@
 func New(s *Settings, seams Dependencies) (*Daemon, error) {
 	config := steering.Config{
 		Name: s.Name, Domain: s.Domain, Region: s.Region, Address: s.Listen.Callers, RegionOf: s.RegionOf,
-		Bounds: boundsOf(s), Joined: time.Now(), Off: s.DisabledMechanisms,
+		Bounds: kernelBounds(s), Joined: time.Now(), Off: s.DisabledMechanisms,
 	}
 	if _, err := rand.Read(config.Seed[:]); err != nil {
 		return nil, errors.Wrap(err, "seed")
 	}
-	d := &Daemon{settings: s, seams: seams, start: config.Joined, inForce: s.Bounds, stopping: make(chan struct{}), stirred: make(chan struct{}, 1)}
-	d.meters = newMeters()
-	d.journal = newJournal(s.Name, d.now, d.meters)
-	config.Observe, config.Record = d.observe, seams.Record
+	d := &Daemon{settings: s, deps: seams, start: config.Joined, currentBounds: s.Bounds, stopping: make(chan struct{}), suspicionsChanged: make(chan struct{}, 1)}
+	d.metrics = newProxyMetrics()
+	d.decisionLog = newDecisionLog(s.Name, d.now, d.metrics)
+	config.Observe, config.Record = d.handleEvent, seams.Record
 	d.kernel = steering.New(config)
-	d.operators = (&steeringhttp.Server{Status: d.status, Events: d.journal.events, Metrics: d.meters.set}).HTTP()
-	seams.Store = counted(seams.Store, d.meters.storeCall)
-	d.feed = newFeed(d)
-	d.verdicts = newVerdicts(d, seams.Store)
-	d.quotas = newQuotas(d, seams.Store)
-	d.peers = peerdrpc.NewClient(func() *tls.Config { return nil })
-	d.peers.Sent, d.peers.Received = d.meters.sent.Add, d.meters.received.Add
-	d.meters.watch(d, seams.DroppedLogLines)
-	d.places = newPlaces(d)
-	d.gossip = &gossip{feed: d.feed, send: d.peers.Sync}
-	d.follower = &follower{feed: d.feed, store: seams.Store}
-	d.keeper = &keeper{feed: d.feed, store: seams.Store}
-	memory := bodies.NewMemory(bodiesMost(s.MemoryBytes))
-	d.servers = serverhttp.NewClient(seams.Names.ServerHeaders, memory, d.now, d.meters.connections.Inc)
-	d.callers = (&forwardhttp.Server{
-		Headers: seams.Names.CallerHeaders, Kernel: d.do, Memory: memory, Send: d.servers.Send, Now: d.now,
-		Ask: d.places.ask, GiveBack: d.places.giveBack, AskPool: d.quotas.ask,
-		Stopping: d.isStopping, Configured: d.feed.begun, Started: d.start,
+	d.operatorServer = (&steeringhttp.Server{Status: d.status, Events: d.decisionLog.events, Metrics: d.metrics.set}).HTTP()
+	seams.Store = instrumentStore(seams.Store, d.metrics.storeCall)
+	d.replica = newStoreReplica(d)
+	d.quarantine = newQuarantineStore(d, seams.Store)
+	d.quotas = newQuotaClient(d, seams.Store)
+	d.peerClient = peerdrpc.NewClient(func() *tls.Config { return nil })
+	d.peerClient.Sent, d.peerClient.Received = d.metrics.sent.Add, d.metrics.received.Add
+	d.metrics.watch(d, seams.DroppedLogLines)
+	d.permits = newPermitClient(d)
+	d.gossip = &gossip{feed: d.replica, send: d.peerClient.Sync}
+	d.storeWatcher = &storeWatcher{feed: d.replica, store: seams.Store}
+	d.registrar = &registrar{feed: d.replica, store: seams.Store}
+	memory := bodies.NewMemory(bodyMemoryLimit(s.MemoryBytes))
+	d.serverClient = serverhttp.NewClient(seams.Names.ServerHeaders, memory, d.now, d.metrics.connections.Inc)
+	d.callerServer = (&forwardhttp.Server{
+		Headers: seams.Names.CallerHeaders, Kernel: d.withKernel, Memory: memory, Send: d.serverClient.Send, Now: d.now,
+		Ask: d.permits.ask, GiveBack: d.permits.giveBack, AskPool: d.quotas.ask,
+		Stopping: d.isStopping, Configured: d.replica.begun, Started: d.start,
 	}).HTTP()
-	d.readiness = &http.Server{Handler: d.readinessHandler(), ReadHeaderTimeout: time.Second, IdleTimeout: faceIdle}
-	d.directory = &http.Server{Handler: d.directoryHandler(), ReadHeaderTimeout: time.Second, IdleTimeout: faceIdle}
+	d.readinessServer = &http.Server{Handler: d.readinessHandler(), ReadHeaderTimeout: time.Second, IdleTimeout: httpIdleTimeout}
+	d.directoryServer = &http.Server{Handler: d.directoryHandler(), ReadHeaderTimeout: time.Second, IdleTimeout: httpIdleTimeout}
 	return d, nil
 }
 
-// observe takes in what the kernel tells, with its lock held.
-func (d *Daemon) observe(e steering.Event) {
-	d.journal.event(e)
+// handleEvent takes in what the kernel tells, with its lock held.
+func (d *Daemon) handleEvent(e steering.Event) {
+	d.decisionLog.event(e)
 	if e.Kind == steering.EventServerRestarted {
-		d.servers.Forget(e.Address)
+		d.serverClient.Forget(e.Address)
 	}
 }
 
 // now reads the steady clock: the time of day may jump.
 func (d *Daemon) now() time.Time { return d.start.Add(time.Since(d.start)) }
 
-// started tells this start of the VM's process from others, for peers.
-func (d *Daemon) started() int64 { return d.start.UnixMilli() }
+// startMillis tells this start of the VM's process from others, for peers.
+func (d *Daemon) startMillis() int64 { return d.start.UnixMilli() }
 
-// holding lists the services that are held back by own signs.
-func (d *Daemon) holding() (held []steering.Held) {
-	d.do(func(k *steering.Kernel, now time.Time) { held = k.Holding(now) })
+// learnedLimits lists the services that are held back by own signs.
+func (d *Daemon) learnedLimits() (held []steering.Held) {
+	d.withKernel(func(k *steering.Kernel, now time.Time) { held = k.Holding(now) })
 	return held
 }
 
-// do runs a function with the kernel, one at a time.
-func (d *Daemon) do(f func(*steering.Kernel, time.Time)) {
+// withKernel runs a function with the kernel, one at a time.
+func (d *Daemon) withKernel(f func(*steering.Kernel, time.Time)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	clock := time.Now()
 	now := d.start.Add(clock.Sub(d.start))
-	if d.suspensions.ended(clock) {
+	if d.suspendDetector.ended(clock) {
 		d.kernel.Resumed(now)
 	}
 	f(d.kernel, now)
 	if d.kernel.Stirred() {
 		select {
-		case d.stirred <- struct{}{}:
+		case d.suspicionsChanged <- struct{}{}:
 		default:
 		}
 	}
@@ -162,7 +162,7 @@
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
 	if d.settings.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(d.settings.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(d.settings.MemoryBytes)))
 	}
 	failed := make(chan error, 5)
 	for _, l := range []struct {
@@ -172,19 +172,19 @@
 		// bound.
 		share float64
 	}{
-		{d.callers, d.settings.Listen.Callers, callerShare},
-		{d.readiness, d.settings.Listen.Readiness, 0},
-		{d.directory, d.settings.Listen.Directory, directoryShare},
-		{d.operators, d.settings.Listen.Operators, 0},
+		{d.callerServer, d.settings.Listen.Callers, callerFileRatio},
+		{d.readinessServer, d.settings.Listen.Readiness, 0},
+		{d.directoryServer, d.settings.Listen.Directory, directoryFileRatio},
+		{d.operatorServer, d.settings.Listen.Operators, 0},
 	} {
 		listener, err := net.Listen("tcp", l.address.String())
 		if err != nil {
 			return errors.Wrap(err, "listen")
 		}
 		if l.share > 0 {
-			limited := forwardhttp.LimitConnections(listener, int(l.share*openFiles()), d.meters.turnedAway.Inc)
-			if l.server == d.callers {
-				d.callerConnections, d.callers.ConnState = limited, limited.Note
+			limited := forwardhttp.LimitConnections(listener, int(l.share*openFileLimit()), d.metrics.turnedAway.Inc)
+			if l.server == d.callerServer {
+				d.callerListener, d.callerServer.ConnState = limited, limited.Note
 			}
 			listener = limited
 		}
@@ -195,18 +195,18 @@
 		return errors.Wrap(err, "listen")
 	}
 	go func() { failed <- peerdrpc.ServeSync(ctx, peers, d.peerHandlers(ctx)) }()
-	d.follower.advanced = func(before uint64) { d.gossip.spread(ctx, before) }
-	d.follower.confirmed = func() { d.gossip.confirm(ctx) }
-	go d.follower.run(ctx)
+	d.storeWatcher.advanced = func(before uint64) { d.gossip.spread(ctx, before) }
+	d.storeWatcher.confirmed = func() { d.gossip.confirm(ctx) }
+	go d.storeWatcher.run(ctx)
 	go d.gossip.run(ctx)
-	go d.keeper.run(ctx)
-	go d.followSettings(ctx, told)
-	go d.tick(ctx)
-	go d.watchSuspicions(ctx)
-	go d.verdicts.run(ctx)
+	go d.registrar.run(ctx)
+	go d.watchSettings(ctx, told)
+	go d.runTicks(ctx)
+	go d.runCrashAlerts(ctx)
+	go d.quarantine.run(ctx)
 	go d.quotas.run(ctx)
 	go d.quotas.count(ctx)
-	go d.measure(ctx)
+	go d.probeRoundTrips(ctx)
 	if len(d.settings.DisabledMechanisms) > 0 {
 		klog.InfoS("mechanisms switched off", "mechanisms", d.settings.DisabledMechanisms)
 	}
@@ -225,55 +225,55 @@
 	return peerdrpc.SyncHandlers{
 		Sync: func(m peerdrpc.SyncMessage) peerdrpc.SyncMessage { return d.gossip.handle(ctx, m) },
 		Ask: func(a steering.Ask) (reply steering.Reply) {
-			d.do(func(k *steering.Kernel, now time.Time) { reply = k.HearAsk(now, a) })
+			d.withKernel(func(k *steering.Kernel, now time.Time) { reply = k.HearAsk(now, a) })
 			return reply
 		},
-		Release: d.places.release, Grant: d.places.hear, Now: d.now,
+		Release: d.permits.release, Grant: d.permits.hear, Now: d.now,
 		ReportLimits: func(r ratelimit.Report) (g ratelimit.Grants) {
-			d.do(func(k *steering.Kernel, now time.Time) { g = k.HearReport(now, r) })
+			d.withKernel(func(k *steering.Kernel, now time.Time) { g = k.HearReport(now, r) })
 			return g
 		},
 		TakeToken: func(account string) (t ratelimit.Token) {
-			d.do(func(k *steering.Kernel, now time.Time) { t = k.TakeToken(now, account) })
+			d.withKernel(func(k *steering.Kernel, now time.Time) { t = k.TakeToken(now, account) })
 			return t
 		},
 	}
 }
 
-// tick lets the kernel act on what has run out.
-func (d *Daemon) tick(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+// runTicks lets the kernel act on what has run out.
+func (d *Daemon) runTicks(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			d.feed.listLate()
+			d.replica.listLate()
 			var grants []steering.Reply
-			d.do(func(k *steering.Kernel, now time.Time) {
+			d.withKernel(func(k *steering.Kernel, now time.Time) {
 				k.Tick(now)
 				grants = k.Grants()
 			})
-			d.places.tell(grants)
+			d.permits.tell(grants)
 		}
 	}
 }
 
-// measure learns the round trips to failure domains before callers wait for
+// probeRoundTrips learns the round trips to failure domains before callers wait for
 // them: where objects live depends on how far the regions are apart.
-func (d *Daemon) measure(ctx context.Context) {
+func (d *Daemon) probeRoundTrips(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep.For(ctx, measureEvery)
+		sleep.For(ctx, rttProbeInterval)
 		var list []routing.Server
-		d.do(func(k *steering.Kernel, _ time.Time) { list = k.Unmeasured() })
+		d.withKernel(func(k *steering.Kernel, _ time.Time) { list = k.Unmeasured() })
 		for _, s := range list {
-			roundTrip, err := d.servers.Measure(ctx, s.Address, measureLimit)
+			roundTrip, err := d.serverClient.Measure(ctx, s.Address, rttProbeTimeout)
 			if err != nil {
 				klog.V(1).InfoS("no round trip measured", "server", s.ID, "error", err.Error())
 				continue
 			}
-			d.do(func(k *steering.Kernel, _ time.Time) { k.Measured(s.Domain, roundTrip) })
+			d.withKernel(func(k *steering.Kernel, _ time.Time) { k.Measured(s.Domain, roundTrip) })
 		}
 	}
 }
--- a/internal/proxy/forward/face.go
+++ b/internal/proxy/forward/face.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// lookupLifetime is how long callers should keep an answer: short, so
+	// lookupTTL is how long callers should keep an answer: short, so
 	// that they learn of proxies that left within a planned stop.
-	lookupLifetime = 2 * time.Second
+	lookupTTL = 2 * time.Second
 )
 
 func (d *Daemon) readinessHandler() http.Handler {
 	router := mux.NewRouter()
-	router.HandleFunc(d.seams.Names.ReadinessPath, func(w http.ResponseWriter, _ *http.Request) {
+	router.HandleFunc(d.deps.Names.ReadinessPath, func(w http.ResponseWriter, _ *http.Request) {
 		if d.isStopping() || !d.configured() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -35,24 +35,24 @@
 
 func (d *Daemon) configured() bool {
 	version := uint64(0)
-	d.do(func(k *steering.Kernel, _ time.Time) { version = k.Version() })
+	d.withKernel(func(k *steering.Kernel, _ time.Time) { version = k.Version() })
 	return version > 0
 }
 
 func (d *Daemon) directoryHandler() http.Handler {
-	n := d.seams.Names
+	n := d.deps.Names
 	router := mux.NewRouter()
 	router.HandleFunc(n.LookupPath, func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
 		var list []netip.AddrPort
-		d.do(func(k *steering.Kernel, _ time.Time) {
+		d.withKernel(func(k *steering.Kernel, _ time.Time) {
 			list = k.Lookup(q.Get(n.LookupHost), q.Get(n.LookupRegion), q.Get(n.LookupDomain))
 		})
 		if len(list) == 0 || !d.configured() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		data, err := d.seams.Codec.EncodeLookupResponse(list, min(lookupLifetime, d.bounds().MaxLookupTTL))
+		data, err := d.deps.Codec.EncodeLookupResponse(list, min(lookupTTL, d.bounds().MaxLookupTTL))
 		if err != nil {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
@@ -67,21 +67,21 @@
 func (d *Daemon) status() steeringhttp.Status {
 	var view steering.Status
 	var table *routing.Table
-	d.do(func(k *steering.Kernel, now time.Time) { view, table = k.Status(now), k.Table() })
+	d.withKernel(func(k *steering.Kernel, now time.Time) { view, table = k.Status(now), k.Table() })
 	s := steeringhttp.Status{
-		VM: d.settings.Name, Configuration: view.Version, CopyRevision: d.feed.revision(),
-		CopyAge: d.feed.age().Round(time.Millisecond).String(), InFlight: view.InFlight, Stopping: d.isStopping(),
-		Evacuated: view.Evacuated, Stranded: view.Stranded, Off: view.Off, Holding: view.Holding, Proxies: d.feed.proxies(), At: time.Now(),
+		VM: d.settings.Name, Configuration: view.Version, CopyRevision: d.replica.revision(),
+		CopyAge: d.replica.age().Round(time.Millisecond).String(), InFlight: view.InFlight, Stopping: d.isStopping(),
+		Evacuated: view.Evacuated, Stranded: view.Stranded, Off: view.Off, Holding: view.Holding, Proxies: d.replica.proxies(), At: time.Now(),
 	}
 	for _, b := range view.Servers {
-		s.Servers = append(s.Servers, serverOf(b))
+		s.Servers = append(s.Servers, serverStatus(b))
 	}
 	for _, c := range view.Condemned {
 		s.Condemned = append(s.Condemned, steeringhttp.CondemnedWork{Work: c.Work.String(), Ends: c.Open(), For: c.For.Round(time.Second).String()})
 	}
 	s.Holders, s.Pool = view.Holders, view.Pool
 	for _, a := range view.Accounts {
-		s.Accounts = append(s.Accounts, accountOf(a))
+		s.Accounts = append(s.Accounts, accountStatus(a))
 	}
 	if table == nil {
 		return s
@@ -97,8 +97,8 @@
 	return s
 }
 
-// serverOf is a backend server as operators see it.
-func serverOf(b steering.ServerStatus) steeringhttp.BackendServer {
+// serverStatus is a backend server as operators see it.
+func serverStatus(b steering.ServerStatus) steeringhttp.BackendServer {
 	out := steeringhttp.BackendServer{
 		ID: b.ID, Service: b.Service, Domain: b.Domain, State: steeringhttp.StateOf(b), InFlight: b.InFlight,
 		Slots: b.Slots, Load: b.Load, Speed: b.Speed, Failed: b.Failed, Leaves: b.Leaves,
@@ -112,8 +112,8 @@
 	return out
 }
 
-// accountOf is a client account as operators see it.
-func accountOf(a steering.AccountStatus) steeringhttp.Account {
+// accountStatus is a client account as operators see it.
+func accountStatus(a steering.AccountStatus) steeringhttp.Account {
 	out := steeringhttp.Account{
 		Name: a.Name, Regions: a.Regions, Priority: a.Priority, LimitPerSecond: a.Limit.PerSecond, Burst: a.Limit.Burst,
 		HeldShare: float64(a.Share) / float64(ratelimit.Whole), PerSecond: a.PerSecond, Admitted: a.Admitted, Refused: a.Denied,
--- a/internal/proxy/forward/feed.go
+++ b/internal/proxy/forward/feed.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// absentFor is how long a server is waited for whose registration may have
+	// absenceGracePeriod is how long a server is waited for whose registration may have
 	// run out in an outage. Live ones are back within about two seconds of the
 	// store's return.
-	absentFor = 2200 * time.Millisecond
+	absenceGracePeriod = 2200 * time.Millisecond
 
-	memberPrefix    = "gypsumquay/proxies/"
-	condemnedPrefix = "gypsumquay/condemned/"
+	proxyKeyPrefix      = "gypsumquay/proxies/"
+	quarantineKeyPrefix = "gypsumquay/condemned/"
 )
 
 type (
-	// feed keeps the copy of the store and brings its changes to the kernel.
-	feed struct {
+	// storeReplica keeps the copy of the store and brings its changes to the kernel.
+	storeReplica struct {
 		daemon *Daemon
 
 		mu   sync.Mutex
 		copy *replica.Copy
 		// allowance bounds the whole copies given to peers.
 		allowance replica.Allowance
-		members   map[string]member
+		members   map[string]proxyEntry
 		// changed counts the changes of members.
 		changed int
 		// listedAt is when the kernel was last told who is alive, unlisted whether it
@@ -56,15 +56,15 @@
 	}
 )
 
-func newFeed(d *Daemon) *feed {
-	return &feed{
-		daemon: d, copy: replica.NewCopy(), members: make(map[string]member),
+func newStoreReplica(d *Daemon) *storeReplica {
+	return &storeReplica{
+		daemon: d, copy: replica.NewCopy(), members: make(map[string]proxyEntry),
 		rewrite: make(chan struct{}, 1), begun: make(chan struct{}),
 	}
 }
 
 // apply takes a delta in and reports whether the copy advanced.
-func (f *feed) apply(d replica.Delta) bool {
+func (f *storeReplica) apply(d replica.Delta) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.copy.Revision()
@@ -81,13 +81,13 @@
 }
 
 // tell brings one change to the kernel.
-func (f *feed) tell(e replica.Entry) {
-	n := f.daemon.seams.Names
+func (f *storeReplica) tell(e replica.Entry) {
+	n := f.daemon.deps.Names
 	switch e.Key {
 	case n.ConfigurationKey:
 		f.tellTable(e)
 		return
-	case fleetKey:
+	case fleetSizeKey:
 		f.daemon.quotas.hear(e)
 		return
 	}
@@ -96,11 +96,11 @@
 			f.refused("evacuation", domain, err)
 			return
 		}
-		f.daemon.do(func(k *steering.Kernel, now time.Time) { k.SetEvacuated(now, domain, !e.Removed) })
+		f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.SetEvacuated(now, domain, !e.Removed) })
 		return
 	}
-	if name, ok := strings.CutPrefix(e.Key, condemnedPrefix); ok {
-		f.daemon.verdicts.hear(name, e)
+	if name, ok := strings.CutPrefix(e.Key, quarantineKeyPrefix); ok {
+		f.daemon.quarantine.hear(name, e)
 		return
 	}
 	if id, ok := strings.CutPrefix(e.Key, n.ServerPrefix); ok {
@@ -108,16 +108,16 @@
 	}
 }
 
-func (f *feed) tellTable(e replica.Entry) {
+func (f *storeReplica) tellTable(e replica.Entry) {
 	if e.Removed {
 		return
 	}
-	t, err := f.daemon.seams.Codec.DecodeTable(e.Value)
+	t, err := f.daemon.deps.Codec.DecodeTable(e.Value)
 	if err != nil {
 		f.refused("configuration", "", err)
 		return
 	}
-	f.daemon.do(func(k *steering.Kernel, _ time.Time) { k.SetTable(t) })
+	f.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { k.SetTable(t) })
 }
 
 // tellServer brings a registration to the kernel. One whose removal is doubtful
@@ -125,32 +125,32 @@
 // has left, and would get requests for too long. An entry that cannot be read, or
 // that stands in no known failure domain, names no server to use: what stood there
 // before no longer holds.
-func (f *feed) tellServer(id string, e replica.Entry) {
+func (f *storeReplica) tellServer(id string, e replica.Entry) {
 	if e.Removed {
-		f.daemon.do(func(k *steering.Kernel, now time.Time) {
+		f.daemon.withKernel(func(k *steering.Kernel, now time.Time) {
 			if e.Doubtful {
-				k.ServerAbsent(id, now.Add(absentFor))
+				k.ServerAbsent(id, now.Add(absenceGracePeriod))
 				return
 			}
 			k.RemoveServer(now, id)
 		})
 		return
 	}
-	r, err := f.daemon.seams.Codec.DecodeServer(id, e.Value)
+	r, err := f.daemon.deps.Codec.DecodeServer(id, e.Value)
 	if err == nil {
 		err = f.checkDomain(r.Domain, "")
 	}
 	if err != nil {
 		f.refused("server", id, err)
-		f.daemon.do(func(k *steering.Kernel, _ time.Time) { k.ServerUnreadable(id) })
+		f.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { k.ServerUnreadable(id) })
 		return
 	}
-	f.daemon.do(func(k *steering.Kernel, now time.Time) { k.SetServer(now, r) })
+	f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.SetServer(now, r) })
 }
 
 // checkDomain refuses a failure domain that is in no region, or not in the one
 // named: nobody could say whom what stands there may serve.
-func (f *feed) checkDomain(domain, region string) error {
+func (f *storeReplica) checkDomain(domain, region string) error {
 	in, known := f.daemon.settings.RegionOf[domain]
 	switch {
 	case !known:
@@ -163,15 +163,15 @@
 
 // refused tells of an entry that another program wrote and that names nothing to
 // use, once for each time that it is written.
-func (f *feed) refused(kind, name string, err error) {
-	f.daemon.meters.entryRefused(kind)
+func (f *storeReplica) refused(kind, name string, err error) {
+	f.daemon.metrics.entryRefused(kind)
 	klog.ErrorS(err, "entry refused", "kind", kind, "name", name)
 }
 
 // since is what a peer at a revision lacks; without anything newer, or where the
 // peer needs more than may be given away now, it tells the own revision and age
 // alone. A peer that sees a newer revision and gets no news asks elsewhere.
-func (f *feed) since(revision uint64) replica.Delta {
+func (f *storeReplica) since(revision uint64) replica.Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.daemon.now()
@@ -187,13 +187,13 @@
 }
 
 // age is how long ago the copy was known to be the store's state.
-func (f *feed) age() time.Duration {
+func (f *storeReplica) age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.copy.Age(f.daemon.now())
 }
 
-func (f *feed) revision() uint64 {
+func (f *storeReplica) revision() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.copy.Revision()
@@ -203,7 +203,7 @@
 // begun to, because no news came, goes on until a peer of its region has a fresh
 // copy. Its own answers keep its copy fresh, and if it stopped at each it would
 // hear nothing for two seconds after it.
-func (f *feed) follows() bool {
+func (f *storeReplica) follows() bool {
 	rank, age := f.rank(), f.age()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -214,7 +214,7 @@
 
 // failed notes a call to the store, begun at a moment, that was not answered. One
 // that ran out of time found the store away from its beginning.
-func (f *feed) failed(err error, began time.Time) {
+func (f *storeReplica) failed(err error, began time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	since := f.daemon.now()
@@ -227,7 +227,7 @@
 }
 
 // answered notes that the store answered a call.
-func (f *feed) answered() {
+func (f *storeReplica) answered() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.outage.Answered(f.daemon.now()) {
@@ -237,7 +237,7 @@
 
 // applyOwn takes in what the store itself told and reports whether the copy
 // advanced.
-func (f *feed) applyOwn(d replica.Delta) bool {
+func (f *storeReplica) applyOwn(d replica.Delta) bool {
 	f.answered()
 	f.mu.Lock()
 	d.Doubtful = f.outage.Doubtful(f.daemon.now())
@@ -245,7 +245,7 @@
 	return f.apply(d)
 }
 
-func (f *feed) writeSoon() {
+func (f *storeReplica) writeSoon() {
 	select {
 	case f.rewrite <- struct{}{}:
 	default:
--- a/internal/proxy/forward/fleet_test.go
+++ b/internal/proxy/forward/fleet_test.go
@@ -353,7 +353,7 @@
 // its process does.
 func (f *fleet) endConnections(i int) {
 	err := <-f.ended[i]
-	_ = f.daemons[i].callers.Close()
+	_ = f.daemons[i].callerServer.Close()
 	f.ended[i] <- err
 }
 
@@ -381,7 +381,7 @@
 }
 
 func (f *fleet) version(i int) (v uint64) {
-	f.daemons[i].do(func(k *steering.Kernel, _ time.Time) { v = k.Version() })
+	f.daemons[i].withKernel(func(k *steering.Kernel, _ time.Time) { v = k.Version() })
 	return v
 }
 
@@ -437,14 +437,14 @@
 	for first, want := range map[bool]bool{true: true, false: false} {
 		idle := f.idle()
 		idle.settings.Seeds, idle.settings.FirstStart = []netip.AddrPort{freePort(t)}, first
-		w := &follower{feed: idle.feed, confirmed: func() {}, store: f.links[0].seams()}
+		w := &storeWatcher{feed: idle.replica, confirmed: func() {}, store: f.links[0].seams()}
 		ctx, cancel := context.WithCancel(context.Background())
 		returned := make(chan struct{})
 		go func() { w.awaitSeed(ctx); close(returned) }()
 		waits := false
 		select {
 		case <-returned:
-		case <-time.After(seedPatience / 4):
+		case <-time.After(seedTimeout / 4):
 			waits = true
 		}
 		if waits != want {
@@ -480,7 +480,7 @@
 	f.store.deaf = true
 	f.store.mu.Unlock()
 	f.store.write("servers/s1", testServer{Service: "service", Domain: "a", Address: addressOf(f.backend.URL), Drains: true})
-	time.Sleep(watchWait + 200*time.Millisecond)
+	time.Sleep(watchTimeout + 200*time.Millisecond)
 	f.store.mu.Lock()
 	f.store.deaf = false
 	f.store.mu.Unlock()
@@ -493,11 +493,11 @@
 func TestRevokedEntryIsWrittenAgain(t *testing.T) {
 	f := newFleet(t, 2)
 	f.eventually("both proxies are named", func() bool { return f.named(1) == 2 })
-	f.store.remove(memberPrefix + "proxy-a")
+	f.store.remove(proxyKeyPrefix + "proxy-a")
 	f.eventually("the entry is back", func() bool {
 		f.store.mu.Lock()
 		defer f.store.mu.Unlock()
-		_, held := f.store.items[memberPrefix+"proxy-a"]
+		_, held := f.store.items[proxyKeyPrefix+"proxy-a"]
 		return held
 	})
 	f.eventually("both proxies are named again", func() bool { return f.named(1) == 2 })
@@ -509,7 +509,7 @@
 func TestPlannedStopDoesNotWaitForTheStore(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.daemons[0]
-	d.keeper.store.RevokeLease = func(ctx context.Context, _ uint64) error {
+	d.registrar.store.RevokeLease = func(ctx context.Context, _ uint64) error {
 		sleep.For(ctx, time.Minute)
 		return ctx.Err()
 	}
@@ -545,7 +545,7 @@
 func TestPlannedStopAnswersWhatCameLast(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.daemons[0]
-	began, taken := time.Now(), time.Duration(drainShare*float64(d.bounds().GracePeriod))
+	began, taken := time.Now(), time.Duration(acceptRatio*float64(d.bounds().GracePeriod))
 	f.stops[0]()
 	go f.endConnections(0)
 	var cut, answered atomic.Int32
--- a/internal/proxy/forward/follow.go
+++ b/internal/proxy/forward/follow.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	// watchWait is how long one watch waits for a change. An answer without
+	// watchTimeout is how long one watch waits for a change. An answer without
 	// changes confirms the copy, so this bounds how old a relay's copy is.
-	watchWait = 1500 * time.Millisecond
-	// spareWait is that of the further relays. They hear of changes as soon,
+	watchTimeout = 1500 * time.Millisecond
+	// standbyWatchTimeout is that of the further relays. They hear of changes as soon,
 	// but need not confirm the copy while the first relay does.
-	spareWait = 5 * time.Second
-	// gather is the pause after a change: changes come in series, and each
+	standbyWatchTimeout = 5 * time.Second
+	// watchBatchDelay is the pause after a change: changes come in series, and each
 	// answered watch is a call that is paid for. It is a sixth of the time
 	// in which a drained server must get nothing more.
-	gather = 400 * time.Millisecond
-	// seedPatience is how long a proxy waits for a seed's copy at the first
+	watchBatchDelay = 400 * time.Millisecond
+	// seedTimeout is how long a proxy waits for a seed's copy at the first
 	// start of a whole fleet, before it reads the store itself: one reading a
 	// proxy would be most of the calls then. A proxy that starts later reads at
 	// once, for callers already come to it and hear "not now" until it knows.
-	seedPatience = 1200 * time.Millisecond
-	// staleAge is what a stale reading counts for in the age of a copy. It may be older
+	seedTimeout = 1200 * time.Millisecond
+	// staleReadAge is what a stale reading counts for in the age of a copy. It may be older
 	// by seconds; peers tell the rest in the next two exchanges, and if they don't, this
 	// proxy follows the store a second later.
-	staleAge = time.Second
-	// followCheck is how often a proxy that is no relay looks whether it
+	staleReadAge = time.Second
+	// followCheckInterval is how often a proxy that is no relay looks whether it
 	// must ask the store itself.
-	followCheck = 200 * time.Millisecond
-	// retryLeast and retryMost bound the pause after a failed call; retryOthers
+	followCheckInterval = 200 * time.Millisecond
+	// minRetryBackoff and retryMost bound the pause after a failed call; maxNonRelayBackoff
 	// is the longest of proxies that are no relays. They hear of the store's
 	// return from the relays.
-	retryLeast  = 100 * time.Millisecond
-	retryMost   = time.Second
-	retryOthers = 4 * time.Second
+	minRetryBackoff    = 100 * time.Millisecond
+	maxRetryBackoff    = time.Second
+	maxNonRelayBackoff = 4 * time.Second
 )
 
 type (
-	// follower brings the store's changes into the copy while this proxy is
+	// storeWatcher brings the store's changes into the copy while this proxy is
 	// a relay, or when no relay's news arrives.
-	follower struct {
-		feed  *feed
+	storeWatcher struct {
+		feed  *storeReplica
 		store Store
 		// advanced is called when the store told something new, confirmed when it told
 		// that nothing has changed.
@@ -56,12 +56,12 @@
 	}
 )
 
-func (f *follower) run(ctx context.Context) {
+func (f *storeWatcher) run(ctx context.Context) {
 	f.awaitSeed(ctx)
-	pause := retryLeast
+	pause := minRetryBackoff
 	for ctx.Err() == nil {
 		if !f.feed.follows() {
-			sleep.For(ctx, followCheck)
+			sleep.For(ctx, followCheckInterval)
 			continue
 		}
 		began := f.feed.daemon.now()
@@ -71,33 +71,33 @@
 			pause = min(2*pause, f.retryMost())
 			continue
 		}
-		pause = retryLeast
+		pause = minRetryBackoff
 	}
 }
 
 // retryMost is the longest pause after a failed call.
-func (f *follower) retryMost() time.Duration {
+func (f *storeWatcher) retryMost() time.Duration {
 	if f.feed.rank() < replica.Relays {
-		return retryMost
+		return maxRetryBackoff
 	}
-	return retryOthers
+	return maxNonRelayBackoff
 }
 
 // awaitSeed waits a while for a copy from a seed when the whole fleet starts,
 // unless this proxy is a seed.
-func (f *follower) awaitSeed(ctx context.Context) {
+func (f *storeWatcher) awaitSeed(ctx context.Context) {
 	settings := f.feed.daemon.settings
 	if !settings.FirstStart || len(settings.Seeds) == 0 || slices.Contains(settings.Seeds, settings.Listen.Peers) {
 		return
 	}
-	end := f.feed.daemon.now().Add(seedPatience)
+	end := f.feed.daemon.now().Add(seedTimeout)
 	for ctx.Err() == nil && f.feed.revision() == 0 && f.feed.daemon.now().Before(end) {
-		sleep.For(ctx, retryLeast)
+		sleep.For(ctx, minRetryBackoff)
 	}
 }
 
 // step reads everything the first time and follows the changes after that.
-func (f *follower) step(ctx context.Context) error {
+func (f *storeWatcher) step(ctx context.Context) error {
 	before := f.feed.revision()
 	if before == 0 {
 		return f.readFirst(ctx)
@@ -110,12 +110,12 @@
 	if err != nil {
 		return errors.Wrap(err, "watch")
 	}
-	f.feed.applyOwn(replica.Delta{Base: before, Revision: newest(before, items), Entries: entriesOf(items)})
+	f.feed.applyOwn(replica.Delta{Base: before, Revision: lastRevision(before, items), Entries: replicaEntries(items)})
 	if len(items) > 0 {
 		// Also if an exchange with another region brought them a moment before:
 		// the rest of this region may not have heard.
 		f.advanced(before)
-		sleep.For(ctx, gather)
+		sleep.For(ctx, watchBatchDelay)
 		return nil
 	}
 	if f.feed.rank() == 0 {
@@ -124,12 +124,12 @@
 	return nil
 }
 
-// newest is the revision up to which a watch's answer is complete: that of its
+// lastRevision is the revision up to which a watch's answer is complete: that of its
 // last change. The store's own revision is not taken, for a watch that heard
 // nothing for a while names it without the changes that led to it, and they
 // would be missed for good. From an older one the store says that its history
 // is gone, and everything is read again.
-func newest(before uint64, items []KeyValue) uint64 {
+func lastRevision(before uint64, items []KeyValue) uint64 {
 	for _, i := range items {
 		before = max(before, i.Revision)
 	}
@@ -137,16 +137,16 @@
 }
 
 // wait is how long this proxy's next watch should wait.
-func (f *follower) wait() time.Duration {
+func (f *storeWatcher) wait() time.Duration {
 	if rank := f.feed.rank(); rank > 0 && rank < replica.Relays {
-		return spareWait
+		return standbyWatchTimeout
 	}
-	return watchWait
+	return watchTimeout
 }
 
 // readFirst reads everything, unless a peer's copy comes first: that is a sixth
 // of the size and one message, where the store needs a page for each 500 keys.
-func (f *follower) readFirst(ctx context.Context) error {
+func (f *storeWatcher) readFirst(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -165,15 +165,15 @@
 // readAll reads everything. Only who follows the store needs it as it is now: the
 // others hear the rest from their peers, and in a fleet of hundreds that starts their
 // readings would be most of the calls.
-func (f *follower) readAll(ctx context.Context, stale bool) error {
+func (f *storeWatcher) readAll(ctx context.Context, stale bool) error {
 	before := f.feed.revision()
 	items, revision, err := f.store.Range(ctx, "", stale)
 	if err != nil {
 		return errors.Wrap(err, "read all")
 	}
-	d := replica.Delta{Revision: revision, Whole: true, Entries: entriesOf(items)}
+	d := replica.Delta{Revision: revision, Whole: true, Entries: replicaEntries(items)}
 	if stale {
-		d.Age = staleAge
+		d.Age = staleReadAge
 	}
 	if f.feed.applyOwn(d) && before > 0 {
 		// Nothing is news to others in a first reading: told all that came after
@@ -183,7 +183,7 @@
 	return nil
 }
 
-func entriesOf(items []KeyValue) []replica.Entry {
+func replicaEntries(items []KeyValue) []replica.Entry {
 	list := make([]replica.Entry, 0, len(items))
 	for _, i := range items {
 		list = append(list, replica.Entry{Key: i.Key, Value: i.Value, Revision: i.Revision, Removed: i.Removed})
--- a/internal/proxy/forward/follow_test.go
+++ b/internal/proxy/forward/follow_test.go
@@ -36,10 +36,10 @@
 		d := seeded(t, c.isSeed)
 		delta := replica.Delta{Revision: 7, Whole: true}
 		if c.old {
-			delta.Age = 3 * retryMost
+			delta.Age = 3 * maxRetryBackoff
 		}
-		d.feed.apply(delta)
-		if got := d.feed.follows(); got != c.wantFollowed {
+		d.replica.apply(delta)
+		if got := d.replica.follows(); got != c.wantFollowed {
 			t.Errorf("%s follows the store: %t, want %t", c.name, got, c.wantFollowed)
 		}
 	}
@@ -52,7 +52,7 @@
 	for _, isSeed := range []bool{true, false} {
 		d := seeded(t, isSeed)
 		var gotStale, passedOn bool
-		f := &follower{feed: d.feed, advanced: func(uint64) { passedOn = true }, store: Store{
+		f := &storeWatcher{feed: d.replica, advanced: func(uint64) { passedOn = true }, store: Store{
 			Range: func(_ context.Context, _ string, stale bool) ([]KeyValue, uint64, error) {
 				gotStale = stale
 				return []KeyValue{{Key: "key", Revision: 4}}, 5, nil
@@ -67,11 +67,11 @@
 		if passedOn {
 			t.Errorf("a seed: %t; its first reading was passed on, want not", isSeed)
 		}
-		if got, want := d.feed.revision(), uint64(5); got != want {
+		if got, want := d.replica.revision(), uint64(5); got != want {
 			t.Errorf("revision is %d, want %d", got, want)
 		}
-		if fresh := d.feed.age() < staleAge; fresh != isSeed {
-			t.Errorf("a seed: %t; its copy is %v old, want a stale reading to count for %v", isSeed, d.feed.age(), staleAge)
+		if fresh := d.replica.age() < staleReadAge; fresh != isSeed {
+			t.Errorf("a seed: %t; its copy is %v old, want a stale reading to count for %v", isSeed, d.replica.age(), staleReadAge)
 		}
 	}
 }
--- a/internal/proxy/forward/frail_test.go
+++ b/internal/proxy/forward/frail_test.go
@@ -164,11 +164,11 @@
 	condemned := func(proxy int) bool {
 		f.ask(proxy, deadlyPath)
 		list := 0
-		f.daemons[proxy].do(func(k *steering.Kernel, now time.Time) { list = len(k.Condemned(now)) })
+		f.daemons[proxy].withKernel(func(k *steering.Kernel, now time.Time) { list = len(k.Condemned(now)) })
 		return list > 0
 	}
 	f.eventually("the request is condemned", func() bool { return condemned(0) && condemned(1) })
-	f.eventually("that is stored", func() bool { return f.store.count(condemnedPrefix) > 0 })
+	f.eventually("that is stored", func() bool { return f.store.count(quarantineKeyPrefix) > 0 })
 	before, first := len(servers.ended()), 0
 	for range 2 {
 		for i := first; i < len(f.daemons); i++ {
--- a/internal/proxy/forward/gossip.go
+++ b/internal/proxy/forward/gossip.go
@@ -18,39 +18,39 @@
 )
 
 const (
-	// gossipEvery is how often a proxy compares copies with another one.
-	gossipEvery = 500 * time.Millisecond
-	// seedEvery is that of a proxy which knows nothing yet: a round trip
+	// gossipInterval is how often a proxy compares copies with another one.
+	gossipInterval = 500 * time.Millisecond
+	// bootstrapInterval is that of a proxy which knows nothing yet: a round trip
 	// between regions and some time for a copy.
-	seedEvery = 150 * time.Millisecond
-	// pushesMost bounds the peers that news are sent to at once. More would
+	bootstrapInterval = 150 * time.Millisecond
+	// spreadFanout bounds the peers that news are sent to at once. More would
 	// fill the link of a small VM where a region has a hundred.
-	pushesMost = 32
-	// passesMost is how many peers a proxy passes news on to in a region that is
+	spreadFanout = 32
+	// forwardFanout is how many peers a proxy passes news on to in a region that is
 	// larger than that: four from each of 32 reach a hundred with little to
 	// spare, and the exchanges make up for the rest.
-	passesMost = 4
-	// alertsFar is how many other regions are alerted at once.
-	alertsFar = 3
-	// confirmsMost is how many peers the first relay of a large region tells that nothing
+	forwardFanout = 4
+	// alertRemoteFanout is how many other regions are alerted at once.
+	alertRemoteFanout = 3
+	// confirmFanout is how many peers the first relay of a large region tells that nothing
 	// has changed. By exchanges alone that took three seconds in a region of a hundred,
 	// so that dozens took their copies for old and asked the store themselves.
-	confirmsMost = 12
-	// othersMost is how many peers a proxy names that may not give everything.
-	othersMost = 4
-	// offerFrom is the size of news, in bytes, from which a peer is asked first whether it
+	confirmFanout = 12
+	// maxNamedPeers is how many peers a proxy names that may not give everything.
+	maxNamedPeers = 4
+	// offerMinBytes is the size of news, in bytes, from which a peer is asked first whether it
 	// has them: two relays and the exchanges would each bring it all of a configuration.
-	offerFrom = 2 << 10
-	// offerPause is how long each relay leaves large news to the one before it.
-	offerPause = 100 * time.Millisecond
-	// farOneIn is how many exchanges go to another region: one in so many.
-	farOneIn = 4
+	offerMinBytes = 2 << 10
+	// offerStagger is how long each relay leaves large news to the one before it.
+	offerStagger = 100 * time.Millisecond
+	// remoteExchangeRatio is how many exchanges go to another region: one in so many.
+	remoteExchangeRatio = 4
 )
 
 type (
 	// gossip compares the copy with other proxies' and spreads news.
 	gossip struct {
-		feed *feed
+		feed *storeReplica
 		send func(ctx context.Context, to netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error)
 
 		mu sync.Mutex
@@ -61,9 +61,9 @@
 
 func (g *gossip) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		every := gossipEvery
+		every := gossipInterval
 		if g.feed.revision() == 0 {
-			every = seedEvery
+			every = bootstrapInterval
 		}
 		sleep.For(ctx, every/2+rand.N(every))
 		if to, ok := g.pick(); ok {
@@ -112,7 +112,7 @@
 func (g *gossip) take(m peerdrpc.SyncMessage) bool {
 	g.feed.hear(m)
 	if len(m.Held)+len(m.Suspicions)+len(m.Signals) > 0 {
-		g.feed.daemon.do(func(k *steering.Kernel, now time.Time) {
+		g.feed.daemon.withKernel(func(k *steering.Kernel, now time.Time) {
 			k.SetHolding(now, m.Held)
 			k.HearSuspicions(now, m.Suspicions)
 			k.HearSignals(now, m.Signals)
@@ -129,16 +129,16 @@
 func (g *gossip) others() []netip.AddrPort {
 	near, far := g.peers()
 	list := slices.Concat(near, slices.Concat(slices.Collect(maps.Values(far))...))
-	return some(list, othersMost)
+	return sample(list, maxNamedPeers)
 }
 
 // message tells a peer what it lacks of the copy and what else it should hear; a peer
 // that has just started hears of all suspicions.
 func (g *gossip) message(d replica.Delta, starts bool) peerdrpc.SyncMessage {
 	return peerdrpc.SyncMessage{
-		Suspicions: g.feed.daemon.suspicions(starts), Signals: g.feed.daemon.signals(starts),
-		From: g.feed.daemon.settings.Name, Started: g.feed.daemon.started(), Leaving: g.feed.daemon.isStopping(),
-		Held: g.feed.daemon.holding(), Delta: d,
+		Suspicions: g.feed.daemon.quarantineReports(starts), Signals: g.feed.daemon.backpressureReports(starts),
+		From: g.feed.daemon.settings.Name, Started: g.feed.daemon.startMillis(), Leaving: g.feed.daemon.isStopping(),
+		Held: g.feed.daemon.learnedLimits(), Delta: d,
 	}
 }
 
@@ -147,7 +147,7 @@
 func (g *gossip) pick() (netip.AddrPort, bool) {
 	near, far := g.peers()
 	list := near
-	if len(far) > 0 && (len(near) == 0 || rand.N(farOneIn) == 0) {
+	if len(far) > 0 && (len(near) == 0 || rand.N(remoteExchangeRatio) == 0) {
 		list = slices.Concat(slices.Collect(maps.Values(far))...)
 	}
 	if len(list) == 0 {
@@ -197,7 +197,7 @@
 // in case that region's relays are cut off.
 func (g *gossip) spread(ctx context.Context, since uint64) {
 	near, far := g.peers()
-	list := some(near, pushesMost)
+	list := sample(near, spreadFanout)
 	for _, region := range far {
 		list = append(list, region[rand.N(len(region))])
 	}
@@ -208,11 +208,11 @@
 
 // offer sends news to a peer, large ones only if it lacks them.
 func (g *gossip) offer(ctx context.Context, to netip.AddrPort, since uint64) {
-	if g.feed.since(since).Size() < offerFrom {
+	if g.feed.since(since).Size() < offerMinBytes {
 		g.push(ctx, to, since)
 		return
 	}
-	sleep.For(ctx, time.Duration(min(g.feed.rank(), replica.Relays))*offerPause)
+	sleep.For(ctx, time.Duration(min(g.feed.rank(), replica.Relays))*offerStagger)
 	reply, err := g.send(ctx, to, g.message(g.feed.since(g.feed.revision()), false))
 	if err != nil {
 		klog.V(1).InfoS("news not delivered", "peer", to, "error", err.Error())
@@ -227,10 +227,10 @@
 // confirm tells some peers of a large region that the copy is the store's state.
 func (g *gossip) confirm(ctx context.Context) {
 	near, _ := g.peers()
-	if len(near) <= pushesMost {
+	if len(near) <= spreadFanout {
 		return
 	}
-	for _, to := range some(near, confirmsMost) {
+	for _, to := range sample(near, confirmFanout) {
 		go g.push(ctx, to, g.feed.revision())
 	}
 }
@@ -240,12 +240,12 @@
 // within four rounds. It tells how many were alerted.
 func (g *gossip) alert(ctx context.Context) int {
 	near, far := g.peers()
-	list := some(near, passesMost)
+	list := sample(near, forwardFanout)
 	var others []netip.AddrPort
 	for _, region := range far {
 		others = append(others, region[rand.N(len(region))])
 	}
-	list = append(list, some(others, alertsFar)...)
+	list = append(list, sample(others, alertRemoteFanout)...)
 	for _, to := range list {
 		go g.push(ctx, to, g.feed.revision())
 	}
@@ -260,17 +260,17 @@
 	most := 0
 	switch {
 	case g.feed.rank() < replica.Relays:
-		most = pushesMost
-	case len(near) > pushesMost:
-		most = passesMost
+		most = spreadFanout
+	case len(near) > spreadFanout:
+		most = forwardFanout
 	}
-	for _, to := range some(near, most) {
+	for _, to := range sample(near, most) {
 		go g.offer(ctx, to, since)
 	}
 }
 
-// some draws up to most of a list, which it reorders.
-func some(list []netip.AddrPort, most int) []netip.AddrPort {
+// sample draws up to most of a list, which it reorders.
+func sample(list []netip.AddrPort, most int) []netip.AddrPort {
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(len(list), most)]
 }
--- a/internal/proxy/forward/gossip_test.go
+++ b/internal/proxy/forward/gossip_test.go
@@ -24,7 +24,7 @@
 func (f *fleet) idle() *Daemon {
 	f.t.Helper()
 	s := *f.daemons[0].settings
-	d, err := New(&s, f.daemons[0].seams)
+	d, err := New(&s, f.daemons[0].deps)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -71,8 +71,8 @@
 func TestOthersAreNamedToNewcomers(t *testing.T) {
 	f := newFleet(t, 2)
 	f.eventually("the proxies know each other", func() bool { return f.named(0) == 2 })
-	g := &gossip{feed: f.idle().feed}
-	g.feed.members["proxy-b"] = member{Name: "proxy-b", Region: "north", Peers: f.daemons[1].settings.Listen.Peers}
+	g := &gossip{feed: f.idle().replica}
+	g.feed.members["proxy-b"] = proxyEntry{Name: "proxy-b", Region: "north", Peers: f.daemons[1].settings.Listen.Peers}
 	answer := g.handle(context.Background(), peerdrpc.SyncMessage{From: "newcomer"})
 	if got, want := fmt.Sprint(answer.Others), fmt.Sprint([]netip.AddrPort{f.daemons[1].settings.Listen.Peers}); got != want {
 		t.Errorf("a newcomer is told of %s, want %s", got, want)
@@ -89,7 +89,7 @@
 	f := newFleet(t, 1)
 	d := f.idle()
 	given := make(chan struct{})
-	w := &follower{feed: d.feed, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
+	w := &storeWatcher{feed: d.replica, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
 		Range: func(ctx context.Context, _ string, _ bool) ([]KeyValue, uint64, error) {
 			close(given)
 			<-ctx.Done()
@@ -99,7 +99,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- w.step(context.Background()) }()
 	<-given
-	d.feed.apply(replica.Delta{Revision: 7, Whole: true})
+	d.replica.apply(replica.Delta{Revision: 7, Whole: true})
 	select {
 	case err := <-ended:
 		if err != nil {
@@ -117,19 +117,19 @@
 	for _, c := range []struct {
 		peers int
 		want  int32
-	}{{pushesMost, 0}, {pushesMost + 8, passesMost}} {
+	}{{spreadFanout, 0}, {spreadFanout + 8, forwardFanout}} {
 		d := f.idle()
 		var sent atomic.Int32
-		g := &gossip{feed: d.feed, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
+		g := &gossip{feed: d.replica, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 			sent.Add(1)
 			return peerdrpc.SyncMessage{}, nil
 		}}
 		for i := range c.peers {
 			name := fmt.Sprintf("peer-%d", i)
-			d.feed.members[name] = member{Name: name, Region: "north", Peers: freePort(t), LinkMbps: 200}
+			d.replica.members[name] = proxyEntry{Name: name, Region: "north", Peers: freePort(t), LinkMbps: 200}
 		}
-		d.feed.members["proxy-a"] = member{Name: "proxy-a", Region: "north"}
-		d.feed.apply(replica.Delta{Revision: 7, Whole: true})
+		d.replica.members["proxy-a"] = proxyEntry{Name: "proxy-a", Region: "north"}
+		d.replica.apply(replica.Delta{Revision: 7, Whole: true})
 		news := peerdrpc.SyncMessage{From: "peer-0", Delta: replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8}}}}
 		g.handle(context.Background(), news)
 		g.handle(context.Background(), news)
@@ -149,10 +149,10 @@
 	for _, c := range []struct {
 		peers int
 		want  int32
-	}{{pushesMost, 0}, {pushesMost + 8, confirmsMost}} {
+	}{{spreadFanout, 0}, {spreadFanout + 8, confirmFanout}} {
 		d := f.idle()
 		var sent atomic.Int32
-		g := &gossip{feed: d.feed, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
+		g := &gossip{feed: d.replica, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 			if m.Revision != 7 || len(m.Entries) > 0 || !replica.Fresh(m.Age) {
 				t.Errorf("got %+v, want revision 7, fresh, without entries", m.Delta)
 			}
@@ -161,11 +161,11 @@
 		}}
 		for i := range c.peers {
 			name := fmt.Sprintf("peer-%d", i)
-			d.feed.members[name] = member{Name: name, Region: "north", Peers: freePort(t)}
+			d.replica.members[name] = proxyEntry{Name: name, Region: "north", Peers: freePort(t)}
 		}
-		d.feed.members["proxy-a"] = member{Name: "proxy-a", Region: "north", LinkMbps: 200}
-		d.feed.apply(replica.Delta{Revision: 7, Whole: true})
-		w := &follower{feed: d.feed, confirmed: func() { g.confirm(context.Background()) }, store: Store{
+		d.replica.members["proxy-a"] = proxyEntry{Name: "proxy-a", Region: "north", LinkMbps: 200}
+		d.replica.apply(replica.Delta{Revision: 7, Whole: true})
+		w := &storeWatcher{feed: d.replica, confirmed: func() { g.confirm(context.Background()) }, store: Store{
 			Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) { return nil, nil },
 		}}
 		if err := w.step(context.Background()); err != nil {
@@ -182,19 +182,19 @@
 	f := newFleet(t, 1)
 	d := f.idle()
 	named := func() (n int) {
-		d.do(func(k *steering.Kernel, _ time.Time) { n = len(k.Lookup("host", "north", "a")) })
+		d.withKernel(func(k *steering.Kernel, _ time.Time) { n = len(k.Lookup("host", "north", "a")) })
 		return n
 	}
 	const others = 40
 	for i := range others {
 		name := fmt.Sprintf("peer-%d", i)
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)
-		entry, err := json.Marshal(member{Name: name, Domain: "a", Region: "north", Callers: address, Peers: address})
+		entry, err := json.Marshal(proxyEntry{Name: name, Domain: "a", Region: "north", Callers: address, Peers: address})
 		if err != nil {
 			t.Fatal(err)
 		}
 		revision := uint64(i + 1)
-		d.feed.apply(replica.Delta{Base: revision - 1, Revision: revision, Whole: i == 0, Entries: []replica.Entry{{Key: memberPrefix + name, Value: entry, Revision: revision}}})
+		d.replica.apply(replica.Delta{Base: revision - 1, Revision: revision, Whole: i == 0, Entries: []replica.Entry{{Key: proxyKeyPrefix + name, Value: entry, Revision: revision}}})
 		if i == 0 && named() != 2 {
 			t.Errorf("%d proxies are named after the first message, want it and this one", named())
 		}
@@ -202,7 +202,7 @@
 	if got := named(); got > others/2 {
 		t.Errorf("%d proxies are named before the next tick, want most of them put off", got)
 	}
-	d.feed.listLate()
+	d.replica.listLate()
 	if got, want := named(), others+1; got != want {
 		t.Errorf("%d proxies are named after the next tick, want %d", got, want)
 	}
@@ -210,7 +210,7 @@
 
 // knows reports whether a daemon's kernel still holds the server of withServer.
 func knows(d *Daemon) (held bool) {
-	d.do(func(k *steering.Kernel, _ time.Time) { held = slices.Contains(k.Servers(), "s1") })
+	d.withKernel(func(k *steering.Kernel, _ time.Time) { held = slices.Contains(k.Servers(), "s1") })
 	return held
 }
 
@@ -222,7 +222,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	d.feed.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{{Key: "servers/s1", Value: value, Revision: 1}}})
+	d.replica.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{{Key: "servers/s1", Value: value, Revision: 1}}})
 	if !knows(d) {
 		f.t.Fatal("the server is not known")
 	}
@@ -237,8 +237,8 @@
 	removal := replica.Delta{Base: 1, Revision: 2}
 	for _, doubtful := range []bool{false, true} {
 		d := f.withServer()
-		d.feed.failed(errCut, d.now().Add(-time.Minute))
-		d.feed.failed(context.DeadlineExceeded, d.now())
+		d.replica.failed(errCut, d.now().Add(-time.Minute))
+		d.replica.failed(context.DeadlineExceeded, d.now())
 		d.gossip.take(peerdrpc.SyncMessage{From: "peer", Delta: replica.Delta{
 			Base: removal.Base, Revision: removal.Revision,
 			Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true, Doubtful: doubtful}},
@@ -254,9 +254,9 @@
 func TestRemovalJustAfterAWatchWasCutIsBelieved(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.withServer()
-	d.feed.failed(errCut, d.now())
+	d.replica.failed(errCut, d.now())
 	items := []KeyValue{{Key: "servers/s1", Revision: 2, Removed: true}}
-	w := &follower{feed: d.feed, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
+	w := &storeWatcher{feed: d.replica, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
 		Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) { return items, nil },
 	}}
 	if err := w.step(context.Background()); err != nil {
@@ -273,16 +273,16 @@
 	f := newFleet(t, 1)
 	d := f.idle()
 	var sent atomic.Int32
-	g := &gossip{feed: d.feed, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
+	g := &gossip{feed: d.replica, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 		sent.Add(1)
 		return peerdrpc.SyncMessage{}, nil
 	}}
-	d.feed.members["proxy-a"] = member{Name: "proxy-a", Region: "north", LinkMbps: 100}
+	d.replica.members["proxy-a"] = proxyEntry{Name: "proxy-a", Region: "north", LinkMbps: 100}
 	for i := range 4 {
 		name := fmt.Sprintf("peer-%d", i)
-		d.feed.members[name] = member{Name: name, Region: "north", Peers: freePort(t)}
+		d.replica.members[name] = proxyEntry{Name: name, Region: "north", Peers: freePort(t)}
 	}
-	d.feed.apply(replica.Delta{Revision: 7, Whole: true})
+	d.replica.apply(replica.Delta{Revision: 7, Whole: true})
 	g.handle(context.Background(), peerdrpc.SyncMessage{From: "far", Delta: replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8}}}})
 	f.eventually("the region is told", func() bool { return sent.Load() == 4 })
 }
@@ -294,13 +294,13 @@
 	d := f.withServer()
 	items := []KeyValue{{Key: "servers/s1", Revision: 2, Removed: true}}
 	spread := 0
-	w := &follower{feed: d.feed, confirmed: func() {}, advanced: func(before uint64) {
+	w := &storeWatcher{feed: d.replica, confirmed: func() {}, advanced: func(before uint64) {
 		spread++
 		if before != 1 {
 			t.Errorf("spreads what is newer than revision %d, want 1", before)
 		}
 	}, store: Store{Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) {
-		d.feed.apply(replica.Delta{Base: 1, Revision: 2, Entries: entriesOf(items)})
+		d.replica.apply(replica.Delta{Base: 1, Revision: 2, Entries: replicaEntries(items)})
 		return items, nil
 	}}}
 	if err := w.step(context.Background()); err != nil {
@@ -319,12 +319,12 @@
 	f := newFleet(t, 1)
 	d := f.withServer()
 	for _, name := range []string{"wide-a", "wide-b"} {
-		d.feed.members[name] = member{Name: name, Region: "north", LinkMbps: 1000}
+		d.replica.members[name] = proxyEntry{Name: name, Region: "north", LinkMbps: 1000}
 	}
-	d.feed.members["far"] = member{Name: "far", Region: "south"}
-	d.feed.members[d.settings.Name] = member{Name: d.settings.Name, Region: "north"}
+	d.replica.members["far"] = proxyEntry{Name: "far", Region: "south"}
+	d.replica.members[d.settings.Name] = proxyEntry{Name: d.settings.Name, Region: "north"}
 	var asked atomic.Int32
-	w := &follower{feed: d.feed, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
+	w := &storeWatcher{feed: d.replica, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
 		Watch: func(ctx context.Context, _ string, _ uint64, _ time.Duration) ([]KeyValue, error) {
 			asked.Add(1)
 			sleep.For(ctx, 20*time.Millisecond)
@@ -357,15 +357,15 @@
 	f := newFleet(t, 1)
 	for _, doubtful := range []bool{false, true} {
 		cut, next := f.withServer(), f.withServer()
-		cut.feed.failed(context.DeadlineExceeded, cut.now().Add(-time.Minute))
+		cut.replica.failed(context.DeadlineExceeded, cut.now().Add(-time.Minute))
 		reader := f.withServer()
 		if doubtful {
-			reader.feed.failed(context.DeadlineExceeded, reader.now().Add(-time.Minute))
+			reader.replica.failed(context.DeadlineExceeded, reader.now().Add(-time.Minute))
 		}
-		reader.feed.applyOwn(replica.Delta{Base: 1, Revision: 2, Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true}}})
-		cut.gossip.take(peerdrpc.SyncMessage{From: "reader", Delta: reader.feed.since(1)})
+		reader.replica.applyOwn(replica.Delta{Base: 1, Revision: 2, Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true}}})
+		cut.gossip.take(peerdrpc.SyncMessage{From: "reader", Delta: reader.replica.since(1)})
 		time.Sleep(time.Millisecond)
-		next.gossip.take(peerdrpc.SyncMessage{From: "cut", Delta: cut.feed.since(1)})
+		next.gossip.take(peerdrpc.SyncMessage{From: "cut", Delta: cut.replica.since(1)})
 		if got := knows(next); got != doubtful {
 			t.Errorf("removal doubted by its reader %t: the server is still used %t", doubtful, got)
 		}
@@ -376,14 +376,14 @@
 func TestLargeNewsAreBroughtToThoseThatLackThem(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.idle()
-	d.feed.apply(replica.Delta{Revision: 7, Whole: true})
-	d.feed.apply(replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8, Value: make([]byte, 2*offerFrom)}}})
+	d.replica.apply(replica.Delta{Revision: 7, Whole: true})
+	d.replica.apply(replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8, Value: make([]byte, 2*offerMinBytes)}}})
 	for name, c := range map[string]struct {
 		has  uint64
 		want int
 	}{"a proxy that has them": {8, 0}, "a proxy that lacks them": {7, 1}} {
 		brought := 0
-		g := &gossip{feed: d.feed, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
+		g := &gossip{feed: d.replica, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 			brought += len(m.Entries)
 			return peerdrpc.SyncMessage{Delta: replica.Delta{Base: c.has, Revision: c.has}}, nil
 		}}
--- a/internal/proxy/forward/journal.go
+++ b/internal/proxy/forward/journal.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// sampleOneIn is how many requests that ended well leave one in the log.
+	// sampleRate is how many requests that ended well leave one in the log.
 	// Failed, slow, refused and repeated ones are always kept.
-	sampleOneIn = 200
-	// fullPerSecond bounds the requests written decision by decision: a server
+	sampleRate = 200
+	// maxDetailedPerSecond bounds the requests written decision by decision: a server
 	// group that fails must not turn the log into the load. At 300 bytes a line
 	// and four lines a request this is 120 KB a second.
-	fullPerSecond = 100
-	// briefPerSecond bounds the requests beyond those that get their last line
+	maxDetailedPerSecond = 100
+	// maxSummariesPerSecond bounds the requests beyond those that get their last line
 	// only, with the servers tried in it: another 120 KB a second. Past both they
 	// are counted by how they ended.
-	briefPerSecond = 400
-	// leftOutEvery is how often the number of requests left out is told.
-	leftOutEvery   = 10 * time.Second
-	messageLeftOut = "requests left out of the log"
-	// endingLate counts answers that came after the route's target.
-	endingLate = "late"
-	// worksInLine bounds the works that a line names.
-	worksInLine = 16
-	// recordsKept is how many events are kept for operators to ask for.
-	recordsKept = 4096
+	maxSummariesPerSecond = 400
+	// omittedInterval is how often the number of requests left out is told.
+	omittedInterval = 10 * time.Second
+	omittedMessage  = "requests left out of the log"
+	// outcomeLate counts answers that came after the route's target.
+	outcomeLate = "late"
+	// maxWorksPerLine bounds the works that a line names.
+	maxWorksPerLine = 16
+	// eventRingSize is how many events are kept for operators to ask for.
+	eventRingSize = 4096
 )
 
 type (
-	// journal keeps the decisions: as log lines, as metrics and in memory.
-	journal struct {
+	// decisionLog keeps the decisions: as log lines, as metrics and in memory.
+	decisionLog struct {
 		vm     string
 		now    func() time.Time
-		meters *meters
+		meters *proxyMetrics
 
 		mu     sync.Mutex
 		ring   *core.Ring[steeringhttp.Event]
@@ -54,34 +54,34 @@
 		toldAt  time.Time
 	}
 
-	// detail is how much of a request is written.
-	detail int
+	// logDetail is how much of a request is written.
+	logDetail int
 )
 
 const (
-	nothing detail = iota
-	lastLine
-	allLines
+	logNothing logDetail = iota
+	logSummary
+	logAllSteps
 )
 
-func newJournal(vm string, now func() time.Time, m *meters) *journal {
-	return &journal{vm: vm, now: now, meters: m, ring: core.NewRing[steeringhttp.Event](recordsKept), leftOut: make(map[string]int), toldAt: now()}
+func newDecisionLog(vm string, now func() time.Time, m *proxyMetrics) *decisionLog {
+	return &decisionLog{vm: vm, now: now, meters: m, ring: core.NewRing[steeringhttp.Event](eventRingSize), leftOut: make(map[string]int), toldAt: now()}
 }
 
 // event takes in what the kernel tells.
-func (j *journal) event(e steering.Event) {
+func (j *decisionLog) event(e steering.Event) {
 	j.meters.event(e)
 	if e.Kind != steering.EventFinished {
 		j.keep(e)
 		klog.InfoS(string(e.Kind), "service", e.Service, "server", e.Server, "failure-domain", e.Domain, "region", e.Region, "elsewhere", e.Elsewhere,
-			"configuration", e.Version, "draining", e.Draining, "cause", e.Result.String(), "for", e.Took.String(), "limit", e.Limit.String(), "work", e.Work.String(), "ends", e.Ends, "works", names(e.Works))
+			"configuration", e.Version, "draining", e.Draining, "cause", e.Result.String(), "for", e.Took.String(), "limit", e.Limit.String(), "work", e.Work.String(), "ends", e.Ends, "works", workList(e.Works))
 		return
 	}
 	wanted := j.wanted(e)
-	if wanted == nothing {
+	if wanted == logNothing {
 		return
 	}
-	if wanted == allLines {
+	if wanted == logAllSteps {
 		for _, s := range e.Steps {
 			s.Request, s.Route, s.Service, s.Object, s.Work, s.Version = e.Request, e.Route, e.Service, e.Object, e.Work, e.Version
 			j.keep(s)
@@ -90,12 +90,12 @@
 	}
 	j.keep(e)
 	klog.InfoS(string(e.Kind), "request", e.Request, "route", e.Route, "account", e.Account, "work", e.Work.String(), "configuration", e.Version,
-		"outcome", e.Outcome.String(), "reason", string(e.Reason), "took", e.Took.String(), "attempts", e.Attempt, "tried", tried(e.Steps),
+		"outcome", e.Outcome.String(), "reason", string(e.Reason), "took", e.Took.String(), "attempts", e.Attempt, "tried", attemptedServers(e.Steps),
 		"come-back", e.ComeBack.String(), "pressure", e.Pressure, "target", e.Target.String(), "cause", string(e.Cause), "server-state", string(e.State))
 }
 
-// tried lists the servers that a request was sent to, with what came of it.
-func tried(steps []steering.Event) string {
+// attemptedServers lists the servers that a request was sent to, with what came of it.
+func attemptedServers(steps []steering.Event) string {
 	var list []string
 	for _, s := range steps {
 		if s.Kind == steering.EventAttemptEnded {
@@ -106,28 +106,28 @@
 }
 
 // writeStep writes a decision of a request that ended a while after it.
-func (j *journal) writeStep(s steering.Event, ago time.Duration) {
+func (j *decisionLog) writeStep(s steering.Event, ago time.Duration) {
 	if s.Kind == steering.EventSent {
 		klog.InfoS(string(s.Kind), "request", s.Request, "route", s.Route, "configuration", s.Version, "service", s.Service,
 			"server", s.Server, "failure-domain", s.Domain, "object", s.Object, "work", s.Work.String(), "home-rank", s.Home, "warm", s.Warm, "attempt", s.Attempt,
-			"expected", s.Expected.String(), "load", s.Load, "wait", s.Wait.String(), "server-state", string(s.State), "load-age", age(s.LoadAge), "ago", ago.String())
+			"expected", s.Expected.String(), "load", s.Load, "wait", s.Wait.String(), "server-state", string(s.State), "load-age", formatAge(s.LoadAge), "ago", ago.String())
 		return
 	}
 	klog.InfoS(string(s.Kind), "request", s.Request, "work", s.Work.String(), "server", s.Server, "attempt", s.Attempt, "result", s.Result.String(),
-		"expected", s.Expected.String(), "took", s.Took.String(), "server-load", s.Load, "ago", ago.String(), "error", text(s.Err))
+		"expected", s.Expected.String(), "took", s.Took.String(), "server-load", s.Load, "ago", ago.String(), "error", errorText(s.Err))
 }
 
-// names lists works for the log, as many as a line bears.
-func names(works []quarantine.Work) string {
-	list := make([]string, 0, worksInLine)
-	for _, w := range works[:min(len(works), worksInLine)] {
+// workList lists works for the log, as many as a line bears.
+func workList(works []quarantine.Work) string {
+	list := make([]string, 0, maxWorksPerLine)
+	for _, w := range works[:min(len(works), maxWorksPerLine)] {
 		list = append(list, w.String())
 	}
 	return strings.Join(list, ", ")
 }
 
 // wanted decides how much of a request is written, and counts those left out.
-func (j *journal) wanted(e steering.Event) detail {
+func (j *decisionLog) wanted(e steering.Event) logDetail {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := j.now()
@@ -135,46 +135,46 @@
 		j.second, j.full, j.brief = now, 0, 0
 	}
 	j.tellLeftOut(now)
-	notable := e.Reason != steering.ReasonNone || e.Attempt > 1 || late(e)
+	notable := e.Reason != steering.ReasonNone || e.Attempt > 1 || isLate(e)
 	j.served++
 	switch {
-	case !notable && j.served%sampleOneIn != 0:
-	case j.full < fullPerSecond:
+	case !notable && j.served%sampleRate != 0:
+	case j.full < maxDetailedPerSecond:
 		j.full++
-		return allLines
-	case j.brief < briefPerSecond:
+		return logAllSteps
+	case j.brief < maxSummariesPerSecond:
 		j.brief++
-		return lastLine
+		return logSummary
 	}
-	j.leftOut[ending(e)]++
-	return nothing
+	j.leftOut[outcomeLabel(e)]++
+	return logNothing
 }
 
-// late reports whether a request took longer than its route's target.
-func late(e steering.Event) bool { return e.Target > 0 && e.Took > e.Target }
+// isLate reports whether a request took longer than its route's target.
+func isLate(e steering.Event) bool { return e.Target > 0 && e.Took > e.Target }
 
-// ending names how a request ended, for counts.
-func ending(e steering.Event) string {
+// outcomeLabel names how a request ended, for counts.
+func outcomeLabel(e steering.Event) string {
 	switch {
 	case e.Reason != steering.ReasonNone:
 		return string(e.Reason)
-	case late(e):
-		return endingLate
+	case isLate(e):
+		return outcomeLate
 	}
 	return e.Outcome.String()
 }
 
-func (j *journal) tellLeftOut(now time.Time) {
-	if now.Sub(j.toldAt) < leftOutEvery {
+func (j *decisionLog) tellLeftOut(now time.Time) {
+	if now.Sub(j.toldAt) < omittedInterval {
 		return
 	}
-	klog.InfoS(messageLeftOut, "counts", j.leftOut, "served", j.served)
+	klog.InfoS(omittedMessage, "counts", j.leftOut, "served", j.served)
 	clear(j.leftOut)
 	j.toldAt = now
 }
 
 // keep holds an event for operators to ask for.
-func (j *journal) keep(e steering.Event) {
+func (j *decisionLog) keep(e steering.Event) {
 	if e.At.IsZero() {
 		e.At = j.now()
 	}
@@ -184,7 +184,7 @@
 }
 
 // events lists what is kept, of one request or all.
-func (j *journal) events(request string) []steeringhttp.Event {
+func (j *decisionLog) events(request string) []steeringhttp.Event {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var list []steeringhttp.Event
@@ -196,15 +196,15 @@
 	return list
 }
 
-// age is a time for the log; a negative one means that there is none.
-func age(d time.Duration) string {
+// formatAge is a time for the log; a negative one means that there is none.
+func formatAge(d time.Duration) string {
 	if d < 0 {
 		return "none"
 	}
 	return d.String()
 }
 
-func text(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/internal/proxy/forward/journal_test.go
+++ b/internal/proxy/forward/journal_test.go
@@ -69,11 +69,11 @@
 }
 
 // journalLines has a journal take in events and reads what it wrote.
-func journalLines(t *testing.T, play func(j *journal, clock *time.Time)) []logged {
+func journalLines(t *testing.T, play func(j *decisionLog, clock *time.Time)) []logged {
 	t.Helper()
 	processLog.keep(true)
 	clock := time.Unix(1_000_000, 0)
-	play(newJournal("vm-1", func() time.Time { return clock }, newMeters()), &clock)
+	play(newDecisionLog("vm-1", func() time.Time { return clock }, newProxyMetrics()), &clock)
 	var list []logged
 	for decoder := json.NewDecoder(bytes.NewReader(processLog.keep(false))); decoder.More(); {
 		var l logged
@@ -81,7 +81,7 @@
 			t.Fatal(err)
 		}
 		switch l.Message {
-		case string(steering.EventFinished), string(steering.EventSent), string(steering.EventAttemptEnded), messageLeftOut:
+		case string(steering.EventFinished), string(steering.EventSent), string(steering.EventAttemptEnded), omittedMessage:
 			list = append(list, l)
 		}
 	}
@@ -103,11 +103,11 @@
 // with the servers that it was sent to, and the others counted by reason.
 func TestEachFailedRequestIsFoundInTheLog(t *testing.T) {
 	const failed = 1000
-	lines := journalLines(t, func(j *journal, clock *time.Time) {
+	lines := journalLines(t, func(j *decisionLog, clock *time.Time) {
 		for n := range failed {
 			j.event(ended(n, steering.ReasonLate))
 		}
-		*clock = clock.Add(leftOutEvery)
+		*clock = clock.Add(omittedInterval)
 		j.event(ended(failed, steering.ReasonRefused))
 	})
 	last, steps, counts := make(map[string]string), 0, map[string]int{}
@@ -117,19 +117,19 @@
 			last[l.Request] = l.Tried
 		case string(steering.EventSent), string(steering.EventAttemptEnded):
 			steps++
-		case messageLeftOut:
+		case omittedMessage:
 			counts = l.Counts
 		}
 	}
-	for n := range fullPerSecond + briefPerSecond {
+	for n := range maxDetailedPerSecond + maxSummariesPerSecond {
 		if got, want := last[fmt.Sprintf("r-%d", n)], "i-1 refused, i-2 late"; got != want {
 			t.Fatalf("request %d: tried %q, want %q", n, got, want)
 		}
 	}
-	if want := 4 * (fullPerSecond + 1); steps != want {
+	if want := 4 * (maxDetailedPerSecond + 1); steps != want {
 		t.Errorf("%d lines of single decisions, want %d", steps, want)
 	}
-	if got, want := counts[string(steering.ReasonLate)], failed-fullPerSecond-briefPerSecond; got != want {
+	if got, want := counts[string(steering.ReasonLate)], failed-maxDetailedPerSecond-maxSummariesPerSecond; got != want {
 		t.Errorf("%d requests counted as late and left out, want %d", got, want)
 	}
 }
@@ -137,7 +137,7 @@
 // A server fails, and the route allows one attempt: the caller gets the server's
 // own 500. Such requests passed for good ones and were left out with them.
 func TestServersOwnFailureIsInTheLog(t *testing.T) {
-	lines := journalLines(t, func(j *journal, clock *time.Time) {
+	lines := journalLines(t, func(j *decisionLog, clock *time.Time) {
 		k := steering.New(steering.Config{Name: "vm-1", Observe: j.event})
 		route := &routing.Route{Name: "r", Host: "h", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.Part{{Service: "s", Weight: 1}}}
 		k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
@@ -155,8 +155,8 @@
 
 // Requests that end well would drown the others; one in some is written.
 func TestGoodRequestsAreSampled(t *testing.T) {
-	lines := journalLines(t, func(j *journal, _ *time.Time) {
-		for range 3 * sampleOneIn {
+	lines := journalLines(t, func(j *decisionLog, _ *time.Time) {
+		for range 3 * sampleRate {
 			j.event(steering.Event{Kind: steering.EventFinished, Outcome: steering.Done, Attempt: 1, Target: time.Second, Took: time.Millisecond})
 		}
 		j.event(steering.Event{Kind: steering.EventFinished, Request: "slow", Outcome: steering.Done, Attempt: 1, Target: time.Second, Took: 2 * time.Second})
--- a/internal/proxy/forward/keeper.go
+++ b/internal/proxy/forward/keeper.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// leaseSpan is how long a proxy counts as alive without a renewal.
+	// leaseTTL is how long a proxy counts as alive without a renewal.
 	// With the time until the next answer to callers it is under the seven
 	// seconds after which none may name a proxy that is gone.
-	leaseSpan = 5 * time.Second
-	// renewEvery leaves one renewal to fail before the lease ends.
-	renewEvery = 2 * time.Second
-	// keepLeast and keepMost bound the pause after a failed call. At the longest,
+	leaseTTL = 5 * time.Second
+	// renewInterval leaves one renewal to fail before the lease ends.
+	renewInterval = 2 * time.Second
+	// minRegisterBackoff and maxRegisterBackoff bound the pause after a failed call. At the longest,
 	// an outage of 8 s costs a handful of calls a proxy, and the entry is back
 	// within two seconds or so of its end.
-	keepLeast = 300 * time.Millisecond
-	keepMost  = 2 * time.Second
+	minRegisterBackoff = 300 * time.Millisecond
+	maxRegisterBackoff = 2 * time.Second
 )
 
 type (
-	// keeper keeps the own entry in the store under a lease.
-	keeper struct {
-		feed  *feed
+	// registrar keeps the own entry in the store under a lease.
+	registrar struct {
+		feed  *storeReplica
 		store Store
 		// lease is zero for none. A planned stop reads it too.
 		lease atomic.Uint64
@@ -43,9 +43,9 @@
 	}
 )
 
-func (k *keeper) run(ctx context.Context) {
+func (k *registrar) run(ctx context.Context) {
 	k.feed.writeSoon()
-	renew := time.NewTicker(renewEvery)
+	renew := time.NewTicker(renewInterval)
 	defer renew.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -53,19 +53,19 @@
 		case <-k.feed.rewrite:
 			k.written = false
 		case <-renew.C:
-			k.written = k.written && k.tells(k.feed.daemon.holding())
+			k.written = k.written && k.tells(k.feed.daemon.learnedLimits())
 		}
-		pause := keepLeast
+		pause := minRegisterBackoff
 		for ctx.Err() == nil && !k.feed.daemon.isStopping() && !k.keep(ctx) {
 			sleep.For(ctx, pause/2+rand.N(pause))
-			pause = min(2*pause, keepMost)
+			pause = min(2*pause, maxRegisterBackoff)
 		}
 	}
 }
 
 // tells reports whether the entry says which services are held back, and how far.
 // How many answers speak for a limit changes all the time and is not worth a call.
-func (k *keeper) tells(held []steering.Held) bool {
+func (k *registrar) tells(held []steering.Held) bool {
 	return slices.EqualFunc(k.held, held, func(a, b steering.Held) bool { return a.Service == b.Service && a.Slots == b.Slots && a.Most == b.Most })
 }
 
@@ -73,7 +73,7 @@
 // the entry is there. A
 // renewal that fails is made again and no new entry written: the lease may well
 // be alive, and a renewal costs a tenth of a call.
-func (k *keeper) keep(ctx context.Context) bool {
+func (k *registrar) keep(ctx context.Context) bool {
 	began := k.feed.daemon.now()
 	act := k.renew
 	switch {
@@ -98,10 +98,10 @@
 	return err == nil && k.written
 }
 
-func (k *keeper) renew(ctx context.Context) error { return k.store.RenewLease(ctx, k.lease.Load()) }
+func (k *registrar) renew(ctx context.Context) error { return k.store.RenewLease(ctx, k.lease.Load()) }
 
-func (k *keeper) grant(ctx context.Context) error {
-	lease, err := k.store.GrantLease(ctx, leaseSpan)
+func (k *registrar) grant(ctx context.Context) error {
+	lease, err := k.store.GrantLease(ctx, leaseTTL)
 	if err != nil {
 		return err
 	}
@@ -109,23 +109,23 @@
 	return k.write(ctx)
 }
 
-func (k *keeper) write(ctx context.Context) error {
+func (k *registrar) write(ctx context.Context) error {
 	s := k.feed.daemon.settings
-	k.held = k.feed.daemon.holding()
-	data, err := json.Marshal(member{
+	k.held = k.feed.daemon.learnedLimits()
+	data, err := json.Marshal(proxyEntry{
 		Name: s.Name, Domain: s.Domain, Region: s.Region, Callers: s.Listen.Callers, Peers: s.Listen.Peers,
-		Operators: s.Listen.Operators, LinkMbps: s.LinkMbps, Started: k.feed.daemon.started(), Held: k.held,
+		Operators: s.Listen.Operators, LinkMbps: s.LinkMbps, Started: k.feed.daemon.startMillis(), Held: k.held,
 	})
 	if err != nil {
 		return errors.Wrap(err, "own entry")
 	}
-	err = k.store.Put(ctx, memberPrefix+s.Name, data, k.lease.Load())
+	err = k.store.Put(ctx, proxyKeyPrefix+s.Name, data, k.lease.Load())
 	k.written = err == nil
 	return err
 }
 
 // leave takes the own entry back, so that callers are no longer sent here.
-func (k *keeper) leave(ctx context.Context) {
+func (k *registrar) leave(ctx context.Context) {
 	lease := k.lease.Load()
 	if lease == 0 {
 		return
--- a/internal/proxy/forward/keeper_test.go
+++ b/internal/proxy/forward/keeper_test.go
@@ -31,7 +31,7 @@
 func TestFailedRenewalIsMadeAgain(t *testing.T) {
 	f := newFleet(t, 1)
 	s := &keeperStore{}
-	k := &keeper{feed: f.idle().feed, store: s.seams()}
+	k := &registrar{feed: f.idle().replica, store: s.seams()}
 	ctx := context.Background()
 	if !k.keep(ctx) {
 		t.Fatal("the entry is not there after the first calls")
@@ -55,7 +55,7 @@
 func TestEndedLeaseIsReplaced(t *testing.T) {
 	f := newFleet(t, 1)
 	s := &keeperStore{}
-	k := &keeper{feed: f.idle().feed, store: s.seams()}
+	k := &registrar{feed: f.idle().replica, store: s.seams()}
 	ctx := context.Background()
 	k.keep(ctx)
 	s.err = &StoreError{Code: StoreNotFound}
@@ -81,7 +81,7 @@
 		}
 		return nil
 	}
-	k := &keeper{feed: f.idle().feed, store: seams}
+	k := &registrar{feed: f.idle().replica, store: seams}
 	if k.keep(context.Background()) || !k.keep(context.Background()) {
 		t.Error("the entry is not there after the second try")
 	}
@@ -95,19 +95,19 @@
 func TestOthersThanRelaysAskSeldomInAnOutage(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.idle()
-	w := &follower{feed: d.feed, confirmed: func() {}}
-	if got := w.retryMost(); got != retryMost {
-		t.Errorf("a relay waits %s at most, want %s", got, retryMost)
+	w := &storeWatcher{feed: d.replica, confirmed: func() {}}
+	if got := w.retryMost(); got != maxRetryBackoff {
+		t.Errorf("a relay waits %s at most, want %s", got, maxRetryBackoff)
 	}
 	for _, name := range []string{"wide-a", "wide-b"} {
-		d.feed.members[name] = member{Name: name, Region: "north", LinkMbps: 1000}
+		d.replica.members[name] = proxyEntry{Name: name, Region: "north", LinkMbps: 1000}
 	}
-	d.feed.members[d.settings.Name] = member{Name: d.settings.Name, Region: "north"}
-	if d.feed.rank() < replica.Relays {
+	d.replica.members[d.settings.Name] = proxyEntry{Name: d.settings.Name, Region: "north"}
+	if d.replica.rank() < replica.Relays {
 		t.Fatal("the proxy is a relay beside two with wider links")
 	}
-	if got := w.retryMost(); got != retryOthers {
-		t.Errorf("another proxy waits %s at most, want %s", got, retryOthers)
+	if got := w.retryMost(); got != maxNonRelayBackoff {
+		t.Errorf("another proxy waits %s at most, want %s", got, maxNonRelayBackoff)
 	}
 }
 
@@ -119,7 +119,7 @@
 	seams := s.seams()
 	var renewals atomic.Int32
 	seams.RenewLease = func(context.Context, uint64) error { renewals.Add(1); return nil }
-	k := &keeper{feed: f.idle().feed, store: seams}
+	k := &registrar{feed: f.idle().replica, store: seams}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { k.run(ctx); close(ended) }()
--- a/internal/proxy/forward/members.go
+++ b/internal/proxy/forward/members.go
@@ -19,8 +19,8 @@
 )
 
 type (
-	// member is a proxy's own entry in the store.
-	member struct {
+	// proxyEntry is a proxy's own entry in the store.
+	proxyEntry struct {
 		Name    string         `json:"name"`
 		Domain  string         `json:"failure-domain"`
 		Region  string         `json:"region"`
@@ -44,10 +44,10 @@
 // tellProxies takes in the changes of proxies' entries. It comes before the
 // servers: a proxy that knew a cold server and no other proxy would send it all
 // that it bears.
-func (f *feed) tellProxies(changed []replica.Entry) {
+func (f *storeReplica) tellProxies(changed []replica.Entry) {
 	gone := false
 	for _, e := range changed {
-		if name, ok := strings.CutPrefix(e.Key, memberPrefix); ok {
+		if name, ok := strings.CutPrefix(e.Key, proxyKeyPrefix); ok {
 			f.hearMember(name, e)
 			f.unlisted = true
 			gone = gone || e.Removed
@@ -56,13 +56,13 @@
 	// When hundreds start, each hears of the others in hundreds of messages, and a list
 	// for each was most of what starting took. So arrivals just after a list wait for the
 	// next tick; one that is gone must not be named to callers until then.
-	if f.unlisted && (gone || f.daemon.now().Sub(f.listedAt) >= tickEvery) {
+	if f.unlisted && (gone || f.daemon.now().Sub(f.listedAt) >= tickInterval) {
 		f.listProxies()
 	}
 }
 
 // listLate brings a list to the kernel that has been put off.
-func (f *feed) listLate() {
+func (f *storeReplica) listLate() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.unlisted {
@@ -70,7 +70,7 @@
 	}
 }
 
-func (f *feed) hearMember(name string, e replica.Entry) {
+func (f *storeReplica) hearMember(name string, e replica.Entry) {
 	f.changed++
 	if e.Removed {
 		delete(f.members, name)
@@ -78,7 +78,7 @@
 			f.writeSoon()
 		}
 		if e.Doubtful {
-			f.daemon.do(func(k *steering.Kernel, now time.Time) { k.DoubtProxies(now.Add(absentFor)) })
+			f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.DoubtProxies(now.Add(absenceGracePeriod)) })
 		}
 		klog.InfoS("proxy gone", "proxy", name)
 		return
@@ -94,7 +94,7 @@
 	}
 	f.members[name] = m
 	if len(m.Held) > 0 {
-		f.daemon.do(func(k *steering.Kernel, now time.Time) { k.SetHolding(now, m.Held) })
+		f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.SetHolding(now, m.Held) })
 	}
 	klog.InfoS("proxy known", "proxy", name, "failure-domain", m.Domain)
 }
@@ -102,8 +102,8 @@
 // decodeMember reads a proxy's entry. Callers are sent to the address in it and
 // limits are divided by the number of entries, so one that is not whole names no
 // proxy.
-func (f *feed) decodeMember(name string, data []byte) (member, error) {
-	var m member
+func (f *storeReplica) decodeMember(name string, data []byte) (proxyEntry, error) {
+	var m proxyEntry
 	if err := operator.CheckSyntax(data); err != nil {
 		return m, err
 	}
@@ -122,19 +122,19 @@
 }
 
 // listProxies brings the list of live proxies to the kernel.
-func (f *feed) listProxies() {
+func (f *storeReplica) listProxies() {
 	f.listedAt, f.unlisted = f.daemon.now(), false
 	list := make([]steering.Proxy, 0, len(f.members))
 	for _, m := range f.members {
 		list = append(list, steering.Proxy{Name: m.Name, Domain: m.Domain, Region: m.Region, Address: m.Callers, Leaving: m.Leaving})
 	}
-	f.daemon.do(func(k *steering.Kernel, now time.Time) { k.SetProxies(now, list) })
+	f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.SetProxies(now, list) })
 }
 
 // hear takes in a proxy's own word: whether it leaves, and how fresh its copy is.
 // What a process said before its VM started again may come after the new entry,
 // and would have the new process leave for as long as it lives.
-func (f *feed) hear(said peerdrpc.SyncMessage) {
+func (f *storeReplica) hear(said peerdrpc.SyncMessage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	name := said.From
@@ -155,7 +155,7 @@
 }
 
 // proxies lists the known proxies for operators.
-func (f *feed) proxies() []steeringhttp.Proxy {
+func (f *storeReplica) proxies() []steeringhttp.Proxy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := make([]steeringhttp.Proxy, 0, len(f.members))
@@ -167,7 +167,7 @@
 }
 
 // peerOf is where other proxies reach one by its name.
-func (f *feed) peerOf(name string) (netip.AddrPort, bool) {
+func (f *storeReplica) peerOf(name string) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, known := f.members[name]
@@ -175,7 +175,7 @@
 }
 
 // candidates lists the proxies that match and do not leave.
-func (f *feed) candidates(matches func(member) bool) []replica.Candidate {
+func (f *storeReplica) candidates(matches func(proxyEntry) bool) []replica.Candidate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []replica.Candidate
@@ -188,7 +188,7 @@
 }
 
 // changes counts the changes of who is known and who leaves.
-func (f *feed) changes() int {
+func (f *storeReplica) changes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
@@ -197,9 +197,9 @@
 // rank is this proxy's place among those of its region. While none is known, as when
 // a whole fleet starts, the seeds follow the store and tell the others; hundreds that
 // each took themselves for the first made a call for each of the others' entries.
-func (f *feed) rank() int {
+func (f *storeReplica) rank() int {
 	settings := f.daemon.settings
-	list := f.candidates(func(m member) bool { return m.Region == settings.Region })
+	list := f.candidates(func(m proxyEntry) bool { return m.Region == settings.Region })
 	if len(list) == 0 && len(settings.Seeds) > 0 && !slices.Contains(settings.Seeds, settings.Listen.Peers) {
 		return replica.Relays
 	}
--- a/internal/proxy/forward/members_test.go
+++ b/internal/proxy/forward/members_test.go
@@ -21,15 +21,15 @@
 	for _, doubtful := range []bool{false, true} {
 		settings := *f.daemons[0].settings
 		settings.RegionOf = map[string]string{"a": "north", "b": "south"}
-		d, err := New(&settings, f.daemons[0].seams)
+		d, err := New(&settings, f.daemons[0].deps)
 		if err != nil {
 			t.Fatal(err)
 		}
-		entry := farMember(t, func(*member) {})
-		d.feed.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{{Key: memberPrefix + "far", Value: entry, Revision: 1}}})
-		d.feed.apply(replica.Delta{Base: 1, Revision: 2, Entries: []replica.Entry{{Key: memberPrefix + "far", Revision: 2, Removed: true, Doubtful: doubtful}}})
+		entry := farMember(t, func(*proxyEntry) {})
+		d.replica.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{{Key: proxyKeyPrefix + "far", Value: entry, Revision: 1}}})
+		d.replica.apply(replica.Delta{Base: 1, Revision: 2, Entries: []replica.Entry{{Key: proxyKeyPrefix + "far", Revision: 2, Removed: true, Doubtful: doubtful}}})
 		var stranded []string
-		d.do(func(k *steering.Kernel, now time.Time) {
+		d.withKernel(func(k *steering.Kernel, now time.Time) {
 			// The proxy has just started: it believes the list after two seconds and
 			// counts the region's callers elsewhere a second later.
 			for after := time.Duration(0); after <= 3100*time.Millisecond; after += 100 * time.Millisecond {
@@ -49,16 +49,16 @@
 	f := newFleet(t, 1)
 	settings := *f.daemons[0].settings
 	settings.RegionOf = map[string]string{"a": "north", "b": "south"}
-	d, err := New(&settings, f.daemons[0].seams)
+	d, err := New(&settings, f.daemons[0].deps)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-func farMember(t *testing.T, change func(*member)) []byte {
+func farMember(t *testing.T, change func(*proxyEntry)) []byte {
 	t.Helper()
-	m := member{
+	m := proxyEntry{
 		Name: "far", Domain: "b", Region: "south", Started: 1000,
 		Callers: netip.MustParseAddrPort("10.1.0.1:80"), Peers: netip.MustParseAddrPort("10.1.0.1:81"),
 	}
@@ -75,25 +75,25 @@
 // names no proxy until the proxy writes it again; the others stay.
 func TestEntriesOfOtherWritersNameNoProxy(t *testing.T) {
 	d := farFleet(t)
-	good := farMember(t, func(*member) {})
+	good := farMember(t, func(*proxyEntry) {})
 	for text, named := range map[string]bool{
 		string(good): true,
 		"":           false, "{": false, "null": false, "[]": false, `"far"`: false, "{}": false, "\xff\xfe": false,
-		string(farMember(t, func(m *member) { m.Name = "near" })):                 false,
-		string(farMember(t, func(m *member) { m.Callers = netip.AddrPort{} })):    false,
-		string(farMember(t, func(m *member) { m.Peers = netip.AddrPort{} })):      false,
-		string(farMember(t, func(m *member) { m.Domain = "nowhere" })):            false,
-		string(farMember(t, func(m *member) { m.Region = "north" })):              false,
-		strings.Replace(string(good), `"name":"far"`, `"name":7`, 1):              false,
-		strings.Replace(string(good), `"name"`, `"name":"far","name"`, 1):         false,
-		strings.Replace(string(good), `10.1.0.1:80"`, `10.1.0.1"`, 1):             false,
-		strings.Replace(string(good), `"started":1000`, `"started":"a while"`, 1): false,
+		string(farMember(t, func(m *proxyEntry) { m.Name = "near" })):              false,
+		string(farMember(t, func(m *proxyEntry) { m.Callers = netip.AddrPort{} })): false,
+		string(farMember(t, func(m *proxyEntry) { m.Peers = netip.AddrPort{} })):   false,
+		string(farMember(t, func(m *proxyEntry) { m.Domain = "nowhere" })):         false,
+		string(farMember(t, func(m *proxyEntry) { m.Region = "north" })):           false,
+		strings.Replace(string(good), `"name":"far"`, `"name":7`, 1):               false,
+		strings.Replace(string(good), `"name"`, `"name":"far","name"`, 1):          false,
+		strings.Replace(string(good), `10.1.0.1:80"`, `10.1.0.1"`, 1):              false,
+		strings.Replace(string(good), `"started":1000`, `"started":"a while"`, 1):  false,
 	} {
-		before := d.feed.revision()
-		d.feed.apply(replica.Delta{Revision: before + 1, Base: before, Whole: before == 0, Entries: []replica.Entry{
-			{Key: memberPrefix + "far", Value: []byte(text), Revision: before + 1},
+		before := d.replica.revision()
+		d.replica.apply(replica.Delta{Revision: before + 1, Base: before, Whole: before == 0, Entries: []replica.Entry{
+			{Key: proxyKeyPrefix + "far", Value: []byte(text), Revision: before + 1},
 		}})
-		list := d.feed.proxies()
+		list := d.replica.proxies()
 		if got := len(list) == 1 && list[0].Name == "far"; got != named {
 			t.Errorf("%q: names the proxy %t, want %t (%+v)", text, got, named, list)
 		}
@@ -105,15 +105,15 @@
 // for as long as it lived, and no caller was sent to it.
 func TestLastWordsOfAnEarlierStartDoNotCountAsTheNewOnes(t *testing.T) {
 	d := farFleet(t)
-	d.feed.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{
-		{Key: memberPrefix + "far", Value: farMember(t, func(m *member) { m.Started = 2000 }), Revision: 1},
+	d.replica.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{
+		{Key: proxyKeyPrefix + "far", Value: farMember(t, func(m *proxyEntry) { m.Started = 2000 }), Revision: 1},
 	}})
-	d.feed.hear(peerdrpc.SyncMessage{From: "far", Started: 1000, Leaving: true})
-	if d.feed.proxies()[0].Leaving {
+	d.replica.hear(peerdrpc.SyncMessage{From: "far", Started: 1000, Leaving: true})
+	if d.replica.proxies()[0].Leaving {
 		t.Error("the new process is taken to leave")
 	}
-	d.feed.hear(peerdrpc.SyncMessage{From: "far", Started: 2000, Leaving: true})
-	if !d.feed.proxies()[0].Leaving {
+	d.replica.hear(peerdrpc.SyncMessage{From: "far", Started: 2000, Leaving: true})
+	if !d.replica.proxies()[0].Leaving {
 		t.Error("a proxy's own word that it leaves is not believed")
 	}
 }
@@ -121,7 +121,7 @@
 // FuzzDecodeMember looks for entries that end the process or come out as a proxy
 // that cannot be asked.
 func FuzzDecodeMember(f *testing.F) {
-	feed := &feed{daemon: &Daemon{settings: &Settings{RegionOf: map[string]string{"b": "south"}}}}
+	feed := &storeReplica{daemon: &Daemon{settings: &Settings{RegionOf: map[string]string{"b": "south"}}}}
 	f.Add([]byte(`{"name":"far","failure-domain":"b","region":"south","callers":"10.1.0.1:80","peers":"10.1.0.1:81"}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := feed.decodeMember("far", data)
--- a/internal/proxy/forward/meters.go
+++ b/internal/proxy/forward/meters.go
@@ -10,9 +10,9 @@
 )
 
 type (
-	// meters holds the process's metrics. Names follow the Prometheus habit:
+	// proxyMetrics holds the process's metrics. Names follow the Prometheus habit:
 	// base units, and _total for counters.
-	meters struct {
+	proxyMetrics struct {
 		set         *metrics.Set
 		connections *metrics.Counter
 		turnedAway  *metrics.Counter
@@ -35,9 +35,9 @@
 	}
 )
 
-func newMeters() *meters {
+func newProxyMetrics() *proxyMetrics {
 	set := metrics.NewSet()
-	return &meters{
+	return &proxyMetrics{
 		set:         set,
 		connections: set.NewCounter("gypsumquay_server_connections_opened_total"),
 		turnedAway:  set.NewCounter("gypsumquay_caller_connections_refused_total"),
@@ -50,7 +50,7 @@
 }
 
 // event counts. The kernel's lock is held, so the maps need none.
-func (m *meters) event(e steering.Event) {
+func (m *proxyMetrics) event(e steering.Event) {
 	if e.Kind != steering.EventFinished {
 		m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_events_total{kind=%q}", e.Kind)).Inc()
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-func (m *meters) request(e steering.Event) {
+func (m *proxyMetrics) request(e steering.Event) {
 	labels := requestLabels{e.Route, e.Service, e.Outcome, e.Reason}
 	counter := m.requests[labels]
 	if counter == nil {
@@ -80,7 +80,7 @@
 	duration.Update(e.Took.Seconds())
 }
 
-func (m *meters) attempt(labels attemptLabels) {
+func (m *proxyMetrics) attempt(labels attemptLabels) {
 	counter := m.attempts[labels]
 	if counter == nil {
 		counter = m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_attempts_total{service=%q,result=%q}", labels.service, labels.result.String()))
@@ -90,21 +90,21 @@
 }
 
 // storeCall counts a call to the platform's store.
-func (m *meters) storeCall(operation string, err error) {
+func (m *proxyMetrics) storeCall(operation string, err error) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_store_calls_total{operation=%q,failed=\"%t\"}", operation, err != nil)).Inc()
 }
 
 // entryRefused counts an entry that cannot be used.
-func (m *meters) entryRefused(kind string) {
+func (m *proxyMetrics) entryRefused(kind string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_entries_refused_total{kind=%q}", kind)).Inc()
 }
 
 // watch adds gauges that are read when asked for.
-func (m *meters) watch(d *Daemon, dropped func() uint64) {
+func (m *proxyMetrics) watch(d *Daemon, dropped func() uint64) {
 	status := func(read func(steering.Status) float64) func() float64 {
 		return func() float64 {
 			var s steering.Status
-			d.do(func(k *steering.Kernel, now time.Time) { s = k.Status(now) })
+			d.withKernel(func(k *steering.Kernel, now time.Time) { s = k.Status(now) })
 			return read(s)
 		}
 	}
@@ -127,6 +127,6 @@
 	m.set.NewGauge("gypsumquay_leaving_servers", servers(func(b steering.ServerStatus) bool { return b.Leaves }))
 	m.set.NewGauge("gypsumquay_regions_without_proxies", status(func(s steering.Status) float64 { return float64(len(s.Stranded)) }))
 	m.set.NewGauge("gypsumquay_condemned_works", status(func(s steering.Status) float64 { return float64(len(s.Condemned)) }))
-	m.set.NewGauge("gypsumquay_store_copy_age_seconds", func() float64 { return d.feed.age().Seconds() })
+	m.set.NewGauge("gypsumquay_store_copy_age_seconds", func() float64 { return d.replica.age().Seconds() })
 	m.set.NewGauge("gypsumquay_log_lines_dropped", func() float64 { return float64(dropped()) })
 }
--- a/internal/proxy/forward/places.go
+++ b/internal/proxy/forward/places.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// askAgain is how long a queued question waits before its owner is asked whether
+	// permitPollInterval is how long a queued question waits before its owner is asked whether
 	// it is still there: a grant may be lost, and an owner gone.
-	askAgain = 300 * time.Millisecond
+	permitPollInterval = 300 * time.Millisecond
 )
 
 type (
-	// places asks for places at servers, of other proxies or of the own kernel, and
+	// permitClient asks for places at servers, of other proxies or of the own kernel, and
 	// carries what the own gates grant.
-	places struct {
+	permitClient struct {
 		daemon *Daemon
 
 		mu sync.Mutex
@@ -30,13 +30,13 @@
 	}
 )
 
-func newPlaces(d *Daemon) *places {
-	return &places{daemon: d, waiting: make(map[uint64]chan steering.Reply)}
+func newPermitClient(d *Daemon) *permitClient {
+	return &permitClient{daemon: d, waiting: make(map[uint64]chan steering.Reply)}
 }
 
 // ask waits until a place is granted or denied, but not for longer than one is of
 // use. It reports false if the owner of the gate does not answer, or the context ends.
-func (p *places) ask(ctx context.Context, a steering.Ask) (steering.Reply, bool) {
+func (p *permitClient) ask(ctx context.Context, a steering.Ask) (steering.Reply, bool) {
 	granted := p.register(a.ID)
 	defer p.forget(a.ID)
 	last := time.NewTimer(a.Last.Sub(p.daemon.now()))
@@ -46,7 +46,7 @@
 		if !answered || reply.Verdict != admission.Queued {
 			return reply, answered
 		}
-		again := time.NewTimer(askAgain)
+		again := time.NewTimer(permitPollInterval)
 		select {
 		case reply = <-granted:
 			again.Stop()
@@ -63,24 +63,24 @@
 	}
 }
 
-func (p *places) askOnce(ctx context.Context, a steering.Ask) (reply steering.Reply, answered bool) {
+func (p *permitClient) askOnce(ctx context.Context, a steering.Ask) (reply steering.Reply, answered bool) {
 	d := p.daemon
 	if a.Owner.Name == d.settings.Name {
-		d.do(func(k *steering.Kernel, now time.Time) { reply = k.HearAsk(now, a) })
+		d.withKernel(func(k *steering.Kernel, now time.Time) { reply = k.HearAsk(now, a) })
 		return reply, true
 	}
-	peer, known := d.feed.peerOf(a.Owner.Name)
+	peer, known := d.replica.peerOf(a.Owner.Name)
 	if !known {
 		return reply, false
 	}
-	reply, err := d.peers.Ask(ctx, peer, d.now(), a)
+	reply, err := d.peerClient.Ask(ctx, peer, d.now(), a)
 	if err != nil {
 		klog.V(1).InfoS("gate does not answer", "proxy", a.Owner.Name, "server", a.Server, "error", err.Error())
 	}
 	return reply, err == nil
 }
 
-func (p *places) register(id uint64) chan steering.Reply {
+func (p *permitClient) register(id uint64) chan steering.Reply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	granted := make(chan steering.Reply, 1)
@@ -88,7 +88,7 @@
 	return granted
 }
 
-func (p *places) forget(id uint64) {
+func (p *permitClient) forget(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, id)
@@ -96,7 +96,7 @@
 
 // hear takes in what has become of an own question. Whoever no longer waits for it
 // has given the place back.
-func (p *places) hear(r steering.Reply) {
+func (p *permitClient) hear(r steering.Reply) {
 	p.mu.Lock()
 	granted := p.waiting[r.ID]
 	p.mu.Unlock()
@@ -110,46 +110,46 @@
 }
 
 // giveBack tells the owner of a gate that a place is free.
-func (p *places) giveBack(r steering.Release) {
+func (p *permitClient) giveBack(r steering.Release) {
 	d := p.daemon
 	if r.Owner.Name == d.settings.Name {
 		p.release(r)
 		return
 	}
-	peer, known := d.feed.peerOf(r.Owner.Name)
+	peer, known := d.replica.peerOf(r.Owner.Name)
 	if !known {
 		return
 	}
 	go func() {
-		if err := d.peers.Release(context.Background(), peer, r); err != nil {
+		if err := d.peerClient.Release(context.Background(), peer, r); err != nil {
 			klog.V(1).InfoS("place not given back; it runs out", "proxy", r.Owner.Name, "server", r.Server, "error", err.Error())
 		}
 	}()
 }
 
 // release takes a place at an own gate back and tells who gets it.
-func (p *places) release(r steering.Release) {
+func (p *permitClient) release(r steering.Release) {
 	var grants []steering.Reply
-	p.daemon.do(func(k *steering.Kernel, now time.Time) { grants = k.HearRelease(now, r) })
+	p.daemon.withKernel(func(k *steering.Kernel, now time.Time) { grants = k.HearRelease(now, r) })
 	p.tell(grants)
 }
 
 // tell carries what own gates have granted or denied to those that asked.
-func (p *places) tell(grants []steering.Reply) {
+func (p *permitClient) tell(grants []steering.Reply) {
 	d := p.daemon
 	for _, g := range grants {
 		if g.From == d.settings.Name {
 			p.hear(g)
 			continue
 		}
-		if peer, known := d.feed.peerOf(g.From); known {
+		if peer, known := d.replica.peerOf(g.From); known {
 			go p.send(peer, g)
 		}
 	}
 }
 
-func (p *places) send(peer netip.AddrPort, g steering.Reply) {
-	if err := p.daemon.peers.Grant(context.Background(), peer, g); err != nil {
+func (p *permitClient) send(peer netip.AddrPort, g steering.Reply) {
+	if err := p.daemon.peerClient.Grant(context.Background(), peer, g); err != nil {
 		klog.V(1).InfoS("grant not delivered; the proxy asks again", "proxy", g.From, "error", err.Error())
 	}
 }
--- a/internal/proxy/forward/places_test.go
+++ b/internal/proxy/forward/places_test.go
@@ -25,7 +25,7 @@
 	f.t.Helper()
 	f.eventually("all proxies are known", func() bool {
 		for _, d := range f.daemons {
-			if len(d.feed.proxies()) != len(f.daemons) {
+			if len(d.replica.proxies()) != len(f.daemons) {
 				return false
 			}
 		}
@@ -39,7 +39,7 @@
 func TestPlacesPassBetweenProxies(t *testing.T) {
 	f := newFleet(t, 2)
 	f.knowEachOther()
-	first, second := f.daemons[0].places, f.daemons[1].places
+	first, second := f.daemons[0].permits, f.daemons[1].permits
 	own := f.askFor(0, 0, 1)
 	if r, answered := first.ask(context.Background(), own); !answered || r.Verdict != admission.Granted {
 		t.Fatalf("the first gets verdict %d (%t)", r.Verdict, answered)
@@ -51,7 +51,7 @@
 	}()
 	f.eventually("the second waits", func() bool {
 		var waiting int
-		f.daemons[0].do(func(k *steering.Kernel, now time.Time) {
+		f.daemons[0].withKernel(func(k *steering.Kernel, now time.Time) {
 			waiting = k.HearAsk(now, own).Waiting
 		})
 		return waiting == 1
@@ -75,11 +75,11 @@
 	a := f.askFor(0, 1, 1)
 	f.stops[1]()
 	f.endConnections(1)
-	if _, answered := f.daemons[0].places.ask(context.Background(), a); answered {
+	if _, answered := f.daemons[0].permits.ask(context.Background(), a); answered {
 		t.Error("a proxy that is gone has answered")
 	}
 	a.Owner.Name = "nobody"
-	if _, answered := f.daemons[0].places.ask(context.Background(), a); answered {
+	if _, answered := f.daemons[0].permits.ask(context.Background(), a); answered {
 		t.Error("a proxy that never was has answered")
 	}
 }
@@ -87,7 +87,7 @@
 // A caller leaves while its request waits: the wait ends at once.
 func TestLeavingCallerEndsTheWait(t *testing.T) {
 	f := newFleet(t, 1)
-	p := f.daemons[0].places
+	p := f.daemons[0].permits
 	if r, _ := p.ask(context.Background(), f.askFor(0, 0, 1)); r.Verdict != admission.Granted {
 		t.Fatalf("verdict %d, want a place", r.Verdict)
 	}
@@ -110,7 +110,7 @@
 	f := newFleet(t, 2)
 	f.knowEachOther()
 	held := []steering.Held{{Service: "service", Limit: admission.Limit{Slots: 4, Most: 2, Evidence: 50}}}
-	f.daemons[0].do(func(k *steering.Kernel, now time.Time) {
+	f.daemons[0].withKernel(func(k *steering.Kernel, now time.Time) {
 		// A gate that says that fewer should run is a proxy's own sign.
 		k.SetHolding(now, held)
 		f, d := k.Begin(now, steering.Request{ID: "r", Host: "127.0.0.1", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
@@ -122,7 +122,7 @@
 	})
 	f.eventually("the entry tells the limit, and the other proxy holds back", func() bool {
 		asks := false
-		f.daemons[1].do(func(k *steering.Kernel, now time.Time) {
+		f.daemons[1].withKernel(func(k *steering.Kernel, now time.Time) {
 			f, d := k.Begin(now, steering.Request{ID: "q", Host: "127.0.0.1", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
 			if asks = d.Ask != nil; d.Server != nil {
 				k.Ended(now, f, steering.Attempt{Result: steering.Left})
--- a/internal/proxy/forward/quotas.go
+++ b/internal/proxy/forward/quotas.go
@@ -22,38 +22,38 @@
 )
 
 const (
-	// fleetKey holds among how many proxies limits are divided. It has no lease: proxies
+	// fleetSizeKey holds among how many proxies limits are divided. It has no lease: proxies
 	// that have all lost power must not take the first few for all.
-	fleetKey = "gypsumquay/fleet"
-	// fleetEvery is how often the stored number is compared with the proxies known.
-	fleetEvery = 300 * time.Millisecond
-	// fleetSettles is how long a proxy must have known the same number before it stores a
-	// larger one, fleetShrinks the same for a smaller one.
-	fleetSettles = 1200 * time.Millisecond
-	fleetShrinks = time.Minute
-	// groupMost is how many proxies report to one pool at most.
-	groupMost = 40
-	// lendersMost is how many other pools are asked at a time.
-	lendersMost = 4
-	// askedMost is how many of them a request is asked of in turn.
-	askedMost = 2
-	// poolPause is how long a pool that did not answer unansweredMost reports in a row is
+	fleetSizeKey = "gypsumquay/fleet"
+	// fleetCheckInterval is how often the stored number is compared with the proxies known.
+	fleetCheckInterval = 300 * time.Millisecond
+	// fleetGrowDelay is how long a proxy must have known the same number before it stores a
+	// larger one, fleetShrinkDelay the same for a smaller one.
+	fleetGrowDelay   = 1200 * time.Millisecond
+	fleetShrinkDelay = time.Minute
+	// maxGroupSize is how many proxies report to one pool at most.
+	maxGroupSize = 40
+	// maxLenders is how many other pools are asked at a time.
+	maxLenders = 4
+	// maxFallbackPools is how many of them a request is asked of in turn.
+	maxFallbackPools = 2
+	// poolBackoff is how long a pool that did not answer maxUnansweredReports reports in a row is
 	// passed over. When a large fleet starts, pools and proxies are busy, and each change of
 	// the pool costs the proxy its part for as long as it was given away.
-	poolPause      = 2 * time.Second
-	unansweredMost = 3
+	poolBackoff          = 2 * time.Second
+	maxUnansweredReports = 3
 )
 
 type (
-	// quotas carry what the limits of client accounts need between proxies.
-	quotas struct {
+	// quotaClient carry what the limits of client accounts need between proxies.
+	quotaClient struct {
 		daemon *Daemon
 		store  Store
 
 		mu sync.Mutex
 		// groups are the proxies that have a pool together, the first to be it first, as of
 		// a number of changes of who is known.
-		groups  map[group][]replica.Candidate
+		groups  map[poolGroup][]replica.Candidate
 		changes int
 		// silent is until when a pool is passed over, unanswered counts the reports in a row
 		// that it did not answer.
@@ -66,39 +66,39 @@
 		knownSince time.Time
 	}
 
-	// group names proxies that have a pool together: those of a region, or of one failure
+	// poolGroup names proxies that have a pool together: those of a region, or of one failure
 	// domain of it.
-	group struct {
+	poolGroup struct {
 		region, domain string
 	}
 
-	// fleetSize is the text at fleetKey.
+	// fleetSize is the text at fleetSizeKey.
 	fleetSize struct {
 		Proxies int `json:"proxies"`
 	}
 )
 
-func newQuotas(d *Daemon, s Store) *quotas {
-	return &quotas{daemon: d, store: s, silent: make(map[string]time.Time), unanswered: make(map[string]int)}
+func newQuotaClient(d *Daemon, s Store) *quotaClient {
+	return &quotaClient{daemon: d, store: s, silent: make(map[string]time.Time), unanswered: make(map[string]int)}
 }
 
 // hear takes in the stored number of proxies.
-func (q *quotas) hear(e replica.Entry) {
+func (q *quotaClient) hear(e replica.Entry) {
 	if e.Removed {
 		return
 	}
-	n, err := decodeFleet(e.Value)
+	n, err := decodeFleetSize(e.Value)
 	if err != nil {
-		q.daemon.feed.refused("fleet", fleetKey, err)
+		q.daemon.replica.refused("fleet", fleetSizeKey, err)
 		return
 	}
 	q.mu.Lock()
 	q.stored = n
 	q.mu.Unlock()
-	q.daemon.do(func(k *steering.Kernel, _ time.Time) { k.SetFleet(n) })
+	q.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { k.SetFleet(n) })
 }
 
-func decodeFleet(data []byte) (int, error) {
+func decodeFleetSize(data []byte) (int, error) {
 	if err := operator.CheckSyntax(data); err != nil {
 		return 0, err
 	}
@@ -114,7 +114,7 @@
 
 // run reports to the pool of this proxy's group, and borrows for the pool here if there is
 // one.
-func (q *quotas) run(ctx context.Context) {
+func (q *quotaClient) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !q.limited() {
 			sleep.For(ctx, ratelimit.ReportEvery)
@@ -129,13 +129,13 @@
 	}
 }
 
-func (q *quotas) limited() (limited bool) {
-	q.daemon.do(func(k *steering.Kernel, _ time.Time) { limited = k.HasLimits() })
+func (q *quotaClient) limited() (limited bool) {
+	q.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { limited = k.HasLimits() })
 	return limited
 }
 
 // report makes one report, and tells whether the next one should follow at once.
-func (q *quotas) report(ctx context.Context) (again bool) {
+func (q *quotaClient) report(ctx context.Context) (again bool) {
 	d := q.daemon
 	best, others := q.pools()
 	if best == "" {
@@ -144,12 +144,12 @@
 	var to string
 	var r ratelimit.Report
 	var asked time.Time
-	d.do(func(k *steering.Kernel, now time.Time) {
+	d.withKernel(func(k *steering.Kernel, now time.Time) {
 		asked = now
-		to, r = k.LimitReport(now, best, others[:min(len(others), askedMost)])
+		to, r = k.LimitReport(now, best, others[:min(len(others), maxFallbackPools)])
 	})
 	g, err := q.tell(ctx, to, r)
-	d.do(func(k *steering.Kernel, now time.Time) {
+	d.withKernel(func(k *steering.Kernel, now time.Time) {
 		if err != nil {
 			k.ReportUnanswered(now, to)
 			return
@@ -160,7 +160,7 @@
 }
 
 // borrow asks other pools for what the one here lacks.
-func (q *quotas) borrow(ctx context.Context) {
+func (q *quotaClient) borrow(ctx context.Context) {
 	d := q.daemon
 	_, lenders := q.pools()
 	if len(lenders) == 0 {
@@ -168,31 +168,31 @@
 	}
 	var loans []ratelimit.Loan
 	var asked time.Time
-	d.do(func(k *steering.Kernel, now time.Time) {
+	d.withKernel(func(k *steering.Kernel, now time.Time) {
 		asked = now
 		loans = k.Borrow(now, lenders)
 	})
 	for _, l := range loans {
 		go func() {
 			if g, err := q.tell(ctx, l.Lender, l.Report); err == nil {
-				d.do(func(k *steering.Kernel, now time.Time) { k.HearLoan(now, asked, l.Lender, g) })
+				d.withKernel(func(k *steering.Kernel, now time.Time) { k.HearLoan(now, asked, l.Lender, g) })
 			}
 		}()
 	}
 }
 
 // tell brings a report to a pool, which may be here.
-func (q *quotas) tell(ctx context.Context, to string, r ratelimit.Report) (g ratelimit.Grants, err error) {
+func (q *quotaClient) tell(ctx context.Context, to string, r ratelimit.Report) (g ratelimit.Grants, err error) {
 	d := q.daemon
 	if to == d.settings.Name {
-		d.do(func(k *steering.Kernel, now time.Time) { g = k.HearReport(now, r) })
+		d.withKernel(func(k *steering.Kernel, now time.Time) { g = k.HearReport(now, r) })
 		return g, nil
 	}
-	peer, known := d.feed.peerOf(to)
+	peer, known := d.replica.peerOf(to)
 	if !known {
 		return g, errors.New("pool of limits is gone")
 	}
-	g, err = d.peers.ReportLimits(ctx, peer, r)
+	g, err = d.peerClient.ReportLimits(ctx, peer, r)
 	if err != nil {
 		klog.V(1).InfoS("pool of limits does not answer", "proxy", to, "error", err.Error())
 	}
@@ -202,7 +202,7 @@
 
 // note takes in whether a pool has answered. One at whose address nothing listens is passed
 // over at once.
-func (q *quotas) note(pool string, err error) {
+func (q *quotaClient) note(pool string, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if err == nil {
@@ -210,19 +210,19 @@
 		return
 	}
 	q.unanswered[pool]++
-	if q.unanswered[pool] >= unansweredMost || errors.Is(err, syscall.ECONNREFUSED) {
-		q.silent[pool] = q.daemon.now().Add(poolPause)
+	if q.unanswered[pool] >= maxUnansweredReports || errors.Is(err, syscall.ECONNREFUSED) {
+		q.silent[pool] = q.daemon.now().Add(poolBackoff)
 		delete(q.unanswered, pool)
 	}
 }
 
 // ask asks a pool for one request of an account.
-func (q *quotas) ask(ctx context.Context, pool, account string) (ratelimit.Token, bool) {
-	peer, known := q.daemon.feed.peerOf(pool)
+func (q *quotaClient) ask(ctx context.Context, pool, account string) (ratelimit.Token, bool) {
+	peer, known := q.daemon.replica.peerOf(pool)
 	if !known {
 		return ratelimit.Token{}, false
 	}
-	t, err := q.daemon.peers.TakeToken(ctx, peer, account)
+	t, err := q.daemon.peerClient.TakeToken(ctx, peer, account)
 	if err != nil {
 		klog.V(1).InfoS("pool of limits does not answer", "proxy", pool, "account", account, "error", err.Error())
 	}
@@ -230,7 +230,7 @@
 }
 
 // pool names the proxy that is the pool of a group now, empty for none.
-func (q *quotas) pool(g group) string {
+func (q *quotaClient) pool(g poolGroup) string {
 	now := q.daemon.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -244,13 +244,13 @@
 
 // pools names the pool of this proxy's group, empty for none, and some others: those of its
 // region first, then others in turn.
-func (q *quotas) pools() (own string, others []string) {
+func (q *quotaClient) pools() (own string, others []string) {
 	q.regroup()
 	self := q.daemon.settings
-	var near, far []group
+	var near, far []poolGroup
 	for _, g := range q.allGroups() {
 		switch {
-		case g == (group{region: self.Region}), g == group{region: self.Region, domain: self.Domain}:
+		case g == (poolGroup{region: self.Region}), g == poolGroup{region: self.Region, domain: self.Domain}:
 			own = q.pool(g)
 		case g.region == self.Region:
 			near = append(near, g)
@@ -258,10 +258,10 @@
 			far = append(far, g)
 		}
 	}
-	for _, list := range [][]group{near, far} {
+	for _, list := range [][]poolGroup{near, far} {
 		rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		for _, g := range list {
-			if name := q.pool(g); name != "" && len(others) < lendersMost {
+			if name := q.pool(g); name != "" && len(others) < maxLenders {
 				others = append(others, name)
 			}
 		}
@@ -269,7 +269,7 @@
 	return own, others
 }
 
-func (q *quotas) allGroups() []group {
+func (q *quotaClient) allGroups() []poolGroup {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return slices.Collect(maps.Keys(q.groups))
@@ -278,8 +278,8 @@
 // regroup settles which proxies have a pool together, after changes of who is known: those
 // of a region, or of each failure domain where the region has many. All that know the same
 // proxies come to the same groups.
-func (q *quotas) regroup() {
-	f := q.daemon.feed
+func (q *quotaClient) regroup() {
+	f := q.daemon.replica
 	changes := f.changes()
 	q.mu.Lock()
 	same := q.groups != nil && changes == q.changes
@@ -287,13 +287,13 @@
 	if same {
 		return
 	}
-	groups := make(map[group][]replica.Candidate)
+	groups := make(map[poolGroup][]replica.Candidate)
 	for domain, region := range q.daemon.settings.RegionOf {
-		all := f.candidates(func(m member) bool { return m.Region == region })
-		g := group{region: region}
-		if len(all) > groupMost {
+		all := f.candidates(func(m proxyEntry) bool { return m.Region == region })
+		g := poolGroup{region: region}
+		if len(all) > maxGroupSize {
 			g.domain = domain
-			all = f.candidates(func(m member) bool { return m.Domain == domain })
+			all = f.candidates(func(m proxyEntry) bool { return m.Domain == domain })
 		}
 		groups[g] = replica.Order(all)
 	}
@@ -303,16 +303,16 @@
 }
 
 // count keeps the stored number of proxies: the first of the fleet sees to it.
-func (q *quotas) count(ctx context.Context) {
+func (q *quotaClient) count(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep.For(ctx, fleetEvery)
+		sleep.For(ctx, fleetCheckInterval)
 		n, due := q.due()
 		if !due {
 			continue
 		}
 		data, err := json.Marshal(fleetSize{Proxies: n})
 		if err == nil {
-			err = q.store.Put(ctx, fleetKey, data, 0)
+			err = q.store.Put(ctx, fleetSizeKey, data, 0)
 		}
 		if err != nil {
 			klog.InfoS("number of proxies not stored yet", "proxies", n, "error", err.Error())
@@ -323,19 +323,19 @@
 }
 
 // due reports whether another number should be stored now, and which.
-func (q *quotas) due() (n int, due bool) {
+func (q *quotaClient) due() (n int, due bool) {
 	d := q.daemon
 	first := false
-	d.do(func(k *steering.Kernel, _ time.Time) { n, first = k.Holders(), k.HasLimits() && k.FirstOfFleet() })
+	d.withKernel(func(k *steering.Kernel, _ time.Time) { n, first = k.Holders(), k.HasLimits() && k.FirstOfFleet() })
 	now := d.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if n != q.known {
 		q.known, q.knownSince = n, now
 	}
-	settles := fleetSettles
+	settles := fleetGrowDelay
 	if n < q.stored {
-		settles = fleetShrinks
+		settles = fleetShrinkDelay
 	}
 	return n, first && n != q.stored && now.Sub(q.knownSince) >= settles
 }
--- a/internal/proxy/forward/quotas_test.go
+++ b/internal/proxy/forward/quotas_test.go
@@ -85,7 +85,7 @@
 	d := f.idle()
 	for text, want := range map[string]int{`{"proxies":7}`: 7, `{"proxies":0}`: 0, `{"proxies":-1}`: 0, `{"proxies":"7"}`: 0, `{`: 0, ``: 0} {
 		d.quotas.stored = 0
-		d.quotas.hear(replica.Entry{Key: fleetKey, Value: []byte(text)})
+		d.quotas.hear(replica.Entry{Key: fleetSizeKey, Value: []byte(text)})
 		if got := d.quotas.stored; got != want {
 			t.Errorf("%q is taken for %d proxies, want %d", text, got, want)
 		}
@@ -95,7 +95,7 @@
 // Guards against shares that seem to last after the VM was suspended, and against steps of
 // the time of day that pass for a suspension.
 func TestSuspensions(t *testing.T) {
-	var s suspensions
+	var s suspendDetector
 	now := time.Now()
 	if s.ended(now) {
 		t.Error("the first look tells of a suspension, want none")
@@ -123,17 +123,17 @@
 	add := func(domain, region string, count int) {
 		for i := range count {
 			name := fmt.Sprintf("%s-%d", domain, i)
-			d.feed.members[name] = member{Name: name, Domain: domain, Region: region, Peers: freePort(t)}
+			d.replica.members[name] = proxyEntry{Name: name, Domain: domain, Region: region, Peers: freePort(t)}
 		}
-		d.feed.changed++
+		d.replica.changed++
 	}
-	add("a", "north", groupMost/2)
-	add("b", "north", groupMost/2)
+	add("a", "north", maxGroupSize/2)
+	add("b", "north", maxGroupSize/2)
 	add("c", "south", 3)
 	if own, others := d.quotas.pools(); own == "" || len(others) != 1 || len(d.quotas.groups) != 2 {
 		t.Errorf("pools are %q and %q of %d groups, want one of each region", own, others, len(d.quotas.groups))
 	}
-	add("a", "north", groupMost/2+1)
+	add("a", "north", maxGroupSize/2+1)
 	own, others := d.quotas.pools()
 	if !strings.HasPrefix(own, "a-") || len(others) != 2 || !strings.HasPrefix(others[0], "b-") {
 		t.Errorf("pools are %q and %q, want the own failure domain's, and the near one before the far one", own, others)
@@ -146,19 +146,19 @@
 	f := newFleet(t, 1)
 	d := f.idle()
 	for _, name := range []string{"first", "second"} {
-		d.feed.members[name] = member{Name: name, Domain: "a", Region: "north", Peers: freePort(t)}
+		d.replica.members[name] = proxyEntry{Name: name, Domain: "a", Region: "north", Peers: freePort(t)}
 	}
-	d.feed.changed++
+	d.replica.changed++
 	first, _ := d.quotas.pools()
-	for range unansweredMost - 1 {
+	for range maxUnansweredReports - 1 {
 		d.quotas.note(first, context.DeadlineExceeded)
 	}
 	if got, _ := d.quotas.pools(); got != first {
-		t.Errorf("the pool is %s after %d reports without answer, want %s still", got, unansweredMost-1, first)
+		t.Errorf("the pool is %s after %d reports without answer, want %s still", got, maxUnansweredReports-1, first)
 	}
 	d.quotas.note(first, context.DeadlineExceeded)
 	if got, _ := d.quotas.pools(); got == first {
-		t.Errorf("the pool is still %s after %d reports without answer", got, unansweredMost)
+		t.Errorf("the pool is still %s after %d reports without answer", got, maxUnansweredReports)
 	}
 	second, _ := d.quotas.pools()
 	d.quotas.note(second, syscall.ECONNREFUSED)
--- a/internal/proxy/forward/reload.go
+++ b/internal/proxy/forward/reload.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// rereadEvery is how often the settings are read without being told to:
+	// reloadInterval is how often the settings are read without being told to:
 	// they may change without a signal.
-	rereadEvery = 5 * time.Second
+	reloadInterval = 5 * time.Second
 )
 
-// followSettings reads the settings again when told to and from time to time.
-func (d *Daemon) followSettings(ctx context.Context, told <-chan struct{}) {
-	ticker := time.NewTicker(rereadEvery)
+// watchSettings reads the settings again when told to and from time to time.
+func (d *Daemon) watchSettings(ctx context.Context, told <-chan struct{}) {
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	complaint := ""
 	for {
@@ -31,7 +31,7 @@
 			hangUp = true
 		case <-ticker.C:
 		}
-		s, err := d.seams.LoadSettings()
+		s, err := d.deps.LoadSettings()
 		if err == nil {
 			complaint = ""
 			d.reload(s, hangUp)
@@ -49,7 +49,7 @@
 func (d *Daemon) reload(s *Settings, hangUp bool) {
 	changed := !reflect.DeepEqual(s.Bounds, d.bounds())
 	if changed {
-		d.do(func(k *steering.Kernel, _ time.Time) { k.SetBounds(boundsOf(s)) })
+		d.withKernel(func(k *steering.Kernel, _ time.Time) { k.SetBounds(kernelBounds(s)) })
 		d.setBounds(s.Bounds)
 	}
 	rest := *s
@@ -63,16 +63,16 @@
 func (d *Daemon) bounds() Bounds {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.inForce
+	return d.currentBounds
 }
 
 func (d *Daemon) setBounds(b Bounds) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.inForce = b
+	d.currentBounds = b
 }
 
-func boundsOf(s *Settings) steering.Bounds {
+func kernelBounds(s *Settings) steering.Bounds {
 	return steering.Bounds{
 		Retry: steering.RetryBudget{
 			Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Window: s.Bounds.RetryWindow,
--- a/internal/proxy/forward/signals.go
+++ b/internal/proxy/forward/signals.go
@@ -7,8 +7,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// signals are what a peer should hear of what backend servers ask of all proxies.
-func (d *Daemon) signals(all bool) (list []backpressure.Report) {
-	d.do(func(k *steering.Kernel, now time.Time) { list = k.Signals(now, all) })
+// backpressureReports are what a peer should hear of what backend servers ask of all proxies.
+func (d *Daemon) backpressureReports(all bool) (list []backpressure.Report) {
+	d.withKernel(func(k *steering.Kernel, now time.Time) { list = k.Signals(now, all) })
 	return list
 }
--- a/internal/proxy/forward/stop.go
+++ b/internal/proxy/forward/stop.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// stopMargin is the end of the grace time that is kept free, so that the
+	// exitMargin is the end of the grace time that is kept free, so that the
 	// process leaves by itself before it is killed.
-	stopMargin = 400 * time.Millisecond
-	// answerMargin is how long before the process leaves the last request is
+	exitMargin = 400 * time.Millisecond
+	// responseMargin is how long before the process leaves the last request is
 	// given up on, so that its answer is still written and its end logged.
-	answerMargin = 100 * time.Millisecond
-	// closePause is how long connections that are not idle yet are left alone.
-	closePause = 5 * time.Millisecond
-	// drainShare is the part of the grace time in which new requests are
+	responseMargin = 100 * time.Millisecond
+	// closeIdleInterval is how long connections that are not idle yet are left alone.
+	closeIdleInterval = 5 * time.Millisecond
+	// acceptRatio is the part of the grace time in which new requests are
 	// still taken: callers keep an answer of the directory for its lifetime.
-	drainShare = 0.5
+	acceptRatio = 0.5
 )
 
 // stop ends the process without cutting a request: it says that it is not
@@ -29,36 +29,36 @@
 // closes connections only when they are idle.
 func (d *Daemon) stop(ctx context.Context) {
 	began, grace := d.now(), d.bounds().GracePeriod
-	end := began.Add(grace - stopMargin)
+	end := began.Add(grace - exitMargin)
 	klog.InfoS("stopping", "grace", grace.String())
 	close(d.stopping)
-	d.do(func(k *steering.Kernel, _ time.Time) { k.Leave(end.Add(-answerMargin)) })
-	d.gossip.spread(ctx, d.feed.revision())
+	d.withKernel(func(k *steering.Kernel, _ time.Time) { k.Leave(end.Add(-responseMargin)) })
+	d.gossip.spread(ctx, d.replica.revision())
 	// A store that is cut off lets this call hang for over a second, which the
 	// requests in progress would lack at the end.
-	go d.keeper.leave(ctx)
-	sleep.For(ctx, time.Duration(drainShare*float64(grace)))
+	go d.registrar.leave(ctx)
+	sleep.For(ctx, time.Duration(acceptRatio*float64(grace)))
 	limited, cancel := context.WithTimeout(ctx, end.Sub(d.now()))
 	defer cancel()
-	if err := d.shutDown(limited); err != nil {
+	if err := d.drainConnections(limited); err != nil {
 		// Only requests whose time-out is longer than the grace time can be.
 		inFlight := 0
-		d.do(func(k *steering.Kernel, now time.Time) { inFlight = k.Status(now).InFlight })
+		d.withKernel(func(k *steering.Kernel, now time.Time) { inFlight = k.Status(now).InFlight })
 		klog.InfoS("requests were still in progress at the end of the grace time", "requests", inFlight, "error", err.Error())
 	}
 	klog.InfoS("stopped", "took", d.now().Sub(began).String())
 }
 
-// shutDown takes no more connections, ends those that are idle, and waits for the others.
-func (d *Daemon) shutDown(ctx context.Context) error {
-	if err := d.callerConnections.Close(); err != nil {
+// drainConnections takes no more connections, ends those that are idle, and waits for the others.
+func (d *Daemon) drainConnections(ctx context.Context) error {
+	if err := d.callerListener.Close(); err != nil {
 		klog.InfoS("callers' listener not closed", "error", err.Error())
 	}
-	for d.callerConnections.CloseIdle() > 0 {
+	for d.callerListener.CloseIdle() > 0 {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		sleep.For(ctx, closePause)
+		sleep.For(ctx, closeIdleInterval)
 	}
 	return nil
 }
--- a/internal/proxy/forward/suspensions.go
+++ b/internal/proxy/forward/suspensions.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// jumpLeast is how far clocks must move against each other to count: less than what
+	// minClockJump is how far clocks must move against each other to count: less than what
 	// is held for a time is guarded by.
-	jumpLeast = 50 * time.Millisecond
+	minClockJump = 50 * time.Millisecond
 )
 
 var (
@@ -19,9 +19,9 @@
 )
 
 type (
-	// suspensions notices that the VM did not run for a while. The steady clock stands
+	// suspendDetector notices that the VM did not run for a while. The steady clock stands
 	// still meanwhile, and everything that was given for a time would seem to last.
-	suspensions struct {
+	suspendDetector struct {
 		// wall is how far the time of day is ahead of the steady clock, asleep how long
 		// the VM has been suspended since it started.
 		wall   time.Duration
@@ -33,20 +33,20 @@
 // ended reports whether the VM was suspended since the last time that it was asked. The
 // clocks that know for certain are read only if the time of day has moved: that is a
 // call of the system each.
-func (s *suspensions) ended(clock time.Time) bool {
+func (s *suspendDetector) ended(clock time.Time) bool {
 	// Without its steady reading a time is of the time of day alone.
-	wall := clock.Round(0).Sub(time.Unix(0, 0)) - steady(clock)
-	moved := (wall - s.wall).Abs() > jumpLeast
+	wall := clock.Round(0).Sub(time.Unix(0, 0)) - monotonic(clock)
+	moved := (wall - s.wall).Abs() > minClockJump
 	s.wall = wall
 	if s.known && !moved {
 		return false
 	}
-	asleep, err := asleepFor()
+	asleep, err := suspendedTime()
 	if err != nil {
 		klog.ErrorS(err, "clocks not read; the VM is taken to have been suspended")
 		return s.known
 	}
-	suspended := s.known && asleep-s.asleep > jumpLeast
+	suspended := s.known && asleep-s.asleep > minClockJump
 	if moved && s.known {
 		klog.InfoS("time of day has moved", "suspended", suspended, "suspended-for", (asleep - s.asleep).String())
 	}
@@ -54,11 +54,11 @@
 	return suspended
 }
 
-// steady is the steady clock since this process started.
-func steady(clock time.Time) time.Duration { return clock.Sub(processStart) }
+// monotonic is the steady clock since this process started.
+func monotonic(clock time.Time) time.Duration { return clock.Sub(processStart) }
 
-// asleepFor is how long the VM has been suspended since it started.
-func asleepFor() (time.Duration, error) {
+// suspendedTime is how long the VM has been suspended since it started.
+func suspendedTime() (time.Duration, error) {
 	var boot, steady unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		return 0, err
--- a/internal/proxy/forward/suspicions.go
+++ b/internal/proxy/forward/suspicions.go
@@ -14,64 +14,64 @@
 )
 
 const (
-	// collectFor is how long what breaks is collected before servers are dialled and
+	// alertBatchDelay is how long what breaks is collected before servers are dialled and
 	// peers told.
-	collectFor = 50 * time.Millisecond
-	// alertBytes is how many bytes a second alerts may take: a region that is lost has
+	alertBatchDelay = 50 * time.Millisecond
+	// alertBytesPerSecond is how many bytes a second alerts may take: a region that is lost has
 	// news without end.
-	alertBytes = 16 << 10
-	// reportBytes is what a work takes in a message, with one end or two.
-	reportBytes = 48
+	alertBytesPerSecond = 16 << 10
+	// reportSize is what a work takes in a message, with one end or two.
+	reportSize = 48
 )
 
-// suspicions are what a peer should hear of work that ends servers.
-func (d *Daemon) suspicions(all bool) (list []quarantine.Report) {
-	d.do(func(k *steering.Kernel, now time.Time) { list = k.Suspicions(now, all) })
+// quarantineReports are what a peer should hear of work that ends servers.
+func (d *Daemon) quarantineReports(all bool) (list []quarantine.Report) {
+	d.withKernel(func(k *steering.Kernel, now time.Time) { list = k.Suspicions(now, all) })
 	return list
 }
 
-// watchSuspicions follows suspicions as soon as there are any, but not more often than
+// runCrashAlerts follows suspicions as soon as there are any, but not more often than
 // news can be collected: an end breaks dozens of exchanges within a round trip.
-func (d *Daemon) watchSuspicions(ctx context.Context) {
+func (d *Daemon) runCrashAlerts(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.stirred:
-			sleep.For(ctx, collectFor)
-			bytes := d.followSuspicions(ctx)
-			sleep.For(ctx, time.Duration(bytes)*time.Second/alertBytes)
+		case <-d.suspicionsChanged:
+			sleep.For(ctx, alertBatchDelay)
+			bytes := d.probeAndAlert(ctx)
+			sleep.For(ctx, time.Duration(bytes)*time.Second/alertBytesPerSecond)
 		}
 	}
 }
 
-// followSuspicions finds out which servers have ended with requests, and tells others
+// probeAndAlert finds out which servers have ended with requests, and tells others
 // what follows. Exchanges that break look alike whether the server has ended or only a
 // connection, and its registration runs out seconds later; where nothing listens any
 // more is known after a round trip. It tells how many bytes the alerts take.
-func (d *Daemon) followSuspicions(ctx context.Context) (bytes int) {
+func (d *Daemon) probeAndAlert(ctx context.Context) (bytes int) {
 	var doubted []routing.Server
 	urgent, reports := false, 0
-	d.do(func(k *steering.Kernel, now time.Time) {
+	d.withKernel(func(k *steering.Kernel, now time.Time) {
 		doubted, urgent = k.Doubted(), k.SuspicionsUrgent()
 		if urgent {
 			reports = len(k.Suspicions(now, false))
 		}
 	})
 	for _, s := range doubted {
-		go d.dialDoubted(ctx, s)
+		go d.probeSuspect(ctx, s)
 	}
 	if !urgent {
 		return 0
 	}
-	return d.gossip.alert(ctx) * reports * reportBytes
+	return d.gossip.alert(ctx) * reports * reportSize
 }
 
-func (d *Daemon) dialDoubted(ctx context.Context, s routing.Server) {
-	_, err := d.servers.Measure(ctx, s.Address, measureLimit)
+func (d *Daemon) probeSuspect(ctx context.Context, s routing.Server) {
+	_, err := d.serverClient.Measure(ctx, s.Address, rttProbeTimeout)
 	if !serverhttp.Refusing(err) {
-		klog.V(1).InfoS("a server at which exchanges broke has not ended, as far as is known", "server", s.ID, "error", text(err))
+		klog.V(1).InfoS("a server at which exchanges broke has not ended, as far as is known", "server", s.ID, "error", errorText(err))
 		return
 	}
-	d.do(func(k *steering.Kernel, now time.Time) { k.Refusing(now, s.ID) })
+	d.withKernel(func(k *steering.Kernel, now time.Time) { k.Refusing(now, s.ID) })
 }
--- a/internal/proxy/forward/verdicts.go
+++ b/internal/proxy/forward/verdicts.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	// verdictEvery is how often condemned work is compared with what is stored, and the
+	// quarantineInterval is how often condemned work is compared with what is stored, and the
 	// time that each proxy gives those before it to store it.
-	verdictEvery = time.Second
-	// verdictSpan is the lease of a stored verdict; the longest that the store gives.
-	verdictSpan = 10 * time.Minute
-	// verdictRenew leaves a renewal to fail before the lease ends.
-	verdictRenew = 4 * time.Minute
-	// verdictPause is the time between two tries while the store does not answer.
-	verdictPause = 5 * time.Second
-	// verdictsMost bounds the verdicts that are stored.
-	verdictsMost = 64
+	quarantineInterval = time.Second
+	// quarantineTTL is the lease of a stored verdict; the longest that the store gives.
+	quarantineTTL = 10 * time.Minute
+	// quarantineRenewInterval leaves a renewal to fail before the lease ends.
+	quarantineRenewInterval = 4 * time.Minute
+	// quarantineRetryDelay is the time between two tries while the store does not answer.
+	quarantineRetryDelay = 5 * time.Second
+	// maxQuarantineEntries bounds the verdicts that are stored.
+	maxQuarantineEntries = 64
 )
 
 type (
-	// verdicts keep condemned work in the platform's store. All proxies may lose power
+	// quarantineStore keep condemned work in the platform's store. All proxies may lose power
 	// at once, and those that come back would let the work end servers until they have
 	// found it out again. A verdict is rare: two calls each, made by one proxy.
-	verdicts struct {
+	quarantineStore struct {
 		daemon *Daemon
 		store  Store
 
@@ -43,44 +43,44 @@
 		// stored are the verdicts that are in the store, as far as is known.
 		stored map[quarantine.Work]bool
 		// own are those that this proxy has stored.
-		own map[quarantine.Work]ownVerdict
+		own map[quarantine.Work]ownedLease
 		// since is when this proxy first found work condemned that is not stored.
 		since map[quarantine.Work]time.Time
 	}
 
-	ownVerdict struct {
+	ownedLease struct {
 		lease   uint64
 		renewed time.Time
 	}
 
-	// verdict is the text of a stored verdict.
-	verdict struct {
-		Work quarantine.Work `json:"work"`
-		Ends []verdictEnd    `json:"ends"`
+	// quarantineEntry is the text of a stored verdict.
+	quarantineEntry struct {
+		Work quarantine.Work   `json:"work"`
+		Ends []quarantineCrash `json:"ends"`
 		// RanWell is set if the work had run well before.
 		RanWell bool `json:"ran-well,omitempty"`
 	}
 
-	verdictEnd struct {
+	quarantineCrash struct {
 		Server quarantine.Server `json:"server"`
 		// AgeMilli is how long ago it was when the verdict was stored, in milliseconds.
 		AgeMilli int64 `json:"age-milli"`
 	}
 )
 
-func newVerdicts(d *Daemon, s Store) *verdicts {
-	return &verdicts{
+func newQuarantineStore(d *Daemon, s Store) *quarantineStore {
+	return &quarantineStore{
 		daemon: d, store: s, stored: make(map[quarantine.Work]bool),
-		own: make(map[quarantine.Work]ownVerdict), since: make(map[quarantine.Work]time.Time),
+		own: make(map[quarantine.Work]ownedLease), since: make(map[quarantine.Work]time.Time),
 	}
 }
 
 // hear takes in a stored verdict, or its end. An end clears nothing: a lease may have
 // run out.
-func (v *verdicts) hear(name string, e replica.Entry) {
+func (v *quarantineStore) hear(name string, e replica.Entry) {
 	var work quarantine.Work
 	if err := work.UnmarshalText([]byte(name)); err != nil {
-		v.daemon.feed.refused("verdict", name, err)
+		v.daemon.replica.refused("verdict", name, err)
 		return
 	}
 	v.mu.Lock()
@@ -89,21 +89,21 @@
 		delete(v.stored, work)
 		return
 	}
-	report, err := decodeVerdict(work, e.Value)
+	report, err := decodeQuarantineEntry(work, e.Value)
 	if err != nil {
-		v.daemon.feed.refused("verdict", name, err)
+		v.daemon.replica.refused("verdict", name, err)
 		return
 	}
 	v.stored[work] = true
-	v.daemon.do(func(k *steering.Kernel, now time.Time) { k.HearSuspicions(now, []quarantine.Report{report}) })
+	v.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.HearSuspicions(now, []quarantine.Report{report}) })
 }
 
-func decodeVerdict(work quarantine.Work, data []byte) (quarantine.Report, error) {
+func decodeQuarantineEntry(work quarantine.Work, data []byte) (quarantine.Report, error) {
 	r := quarantine.Report{Work: work}
 	if err := operator.CheckSyntax(data); err != nil {
 		return r, err
 	}
-	var stored verdict
+	var stored quarantineEntry
 	if err := json.Unmarshal(data, &stored); err != nil {
 		return r, errors.Wrap(err, "verdict")
 	}
@@ -120,21 +120,21 @@
 	return r, nil
 }
 
-func (v *verdicts) run(ctx context.Context) {
+func (v *quarantineStore) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep.For(ctx, verdictEvery)
+		sleep.For(ctx, quarantineInterval)
 		var list []steering.Condemnation
-		v.daemon.do(func(k *steering.Kernel, now time.Time) { list = k.Condemned(now) })
-		if err := v.keep(ctx, list[:min(len(list), verdictsMost)]); err != nil {
+		v.daemon.withKernel(func(k *steering.Kernel, now time.Time) { list = k.Condemned(now) })
+		if err := v.keep(ctx, list[:min(len(list), maxQuarantineEntries)]); err != nil {
 			klog.InfoS("verdicts not stored yet", "condemned", len(list), "error", err.Error())
-			sleep.For(ctx, verdictPause)
+			sleep.For(ctx, quarantineRetryDelay)
 		}
 	}
 }
 
 // keep stores what is not stored, renews what this proxy has stored, and takes back what
 // is no longer condemned.
-func (v *verdicts) keep(ctx context.Context, list []steering.Condemnation) error {
+func (v *quarantineStore) keep(ctx context.Context, list []steering.Condemnation) error {
 	condemned := make(map[quarantine.Work]bool, len(list))
 	for _, c := range list {
 		condemned[c.Work] = true
@@ -156,7 +156,7 @@
 
 // due reports whether this proxy should store a verdict now: the first in rank at once,
 // each other if those before it have not.
-func (v *verdicts) due(c steering.Condemnation) bool {
+func (v *quarantineStore) due(c steering.Condemnation) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.stored[c.Work] {
@@ -168,10 +168,10 @@
 	if !known {
 		v.since[c.Work], since = now, now
 	}
-	return now.Sub(since) >= time.Duration(c.Rank)*verdictEvery
+	return now.Sub(since) >= time.Duration(c.Rank)*quarantineInterval
 }
 
-func (v *verdicts) forgetSince(condemned map[quarantine.Work]bool) {
+func (v *quarantineStore) forgetSince(condemned map[quarantine.Work]bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for work := range v.since {
@@ -181,35 +181,35 @@
 	}
 }
 
-func (v *verdicts) put(ctx context.Context, r quarantine.Report) error {
-	stored := verdict{Work: r.Work, RanWell: r.RanWell}
+func (v *quarantineStore) put(ctx context.Context, r quarantine.Report) error {
+	stored := quarantineEntry{Work: r.Work, RanWell: r.RanWell}
 	for _, e := range r.Ends {
 		if !e.Cleared {
-			stored.Ends = append(stored.Ends, verdictEnd{Server: e.Server, AgeMilli: e.Age.Milliseconds()})
+			stored.Ends = append(stored.Ends, quarantineCrash{Server: e.Server, AgeMilli: e.Age.Milliseconds()})
 		}
 	}
 	data, err := json.Marshal(stored)
 	if err != nil {
 		return errors.Wrap(err, "verdict")
 	}
-	lease, err := v.store.GrantLease(ctx, verdictSpan)
+	lease, err := v.store.GrantLease(ctx, quarantineTTL)
 	if err != nil {
 		return err
 	}
-	if err := v.store.Put(ctx, condemnedPrefix+r.Work.String(), data, lease); err != nil {
+	if err := v.store.Put(ctx, quarantineKeyPrefix+r.Work.String(), data, lease); err != nil {
 		return err
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.stored[r.Work] = true
-	v.own[r.Work] = ownVerdict{lease: lease, renewed: v.daemon.now()}
+	v.own[r.Work] = ownedLease{lease: lease, renewed: v.daemon.now()}
 	return nil
 }
 
-func (v *verdicts) ownVerdicts() map[quarantine.Work]ownVerdict {
+func (v *quarantineStore) ownVerdicts() map[quarantine.Work]ownedLease {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	list := make(map[quarantine.Work]ownVerdict, len(v.own))
+	list := make(map[quarantine.Work]ownedLease, len(v.own))
 	for work, own := range v.own {
 		list[work] = own
 	}
@@ -218,13 +218,13 @@
 
 // follow renews or ends an own verdict's lease. One that the store no longer knows is
 // stored again by whoever is first to miss it.
-func (v *verdicts) follow(ctx context.Context, work quarantine.Work, own ownVerdict, condemned bool) error {
+func (v *quarantineStore) follow(ctx context.Context, work quarantine.Work, own ownedLease, condemned bool) error {
 	now := v.daemon.now()
 	var err error
 	switch {
 	case !condemned:
 		err = v.store.RevokeLease(ctx, own.lease)
-	case now.Sub(own.renewed) < verdictRenew:
+	case now.Sub(own.renewed) < quarantineRenewInterval:
 		return nil
 	default:
 		err = v.store.RenewLease(ctx, own.lease)
@@ -240,6 +240,6 @@
 		delete(v.own, work)
 		return nil
 	}
-	v.own[work] = ownVerdict{lease: own.lease, renewed: now}
+	v.own[work] = ownedLease{lease: own.lease, renewed: now}
 	return nil
 }
