--- a/internal/proxy/forward/bench_test.go
+++ b/internal/proxy/forward/bench_test.go
@@ -26,11 +26,11 @@
 		observe func(*Daemon) func(steering.Event)
 	}{
 		{"silent", func(*Daemon) func(steering.Event) { return func(steering.Event) {} }},
-		{"sampled", func(d *Daemon) func(steering.Event) { return d.decisionLog.event }},
+		{"sampled", func(d *Daemon) func(steering.Event) { return d.decisionLog.handleEvent }},
 		{"written", func(d *Daemon) func(steering.Event) {
 			return func(e steering.Event) {
-				d.decisionLog.full, e.Attempt = 0, 2
-				d.decisionLog.event(e)
+				d.decisionLog.detailedCount, e.Attempt = 0, 2
+				d.decisionLog.handleEvent(e)
 			}
 		}},
 	} {
--- a/internal/proxy/forward/suspicions.go
+++ b/internal/proxy/forward/crashalerts.go
@@ -39,8 +39,8 @@
 			return
 		case <-d.suspicionsChanged:
 			sleep.For(ctx, alertBatchDelay)
-			bytes := d.probeAndAlert(ctx)
-			sleep.For(ctx, time.Duration(bytes)*time.Second/alertBytesPerSecond)
+			alertedBytes := d.probeAndAlert(ctx)
+			sleep.For(ctx, time.Duration(alertedBytes)*time.Second/alertBytesPerSecond)
 		}
 	}
 }
@@ -49,22 +49,22 @@
 // what follows. Exchanges that break look alike whether the server has ended or only a
 // connection, and its registration runs out seconds later; where nothing listens any
 // more is known after a round trip. It tells how many bytes the alerts take.
-func (d *Daemon) probeAndAlert(ctx context.Context) (bytes int) {
-	var doubted []routing.Server
-	urgent, reports := false, 0
+func (d *Daemon) probeAndAlert(ctx context.Context) (alertedBytes int) {
+	var suspects []routing.Server
+	urgent, reportCount := false, 0
 	d.withKernel(func(k *steering.Kernel, now time.Time) {
-		doubted, urgent = k.Doubted(), k.SuspicionsUrgent()
+		suspects, urgent = k.Doubted(), k.SuspicionsUrgent()
 		if urgent {
-			reports = len(k.Suspicions(now, false))
+			reportCount = len(k.Suspicions(now, false))
 		}
 	})
-	for _, s := range doubted {
+	for _, s := range suspects {
 		go d.probeSuspect(ctx, s)
 	}
 	if !urgent {
 		return 0
 	}
-	return d.gossip.alert(ctx) * reports * reportSize
+	return d.gossip.sendAlerts(ctx) * reportCount * reportSize
 }
 
 func (d *Daemon) probeSuspect(ctx context.Context, s routing.Server) {
--- a/internal/proxy/forward/daemon.go
+++ b/internal/proxy/forward/daemon.go
@@ -86,23 +86,23 @@
 	config.Observe, config.Record = d.handleEvent, seams.Record
 	d.kernel = steering.New(config)
 	d.operatorServer = (&steeringhttp.Server{Status: d.status, Events: d.decisionLog.events, Metrics: d.metrics.set}).HTTP()
-	seams.Store = instrumentStore(seams.Store, d.metrics.storeCall)
+	seams.Store = instrumentStore(seams.Store, d.metrics.recordStoreCall)
 	d.replica = newStoreReplica(d)
 	d.quarantine = newQuarantineStore(d, seams.Store)
 	d.quotas = newQuotaClient(d, seams.Store)
 	d.peerClient = peerdrpc.NewClient(func() *tls.Config { return nil })
-	d.peerClient.Sent, d.peerClient.Received = d.metrics.sent.Add, d.metrics.received.Add
-	d.metrics.watch(d, seams.DroppedLogLines)
+	d.peerClient.Sent, d.peerClient.Received = d.metrics.peerBytesSent.Add, d.metrics.peerBytesReceived.Add
+	d.metrics.registerGauges(d, seams.DroppedLogLines)
 	d.permits = newPermitClient(d)
-	d.gossip = &gossip{feed: d.replica, send: d.peerClient.Sync}
-	d.storeWatcher = &storeWatcher{feed: d.replica, store: seams.Store}
-	d.registrar = &registrar{feed: d.replica, store: seams.Store}
+	d.gossip = &gossip{replica: d.replica, send: d.peerClient.Sync}
+	d.storeWatcher = &storeWatcher{replica: d.replica, store: seams.Store}
+	d.registrar = &registrar{replica: d.replica, store: seams.Store}
 	memory := bodies.NewMemory(bodyMemoryLimit(s.MemoryBytes))
-	d.serverClient = serverhttp.NewClient(seams.Names.ServerHeaders, memory, d.now, d.metrics.connections.Inc)
+	d.serverClient = serverhttp.NewClient(seams.Names.ServerHeaders, memory, d.now, d.metrics.serverConnectionsOpened.Inc)
 	d.callerServer = (&forwardhttp.Server{
 		Headers: seams.Names.CallerHeaders, Kernel: d.withKernel, Memory: memory, Send: d.serverClient.Send, Now: d.now,
-		Ask: d.permits.ask, GiveBack: d.permits.giveBack, AskPool: d.quotas.ask,
-		Stopping: d.isStopping, Configured: d.replica.begun, Started: d.start,
+		Ask: d.permits.acquire, GiveBack: d.permits.release, AskPool: d.quotas.takeToken,
+		Stopping: d.isStopping, Configured: d.replica.loaded, Started: d.start,
 	}).HTTP()
 	d.readinessServer = &http.Server{Handler: d.readinessHandler(), ReadHeaderTimeout: time.Second, IdleTimeout: httpIdleTimeout}
 	d.directoryServer = &http.Server{Handler: d.directoryHandler(), ReadHeaderTimeout: time.Second, IdleTimeout: httpIdleTimeout}
@@ -111,7 +111,7 @@
 
 // handleEvent takes in what the kernel tells, with its lock held.
 func (d *Daemon) handleEvent(e steering.Event) {
-	d.decisionLog.event(e)
+	d.decisionLog.handleEvent(e)
 	if e.Kind == steering.EventServerRestarted {
 		d.serverClient.Forget(e.Address)
 	}
@@ -124,9 +124,9 @@
 func (d *Daemon) startMillis() int64 { return d.start.UnixMilli() }
 
 // learnedLimits lists the services that are held back by own signs.
-func (d *Daemon) learnedLimits() (held []steering.Held) {
-	d.withKernel(func(k *steering.Kernel, now time.Time) { held = k.Holding(now) })
-	return held
+func (d *Daemon) learnedLimits() (limits []steering.Held) {
+	d.withKernel(func(k *steering.Kernel, now time.Time) { limits = k.Holding(now) })
+	return limits
 }
 
 // withKernel runs a function with the kernel, one at a time.
@@ -135,7 +135,7 @@
 	defer d.mu.Unlock()
 	clock := time.Now()
 	now := d.start.Add(clock.Sub(d.start))
-	if d.suspendDetector.ended(clock) {
+	if d.suspendDetector.checkResumed(clock) {
 		d.kernel.Resumed(now)
 	}
 	f(d.kernel, now)
@@ -158,7 +158,7 @@
 
 // Run serves until stop ends, then stops as planned. Each value of told means
 // that the settings may have changed.
-func (d *Daemon) Run(stop context.Context, told <-chan struct{}) error {
+func (d *Daemon) Run(stop context.Context, reload <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
 	if d.settings.MemoryBytes > 0 {
@@ -182,7 +182,7 @@
 			return errors.Wrap(err, "listen")
 		}
 		if l.share > 0 {
-			limited := forwardhttp.LimitConnections(listener, int(l.share*openFileLimit()), d.metrics.turnedAway.Inc)
+			limited := forwardhttp.LimitConnections(listener, int(l.share*openFileLimit()), d.metrics.callerConnectionsRefused.Inc)
 			if l.server == d.callerServer {
 				d.callerListener, d.callerServer.ConnState = limited, limited.Note
 			}
@@ -195,17 +195,17 @@
 		return errors.Wrap(err, "listen")
 	}
 	go func() { failed <- peerdrpc.ServeSync(ctx, peers, d.peerHandlers(ctx)) }()
-	d.storeWatcher.advanced = func(before uint64) { d.gossip.spread(ctx, before) }
-	d.storeWatcher.confirmed = func() { d.gossip.confirm(ctx) }
+	d.storeWatcher.onAdvance = func(before uint64) { d.gossip.spread(ctx, before) }
+	d.storeWatcher.onUnchanged = func() { d.gossip.confirm(ctx) }
 	go d.storeWatcher.run(ctx)
 	go d.gossip.run(ctx)
 	go d.registrar.run(ctx)
-	go d.watchSettings(ctx, told)
+	go d.watchSettings(ctx, reload)
 	go d.runTicks(ctx)
 	go d.runCrashAlerts(ctx)
 	go d.quarantine.run(ctx)
 	go d.quotas.run(ctx)
-	go d.quotas.count(ctx)
+	go d.quotas.runFleetSize(ctx)
 	go d.probeRoundTrips(ctx)
 	if len(d.settings.DisabledMechanisms) > 0 {
 		klog.InfoS("mechanisms switched off", "mechanisms", d.settings.DisabledMechanisms)
@@ -228,7 +228,7 @@
 			d.withKernel(func(k *steering.Kernel, now time.Time) { reply = k.HearAsk(now, a) })
 			return reply
 		},
-		Release: d.permits.release, Grant: d.permits.hear, Now: d.now,
+		Release: d.permits.releaseLocal, Grant: d.permits.deliver, Now: d.now,
 		ReportLimits: func(r ratelimit.Report) (g ratelimit.Grants) {
 			d.withKernel(func(k *steering.Kernel, now time.Time) { g = k.HearReport(now, r) })
 			return g
@@ -249,13 +249,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			d.replica.listLate()
+			d.replica.flushProxies()
 			var grants []steering.Reply
 			d.withKernel(func(k *steering.Kernel, now time.Time) {
 				k.Tick(now)
 				grants = k.Grants()
 			})
-			d.permits.tell(grants)
+			d.permits.sendReplies(grants)
 		}
 	}
 }
--- a/internal/proxy/forward/journal.go
+++ b/internal/proxy/forward/decisionlog.go
@@ -39,19 +39,19 @@
 type (
 	// decisionLog keeps the decisions: as log lines, as metrics and in memory.
 	decisionLog struct {
-		vm     string
-		now    func() time.Time
-		meters *proxyMetrics
-
-		mu     sync.Mutex
-		ring   *core.Ring[steeringhttp.Event]
-		served uint64
-		second time.Time
-		full   int
-		brief  int
-		// leftOut counts the requests that were not written, by reason.
-		leftOut map[string]int
-		toldAt  time.Time
+		vm      string
+		now     func() time.Time
+		metrics *proxyMetrics
+
+		mu            sync.Mutex
+		ring          *core.Ring[steeringhttp.Event]
+		served        uint64
+		windowStart   time.Time
+		detailedCount int
+		summaryCount  int
+		// omitted counts the requests that were not written, by reason.
+		omitted           map[string]int
+		omittedReportedAt time.Time
 	}
 
 	// logDetail is how much of a request is written.
@@ -65,30 +65,30 @@
 )
 
 func newDecisionLog(vm string, now func() time.Time, m *proxyMetrics) *decisionLog {
-	return &decisionLog{vm: vm, now: now, meters: m, ring: core.NewRing[steeringhttp.Event](eventRingSize), leftOut: make(map[string]int), toldAt: now()}
+	return &decisionLog{vm: vm, now: now, metrics: m, ring: core.NewRing[steeringhttp.Event](eventRingSize), omitted: make(map[string]int), omittedReportedAt: now()}
 }
 
-// event takes in what the kernel tells.
-func (j *decisionLog) event(e steering.Event) {
-	j.meters.event(e)
+// handleEvent takes in what the kernel tells.
+func (j *decisionLog) handleEvent(e steering.Event) {
+	j.metrics.recordEvent(e)
 	if e.Kind != steering.EventFinished {
-		j.keep(e)
+		j.record(e)
 		klog.InfoS(string(e.Kind), "service", e.Service, "server", e.Server, "failure-domain", e.Domain, "region", e.Region, "elsewhere", e.Elsewhere,
 			"configuration", e.Version, "draining", e.Draining, "cause", e.Result.String(), "for", e.Took.String(), "limit", e.Limit.String(), "work", e.Work.String(), "ends", e.Ends, "works", workList(e.Works))
 		return
 	}
-	wanted := j.wanted(e)
+	wanted := j.chooseDetail(e)
 	if wanted == logNothing {
 		return
 	}
 	if wanted == logAllSteps {
 		for _, s := range e.Steps {
 			s.Request, s.Route, s.Service, s.Object, s.Work, s.Version = e.Request, e.Route, e.Service, e.Object, e.Work, e.Version
-			j.keep(s)
+			j.record(s)
 			j.writeStep(s, e.At.Sub(s.At))
 		}
 	}
-	j.keep(e)
+	j.record(e)
 	klog.InfoS(string(e.Kind), "request", e.Request, "route", e.Route, "account", e.Account, "work", e.Work.String(), "configuration", e.Version,
 		"outcome", e.Outcome.String(), "reason", string(e.Reason), "took", e.Took.String(), "attempts", e.Attempt, "tried", attemptedServers(e.Steps),
 		"come-back", e.ComeBack.String(), "pressure", e.Pressure, "target", e.Target.String(), "cause", string(e.Cause), "server-state", string(e.State))
@@ -126,27 +126,27 @@
 	return strings.Join(list, ", ")
 }
 
-// wanted decides how much of a request is written, and counts those left out.
-func (j *decisionLog) wanted(e steering.Event) logDetail {
+// chooseDetail decides how much of a request is written, and counts those left out.
+func (j *decisionLog) chooseDetail(e steering.Event) logDetail {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := j.now()
-	if now.Sub(j.second) >= time.Second {
-		j.second, j.full, j.brief = now, 0, 0
+	if now.Sub(j.windowStart) >= time.Second {
+		j.windowStart, j.detailedCount, j.summaryCount = now, 0, 0
 	}
-	j.tellLeftOut(now)
+	j.reportOmitted(now)
 	notable := e.Reason != steering.ReasonNone || e.Attempt > 1 || isLate(e)
 	j.served++
 	switch {
 	case !notable && j.served%sampleRate != 0:
-	case j.full < maxDetailedPerSecond:
-		j.full++
+	case j.detailedCount < maxDetailedPerSecond:
+		j.detailedCount++
 		return logAllSteps
-	case j.brief < maxSummariesPerSecond:
-		j.brief++
+	case j.summaryCount < maxSummariesPerSecond:
+		j.summaryCount++
 		return logSummary
 	}
-	j.leftOut[outcomeLabel(e)]++
+	j.omitted[outcomeLabel(e)]++
 	return logNothing
 }
 
@@ -164,17 +164,17 @@
 	return e.Outcome.String()
 }
 
-func (j *decisionLog) tellLeftOut(now time.Time) {
-	if now.Sub(j.toldAt) < omittedInterval {
+func (j *decisionLog) reportOmitted(now time.Time) {
+	if now.Sub(j.omittedReportedAt) < omittedInterval {
 		return
 	}
-	klog.InfoS(omittedMessage, "counts", j.leftOut, "served", j.served)
-	clear(j.leftOut)
-	j.toldAt = now
+	klog.InfoS(omittedMessage, "counts", j.omitted, "served", j.served)
+	clear(j.omitted)
+	j.omittedReportedAt = now
 }
 
-// keep holds an event for operators to ask for.
-func (j *decisionLog) keep(e steering.Event) {
+// record holds an event for operators to ask for.
+func (j *decisionLog) record(e steering.Event) {
 	if e.At.IsZero() {
 		e.At = j.now()
 	}
--- a/internal/proxy/forward/journal_test.go
+++ b/internal/proxy/forward/decisionlog_test.go
@@ -105,10 +105,10 @@
 	const failed = 1000
 	lines := journalLines(t, func(j *decisionLog, clock *time.Time) {
 		for n := range failed {
-			j.event(ended(n, steering.ReasonLate))
+			j.handleEvent(ended(n, steering.ReasonLate))
 		}
 		*clock = clock.Add(omittedInterval)
-		j.event(ended(failed, steering.ReasonRefused))
+		j.handleEvent(ended(failed, steering.ReasonRefused))
 	})
 	last, steps, counts := make(map[string]string), 0, map[string]int{}
 	for _, l := range lines {
@@ -138,7 +138,7 @@
 // own 500. Such requests passed for good ones and were left out with them.
 func TestServersOwnFailureIsInTheLog(t *testing.T) {
 	lines := journalLines(t, func(j *decisionLog, clock *time.Time) {
-		k := steering.New(steering.Config{Name: "vm-1", Observe: j.event})
+		k := steering.New(steering.Config{Name: "vm-1", Observe: j.handleEvent})
 		route := &routing.Route{Name: "r", Host: "h", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.Part{{Service: "s", Weight: 1}}}
 		k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 		k.SetServer(*clock, routing.Server{ID: "i-1", Service: "s", Slots: 4})
@@ -157,9 +157,9 @@
 func TestGoodRequestsAreSampled(t *testing.T) {
 	lines := journalLines(t, func(j *decisionLog, _ *time.Time) {
 		for range 3 * sampleRate {
-			j.event(steering.Event{Kind: steering.EventFinished, Outcome: steering.Done, Attempt: 1, Target: time.Second, Took: time.Millisecond})
+			j.handleEvent(steering.Event{Kind: steering.EventFinished, Outcome: steering.Done, Attempt: 1, Target: time.Second, Took: time.Millisecond})
 		}
-		j.event(steering.Event{Kind: steering.EventFinished, Request: "slow", Outcome: steering.Done, Attempt: 1, Target: time.Second, Took: 2 * time.Second})
+		j.handleEvent(steering.Event{Kind: steering.EventFinished, Request: "slow", Outcome: steering.Done, Attempt: 1, Target: time.Second, Took: 2 * time.Second})
 	})
 	if len(lines) != 4 || lines[3].Request != "slow" {
 		t.Errorf("%d lines, want three of good requests and one of the slow one: %+v", len(lines), lines)
--- a/internal/proxy/forward/fleet_test.go
+++ b/internal/proxy/forward/fleet_test.go
@@ -437,10 +437,10 @@
 	for first, want := range map[bool]bool{true: true, false: false} {
 		idle := f.idle()
 		idle.settings.Seeds, idle.settings.FirstStart = []netip.AddrPort{freePort(t)}, first
-		w := &storeWatcher{feed: idle.replica, confirmed: func() {}, store: f.links[0].seams()}
+		w := &storeWatcher{replica: idle.replica, onUnchanged: func() {}, store: f.links[0].seams()}
 		ctx, cancel := context.WithCancel(context.Background())
 		returned := make(chan struct{})
-		go func() { w.awaitSeed(ctx); close(returned) }()
+		go func() { w.waitForSeed(ctx); close(returned) }()
 		waits := false
 		select {
 		case <-returned:
--- a/internal/proxy/forward/gossip.go
+++ b/internal/proxy/forward/gossip.go
@@ -50,23 +50,23 @@
 type (
 	// gossip compares the copy with other proxies' and spreads news.
 	gossip struct {
-		feed *storeReplica
-		send func(ctx context.Context, to netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error)
+		replica *storeReplica
+		send    func(ctx context.Context, to netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error)
 
 		mu sync.Mutex
-		// named are peers that the last answer named, to be asked next.
-		named []netip.AddrPort
+		// namedPeers are peers that the last answer named, to be asked next.
+		namedPeers []netip.AddrPort
 	}
 )
 
 func (g *gossip) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		every := gossipInterval
-		if g.feed.revision() == 0 {
+		if g.replica.revision() == 0 {
 			every = bootstrapInterval
 		}
 		sleep.For(ctx, every/2+rand.N(every))
-		if to, ok := g.pick(); ok {
+		if to, ok := g.pickPeer(); ok {
 			g.exchange(ctx, to)
 		}
 	}
@@ -75,58 +75,58 @@
 // exchange tells a peer the own revision, takes in what it has, and sends it
 // what it lacks.
 func (g *gossip) exchange(ctx context.Context, to netip.AddrPort) {
-	reply, err := g.send(ctx, to, g.message(g.feed.since(g.feed.revision()), false))
+	reply, err := g.send(ctx, to, g.message(g.replica.deltaSince(g.replica.revision()), false))
 	if err != nil {
 		klog.V(1).InfoS("peer did not answer", "peer", to, "error", err.Error())
 		return
 	}
-	g.take(reply)
-	if reply.Revision < g.feed.revision() {
-		g.push(ctx, to, reply.Revision)
+	g.merge(reply)
+	if reply.Revision < g.replica.revision() {
+		g.sendDelta(ctx, to, reply.Revision)
 	}
 }
 
-func (g *gossip) push(ctx context.Context, to netip.AddrPort, since uint64) {
-	reply, err := g.send(ctx, to, g.message(g.feed.since(since), false))
+func (g *gossip) sendDelta(ctx context.Context, to netip.AddrPort, since uint64) {
+	reply, err := g.send(ctx, to, g.message(g.replica.deltaSince(since), false))
 	if err != nil {
 		klog.V(1).InfoS("news not delivered", "peer", to, "error", err.Error())
 		return
 	}
-	g.take(reply)
+	g.merge(reply)
 }
 
 // handle answers a peer and passes its news on.
 func (g *gossip) handle(ctx context.Context, m peerdrpc.SyncMessage) peerdrpc.SyncMessage {
-	before := g.feed.revision()
-	if g.take(m) && before > 0 && len(m.Entries) > 0 {
-		g.pass(ctx, before)
+	before := g.replica.revision()
+	if g.merge(m) && before > 0 && len(m.Entries) > 0 {
+		g.forward(ctx, before)
 	}
-	answer := g.message(g.feed.since(m.Revision), m.Revision == 0)
+	answer := g.message(g.replica.deltaSince(m.Revision), m.Revision == 0)
 	if m.Revision == 0 && !answer.Whole {
-		answer.Others = g.others()
+		answer.Others = g.namePeers()
 	}
 	return answer
 }
 
-// take takes a peer's message in and reports whether the copy advanced.
-func (g *gossip) take(m peerdrpc.SyncMessage) bool {
-	g.feed.hear(m)
+// merge takes a peer's message in and reports whether the copy advanced.
+func (g *gossip) merge(m peerdrpc.SyncMessage) bool {
+	g.replica.handlePeerState(m)
 	if len(m.Held)+len(m.Suspicions)+len(m.Signals) > 0 {
-		g.feed.daemon.withKernel(func(k *steering.Kernel, now time.Time) {
+		g.replica.daemon.withKernel(func(k *steering.Kernel, now time.Time) {
 			k.SetHolding(now, m.Held)
 			k.HearSuspicions(now, m.Suspicions)
 			k.HearSignals(now, m.Signals)
 		})
 	}
 	g.mu.Lock()
-	g.named = m.Others
+	g.namedPeers = m.Others
 	g.mu.Unlock()
-	return g.feed.apply(m.Delta)
+	return g.replica.apply(m.Delta)
 }
 
-// others names a few peers for one that starts: hundreds may start at once and
+// namePeers names a few peers for one that starts: hundreds may start at once and
 // know the same three seeds, which could not give all of them everything.
-func (g *gossip) others() []netip.AddrPort {
+func (g *gossip) namePeers() []netip.AddrPort {
 	near, far := g.peers()
 	list := slices.Concat(near, slices.Concat(slices.Collect(maps.Values(far))...))
 	return sample(list, maxNamedPeers)
@@ -136,26 +136,26 @@
 // that has just started hears of all suspicions.
 func (g *gossip) message(d replica.Delta, starts bool) peerdrpc.SyncMessage {
 	return peerdrpc.SyncMessage{
-		Suspicions: g.feed.daemon.quarantineReports(starts), Signals: g.feed.daemon.backpressureReports(starts),
-		From: g.feed.daemon.settings.Name, Started: g.feed.daemon.startMillis(), Leaving: g.feed.daemon.isStopping(),
-		Held: g.feed.daemon.learnedLimits(), Delta: d,
+		Suspicions: g.replica.daemon.quarantineReports(starts), Signals: g.replica.daemon.backpressureReports(starts),
+		From: g.replica.daemon.settings.Name, Started: g.replica.daemon.startMillis(), Leaving: g.replica.daemon.isStopping(),
+		Held: g.replica.daemon.learnedLimits(), Delta: d,
 	}
 }
 
-// pick draws a peer, mostly of the own region; without any known, one that a
+// pickPeer draws a peer, mostly of the own region; without any known, one that a
 // seed named, or a seed.
-func (g *gossip) pick() (netip.AddrPort, bool) {
+func (g *gossip) pickPeer() (netip.AddrPort, bool) {
 	near, far := g.peers()
 	list := near
 	if len(far) > 0 && (len(near) == 0 || rand.N(remoteExchangeRatio) == 0) {
 		list = slices.Concat(slices.Collect(maps.Values(far))...)
 	}
 	if len(list) == 0 {
-		list = g.takeNamed()
+		list = g.takeNamedPeers()
 	}
 	if len(list) == 0 {
-		self := g.feed.daemon.settings.Listen.Peers
-		list = slices.DeleteFunc(slices.Clone(g.feed.daemon.settings.Seeds), func(a netip.AddrPort) bool { return a == self })
+		self := g.replica.daemon.settings.Listen.Peers
+		list = slices.DeleteFunc(slices.Clone(g.replica.daemon.settings.Seeds), func(a netip.AddrPort) bool { return a == self })
 	}
 	if len(list) == 0 {
 		return netip.AddrPort{}, false
@@ -163,21 +163,21 @@
 	return list[rand.N(len(list))], true
 }
 
-// takeNamed lists the peers that the last answer named, once, without this
+// takeNamedPeers lists the peers that the last answer named, once, without this
 // proxy: its entry of before a restart may still be there.
-func (g *gossip) takeNamed() []netip.AddrPort {
+func (g *gossip) takeNamedPeers() []netip.AddrPort {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	self := g.feed.daemon.settings.Listen.Peers
-	list := slices.DeleteFunc(g.named, func(a netip.AddrPort) bool { return a == self })
-	g.named = nil
+	self := g.replica.daemon.settings.Listen.Peers
+	list := slices.DeleteFunc(g.namedPeers, func(a netip.AddrPort) bool { return a == self })
+	g.namedPeers = nil
 	return list
 }
 
 // peers lists the other proxies of the own region and those of each other
 // region.
 func (g *gossip) peers() (near []netip.AddrPort, far map[string][]netip.AddrPort) {
-	f := g.feed
+	f := g.replica
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	far = make(map[string][]netip.AddrPort)
@@ -202,25 +202,25 @@
 		list = append(list, region[rand.N(len(region))])
 	}
 	for _, to := range list {
-		go g.offer(ctx, to, since)
+		go g.offerDelta(ctx, to, since)
 	}
 }
 
-// offer sends news to a peer, large ones only if it lacks them.
-func (g *gossip) offer(ctx context.Context, to netip.AddrPort, since uint64) {
-	if g.feed.since(since).Size() < offerMinBytes {
-		g.push(ctx, to, since)
+// offerDelta sends news to a peer, large ones only if it lacks them.
+func (g *gossip) offerDelta(ctx context.Context, to netip.AddrPort, since uint64) {
+	if g.replica.deltaSince(since).Size() < offerMinBytes {
+		g.sendDelta(ctx, to, since)
 		return
 	}
-	sleep.For(ctx, time.Duration(min(g.feed.rank(), replica.Relays))*offerStagger)
-	reply, err := g.send(ctx, to, g.message(g.feed.since(g.feed.revision()), false))
+	sleep.For(ctx, time.Duration(min(g.replica.rank(), replica.Relays))*offerStagger)
+	reply, err := g.send(ctx, to, g.message(g.replica.deltaSince(g.replica.revision()), false))
 	if err != nil {
 		klog.V(1).InfoS("news not delivered", "peer", to, "error", err.Error())
 		return
 	}
-	g.take(reply)
-	if reply.Revision < g.feed.revision() {
-		g.push(ctx, to, reply.Revision)
+	g.merge(reply)
+	if reply.Revision < g.replica.revision() {
+		g.sendDelta(ctx, to, reply.Revision)
 	}
 }
 
@@ -231,14 +231,14 @@
 		return
 	}
 	for _, to := range sample(near, confirmFanout) {
-		go g.push(ctx, to, g.feed.revision())
+		go g.sendDelta(ctx, to, g.replica.revision())
 	}
 }
 
-// alert tells a few peers of the region, and one of a few other regions, of work that ends
+// sendAlerts tells a few peers of the region, and one of a few other regions, of work that ends
 // servers. Whoever hears news alerts others in turn: four and three from each reach 1,300
 // within four rounds. It tells how many were alerted.
-func (g *gossip) alert(ctx context.Context) int {
+func (g *gossip) sendAlerts(ctx context.Context) int {
 	near, far := g.peers()
 	list := sample(near, forwardFanout)
 	var others []netip.AddrPort
@@ -247,25 +247,25 @@
 	}
 	list = append(list, sample(others, alertRemoteFanout)...)
 	for _, to := range list {
-		go g.push(ctx, to, g.feed.revision())
+		go g.sendDelta(ctx, to, g.replica.revision())
 	}
 	return len(list)
 }
 
-// pass sends a peer's news on. A relay that hears of a change from another region
+// forward sends a peer's news on. A relay that hears of a change from another region
 // before its own watch answers tells its region, which nobody else might; and
 // where a region is too large for its relays to reach all, each tells a few.
-func (g *gossip) pass(ctx context.Context, since uint64) {
+func (g *gossip) forward(ctx context.Context, since uint64) {
 	near, _ := g.peers()
 	most := 0
 	switch {
-	case g.feed.rank() < replica.Relays:
+	case g.replica.rank() < replica.Relays:
 		most = spreadFanout
 	case len(near) > spreadFanout:
 		most = forwardFanout
 	}
 	for _, to := range sample(near, most) {
-		go g.offer(ctx, to, since)
+		go g.offerDelta(ctx, to, since)
 	}
 }
 
--- a/internal/proxy/forward/gossip_test.go
+++ b/internal/proxy/forward/gossip_test.go
@@ -71,8 +71,8 @@
 func TestOthersAreNamedToNewcomers(t *testing.T) {
 	f := newFleet(t, 2)
 	f.eventually("the proxies know each other", func() bool { return f.named(0) == 2 })
-	g := &gossip{feed: f.idle().replica}
-	g.feed.members["proxy-b"] = proxyEntry{Name: "proxy-b", Region: "north", Peers: f.daemons[1].settings.Listen.Peers}
+	g := &gossip{replica: f.idle().replica}
+	g.replica.members["proxy-b"] = proxyEntry{Name: "proxy-b", Region: "north", Peers: f.daemons[1].settings.Listen.Peers}
 	answer := g.handle(context.Background(), peerdrpc.SyncMessage{From: "newcomer"})
 	if got, want := fmt.Sprint(answer.Others), fmt.Sprint([]netip.AddrPort{f.daemons[1].settings.Listen.Peers}); got != want {
 		t.Errorf("a newcomer is told of %s, want %s", got, want)
@@ -89,7 +89,7 @@
 	f := newFleet(t, 1)
 	d := f.idle()
 	given := make(chan struct{})
-	w := &storeWatcher{feed: d.replica, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
+	w := &storeWatcher{replica: d.replica, onAdvance: func(uint64) {}, onUnchanged: func() {}, store: Store{
 		Range: func(ctx context.Context, _ string, _ bool) ([]KeyValue, uint64, error) {
 			close(given)
 			<-ctx.Done()
@@ -120,7 +120,7 @@
 	}{{spreadFanout, 0}, {spreadFanout + 8, forwardFanout}} {
 		d := f.idle()
 		var sent atomic.Int32
-		g := &gossip{feed: d.replica, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
+		g := &gossip{replica: d.replica, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 			sent.Add(1)
 			return peerdrpc.SyncMessage{}, nil
 		}}
@@ -152,7 +152,7 @@
 	}{{spreadFanout, 0}, {spreadFanout + 8, confirmFanout}} {
 		d := f.idle()
 		var sent atomic.Int32
-		g := &gossip{feed: d.replica, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
+		g := &gossip{replica: d.replica, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 			if m.Revision != 7 || len(m.Entries) > 0 || !replica.Fresh(m.Age) {
 				t.Errorf("got %+v, want revision 7, fresh, without entries", m.Delta)
 			}
@@ -165,7 +165,7 @@
 		}
 		d.replica.members["proxy-a"] = proxyEntry{Name: "proxy-a", Region: "north", LinkMbps: 200}
 		d.replica.apply(replica.Delta{Revision: 7, Whole: true})
-		w := &storeWatcher{feed: d.replica, confirmed: func() { g.confirm(context.Background()) }, store: Store{
+		w := &storeWatcher{replica: d.replica, onUnchanged: func() { g.confirm(context.Background()) }, store: Store{
 			Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) { return nil, nil },
 		}}
 		if err := w.step(context.Background()); err != nil {
@@ -202,7 +202,7 @@
 	if got := named(); got > others/2 {
 		t.Errorf("%d proxies are named before the next tick, want most of them put off", got)
 	}
-	d.replica.listLate()
+	d.replica.flushProxies()
 	if got, want := named(), others+1; got != want {
 		t.Errorf("%d proxies are named after the next tick, want %d", got, want)
 	}
@@ -237,9 +237,9 @@
 	removal := replica.Delta{Base: 1, Revision: 2}
 	for _, doubtful := range []bool{false, true} {
 		d := f.withServer()
-		d.replica.failed(errCut, d.now().Add(-time.Minute))
-		d.replica.failed(context.DeadlineExceeded, d.now())
-		d.gossip.take(peerdrpc.SyncMessage{From: "peer", Delta: replica.Delta{
+		d.replica.storeFailed(errCut, d.now().Add(-time.Minute))
+		d.replica.storeFailed(context.DeadlineExceeded, d.now())
+		d.gossip.merge(peerdrpc.SyncMessage{From: "peer", Delta: replica.Delta{
 			Base: removal.Base, Revision: removal.Revision,
 			Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true, Doubtful: doubtful}},
 		}})
@@ -254,9 +254,9 @@
 func TestRemovalJustAfterAWatchWasCutIsBelieved(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.withServer()
-	d.replica.failed(errCut, d.now())
+	d.replica.storeFailed(errCut, d.now())
 	items := []KeyValue{{Key: "servers/s1", Revision: 2, Removed: true}}
-	w := &storeWatcher{feed: d.replica, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
+	w := &storeWatcher{replica: d.replica, onAdvance: func(uint64) {}, onUnchanged: func() {}, store: Store{
 		Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) { return items, nil },
 	}}
 	if err := w.step(context.Background()); err != nil {
@@ -273,7 +273,7 @@
 	f := newFleet(t, 1)
 	d := f.idle()
 	var sent atomic.Int32
-	g := &gossip{feed: d.replica, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
+	g := &gossip{replica: d.replica, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 		sent.Add(1)
 		return peerdrpc.SyncMessage{}, nil
 	}}
@@ -294,7 +294,7 @@
 	d := f.withServer()
 	items := []KeyValue{{Key: "servers/s1", Revision: 2, Removed: true}}
 	spread := 0
-	w := &storeWatcher{feed: d.replica, confirmed: func() {}, advanced: func(before uint64) {
+	w := &storeWatcher{replica: d.replica, onUnchanged: func() {}, onAdvance: func(before uint64) {
 		spread++
 		if before != 1 {
 			t.Errorf("spreads what is newer than revision %d, want 1", before)
@@ -324,7 +324,7 @@
 	d.replica.members["far"] = proxyEntry{Name: "far", Region: "south"}
 	d.replica.members[d.settings.Name] = proxyEntry{Name: d.settings.Name, Region: "north"}
 	var asked atomic.Int32
-	w := &storeWatcher{feed: d.replica, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
+	w := &storeWatcher{replica: d.replica, onAdvance: func(uint64) {}, onUnchanged: func() {}, store: Store{
 		Watch: func(ctx context.Context, _ string, _ uint64, _ time.Duration) ([]KeyValue, error) {
 			asked.Add(1)
 			sleep.For(ctx, 20*time.Millisecond)
@@ -337,11 +337,11 @@
 	defer func() { cancel(); <-ended }()
 	f.eventually("it asks the store itself", func() bool { return asked.Load() > 0 })
 	f.eventually("it goes on", func() bool {
-		d.gossip.take(peerdrpc.SyncMessage{From: "far", Delta: replica.Delta{Base: 1, Revision: 1}})
-		d.gossip.take(peerdrpc.SyncMessage{From: "wide-a", Delta: replica.Delta{Base: 1, Revision: 1, Age: time.Minute}})
+		d.gossip.merge(peerdrpc.SyncMessage{From: "far", Delta: replica.Delta{Base: 1, Revision: 1}})
+		d.gossip.merge(peerdrpc.SyncMessage{From: "wide-a", Delta: replica.Delta{Base: 1, Revision: 1, Age: time.Minute}})
 		return asked.Load() > 20
 	})
-	d.gossip.take(peerdrpc.SyncMessage{From: "wide-a", Delta: replica.Delta{Base: 1, Revision: 1}})
+	d.gossip.merge(peerdrpc.SyncMessage{From: "wide-a", Delta: replica.Delta{Base: 1, Revision: 1}})
 	time.Sleep(100 * time.Millisecond)
 	before := asked.Load()
 	time.Sleep(300 * time.Millisecond)
@@ -357,15 +357,15 @@
 	f := newFleet(t, 1)
 	for _, doubtful := range []bool{false, true} {
 		cut, next := f.withServer(), f.withServer()
-		cut.replica.failed(context.DeadlineExceeded, cut.now().Add(-time.Minute))
+		cut.replica.storeFailed(context.DeadlineExceeded, cut.now().Add(-time.Minute))
 		reader := f.withServer()
 		if doubtful {
-			reader.replica.failed(context.DeadlineExceeded, reader.now().Add(-time.Minute))
+			reader.replica.storeFailed(context.DeadlineExceeded, reader.now().Add(-time.Minute))
 		}
-		reader.replica.applyOwn(replica.Delta{Base: 1, Revision: 2, Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true}}})
-		cut.gossip.take(peerdrpc.SyncMessage{From: "reader", Delta: reader.replica.since(1)})
+		reader.replica.applyStoreRead(replica.Delta{Base: 1, Revision: 2, Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true}}})
+		cut.gossip.merge(peerdrpc.SyncMessage{From: "reader", Delta: reader.replica.deltaSince(1)})
 		time.Sleep(time.Millisecond)
-		next.gossip.take(peerdrpc.SyncMessage{From: "cut", Delta: cut.replica.since(1)})
+		next.gossip.merge(peerdrpc.SyncMessage{From: "cut", Delta: cut.replica.deltaSince(1)})
 		if got := knows(next); got != doubtful {
 			t.Errorf("removal doubted by its reader %t: the server is still used %t", doubtful, got)
 		}
@@ -383,11 +383,11 @@
 		want int
 	}{"a proxy that has them": {8, 0}, "a proxy that lacks them": {7, 1}} {
 		brought := 0
-		g := &gossip{feed: d.replica, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
+		g := &gossip{replica: d.replica, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 			brought += len(m.Entries)
 			return peerdrpc.SyncMessage{Delta: replica.Delta{Base: c.has, Revision: c.has}}, nil
 		}}
-		g.offer(context.Background(), netip.AddrPort{}, 7)
+		g.offerDelta(context.Background(), netip.AddrPort{}, 7)
 		if brought != c.want {
 			t.Errorf("%s is brought %d entries, want %d", name, brought, c.want)
 		}
--- a/internal/proxy/forward/members.go
+++ b/internal/proxy/forward/members.go
@@ -41,41 +41,41 @@
 	}
 )
 
-// tellProxies takes in the changes of proxies' entries. It comes before the
+// dispatchProxies takes in the changes of proxies' entries. It comes before the
 // servers: a proxy that knew a cold server and no other proxy would send it all
 // that it bears.
-func (f *storeReplica) tellProxies(changed []replica.Entry) {
+func (f *storeReplica) dispatchProxies(changed []replica.Entry) {
 	gone := false
 	for _, e := range changed {
 		if name, ok := strings.CutPrefix(e.Key, proxyKeyPrefix); ok {
-			f.hearMember(name, e)
-			f.unlisted = true
+			f.dispatchProxyEntry(name, e)
+			f.proxiesStale = true
 			gone = gone || e.Removed
 		}
 	}
 	// When hundreds start, each hears of the others in hundreds of messages, and a list
 	// for each was most of what starting took. So arrivals just after a list wait for the
 	// next tick; one that is gone must not be named to callers until then.
-	if f.unlisted && (gone || f.daemon.now().Sub(f.listedAt) >= tickInterval) {
-		f.listProxies()
+	if f.proxiesStale && (gone || f.daemon.now().Sub(f.proxiesSetAt) >= tickInterval) {
+		f.setProxies()
 	}
 }
 
-// listLate brings a list to the kernel that has been put off.
-func (f *storeReplica) listLate() {
+// flushProxies brings a list to the kernel that has been put off.
+func (f *storeReplica) flushProxies() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.unlisted {
-		f.listProxies()
+	if f.proxiesStale {
+		f.setProxies()
 	}
 }
 
-func (f *storeReplica) hearMember(name string, e replica.Entry) {
-	f.changed++
+func (f *storeReplica) dispatchProxyEntry(name string, e replica.Entry) {
+	f.membershipChanges++
 	if e.Removed {
 		delete(f.members, name)
 		if name == f.daemon.settings.Name {
-			f.writeSoon()
+			f.requestRewrite()
 		}
 		if e.Doubtful {
 			f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.DoubtProxies(now.Add(absenceGracePeriod)) })
@@ -85,10 +85,10 @@
 	}
 	m, err := f.decodeMember(name, e.Value)
 	if err != nil {
-		f.refused("proxy", name, err)
+		f.rejectEntry("proxy", name, err)
 		delete(f.members, name)
 		if name == f.daemon.settings.Name {
-			f.writeSoon()
+			f.requestRewrite()
 		}
 		return
 	}
@@ -121,9 +121,9 @@
 	return m, f.checkDomain(m.Domain, m.Region)
 }
 
-// listProxies brings the list of live proxies to the kernel.
-func (f *storeReplica) listProxies() {
-	f.listedAt, f.unlisted = f.daemon.now(), false
+// setProxies brings the list of live proxies to the kernel.
+func (f *storeReplica) setProxies() {
+	f.proxiesSetAt, f.proxiesStale = f.daemon.now(), false
 	list := make([]steering.Proxy, 0, len(f.members))
 	for _, m := range f.members {
 		list = append(list, steering.Proxy{Name: m.Name, Domain: m.Domain, Region: m.Region, Address: m.Callers, Leaving: m.Leaving})
@@ -131,10 +131,10 @@
 	f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.SetProxies(now, list) })
 }
 
-// hear takes in a proxy's own word: whether it leaves, and how fresh its copy is.
+// handlePeerState takes in a proxy's own word: whether it leaves, and how fresh its copy is.
 // What a process said before its VM started again may come after the new entry,
 // and would have the new process leave for as long as it lives.
-func (f *storeReplica) hear(said peerdrpc.SyncMessage) {
+func (f *storeReplica) handlePeerState(said peerdrpc.SyncMessage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	name := said.From
@@ -143,14 +143,14 @@
 		return
 	}
 	if m.Region == f.daemon.settings.Region && replica.Fresh(said.Age) {
-		f.nearAt = f.daemon.now()
+		f.peerFreshAt = f.daemon.now()
 	}
 	sameStart := said.Started == 0 || said.Started == m.Started
 	if said.Leaving && sameStart && !m.Leaving {
 		m.Leaving = true
 		f.members[name] = m
-		f.changed++
-		f.listProxies()
+		f.membershipChanges++
+		f.setProxies()
 	}
 }
 
@@ -166,8 +166,8 @@
 	return list
 }
 
-// peerOf is where other proxies reach one by its name.
-func (f *storeReplica) peerOf(name string) (netip.AddrPort, bool) {
+// peerAddress is where other proxies reach one by its name.
+func (f *storeReplica) peerAddress(name string) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, known := f.members[name]
@@ -187,11 +187,11 @@
 	return list
 }
 
-// changes counts the changes of who is known and who leaves.
-func (f *storeReplica) changes() int {
+// membershipVersion counts the changes of who is known and who leaves.
+func (f *storeReplica) membershipVersion() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.changed
+	return f.membershipChanges
 }
 
 // rank is this proxy's place among those of its region. While none is known, as when
--- a/internal/proxy/forward/members_test.go
+++ b/internal/proxy/forward/members_test.go
@@ -108,11 +108,11 @@
 	d.replica.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{
 		{Key: proxyKeyPrefix + "far", Value: farMember(t, func(m *proxyEntry) { m.Started = 2000 }), Revision: 1},
 	}})
-	d.replica.hear(peerdrpc.SyncMessage{From: "far", Started: 1000, Leaving: true})
+	d.replica.handlePeerState(peerdrpc.SyncMessage{From: "far", Started: 1000, Leaving: true})
 	if d.replica.proxies()[0].Leaving {
 		t.Error("the new process is taken to leave")
 	}
-	d.replica.hear(peerdrpc.SyncMessage{From: "far", Started: 2000, Leaving: true})
+	d.replica.handlePeerState(peerdrpc.SyncMessage{From: "far", Started: 2000, Leaving: true})
 	if !d.replica.proxies()[0].Leaving {
 		t.Error("a proxy's own word that it leaves is not believed")
 	}
--- a/internal/proxy/forward/meters.go
+++ b/internal/proxy/forward/metrics.go
@@ -13,14 +13,14 @@
 	// proxyMetrics holds the process's metrics. Names follow the Prometheus habit:
 	// base units, and _total for counters.
 	proxyMetrics struct {
-		set         *metrics.Set
-		connections *metrics.Counter
-		turnedAway  *metrics.Counter
-		sent        *metrics.Counter
-		received    *metrics.Counter
-		requests    map[requestLabels]*metrics.Counter
-		attempts    map[attemptLabels]*metrics.Counter
-		durations   map[string]*metrics.Histogram
+		set                      *metrics.Set
+		serverConnectionsOpened  *metrics.Counter
+		callerConnectionsRefused *metrics.Counter
+		peerBytesSent            *metrics.Counter
+		peerBytesReceived        *metrics.Counter
+		requests                 map[requestLabels]*metrics.Counter
+		attempts                 map[attemptLabels]*metrics.Counter
+		durations                map[string]*metrics.Histogram
 	}
 
 	requestLabels struct {
@@ -38,32 +38,32 @@
 func newProxyMetrics() *proxyMetrics {
 	set := metrics.NewSet()
 	return &proxyMetrics{
-		set:         set,
-		connections: set.NewCounter("gypsumquay_server_connections_opened_total"),
-		turnedAway:  set.NewCounter("gypsumquay_caller_connections_refused_total"),
-		sent:        set.NewCounter("gypsumquay_peer_sent_bytes_total"),
-		received:    set.NewCounter("gypsumquay_peer_received_bytes_total"),
-		requests:    make(map[requestLabels]*metrics.Counter),
-		attempts:    make(map[attemptLabels]*metrics.Counter),
-		durations:   make(map[string]*metrics.Histogram),
+		set:                      set,
+		serverConnectionsOpened:  set.NewCounter("gypsumquay_server_connections_opened_total"),
+		callerConnectionsRefused: set.NewCounter("gypsumquay_caller_connections_refused_total"),
+		peerBytesSent:            set.NewCounter("gypsumquay_peer_sent_bytes_total"),
+		peerBytesReceived:        set.NewCounter("gypsumquay_peer_received_bytes_total"),
+		requests:                 make(map[requestLabels]*metrics.Counter),
+		attempts:                 make(map[attemptLabels]*metrics.Counter),
+		durations:                make(map[string]*metrics.Histogram),
 	}
 }
 
-// event counts. The kernel's lock is held, so the maps need none.
-func (m *proxyMetrics) event(e steering.Event) {
+// recordEvent counts. The kernel's lock is held, so the maps need none.
+func (m *proxyMetrics) recordEvent(e steering.Event) {
 	if e.Kind != steering.EventFinished {
 		m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_events_total{kind=%q}", e.Kind)).Inc()
 		return
 	}
-	m.request(e)
+	m.recordRequest(e)
 	for _, s := range e.Steps {
 		if s.Kind == steering.EventAttemptEnded {
-			m.attempt(attemptLabels{e.Service, s.Result})
+			m.recordAttempt(attemptLabels{e.Service, s.Result})
 		}
 	}
 }
 
-func (m *proxyMetrics) request(e steering.Event) {
+func (m *proxyMetrics) recordRequest(e steering.Event) {
 	labels := requestLabels{e.Route, e.Service, e.Outcome, e.Reason}
 	counter := m.requests[labels]
 	if counter == nil {
@@ -80,7 +80,7 @@
 	duration.Update(e.Took.Seconds())
 }
 
-func (m *proxyMetrics) attempt(labels attemptLabels) {
+func (m *proxyMetrics) recordAttempt(labels attemptLabels) {
 	counter := m.attempts[labels]
 	if counter == nil {
 		counter = m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_attempts_total{service=%q,result=%q}", labels.service, labels.result.String()))
@@ -89,18 +89,18 @@
 	counter.Inc()
 }
 
-// storeCall counts a call to the platform's store.
-func (m *proxyMetrics) storeCall(operation string, err error) {
+// recordStoreCall counts a call to the platform's store.
+func (m *proxyMetrics) recordStoreCall(operation string, err error) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_store_calls_total{operation=%q,failed=\"%t\"}", operation, err != nil)).Inc()
 }
 
-// entryRefused counts an entry that cannot be used.
-func (m *proxyMetrics) entryRefused(kind string) {
+// recordRejectedEntry counts an entry that cannot be used.
+func (m *proxyMetrics) recordRejectedEntry(kind string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_entries_refused_total{kind=%q}", kind)).Inc()
 }
 
-// watch adds gauges that are read when asked for.
-func (m *proxyMetrics) watch(d *Daemon, dropped func() uint64) {
+// registerGauges adds gauges that are read when asked for.
+func (m *proxyMetrics) registerGauges(d *Daemon, dropped func() uint64) {
 	status := func(read func(steering.Status) float64) func() float64 {
 		return func() float64 {
 			var s steering.Status
--- a/internal/proxy/forward/places.go
+++ b/internal/proxy/forward/permits.go
@@ -34,15 +34,15 @@
 	return &permitClient{daemon: d, waiting: make(map[uint64]chan steering.Reply)}
 }
 
-// ask waits until a place is granted or denied, but not for longer than one is of
+// acquire waits until a place is granted or denied, but not for longer than one is of
 // use. It reports false if the owner of the gate does not answer, or the context ends.
-func (p *permitClient) ask(ctx context.Context, a steering.Ask) (steering.Reply, bool) {
+func (p *permitClient) acquire(ctx context.Context, a steering.Ask) (steering.Reply, bool) {
 	granted := p.register(a.ID)
 	defer p.forget(a.ID)
 	last := time.NewTimer(a.Last.Sub(p.daemon.now()))
 	defer last.Stop()
 	for {
-		reply, answered := p.askOnce(ctx, a)
+		reply, answered := p.request(ctx, a)
 		if !answered || reply.Verdict != admission.Queued {
 			return reply, answered
 		}
@@ -63,13 +63,13 @@
 	}
 }
 
-func (p *permitClient) askOnce(ctx context.Context, a steering.Ask) (reply steering.Reply, answered bool) {
+func (p *permitClient) request(ctx context.Context, a steering.Ask) (reply steering.Reply, answered bool) {
 	d := p.daemon
 	if a.Owner.Name == d.settings.Name {
 		d.withKernel(func(k *steering.Kernel, now time.Time) { reply = k.HearAsk(now, a) })
 		return reply, true
 	}
-	peer, known := d.replica.peerOf(a.Owner.Name)
+	peer, known := d.replica.peerAddress(a.Owner.Name)
 	if !known {
 		return reply, false
 	}
@@ -94,9 +94,9 @@
 	delete(p.waiting, id)
 }
 
-// hear takes in what has become of an own question. Whoever no longer waits for it
+// deliver takes in what has become of an own question. Whoever no longer waits for it
 // has given the place back.
-func (p *permitClient) hear(r steering.Reply) {
+func (p *permitClient) deliver(r steering.Reply) {
 	p.mu.Lock()
 	granted := p.waiting[r.ID]
 	p.mu.Unlock()
@@ -109,14 +109,14 @@
 	}
 }
 
-// giveBack tells the owner of a gate that a place is free.
-func (p *permitClient) giveBack(r steering.Release) {
+// release tells the owner of a gate that a place is free.
+func (p *permitClient) release(r steering.Release) {
 	d := p.daemon
 	if r.Owner.Name == d.settings.Name {
-		p.release(r)
+		p.releaseLocal(r)
 		return
 	}
-	peer, known := d.replica.peerOf(r.Owner.Name)
+	peer, known := d.replica.peerAddress(r.Owner.Name)
 	if !known {
 		return
 	}
@@ -127,28 +127,28 @@
 	}()
 }
 
-// release takes a place at an own gate back and tells who gets it.
-func (p *permitClient) release(r steering.Release) {
+// releaseLocal takes a place at an own gate back and tells who gets it.
+func (p *permitClient) releaseLocal(r steering.Release) {
 	var grants []steering.Reply
 	p.daemon.withKernel(func(k *steering.Kernel, now time.Time) { grants = k.HearRelease(now, r) })
-	p.tell(grants)
+	p.sendReplies(grants)
 }
 
-// tell carries what own gates have granted or denied to those that asked.
-func (p *permitClient) tell(grants []steering.Reply) {
+// sendReplies carries what own gates have granted or denied to those that asked.
+func (p *permitClient) sendReplies(grants []steering.Reply) {
 	d := p.daemon
 	for _, g := range grants {
 		if g.From == d.settings.Name {
-			p.hear(g)
+			p.deliver(g)
 			continue
 		}
-		if peer, known := d.replica.peerOf(g.From); known {
-			go p.send(peer, g)
+		if peer, known := d.replica.peerAddress(g.From); known {
+			go p.sendReply(peer, g)
 		}
 	}
 }
 
-func (p *permitClient) send(peer netip.AddrPort, g steering.Reply) {
+func (p *permitClient) sendReply(peer netip.AddrPort, g steering.Reply) {
 	if err := p.daemon.peerClient.Grant(context.Background(), peer, g); err != nil {
 		klog.V(1).InfoS("grant not delivered; the proxy asks again", "proxy", g.From, "error", err.Error())
 	}
--- a/internal/proxy/forward/places_test.go
+++ b/internal/proxy/forward/permits_test.go
@@ -41,12 +41,12 @@
 	f.knowEachOther()
 	first, second := f.daemons[0].permits, f.daemons[1].permits
 	own := f.askFor(0, 0, 1)
-	if r, answered := first.ask(context.Background(), own); !answered || r.Verdict != admission.Granted {
+	if r, answered := first.acquire(context.Background(), own); !answered || r.Verdict != admission.Granted {
 		t.Fatalf("the first gets verdict %d (%t)", r.Verdict, answered)
 	}
 	granted := make(chan steering.Reply, 1)
 	go func() {
-		r, _ := second.ask(context.Background(), f.askFor(1, 0, 1))
+		r, _ := second.acquire(context.Background(), f.askFor(1, 0, 1))
 		granted <- r
 	}()
 	f.eventually("the second waits", func() bool {
@@ -56,13 +56,13 @@
 		})
 		return waiting == 1
 	})
-	first.giveBack(steering.Release{Owner: own.Owner, Server: "s1", From: own.From, ID: own.ID})
+	first.release(steering.Release{Owner: own.Owner, Server: "s1", From: own.From, ID: own.ID})
 	if r := <-granted; r.Verdict != admission.Granted {
 		t.Errorf("the second gets verdict %d, want its place", r.Verdict)
 	}
 	late := f.askFor(1, 0, 2)
 	late.Last = f.daemons[1].now().Add(50 * time.Millisecond)
-	if r, answered := second.ask(context.Background(), late); !answered || r.Verdict != admission.Denied {
+	if r, answered := second.acquire(context.Background(), late); !answered || r.Verdict != admission.Denied {
 		t.Errorf("a place that comes too late: verdict %d (%t), want it denied", r.Verdict, answered)
 	}
 }
@@ -75,11 +75,11 @@
 	a := f.askFor(0, 1, 1)
 	f.stops[1]()
 	f.endConnections(1)
-	if _, answered := f.daemons[0].permits.ask(context.Background(), a); answered {
+	if _, answered := f.daemons[0].permits.acquire(context.Background(), a); answered {
 		t.Error("a proxy that is gone has answered")
 	}
 	a.Owner.Name = "nobody"
-	if _, answered := f.daemons[0].permits.ask(context.Background(), a); answered {
+	if _, answered := f.daemons[0].permits.acquire(context.Background(), a); answered {
 		t.Error("a proxy that never was has answered")
 	}
 }
@@ -88,13 +88,13 @@
 func TestLeavingCallerEndsTheWait(t *testing.T) {
 	f := newFleet(t, 1)
 	p := f.daemons[0].permits
-	if r, _ := p.ask(context.Background(), f.askFor(0, 0, 1)); r.Verdict != admission.Granted {
+	if r, _ := p.acquire(context.Background(), f.askFor(0, 0, 1)); r.Verdict != admission.Granted {
 		t.Fatalf("verdict %d, want a place", r.Verdict)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan bool, 1)
 	go func() {
-		_, answered := p.ask(ctx, f.askFor(0, 0, 2))
+		_, answered := p.acquire(ctx, f.askFor(0, 0, 2))
 		ended <- answered
 	}()
 	cancel()
--- a/internal/proxy/forward/verdicts.go
+++ b/internal/proxy/forward/quarantine.go
@@ -42,15 +42,15 @@
 		mu sync.Mutex
 		// stored are the verdicts that are in the store, as far as is known.
 		stored map[quarantine.Work]bool
-		// own are those that this proxy has stored.
-		own map[quarantine.Work]ownedLease
-		// since is when this proxy first found work condemned that is not stored.
-		since map[quarantine.Work]time.Time
+		// owned are those that this proxy has stored.
+		owned map[quarantine.Work]ownedLease
+		// missingSince is when this proxy first found work condemned that is not stored.
+		missingSince map[quarantine.Work]time.Time
 	}
 
 	ownedLease struct {
-		lease   uint64
-		renewed time.Time
+		id        uint64
+		renewedAt time.Time
 	}
 
 	// quarantineEntry is the text of a stored verdict.
@@ -71,16 +71,16 @@
 func newQuarantineStore(d *Daemon, s Store) *quarantineStore {
 	return &quarantineStore{
 		daemon: d, store: s, stored: make(map[quarantine.Work]bool),
-		own: make(map[quarantine.Work]ownedLease), since: make(map[quarantine.Work]time.Time),
+		owned: make(map[quarantine.Work]ownedLease), missingSince: make(map[quarantine.Work]time.Time),
 	}
 }
 
-// hear takes in a stored verdict, or its end. An end clears nothing: a lease may have
+// handleEntry takes in a stored verdict, or its end. An end clears nothing: a lease may have
 // run out.
-func (v *quarantineStore) hear(name string, e replica.Entry) {
+func (v *quarantineStore) handleEntry(name string, e replica.Entry) {
 	var work quarantine.Work
 	if err := work.UnmarshalText([]byte(name)); err != nil {
-		v.daemon.replica.refused("verdict", name, err)
+		v.daemon.replica.rejectEntry("verdict", name, err)
 		return
 	}
 	v.mu.Lock()
@@ -91,7 +91,7 @@
 	}
 	report, err := decodeQuarantineEntry(work, e.Value)
 	if err != nil {
-		v.daemon.replica.refused("verdict", name, err)
+		v.daemon.replica.rejectEntry("verdict", name, err)
 		return
 	}
 	v.stored[work] = true
@@ -125,63 +125,63 @@
 		sleep.For(ctx, quarantineInterval)
 		var list []steering.Condemnation
 		v.daemon.withKernel(func(k *steering.Kernel, now time.Time) { list = k.Condemned(now) })
-		if err := v.keep(ctx, list[:min(len(list), maxQuarantineEntries)]); err != nil {
+		if err := v.reconcile(ctx, list[:min(len(list), maxQuarantineEntries)]); err != nil {
 			klog.InfoS("verdicts not stored yet", "condemned", len(list), "error", err.Error())
 			sleep.For(ctx, quarantineRetryDelay)
 		}
 	}
 }
 
-// keep stores what is not stored, renews what this proxy has stored, and takes back what
+// reconcile stores what is not stored, renews what this proxy has stored, and takes back what
 // is no longer condemned.
-func (v *quarantineStore) keep(ctx context.Context, list []steering.Condemnation) error {
+func (v *quarantineStore) reconcile(ctx context.Context, list []steering.Condemnation) error {
 	condemned := make(map[quarantine.Work]bool, len(list))
 	for _, c := range list {
 		condemned[c.Work] = true
-		if !v.due(c) {
+		if !v.shouldStore(c) {
 			continue
 		}
-		if err := v.put(ctx, c.Report); err != nil {
+		if err := v.storeEntry(ctx, c.Report); err != nil {
 			return err
 		}
 	}
-	v.forgetSince(condemned)
-	for work, own := range v.ownVerdicts() {
-		if err := v.follow(ctx, work, own, condemned[work]); err != nil {
+	v.dropMissingSince(condemned)
+	for work, own := range v.ownedLeases() {
+		if err := v.maintainLease(ctx, work, own, condemned[work]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// due reports whether this proxy should store a verdict now: the first in rank at once,
+// shouldStore reports whether this proxy should store a verdict now: the first in rank at once,
 // each other if those before it have not.
-func (v *quarantineStore) due(c steering.Condemnation) bool {
+func (v *quarantineStore) shouldStore(c steering.Condemnation) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.stored[c.Work] {
-		delete(v.since, c.Work)
+		delete(v.missingSince, c.Work)
 		return false
 	}
 	now := v.daemon.now()
-	since, known := v.since[c.Work]
+	since, known := v.missingSince[c.Work]
 	if !known {
-		v.since[c.Work], since = now, now
+		v.missingSince[c.Work], since = now, now
 	}
 	return now.Sub(since) >= time.Duration(c.Rank)*quarantineInterval
 }
 
-func (v *quarantineStore) forgetSince(condemned map[quarantine.Work]bool) {
+func (v *quarantineStore) dropMissingSince(condemned map[quarantine.Work]bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for work := range v.since {
+	for work := range v.missingSince {
 		if !condemned[work] {
-			delete(v.since, work)
+			delete(v.missingSince, work)
 		}
 	}
 }
 
-func (v *quarantineStore) put(ctx context.Context, r quarantine.Report) error {
+func (v *quarantineStore) storeEntry(ctx context.Context, r quarantine.Report) error {
 	stored := quarantineEntry{Work: r.Work, RanWell: r.RanWell}
 	for _, e := range r.Ends {
 		if !e.Cleared {
@@ -202,32 +202,32 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.stored[r.Work] = true
-	v.own[r.Work] = ownedLease{lease: lease, renewed: v.daemon.now()}
+	v.owned[r.Work] = ownedLease{id: lease, renewedAt: v.daemon.now()}
 	return nil
 }
 
-func (v *quarantineStore) ownVerdicts() map[quarantine.Work]ownedLease {
+func (v *quarantineStore) ownedLeases() map[quarantine.Work]ownedLease {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	list := make(map[quarantine.Work]ownedLease, len(v.own))
-	for work, own := range v.own {
+	list := make(map[quarantine.Work]ownedLease, len(v.owned))
+	for work, own := range v.owned {
 		list[work] = own
 	}
 	return list
 }
 
-// follow renews or ends an own verdict's lease. One that the store no longer knows is
+// maintainLease renews or ends an own verdict's lease. One that the store no longer knows is
 // stored again by whoever is first to miss it.
-func (v *quarantineStore) follow(ctx context.Context, work quarantine.Work, own ownedLease, condemned bool) error {
+func (v *quarantineStore) maintainLease(ctx context.Context, work quarantine.Work, own ownedLease, condemned bool) error {
 	now := v.daemon.now()
 	var err error
 	switch {
 	case !condemned:
-		err = v.store.RevokeLease(ctx, own.lease)
-	case now.Sub(own.renewed) < quarantineRenewInterval:
+		err = v.store.RevokeLease(ctx, own.id)
+	case now.Sub(own.renewedAt) < quarantineRenewInterval:
 		return nil
 	default:
-		err = v.store.RenewLease(ctx, own.lease)
+		err = v.store.RenewLease(ctx, own.id)
 	}
 	var refused *StoreError
 	gone := errors.As(err, &refused) && refused.Code == StoreNotFound
@@ -237,9 +237,9 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !condemned || gone {
-		delete(v.own, work)
+		delete(v.owned, work)
 		return nil
 	}
-	v.own[work] = ownedLease{lease: own.lease, renewed: now}
+	v.owned[work] = ownedLease{id: own.id, renewedAt: now}
 	return nil
 }
--- a/internal/proxy/forward/quotas.go
+++ b/internal/proxy/forward/quotas.go
@@ -51,19 +51,19 @@
 		store  Store
 
 		mu sync.Mutex
-		// groups are the proxies that have a pool together, the first to be it first, as of
+		// poolGroups are the proxies that have a pool together, the first to be it first, as of
 		// a number of changes of who is known.
-		groups  map[poolGroup][]replica.Candidate
-		changes int
-		// silent is until when a pool is passed over, unanswered counts the reports in a row
+		poolGroups    map[poolGroup][]replica.Candidate
+		groupsVersion int
+		// skippedUntil is until when a pool is passed over, unanswered counts the reports in a row
 		// that it did not answer.
-		silent     map[string]time.Time
-		unanswered map[string]int
-		// stored is the number that the store holds, known how many proxies are known and
+		skippedUntil map[string]time.Time
+		unanswered   map[string]int
+		// storedFleetSize is the number that the store holds, known how many proxies are known and
 		// since when.
-		stored     int
-		known      int
-		knownSince time.Time
+		storedFleetSize int
+		knownFleetSize  int
+		knownSince      time.Time
 	}
 
 	// poolGroup names proxies that have a pool together: those of a region, or of one failure
@@ -79,21 +79,21 @@
 )
 
 func newQuotaClient(d *Daemon, s Store) *quotaClient {
-	return &quotaClient{daemon: d, store: s, silent: make(map[string]time.Time), unanswered: make(map[string]int)}
+	return &quotaClient{daemon: d, store: s, skippedUntil: make(map[string]time.Time), unanswered: make(map[string]int)}
 }
 
-// hear takes in the stored number of proxies.
-func (q *quotaClient) hear(e replica.Entry) {
+// handleStoredFleetSize takes in the stored number of proxies.
+func (q *quotaClient) handleStoredFleetSize(e replica.Entry) {
 	if e.Removed {
 		return
 	}
 	n, err := decodeFleetSize(e.Value)
 	if err != nil {
-		q.daemon.replica.refused("fleet", fleetSizeKey, err)
+		q.daemon.replica.rejectEntry("fleet", fleetSizeKey, err)
 		return
 	}
 	q.mu.Lock()
-	q.stored = n
+	q.storedFleetSize = n
 	q.mu.Unlock()
 	q.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { k.SetFleet(n) })
 }
@@ -116,7 +116,7 @@
 // one.
 func (q *quotaClient) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !q.limited() {
+		if !q.hasLimits() {
 			sleep.For(ctx, ratelimit.ReportEvery)
 			continue
 		}
@@ -129,7 +129,7 @@
 	}
 }
 
-func (q *quotaClient) limited() (limited bool) {
+func (q *quotaClient) hasLimits() (limited bool) {
 	q.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { limited = k.HasLimits() })
 	return limited
 }
@@ -137,7 +137,7 @@
 // report makes one report, and tells whether the next one should follow at once.
 func (q *quotaClient) report(ctx context.Context) (again bool) {
 	d := q.daemon
-	best, others := q.pools()
+	best, others := q.choosePools()
 	if best == "" {
 		return false
 	}
@@ -148,7 +148,7 @@
 		asked = now
 		to, r = k.LimitReport(now, best, others[:min(len(others), maxFallbackPools)])
 	})
-	g, err := q.tell(ctx, to, r)
+	g, err := q.sendReport(ctx, to, r)
 	d.withKernel(func(k *steering.Kernel, now time.Time) {
 		if err != nil {
 			k.ReportUnanswered(now, to)
@@ -162,7 +162,7 @@
 // borrow asks other pools for what the one here lacks.
 func (q *quotaClient) borrow(ctx context.Context) {
 	d := q.daemon
-	_, lenders := q.pools()
+	_, lenders := q.choosePools()
 	if len(lenders) == 0 {
 		return
 	}
@@ -174,21 +174,21 @@
 	})
 	for _, l := range loans {
 		go func() {
-			if g, err := q.tell(ctx, l.Lender, l.Report); err == nil {
+			if g, err := q.sendReport(ctx, l.Lender, l.Report); err == nil {
 				d.withKernel(func(k *steering.Kernel, now time.Time) { k.HearLoan(now, asked, l.Lender, g) })
 			}
 		}()
 	}
 }
 
-// tell brings a report to a pool, which may be here.
-func (q *quotaClient) tell(ctx context.Context, to string, r ratelimit.Report) (g ratelimit.Grants, err error) {
+// sendReport brings a report to a pool, which may be here.
+func (q *quotaClient) sendReport(ctx context.Context, to string, r ratelimit.Report) (g ratelimit.Grants, err error) {
 	d := q.daemon
 	if to == d.settings.Name {
 		d.withKernel(func(k *steering.Kernel, now time.Time) { g = k.HearReport(now, r) })
 		return g, nil
 	}
-	peer, known := d.replica.peerOf(to)
+	peer, known := d.replica.peerAddress(to)
 	if !known {
 		return g, errors.New("pool of limits is gone")
 	}
@@ -196,13 +196,13 @@
 	if err != nil {
 		klog.V(1).InfoS("pool of limits does not answer", "proxy", to, "error", err.Error())
 	}
-	q.note(to, err)
+	q.recordPoolResult(to, err)
 	return g, err
 }
 
-// note takes in whether a pool has answered. One at whose address nothing listens is passed
+// recordPoolResult takes in whether a pool has answered. One at whose address nothing listens is passed
 // over at once.
-func (q *quotaClient) note(pool string, err error) {
+func (q *quotaClient) recordPoolResult(pool string, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if err == nil {
@@ -211,14 +211,14 @@
 	}
 	q.unanswered[pool]++
 	if q.unanswered[pool] >= maxUnansweredReports || errors.Is(err, syscall.ECONNREFUSED) {
-		q.silent[pool] = q.daemon.now().Add(poolBackoff)
+		q.skippedUntil[pool] = q.daemon.now().Add(poolBackoff)
 		delete(q.unanswered, pool)
 	}
 }
 
-// ask asks a pool for one request of an account.
-func (q *quotaClient) ask(ctx context.Context, pool, account string) (ratelimit.Token, bool) {
-	peer, known := q.daemon.replica.peerOf(pool)
+// takeToken asks a pool for one request of an account.
+func (q *quotaClient) takeToken(ctx context.Context, pool, account string) (ratelimit.Token, bool) {
+	peer, known := q.daemon.replica.peerAddress(pool)
 	if !known {
 		return ratelimit.Token{}, false
 	}
@@ -229,29 +229,29 @@
 	return t, err == nil
 }
 
-// pool names the proxy that is the pool of a group now, empty for none.
-func (q *quotaClient) pool(g poolGroup) string {
+// activePool names the proxy that is the pool of a group now, empty for none.
+func (q *quotaClient) activePool(g poolGroup) string {
 	now := q.daemon.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, c := range q.groups[g] {
-		if now.After(q.silent[c.Name]) {
+	for _, c := range q.poolGroups[g] {
+		if now.After(q.skippedUntil[c.Name]) {
 			return c.Name
 		}
 	}
 	return ""
 }
 
-// pools names the pool of this proxy's group, empty for none, and some others: those of its
+// choosePools names the pool of this proxy's group, empty for none, and some others: those of its
 // region first, then others in turn.
-func (q *quotaClient) pools() (own string, others []string) {
+func (q *quotaClient) choosePools() (own string, others []string) {
 	q.regroup()
 	self := q.daemon.settings
 	var near, far []poolGroup
-	for _, g := range q.allGroups() {
+	for _, g := range q.groups() {
 		switch {
 		case g == (poolGroup{region: self.Region}), g == poolGroup{region: self.Region, domain: self.Domain}:
-			own = q.pool(g)
+			own = q.activePool(g)
 		case g.region == self.Region:
 			near = append(near, g)
 		default:
@@ -261,7 +261,7 @@
 	for _, list := range [][]poolGroup{near, far} {
 		rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		for _, g := range list {
-			if name := q.pool(g); name != "" && len(others) < maxLenders {
+			if name := q.activePool(g); name != "" && len(others) < maxLenders {
 				others = append(others, name)
 			}
 		}
@@ -269,10 +269,10 @@
 	return own, others
 }
 
-func (q *quotaClient) allGroups() []poolGroup {
+func (q *quotaClient) groups() []poolGroup {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return slices.Collect(maps.Keys(q.groups))
+	return slices.Collect(maps.Keys(q.poolGroups))
 }
 
 // regroup settles which proxies have a pool together, after changes of who is known: those
@@ -280,9 +280,9 @@
 // proxies come to the same groups.
 func (q *quotaClient) regroup() {
 	f := q.daemon.replica
-	changes := f.changes()
+	changes := f.membershipVersion()
 	q.mu.Lock()
-	same := q.groups != nil && changes == q.changes
+	same := q.poolGroups != nil && changes == q.groupsVersion
 	q.mu.Unlock()
 	if same {
 		return
@@ -299,14 +299,14 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.groups, q.changes = groups, changes
+	q.poolGroups, q.groupsVersion = groups, changes
 }
 
-// count keeps the stored number of proxies: the first of the fleet sees to it.
-func (q *quotaClient) count(ctx context.Context) {
+// runFleetSize keeps the stored number of proxies: the first of the fleet sees to it.
+func (q *quotaClient) runFleetSize(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep.For(ctx, fleetCheckInterval)
-		n, due := q.due()
+		n, due := q.fleetSizeDue()
 		if !due {
 			continue
 		}
@@ -322,20 +322,20 @@
 	}
 }
 
-// due reports whether another number should be stored now, and which.
-func (q *quotaClient) due() (n int, due bool) {
+// fleetSizeDue reports whether another number should be stored now, and which.
+func (q *quotaClient) fleetSizeDue() (n int, due bool) {
 	d := q.daemon
 	first := false
 	d.withKernel(func(k *steering.Kernel, _ time.Time) { n, first = k.Holders(), k.HasLimits() && k.FirstOfFleet() })
 	now := d.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if n != q.known {
-		q.known, q.knownSince = n, now
+	if n != q.knownFleetSize {
+		q.knownFleetSize, q.knownSince = n, now
 	}
 	settles := fleetGrowDelay
-	if n < q.stored {
+	if n < q.storedFleetSize {
 		settles = fleetShrinkDelay
 	}
-	return n, first && n != q.stored && now.Sub(q.knownSince) >= settles
+	return n, first && n != q.storedFleetSize && now.Sub(q.knownSince) >= settles
 }
--- a/internal/proxy/forward/quotas_test.go
+++ b/internal/proxy/forward/quotas_test.go
@@ -84,9 +84,9 @@
 	f := newFleet(t, 1)
 	d := f.idle()
 	for text, want := range map[string]int{`{"proxies":7}`: 7, `{"proxies":0}`: 0, `{"proxies":-1}`: 0, `{"proxies":"7"}`: 0, `{`: 0, ``: 0} {
-		d.quotas.stored = 0
-		d.quotas.hear(replica.Entry{Key: fleetSizeKey, Value: []byte(text)})
-		if got := d.quotas.stored; got != want {
+		d.quotas.storedFleetSize = 0
+		d.quotas.handleStoredFleetSize(replica.Entry{Key: fleetSizeKey, Value: []byte(text)})
+		if got := d.quotas.storedFleetSize; got != want {
 			t.Errorf("%q is taken for %d proxies, want %d", text, got, want)
 		}
 	}
@@ -97,19 +97,19 @@
 func TestSuspensions(t *testing.T) {
 	var s suspendDetector
 	now := time.Now()
-	if s.ended(now) {
+	if s.checkResumed(now) {
 		t.Error("the first look tells of a suspension, want none")
 	}
-	if s.ended(now.Add(time.Second)) {
+	if s.checkResumed(now.Add(time.Second)) {
 		t.Error("a second that passes tells of a suspension, want none")
 	}
-	s.wall -= time.Minute
-	if s.ended(now.Add(time.Second)) {
+	s.wallOffset -= time.Minute
+	if s.checkResumed(now.Add(time.Second)) {
 		t.Error("a step of the time of day tells of a suspension, want none")
 	}
-	s.wall -= time.Minute
-	s.asleep -= time.Minute
-	if !s.ended(now.Add(time.Second)) {
+	s.wallOffset -= time.Minute
+	s.suspended -= time.Minute
+	if !s.checkResumed(now.Add(time.Second)) {
 		t.Error("a minute that only the time of day and the boot clock know tells of no suspension")
 	}
 }
@@ -125,16 +125,16 @@
 			name := fmt.Sprintf("%s-%d", domain, i)
 			d.replica.members[name] = proxyEntry{Name: name, Domain: domain, Region: region, Peers: freePort(t)}
 		}
-		d.replica.changed++
+		d.replica.membershipChanges++
 	}
 	add("a", "north", maxGroupSize/2)
 	add("b", "north", maxGroupSize/2)
 	add("c", "south", 3)
-	if own, others := d.quotas.pools(); own == "" || len(others) != 1 || len(d.quotas.groups) != 2 {
-		t.Errorf("pools are %q and %q of %d groups, want one of each region", own, others, len(d.quotas.groups))
+	if own, others := d.quotas.choosePools(); own == "" || len(others) != 1 || len(d.quotas.poolGroups) != 2 {
+		t.Errorf("pools are %q and %q of %d groups, want one of each region", own, others, len(d.quotas.poolGroups))
 	}
 	add("a", "north", maxGroupSize/2+1)
-	own, others := d.quotas.pools()
+	own, others := d.quotas.choosePools()
 	if !strings.HasPrefix(own, "a-") || len(others) != 2 || !strings.HasPrefix(others[0], "b-") {
 		t.Errorf("pools are %q and %q, want the own failure domain's, and the near one before the far one", own, others)
 	}
@@ -148,21 +148,21 @@
 	for _, name := range []string{"first", "second"} {
 		d.replica.members[name] = proxyEntry{Name: name, Domain: "a", Region: "north", Peers: freePort(t)}
 	}
-	d.replica.changed++
-	first, _ := d.quotas.pools()
+	d.replica.membershipChanges++
+	first, _ := d.quotas.choosePools()
 	for range maxUnansweredReports - 1 {
-		d.quotas.note(first, context.DeadlineExceeded)
+		d.quotas.recordPoolResult(first, context.DeadlineExceeded)
 	}
-	if got, _ := d.quotas.pools(); got != first {
+	if got, _ := d.quotas.choosePools(); got != first {
 		t.Errorf("the pool is %s after %d reports without answer, want %s still", got, maxUnansweredReports-1, first)
 	}
-	d.quotas.note(first, context.DeadlineExceeded)
-	if got, _ := d.quotas.pools(); got == first {
+	d.quotas.recordPoolResult(first, context.DeadlineExceeded)
+	if got, _ := d.quotas.choosePools(); got == first {
 		t.Errorf("the pool is still %s after %d reports without answer", got, maxUnansweredReports)
 	}
-	second, _ := d.quotas.pools()
-	d.quotas.note(second, syscall.ECONNREFUSED)
-	if got, _ := d.quotas.pools(); got == second {
+	second, _ := d.quotas.choosePools()
+	d.quotas.recordPoolResult(second, syscall.ECONNREFUSED)
+	if got, _ := d.quotas.choosePools(); got == second {
 		t.Error("a pool at whose address nothing listens is kept")
 	}
 }
--- a/internal/proxy/forward/keeper.go
+++ b/internal/proxy/forward/registrar.go
@@ -32,49 +32,49 @@
 type (
 	// registrar keeps the own entry in the store under a lease.
 	registrar struct {
-		feed  *storeReplica
-		store Store
+		replica *storeReplica
+		store   Store
 		// lease is zero for none. A planned stop reads it too.
 		lease atomic.Uint64
-		// held is what the entry says of services that are held back.
-		held []steering.Held
+		// writtenLimits is what the entry says of services that are held back.
+		writtenLimits []steering.Held
 		// written is set while the entry is taken to be there.
 		written bool
 	}
 )
 
 func (k *registrar) run(ctx context.Context) {
-	k.feed.writeSoon()
+	k.replica.requestRewrite()
 	renew := time.NewTicker(renewInterval)
 	defer renew.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-k.feed.rewrite:
+		case <-k.replica.rewriteEntry:
 			k.written = false
 		case <-renew.C:
-			k.written = k.written && k.tells(k.feed.daemon.learnedLimits())
+			k.written = k.written && k.writtenLimitsMatch(k.replica.daemon.learnedLimits())
 		}
 		pause := minRegisterBackoff
-		for ctx.Err() == nil && !k.feed.daemon.isStopping() && !k.keep(ctx) {
+		for ctx.Err() == nil && !k.replica.daemon.isStopping() && !k.ensureRegistered(ctx) {
 			sleep.For(ctx, pause/2+rand.N(pause))
 			pause = min(2*pause, maxRegisterBackoff)
 		}
 	}
 }
 
-// tells reports whether the entry says which services are held back, and how far.
+// writtenLimitsMatch reports whether the entry says which services are held back, and how far.
 // How many answers speak for a limit changes all the time and is not worth a call.
-func (k *registrar) tells(held []steering.Held) bool {
-	return slices.EqualFunc(k.held, held, func(a, b steering.Held) bool { return a.Service == b.Service && a.Slots == b.Slots && a.Most == b.Most })
+func (k *registrar) writtenLimitsMatch(held []steering.Held) bool {
+	return slices.EqualFunc(k.writtenLimits, held, func(a, b steering.Held) bool { return a.Service == b.Service && a.Slots == b.Slots && a.Most == b.Most })
 }
 
-// keep makes the call that is due, or the two of a new entry, and reports whether
+// ensureRegistered makes the call that is due, or the two of a new entry, and reports whether
 // the entry is there. A
 // renewal that fails is made again and no new entry written: the lease may well
 // be alive, and a renewal costs a tenth of a call.
-func (k *registrar) keep(ctx context.Context) bool {
-	began := k.feed.daemon.now()
+func (k *registrar) ensureRegistered(ctx context.Context) bool {
+	began := k.replica.daemon.now()
 	act := k.renew
 	switch {
 	case k.lease.Load() == 0:
@@ -86,14 +86,14 @@
 	var refused *StoreError
 	switch {
 	case err == nil:
-		k.feed.answered()
+		k.replica.storeResponded()
 	case errors.As(err, &refused) && refused.Code == StoreNotFound:
 		// The lease has ended, which only the store itself can tell.
-		k.feed.answered()
+		k.replica.storeResponded()
 		k.lease.Store(0)
 		k.written = false
 	default:
-		k.feed.failed(err, began)
+		k.replica.storeFailed(err, began)
 	}
 	return err == nil && k.written
 }
@@ -110,11 +110,11 @@
 }
 
 func (k *registrar) write(ctx context.Context) error {
-	s := k.feed.daemon.settings
-	k.held = k.feed.daemon.learnedLimits()
+	s := k.replica.daemon.settings
+	k.writtenLimits = k.replica.daemon.learnedLimits()
 	data, err := json.Marshal(proxyEntry{
 		Name: s.Name, Domain: s.Domain, Region: s.Region, Callers: s.Listen.Callers, Peers: s.Listen.Peers,
-		Operators: s.Listen.Operators, LinkMbps: s.LinkMbps, Started: k.feed.daemon.startMillis(), Held: k.held,
+		Operators: s.Listen.Operators, LinkMbps: s.LinkMbps, Started: k.replica.daemon.startMillis(), Held: k.writtenLimits,
 	})
 	if err != nil {
 		return errors.Wrap(err, "own entry")
@@ -124,8 +124,8 @@
 	return err
 }
 
-// leave takes the own entry back, so that callers are no longer sent here.
-func (k *registrar) leave(ctx context.Context) {
+// deregister takes the own entry back, so that callers are no longer sent here.
+func (k *registrar) deregister(ctx context.Context) {
 	lease := k.lease.Load()
 	if lease == 0 {
 		return
--- a/internal/proxy/forward/keeper_test.go
+++ b/internal/proxy/forward/registrar_test.go
@@ -31,19 +31,19 @@
 func TestFailedRenewalIsMadeAgain(t *testing.T) {
 	f := newFleet(t, 1)
 	s := &keeperStore{}
-	k := &registrar{feed: f.idle().replica, store: s.seams()}
+	k := &registrar{replica: f.idle().replica, store: s.seams()}
 	ctx := context.Background()
-	if !k.keep(ctx) {
+	if !k.ensureRegistered(ctx) {
 		t.Fatal("the entry is not there after the first calls")
 	}
 	s.err = errCut
 	for range 3 {
-		if k.keep(ctx) {
+		if k.ensureRegistered(ctx) {
 			t.Error("a renewal that failed counts as made")
 		}
 	}
 	s.err = nil
-	if !k.keep(ctx) {
+	if !k.ensureRegistered(ctx) {
 		t.Error("the entry is not there after the outage")
 	}
 	if s.grants != 1 || s.puts != 1 || s.renewals != 4 {
@@ -55,15 +55,15 @@
 func TestEndedLeaseIsReplaced(t *testing.T) {
 	f := newFleet(t, 1)
 	s := &keeperStore{}
-	k := &registrar{feed: f.idle().replica, store: s.seams()}
+	k := &registrar{replica: f.idle().replica, store: s.seams()}
 	ctx := context.Background()
-	k.keep(ctx)
+	k.ensureRegistered(ctx)
 	s.err = &StoreError{Code: StoreNotFound}
-	if k.keep(ctx) {
+	if k.ensureRegistered(ctx) {
 		t.Error("the entry counts as there though its lease has ended")
 	}
 	s.err = nil
-	if !k.keep(ctx) || s.grants != 2 || s.puts != 2 {
+	if !k.ensureRegistered(ctx) || s.grants != 2 || s.puts != 2 {
 		t.Errorf("%d leases, %d entries; want 2, 2", s.grants, s.puts)
 	}
 }
@@ -81,8 +81,8 @@
 		}
 		return nil
 	}
-	k := &registrar{feed: f.idle().replica, store: seams}
-	if k.keep(context.Background()) || !k.keep(context.Background()) {
+	k := &registrar{replica: f.idle().replica, store: seams}
+	if k.ensureRegistered(context.Background()) || !k.ensureRegistered(context.Background()) {
 		t.Error("the entry is not there after the second try")
 	}
 	if s.grants != 1 || s.puts != 2 {
@@ -95,8 +95,8 @@
 func TestOthersThanRelaysAskSeldomInAnOutage(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.idle()
-	w := &storeWatcher{feed: d.replica, confirmed: func() {}}
-	if got := w.retryMost(); got != maxRetryBackoff {
+	w := &storeWatcher{replica: d.replica, onUnchanged: func() {}}
+	if got := w.maxBackoff(); got != maxRetryBackoff {
 		t.Errorf("a relay waits %s at most, want %s", got, maxRetryBackoff)
 	}
 	for _, name := range []string{"wide-a", "wide-b"} {
@@ -106,7 +106,7 @@
 	if d.replica.rank() < replica.Relays {
 		t.Fatal("the proxy is a relay beside two with wider links")
 	}
-	if got := w.retryMost(); got != maxNonRelayBackoff {
+	if got := w.maxBackoff(); got != maxNonRelayBackoff {
 		t.Errorf("another proxy waits %s at most, want %s", got, maxNonRelayBackoff)
 	}
 }
@@ -119,10 +119,10 @@
 	seams := s.seams()
 	var renewals atomic.Int32
 	seams.RenewLease = func(context.Context, uint64) error { renewals.Add(1); return nil }
-	k := &registrar{feed: f.idle().replica, store: seams}
+	k := &registrar{replica: f.idle().replica, store: seams}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { k.run(ctx); close(ended) }()
 	defer func() { cancel(); <-ended }()
-	f.eventually("the lease is renewed", func() bool { k.feed.writeSoon(); return renewals.Load() > 0 })
+	f.eventually("the lease is renewed", func() bool { k.replica.requestRewrite(); return renewals.Load() > 0 })
 }
--- a/internal/proxy/forward/reload.go
+++ b/internal/proxy/forward/reload.go
@@ -18,27 +18,27 @@
 )
 
 // watchSettings reads the settings again when told to and from time to time.
-func (d *Daemon) watchSettings(ctx context.Context, told <-chan struct{}) {
+func (d *Daemon) watchSettings(ctx context.Context, reload <-chan struct{}) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
-	complaint := ""
+	lastError := ""
 	for {
-		hangUp := false
+		requested := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-told:
-			hangUp = true
+		case <-reload:
+			requested = true
 		case <-ticker.C:
 		}
 		s, err := d.deps.LoadSettings()
 		if err == nil {
-			complaint = ""
-			d.reload(s, hangUp)
+			lastError = ""
+			d.reload(s, requested)
 			continue
 		}
-		if hangUp || err.Error() != complaint {
-			complaint = err.Error()
+		if requested || err.Error() != lastError {
+			lastError = err.Error()
 			klog.ErrorS(err, "settings refused; those before stay in force")
 		}
 	}
@@ -46,17 +46,17 @@
 
 // reload takes new bounds in. Names, places and addresses hold for the life of
 // a process: a change of them is told and waits for the next start.
-func (d *Daemon) reload(s *Settings, hangUp bool) {
+func (d *Daemon) reload(s *Settings, requested bool) {
 	changed := !reflect.DeepEqual(s.Bounds, d.bounds())
 	if changed {
 		d.withKernel(func(k *steering.Kernel, _ time.Time) { k.SetBounds(kernelBounds(s)) })
 		d.setBounds(s.Bounds)
 	}
-	rest := *s
-	rest.Bounds = d.settings.Bounds
-	waits := !reflect.DeepEqual(&rest, d.settings)
-	if changed || hangUp {
-		klog.InfoS("settings in force", "bounds-changed", changed, "other-changes-wait-for-a-start", waits)
+	fixed := *s
+	fixed.Bounds = d.settings.Bounds
+	needsRestart := !reflect.DeepEqual(&fixed, d.settings)
+	if changed || requested {
+		klog.InfoS("settings in force", "bounds-changed", changed, "other-changes-wait-for-a-start", needsRestart)
 	}
 }
 
--- a/internal/proxy/forward/stop.go
+++ b/internal/proxy/forward/shutdown.go
@@ -36,7 +36,7 @@
 	d.gossip.spread(ctx, d.replica.revision())
 	// A store that is cut off lets this call hang for over a second, which the
 	// requests in progress would lack at the end.
-	go d.registrar.leave(ctx)
+	go d.registrar.deregister(ctx)
 	sleep.For(ctx, time.Duration(acceptRatio*float64(grace)))
 	limited, cancel := context.WithTimeout(ctx, end.Sub(d.now()))
 	defer cancel()
--- a/internal/proxy/forward/feed.go
+++ b/internal/proxy/forward/storereplica.go
@@ -32,34 +32,34 @@
 
 		mu   sync.Mutex
 		copy *replica.Copy
-		// allowance bounds the whole copies given to peers.
-		allowance replica.Allowance
-		members   map[string]proxyEntry
-		// changed counts the changes of members.
-		changed int
-		// listedAt is when the kernel was last told who is alive, unlisted whether it
+		// fullCopyBudget bounds the whole copies given to peers.
+		fullCopyBudget replica.Allowance
+		members        map[string]proxyEntry
+		// membershipChanges counts the changes of members.
+		membershipChanges int
+		// proxiesSetAt is when the kernel was last told who is alive, unlisted whether it
 		// has not heard of a change since.
-		listedAt time.Time
-		unlisted bool
-		// nearAt is when a peer of the own region last had a copy fresh enough
+		proxiesSetAt time.Time
+		proxiesStale bool
+		// peerFreshAt is when a peer of the own region last had a copy fresh enough
 		// that nobody else need ask the store; alone is set while this proxy
 		// asks because none has.
-		nearAt time.Time
-		alone  bool
+		peerFreshAt  time.Time
+		followsAlone bool
 		// outage is when the store was away.
 		outage replica.Outage
-		// rewrite asks for the own entry to be written again.
-		rewrite chan struct{}
-		// begun is closed once something is known.
-		begun     chan struct{}
-		beginOnce sync.Once
+		// rewriteEntry asks for the own entry to be written again.
+		rewriteEntry chan struct{}
+		// loaded is closed once something is known.
+		loaded     chan struct{}
+		loadedOnce sync.Once
 	}
 )
 
 func newStoreReplica(d *Daemon) *storeReplica {
 	return &storeReplica{
 		daemon: d, copy: replica.NewCopy(), members: make(map[string]proxyEntry),
-		rewrite: make(chan struct{}, 1), begun: make(chan struct{}),
+		rewriteEntry: make(chan struct{}, 1), loaded: make(chan struct{}),
 	}
 }
 
@@ -72,60 +72,60 @@
 	if !ok {
 		return false
 	}
-	f.tellProxies(changed)
+	f.dispatchProxies(changed)
 	for _, e := range changed {
-		f.tell(e)
+		f.dispatch(e)
 	}
-	f.beginOnce.Do(func() { close(f.begun) })
+	f.loadedOnce.Do(func() { close(f.loaded) })
 	return f.copy.Revision() > before
 }
 
-// tell brings one change to the kernel.
-func (f *storeReplica) tell(e replica.Entry) {
+// dispatch brings one change to the kernel.
+func (f *storeReplica) dispatch(e replica.Entry) {
 	n := f.daemon.deps.Names
 	switch e.Key {
 	case n.ConfigurationKey:
-		f.tellTable(e)
+		f.dispatchTable(e)
 		return
 	case fleetSizeKey:
-		f.daemon.quotas.hear(e)
+		f.daemon.quotas.handleStoredFleetSize(e)
 		return
 	}
 	if domain, ok := strings.CutPrefix(e.Key, n.EvacuationPrefix); ok {
 		if err := f.checkDomain(domain, ""); err != nil && !e.Removed {
-			f.refused("evacuation", domain, err)
+			f.rejectEntry("evacuation", domain, err)
 			return
 		}
 		f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.SetEvacuated(now, domain, !e.Removed) })
 		return
 	}
 	if name, ok := strings.CutPrefix(e.Key, quarantineKeyPrefix); ok {
-		f.daemon.quarantine.hear(name, e)
+		f.daemon.quarantine.handleEntry(name, e)
 		return
 	}
 	if id, ok := strings.CutPrefix(e.Key, n.ServerPrefix); ok {
-		f.tellServer(id, e)
+		f.dispatchServer(id, e)
 	}
 }
 
-func (f *storeReplica) tellTable(e replica.Entry) {
+func (f *storeReplica) dispatchTable(e replica.Entry) {
 	if e.Removed {
 		return
 	}
 	t, err := f.daemon.deps.Codec.DecodeTable(e.Value)
 	if err != nil {
-		f.refused("configuration", "", err)
+		f.rejectEntry("configuration", "", err)
 		return
 	}
 	f.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { k.SetTable(t) })
 }
 
-// tellServer brings a registration to the kernel. One whose removal is doubtful
+// dispatchServer brings a registration to the kernel. One whose removal is doubtful
 // is waited for, or all servers would vanish at once after an outage; any other
 // has left, and would get requests for too long. An entry that cannot be read, or
 // that stands in no known failure domain, names no server to use: what stood there
 // before no longer holds.
-func (f *storeReplica) tellServer(id string, e replica.Entry) {
+func (f *storeReplica) dispatchServer(id string, e replica.Entry) {
 	if e.Removed {
 		f.daemon.withKernel(func(k *steering.Kernel, now time.Time) {
 			if e.Doubtful {
@@ -141,7 +141,7 @@
 		err = f.checkDomain(r.Domain, "")
 	}
 	if err != nil {
-		f.refused("server", id, err)
+		f.rejectEntry("server", id, err)
 		f.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { k.ServerUnreadable(id) })
 		return
 	}
@@ -161,17 +161,17 @@
 	return nil
 }
 
-// refused tells of an entry that another program wrote and that names nothing to
+// rejectEntry tells of an entry that another program wrote and that names nothing to
 // use, once for each time that it is written.
-func (f *storeReplica) refused(kind, name string, err error) {
-	f.daemon.metrics.entryRefused(kind)
+func (f *storeReplica) rejectEntry(kind, name string, err error) {
+	f.daemon.metrics.recordRejectedEntry(kind)
 	klog.ErrorS(err, "entry refused", "kind", kind, "name", name)
 }
 
-// since is what a peer at a revision lacks; without anything newer, or where the
+// deltaSince is what a peer at a revision lacks; without anything newer, or where the
 // peer needs more than may be given away now, it tells the own revision and age
 // alone. A peer that sees a newer revision and gets no news asks elsewhere.
-func (f *storeReplica) since(revision uint64) replica.Delta {
+func (f *storeReplica) deltaSince(revision uint64) replica.Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.daemon.now()
@@ -180,7 +180,7 @@
 		return hello
 	}
 	d := f.copy.Since(now, revision)
-	if d.Whole && !f.allowance.Take(now, d.Cost()) {
+	if d.Whole && !f.fullCopyBudget.Take(now, d.Cost()) {
 		return hello
 	}
 	return d
@@ -199,22 +199,22 @@
 	return f.copy.Revision()
 }
 
-// follows reports whether this proxy should ask the store itself. One that has
+// shouldFollowStore reports whether this proxy should ask the store itself. One that has
 // begun to, because no news came, goes on until a peer of its region has a fresh
 // copy. Its own answers keep its copy fresh, and if it stopped at each it would
 // hear nothing for two seconds after it.
-func (f *storeReplica) follows() bool {
+func (f *storeReplica) shouldFollowStore() bool {
 	rank, age := f.rank(), f.age()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	since := f.daemon.now().Sub(f.nearAt)
-	f.alone = replica.Follows(rank, age) || f.alone && replica.Follows(rank, since)
-	return f.alone
+	since := f.daemon.now().Sub(f.peerFreshAt)
+	f.followsAlone = replica.Follows(rank, age) || f.followsAlone && replica.Follows(rank, since)
+	return f.followsAlone
 }
 
-// failed notes a call to the store, begun at a moment, that was not answered. One
+// storeFailed notes a call to the store, begun at a moment, that was not answered. One
 // that ran out of time found the store away from its beginning.
-func (f *storeReplica) failed(err error, began time.Time) {
+func (f *storeReplica) storeFailed(err error, began time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	since := f.daemon.now()
@@ -226,8 +226,8 @@
 	}
 }
 
-// answered notes that the store answered a call.
-func (f *storeReplica) answered() {
+// storeResponded notes that the store answered a call.
+func (f *storeReplica) storeResponded() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.outage.Answered(f.daemon.now()) {
@@ -235,19 +235,19 @@
 	}
 }
 
-// applyOwn takes in what the store itself told and reports whether the copy
+// applyStoreRead takes in what the store itself told and reports whether the copy
 // advanced.
-func (f *storeReplica) applyOwn(d replica.Delta) bool {
-	f.answered()
+func (f *storeReplica) applyStoreRead(d replica.Delta) bool {
+	f.storeResponded()
 	f.mu.Lock()
 	d.Doubtful = f.outage.Doubtful(f.daemon.now())
 	f.mu.Unlock()
 	return f.apply(d)
 }
 
-func (f *storeReplica) writeSoon() {
+func (f *storeReplica) requestRewrite() {
 	select {
-	case f.rewrite <- struct{}{}:
+	case f.rewriteEntry <- struct{}{}:
 	default:
 	}
 }
--- a/internal/proxy/forward/follow.go
+++ b/internal/proxy/forward/storewatcher.go
@@ -35,7 +35,7 @@
 	// followCheckInterval is how often a proxy that is no relay looks whether it
 	// must ask the store itself.
 	followCheckInterval = 200 * time.Millisecond
-	// minRetryBackoff and retryMost bound the pause after a failed call; maxNonRelayBackoff
+	// minRetryBackoff and maxBackoff bound the pause after a failed call; maxNonRelayBackoff
 	// is the longest of proxies that are no relays. They hear of the store's
 	// return from the relays.
 	minRetryBackoff    = 100 * time.Millisecond
@@ -47,62 +47,62 @@
 	// storeWatcher brings the store's changes into the copy while this proxy is
 	// a relay, or when no relay's news arrives.
 	storeWatcher struct {
-		feed  *storeReplica
-		store Store
-		// advanced is called when the store told something new, confirmed when it told
+		replica *storeReplica
+		store   Store
+		// onAdvance is called when the store told something new, confirmed when it told
 		// that nothing has changed.
-		advanced  func(before uint64)
-		confirmed func()
+		onAdvance   func(before uint64)
+		onUnchanged func()
 	}
 )
 
 func (f *storeWatcher) run(ctx context.Context) {
-	f.awaitSeed(ctx)
+	f.waitForSeed(ctx)
 	pause := minRetryBackoff
 	for ctx.Err() == nil {
-		if !f.feed.follows() {
+		if !f.replica.shouldFollowStore() {
 			sleep.For(ctx, followCheckInterval)
 			continue
 		}
-		began := f.feed.daemon.now()
+		began := f.replica.daemon.now()
 		if err := f.step(ctx); err != nil {
-			f.feed.failed(err, began)
+			f.replica.storeFailed(err, began)
 			sleep.For(ctx, pause/2+rand.N(pause))
-			pause = min(2*pause, f.retryMost())
+			pause = min(2*pause, f.maxBackoff())
 			continue
 		}
 		pause = minRetryBackoff
 	}
 }
 
-// retryMost is the longest pause after a failed call.
-func (f *storeWatcher) retryMost() time.Duration {
-	if f.feed.rank() < replica.Relays {
+// maxBackoff is the longest pause after a failed call.
+func (f *storeWatcher) maxBackoff() time.Duration {
+	if f.replica.rank() < replica.Relays {
 		return maxRetryBackoff
 	}
 	return maxNonRelayBackoff
 }
 
-// awaitSeed waits a while for a copy from a seed when the whole fleet starts,
+// waitForSeed waits a while for a copy from a seed when the whole fleet starts,
 // unless this proxy is a seed.
-func (f *storeWatcher) awaitSeed(ctx context.Context) {
-	settings := f.feed.daemon.settings
+func (f *storeWatcher) waitForSeed(ctx context.Context) {
+	settings := f.replica.daemon.settings
 	if !settings.FirstStart || len(settings.Seeds) == 0 || slices.Contains(settings.Seeds, settings.Listen.Peers) {
 		return
 	}
-	end := f.feed.daemon.now().Add(seedTimeout)
-	for ctx.Err() == nil && f.feed.revision() == 0 && f.feed.daemon.now().Before(end) {
+	end := f.replica.daemon.now().Add(seedTimeout)
+	for ctx.Err() == nil && f.replica.revision() == 0 && f.replica.daemon.now().Before(end) {
 		sleep.For(ctx, minRetryBackoff)
 	}
 }
 
 // step reads everything the first time and follows the changes after that.
 func (f *storeWatcher) step(ctx context.Context) error {
-	before := f.feed.revision()
+	before := f.replica.revision()
 	if before == 0 {
-		return f.readFirst(ctx)
+		return f.initialRead(ctx)
 	}
-	items, err := f.store.Watch(ctx, "", before, f.wait())
+	items, err := f.store.Watch(ctx, "", before, f.timeout())
 	var refused *StoreError
 	if errors.As(err, &refused) && refused.Code == StoreCompacted {
 		return f.readAll(ctx, false)
@@ -110,16 +110,16 @@
 	if err != nil {
 		return errors.Wrap(err, "watch")
 	}
-	f.feed.applyOwn(replica.Delta{Base: before, Revision: lastRevision(before, items), Entries: replicaEntries(items)})
+	f.replica.applyStoreRead(replica.Delta{Base: before, Revision: lastRevision(before, items), Entries: replicaEntries(items)})
 	if len(items) > 0 {
 		// Also if an exchange with another region brought them a moment before:
 		// the rest of this region may not have heard.
-		f.advanced(before)
+		f.onAdvance(before)
 		sleep.For(ctx, watchBatchDelay)
 		return nil
 	}
-	if f.feed.rank() == 0 {
-		f.confirmed()
+	if f.replica.rank() == 0 {
+		f.onUnchanged()
 	}
 	return nil
 }
@@ -136,27 +136,27 @@
 	return before
 }
 
-// wait is how long this proxy's next watch should wait.
-func (f *storeWatcher) wait() time.Duration {
-	if rank := f.feed.rank(); rank > 0 && rank < replica.Relays {
+// timeout is how long this proxy's next watch should wait.
+func (f *storeWatcher) timeout() time.Duration {
+	if rank := f.replica.rank(); rank > 0 && rank < replica.Relays {
 		return standbyWatchTimeout
 	}
 	return watchTimeout
 }
 
-// readFirst reads everything, unless a peer's copy comes first: that is a sixth
+// initialRead reads everything, unless a peer's copy comes first: that is a sixth
 // of the size and one message, where the store needs a page for each 500 keys.
-func (f *storeWatcher) readFirst(ctx context.Context) error {
+func (f *storeWatcher) initialRead(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-f.feed.begun:
+		case <-f.replica.loaded:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	if err := f.readAll(ctx, f.feed.rank() >= replica.Relays); err != nil && f.feed.revision() == 0 {
+	if err := f.readAll(ctx, f.replica.rank() >= replica.Relays); err != nil && f.replica.revision() == 0 {
 		return err
 	}
 	return nil
@@ -166,7 +166,7 @@
 // others hear the rest from their peers, and in a fleet of hundreds that starts their
 // readings would be most of the calls.
 func (f *storeWatcher) readAll(ctx context.Context, stale bool) error {
-	before := f.feed.revision()
+	before := f.replica.revision()
 	items, revision, err := f.store.Range(ctx, "", stale)
 	if err != nil {
 		return errors.Wrap(err, "read all")
@@ -175,10 +175,10 @@
 	if stale {
 		d.Age = staleReadAge
 	}
-	if f.feed.applyOwn(d) && before > 0 {
+	if f.replica.applyStoreRead(d) && before > 0 {
 		// Nothing is news to others in a first reading: told all that came after
 		// nothing, each would be sent everything.
-		f.advanced(before)
+		f.onAdvance(before)
 	}
 	return nil
 }
--- a/internal/proxy/forward/follow_test.go
+++ b/internal/proxy/forward/storewatcher_test.go
@@ -39,7 +39,7 @@
 			delta.Age = 3 * maxRetryBackoff
 		}
 		d.replica.apply(delta)
-		if got := d.replica.follows(); got != c.wantFollowed {
+		if got := d.replica.shouldFollowStore(); got != c.wantFollowed {
 			t.Errorf("%s follows the store: %t, want %t", c.name, got, c.wantFollowed)
 		}
 	}
@@ -52,7 +52,7 @@
 	for _, isSeed := range []bool{true, false} {
 		d := seeded(t, isSeed)
 		var gotStale, passedOn bool
-		f := &storeWatcher{feed: d.replica, advanced: func(uint64) { passedOn = true }, store: Store{
+		f := &storeWatcher{replica: d.replica, onAdvance: func(uint64) { passedOn = true }, store: Store{
 			Range: func(_ context.Context, _ string, stale bool) ([]KeyValue, uint64, error) {
 				gotStale = stale
 				return []KeyValue{{Key: "key", Revision: 4}}, 5, nil
--- a/internal/proxy/forward/suspensions.go
+++ b/internal/proxy/forward/suspend.go
@@ -22,35 +22,35 @@
 	// suspendDetector notices that the VM did not run for a while. The steady clock stands
 	// still meanwhile, and everything that was given for a time would seem to last.
 	suspendDetector struct {
-		// wall is how far the time of day is ahead of the steady clock, asleep how long
+		// wallOffset is how far the time of day is ahead of the steady clock, asleep how long
 		// the VM has been suspended since it started.
-		wall   time.Duration
-		asleep time.Duration
-		known  bool
+		wallOffset  time.Duration
+		suspended   time.Duration
+		initialized bool
 	}
 )
 
-// ended reports whether the VM was suspended since the last time that it was asked. The
+// checkResumed reports whether the VM was suspended since the last time that it was asked. The
 // clocks that know for certain are read only if the time of day has moved: that is a
 // call of the system each.
-func (s *suspendDetector) ended(clock time.Time) bool {
+func (s *suspendDetector) checkResumed(clock time.Time) bool {
 	// Without its steady reading a time is of the time of day alone.
 	wall := clock.Round(0).Sub(time.Unix(0, 0)) - monotonic(clock)
-	moved := (wall - s.wall).Abs() > minClockJump
-	s.wall = wall
-	if s.known && !moved {
+	moved := (wall - s.wallOffset).Abs() > minClockJump
+	s.wallOffset = wall
+	if s.initialized && !moved {
 		return false
 	}
 	asleep, err := suspendedTime()
 	if err != nil {
 		klog.ErrorS(err, "clocks not read; the VM is taken to have been suspended")
-		return s.known
+		return s.initialized
 	}
-	suspended := s.known && asleep-s.asleep > minClockJump
-	if moved && s.known {
-		klog.InfoS("time of day has moved", "suspended", suspended, "suspended-for", (asleep - s.asleep).String())
+	suspended := s.initialized && asleep-s.suspended > minClockJump
+	if moved && s.initialized {
+		klog.InfoS("time of day has moved", "suspended", suspended, "suspended-for", (asleep - s.suspended).String())
 	}
-	s.asleep, s.known = asleep, true
+	s.suspended, s.initialized = asleep, true
 	return suspended
 }
 
