--- a/internal/proxy/forward/decisionlog_test.go
+++ b/internal/proxy/forward/decisionlog_test.go
@@ -15,8 +15,8 @@
 )
 
 type (
-	// logged is what the journal wrote of requests.
-	logged struct {
+	// logRecord is what the journal wrote of requests.
+	logRecord struct {
 		Message string         `json:"msg"`
 		Request string         `json:"request"`
 		Reason  string         `json:"reason"`
@@ -24,17 +24,17 @@
 		Counts  map[string]int `json:"counts"`
 	}
 
-	// testLog takes the log of all tests: the logger is the process's, and one that
+	// capturedLog takes the log of all tests: the logger is the process's, and one that
 	// was replaced by a test would be read by goroutines of others that are still
 	// ending. They may write while a test reads what it has caused.
-	testLog struct {
-		mu   sync.Mutex
-		kept *bytes.Buffer
+	capturedLog struct {
+		mu     sync.Mutex
+		buffer *bytes.Buffer
 	}
 )
 
 var (
-	processLog testLog
+	processLog capturedLog
 )
 
 // TestMain sets the logger up before any goroutine uses it.
@@ -44,23 +44,23 @@
 }
 
 // Write implements io.Writer.
-func (l *testLog) Write(p []byte) (int, error) {
+func (l *capturedLog) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.kept == nil {
+	if l.buffer == nil {
 		return os.Stderr.Write(p)
 	}
-	return l.kept.Write(p)
+	return l.buffer.Write(p)
 }
 
-// keep keeps what is written from now on, or no longer, and returns what was kept.
-func (l *testLog) keep(on bool) []byte {
+// capture keeps what is written from now on, or no longer, and returns what was kept.
+func (l *capturedLog) capture(on bool) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept := l.kept
-	l.kept = nil
+	kept := l.buffer
+	l.buffer = nil
 	if on {
-		l.kept = &bytes.Buffer{}
+		l.buffer = &bytes.Buffer{}
 	}
 	if kept == nil {
 		return nil
@@ -68,15 +68,15 @@
 	return kept.Bytes()
 }
 
-// journalLines has a journal take in events and reads what it wrote.
-func journalLines(t *testing.T, play func(j *decisionLog, clock *time.Time)) []logged {
+// loggedRequests has a journal take in events and reads what it wrote.
+func loggedRequests(t *testing.T, feed func(j *decisionLog, clock *time.Time)) []logRecord {
 	t.Helper()
-	processLog.keep(true)
+	processLog.capture(true)
 	clock := time.Unix(1_000_000, 0)
-	play(newDecisionLog("vm-1", func() time.Time { return clock }, newProxyMetrics()), &clock)
-	var list []logged
-	for decoder := json.NewDecoder(bytes.NewReader(processLog.keep(false))); decoder.More(); {
-		var l logged
+	feed(newDecisionLog("vm-1", func() time.Time { return clock }, newProxyMetrics()), &clock)
+	var list []logRecord
+	for decoder := json.NewDecoder(bytes.NewReader(processLog.capture(false))); decoder.More(); {
+		var l logRecord
 		if err := decoder.Decode(&l); err != nil {
 			t.Fatal(err)
 		}
@@ -88,7 +88,7 @@
 	return list
 }
 
-func ended(n int, r steering.Reason) steering.Event {
+func failedRequest(n int, r steering.Reason) steering.Event {
 	return steering.Event{
 		Kind: steering.EventFinished, Request: fmt.Sprintf("r-%d", n), Outcome: steering.MayHaveRun, Reason: r, Attempt: 2,
 		Steps: []steering.Event{
@@ -101,14 +101,14 @@
 // A service fails for seconds, and a caller complains. Its request was one of a
 // thousand in that second: each of the first five hundred must be found by its id,
 // with the servers that it was sent to, and the others counted by reason.
-func TestEachFailedRequestIsFoundInTheLog(t *testing.T) {
+func TestFailedRequestsAreLogged(t *testing.T) {
 	const failed = 1000
-	lines := journalLines(t, func(j *decisionLog, clock *time.Time) {
+	lines := loggedRequests(t, func(j *decisionLog, clock *time.Time) {
 		for n := range failed {
-			j.handleEvent(ended(n, steering.ReasonLate))
+			j.handleEvent(failedRequest(n, steering.ReasonLate))
 		}
 		*clock = clock.Add(omittedInterval)
-		j.handleEvent(ended(failed, steering.ReasonRefused))
+		j.handleEvent(failedRequest(failed, steering.ReasonRefused))
 	})
 	last, steps, counts := make(map[string]string), 0, map[string]int{}
 	for _, l := range lines {
@@ -136,8 +136,8 @@
 
 // A server fails, and the route allows one attempt: the caller gets the server's
 // own 500. Such requests passed for good ones and were left out with them.
-func TestServersOwnFailureIsInTheLog(t *testing.T) {
-	lines := journalLines(t, func(j *decisionLog, clock *time.Time) {
+func TestServerFailureIsLogged(t *testing.T) {
+	lines := loggedRequests(t, func(j *decisionLog, clock *time.Time) {
 		k := steering.New(steering.Config{Name: "vm-1", Observe: j.handleEvent})
 		route := &routing.Route{Name: "r", Host: "h", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.Part{{Service: "s", Weight: 1}}}
 		k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
@@ -154,8 +154,8 @@
 }
 
 // Requests that end well would drown the others; one in some is written.
-func TestGoodRequestsAreSampled(t *testing.T) {
-	lines := journalLines(t, func(j *decisionLog, _ *time.Time) {
+func TestSuccessfulRequestsAreSampled(t *testing.T) {
+	lines := loggedRequests(t, func(j *decisionLog, _ *time.Time) {
 		for range 3 * sampleRate {
 			j.handleEvent(steering.Event{Kind: steering.EventFinished, Outcome: steering.Done, Attempt: 1, Target: time.Second, Took: time.Millisecond})
 		}
--- a/internal/proxy/forward/fleet_test.go
+++ b/internal/proxy/forward/fleet_test.go
@@ -27,32 +27,32 @@
 )
 
 const (
-	// patience bounds waits for what must happen soon; only a failure waits
+	// waitTimeout bounds waits for what must happen soon; only a failure waits
 	// so long.
-	patience = 20 * time.Second
+	waitTimeout = 20 * time.Second
 )
 
 type (
 	// memoryStore stands in for the platform's store.
 	memoryStore struct {
-		mu       sync.Mutex
-		items    map[string]KeyValue
-		log      []KeyValue
-		revision uint64
-		lease    uint64
-		owner    map[uint64]string
-		forgot   uint64
-		changed  chan struct{}
-		// deaf watches tell of no change.
-		deaf bool
-	}
-
-	// link is one proxy's way to the store, which a test can cut.
-	link struct {
-		store *memoryStore
-		mu    sync.Mutex
-		cut   bool
-		calls int
+		mu        sync.Mutex
+		items     map[string]KeyValue
+		log       []KeyValue
+		revision  uint64
+		lease     uint64
+		keys      map[uint64]string
+		compacted uint64
+		changed   chan struct{}
+		// watchesSilent watches tell of no change.
+		watchesSilent bool
+	}
+
+	// storeLink is one proxy's way to the store, which a test can cut.
+	storeLink struct {
+		store        *memoryStore
+		mu           sync.Mutex
+		disconnected bool
+		calls        int
 	}
 
 	testServer struct {
@@ -72,11 +72,11 @@
 )
 
 var (
-	errCut = errors.New("no way to the store")
+	errDisconnected = errors.New("no way to the store")
 )
 
 func newMemoryStore() *memoryStore {
-	return &memoryStore{items: make(map[string]KeyValue), owner: make(map[uint64]string), changed: make(chan struct{})}
+	return &memoryStore{items: make(map[string]KeyValue), keys: make(map[uint64]string), changed: make(chan struct{})}
 }
 
 func (s *memoryStore) write(key string, value any) {
@@ -86,16 +86,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.change(KeyValue{Key: key, Value: data})
+	s.apply(KeyValue{Key: key, Value: data})
 }
 
 func (s *memoryStore) remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.change(KeyValue{Key: key, Removed: true})
+	s.apply(KeyValue{Key: key, Removed: true})
 }
 
-func (s *memoryStore) change(i KeyValue) {
+func (s *memoryStore) apply(i KeyValue) {
 	s.revision++
 	i.Revision = s.revision
 	s.log = append(s.log, i)
@@ -120,34 +120,34 @@
 	return n
 }
 
-// forget drops the history, as a store does that compacts.
-func (s *memoryStore) forget() {
+// compact drops the history, as a store does that compacts.
+func (s *memoryStore) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgot = s.revision
+	s.compacted = s.revision
 	s.log = nil
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (l *link) down() bool {
+func (l *storeLink) down() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
-	return l.cut
+	return l.disconnected
 }
 
-func (l *link) setCut(cut bool) {
+func (l *storeLink) setDisconnected(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = cut
+	l.disconnected = cut
 }
 
-func (l *link) seams() Store {
+func (l *storeLink) client() Store {
 	s := l.store
 	guard := func(f func() error) error {
 		if l.down() {
-			return errCut
+			return errDisconnected
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -165,45 +165,41 @@
 			return items, revision, err
 		},
 		Watch: l.watch,
-		GrantLease: func(context.Context, time.Duration) (lease uint64, err error) {
-			err = guard(func() error { s.lease++; lease = s.lease; return nil })
-			return lease, err
+		GrantLease: func(context.Context, time.Duration) (id uint64, err error) {
+			err = guard(func() error { s.lease++; id = s.lease; return nil })
+			return id, err
 		},
-		RenewLease: func(_ context.Context, lease uint64) error {
+		RenewLease: func(_ context.Context, id uint64) error {
 			return guard(func() error {
-				if _, held := s.owner[lease]; !held {
+				if _, known := s.keys[id]; !known {
 					return &StoreError{Code: StoreNotFound}
 				}
 				return nil
 			})
 		},
-		Put: func(_ context.Context, key string, value []byte, lease uint64) error {
-			return guard(func() error { s.owner[lease] = key; s.change(KeyValue{Key: key, Value: value}); return nil })
+		Put: func(_ context.Context, key string, value []byte, id uint64) error {
+			return guard(func() error { s.keys[id] = key; s.apply(KeyValue{Key: key, Value: value}); return nil })
 		},
-		RevokeLease: func(_ context.Context, lease uint64) error {
-			return guard(func() error {
-				s.change(KeyValue{Key: s.owner[lease], Removed: true})
-				delete(s.owner, lease)
-				return nil
-			})
+		RevokeLease: func(_ context.Context, id uint64) error {
+			return guard(func() error { s.apply(KeyValue{Key: s.keys[id], Removed: true}); delete(s.keys, id); return nil })
 		},
 	}
 }
 
-func (l *link) watch(ctx context.Context, _ string, after uint64, wait time.Duration) ([]KeyValue, error) {
+func (l *storeLink) watch(ctx context.Context, _ string, after uint64, wait time.Duration) ([]KeyValue, error) {
 	end := time.After(wait)
 	for {
 		if l.down() {
-			return nil, errCut
+			return nil, errDisconnected
 		}
 		l.store.mu.Lock()
-		if after < l.store.forgot {
+		if after < l.store.compacted {
 			l.store.mu.Unlock()
 			return nil, &StoreError{Code: StoreCompacted}
 		}
 		var items []KeyValue
 		for _, i := range l.store.log {
-			if i.Revision > after && !l.store.deaf {
+			if i.Revision > after && !l.store.watchesSilent {
 				items = append(items, i)
 			}
 		}
@@ -228,13 +224,13 @@
 		t       *testing.T
 		store   *memoryStore
 		daemons []*Daemon
-		links   []*link
+		links   []*storeLink
 		stops   []context.CancelFunc
 		ended   []chan error
 		backend *httptest.Server
 		served  sync.Map
-		// outage cuts new proxies off from the store.
-		outage bool
+		// storeOutage cuts new proxies off from the store.
+		storeOutage bool
 	}
 )
 
@@ -277,7 +273,7 @@
 
 func (f *fleet) start(i int, seeds []netip.AddrPort) netip.AddrPort {
 	f.t.Helper()
-	l := &link{store: f.store, cut: f.outage}
+	l := &storeLink{store: f.store, disconnected: f.storeOutage}
 	s := &Settings{
 		Name: "proxy-" + string(rune('a'+i)), Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"},
 		Listen: ListenAddresses{Callers: freePort(f.t), Readiness: freePort(f.t), Peers: freePort(f.t), Directory: freePort(f.t), Operators: freePort(f.t)},
@@ -294,7 +290,7 @@
 			LookupPath:    "/lookup", LookupHost: "host", LookupRegion: "region", LookupDomain: "domain", ReadinessPath: "/ready",
 			ConfigurationKey: "config", EvacuationPrefix: "evacuate/", ServerPrefix: "servers/",
 		},
-		Store: l.seams(),
+		Store: l.client(),
 		Codec: testCodec(), DroppedLogLines: func() uint64 { return 0 }, LoadSettings: func() (*Settings, error) { return s, nil },
 	})
 	if err != nil {
@@ -311,7 +307,7 @@
 			if err != nil {
 				f.t.Errorf("%s ended with %v", s.Name, err)
 			}
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			f.t.Errorf("%s did not stop", s.Name)
 		}
 	})
@@ -359,12 +355,12 @@
 
 func (f *fleet) eventually(what string, done func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	f.t.Fatalf("%s did not come true within %s", what, patience)
+	f.t.Fatalf("%s did not come true within %s", what, waitTimeout)
 }
 
 func (f *fleet) status(address netip.AddrPort, path string) int {
@@ -376,7 +372,7 @@
 	return response.StatusCode
 }
 
-func (f *fleet) ask(i int, path string) int {
+func (f *fleet) get(i int, path string) int {
 	return f.status(f.daemons[i].settings.Listen.Callers, path)
 }
 
@@ -385,7 +381,7 @@
 	return v
 }
 
-func (f *fleet) named(i int) int {
+func (f *fleet) lookupCount(i int) int {
 	response, err := http.Get("http://" + f.daemons[i].settings.Listen.Directory.String() + "/lookup?host=h&region=north&domain=a")
 	if err != nil {
 		return -1
@@ -398,35 +394,35 @@
 	return len(list)
 }
 
-func TestCalmDay(t *testing.T) {
+func TestProxiesServeAndListEachOther(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("requests are served", func() bool { return f.ask(0, "/a/x") == http.StatusOK && f.ask(1, "/a/x") == http.StatusOK })
-	f.eventually("both proxies are named", func() bool { return f.named(0) == 2 && f.named(1) == 2 })
-	if got := f.ask(0, "/none"); got != http.StatusNotFound {
+	f.eventually("requests are served", func() bool { return f.get(0, "/a/x") == http.StatusOK && f.get(1, "/a/x") == http.StatusOK })
+	f.eventually("both proxies are named", func() bool { return f.lookupCount(0) == 2 && f.lookupCount(1) == 2 })
+	if got := f.get(0, "/none"); got != http.StatusNotFound {
 		t.Errorf("a path without a route gets %d, want 404", got)
 	}
 }
 
 // A proxy is cut off from the store while the operator rolls out a version
 // and drains a server. It still reaches another proxy, which knows.
-func TestCutOffProxyHearsChangesFromAnother(t *testing.T) {
+func TestDisconnectedProxyReceivesChangesFromPeer(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("the proxies know each other", func() bool { return f.named(0) == 2 && f.named(1) == 2 })
-	f.links[1].setCut(true)
+	f.eventually("the proxies know each other", func() bool { return f.lookupCount(0) == 2 && f.lookupCount(1) == 2 })
+	f.links[1].setDisconnected(true)
 	f.store.write("config", testTable{Version: 3, Service: "service"})
 	f.eventually("the version is in force at the one cut off", func() bool { return f.version(1) == 3 })
 	f.store.write("servers/s1", testServer{Service: "service", Domain: "a", Address: addressOf(f.backend.URL), Drains: true})
-	f.eventually("the server is known to drain at the one cut off", func() bool { return f.ask(1, "/a/x") == http.StatusServiceUnavailable })
+	f.eventually("the server is known to drain at the one cut off", func() bool { return f.get(1, "/a/x") == http.StatusServiceUnavailable })
 }
 
 // The store is down for all. A VM is replaced meanwhile: the new process has
 // nothing but the seeds, and must serve.
-func TestNewProxyDuringAnOutageLearnsFromASeed(t *testing.T) {
+func TestNewProxyBootstrapsFromSeedDuringStoreOutage(t *testing.T) {
 	f := newFleet(t, 1)
-	f.links[0].setCut(true)
-	f.outage = true
+	f.links[0].setDisconnected(true)
+	f.storeOutage = true
 	f.start(1, []netip.AddrPort{f.daemons[0].settings.Listen.Peers})
-	f.eventually("the new proxy serves", func() bool { return f.ask(1, "/a/x") == http.StatusOK })
+	f.eventually("the new proxy serves", func() bool { return f.get(1, "/a/x") == http.StatusOK })
 }
 
 // All proxies lost power and come back at the same moment; the seeds they were
@@ -435,9 +431,9 @@
 func TestRestartedProxyDoesNotWaitForSeeds(t *testing.T) {
 	f := newFleet(t, 1)
 	for first, want := range map[bool]bool{true: true, false: false} {
-		idle := f.idle()
+		idle := f.newIdleDaemon()
 		idle.settings.Seeds, idle.settings.FirstStart = []netip.AddrPort{freePort(t)}, first
-		w := &storeWatcher{replica: idle.replica, onUnchanged: func() {}, store: f.links[0].seams()}
+		w := &storeWatcher{replica: idle.replica, onUnchanged: func() {}, store: f.links[0].client()}
 		ctx, cancel := context.WithCancel(context.Background())
 		returned := make(chan struct{})
 		go func() { w.waitForSeed(ctx); close(returned) }()
@@ -457,42 +453,42 @@
 
 // The store drops its history while changes are made. The proxy must read
 // everything again and notice what was removed in between.
-func TestForgottenHistory(t *testing.T) {
+func TestCompactedHistoryCausesFullRead(t *testing.T) {
 	f := newFleet(t, 1)
-	f.eventually("requests are served", func() bool { return f.ask(0, "/a/x") == http.StatusOK })
+	f.eventually("requests are served", func() bool { return f.get(0, "/a/x") == http.StatusOK })
 	f.store.mu.Lock()
 	f.store.revision++
 	f.store.items["config"] = KeyValue{Key: "config", Value: []byte(`{"Version":7,"Service":"service"}`), Revision: f.store.revision}
 	delete(f.store.items, "servers/s1")
 	f.store.mu.Unlock()
-	f.store.forget()
+	f.store.compact()
 	f.eventually("the version is in force", func() bool { return f.version(0) == 7 })
-	f.eventually("the server is gone", func() bool { return f.ask(0, "/a/x") == http.StatusServiceUnavailable })
+	f.eventually("the server is gone", func() bool { return f.get(0, "/a/x") == http.StatusServiceUnavailable })
 }
 
 // Before it drops its history the store's watches hear nothing for a while. One
 // that ends meanwhile names the newest revision without the change that led to
 // it. A proxy that went on from there would miss a drain for good.
-func TestWatchThatHearsNothingDoesNotSkipChanges(t *testing.T) {
+func TestSilentWatchDoesNotSkipChanges(t *testing.T) {
 	f := newFleet(t, 1)
-	f.eventually("requests are served", func() bool { return f.ask(0, "/a/x") == http.StatusOK })
+	f.eventually("requests are served", func() bool { return f.get(0, "/a/x") == http.StatusOK })
 	f.store.mu.Lock()
-	f.store.deaf = true
+	f.store.watchesSilent = true
 	f.store.mu.Unlock()
 	f.store.write("servers/s1", testServer{Service: "service", Domain: "a", Address: addressOf(f.backend.URL), Drains: true})
 	time.Sleep(watchTimeout + 200*time.Millisecond)
 	f.store.mu.Lock()
-	f.store.deaf = false
+	f.store.watchesSilent = false
 	f.store.mu.Unlock()
-	f.store.forget()
-	f.eventually("the drain is known", func() bool { return f.ask(0, "/a/x") == http.StatusServiceUnavailable })
+	f.store.compact()
+	f.eventually("the drain is known", func() bool { return f.get(0, "/a/x") == http.StatusServiceUnavailable })
 }
 
 // The platform revokes a live proxy's key without telling it otherwise. It
 // must write the key again, or callers would no longer be sent there.
-func TestRevokedEntryIsWrittenAgain(t *testing.T) {
+func TestDeletedProxyEntryIsRewritten(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("both proxies are named", func() bool { return f.named(1) == 2 })
+	f.eventually("both proxies are named", func() bool { return f.lookupCount(1) == 2 })
 	f.store.remove(proxyKeyPrefix + "proxy-a")
 	f.eventually("the entry is back", func() bool {
 		f.store.mu.Lock()
@@ -500,13 +496,13 @@
 		_, held := f.store.items[proxyKeyPrefix+"proxy-a"]
 		return held
 	})
-	f.eventually("both proxies are named again", func() bool { return f.named(1) == 2 })
+	f.eventually("both proxies are named again", func() bool { return f.lookupCount(1) == 2 })
 }
 
 // An operator stops a proxy that is cut off from the store. Taking its entry back
 // takes until the call gives up; if the stop waited for that, no time would be
 // left for requests, and those in progress would be cut.
-func TestPlannedStopDoesNotWaitForTheStore(t *testing.T) {
+func TestShutdownDoesNotWaitForStore(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.daemons[0]
 	d.registrar.store.RevokeLease = func(ctx context.Context, _ uint64) error {
@@ -542,7 +538,7 @@
 // late in the time in which new ones are still taken have longer to wait than
 // the process has left. Each must get an answer before the process ends; their
 // connections were closed without one.
-func TestPlannedStopAnswersWhatCameLast(t *testing.T) {
+func TestShutdownAnswersLateRequests(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.daemons[0]
 	began, taken := time.Now(), time.Duration(acceptRatio*float64(d.bounds().GracePeriod))
@@ -571,18 +567,18 @@
 
 // An operator stops a proxy while callers use it. It is not ready at once and
 // no longer named, yet serves whoever still comes, and cuts nobody off.
-func TestPlannedStopCutsNobodyOff(t *testing.T) {
+func TestShutdownCompletesRequestsInFlight(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("both proxies are named", func() bool { return f.named(1) == 2 })
+	f.eventually("both proxies are named", func() bool { return f.lookupCount(1) == 2 })
 	slow := make(chan int, 1)
-	go func() { slow <- f.ask(0, "/a/slow") }()
+	go func() { slow <- f.get(0, "/a/slow") }()
 	f.eventually("the slow request runs", func() bool { _, seen := f.served.Load(""); return seen })
 	f.stops[0]()
 	f.eventually("it is not ready", func() bool {
 		return f.status(f.daemons[0].settings.Listen.Readiness, "/ready") == http.StatusServiceUnavailable
 	})
-	f.eventually("the other no longer names it", func() bool { return f.named(1) == 1 })
-	if got := f.ask(0, "/a/x"); got != http.StatusOK {
+	f.eventually("the other no longer names it", func() bool { return f.lookupCount(1) == 1 })
+	if got := f.get(0, "/a/x"); got != http.StatusOK {
 		t.Errorf("a request during the stop gets %d, want 200", got)
 	}
 	if got := <-slow; got != http.StatusOK {
@@ -593,9 +589,9 @@
 // Callers must not be sent to a proxy that does not know where to send them.
 func TestUnconfiguredProxyIsNotReady(t *testing.T) {
 	f := &fleet{t: t, store: newMemoryStore()}
-	l := &link{store: f.store}
+	l := &storeLink{store: f.store}
 	d, err := New(&Settings{Name: "p", Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"}}, Dependencies{
-		Names: WireNames{ReadinessPath: "/ready", LookupPath: "/lookup"}, Store: l.seams(), Codec: testCodec(),
+		Names: WireNames{ReadinessPath: "/ready", LookupPath: "/lookup"}, Store: l.client(), Codec: testCodec(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -611,11 +607,11 @@
 
 // A caller complains about a request that got no answer. The operators have
 // its id and the address of any proxy.
-func TestOperatorsFindTheCauseOfARequest(t *testing.T) {
+func TestOperatorCommandsExplainFailedRequest(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("the proxies know each other", func() bool { return f.named(0) == 2 && f.named(1) == 2 })
+	f.eventually("the proxies know each other", func() bool { return f.lookupCount(0) == 2 && f.lookupCount(1) == 2 })
 	f.store.remove("servers/s1")
-	f.eventually("the server is gone", func() bool { return f.ask(1, "/a/x") == http.StatusServiceUnavailable })
+	f.eventually("the server is gone", func() bool { return f.get(1, "/a/x") == http.StatusServiceUnavailable })
 	request, err := http.NewRequest(http.MethodGet, "http://"+f.daemons[1].settings.Listen.Callers.String()+"/a/x", nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/forward/gossip_test.go
+++ b/internal/proxy/forward/gossip_test.go
@@ -20,8 +20,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/proxy/sleep"
 )
 
-// idle makes a daemon that never runs, with the seams of one that does.
-func (f *fleet) idle() *Daemon {
+// newIdleDaemon makes a daemon that never runs, with the seams of one that does.
+func (f *fleet) newIdleDaemon() *Daemon {
 	f.t.Helper()
 	s := *f.daemons[0].settings
 	d, err := New(&s, f.daemons[0].deps)
@@ -53,7 +53,7 @@
 // Hundreds of proxies start again while the store is down, and all know the
 // same seed, which has given away as much as its link carries. It names others,
 // and one of these gives the newcomer what it needs.
-func TestNewcomerAsksThoseThatASeedNames(t *testing.T) {
+func TestNewProxyQueriesPeersNamedBySeed(t *testing.T) {
 	f := newFleet(t, 1)
 	seed := servePeer(t, func(peerdrpc.SyncMessage) peerdrpc.SyncMessage {
 		return peerdrpc.SyncMessage{
@@ -61,17 +61,17 @@
 			Others: []netip.AddrPort{f.daemons[0].settings.Listen.Peers},
 		}
 	})
-	f.outage = true
+	f.storeOutage = true
 	f.start(1, []netip.AddrPort{seed})
-	f.eventually("the newcomer serves", func() bool { return f.ask(1, "/a/x") == http.StatusOK })
+	f.eventually("the newcomer serves", func() bool { return f.get(1, "/a/x") == http.StatusOK })
 }
 
 // A proxy that may not give everything away names others to one that starts, and
 // nothing to one that only lags.
-func TestOthersAreNamedToNewcomers(t *testing.T) {
+func TestPeersAreNamedToNewProxies(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("the proxies know each other", func() bool { return f.named(0) == 2 })
-	g := &gossip{replica: f.idle().replica}
+	f.eventually("the proxies know each other", func() bool { return f.lookupCount(0) == 2 })
+	g := &gossip{replica: f.newIdleDaemon().replica}
 	g.replica.members["proxy-b"] = proxyEntry{Name: "proxy-b", Region: "north", Peers: f.daemons[1].settings.Listen.Peers}
 	answer := g.handle(context.Background(), peerdrpc.SyncMessage{From: "newcomer"})
 	if got, want := fmt.Sprint(answer.Others), fmt.Sprint([]netip.AddrPort{f.daemons[1].settings.Listen.Peers}); got != want {
@@ -85,9 +85,9 @@
 
 // A large store is read in many pages over a narrow link. A peer's copy comes
 // first, and the reading must end: it would fill the link for another second.
-func TestReadingEndsWhenAPeersCopyComes(t *testing.T) {
+func TestStoreReadIsCanceledWhenPeerCopyArrives(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.idle()
+	d := f.newIdleDaemon()
 	given := make(chan struct{})
 	w := &storeWatcher{replica: d.replica, onAdvance: func(uint64) {}, onUnchanged: func() {}, store: Store{
 		Range: func(ctx context.Context, _ string, _ bool) ([]KeyValue, uint64, error) {
@@ -105,20 +105,20 @@
 		if err != nil {
 			t.Errorf("got %v, want no error: the store did not fail", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Error("the reading goes on")
 	}
 }
 
 // A region has more proxies than its relays send a change to. Each that hears of
 // it tells a few others, once, or the rest would know a second later.
-func TestNewsArePassedOnInALargeRegion(t *testing.T) {
+func TestChangesAreForwardedInLargeRegion(t *testing.T) {
 	f := newFleet(t, 1)
 	for _, c := range []struct {
 		peers int
 		want  int32
 	}{{spreadFanout, 0}, {spreadFanout + 8, forwardFanout}} {
-		d := f.idle()
+		d := f.newIdleDaemon()
 		var sent atomic.Int32
 		g := &gossip{replica: d.replica, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 			sent.Add(1)
@@ -144,13 +144,13 @@
 // Nothing changes for a while in a region of a hundred proxies. The relay's word that its
 // copy is still right took three seconds to all of them by exchanges alone; the others
 // took their copies for old meanwhile and asked the store, forty calls a second.
-func TestRelayConfirmsItsCopyInALargeRegion(t *testing.T) {
+func TestRelayConfirmsCopyInLargeRegion(t *testing.T) {
 	f := newFleet(t, 1)
 	for _, c := range []struct {
 		peers int
 		want  int32
 	}{{spreadFanout, 0}, {spreadFanout + 8, confirmFanout}} {
-		d := f.idle()
+		d := f.newIdleDaemon()
 		var sent atomic.Int32
 		g := &gossip{replica: d.replica, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 			if m.Revision != 7 || len(m.Entries) > 0 || !replica.Fresh(m.Age) {
@@ -178,9 +178,9 @@
 // Hundreds of proxies start and each hears of the others in a message for each. Listing
 // all of them anew for each message was most of what a start took. The first is known at
 // once, the last with the next tick.
-func TestProxiesThatStartTogetherAreListedTogether(t *testing.T) {
+func TestSimultaneousStartsAreBatched(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.idle()
+	d := f.newIdleDaemon()
 	named := func() (n int) {
 		d.withKernel(func(k *steering.Kernel, _ time.Time) { n = len(k.Lookup("host", "north", "a")) })
 		return n
@@ -208,22 +208,22 @@
 	}
 }
 
-// knows reports whether a daemon's kernel still holds the server of withServer.
-func knows(d *Daemon) (held bool) {
+// hasServer reports whether a daemon's kernel still holds the server of newDaemonWithServer.
+func hasServer(d *Daemon) (held bool) {
 	d.withKernel(func(k *steering.Kernel, _ time.Time) { held = slices.Contains(k.Servers(), "s1") })
 	return held
 }
 
-// withServer makes an idle daemon that knows a server.
-func (f *fleet) withServer() *Daemon {
+// newDaemonWithServer makes an idle daemon that knows a server.
+func (f *fleet) newDaemonWithServer() *Daemon {
 	f.t.Helper()
-	d := f.idle()
+	d := f.newIdleDaemon()
 	value, err := json.Marshal(testServer{Service: "service", Domain: "a", Address: addressOf(f.backend.URL)})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	d.replica.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{{Key: "servers/s1", Value: value, Revision: 1}}})
-	if !knows(d) {
+	if !hasServer(d) {
 		f.t.Fatal("the server is not known")
 	}
 	return d
@@ -232,18 +232,18 @@
 // A VM was cut off from the store, not from its peers, and the store was there all
 // the time. A server leaves without a word. If the VM doubted what its peers tell
 // because its own calls had failed, it would go on sending requests for seconds.
-func TestRemovalThatPeersTellIsBelievedByAProxyThatWasCutOff(t *testing.T) {
+func TestDisconnectedProxyAcceptsRemovalsFromPeers(t *testing.T) {
 	f := newFleet(t, 1)
 	removal := replica.Delta{Base: 1, Revision: 2}
 	for _, doubtful := range []bool{false, true} {
-		d := f.withServer()
-		d.replica.storeFailed(errCut, d.now().Add(-time.Minute))
+		d := f.newDaemonWithServer()
+		d.replica.storeFailed(errDisconnected, d.now().Add(-time.Minute))
 		d.replica.storeFailed(context.DeadlineExceeded, d.now())
 		d.gossip.merge(peerdrpc.SyncMessage{From: "peer", Delta: replica.Delta{
 			Base: removal.Base, Revision: removal.Revision,
 			Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true, Doubtful: doubtful}},
 		}})
-		if got := knows(d); got != doubtful {
+		if got := hasServer(d); got != doubtful {
 			t.Errorf("removal doubted by the peer %t: the server is still used %t", doubtful, got)
 		}
 	}
@@ -251,10 +251,10 @@
 
 // A waiting watch is cut and answered at once when made again. A server's entry
 // goes just then: it has left, and no outage dropped it.
-func TestRemovalJustAfterAWatchWasCutIsBelieved(t *testing.T) {
+func TestRemovalAfterInterruptedWatchIsAccepted(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.withServer()
-	d.replica.storeFailed(errCut, d.now())
+	d := f.newDaemonWithServer()
+	d.replica.storeFailed(errDisconnected, d.now())
 	items := []KeyValue{{Key: "servers/s1", Revision: 2, Removed: true}}
 	w := &storeWatcher{replica: d.replica, onAdvance: func(uint64) {}, onUnchanged: func() {}, store: Store{
 		Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) { return items, nil },
@@ -262,16 +262,16 @@
 	if err := w.step(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if knows(d) {
+	if hasServer(d) {
 		t.Error("the server is still used")
 	}
 }
 
 // Two relays of a region hear of a change from another region before their own
 // watches answer. If neither told the others, these would go without.
-func TestRelayPassesOnWhatAnotherRegionTells(t *testing.T) {
+func TestRelayForwardsChangesFromOtherRegion(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.idle()
+	d := f.newIdleDaemon()
 	var sent atomic.Int32
 	g := &gossip{replica: d.replica, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 		sent.Add(1)
@@ -289,9 +289,9 @@
 
 // The same where the relay heard of the change in an exchange of its own, a moment
 // before its watch answers.
-func TestRelaySpreadsWhatItsWatchTellsThoughItKnows(t *testing.T) {
+func TestRelaySpreadsWatchedChangesItAlreadyHas(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.withServer()
+	d := f.newDaemonWithServer()
 	items := []KeyValue{{Key: "servers/s1", Revision: 2, Removed: true}}
 	spread := 0
 	w := &storeWatcher{replica: d.replica, onUnchanged: func() {}, onAdvance: func(before uint64) {
@@ -315,9 +315,9 @@
 // proxy asks the store itself. If it stopped at each answer until its copy was old
 // again, a server that drains just after an answer would get requests for two
 // seconds more.
-func TestProxyWithoutFreshPeersKeepsFollowing(t *testing.T) {
+func TestProxyWithoutFreshPeersKeepsFollowingStore(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.withServer()
+	d := f.newDaemonWithServer()
 	for _, name := range []string{"wide-a", "wide-b"} {
 		d.replica.members[name] = proxyEntry{Name: name, Region: "north", LinkMbps: 1000}
 	}
@@ -353,12 +353,12 @@
 // A proxy that is cut off from the store hears of a removal from a peer that read
 // it, and passes it on. Its own outage says nothing of that removal: were it passed
 // on as doubtful, the next proxy would send requests to a server that has left.
-func TestCutOffProxyPassesRemovalsOnAsItHeardThem(t *testing.T) {
+func TestDisconnectedProxyForwardsRemovalsUnchanged(t *testing.T) {
 	f := newFleet(t, 1)
 	for _, doubtful := range []bool{false, true} {
-		cut, next := f.withServer(), f.withServer()
+		cut, next := f.newDaemonWithServer(), f.newDaemonWithServer()
 		cut.replica.storeFailed(context.DeadlineExceeded, cut.now().Add(-time.Minute))
-		reader := f.withServer()
+		reader := f.newDaemonWithServer()
 		if doubtful {
 			reader.replica.storeFailed(context.DeadlineExceeded, reader.now().Add(-time.Minute))
 		}
@@ -366,16 +366,16 @@
 		cut.gossip.merge(peerdrpc.SyncMessage{From: "reader", Delta: reader.replica.deltaSince(1)})
 		time.Sleep(time.Millisecond)
 		next.gossip.merge(peerdrpc.SyncMessage{From: "cut", Delta: cut.replica.deltaSince(1)})
-		if got := knows(next); got != doubtful {
+		if got := hasServer(next); got != doubtful {
 			t.Errorf("removal doubted by its reader %t: the server is still used %t", doubtful, got)
 		}
 	}
 }
 
 // Guards against a large configuration that each relay brings to each proxy again.
-func TestLargeNewsAreBroughtToThoseThatLackThem(t *testing.T) {
+func TestLargeChangesAreSentOnlyToPeersThatLackThem(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.idle()
+	d := f.newIdleDaemon()
 	d.replica.apply(replica.Delta{Revision: 7, Whole: true})
 	d.replica.apply(replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8, Value: make([]byte, 2*offerMinBytes)}}})
 	for name, c := range map[string]struct {
--- a/internal/proxy/forward/members_test.go
+++ b/internal/proxy/forward/members_test.go
@@ -16,7 +16,7 @@
 // The only proxy of a region vanishes from the list. If the store was away, its
 // entry has run out though it serves on, and will be back; moving its callers'
 // objects and back again would run them cold twice. Otherwise it is gone.
-func TestOnlyAProxyThatIsSurelyGoneLeavesItsRegionWithout(t *testing.T) {
+func TestTentativelyRemovedProxyKeepsItsRegionServed(t *testing.T) {
 	f := newFleet(t, 1)
 	for _, doubtful := range []bool{false, true} {
 		settings := *f.daemons[0].settings
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		entry := farMember(t, func(*proxyEntry) {})
+		entry := remoteEntry(t, func(*proxyEntry) {})
 		d.replica.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{{Key: proxyKeyPrefix + "far", Value: entry, Revision: 1}}})
 		d.replica.apply(replica.Delta{Base: 1, Revision: 2, Entries: []replica.Entry{{Key: proxyKeyPrefix + "far", Revision: 2, Removed: true, Doubtful: doubtful}}})
 		var stranded []string
@@ -43,8 +43,8 @@
 	}
 }
 
-// farFleet is a proxy that never runs and knows two regions.
-func farFleet(t *testing.T) *Daemon {
+// newTwoRegionDaemon is a proxy that never runs and knows two regions.
+func newTwoRegionDaemon(t *testing.T) *Daemon {
 	t.Helper()
 	f := newFleet(t, 1)
 	settings := *f.daemons[0].settings
@@ -56,7 +56,7 @@
 	return d
 }
 
-func farMember(t *testing.T, change func(*proxyEntry)) []byte {
+func remoteEntry(t *testing.T, change func(*proxyEntry)) []byte {
 	t.Helper()
 	m := proxyEntry{
 		Name: "far", Domain: "b", Region: "south", Started: 1000,
@@ -73,21 +73,21 @@
 // Another program writes over a proxy's entry. Its text was kept as a proxy with
 // no address, which callers were told to ask, or left the old entry in force. It
 // names no proxy until the proxy writes it again; the others stay.
-func TestEntriesOfOtherWritersNameNoProxy(t *testing.T) {
-	d := farFleet(t)
-	good := farMember(t, func(*proxyEntry) {})
+func TestInvalidProxyEntriesAreRejected(t *testing.T) {
+	d := newTwoRegionDaemon(t)
+	good := remoteEntry(t, func(*proxyEntry) {})
 	for text, named := range map[string]bool{
 		string(good): true,
 		"":           false, "{": false, "null": false, "[]": false, `"far"`: false, "{}": false, "\xff\xfe": false,
-		string(farMember(t, func(m *proxyEntry) { m.Name = "near" })):              false,
-		string(farMember(t, func(m *proxyEntry) { m.Callers = netip.AddrPort{} })): false,
-		string(farMember(t, func(m *proxyEntry) { m.Peers = netip.AddrPort{} })):   false,
-		string(farMember(t, func(m *proxyEntry) { m.Domain = "nowhere" })):         false,
-		string(farMember(t, func(m *proxyEntry) { m.Region = "north" })):           false,
-		strings.Replace(string(good), `"name":"far"`, `"name":7`, 1):               false,
-		strings.Replace(string(good), `"name"`, `"name":"far","name"`, 1):          false,
-		strings.Replace(string(good), `10.1.0.1:80"`, `10.1.0.1"`, 1):              false,
-		strings.Replace(string(good), `"started":1000`, `"started":"a while"`, 1):  false,
+		string(remoteEntry(t, func(m *proxyEntry) { m.Name = "near" })):              false,
+		string(remoteEntry(t, func(m *proxyEntry) { m.Callers = netip.AddrPort{} })): false,
+		string(remoteEntry(t, func(m *proxyEntry) { m.Peers = netip.AddrPort{} })):   false,
+		string(remoteEntry(t, func(m *proxyEntry) { m.Domain = "nowhere" })):         false,
+		string(remoteEntry(t, func(m *proxyEntry) { m.Region = "north" })):           false,
+		strings.Replace(string(good), `"name":"far"`, `"name":7`, 1):                 false,
+		strings.Replace(string(good), `"name"`, `"name":"far","name"`, 1):            false,
+		strings.Replace(string(good), `10.1.0.1:80"`, `10.1.0.1"`, 1):                false,
+		strings.Replace(string(good), `"started":1000`, `"started":"a while"`, 1):    false,
 	} {
 		before := d.replica.revision()
 		d.replica.apply(replica.Delta{Revision: before + 1, Base: before, Whole: before == 0, Entries: []replica.Entry{
@@ -103,10 +103,10 @@
 // A VM stops and starts again under its name. What the old process said to its
 // peers as it left arrives after the new entry: the new process was taken to leave
 // for as long as it lived, and no caller was sent to it.
-func TestLastWordsOfAnEarlierStartDoNotCountAsTheNewOnes(t *testing.T) {
-	d := farFleet(t)
+func TestLeavingMessageOfEarlierStartIsIgnored(t *testing.T) {
+	d := newTwoRegionDaemon(t)
 	d.replica.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{
-		{Key: proxyKeyPrefix + "far", Value: farMember(t, func(m *proxyEntry) { m.Started = 2000 }), Revision: 1},
+		{Key: proxyKeyPrefix + "far", Value: remoteEntry(t, func(m *proxyEntry) { m.Started = 2000 }), Revision: 1},
 	}})
 	d.replica.handlePeerState(peerdrpc.SyncMessage{From: "far", Started: 1000, Leaving: true})
 	if d.replica.proxies()[0].Leaving {
--- a/internal/proxy/forward/permits_test.go
+++ b/internal/proxy/forward/permits_test.go
@@ -9,9 +9,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// askFor is a question of one proxy of a fleet to another for a place at the only
+// permitRequest is a question of one proxy of a fleet to another for a place at the only
 // server, whose gate lets one run.
-func (f *fleet) askFor(from, owner int, id uint64) steering.Ask {
+func (f *fleet) permitRequest(from, owner int, id uint64) steering.Ask {
 	d := f.daemons[from]
 	now := d.now()
 	return steering.Ask{
@@ -20,8 +20,8 @@
 	}
 }
 
-// knowEachOther waits until all proxies have heard of each other.
-func (f *fleet) knowEachOther() {
+// waitForMembership waits until all proxies have heard of each other.
+func (f *fleet) waitForMembership() {
 	f.t.Helper()
 	f.eventually("all proxies are known", func() bool {
 		for _, d := range f.daemons {
@@ -36,17 +36,17 @@
 // Two proxies want a place at a server that should run one request at a time. The
 // gate is at the first. The second waits until the first one's place is given back,
 // and no longer than a place is of use to it.
-func TestPlacesPassBetweenProxies(t *testing.T) {
+func TestPermitsPassBetweenProxies(t *testing.T) {
 	f := newFleet(t, 2)
-	f.knowEachOther()
+	f.waitForMembership()
 	first, second := f.daemons[0].permits, f.daemons[1].permits
-	own := f.askFor(0, 0, 1)
+	own := f.permitRequest(0, 0, 1)
 	if r, answered := first.acquire(context.Background(), own); !answered || r.Verdict != admission.Granted {
 		t.Fatalf("the first gets verdict %d (%t)", r.Verdict, answered)
 	}
 	granted := make(chan steering.Reply, 1)
 	go func() {
-		r, _ := second.acquire(context.Background(), f.askFor(1, 0, 1))
+		r, _ := second.acquire(context.Background(), f.permitRequest(1, 0, 1))
 		granted <- r
 	}()
 	f.eventually("the second waits", func() bool {
@@ -60,7 +60,7 @@
 	if r := <-granted; r.Verdict != admission.Granted {
 		t.Errorf("the second gets verdict %d, want its place", r.Verdict)
 	}
-	late := f.askFor(1, 0, 2)
+	late := f.permitRequest(1, 0, 2)
 	late.Last = f.daemons[1].now().Add(50 * time.Millisecond)
 	if r, answered := second.acquire(context.Background(), late); !answered || r.Verdict != admission.Denied {
 		t.Errorf("a place that comes too late: verdict %d (%t), want it denied", r.Verdict, answered)
@@ -69,10 +69,10 @@
 
 // The proxy that owns a gate is killed. Whoever asks it must not wait for longer than
 // one question takes; its request is sent without a place.
-func TestOwnerThatIsGoneDoesNotHoldUp(t *testing.T) {
+func TestUnreachableOwnerDoesNotBlock(t *testing.T) {
 	f := newFleet(t, 2)
-	f.knowEachOther()
-	a := f.askFor(0, 1, 1)
+	f.waitForMembership()
+	a := f.permitRequest(0, 1, 1)
 	f.stops[1]()
 	f.endConnections(1)
 	if _, answered := f.daemons[0].permits.acquire(context.Background(), a); answered {
@@ -85,16 +85,16 @@
 }
 
 // A caller leaves while its request waits: the wait ends at once.
-func TestLeavingCallerEndsTheWait(t *testing.T) {
+func TestCanceledRequestStopsWaiting(t *testing.T) {
 	f := newFleet(t, 1)
 	p := f.daemons[0].permits
-	if r, _ := p.acquire(context.Background(), f.askFor(0, 0, 1)); r.Verdict != admission.Granted {
+	if r, _ := p.acquire(context.Background(), f.permitRequest(0, 0, 1)); r.Verdict != admission.Granted {
 		t.Fatalf("verdict %d, want a place", r.Verdict)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan bool, 1)
 	go func() {
-		_, answered := p.acquire(ctx, f.askFor(0, 0, 2))
+		_, answered := p.acquire(ctx, f.permitRequest(0, 0, 2))
 		ended <- answered
 	}()
 	cancel()
@@ -106,9 +106,9 @@
 // All processes lose power after they have learned that the servers of a service slow
 // down when full. If each had to learn it again while callers come back, every queue
 // would be full for ten seconds; what an entry says of it holds for its lease.
-func TestLearnedLimitsOutliveTheProcess(t *testing.T) {
+func TestLearnedLimitsSurviveRestart(t *testing.T) {
 	f := newFleet(t, 2)
-	f.knowEachOther()
+	f.waitForMembership()
 	held := []steering.Held{{Service: "service", Limit: admission.Limit{Slots: 4, Most: 2, Evidence: 50}}}
 	f.daemons[0].withKernel(func(k *steering.Kernel, now time.Time) {
 		// A gate that says that fewer should run is a proxy's own sign.
--- a/internal/proxy/forward/quotas_test.go
+++ b/internal/proxy/forward/quotas_test.go
@@ -14,8 +14,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/replica"
 )
 
-// askAs asks a proxy with a key.
-func (f *fleet) askAs(i int, key string) int {
+// getWithKey asks a proxy with a key.
+func (f *fleet) getWithKey(i int, key string) int {
 	r, err := http.NewRequest(http.MethodGet, "http://"+f.daemons[i].settings.Listen.Callers.String()+"/b/x", nil)
 	if err != nil {
 		f.t.Fatal(err)
@@ -31,12 +31,12 @@
 
 // Guards against a limit that each proxy takes for its own, and against one that none of
 // them may use.
-func TestProxiesShareALimit(t *testing.T) {
+func TestProxiesShareRateLimit(t *testing.T) {
 	const proxies, perSecond, span = 3, 100.0, 3 * time.Second
 	f := newFleet(t, proxies)
 	f.store.write("config", testTable{Version: 2, Service: "service", Key: "good", PerSecond: perSecond})
 	for i := range proxies {
-		f.eventually("the account is served", func() bool { return f.version(i) == 2 && f.askAs(i, "good") == http.StatusOK })
+		f.eventually("the account is served", func() bool { return f.version(i) == 2 && f.getWithKey(i, "good") == http.StatusOK })
 	}
 	var served, refused atomic.Int64
 	var callers sync.WaitGroup
@@ -44,7 +44,7 @@
 	for i := range proxies {
 		callers.Go(func() {
 			for time.Since(began) < span {
-				switch f.askAs(i, "good") {
+				switch f.getWithKey(i, "good") {
 				case http.StatusOK:
 					served.Add(1)
 				case http.StatusTooManyRequests:
@@ -64,25 +64,25 @@
 }
 
 // Guards against keys that go on opening routes after they were taken away.
-func TestKeyThatIsTakenAwayOpensNothing(t *testing.T) {
+func TestRevokedKeyIsRejected(t *testing.T) {
 	f := newFleet(t, 2)
 	f.store.write("config", testTable{Version: 2, Service: "service", Key: "old"})
 	for i := range 2 {
-		f.eventually("the key opens", func() bool { return f.version(i) == 2 && f.askAs(i, "old") == http.StatusOK })
+		f.eventually("the key opens", func() bool { return f.version(i) == 2 && f.getWithKey(i, "old") == http.StatusOK })
 	}
 	f.store.write("config", testTable{Version: 3, Service: "service", Key: "new"})
 	for i := range 2 {
-		f.eventually("the new key opens", func() bool { return f.version(i) == 3 && f.askAs(i, "new") == http.StatusOK })
-		if got := f.askAs(i, "old"); got != http.StatusUnauthorized {
+		f.eventually("the new key opens", func() bool { return f.version(i) == 3 && f.getWithKey(i, "new") == http.StatusOK })
+		if got := f.getWithKey(i, "old"); got != http.StatusUnauthorized {
 			t.Errorf("the old key: status is %d, want 401", got)
 		}
 	}
 }
 
 // Guards against a number of proxies that another program wrote and that divides by nothing.
-func TestNumberOfProxiesIsChecked(t *testing.T) {
+func TestStoredFleetSizeIsValidated(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.idle()
+	d := f.newIdleDaemon()
 	for text, want := range map[string]int{`{"proxies":7}`: 7, `{"proxies":0}`: 0, `{"proxies":-1}`: 0, `{"proxies":"7"}`: 0, `{`: 0, ``: 0} {
 		d.quotas.storedFleetSize = 0
 		d.quotas.handleStoredFleetSize(replica.Entry{Key: fleetSizeKey, Value: []byte(text)})
@@ -94,7 +94,7 @@
 
 // Guards against shares that seem to last after the VM was suspended, and against steps of
 // the time of day that pass for a suspension.
-func TestSuspensions(t *testing.T) {
+func TestSuspendDetector(t *testing.T) {
 	var s suspendDetector
 	now := time.Now()
 	if s.checkResumed(now) {
@@ -116,9 +116,9 @@
 
 // Guards against one proxy that answers the reports of a hundred, and against groups so small
 // that each has a part of a limit that lets nothing through.
-func TestLargeRegionsHaveAPoolInEachFailureDomain(t *testing.T) {
+func TestLargeRegionHasPoolPerFailureDomain(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.idle()
+	d := f.newIdleDaemon()
 	d.settings.RegionOf = map[string]string{"a": "north", "b": "north", "c": "south"}
 	add := func(domain, region string, count int) {
 		for i := range count {
@@ -142,9 +142,9 @@
 
 // Guards against proxies of a busy fleet that go from pool to pool, and lose their parts at
 // each change.
-func TestPoolIsKeptThoughAReportIsLost(t *testing.T) {
+func TestPoolIsKeptAfterLostReports(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.idle()
+	d := f.newIdleDaemon()
 	for _, name := range []string{"first", "second"} {
 		d.replica.members[name] = proxyEntry{Name: name, Domain: "a", Region: "north", Peers: freePort(t)}
 	}
--- a/internal/proxy/forward/registrar_test.go
+++ b/internal/proxy/forward/registrar_test.go
@@ -10,14 +10,14 @@
 )
 
 type (
-	// keeperStore counts a keeper's calls and answers them with err.
-	keeperStore struct {
+	// countingStore counts a keeper's calls and answers them with err.
+	countingStore struct {
 		grants, puts, renewals int
 		err                    error
 	}
 )
 
-func (s *keeperStore) seams() Store {
+func (s *countingStore) client() Store {
 	return Store{
 		GrantLease: func(context.Context, time.Duration) (uint64, error) { s.grants++; return 7, s.err },
 		Put:        func(context.Context, string, []byte, uint64) error { s.puts++; return s.err },
@@ -28,15 +28,15 @@
 // The store is away for a few renewals and the lease outlives that. Were a new
 // entry written at each failure, seventy proxies would make a thousand calls in
 // an outage of some seconds, at ten times the price of a renewal.
-func TestFailedRenewalIsMadeAgain(t *testing.T) {
+func TestFailedRenewalIsRetried(t *testing.T) {
 	f := newFleet(t, 1)
-	s := &keeperStore{}
-	k := &registrar{replica: f.idle().replica, store: s.seams()}
+	s := &countingStore{}
+	k := &registrar{replica: f.newIdleDaemon().replica, store: s.client()}
 	ctx := context.Background()
 	if !k.ensureRegistered(ctx) {
 		t.Fatal("the entry is not there after the first calls")
 	}
-	s.err = errCut
+	s.err = errDisconnected
 	for range 3 {
 		if k.ensureRegistered(ctx) {
 			t.Error("a renewal that failed counts as made")
@@ -52,10 +52,10 @@
 }
 
 // The lease ran out while the store was away. Only then is a new entry written.
-func TestEndedLeaseIsReplaced(t *testing.T) {
+func TestExpiredLeaseIsReplaced(t *testing.T) {
 	f := newFleet(t, 1)
-	s := &keeperStore{}
-	k := &registrar{replica: f.idle().replica, store: s.seams()}
+	s := &countingStore{}
+	k := &registrar{replica: f.newIdleDaemon().replica, store: s.client()}
 	ctx := context.Background()
 	k.ensureRegistered(ctx)
 	s.err = &StoreError{Code: StoreNotFound}
@@ -70,18 +70,18 @@
 
 // A lease was granted and the entry's answer got lost. The entry is written again
 // under the same lease.
-func TestEntryWithoutAnswerIsWrittenAgain(t *testing.T) {
+func TestUnacknowledgedEntryIsRewritten(t *testing.T) {
 	f := newFleet(t, 1)
-	s := &keeperStore{}
-	seams := s.seams()
+	s := &countingStore{}
+	seams := s.client()
 	seams.Put = func(context.Context, string, []byte, uint64) error {
 		s.puts++
 		if s.puts == 1 {
-			return errCut
+			return errDisconnected
 		}
 		return nil
 	}
-	k := &registrar{replica: f.idle().replica, store: seams}
+	k := &registrar{replica: f.newIdleDaemon().replica, store: seams}
 	if k.ensureRegistered(context.Background()) || !k.ensureRegistered(context.Background()) {
 		t.Error("the entry is not there after the second try")
 	}
@@ -92,9 +92,9 @@
 
 // In an outage every proxy comes to ask the store. Those that are no relays wait
 // longer: the relays tell them of its return.
-func TestOthersThanRelaysAskSeldomInAnOutage(t *testing.T) {
+func TestNonRelaysBackOffLongerDuringOutage(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.idle()
+	d := f.newIdleDaemon()
 	w := &storeWatcher{replica: d.replica, onUnchanged: func() {}}
 	if got := w.maxBackoff(); got != maxRetryBackoff {
 		t.Errorf("a relay waits %s at most, want %s", got, maxRetryBackoff)
@@ -113,13 +113,13 @@
 
 // The platform takes the entry away again and again, and it is written each time.
 // If that put the renewal off, the lease would end, and with it the entry.
-func TestRewritingDoesNotPutRenewalsOff(t *testing.T) {
+func TestRewritesDoNotDelayRenewals(t *testing.T) {
 	f := newFleet(t, 1)
-	s := &keeperStore{}
-	seams := s.seams()
+	s := &countingStore{}
+	seams := s.client()
 	var renewals atomic.Int32
 	seams.RenewLease = func(context.Context, uint64) error { renewals.Add(1); return nil }
-	k := &registrar{replica: f.idle().replica, store: seams}
+	k := &registrar{replica: f.newIdleDaemon().replica, store: seams}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { k.run(ctx); close(ended) }()
--- a/internal/proxy/forward/storewatcher_test.go
+++ b/internal/proxy/forward/storewatcher_test.go
@@ -8,10 +8,10 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/replica"
 )
 
-// seeded is a proxy that never runs and knows a seed, which it is itself or not.
-func seeded(t *testing.T, isSeed bool) *Daemon {
+// newSeededDaemon is a proxy that never runs and knows a seed, which it is itself or not.
+func newSeededDaemon(t *testing.T, isSeed bool) *Daemon {
 	t.Helper()
-	d := newFleet(t, 1).idle()
+	d := newFleet(t, 1).newIdleDaemon()
 	d.settings.Seeds = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.9:1")}
 	if isSeed {
 		d.settings.Seeds = append(d.settings.Seeds, d.settings.Listen.Peers)
@@ -23,7 +23,7 @@
 // the first of its region and followed the store, which answered it at each entry of
 // the others: more calls in two seconds than in a minute of traffic. A copy that
 // grows old is followed by whoever has it, or a fleet without seeds would hear nothing.
-func TestOnlySeedsFollowTheStoreWhileNobodyIsKnown(t *testing.T) {
+func TestOnlySeedsFollowStoreBeforeMembersAreKnown(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		isSeed, old  bool
@@ -33,7 +33,7 @@
 		{"any other with a fresh copy", false, false, false},
 		{"any other with an old copy", false, true, true},
 	} {
-		d := seeded(t, c.isSeed)
+		d := newSeededDaemon(t, c.isSeed)
 		delta := replica.Delta{Revision: 7, Whole: true}
 		if c.old {
 			delta.Age = 3 * maxRetryBackoff
@@ -48,9 +48,9 @@
 // A proxy that starts reads the store unless a seed gives it a copy. Its reading need
 // not be of this moment, unless it is to tell the others; and what it has read is news
 // to nobody: it was sent whole to each peer of the region.
-func TestFirstReadingIsStaleAndIsNotPassedOn(t *testing.T) {
+func TestInitialReadIsStaleAndNotForwarded(t *testing.T) {
 	for _, isSeed := range []bool{true, false} {
-		d := seeded(t, isSeed)
+		d := newSeededDaemon(t, isSeed)
 		var gotStale, passedOn bool
 		f := &storeWatcher{replica: d.replica, onAdvance: func(uint64) { passedOn = true }, store: Store{
 			Range: func(_ context.Context, _ string, stale bool) ([]KeyValue, uint64, error) {
