--- a/internal/proxy/forward/backpressure.go
+++ b/internal/proxy/forward/backpressure.go
@@ -7,7 +7,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// backpressureReports are what a peer should hear of what backend servers ask of all proxies.
+// backpressureReports returns the backpressure signals of backend servers to send to a peer; all of
+// them for one that knows none yet.
 func (d *Daemon) backpressureReports(all bool) (list []backpressure.Report) {
 	d.withKernel(func(k *steering.Kernel, now time.Time) { list = k.Signals(now, all) })
 	return list
--- a/internal/proxy/forward/crashalerts.go
+++ b/internal/proxy/forward/crashalerts.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// alertBatchDelay is how long what breaks is collected before servers are dialled and
-	// peers told.
+	// alertBatchDelay is how long broken exchanges are collected before servers are probed and
+	// peers alerted.
 	alertBatchDelay = 50 * time.Millisecond
-	// alertBytesPerSecond is how many bytes a second alerts may take: a region that is lost has
-	// news without end.
+	// alertBytesPerSecond limits the bandwidth of alerts: the loss of a region causes an endless
+	// stream of reports.
 	alertBytesPerSecond = 16 << 10
-	// reportSize is what a work takes in a message, with one end or two.
+	// reportSize is the approximate size in bytes of a report with one or two crashes in a message.
 	reportSize = 48
 )
 
-// quarantineReports are what a peer should hear of work that ends servers.
+// quarantineReports returns the reports of work that crashes servers to send to a peer; all of them
+// for one that knows none yet.
 func (d *Daemon) quarantineReports(all bool) (list []quarantine.Report) {
 	d.withKernel(func(k *steering.Kernel, now time.Time) { list = k.Suspicions(now, all) })
 	return list
 }
 
-// runCrashAlerts follows suspicions as soon as there are any, but not more often than
-// news can be collected: an end breaks dozens of exchanges within a round trip.
+// runCrashAlerts acts on new suspicions in batches: a crash breaks dozens of exchanges within a
+// round trip.
 func (d *Daemon) runCrashAlerts(ctx context.Context) {
 	for {
 		select {
@@ -45,10 +46,10 @@
 	}
 }
 
-// probeAndAlert finds out which servers have ended with requests, and tells others
-// what follows. Exchanges that break look alike whether the server has ended or only a
-// connection, and its registration runs out seconds later; where nothing listens any
-// more is known after a round trip. It tells how many bytes the alerts take.
+// probeAndAlert probes servers that may have crashed, and alerts peers of urgent reports. A broken
+// exchange looks alike whether the server crashed or only the connection failed, and the
+// registration of a crashed server expires seconds later, while a probe shows within a round trip
+// that nothing listens there any more. It returns the size of the alerts in bytes.
 func (d *Daemon) probeAndAlert(ctx context.Context) (alertedBytes int) {
 	var suspects []routing.Server
 	urgent, reportCount := false, 0
@@ -58,8 +59,8 @@
 			reportCount = len(k.Suspicions(now, false))
 		}
 	})
-	for _, s := range suspects {
-		go d.probeSuspect(ctx, s)
+	for _, server := range suspects {
+		go d.probeSuspect(ctx, server)
 	}
 	if !urgent {
 		return 0
@@ -70,7 +71,7 @@
 func (d *Daemon) probeSuspect(ctx context.Context, s routing.Server) {
 	_, err := d.serverClient.Measure(ctx, s.Address, rttProbeTimeout)
 	if !serverhttp.Refusing(err) {
-		klog.V(1).InfoS("a server at which exchanges broke has not ended, as far as is known", "server", s.ID, "error", errorText(err))
+		klog.V(1).InfoS("probe found no crash of server with broken exchanges", "server", s.ID, "error", errorText(err))
 		return
 	}
 	d.withKernel(func(k *steering.Kernel, now time.Time) { k.Refusing(now, s.ID) })
--- a/internal/proxy/forward/daemon.go
+++ b/internal/proxy/forward/daemon.go
@@ -26,29 +26,30 @@
 )
 
 const (
-	// tickInterval is how late what has run out may be noticed.
+	// tickInterval bounds how late expiries and timeouts are noticed.
 	tickInterval = 200 * time.Millisecond
-	// rttProbeInterval is the pause between rounds of measuring, rttProbeTimeout the
-	// longest round trip that is waited for.
+	// rttProbeInterval is the pause between rounds of round-trip probes.
 	rttProbeInterval = time.Second
-	rttProbeTimeout  = 500 * time.Millisecond
+	// rttProbeTimeout is the longest round trip that a probe waits for.
+	rttProbeTimeout = 500 * time.Millisecond
 )
 
 type (
-	// Daemon is one proxy process.
+	// Daemon is one proxy process: its listeners, its background tasks and the steering kernel.
 	Daemon struct {
 		settings *Settings
 		deps     Dependencies
 		start    time.Time
 
+		// mu guards kernel, currentBounds and suspendDetector.
 		mu     sync.Mutex
 		kernel *steering.Kernel
-		// currentBounds are the bounds in force; those of settings are the first.
+		// currentBounds starts as settings.Bounds and changes when the settings are reloaded.
 		currentBounds   Bounds
 		suspendDetector suspendDetector
 
 		callerServer *http.Server
-		// callerListener is what callers' connections are accepted by.
+		// callerListener accepts the connections of callers and tracks which are idle.
 		callerListener  *forwardhttp.Listener
 		serverClient    *serverhttp.Client
 		readinessServer *http.Server
@@ -66,41 +67,41 @@
 		quotas          *quotaClient
 
 		stopping chan struct{}
-		// suspicionsChanged asks for suspicions to be followed soon.
+		// suspicionsChanged wakes runCrashAlerts.
 		suspicionsChanged chan struct{}
 	}
 )
 
-// New makes a daemon from checked settings.
-func New(s *Settings, seams Dependencies) (*Daemon, error) {
+// New creates a daemon from validated settings.
+func New(s *Settings, deps Dependencies) (*Daemon, error) {
 	config := steering.Config{
 		Name: s.Name, Domain: s.Domain, Region: s.Region, Address: s.Listen.Callers, RegionOf: s.RegionOf,
 		Bounds: kernelBounds(s), Joined: time.Now(), Off: s.DisabledMechanisms,
 	}
 	if _, err := rand.Read(config.Seed[:]); err != nil {
-		return nil, errors.Wrap(err, "seed")
+		return nil, errors.Wrap(err, "generate the kernel seed")
 	}
-	d := &Daemon{settings: s, deps: seams, start: config.Joined, currentBounds: s.Bounds, stopping: make(chan struct{}), suspicionsChanged: make(chan struct{}, 1)}
+	d := &Daemon{settings: s, deps: deps, start: config.Joined, currentBounds: s.Bounds, stopping: make(chan struct{}), suspicionsChanged: make(chan struct{}, 1)}
 	d.metrics = newProxyMetrics()
 	d.decisionLog = newDecisionLog(s.Name, d.now, d.metrics)
-	config.Observe, config.Record = d.handleEvent, seams.Record
+	config.Observe, config.Record = d.handleEvent, deps.Record
 	d.kernel = steering.New(config)
 	d.operatorServer = (&steeringhttp.Server{Status: d.status, Events: d.decisionLog.events, Metrics: d.metrics.set}).HTTP()
-	seams.Store = instrumentStore(seams.Store, d.metrics.recordStoreCall)
+	deps.Store = instrumentStore(deps.Store, d.metrics.recordStoreCall)
 	d.replica = newStoreReplica(d)
-	d.quarantine = newQuarantineStore(d, seams.Store)
-	d.quotas = newQuotaClient(d, seams.Store)
+	d.quarantine = newQuarantineStore(d, deps.Store)
+	d.quotas = newQuotaClient(d, deps.Store)
 	d.peerClient = peerdrpc.NewClient(func() *tls.Config { return nil })
 	d.peerClient.Sent, d.peerClient.Received = d.metrics.peerBytesSent.Add, d.metrics.peerBytesReceived.Add
-	d.metrics.registerGauges(d, seams.DroppedLogLines)
+	d.metrics.registerGauges(d, deps.DroppedLogLines)
 	d.permits = newPermitClient(d)
 	d.gossip = &gossip{replica: d.replica, send: d.peerClient.Sync}
-	d.storeWatcher = &storeWatcher{replica: d.replica, store: seams.Store}
-	d.registrar = &registrar{replica: d.replica, store: seams.Store}
+	d.storeWatcher = &storeWatcher{replica: d.replica, store: deps.Store}
+	d.registrar = &registrar{replica: d.replica, store: deps.Store}
 	memory := bodies.NewMemory(bodyMemoryLimit(s.MemoryBytes))
-	d.serverClient = serverhttp.NewClient(seams.Names.ServerHeaders, memory, d.now, d.metrics.serverConnectionsOpened.Inc)
+	d.serverClient = serverhttp.NewClient(deps.Names.ServerHeaders, memory, d.now, d.metrics.serverConnectionsOpened.Inc)
 	d.callerServer = (&forwardhttp.Server{
-		Headers: seams.Names.CallerHeaders, Kernel: d.withKernel, Memory: memory, Send: d.serverClient.Send, Now: d.now,
+		Headers: deps.Names.CallerHeaders, Kernel: d.withKernel, Memory: memory, Send: d.serverClient.Send, Now: d.now,
 		Ask: d.permits.acquire, GiveBack: d.permits.release, AskPool: d.quotas.takeToken,
 		Stopping: d.isStopping, Configured: d.replica.loaded, Started: d.start,
 	}).HTTP()
@@ -109,7 +110,7 @@
 	return d, nil
 }
 
-// handleEvent takes in what the kernel tells, with its lock held.
+// handleEvent receives the kernel's events. The caller holds d.mu.
 func (d *Daemon) handleEvent(e steering.Event) {
 	d.decisionLog.handleEvent(e)
 	if e.Kind == steering.EventServerRestarted {
@@ -117,25 +118,27 @@
 	}
 }
 
-// now reads the steady clock: the time of day may jump.
+// now is the current time by the monotonic clock, since the wall clock may jump.
 func (d *Daemon) now() time.Time { return d.start.Add(time.Since(d.start)) }
 
-// startMillis tells this start of the VM's process from others, for peers.
+// startMillis identifies this start of the process to peers, in Unix milliseconds.
 func (d *Daemon) startMillis() int64 { return d.start.UnixMilli() }
 
-// learnedLimits lists the services that are held back by own signs.
+// learnedLimits lists the concurrency limits that this proxy has learned for services whose
+// servers slow down when full.
 func (d *Daemon) learnedLimits() (limits []steering.Held) {
 	d.withKernel(func(k *steering.Kernel, now time.Time) { limits = k.Holding(now) })
 	return limits
 }
 
-// withKernel runs a function with the kernel, one at a time.
+// withKernel calls f with exclusive access to the kernel. It first tells the kernel if the VM
+// was suspended, and afterwards wakes runCrashAlerts if there are new suspicions.
 func (d *Daemon) withKernel(f func(*steering.Kernel, time.Time)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	clock := time.Now()
-	now := d.start.Add(clock.Sub(d.start))
-	if d.suspendDetector.checkResumed(clock) {
+	wallNow := time.Now()
+	now := d.start.Add(wallNow.Sub(d.start))
+	if d.suspendDetector.checkResumed(wallNow) {
 		d.kernel.Resumed(now)
 	}
 	f(d.kernel, now)
@@ -156,8 +159,8 @@
 	}
 }
 
-// Run serves until stop ends, then stops as planned. Each value of told means
-// that the settings may have changed.
+// Run serves until stop is canceled, then shuts down gracefully. Each value received from reload
+// asks for the settings to be read again.
 func (d *Daemon) Run(stop context.Context, reload <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
@@ -168,8 +171,8 @@
 	for _, l := range []struct {
 		server  *http.Server
 		address netip.AddrPort
-		// share of the open files that its connections may take; zero for no
-		// bound.
+		// share is the fraction of the open-file limit that its connections may use; zero for
+		// no bound.
 		share float64
 	}{
 		{d.callerServer, d.settings.Listen.Callers, callerFileRatio},
@@ -208,7 +211,7 @@
 	go d.quotas.runFleetSize(ctx)
 	go d.probeRoundTrips(ctx)
 	if len(d.settings.DisabledMechanisms) > 0 {
-		klog.InfoS("mechanisms switched off", "mechanisms", d.settings.DisabledMechanisms)
+		klog.InfoS("mechanisms disabled by command line", "mechanisms", d.settings.DisabledMechanisms)
 	}
 	klog.InfoS("serving", "callers", d.settings.Listen.Callers, "directory", d.settings.Listen.Directory)
 	select {
@@ -220,7 +223,7 @@
 	}
 }
 
-// peerHandlers answers other proxies.
+// peerHandlers returns the handlers of the calls that other proxies make.
 func (d *Daemon) peerHandlers(ctx context.Context) peerdrpc.SyncHandlers {
 	return peerdrpc.SyncHandlers{
 		Sync: func(m peerdrpc.SyncMessage) peerdrpc.SyncMessage { return d.gossip.handle(ctx, m) },
@@ -240,7 +243,7 @@
 	}
 }
 
-// runTicks lets the kernel act on what has run out.
+// runTicks periodically lets the kernel expire state and sends the permits that this frees.
 func (d *Daemon) runTicks(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -260,8 +263,8 @@
 	}
 }
 
-// probeRoundTrips learns the round trips to failure domains before callers wait for
-// them: where objects live depends on how far the regions are apart.
+// probeRoundTrips measures the round trips to failure domains before requests need them: the
+// placement of objects depends on the latency between regions.
 func (d *Daemon) probeRoundTrips(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep.For(ctx, rttProbeInterval)
@@ -270,7 +273,7 @@
 		for _, s := range list {
 			roundTrip, err := d.serverClient.Measure(ctx, s.Address, rttProbeTimeout)
 			if err != nil {
-				klog.V(1).InfoS("no round trip measured", "server", s.ID, "error", err.Error())
+				klog.V(1).InfoS("latency probe failed", "server", s.ID, "error", err.Error())
 				continue
 			}
 			d.withKernel(func(k *steering.Kernel, _ time.Time) { k.Measured(s.Domain, roundTrip) })
--- a/internal/proxy/forward/decisionlog.go
+++ b/internal/proxy/forward/decisionlog.go
@@ -14,30 +14,31 @@
 )
 
 const (
-	// sampleRate is how many requests that ended well leave one in the log.
-	// Failed, slow, refused and repeated ones are always kept.
-	sampleRate = 200
-	// maxDetailedPerSecond bounds the requests written decision by decision: a server
-	// group that fails must not turn the log into the load. At 300 bytes a line
-	// and four lines a request this is 120 KB a second.
+	// sampleEveryNth is how many successful requests there are for each one that is logged.
+	// Failed, slow, rejected and retried requests are always logged, within the limits below.
+	sampleEveryNth = 200
+	// maxDetailedPerSecond bounds the requests that are logged with each decision: a failing
+	// group of servers must not make logging the main load. At 300 bytes a line and four lines a
+	// request this is 120 KB a second.
 	maxDetailedPerSecond = 100
-	// maxSummariesPerSecond bounds the requests beyond those that get their last line
-	// only, with the servers tried in it: another 120 KB a second. Past both they
-	// are counted by how they ended.
+	// maxSummariesPerSecond bounds the further requests that are logged with their last line only,
+	// which lists the attempted servers: another 120 KB a second. Requests beyond both are counted
+	// by outcome.
 	maxSummariesPerSecond = 400
-	// omittedInterval is how often the number of requests left out is told.
+	// omittedInterval is how often the number of omitted requests is logged.
 	omittedInterval = 10 * time.Second
 	omittedMessage  = "requests left out of the log"
-	// outcomeLate counts answers that came after the route's target.
+	// outcomeLate labels requests answered after the route's target.
 	outcomeLate = "late"
-	// maxWorksPerLine bounds the works that a line names.
+	// maxWorksPerLine bounds the works listed in one line.
 	maxWorksPerLine = 16
-	// eventRingSize is how many events are kept for operators to ask for.
+	// eventRingSize is how many events are kept for the operators' API.
 	eventRingSize = 4096
 )
 
 type (
-	// decisionLog keeps the decisions: as log lines, as metrics and in memory.
+	// decisionLog records the kernel's events: as log lines, as metrics, and in memory for the
+	// operators' API.
 	decisionLog struct {
 		vm      string
 		now     func() time.Time
@@ -49,12 +50,12 @@
 		windowStart   time.Time
 		detailedCount int
 		summaryCount  int
-		// omitted counts the requests that were not written, by reason.
+		// omitted counts the requests that weren't logged, by outcome label.
 		omitted           map[string]int
 		omittedReportedAt time.Time
 	}
 
-	// logDetail is how much of a request is written.
+	// logDetail is how much of a request is logged.
 	logDetail int
 )
 
@@ -68,7 +69,7 @@
 	return &decisionLog{vm: vm, now: now, metrics: m, ring: core.NewRing[steeringhttp.Event](eventRingSize), omitted: make(map[string]int), omittedReportedAt: now()}
 }
 
-// handleEvent takes in what the kernel tells.
+// handleEvent records an event of the kernel.
 func (j *decisionLog) handleEvent(e steering.Event) {
 	j.metrics.recordEvent(e)
 	if e.Kind != steering.EventFinished {
@@ -94,7 +95,7 @@
 		"come-back", e.ComeBack.String(), "pressure", e.Pressure, "target", e.Target.String(), "cause", string(e.Cause), "server-state", string(e.State))
 }
 
-// attemptedServers lists the servers that a request was sent to, with what came of it.
+// attemptedServers lists the servers that a request was sent to, with the result of each attempt.
 func attemptedServers(steps []steering.Event) string {
 	var list []string
 	for _, s := range steps {
@@ -105,7 +106,7 @@
 	return strings.Join(list, ", ")
 }
 
-// writeStep writes a decision of a request that ended a while after it.
+// writeStep logs a decision about a request that ended the given time later.
 func (j *decisionLog) writeStep(s steering.Event, ago time.Duration) {
 	if s.Kind == steering.EventSent {
 		klog.InfoS(string(s.Kind), "request", s.Request, "route", s.Route, "configuration", s.Version, "service", s.Service,
@@ -117,7 +118,7 @@
 		"expected", s.Expected.String(), "took", s.Took.String(), "server-load", s.Load, "ago", ago.String(), "error", errorText(s.Err))
 }
 
-// workList lists works for the log, as many as a line bears.
+// workList formats works for the log, up to maxWorksPerLine.
 func workList(works []quarantine.Work) string {
 	list := make([]string, 0, maxWorksPerLine)
 	for _, w := range works[:min(len(works), maxWorksPerLine)] {
@@ -126,7 +127,7 @@
 	return strings.Join(list, ", ")
 }
 
-// chooseDetail decides how much of a request is written, and counts those left out.
+// chooseDetail decides how much of a request is logged, and counts the omitted ones.
 func (j *decisionLog) chooseDetail(e steering.Event) logDetail {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -135,10 +136,10 @@
 		j.windowStart, j.detailedCount, j.summaryCount = now, 0, 0
 	}
 	j.reportOmitted(now)
-	notable := e.Reason != steering.ReasonNone || e.Attempt > 1 || isLate(e)
+	noteworthy := e.Reason != steering.ReasonNone || e.Attempt > 1 || isLate(e)
 	j.served++
 	switch {
-	case !notable && j.served%sampleRate != 0:
+	case !noteworthy && j.served%sampleEveryNth != 0:
 	case j.detailedCount < maxDetailedPerSecond:
 		j.detailedCount++
 		return logAllSteps
@@ -153,7 +154,7 @@
 // isLate reports whether a request took longer than its route's target.
 func isLate(e steering.Event) bool { return e.Target > 0 && e.Took > e.Target }
 
-// outcomeLabel names how a request ended, for counts.
+// outcomeLabel names how a request ended, for the counts of omitted requests.
 func outcomeLabel(e steering.Event) string {
 	switch {
 	case e.Reason != steering.ReasonNone:
@@ -173,7 +174,7 @@
 	j.omittedReportedAt = now
 }
 
-// record holds an event for operators to ask for.
+// record keeps an event for the operators' API.
 func (j *decisionLog) record(e steering.Event) {
 	if e.At.IsZero() {
 		e.At = j.now()
@@ -183,7 +184,7 @@
 	j.ring.Put(steeringhttp.EventOf(j.vm, e))
 }
 
-// events lists what is kept, of one request or all.
+// events lists the kept events of one request, or all if request is empty.
 func (j *decisionLog) events(request string) []steeringhttp.Event {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -196,7 +197,7 @@
 	return list
 }
 
-// formatAge is a time for the log; a negative one means that there is none.
+// formatAge formats an age for the log; a negative one means that there is none.
 func formatAge(d time.Duration) string {
 	if d < 0 {
 		return "none"
--- a/internal/proxy/forward/decisionlog_test.go
+++ b/internal/proxy/forward/decisionlog_test.go
@@ -156,7 +156,7 @@
 // Requests that end well would drown the others; one in some is written.
 func TestSuccessfulRequestsAreSampled(t *testing.T) {
 	lines := loggedRequests(t, func(j *decisionLog, _ *time.Time) {
-		for range 3 * sampleRate {
+		for range 3 * sampleEveryNth {
 			j.handleEvent(steering.Event{Kind: steering.EventFinished, Outcome: steering.Done, Attempt: 1, Target: time.Second, Took: time.Millisecond})
 		}
 		j.handleEvent(steering.Event{Kind: steering.EventFinished, Request: "slow", Outcome: steering.Done, Attempt: 1, Target: time.Second, Took: 2 * time.Second})
--- a/internal/proxy/forward/gossip.go
+++ b/internal/proxy/forward/gossip.go
@@ -18,66 +18,67 @@
 )
 
 const (
-	// gossipInterval is how often a proxy compares copies with another one.
+	// gossipInterval is the mean time between exchanges with a random peer.
 	gossipInterval = 500 * time.Millisecond
-	// bootstrapInterval is that of a proxy which knows nothing yet: a round trip
-	// between regions and some time for a copy.
+	// bootstrapInterval is the same for a proxy without a copy: a round trip between regions and
+	// some time to transfer the copy.
 	bootstrapInterval = 150 * time.Millisecond
-	// spreadFanout bounds the peers that news are sent to at once. More would
-	// fill the link of a small VM where a region has a hundred.
+	// spreadFanout bounds the peers that a change is sent to at once. In a region of a hundred
+	// proxies, sending to more would saturate the link of a small VM.
 	spreadFanout = 32
-	// forwardFanout is how many peers a proxy passes news on to in a region that is
-	// larger than that: four from each of 32 reach a hundred with little to
-	// spare, and the exchanges make up for the rest.
+	// forwardFanout is how many peers a proxy forwards a change to in a region larger than
+	// spreadFanout: four from each of 32 just reach a hundred, and the periodic exchanges cover
+	// the rest.
 	forwardFanout = 4
-	// alertRemoteFanout is how many other regions are alerted at once.
+	// alertRemoteFanout is the number of other regions in which a peer is alerted.
 	alertRemoteFanout = 3
-	// confirmFanout is how many peers the first relay of a large region tells that nothing
-	// has changed. By exchanges alone that took three seconds in a region of a hundred,
-	// so that dozens took their copies for old and asked the store themselves.
+	// confirmFanout is how many peers the first relay of a large region tells that nothing has
+	// changed. By exchanges alone this took three seconds in a region of a hundred, so that dozens
+	// of proxies considered their copies stale and queried the store themselves.
 	confirmFanout = 12
-	// maxNamedPeers is how many peers a proxy names that may not give everything.
+	// maxNamedPeers is how many other peers a proxy names if it can't send a full copy itself.
 	maxNamedPeers = 4
-	// offerMinBytes is the size of news, in bytes, from which a peer is asked first whether it
-	// has them: two relays and the exchanges would each bring it all of a configuration.
+	// offerMinBytes is the size from which a peer is first asked whether it already has a change:
+	// otherwise two relays and the exchanges would each send it a whole configuration.
 	offerMinBytes = 2 << 10
-	// offerStagger is how long each relay leaves large news to the one before it.
+	// offerStagger is how long each relay waits with large changes per relay ranked before it, so
+	// that those can deliver them first.
 	offerStagger = 100 * time.Millisecond
-	// remoteExchangeRatio is how many exchanges go to another region: one in so many.
-	remoteExchangeRatio = 4
+	// exchangesPerRemote is the number of exchanges of which one goes to another region.
+	exchangesPerRemote = 4
 )
 
 type (
-	// gossip compares the copy with other proxies' and spreads news.
+	// gossip exchanges the copy's changes with other proxies.
 	gossip struct {
 		replica *storeReplica
 		send    func(ctx context.Context, to netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error)
 
 		mu sync.Mutex
-		// namedPeers are peers that the last answer named, to be asked next.
+		// namedPeers are the peers named by the last response, to be queried next.
 		namedPeers []netip.AddrPort
 	}
 )
 
 func (g *gossip) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		every := gossipInterval
+		interval := gossipInterval
 		if g.replica.revision() == 0 {
-			every = bootstrapInterval
+			interval = bootstrapInterval
 		}
-		sleep.For(ctx, every/2+rand.N(every))
+		sleep.For(ctx, interval/2+rand.N(interval))
 		if to, ok := g.pickPeer(); ok {
 			g.exchange(ctx, to)
 		}
 	}
 }
 
-// exchange tells a peer the own revision, takes in what it has, and sends it
-// what it lacks.
+// exchange sends a peer this copy's revision, merges the changes that the peer returns, and sends
+// it those that it lacks.
 func (g *gossip) exchange(ctx context.Context, to netip.AddrPort) {
 	reply, err := g.send(ctx, to, g.message(g.replica.deltaSince(g.replica.revision()), false))
 	if err != nil {
-		klog.V(1).InfoS("peer did not answer", "peer", to, "error", err.Error())
+		klog.V(1).InfoS("exchange with peer failed", "peer", to, "error", err.Error())
 		return
 	}
 	g.merge(reply)
@@ -89,26 +90,26 @@
 func (g *gossip) sendDelta(ctx context.Context, to netip.AddrPort, since uint64) {
 	reply, err := g.send(ctx, to, g.message(g.replica.deltaSince(since), false))
 	if err != nil {
-		klog.V(1).InfoS("news not delivered", "peer", to, "error", err.Error())
+		klog.V(1).InfoS("changes not delivered to peer", "peer", to, "error", err.Error())
 		return
 	}
 	g.merge(reply)
 }
 
-// handle answers a peer and passes its news on.
+// handle merges a peer's message, forwards its changes, and returns what the peer lacks.
 func (g *gossip) handle(ctx context.Context, m peerdrpc.SyncMessage) peerdrpc.SyncMessage {
 	before := g.replica.revision()
 	if g.merge(m) && before > 0 && len(m.Entries) > 0 {
 		g.forward(ctx, before)
 	}
-	answer := g.message(g.replica.deltaSince(m.Revision), m.Revision == 0)
-	if m.Revision == 0 && !answer.Whole {
-		answer.Others = g.namePeers()
+	response := g.message(g.replica.deltaSince(m.Revision), m.Revision == 0)
+	if m.Revision == 0 && !response.Whole {
+		response.Others = g.namePeers()
 	}
-	return answer
+	return response
 }
 
-// merge takes a peer's message in and reports whether the copy advanced.
+// merge applies a peer's message and reports whether the copy advanced.
 func (g *gossip) merge(m peerdrpc.SyncMessage) bool {
 	g.replica.handlePeerState(m)
 	if len(m.Held)+len(m.Suspicions)+len(m.Signals) > 0 {
@@ -124,31 +125,31 @@
 	return g.replica.apply(m.Delta)
 }
 
-// namePeers names a few peers for one that starts: hundreds may start at once and
-// know the same three seeds, which could not give all of them everything.
+// namePeers picks a few peers for a proxy that starts: hundreds may start at once and know only
+// the same three seeds, which couldn't send a full copy to all of them.
 func (g *gossip) namePeers() []netip.AddrPort {
-	near, far := g.peers()
-	list := slices.Concat(near, slices.Concat(slices.Collect(maps.Values(far))...))
+	local, remote := g.peers()
+	list := slices.Concat(local, slices.Concat(slices.Collect(maps.Values(remote))...))
 	return sample(list, maxNamedPeers)
 }
 
-// message tells a peer what it lacks of the copy and what else it should hear; a peer
-// that has just started hears of all suspicions.
-func (g *gossip) message(d replica.Delta, starts bool) peerdrpc.SyncMessage {
+// message returns a message with a delta of the copy and this proxy's other state. A peer that
+// has just started gets all quarantine and backpressure reports.
+func (g *gossip) message(d replica.Delta, newPeer bool) peerdrpc.SyncMessage {
 	return peerdrpc.SyncMessage{
-		Suspicions: g.replica.daemon.quarantineReports(starts), Signals: g.replica.daemon.backpressureReports(starts),
+		Suspicions: g.replica.daemon.quarantineReports(newPeer), Signals: g.replica.daemon.backpressureReports(newPeer),
 		From: g.replica.daemon.settings.Name, Started: g.replica.daemon.startMillis(), Leaving: g.replica.daemon.isStopping(),
 		Held: g.replica.daemon.learnedLimits(), Delta: d,
 	}
 }
 
-// pickPeer draws a peer, mostly of the own region; without any known, one that a
+// pickPeer picks a random peer, mostly of this region. If no peers are known, it picks one that a
 // seed named, or a seed.
 func (g *gossip) pickPeer() (netip.AddrPort, bool) {
-	near, far := g.peers()
-	list := near
-	if len(far) > 0 && (len(near) == 0 || rand.N(remoteExchangeRatio) == 0) {
-		list = slices.Concat(slices.Collect(maps.Values(far))...)
+	local, remote := g.peers()
+	list := local
+	if len(remote) > 0 && (len(local) == 0 || rand.N(exchangesPerRemote) == 0) {
+		list = slices.Concat(slices.Collect(maps.Values(remote))...)
 	}
 	if len(list) == 0 {
 		list = g.takeNamedPeers()
@@ -163,8 +164,8 @@
 	return list[rand.N(len(list))], true
 }
 
-// takeNamedPeers lists the peers that the last answer named, once, without this
-// proxy: its entry of before a restart may still be there.
+// takeNamedPeers returns the peers named by the last response and clears them. It leaves out this
+// proxy, whose entry from before a restart may still exist.
 func (g *gossip) takeNamedPeers() []netip.AddrPort {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -174,31 +175,30 @@
 	return list
 }
 
-// peers lists the other proxies of the own region and those of each other
-// region.
-func (g *gossip) peers() (near []netip.AddrPort, far map[string][]netip.AddrPort) {
+// peers lists the other proxies of this region and those of each other region.
+func (g *gossip) peers() (local []netip.AddrPort, remote map[string][]netip.AddrPort) {
 	f := g.replica
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	far = make(map[string][]netip.AddrPort)
+	remote = make(map[string][]netip.AddrPort)
 	for name, m := range f.members {
 		switch {
 		case name == f.daemon.settings.Name:
 		case m.Region == f.daemon.settings.Region:
-			near = append(near, m.Peers)
+			local = append(local, m.Peers)
 		default:
-			far[m.Region] = append(far[m.Region], m.Peers)
+			remote[m.Region] = append(remote[m.Region], m.Peers)
 		}
 	}
-	return near, far
+	return local, remote
 }
 
-// spread sends news to the whole region and to one proxy in each other one,
-// in case that region's relays are cut off.
+// spread sends changes to the peers of this region, up to spreadFanout, and to one proxy in each
+// other region, in case that region's relays can't reach the store.
 func (g *gossip) spread(ctx context.Context, since uint64) {
-	near, far := g.peers()
-	list := sample(near, spreadFanout)
-	for _, region := range far {
+	local, remote := g.peers()
+	list := sample(local, spreadFanout)
+	for _, region := range remote {
 		list = append(list, region[rand.N(len(region))])
 	}
 	for _, to := range list {
@@ -206,7 +206,7 @@
 	}
 }
 
-// offerDelta sends news to a peer, large ones only if it lacks them.
+// offerDelta sends changes to a peer; large ones only if the peer lacks them.
 func (g *gossip) offerDelta(ctx context.Context, to netip.AddrPort, since uint64) {
 	if g.replica.deltaSince(since).Size() < offerMinBytes {
 		g.sendDelta(ctx, to, since)
@@ -215,7 +215,7 @@
 	sleep.For(ctx, time.Duration(min(g.replica.rank(), replica.Relays))*offerStagger)
 	reply, err := g.send(ctx, to, g.message(g.replica.deltaSince(g.replica.revision()), false))
 	if err != nil {
-		klog.V(1).InfoS("news not delivered", "peer", to, "error", err.Error())
+		klog.V(1).InfoS("changes not delivered to peer", "peer", to, "error", err.Error())
 		return
 	}
 	g.merge(reply)
@@ -224,53 +224,55 @@
 	}
 }
 
-// confirm tells some peers of a large region that the copy is the store's state.
+// confirm tells some peers of a large region that the copy still matches the store.
 func (g *gossip) confirm(ctx context.Context) {
-	near, _ := g.peers()
-	if len(near) <= spreadFanout {
+	local, _ := g.peers()
+	if len(local) <= spreadFanout {
 		return
 	}
-	for _, to := range sample(near, confirmFanout) {
+	for _, to := range sample(local, confirmFanout) {
 		go g.sendDelta(ctx, to, g.replica.revision())
 	}
 }
 
-// sendAlerts tells a few peers of the region, and one of a few other regions, of work that ends
-// servers. Whoever hears news alerts others in turn: four and three from each reach 1,300
-// within four rounds. It tells how many were alerted.
+// sendAlerts sends reports of work that crashes servers to a few peers of this region and to one
+// peer in each of a few other regions. Each proxy that receives new reports alerts others in turn:
+// with four and three alerts from each, 1,300 proxies are reached within four rounds. It returns
+// the number of peers alerted.
 func (g *gossip) sendAlerts(ctx context.Context) int {
-	near, far := g.peers()
-	list := sample(near, forwardFanout)
-	var others []netip.AddrPort
-	for _, region := range far {
-		others = append(others, region[rand.N(len(region))])
+	local, remote := g.peers()
+	list := sample(local, forwardFanout)
+	var remotePeers []netip.AddrPort
+	for _, region := range remote {
+		remotePeers = append(remotePeers, region[rand.N(len(region))])
 	}
-	list = append(list, sample(others, alertRemoteFanout)...)
+	list = append(list, sample(remotePeers, alertRemoteFanout)...)
 	for _, to := range list {
 		go g.sendDelta(ctx, to, g.replica.revision())
 	}
 	return len(list)
 }
 
-// forward sends a peer's news on. A relay that hears of a change from another region
-// before its own watch answers tells its region, which nobody else might; and
-// where a region is too large for its relays to reach all, each tells a few.
+// forward sends changes received from a peer to others. A relay that receives a change from
+// another region before its own watch returns sends it to its region, since possibly no other
+// proxy would. In a region too large for its relays to reach all proxies, each proxy forwards to a
+// few.
 func (g *gossip) forward(ctx context.Context, since uint64) {
-	near, _ := g.peers()
-	most := 0
+	local, _ := g.peers()
+	fanout := 0
 	switch {
 	case g.replica.rank() < replica.Relays:
-		most = spreadFanout
-	case len(near) > spreadFanout:
-		most = forwardFanout
+		fanout = spreadFanout
+	case len(local) > spreadFanout:
+		fanout = forwardFanout
 	}
-	for _, to := range sample(near, most) {
+	for _, to := range sample(local, fanout) {
 		go g.offerDelta(ctx, to, since)
 	}
 }
 
-// sample draws up to most of a list, which it reorders.
-func sample(list []netip.AddrPort, most int) []netip.AddrPort {
+// sample returns up to limit random elements of a list, which it shuffles.
+func sample(list []netip.AddrPort, limit int) []netip.AddrPort {
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:min(len(list), most)]
+	return list[:min(len(list), limit)]
 }
--- a/internal/proxy/forward/handlers.go
+++ b/internal/proxy/forward/handlers.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// lookupTTL is how long callers should keep an answer: short, so
-	// that they learn of proxies that left within a planned stop.
+	// lookupTTL is how long callers should cache a lookup response. It is short so that callers
+	// learn of a leaving proxy before its graceful shutdown ends.
 	lookupTTL = 2 * time.Second
 )
 
@@ -63,24 +63,24 @@
 	return router
 }
 
-// status is what operators see of this proxy.
+// status describes this proxy for the operators' API.
 func (d *Daemon) status() steeringhttp.Status {
-	var view steering.Status
+	var status steering.Status
 	var table *routing.Table
-	d.withKernel(func(k *steering.Kernel, now time.Time) { view, table = k.Status(now), k.Table() })
+	d.withKernel(func(k *steering.Kernel, now time.Time) { status, table = k.Status(now), k.Table() })
 	s := steeringhttp.Status{
-		VM: d.settings.Name, Configuration: view.Version, CopyRevision: d.replica.revision(),
-		CopyAge: d.replica.age().Round(time.Millisecond).String(), InFlight: view.InFlight, Stopping: d.isStopping(),
-		Evacuated: view.Evacuated, Stranded: view.Stranded, Off: view.Off, Holding: view.Holding, Proxies: d.replica.proxies(), At: time.Now(),
+		VM: d.settings.Name, Configuration: status.Version, CopyRevision: d.replica.revision(),
+		CopyAge: d.replica.age().Round(time.Millisecond).String(), InFlight: status.InFlight, Stopping: d.isStopping(),
+		Evacuated: status.Evacuated, Stranded: status.Stranded, Off: status.Off, Holding: status.Holding, Proxies: d.replica.proxies(), At: time.Now(),
 	}
-	for _, b := range view.Servers {
+	for _, b := range status.Servers {
 		s.Servers = append(s.Servers, serverStatus(b))
 	}
-	for _, c := range view.Condemned {
+	for _, c := range status.Condemned {
 		s.Condemned = append(s.Condemned, steeringhttp.CondemnedWork{Work: c.Work.String(), Ends: c.Open(), For: c.For.Round(time.Second).String()})
 	}
-	s.Holders, s.Pool = view.Holders, view.Pool
-	for _, a := range view.Accounts {
+	s.Holders, s.Pool = status.Holders, status.Pool
+	for _, a := range status.Accounts {
 		s.Accounts = append(s.Accounts, accountStatus(a))
 	}
 	if table == nil {
@@ -97,7 +97,7 @@
 	return s
 }
 
-// serverStatus is a backend server as operators see it.
+// serverStatus describes a backend server for the operators' API.
 func serverStatus(b steering.ServerStatus) steeringhttp.BackendServer {
 	out := steeringhttp.BackendServer{
 		ID: b.ID, Service: b.Service, Domain: b.Domain, State: steeringhttp.StateOf(b), InFlight: b.InFlight,
@@ -112,7 +112,7 @@
 	return out
 }
 
-// accountStatus is a client account as operators see it.
+// accountStatus describes a client account for the operators' API.
 func accountStatus(a steering.AccountStatus) steeringhttp.Account {
 	out := steeringhttp.Account{
 		Name: a.Name, Regions: a.Regions, Priority: a.Priority, LimitPerSecond: a.Limit.PerSecond, Burst: a.Limit.Burst,
--- a/internal/proxy/forward/members.go
+++ b/internal/proxy/forward/members.go
@@ -19,49 +19,50 @@
 )
 
 type (
-	// proxyEntry is a proxy's own entry in the store.
+	// proxyEntry is the entry that each proxy writes to the store.
 	proxyEntry struct {
 		Name    string         `json:"name"`
 		Domain  string         `json:"failure-domain"`
 		Region  string         `json:"region"`
 		Callers netip.AddrPort `json:"callers"`
 		Peers   netip.AddrPort `json:"peers"`
-		// Operators is where the command line asks.
+		// Operators is the address of the operators' API, used by the command line.
 		Operators netip.AddrPort `json:"operators"`
-		// LinkMbps is how wide its link is, in Mbit/s; zero if not known.
+		// LinkMbps is the bandwidth of the VM's link, in Mbit/s; zero if unknown.
 		LinkMbps int  `json:"link-mbps,omitempty"`
 		Leaving  bool `json:"leaving,omitempty"`
-		// Held is what the proxy has learned of services whose servers slow down when
-		// full. It outlives the process by its lease: proxies that have all lost power
-		// need not learn it again while every queue is full.
+		// Held holds the concurrency limits learned for services whose servers slow down when
+		// full. The entry outlives the process by its lease, so that proxies that have all lost
+		// power need not learn them again while every queue is full.
 		Held []steering.Held `json:"held,omitempty"`
-		// Started tells the starts of a VM under one name apart: Unix milliseconds
-		// of its own clock, zero from a proxy that does not tell.
+		// Started distinguishes the starts of a VM under one name: Unix milliseconds by its own
+		// clock, zero if the proxy does not report it.
 		Started int64 `json:"started,omitempty"`
 	}
 )
 
-// dispatchProxies takes in the changes of proxies' entries. It comes before the
-// servers: a proxy that knew a cold server and no other proxy would send it all
-// that it bears.
+// dispatchProxies applies the changed entries of proxies. It must run before the servers' entries
+// are applied: a proxy that knew a cold server but no other proxies would use the server's whole
+// warm-up rate.
 func (f *storeReplica) dispatchProxies(changed []replica.Entry) {
-	gone := false
+	removed := false
 	for _, e := range changed {
 		if name, ok := strings.CutPrefix(e.Key, proxyKeyPrefix); ok {
 			f.dispatchProxyEntry(name, e)
 			f.proxiesStale = true
-			gone = gone || e.Removed
+			removed = removed || e.Removed
 		}
 	}
-	// When hundreds start, each hears of the others in hundreds of messages, and a list
-	// for each was most of what starting took. So arrivals just after a list wait for the
-	// next tick; one that is gone must not be named to callers until then.
-	if f.proxiesStale && (gone || f.daemon.now().Sub(f.proxiesSetAt) >= tickInterval) {
+	// When hundreds of proxies start, each learns of the others in hundreds of messages, and
+	// updating the kernel for each message was most of the cost of a start. So additions shortly
+	// after an update wait for the next tick. Removals don't: a proxy that is gone must not be
+	// returned to callers until then.
+	if f.proxiesStale && (removed || f.daemon.now().Sub(f.proxiesSetAt) >= tickInterval) {
 		f.setProxies()
 	}
 }
 
-// flushProxies brings a list to the kernel that has been put off.
+// flushProxies passes changes of the proxies that were deferred to the kernel.
 func (f *storeReplica) flushProxies() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,7 +81,7 @@
 		if e.Doubtful {
 			f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.DoubtProxies(now.Add(absenceGracePeriod)) })
 		}
-		klog.InfoS("proxy gone", "proxy", name)
+		klog.InfoS("proxy removed", "proxy", name)
 		return
 	}
 	m, err := f.decodeMember(name, e.Value)
@@ -96,19 +97,18 @@
 	if len(m.Held) > 0 {
 		f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.SetHolding(now, m.Held) })
 	}
-	klog.InfoS("proxy known", "proxy", name, "failure-domain", m.Domain)
+	klog.InfoS("proxy registered", "proxy", name, "failure-domain", m.Domain)
 }
 
-// decodeMember reads a proxy's entry. Callers are sent to the address in it and
-// limits are divided by the number of entries, so one that is not whole names no
-// proxy.
+// decodeMember decodes a proxy's entry. Callers are sent to its address and rate limits are
+// divided by the number of entries, so an incomplete entry is rejected.
 func (f *storeReplica) decodeMember(name string, data []byte) (proxyEntry, error) {
 	var m proxyEntry
 	if err := operator.CheckSyntax(data); err != nil {
 		return m, err
 	}
 	if err := json.Unmarshal(data, &m); err != nil {
-		return m, errors.Wrap(err, "entry")
+		return m, errors.Wrap(err, "decode proxy entry")
 	}
 	if m.Name != name {
 		return m, &operator.FieldError{Field: "name", Want: strconv.Quote(name) + ", as in the key", Got: strconv.Quote(m.Name)}
@@ -121,7 +121,7 @@
 	return m, f.checkDomain(m.Domain, m.Region)
 }
 
-// setProxies brings the list of live proxies to the kernel.
+// setProxies passes the list of live proxies to the kernel.
 func (f *storeReplica) setProxies() {
 	f.proxiesSetAt, f.proxiesStale = f.daemon.now(), false
 	list := make([]steering.Proxy, 0, len(f.members))
@@ -131,22 +131,22 @@
 	f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.SetProxies(now, list) })
 }
 
-// handlePeerState takes in a proxy's own word: whether it leaves, and how fresh its copy is.
-// What a process said before its VM started again may come after the new entry,
-// and would have the new process leave for as long as it lives.
-func (f *storeReplica) handlePeerState(said peerdrpc.SyncMessage) {
+// handlePeerState applies what a peer reports of itself: whether it is leaving, and the age of its
+// copy. A leaving message of an earlier start may arrive after the entry of the new one and must
+// be ignored, or the new process would count as leaving for its lifetime.
+func (f *storeReplica) handlePeerState(msg peerdrpc.SyncMessage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	name := said.From
+	name := msg.From
 	m, known := f.members[name]
 	if !known {
 		return
 	}
-	if m.Region == f.daemon.settings.Region && replica.Fresh(said.Age) {
+	if m.Region == f.daemon.settings.Region && replica.Fresh(msg.Age) {
 		f.peerFreshAt = f.daemon.now()
 	}
-	sameStart := said.Started == 0 || said.Started == m.Started
-	if said.Leaving && sameStart && !m.Leaving {
+	sameStart := msg.Started == 0 || msg.Started == m.Started
+	if msg.Leaving && sameStart && !m.Leaving {
 		m.Leaving = true
 		f.members[name] = m
 		f.membershipChanges++
@@ -154,7 +154,7 @@
 	}
 }
 
-// proxies lists the known proxies for operators.
+// proxies lists the known proxies for the operators' API, by name.
 func (f *storeReplica) proxies() []steeringhttp.Proxy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -166,7 +166,7 @@
 	return list
 }
 
-// peerAddress is where other proxies reach one by its name.
+// peerAddress returns the peer address of the proxy of a name.
 func (f *storeReplica) peerAddress(name string) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -174,7 +174,7 @@
 	return m.Peers, known
 }
 
-// candidates lists the proxies that match and do not leave.
+// candidates lists the matching proxies that aren't leaving.
 func (f *storeReplica) candidates(matches func(proxyEntry) bool) []replica.Candidate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -187,16 +187,16 @@
 	return list
 }
 
-// membershipVersion counts the changes of who is known and who leaves.
+// membershipVersion changes whenever the set of known or of leaving proxies does.
 func (f *storeReplica) membershipVersion() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.membershipChanges
 }
 
-// rank is this proxy's place among those of its region. While none is known, as when
-// a whole fleet starts, the seeds follow the store and tell the others; hundreds that
-// each took themselves for the first made a call for each of the others' entries.
+// rank is this proxy's rank among those of its region. While no proxies are known, as when a whole
+// fleet starts, only the seeds are relays: when hundreds of proxies each considered themselves the
+// first, each made a store call for every other proxy's entry.
 func (f *storeReplica) rank() int {
 	settings := f.daemon.settings
 	list := f.candidates(func(m proxyEntry) bool { return m.Region == settings.Region })
--- a/internal/proxy/forward/metrics.go
+++ b/internal/proxy/forward/metrics.go
@@ -10,8 +10,8 @@
 )
 
 type (
-	// proxyMetrics holds the process's metrics. Names follow the Prometheus habit:
-	// base units, and _total for counters.
+	// proxyMetrics holds the process's metrics. Names follow the Prometheus conventions: base
+	// units, and _total for counters.
 	proxyMetrics struct {
 		set                      *metrics.Set
 		serverConnectionsOpened  *metrics.Counter
@@ -49,7 +49,7 @@
 	}
 }
 
-// recordEvent counts. The kernel's lock is held, so the maps need none.
+// recordEvent counts an event. The caller holds the kernel's lock, which guards the maps.
 func (m *proxyMetrics) recordEvent(e steering.Event) {
 	if e.Kind != steering.EventFinished {
 		m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_events_total{kind=%q}", e.Kind)).Inc()
@@ -94,12 +94,12 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_store_calls_total{operation=%q,failed=\"%t\"}", operation, err != nil)).Inc()
 }
 
-// recordRejectedEntry counts an entry that cannot be used.
+// recordRejectedEntry counts an invalid entry of the store.
 func (m *proxyMetrics) recordRejectedEntry(kind string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_entries_refused_total{kind=%q}", kind)).Inc()
 }
 
-// registerGauges adds gauges that are read when asked for.
+// registerGauges adds the gauges, which are computed when the metrics are read.
 func (m *proxyMetrics) registerGauges(d *Daemon, dropped func() uint64) {
 	status := func(read func(steering.Status) float64) func() float64 {
 		return func() float64 {
@@ -112,10 +112,10 @@
 	m.set.NewGauge("gypsumquay_in_flight_requests", status(func(s steering.Status) float64 { return float64(s.InFlight) }))
 	m.set.NewGauge("gypsumquay_live_proxies", status(func(s steering.Status) float64 { return float64(len(s.Proxies)) }))
 	m.set.NewGauge("gypsumquay_backend_servers", status(func(s steering.Status) float64 { return float64(len(s.Servers)) }))
-	servers := func(counts func(steering.ServerStatus) bool) func() float64 {
+	servers := func(matches func(steering.ServerStatus) bool) func() float64 {
 		return status(func(s steering.Status) (n float64) {
 			for _, b := range s.Servers {
-				if counts(b) {
+				if matches(b) {
 					n++
 				}
 			}
--- a/internal/proxy/forward/permits.go
+++ b/internal/proxy/forward/permits.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// permitPollInterval is how long a queued question waits before its owner is asked whether
-	// it is still there: a grant may be lost, and an owner gone.
+	// permitPollInterval is how often a queued request for a permit is sent to the owner again: a
+	// grant may be lost, and the owner may be gone.
 	permitPollInterval = 300 * time.Millisecond
 )
 
 type (
-	// permitClient asks for places at servers, of other proxies or of the own kernel, and
-	// carries what the own gates grant.
+	// permitClient requests permits to send a request to a server, and delivers those granted
+	// here. Each server's permits are granted by one proxy, the owner of its admission gate.
 	permitClient struct {
 		daemon *Daemon
 
 		mu sync.Mutex
-		// waiting are the own questions that are queued, by their ids.
+		// waiting holds this proxy's queued requests for permits, by ticket id.
 		waiting map[uint64]chan steering.Reply
 	}
 )
@@ -34,31 +34,31 @@
 	return &permitClient{daemon: d, waiting: make(map[uint64]chan steering.Reply)}
 }
 
-// acquire waits until a place is granted or denied, but not for longer than one is of
-// use. It reports false if the owner of the gate does not answer, or the context ends.
+// acquire waits until a permit is granted or denied, at most until a.Last, after which it would be
+// too late. It reports false if the owner of the gate doesn't answer or the context is canceled.
 func (p *permitClient) acquire(ctx context.Context, a steering.Ask) (steering.Reply, bool) {
-	granted := p.register(a.ID)
+	replies := p.register(a.ID)
 	defer p.forget(a.ID)
-	last := time.NewTimer(a.Last.Sub(p.daemon.now()))
-	defer last.Stop()
+	deadline := time.NewTimer(a.Last.Sub(p.daemon.now()))
+	defer deadline.Stop()
 	for {
 		reply, answered := p.request(ctx, a)
 		if !answered || reply.Verdict != admission.Queued {
 			return reply, answered
 		}
-		again := time.NewTimer(permitPollInterval)
+		poll := time.NewTimer(permitPollInterval)
 		select {
-		case reply = <-granted:
-			again.Stop()
+		case reply = <-replies:
+			poll.Stop()
 			return reply, true
-		case <-last.C:
-			again.Stop()
+		case <-deadline.C:
+			poll.Stop()
 			reply.Verdict = admission.Denied
 			return reply, true
 		case <-ctx.Done():
-			again.Stop()
+			poll.Stop()
 			return steering.Reply{}, false
-		case <-again.C:
+		case <-poll.C:
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	}
 	reply, err := d.peerClient.Ask(ctx, peer, d.now(), a)
 	if err != nil {
-		klog.V(1).InfoS("gate does not answer", "proxy", a.Owner.Name, "server", a.Server, "error", err.Error())
+		klog.V(1).InfoS("permit request to gate owner failed", "proxy", a.Owner.Name, "server", a.Server, "error", err.Error())
 	}
 	return reply, err == nil
 }
@@ -83,9 +83,9 @@
 func (p *permitClient) register(id uint64) chan steering.Reply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	granted := make(chan steering.Reply, 1)
-	p.waiting[id] = granted
-	return granted
+	replies := make(chan steering.Reply, 1)
+	p.waiting[id] = replies
+	return replies
 }
 
 func (p *permitClient) forget(id uint64) {
@@ -94,22 +94,22 @@
 	delete(p.waiting, id)
 }
 
-// deliver takes in what has become of an own question. Whoever no longer waits for it
-// has given the place back.
+// deliver passes a reply to the request that waits for it. If none does, it has given up and
+// released the permit.
 func (p *permitClient) deliver(r steering.Reply) {
 	p.mu.Lock()
-	granted := p.waiting[r.ID]
+	replies := p.waiting[r.ID]
 	p.mu.Unlock()
-	if granted == nil {
+	if replies == nil {
 		return
 	}
 	select {
-	case granted <- r:
+	case replies <- r:
 	default:
 	}
 }
 
-// release tells the owner of a gate that a place is free.
+// release returns a permit to the owner of the gate.
 func (p *permitClient) release(r steering.Release) {
 	d := p.daemon
 	if r.Owner.Name == d.settings.Name {
@@ -122,19 +122,20 @@
 	}
 	go func() {
 		if err := d.peerClient.Release(context.Background(), peer, r); err != nil {
-			klog.V(1).InfoS("place not given back; it runs out", "proxy", r.Owner.Name, "server", r.Server, "error", err.Error())
+			klog.V(1).InfoS("permit not released; it will expire", "proxy", r.Owner.Name, "server", r.Server, "error", err.Error())
 		}
 	}()
 }
 
-// releaseLocal takes a place at an own gate back and tells who gets it.
+// releaseLocal returns a permit to a gate owned by this proxy, and sends the permits that are
+// granted in turn.
 func (p *permitClient) releaseLocal(r steering.Release) {
 	var grants []steering.Reply
 	p.daemon.withKernel(func(k *steering.Kernel, now time.Time) { grants = k.HearRelease(now, r) })
 	p.sendReplies(grants)
 }
 
-// sendReplies carries what own gates have granted or denied to those that asked.
+// sendReplies sends grants and denials of this proxy's gates to the proxies that requested them.
 func (p *permitClient) sendReplies(grants []steering.Reply) {
 	d := p.daemon
 	for _, g := range grants {
@@ -150,6 +151,6 @@
 
 func (p *permitClient) sendReply(peer netip.AddrPort, g steering.Reply) {
 	if err := p.daemon.peerClient.Grant(context.Background(), peer, g); err != nil {
-		klog.V(1).InfoS("grant not delivered; the proxy asks again", "proxy", g.From, "error", err.Error())
+		klog.V(1).InfoS("permit not delivered; the proxy will ask again", "proxy", g.From, "error", err.Error())
 	}
 }
--- a/internal/proxy/forward/quarantine.go
+++ b/internal/proxy/forward/quarantine.go
@@ -18,33 +18,33 @@
 )
 
 const (
-	// quarantineInterval is how often condemned work is compared with what is stored, and the
-	// time that each proxy gives those before it to store it.
+	// quarantineInterval is how often the quarantined work is compared with the store, and how
+	// long each proxy waits per proxy ranked before it for one of those to store an entry.
 	quarantineInterval = time.Second
-	// quarantineTTL is the lease of a stored verdict; the longest that the store gives.
+	// quarantineTTL is the lease of a stored entry: the longest that the store grants.
 	quarantineTTL = 10 * time.Minute
-	// quarantineRenewInterval leaves a renewal to fail before the lease ends.
+	// quarantineRenewInterval allows one renewal to fail before the lease expires.
 	quarantineRenewInterval = 4 * time.Minute
-	// quarantineRetryDelay is the time between two tries while the store does not answer.
+	// quarantineRetryDelay is the additional pause after a failed store call.
 	quarantineRetryDelay = 5 * time.Second
-	// maxQuarantineEntries bounds the verdicts that are stored.
+	// maxQuarantineEntries bounds the stored entries.
 	maxQuarantineEntries = 64
 )
 
 type (
-	// quarantineStore keep condemned work in the platform's store. All proxies may lose power
-	// at once, and those that come back would let the work end servers until they have
-	// found it out again. A verdict is rare: two calls each, made by one proxy.
+	// quarantineStore keeps quarantined work in the platform's store. All proxies may lose power
+	// at once; without the stored entries, the work would crash more servers after a restart until
+	// it is detected again. Entries are rare: each costs two calls, made by one proxy.
 	quarantineStore struct {
 		daemon *Daemon
 		store  Store
 
 		mu sync.Mutex
-		// stored are the verdicts that are in the store, as far as is known.
+		// stored holds the works known to have an entry in the store.
 		stored map[quarantine.Work]bool
-		// owned are those that this proxy has stored.
+		// owned holds the leases of the entries that this proxy has stored.
 		owned map[quarantine.Work]ownedLease
-		// missingSince is when this proxy first found work condemned that is not stored.
+		// missingSince is when this proxy first saw that a quarantined work has no entry.
 		missingSince map[quarantine.Work]time.Time
 	}
 
@@ -53,17 +53,17 @@
 		renewedAt time.Time
 	}
 
-	// quarantineEntry is the text of a stored verdict.
+	// quarantineEntry is the stored record of a quarantined work.
 	quarantineEntry struct {
 		Work quarantine.Work   `json:"work"`
 		Ends []quarantineCrash `json:"ends"`
-		// RanWell is set if the work had run well before.
+		// RanWell is set if the work had run successfully before.
 		RanWell bool `json:"ran-well,omitempty"`
 	}
 
 	quarantineCrash struct {
 		Server quarantine.Server `json:"server"`
-		// AgeMilli is how long ago it was when the verdict was stored, in milliseconds.
+		// AgeMilli is the age of the crash when the entry was stored, in milliseconds.
 		AgeMilli int64 `json:"age-milli"`
 	}
 )
@@ -75,8 +75,8 @@
 	}
 }
 
-// handleEntry takes in a stored verdict, or its end. An end clears nothing: a lease may have
-// run out.
+// handleEntry applies a stored entry or its removal. A removal doesn't end the quarantine, since
+// the lease may just have expired.
 func (v *quarantineStore) handleEntry(name string, e replica.Entry) {
 	var work quarantine.Work
 	if err := work.UnmarshalText([]byte(name)); err != nil {
@@ -105,7 +105,7 @@
 	}
 	var stored quarantineEntry
 	if err := json.Unmarshal(data, &stored); err != nil {
-		return r, errors.Wrap(err, "verdict")
+		return r, errors.Wrap(err, "decode quarantine entry")
 	}
 	if stored.Work != work {
 		return r, &operator.FieldError{Field: "work", Want: strconv.Quote(work.String()) + ", as in the key", Got: strconv.Quote(stored.Work.String())}
@@ -126,18 +126,18 @@
 		var list []steering.Condemnation
 		v.daemon.withKernel(func(k *steering.Kernel, now time.Time) { list = k.Condemned(now) })
 		if err := v.reconcile(ctx, list[:min(len(list), maxQuarantineEntries)]); err != nil {
-			klog.InfoS("verdicts not stored yet", "condemned", len(list), "error", err.Error())
+			klog.InfoS("storing quarantined work failed; retrying", "condemned", len(list), "error", err.Error())
 			sleep.For(ctx, quarantineRetryDelay)
 		}
 	}
 }
 
-// reconcile stores what is not stored, renews what this proxy has stored, and takes back what
-// is no longer condemned.
+// reconcile stores missing entries, renews the leases of those that this proxy has stored, and
+// revokes the leases of work that is no longer quarantined.
 func (v *quarantineStore) reconcile(ctx context.Context, list []steering.Condemnation) error {
-	condemned := make(map[quarantine.Work]bool, len(list))
+	quarantined := make(map[quarantine.Work]bool, len(list))
 	for _, c := range list {
-		condemned[c.Work] = true
+		quarantined[c.Work] = true
 		if !v.shouldStore(c) {
 			continue
 		}
@@ -145,17 +145,17 @@
 			return err
 		}
 	}
-	v.dropMissingSince(condemned)
-	for work, own := range v.ownedLeases() {
-		if err := v.maintainLease(ctx, work, own, condemned[work]); err != nil {
+	v.dropMissingSince(quarantined)
+	for work, lease := range v.ownedLeases() {
+		if err := v.maintainLease(ctx, work, lease, quarantined[work]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// shouldStore reports whether this proxy should store a verdict now: the first in rank at once,
-// each other if those before it have not.
+// shouldStore reports whether this proxy should store an entry now: the proxy ranked first does so
+// at once, each other one if those before it haven't.
 func (v *quarantineStore) shouldStore(c steering.Condemnation) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -171,11 +171,11 @@
 	return now.Sub(since) >= time.Duration(c.Rank)*quarantineInterval
 }
 
-func (v *quarantineStore) dropMissingSince(condemned map[quarantine.Work]bool) {
+func (v *quarantineStore) dropMissingSince(quarantined map[quarantine.Work]bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for work := range v.missingSince {
-		if !condemned[work] {
+		if !quarantined[work] {
 			delete(v.missingSince, work)
 		}
 	}
@@ -190,7 +190,7 @@
 	}
 	data, err := json.Marshal(stored)
 	if err != nil {
-		return errors.Wrap(err, "verdict")
+		return errors.Wrap(err, "encode quarantine entry")
 	}
 	lease, err := v.store.GrantLease(ctx, quarantineTTL)
 	if err != nil {
@@ -210,36 +210,36 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	list := make(map[quarantine.Work]ownedLease, len(v.owned))
-	for work, own := range v.owned {
-		list[work] = own
+	for work, lease := range v.owned {
+		list[work] = lease
 	}
 	return list
 }
 
-// maintainLease renews or ends an own verdict's lease. One that the store no longer knows is
-// stored again by whoever is first to miss it.
-func (v *quarantineStore) maintainLease(ctx context.Context, work quarantine.Work, own ownedLease, condemned bool) error {
+// maintainLease renews or revokes the lease of an entry stored by this proxy. If the store no
+// longer knows the lease, the first proxy to notice that the entry is missing stores it again.
+func (v *quarantineStore) maintainLease(ctx context.Context, work quarantine.Work, lease ownedLease, quarantined bool) error {
 	now := v.daemon.now()
 	var err error
 	switch {
-	case !condemned:
-		err = v.store.RevokeLease(ctx, own.id)
-	case now.Sub(own.renewedAt) < quarantineRenewInterval:
+	case !quarantined:
+		err = v.store.RevokeLease(ctx, lease.id)
+	case now.Sub(lease.renewedAt) < quarantineRenewInterval:
 		return nil
 	default:
-		err = v.store.RenewLease(ctx, own.id)
+		err = v.store.RenewLease(ctx, lease.id)
 	}
-	var refused *StoreError
-	gone := errors.As(err, &refused) && refused.Code == StoreNotFound
-	if err != nil && !gone {
+	var storeErr *StoreError
+	leaseLost := errors.As(err, &storeErr) && storeErr.Code == StoreNotFound
+	if err != nil && !leaseLost {
 		return err
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !condemned || gone {
+	if !quarantined || leaseLost {
 		delete(v.owned, work)
 		return nil
 	}
-	v.owned[work] = ownedLease{id: own.id, renewedAt: now}
+	v.owned[work] = ownedLease{id: lease.id, renewedAt: now}
 	return nil
 }
--- a/internal/proxy/forward/quotas.go
+++ b/internal/proxy/forward/quotas.go
@@ -22,57 +22,59 @@
 )
 
 const (
-	// fleetSizeKey holds among how many proxies limits are divided. It has no lease: proxies
-	// that have all lost power must not take the first few for all.
+	// fleetSizeKey holds the number of proxies that the limits are divided by. It has no lease:
+	// when all proxies restart after a power loss, the first few must not divide the limits among
+	// themselves only.
 	fleetSizeKey = "gypsumquay/fleet"
-	// fleetCheckInterval is how often the stored number is compared with the proxies known.
+	// fleetCheckInterval is how often the stored number is compared with the known proxies.
 	fleetCheckInterval = 300 * time.Millisecond
-	// fleetGrowDelay is how long a proxy must have known the same number before it stores a
-	// larger one, fleetShrinkDelay the same for a smaller one.
+	// fleetGrowDelay is how long the number of known proxies must be stable before a larger one
+	// is stored; fleetShrinkDelay is the same for a smaller one.
 	fleetGrowDelay   = 1200 * time.Millisecond
 	fleetShrinkDelay = time.Minute
-	// maxGroupSize is how many proxies report to one pool at most.
+	// maxGroupSize bounds the proxies that report to one pool.
 	maxGroupSize = 40
-	// maxLenders is how many other pools are asked at a time.
+	// maxLenders bounds the pools that are asked for loans at a time.
 	maxLenders = 4
-	// maxFallbackPools is how many of them a request is asked of in turn.
+	// maxFallbackPools bounds the other groups' pools that a request is tried at in turn.
 	maxFallbackPools = 2
-	// poolBackoff is how long a pool that did not answer maxUnansweredReports reports in a row is
-	// passed over. When a large fleet starts, pools and proxies are busy, and each change of
-	// the pool costs the proxy its part for as long as it was given away.
+	// poolBackoff is how long a pool is skipped that didn't answer maxUnansweredReports reports in
+	// a row. When a large fleet starts, pools and proxies are busy, and each change of the pool
+	// costs the proxy its share until the lease of the share ends.
 	poolBackoff          = 2 * time.Second
 	maxUnansweredReports = 3
 )
 
 type (
-	// quotaClient carry what the limits of client accounts need between proxies.
+	// quotaClient exchanges with other proxies what the rate limits of client accounts need:
+	// usage reports, loans between pools, single tokens, and the stored number of proxies.
 	quotaClient struct {
 		daemon *Daemon
 		store  Store
 
 		mu sync.Mutex
-		// poolGroups are the proxies that have a pool together, the first to be it first, as of
-		// a number of changes of who is known.
+		// poolGroups holds the candidates for the pool of each group in order of preference, as
+		// of the membership version groupsVersion.
 		poolGroups    map[poolGroup][]replica.Candidate
 		groupsVersion int
-		// skippedUntil is until when a pool is passed over, unanswered counts the reports in a row
-		// that it did not answer.
+		// skippedUntil holds the pools that are skipped and until when; unanswered counts the
+		// consecutive reports that a pool didn't answer.
 		skippedUntil map[string]time.Time
 		unanswered   map[string]int
-		// storedFleetSize is the number that the store holds, known how many proxies are known and
-		// since when.
+		// storedFleetSize is the number in the store, knownFleetSize the number of known proxies,
+		// unchanged since knownSince.
 		storedFleetSize int
 		knownFleetSize  int
 		knownSince      time.Time
 	}
 
-	// poolGroup names proxies that have a pool together: those of a region, or of one failure
-	// domain of it.
+	// poolGroup identifies the proxies that share a pool: those of a region, or of one of its
+	// failure domains.
 	poolGroup struct {
 		region, domain string
 	}
 
-	// fleetSize is the text at fleetSizeKey.
+	// fleetSize is the stored value of fleetSizeKey.
 	fleetSize struct {
 		Proxies int `json:"proxies"`
 	}
@@ -82,7 +84,7 @@
 	return &quotaClient{daemon: d, store: s, skippedUntil: make(map[string]time.Time), unanswered: make(map[string]int)}
 }
 
-// handleStoredFleetSize takes in the stored number of proxies.
+// handleStoredFleetSize applies the stored number of proxies.
 func (q *quotaClient) handleStoredFleetSize(e replica.Entry) {
 	if e.Removed {
 		return
@@ -104,7 +106,7 @@
 	}
 	var f fleetSize
 	if err := json.Unmarshal(data, &f); err != nil {
-		return 0, errors.Wrap(err, "fleet")
+		return 0, errors.Wrap(err, "decode fleet size")
 	}
 	if f.Proxies < 1 {
 		return 0, &operator.FieldError{Field: "proxies", Want: "1 or more", Got: strconv.Itoa(f.Proxies)}
@@ -112,8 +114,8 @@
 	return f.Proxies, nil
 }
 
-// run reports to the pool of this proxy's group, and borrows for the pool here if there is
-// one.
+// run periodically reports to the pool of this proxy's group, and borrows for the pool at this
+// proxy if there is one.
 func (q *quotaClient) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !q.hasLimits() {
@@ -134,19 +136,19 @@
 	return limited
 }
 
-// report makes one report, and tells whether the next one should follow at once.
+// report sends one report, and reports whether the next one should follow at once.
 func (q *quotaClient) report(ctx context.Context) (again bool) {
 	d := q.daemon
-	best, others := q.choosePools()
-	if best == "" {
+	own, others := q.choosePools()
+	if own == "" {
 		return false
 	}
 	var to string
 	var r ratelimit.Report
-	var asked time.Time
+	var sentAt time.Time
 	d.withKernel(func(k *steering.Kernel, now time.Time) {
-		asked = now
-		to, r = k.LimitReport(now, best, others[:min(len(others), maxFallbackPools)])
+		sentAt = now
+		to, r = k.LimitReport(now, own, others[:min(len(others), maxFallbackPools)])
 	})
 	g, err := q.sendReport(ctx, to, r)
 	d.withKernel(func(k *steering.Kernel, now time.Time) {
@@ -154,12 +156,12 @@
 			k.ReportUnanswered(now, to)
 			return
 		}
-		again = k.HearGrants(now, asked, to, g)
+		again = k.HearGrants(now, sentAt, to, g)
 	})
 	return again
 }
 
-// borrow asks other pools for what the one here lacks.
+// borrow requests loans from other pools for the one at this proxy.
 func (q *quotaClient) borrow(ctx context.Context) {
 	d := q.daemon
 	_, lenders := q.choosePools()
@@ -167,21 +169,21 @@
 		return
 	}
 	var loans []ratelimit.Loan
-	var asked time.Time
+	var sentAt time.Time
 	d.withKernel(func(k *steering.Kernel, now time.Time) {
-		asked = now
+		sentAt = now
 		loans = k.Borrow(now, lenders)
 	})
 	for _, l := range loans {
 		go func() {
 			if g, err := q.sendReport(ctx, l.Lender, l.Report); err == nil {
-				d.withKernel(func(k *steering.Kernel, now time.Time) { k.HearLoan(now, asked, l.Lender, g) })
+				d.withKernel(func(k *steering.Kernel, now time.Time) { k.HearLoan(now, sentAt, l.Lender, g) })
 			}
 		}()
 	}
 }
 
-// sendReport brings a report to a pool, which may be here.
+// sendReport sends a report to a pool, possibly the one at this proxy.
 func (q *quotaClient) sendReport(ctx context.Context, to string, r ratelimit.Report) (g ratelimit.Grants, err error) {
 	d := q.daemon
 	if to == d.settings.Name {
@@ -190,18 +192,18 @@
 	}
 	peer, known := d.replica.peerAddress(to)
 	if !known {
-		return g, errors.New("pool of limits is gone")
+		return g, errors.New("proxy of the quota pool is unknown")
 	}
 	g, err = d.peerClient.ReportLimits(ctx, peer, r)
 	if err != nil {
-		klog.V(1).InfoS("pool of limits does not answer", "proxy", to, "error", err.Error())
+		klog.V(1).InfoS("report to quota pool failed", "proxy", to, "error", err.Error())
 	}
 	q.recordPoolResult(to, err)
 	return g, err
 }
 
-// recordPoolResult takes in whether a pool has answered. One at whose address nothing listens is passed
-// over at once.
+// recordPoolResult records whether a pool answered a report. A pool that refuses connections is
+// skipped at once.
 func (q *quotaClient) recordPoolResult(pool string, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -216,7 +218,8 @@
 	}
 }
 
-// takeToken asks a pool for one request of an account.
+// takeToken requests the token for one request of an account from a pool. It reports false if the
+// pool doesn't answer.
 func (q *quotaClient) takeToken(ctx context.Context, pool, account string) (ratelimit.Token, bool) {
 	peer, known := q.daemon.replica.peerAddress(pool)
 	if !known {
@@ -224,12 +227,12 @@
 	}
 	t, err := q.daemon.peerClient.TakeToken(ctx, peer, account)
 	if err != nil {
-		klog.V(1).InfoS("pool of limits does not answer", "proxy", pool, "account", account, "error", err.Error())
+		klog.V(1).InfoS("token request to quota pool failed", "proxy", pool, "account", account, "error", err.Error())
 	}
 	return t, err == nil
 }
 
-// activePool names the proxy that is the pool of a group now, empty for none.
+// activePool is the name of the proxy that is currently the pool of a group, empty for none.
 func (q *quotaClient) activePool(g poolGroup) string {
 	now := q.daemon.now()
 	q.mu.Lock()
@@ -242,23 +245,23 @@
 	return ""
 }
 
-// choosePools names the pool of this proxy's group, empty for none, and some others: those of its
-// region first, then others in turn.
+// choosePools returns the pool of this proxy's group, empty for none, and pools of other groups in
+// random order, those of this region first.
 func (q *quotaClient) choosePools() (own string, others []string) {
 	q.regroup()
 	self := q.daemon.settings
-	var near, far []poolGroup
+	var local, remote []poolGroup
 	for _, g := range q.groups() {
 		switch {
 		case g == (poolGroup{region: self.Region}), g == poolGroup{region: self.Region, domain: self.Domain}:
 			own = q.activePool(g)
 		case g.region == self.Region:
-			near = append(near, g)
+			local = append(local, g)
 		default:
-			far = append(far, g)
+			remote = append(remote, g)
 		}
 	}
-	for _, list := range [][]poolGroup{near, far} {
+	for _, list := range [][]poolGroup{local, remote} {
 		rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		for _, g := range list {
 			if name := q.activePool(g); name != "" && len(others) < maxLenders {
@@ -275,16 +278,16 @@
 	return slices.Collect(maps.Keys(q.poolGroups))
 }
 
-// regroup settles which proxies have a pool together, after changes of who is known: those
-// of a region, or of each failure domain where the region has many. All that know the same
-// proxies come to the same groups.
+// regroup recomputes the groups if the membership has changed: one per region, or one per failure
+// domain in regions with more than maxGroupSize proxies. Proxies that know the same members compute
+// the same groups.
 func (q *quotaClient) regroup() {
 	f := q.daemon.replica
-	changes := f.membershipVersion()
+	version := f.membershipVersion()
 	q.mu.Lock()
-	same := q.poolGroups != nil && changes == q.groupsVersion
+	unchanged := q.poolGroups != nil && version == q.groupsVersion
 	q.mu.Unlock()
-	if same {
+	if unchanged {
 		return
 	}
 	groups := make(map[poolGroup][]replica.Candidate)
@@ -299,10 +302,11 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.poolGroups, q.groupsVersion = groups, changes
+	q.poolGroups, q.groupsVersion = groups, version
 }
 
-// runFleetSize keeps the stored number of proxies: the first of the fleet sees to it.
+// runFleetSize keeps the stored number of proxies up to date, if this proxy is the first of the
+// fleet.
 func (q *quotaClient) runFleetSize(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep.For(ctx, fleetCheckInterval)
@@ -315,27 +319,27 @@
 			err = q.store.Put(ctx, fleetSizeKey, data, 0)
 		}
 		if err != nil {
-			klog.InfoS("number of proxies not stored yet", "proxies", n, "error", err.Error())
+			klog.InfoS("fleet size not stored; retrying", "proxies", n, "error", err.Error())
 			continue
 		}
-		klog.InfoS("limits are divided", "proxies", n)
+		klog.InfoS("fleet size for rate limits stored", "proxies", n)
 	}
 }
 
-// fleetSizeDue reports whether another number should be stored now, and which.
+// fleetSizeDue returns the number of proxies, and whether it should be stored now.
 func (q *quotaClient) fleetSizeDue() (n int, due bool) {
 	d := q.daemon
-	first := false
-	d.withKernel(func(k *steering.Kernel, _ time.Time) { n, first = k.Holders(), k.HasLimits() && k.FirstOfFleet() })
+	isFirst := false
+	d.withKernel(func(k *steering.Kernel, _ time.Time) { n, isFirst = k.Holders(), k.HasLimits() && k.FirstOfFleet() })
 	now := d.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if n != q.knownFleetSize {
 		q.knownFleetSize, q.knownSince = n, now
 	}
-	settles := fleetGrowDelay
+	delay := fleetGrowDelay
 	if n < q.storedFleetSize {
-		settles = fleetShrinkDelay
+		delay = fleetShrinkDelay
 	}
-	return n, first && n != q.storedFleetSize && now.Sub(q.knownSince) >= settles
+	return n, isFirst && n != q.storedFleetSize && now.Sub(q.knownSince) >= delay
 }
--- a/internal/proxy/forward/registrar.go
+++ b/internal/proxy/forward/registrar.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// leaseTTL is how long a proxy counts as alive without a renewal.
-	// With the time until the next answer to callers it is under the seven
-	// seconds after which none may name a proxy that is gone.
+	// leaseTTL is how long a proxy counts as alive without a renewal. Together with the time
+	// until a caller's next lookup it is less than the seven seconds after which no lookup
+	// response may name a proxy that is gone.
 	leaseTTL = 5 * time.Second
-	// renewInterval leaves one renewal to fail before the lease ends.
+	// renewInterval allows one renewal to fail before the lease expires.
 	renewInterval = 2 * time.Second
-	// minRegisterBackoff and maxRegisterBackoff bound the pause after a failed call. At the longest,
-	// an outage of 8 s costs a handful of calls a proxy, and the entry is back
-	// within two seconds or so of its end.
+	// minRegisterBackoff and maxRegisterBackoff bound the backoff after a failed call. With this
+	// maximum, an outage of 8 s costs a handful of calls per proxy, and the entry is restored
+	// within about two seconds of its end.
 	minRegisterBackoff = 300 * time.Millisecond
 	maxRegisterBackoff = 2 * time.Second
 )
 
 type (
-	// registrar keeps the own entry in the store under a lease.
+	// registrar maintains this proxy's entry in the store under a lease.
 	registrar struct {
 		replica *storeReplica
 		store   Store
-		// lease is zero for none. A planned stop reads it too.
+		// lease is zero if there is none. Atomic, since the shutdown reads it too.
 		lease atomic.Uint64
-		// writtenLimits is what the entry says of services that are held back.
+		// writtenLimits are the learned limits in the entry.
 		writtenLimits []steering.Held
-		// written is set while the entry is taken to be there.
+		// written is set while the entry is believed to be in the store.
 		written bool
 	}
 )
@@ -55,45 +55,44 @@
 		case <-renew.C:
 			k.written = k.written && k.writtenLimitsMatch(k.replica.daemon.learnedLimits())
 		}
-		pause := minRegisterBackoff
+		backoff := minRegisterBackoff
 		for ctx.Err() == nil && !k.replica.daemon.isStopping() && !k.ensureRegistered(ctx) {
-			sleep.For(ctx, pause/2+rand.N(pause))
-			pause = min(2*pause, maxRegisterBackoff)
+			sleep.For(ctx, backoff/2+rand.N(backoff))
+			backoff = min(2*backoff, maxRegisterBackoff)
 		}
 	}
 }
 
-// writtenLimitsMatch reports whether the entry says which services are held back, and how far.
-// How many answers speak for a limit changes all the time and is not worth a call.
-func (k *registrar) writtenLimitsMatch(held []steering.Held) bool {
-	return slices.EqualFunc(k.writtenLimits, held, func(a, b steering.Held) bool { return a.Service == b.Service && a.Slots == b.Slots && a.Most == b.Most })
+// writtenLimitsMatch reports whether the entry has the current limits of all services. The number
+// of responses behind a limit is ignored: it changes all the time and isn't worth a store call.
+func (k *registrar) writtenLimitsMatch(limits []steering.Held) bool {
+	return slices.EqualFunc(k.writtenLimits, limits, func(a, b steering.Held) bool { return a.Service == b.Service && a.Slots == b.Slots && a.Most == b.Most })
 }
 
-// ensureRegistered makes the call that is due, or the two of a new entry, and reports whether
-// the entry is there. A
-// renewal that fails is made again and no new entry written: the lease may well
-// be alive, and a renewal costs a tenth of a call.
+// ensureRegistered makes the next store call, or the two that a new entry needs, and reports
+// whether the entry is in the store. A failed renewal is retried instead of writing a new entry:
+// the lease may still be valid, and a renewal costs a tenth of another call.
 func (k *registrar) ensureRegistered(ctx context.Context) bool {
-	began := k.replica.daemon.now()
-	act := k.renew
+	start := k.replica.daemon.now()
+	call := k.renew
 	switch {
 	case k.lease.Load() == 0:
-		act = k.grant
+		call = k.grant
 	case !k.written:
-		act = k.write
+		call = k.write
 	}
-	err := act(ctx)
-	var refused *StoreError
+	err := call(ctx)
+	var storeErr *StoreError
 	switch {
 	case err == nil:
 		k.replica.storeResponded()
-	case errors.As(err, &refused) && refused.Code == StoreNotFound:
-		// The lease has ended, which only the store itself can tell.
+	case errors.As(err, &storeErr) && storeErr.Code == StoreNotFound:
+		// The lease has expired. Only the store reports that, so it counts as a response.
 		k.replica.storeResponded()
 		k.lease.Store(0)
 		k.written = false
 	default:
-		k.replica.storeFailed(err, began)
+		k.replica.storeFailed(err, start)
 	}
 	return err == nil && k.written
 }
@@ -117,20 +116,21 @@
 		Operators: s.Listen.Operators, LinkMbps: s.LinkMbps, Started: k.replica.daemon.startMillis(), Held: k.writtenLimits,
 	})
 	if err != nil {
-		return errors.Wrap(err, "own entry")
+		return errors.Wrap(err, "encode own proxy entry")
 	}
 	err = k.store.Put(ctx, proxyKeyPrefix+s.Name, data, k.lease.Load())
 	k.written = err == nil
 	return err
 }
 
-// deregister takes the own entry back, so that callers are no longer sent here.
+// deregister revokes the lease, which removes this proxy's entry, so that callers are no longer
+// sent here.
 func (k *registrar) deregister(ctx context.Context) {
 	lease := k.lease.Load()
 	if lease == 0 {
 		return
 	}
 	if err := k.store.RevokeLease(ctx, lease); err != nil {
-		klog.InfoS("own entry not taken back; it will run out", "error", err.Error())
+		klog.InfoS("own entry not removed; its lease will expire", "error", err.Error())
 	}
 }
--- a/internal/proxy/forward/reload.go
+++ b/internal/proxy/forward/reload.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// reloadInterval is how often the settings are read without being told to:
-	// they may change without a signal.
+	// reloadInterval is how often the settings are read without a signal, since they may change
+	// without one.
 	reloadInterval = 5 * time.Second
 )
 
-// watchSettings reads the settings again when told to and from time to time.
+// watchSettings reloads the settings on each signal and at every reloadInterval.
 func (d *Daemon) watchSettings(ctx context.Context, reload <-chan struct{}) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -39,13 +39,13 @@
 		}
 		if requested || err.Error() != lastError {
 			lastError = err.Error()
-			klog.ErrorS(err, "settings refused; those before stay in force")
+			klog.ErrorS(err, "invalid settings; the previous ones stay in force")
 		}
 	}
 }
 
-// reload takes new bounds in. Names, places and addresses hold for the life of
-// a process: a change of them is told and waits for the next start.
+// reload applies changed bounds. Names, locations and addresses are fixed for the life of the
+// process: a change of those is logged and takes effect at the next start.
 func (d *Daemon) reload(s *Settings, requested bool) {
 	changed := !reflect.DeepEqual(s.Bounds, d.bounds())
 	if changed {
--- a/internal/proxy/forward/settings.go
+++ b/internal/proxy/forward/settings.go
@@ -1,7 +1,6 @@
-// Package forward is the proxy process that forwards callers' requests as they
-// are: it wires the steering kernel to callers, backend servers, the
-// platform's store and the other proxies. Where it stands and what the
-// platform calls things is told by the seams that the main program fills.
+// Package forward is the proxy process that forwards callers' requests unchanged. It connects the
+// steering kernel to callers, backend servers, the platform's store and the other proxies. The
+// main program supplies the platform's interfaces and names as Dependencies.
 package forward
 
 import (
@@ -16,35 +15,36 @@
 )
 
 const (
-	// StoreNotFound means that the key or lease does not exist.
+	// StoreNotFound means that the key or lease doesn't exist.
 	StoreNotFound StoreErrorCode = iota + 1
-	// StoreCompacted means that the history asked for is no longer kept.
+	// StoreCompacted means that the requested history has been compacted.
 	StoreCompacted
-	// StoreConflict means that a condition did not hold.
+	// StoreConflict means that a precondition of the call didn't hold.
 	StoreConflict
-	// StoreUnavailable means that the store refused the call and did nothing.
+	// StoreUnavailable means that the store rejected the call without effect, such as when
+	// overloaded.
 	StoreUnavailable
 )
 
 type (
-	// Settings is what a process is told when it starts.
+	// Settings configures the process.
 	Settings struct {
 		Name   string
 		Domain string
 		Region string
 		Listen ListenAddresses
-		// Seeds are peer addresses of other proxies; they may be stale.
+		// Seeds are peer addresses of proxies to bootstrap from; they may be outdated.
 		Seeds []netip.AddrPort
-		// FirstStart is set when the whole system starts for the first time.
+		// FirstStart is set if the whole system starts for the first time.
 		FirstStart bool
-		// RegionOf tells the region of each failure domain.
+		// RegionOf maps each failure domain to its region.
 		RegionOf map[string]string
-		// MemoryBytes is what the process may use before it is killed.
+		// MemoryBytes is the memory above which the process is killed; zero if unknown.
 		MemoryBytes int64
-		// LinkMbps is how wide the VM's link is, in Mbit/s.
+		// LinkMbps is the bandwidth of the VM's link, in Mbit/s; zero if unknown.
 		LinkMbps int
 		Bounds   Bounds
-		// DisabledMechanisms lists the mechanisms that are not used, from the command line.
+		// DisabledMechanisms lists the mechanisms that the command line switches off.
 		DisabledMechanisms []steering.Mechanism
 	}
 
@@ -57,40 +57,40 @@
 		Operators netip.AddrPort
 	}
 
-	// Bounds are the limits that the operators have agreed on.
+	// Bounds are the limits that operators set. They may change while the process runs.
 	Bounds struct {
-		// GracePeriod is how long a stopping process may take.
+		// GracePeriod is how long a graceful shutdown may take.
 		GracePeriod time.Duration
-		// MaxLookupTTL is the longest that callers keep an answer.
+		// MaxLookupTTL is the longest time that callers may cache a lookup response.
 		MaxLookupTTL time.Duration
-		// RetryRatio, RetryWindow and RetrySlack are the shared budget of
-		// repeats: a share of the requests in the window and a number on top.
+		// RetryRatio, RetryWindow and RetrySlack are the retry budget that all proxies share: a
+		// fraction of the requests in the window, plus a fixed number.
 		RetryRatio  float64
 		RetryWindow time.Duration
 		RetrySlack  float64
-		// ColdFactor and ColdSlack bound what a cold server gets in a second.
+		// ColdFactor and ColdSlack bound the requests per second to a cold server.
 		ColdFactor float64
 		ColdSlack  float64
-		// QuotaRatio and QuotaRequests are allowed beyond the limits of client accounts in any
-		// QuotaWindow: a part of the limit, and a number on top.
+		// QuotaRatio and QuotaRequests are the overage allowed beyond the limit of a client account
+		// in any QuotaWindow: a fraction of the limit, plus a fixed number.
 		QuotaWindow   time.Duration
 		QuotaRatio    float64
 		QuotaRequests float64
 	}
 
-	// WireNames is how messages and keys call the product's fields.
+	// WireNames are the platform's names of headers, paths, query parameters and store keys.
 	WireNames struct {
 		CallerHeaders forwardhttp.Headers
 		ServerHeaders serverhttp.Headers
-		// Lookup of proxies by callers: path and query fields.
+		// The path and query parameters by which callers look up proxies.
 		LookupPath, LookupHost, LookupRegion, LookupDomain string
 		ReadinessPath                                      string
-		// ConfigurationKey is the key of the configuration in force, the others
-		// are prefixes of keys, each followed by a name.
+		// ConfigurationKey is the key of the configuration in force. The others are prefixes of
+		// keys, each followed by a name.
 		ConfigurationKey, EvacuationPrefix, ServerPrefix string
 	}
 
-	// KeyValue is one key of the store.
+	// KeyValue is one key of the store with its value, or its removal.
 	KeyValue struct {
 		Key      string
 		Value    []byte
@@ -98,20 +98,20 @@
 		Removed  bool
 	}
 
-	// StoreErrorCode is what the store's refusal means.
+	// StoreErrorCode classifies a StoreError.
 	StoreErrorCode uint8
 
-	// StoreError is a refusal by the store. Any other error of a call leaves
-	// open whether it was done.
+	// StoreError is an error response of the store. After any other error of a call it's unknown
+	// whether the call took effect.
 	StoreError struct {
 		Code   StoreErrorCode
 		Status int
 	}
 
-	// Store is the platform's metadata store.
+	// Store holds the calls to the platform's metadata store.
 	Store struct {
-		// Range reads all items under a prefix and the revision from which a watch misses
-		// nothing. What a stale reading tells may be seconds old; it costs a tenth.
+		// Range reads all keys with a prefix, and the revision from which a watch misses no
+		// change. A stale read may be seconds old and costs a tenth.
 		Range       func(ctx context.Context, prefix string, stale bool) ([]KeyValue, uint64, error)
 		Watch       func(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]KeyValue, error)
 		GrantLease  func(ctx context.Context, span time.Duration) (uint64, error)
@@ -120,23 +120,24 @@
 		RevokeLease func(ctx context.Context, lease uint64) error
 	}
 
-	// Codec decodes what the operator and the servers write.
+	// Codec decodes the configuration and the servers' registrations, and encodes lookup
+	// responses.
 	Codec struct {
 		DecodeTable          func([]byte) (*routing.Table, error)
 		DecodeServer         func(id string, data []byte) (routing.Server, error)
 		EncodeLookupResponse func([]netip.AddrPort, time.Duration) ([]byte, error)
 	}
 
-	// Dependencies is what the main program fills in.
+	// Dependencies are supplied by the main program.
 	Dependencies struct {
 		Names WireNames
 		Store Store
 		Codec Codec
-		// LoadSettings reads the settings again.
+		// LoadSettings reads the current settings.
 		LoadSettings func() (*Settings, error)
-		// DroppedLogLines counts the log lines that found no room.
+		// DroppedLogLines counts the log lines dropped because the log buffer was full.
 		DroppedLogLines func() uint64
-		// Record sees each call of the kernel; nil for none.
+		// Record receives each call of the kernel, for recordings; nil for none.
 		Record func(steering.Call)
 	}
 )
@@ -144,11 +145,11 @@
 // Error implements error.
 func (e *StoreError) Error() string {
 	texts := map[StoreErrorCode]string{
-		StoreNotFound: "no such key or lease", StoreCompacted: "history no longer kept",
-		StoreConflict: "condition did not hold", StoreUnavailable: "store refused the call",
+		StoreNotFound: "key or lease not found", StoreCompacted: "requested history has been compacted",
+		StoreConflict: "precondition failed", StoreUnavailable: "store rejected the call",
 	}
 	if text, ok := texts[e.Code]; ok {
 		return text
 	}
-	return "store answered with an unexpected status"
+	return "unexpected status from the store"
 }
--- a/internal/proxy/forward/shutdown.go
+++ b/internal/proxy/forward/shutdown.go
@@ -11,48 +11,49 @@
 )
 
 const (
-	// exitMargin is the end of the grace time that is kept free, so that the
-	// process leaves by itself before it is killed.
+	// exitMargin is reserved at the end of the grace period, so that the process exits before it
+	// is killed.
 	exitMargin = 400 * time.Millisecond
-	// responseMargin is how long before the process leaves the last request is
-	// given up on, so that its answer is still written and its end logged.
+	// responseMargin is how long before the exit the last requests are failed, so that their
+	// responses can still be written and logged.
 	responseMargin = 100 * time.Millisecond
-	// closeIdleInterval is how long connections that are not idle yet are left alone.
+	// closeIdleInterval is the pause between attempts to close connections that were busy.
 	closeIdleInterval = 5 * time.Millisecond
-	// acceptRatio is the part of the grace time in which new requests are
-	// still taken: callers keep an answer of the directory for its lifetime.
+	// acceptRatio is the fraction of the grace period in which new requests are still accepted:
+	// callers use a cached lookup response until its TTL expires.
 	acceptRatio = 0.5
 )
 
-// stop ends the process without cutting a request: it says that it is not
-// ready, is no longer named to callers, serves those that still come, and
-// closes connections only when they are idle.
+// stop shuts the proxy down without interrupting requests. The proxy reports that it isn't ready,
+// is removed from lookup responses, serves the requests that still arrive, and closes connections
+// only when they are idle.
 func (d *Daemon) stop(ctx context.Context) {
-	began, grace := d.now(), d.bounds().GracePeriod
-	end := began.Add(grace - exitMargin)
+	start, grace := d.now(), d.bounds().GracePeriod
+	deadline := start.Add(grace - exitMargin)
 	klog.InfoS("stopping", "grace", grace.String())
 	close(d.stopping)
-	d.withKernel(func(k *steering.Kernel, _ time.Time) { k.Leave(end.Add(-responseMargin)) })
+	d.withKernel(func(k *steering.Kernel, _ time.Time) { k.Leave(deadline.Add(-responseMargin)) })
 	d.gossip.spread(ctx, d.replica.revision())
-	// A store that is cut off lets this call hang for over a second, which the
-	// requests in progress would lack at the end.
+	// If the store is unreachable, this call hangs for over a second, which the requests in
+	// progress would lack at the end.
 	go d.registrar.deregister(ctx)
 	sleep.For(ctx, time.Duration(acceptRatio*float64(grace)))
-	limited, cancel := context.WithTimeout(ctx, end.Sub(d.now()))
+	drainCtx, cancel := context.WithTimeout(ctx, deadline.Sub(d.now()))
 	defer cancel()
-	if err := d.drainConnections(limited); err != nil {
-		// Only requests whose time-out is longer than the grace time can be.
+	if err := d.drainConnections(drainCtx); err != nil {
+		// Only requests with a timeout longer than the grace period can still be in progress.
 		inFlight := 0
 		d.withKernel(func(k *steering.Kernel, now time.Time) { inFlight = k.Status(now).InFlight })
-		klog.InfoS("requests were still in progress at the end of the grace time", "requests", inFlight, "error", err.Error())
+		klog.InfoS("grace period ended with requests in progress", "requests", inFlight, "error", err.Error())
 	}
-	klog.InfoS("stopped", "took", d.now().Sub(began).String())
+	klog.InfoS("stopped", "took", d.now().Sub(start).String())
 }
 
-// drainConnections takes no more connections, ends those that are idle, and waits for the others.
+// drainConnections stops accepting connections, closes idle ones, and waits for the others to
+// become idle.
 func (d *Daemon) drainConnections(ctx context.Context) error {
 	if err := d.callerListener.Close(); err != nil {
-		klog.InfoS("callers' listener not closed", "error", err.Error())
+		klog.InfoS("closing the listener for callers failed", "error", err.Error())
 	}
 	for d.callerListener.CloseIdle() > 0 {
 		if ctx.Err() != nil {
--- a/internal/proxy/forward/storemetrics.go
+++ b/internal/proxy/forward/storemetrics.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// instrumentStore tells of each call to a store and whether it failed.
-func instrumentStore(s Store, called func(operation string, err error)) Store {
+// instrumentStore wraps a store so that each call is reported with its operation and error.
+func instrumentStore(s Store, report func(operation string, err error)) Store {
 	return Store{
 		Range: func(ctx context.Context, prefix string, stale bool) ([]KeyValue, uint64, error) {
 			items, revision, err := s.Range(ctx, prefix, stale)
@@ -14,32 +14,32 @@
 			if stale {
 				operation = "stale-range"
 			}
-			called(operation, err)
+			report(operation, err)
 			return items, revision, err
 		},
 		Watch: func(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]KeyValue, error) {
 			items, err := s.Watch(ctx, prefix, after, wait)
-			called("watch", err)
+			report("watch", err)
 			return items, err
 		},
-		GrantLease: func(ctx context.Context, span time.Duration) (uint64, error) {
-			lease, err := s.GrantLease(ctx, span)
-			called("grant", err)
+		GrantLease: func(ctx context.Context, ttl time.Duration) (uint64, error) {
+			lease, err := s.GrantLease(ctx, ttl)
+			report("grant", err)
 			return lease, err
 		},
 		RenewLease: func(ctx context.Context, lease uint64) error {
 			err := s.RenewLease(ctx, lease)
-			called("renew", err)
+			report("renew", err)
 			return err
 		},
 		Put: func(ctx context.Context, key string, value []byte, lease uint64) error {
 			err := s.Put(ctx, key, value, lease)
-			called("put", err)
+			report("put", err)
 			return err
 		},
 		RevokeLease: func(ctx context.Context, lease uint64) error {
 			err := s.RevokeLease(ctx, lease)
-			called("end", err)
+			report("end", err)
 			return err
 		},
 	}
--- a/internal/proxy/forward/storereplica.go
+++ b/internal/proxy/forward/storereplica.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// absenceGracePeriod is how long a server is waited for whose registration may have
-	// run out in an outage. Live ones are back within about two seconds of the
-	// store's return.
+	// absenceGracePeriod is how long a server is kept whose registration may have expired during
+	// a store outage. Live servers register again within about two seconds of the store's
+	// recovery.
 	absenceGracePeriod = 2200 * time.Millisecond
 
 	proxyKeyPrefix      = "gypsumquay/proxies/"
@@ -26,31 +26,31 @@
 )
 
 type (
-	// storeReplica keeps the copy of the store and brings its changes to the kernel.
+	// storeReplica holds this proxy's copy of the store and applies its changes to the kernel.
 	storeReplica struct {
 		daemon *Daemon
 
 		mu   sync.Mutex
 		copy *replica.Copy
-		// fullCopyBudget bounds the whole copies given to peers.
+		// fullCopyBudget limits the full copies sent to peers.
 		fullCopyBudget replica.Allowance
 		members        map[string]proxyEntry
-		// membershipChanges counts the changes of members.
+		// membershipChanges counts the changes of members, including proxies that start to leave.
 		membershipChanges int
-		// proxiesSetAt is when the kernel was last told who is alive, unlisted whether it
-		// has not heard of a change since.
+		// proxiesSetAt is when the kernel last got the list of live proxies; proxiesStale is set
+		// if members have changed since.
 		proxiesSetAt time.Time
 		proxiesStale bool
-		// peerFreshAt is when a peer of the own region last had a copy fresh enough
-		// that nobody else need ask the store; alone is set while this proxy
-		// asks because none has.
+		// peerFreshAt is when a peer of this region last had a copy so fresh that no other proxy
+		// needs to query the store; followsAlone is set while this proxy queries the store because
+		// no peer has one.
 		peerFreshAt  time.Time
 		followsAlone bool
-		// outage is when the store was away.
+		// outage records when the store was unavailable.
 		outage replica.Outage
-		// rewriteEntry asks for the own entry to be written again.
+		// rewriteEntry asks the registrar to write this proxy's entry again.
 		rewriteEntry chan struct{}
-		// loaded is closed once something is known.
+		// loaded is closed once the copy has any content.
 		loaded     chan struct{}
 		loadedOnce sync.Once
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-// apply takes a delta in and reports whether the copy advanced.
+// apply merges a delta into the copy and reports whether the copy advanced.
 func (f *storeReplica) apply(d replica.Delta) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,7 +80,7 @@
 	return f.copy.Revision() > before
 }
 
-// dispatch brings one change to the kernel.
+// dispatch applies one changed entry to the kernel.
 func (f *storeReplica) dispatch(e replica.Entry) {
 	n := f.daemon.deps.Names
 	switch e.Key {
@@ -120,11 +120,11 @@
 	f.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { k.SetTable(t) })
 }
 
-// dispatchServer brings a registration to the kernel. One whose removal is doubtful
-// is waited for, or all servers would vanish at once after an outage; any other
-// has left, and would get requests for too long. An entry that cannot be read, or
-// that stands in no known failure domain, names no server to use: what stood there
-// before no longer holds.
+// dispatchServer applies a server's registration to the kernel. A server whose removal is
+// tentative is kept for a grace period, or all servers would vanish at once after an outage. Any
+// other removed server has left and is dropped at once, or it would get requests for too long. An
+// entry that cannot be decoded, or that names an unknown failure domain, makes the server
+// unusable: its previous registration no longer holds.
 func (f *storeReplica) dispatchServer(id string, e replica.Entry) {
 	if e.Removed {
 		f.daemon.withKernel(func(k *steering.Kernel, now time.Time) {
@@ -148,45 +148,44 @@
 	f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.SetServer(now, r) })
 }
 
-// checkDomain refuses a failure domain that is in no region, or not in the one
-// named: nobody could say whom what stands there may serve.
+// checkDomain rejects a failure domain that belongs to no region, or not to the given one: it
+// would be unknown which callers an entry there may serve.
 func (f *storeReplica) checkDomain(domain, region string) error {
-	in, known := f.daemon.settings.RegionOf[domain]
+	actual, known := f.daemon.settings.RegionOf[domain]
 	switch {
 	case !known:
 		return &operator.FieldError{Field: "failure-domain", Want: "one of the settings", Got: strconv.Quote(domain)}
-	case region != "" && region != in:
-		return &operator.FieldError{Field: "region", Want: strconv.Quote(in) + ", which the failure domain is in", Got: strconv.Quote(region)}
+	case region != "" && region != actual:
+		return &operator.FieldError{Field: "region", Want: strconv.Quote(actual) + ", which the failure domain is in", Got: strconv.Quote(region)}
 	}
 	return nil
 }
 
-// rejectEntry tells of an entry that another program wrote and that names nothing to
-// use, once for each time that it is written.
+// rejectEntry counts and logs an invalid entry of the store, once each time that it is written.
 func (f *storeReplica) rejectEntry(kind, name string, err error) {
 	f.daemon.metrics.recordRejectedEntry(kind)
-	klog.ErrorS(err, "entry refused", "kind", kind, "name", name)
+	klog.ErrorS(err, "invalid store entry ignored", "kind", kind, "name", name)
 }
 
-// deltaSince is what a peer at a revision lacks; without anything newer, or where the
-// peer needs more than may be given away now, it tells the own revision and age
-// alone. A peer that sees a newer revision and gets no news asks elsewhere.
+// deltaSince returns the changes that a peer at a revision lacks. If there are none, or the peer
+// needs a full copy and the budget is used up, the delta has only this copy's revision and age. A
+// peer that sees a newer revision without entries asks another proxy.
 func (f *storeReplica) deltaSince(revision uint64) replica.Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.daemon.now()
-	hello := replica.Delta{Base: f.copy.Ask(), Revision: f.copy.Ask(), Age: f.copy.Age(now)}
+	header := replica.Delta{Base: f.copy.Ask(), Revision: f.copy.Ask(), Age: f.copy.Age(now)}
 	if f.copy.Revision() <= revision {
-		return hello
+		return header
 	}
 	d := f.copy.Since(now, revision)
 	if d.Whole && !f.fullCopyBudget.Take(now, d.Cost()) {
-		return hello
+		return header
 	}
 	return d
 }
 
-// age is how long ago the copy was known to be the store's state.
+// age is the time since the copy was last known to match the store.
 func (f *storeReplica) age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -199,10 +198,10 @@
 	return f.copy.Revision()
 }
 
-// shouldFollowStore reports whether this proxy should ask the store itself. One that has
-// begun to, because no news came, goes on until a peer of its region has a fresh
-// copy. Its own answers keep its copy fresh, and if it stopped at each it would
-// hear nothing for two seconds after it.
+// shouldFollowStore reports whether this proxy should query the store itself. A proxy that began
+// to do so because no changes arrived continues until a peer of its region has a fresh copy: the
+// store's responses keep its own copy fresh, and if it stopped after each of them, it would
+// receive nothing for the next two seconds.
 func (f *storeReplica) shouldFollowStore() bool {
 	rank, age := f.rank(), f.age()
 	f.mu.Lock()
@@ -212,30 +211,30 @@
 	return f.followsAlone
 }
 
-// storeFailed notes a call to the store, begun at a moment, that was not answered. One
-// that ran out of time found the store away from its beginning.
-func (f *storeReplica) storeFailed(err error, began time.Time) {
+// storeFailed records a failed call to the store that began at the given time. If the call timed
+// out, the store counts as unavailable from the beginning of the call.
+func (f *storeReplica) storeFailed(err error, start time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	since := f.daemon.now()
 	if errors.Is(err, context.DeadlineExceeded) {
-		since = began
+		since = start
 	}
 	if f.outage.Failed(since) {
-		klog.InfoS("store lost", "error", err.Error(), "revision", f.copy.Revision())
+		klog.InfoS("store unavailable", "error", err.Error(), "revision", f.copy.Revision())
 	}
 }
 
-// storeResponded notes that the store answered a call.
+// storeResponded records that the store responded to a call.
 func (f *storeReplica) storeResponded() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.outage.Answered(f.daemon.now()) {
-		klog.InfoS("store regained", "revision", f.copy.Revision())
+		klog.InfoS("store available again", "revision", f.copy.Revision())
 	}
 }
 
-// applyStoreRead takes in what the store itself told and reports whether the copy
+// applyStoreRead applies what this proxy read from the store and reports whether the copy
 // advanced.
 func (f *storeReplica) applyStoreRead(d replica.Delta) bool {
 	f.storeResponded()
--- a/internal/proxy/forward/suspend.go
+++ b/internal/proxy/forward/suspend.go
@@ -8,63 +8,62 @@
 )
 
 const (
-	// minClockJump is how far clocks must move against each other to count: less than what
-	// is held for a time is guarded by.
+	// minClockJump is the smallest difference between two clocks that counts as a jump. It is less
+	// than the safety margin of leases.
 	minClockJump = 50 * time.Millisecond
 )
 
 var (
-	// processStart has a steady reading.
+	// processStart includes a monotonic clock reading.
 	processStart = time.Now()
 )
 
 type (
-	// suspendDetector notices that the VM did not run for a while. The steady clock stands
-	// still meanwhile, and everything that was given for a time would seem to last.
+	// suspendDetector detects that the VM was suspended. The monotonic clock stands still
+	// meanwhile, so that every lease would seem to last longer than it does.
 	suspendDetector struct {
-		// wallOffset is how far the time of day is ahead of the steady clock, asleep how long
-		// the VM has been suspended since it started.
+		// wallOffset is how far the wall clock is ahead of the monotonic clock; suspended is the
+		// total time that the VM has been suspended since it booted.
 		wallOffset  time.Duration
 		suspended   time.Duration
 		initialized bool
 	}
 )
 
-// checkResumed reports whether the VM was suspended since the last time that it was asked. The
-// clocks that know for certain are read only if the time of day has moved: that is a
-// call of the system each.
-func (s *suspendDetector) checkResumed(clock time.Time) bool {
-	// Without its steady reading a time is of the time of day alone.
-	wall := clock.Round(0).Sub(time.Unix(0, 0)) - monotonic(clock)
-	moved := (wall - s.wallOffset).Abs() > minClockJump
-	s.wallOffset = wall
-	if s.initialized && !moved {
+// checkResumed reports whether the VM was suspended since the previous call. The clocks that give
+// a certain result are read only if the wall clock has jumped, since each read is a system call.
+func (s *suspendDetector) checkResumed(now time.Time) bool {
+	// Round(0) strips the monotonic reading, so that the wall clock is used.
+	offset := now.Round(0).Sub(time.Unix(0, 0)) - monotonic(now)
+	jumped := (offset - s.wallOffset).Abs() > minClockJump
+	s.wallOffset = offset
+	if s.initialized && !jumped {
 		return false
 	}
-	asleep, err := suspendedTime()
+	total, err := suspendedTime()
 	if err != nil {
-		klog.ErrorS(err, "clocks not read; the VM is taken to have been suspended")
+		klog.ErrorS(err, "reading the clocks failed; assuming that the VM was suspended")
 		return s.initialized
 	}
-	suspended := s.initialized && asleep-s.suspended > minClockJump
-	if moved && s.initialized {
-		klog.InfoS("time of day has moved", "suspended", suspended, "suspended-for", (asleep - s.suspended).String())
+	suspended := s.initialized && total-s.suspended > minClockJump
+	if jumped && s.initialized {
+		klog.InfoS("wall clock has jumped", "suspended", suspended, "suspended-for", (total - s.suspended).String())
 	}
-	s.suspended, s.initialized = asleep, true
+	s.suspended, s.initialized = total, true
 	return suspended
 }
 
-// monotonic is the steady clock since this process started.
-func monotonic(clock time.Time) time.Duration { return clock.Sub(processStart) }
+// monotonic is the time since this process started by the monotonic clock.
+func monotonic(now time.Time) time.Duration { return now.Sub(processStart) }
 
-// suspendedTime is how long the VM has been suspended since it started.
+// suspendedTime is the total time that the VM has been suspended since it booted.
 func suspendedTime() (time.Duration, error) {
-	var boot, steady unix.Timespec
+	var boot, mono unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		return 0, err
 	}
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &mono); err != nil {
 		return 0, err
 	}
-	return time.Duration(boot.Nano() - steady.Nano()), nil
+	return time.Duration(boot.Nano() - mono.Nano()), nil
 }
