--- a/internal/proxy/forward/bench_test.go
+++ b/internal/proxy/forward/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/proxy/logs"
 )
 
-// BenchmarkRequest forwards requests over loopback: with no log, with the log
-// as it is for requests that end well, and with every request written in full.
+// BenchmarkRequest forwards requests over loopback: without logging, with successful requests
+// sampled as in production, and with every request logged in detail.
 func BenchmarkRequest(b *testing.B) {
 	buffer := logs.NewBuffer(io.Discard, 4096)
 	logs.Setup(buffer, 0)
--- a/internal/proxy/forward/decisionlog_test.go
+++ b/internal/proxy/forward/decisionlog_test.go
@@ -15,7 +15,7 @@
 )
 
 type (
-	// logRecord is what the journal wrote of requests.
+	// logRecord is a line that the decision log wrote about a request.
 	logRecord struct {
 		Message string         `json:"msg"`
 		Request string         `json:"request"`
@@ -24,9 +24,9 @@
 		Counts  map[string]int `json:"counts"`
 	}
 
-	// capturedLog takes the log of all tests: the logger is the process's, and one that
-	// was replaced by a test would be read by goroutines of others that are still
-	// ending. They may write while a test reads what it has caused.
+	// capturedLog receives the log of all tests. The logger is global to the process: replacing it
+	// in a test would race with goroutines of earlier tests that are still ending. They may also
+	// write while a test reads its own lines.
 	capturedLog struct {
 		mu     sync.Mutex
 		buffer *bytes.Buffer
@@ -53,22 +53,22 @@
 	return l.buffer.Write(p)
 }
 
-// capture keeps what is written from now on, or no longer, and returns what was kept.
+// capture starts or stops capturing, and returns what was captured so far.
 func (l *capturedLog) capture(on bool) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept := l.buffer
+	captured := l.buffer
 	l.buffer = nil
 	if on {
 		l.buffer = &bytes.Buffer{}
 	}
-	if kept == nil {
+	if captured == nil {
 		return nil
 	}
-	return kept.Bytes()
+	return captured.Bytes()
 }
 
-// loggedRequests has a journal take in events and reads what it wrote.
+// loggedRequests feeds events to a decision log and returns the lines that it wrote about requests.
 func loggedRequests(t *testing.T, feed func(j *decisionLog, clock *time.Time)) []logRecord {
 	t.Helper()
 	processLog.capture(true)
@@ -98,9 +98,9 @@
 	}
 }
 
-// A service fails for seconds, and a caller complains. Its request was one of a
-// thousand in that second: each of the first five hundred must be found by its id,
-// with the servers that it was sent to, and the others counted by reason.
+// A service fails for seconds, and one request of a thousand in a second must be explained. The
+// first five hundred must be logged with their ids and attempted servers, and the others counted by
+// reason.
 func TestFailedRequestsAreLogged(t *testing.T) {
 	const failed = 1000
 	lines := loggedRequests(t, func(j *decisionLog, clock *time.Time) {
@@ -110,50 +110,50 @@
 		*clock = clock.Add(omittedInterval)
 		j.handleEvent(failedRequest(failed, steering.ReasonRefused))
 	})
-	last, steps, counts := make(map[string]string), 0, map[string]int{}
+	summaries, attemptLines, counts := make(map[string]string), 0, map[string]int{}
 	for _, l := range lines {
 		switch l.Message {
 		case string(steering.EventFinished):
-			last[l.Request] = l.Tried
+			summaries[l.Request] = l.Tried
 		case string(steering.EventSent), string(steering.EventAttemptEnded):
-			steps++
+			attemptLines++
 		case omittedMessage:
 			counts = l.Counts
 		}
 	}
 	for n := range maxDetailedPerSecond + maxSummariesPerSecond {
-		if got, want := last[fmt.Sprintf("r-%d", n)], "i-1 refused, i-2 late"; got != want {
-			t.Fatalf("request %d: tried %q, want %q", n, got, want)
+		if got, want := summaries[fmt.Sprintf("r-%d", n)], "i-1 refused, i-2 late"; got != want {
+			t.Fatalf("request %d: attempted servers %q, want %q", n, got, want)
 		}
 	}
-	if want := 4 * (maxDetailedPerSecond + 1); steps != want {
-		t.Errorf("%d lines of single decisions, want %d", steps, want)
+	if want := 4 * (maxDetailedPerSecond + 1); attemptLines != want {
+		t.Errorf("%d lines of attempts, want %d", attemptLines, want)
 	}
 	if got, want := counts[string(steering.ReasonLate)], failed-maxDetailedPerSecond-maxSummariesPerSecond; got != want {
-		t.Errorf("%d requests counted as late and left out, want %d", got, want)
+		t.Errorf("%d late requests counted as omitted, want %d", got, want)
 	}
 }
 
-// A server fails, and the route allows one attempt: the caller gets the server's
-// own 500. Such requests passed for good ones and were left out with them.
+// A server fails, and the route allows one attempt: the caller gets the server's own 500. Such
+// requests used to count as successful and were sampled out.
 func TestServerFailureIsLogged(t *testing.T) {
 	lines := loggedRequests(t, func(j *decisionLog, clock *time.Time) {
 		k := steering.New(steering.Config{Name: "vm-1", Observe: j.handleEvent})
 		route := &routing.Route{Name: "r", Host: "h", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.Part{{Service: "s", Weight: 1}}}
 		k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 		k.SetServer(*clock, routing.Server{ID: "i-1", Service: "s", Slots: 4})
-		f, _ := k.Begin(*clock, steering.Request{ID: "complaint", Host: "h", Path: "/"})
+		f, _ := k.Begin(*clock, steering.Request{ID: "failed-request", Host: "h", Path: "/"})
 		if d := k.Ended(*clock, f, steering.Attempt{Result: steering.Failed}); !d.Answer {
-			t.Errorf("the server's answer is not passed on: %+v", d)
+			t.Errorf("the server's response is not returned to the caller: %+v", d)
 		}
 	})
 	last := lines[len(lines)-1]
-	if last.Request != "complaint" || last.Reason != string(steering.ReasonFailed) || last.Tried != "i-1 failed" {
+	if last.Request != "failed-request" || last.Reason != string(steering.ReasonFailed) || last.Tried != "i-1 failed" {
 		t.Errorf("last line is %+v, want the request with the reason %q", last, steering.ReasonFailed)
 	}
 }
 
-// Requests that end well would drown the others; one in some is written.
+// Successful requests are sampled, so that they don't crowd out the others; slow ones are logged.
 func TestSuccessfulRequestsAreSampled(t *testing.T) {
 	lines := loggedRequests(t, func(j *decisionLog, _ *time.Time) {
 		for range 3 * sampleEveryNth {
@@ -162,6 +162,6 @@
 		j.handleEvent(steering.Event{Kind: steering.EventFinished, Request: "slow", Outcome: steering.Done, Attempt: 1, Target: time.Second, Took: 2 * time.Second})
 	})
 	if len(lines) != 4 || lines[3].Request != "slow" {
-		t.Errorf("%d lines, want three of good requests and one of the slow one: %+v", len(lines), lines)
+		t.Errorf("%d lines, want three of successful requests and one of the slow one: %+v", len(lines), lines)
 	}
 }
--- a/internal/proxy/forward/fleet_test.go
+++ b/internal/proxy/forward/fleet_test.go
@@ -27,13 +27,12 @@
 )
 
 const (
-	// waitTimeout bounds waits for what must happen soon; only a failure waits
-	// so long.
+	// waitTimeout bounds the waits for conditions; only a failing test waits this long.
 	waitTimeout = 20 * time.Second
 )
 
 type (
-	// memoryStore stands in for the platform's store.
+	// memoryStore is an in-memory fake of the platform's store.
 	memoryStore struct {
 		mu        sync.Mutex
 		items     map[string]KeyValue
@@ -43,11 +42,11 @@
 		keys      map[uint64]string
 		compacted uint64
 		changed   chan struct{}
-		// watchesSilent watches tell of no change.
+		// watchesSilent is set while watches return no changes.
 		watchesSilent bool
 	}
 
-	// storeLink is one proxy's way to the store, which a test can cut.
+	// storeLink is one proxy's connection to the store, which a test can disconnect.
 	storeLink struct {
 		store        *memoryStore
 		mu           sync.Mutex
@@ -65,14 +64,15 @@
 	testTable struct {
 		Version uint64
 		Service string
-		// Key opens the only client account, with a limit; no key means no accounts.
+		// Key belongs to the only client account, which has a rate limit; without a key there are
+		// no accounts.
 		Key       string
 		PerSecond float64
 	}
 )
 
 var (
-	errDisconnected = errors.New("no way to the store")
+	errDisconnected = errors.New("store is disconnected")
 )
 
 func newMemoryStore() *memoryStore {
@@ -120,7 +120,7 @@
 	return n
 }
 
-// compact drops the history, as a store does that compacts.
+// compact drops the history of changes.
 func (s *memoryStore) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,10 +137,10 @@
 	return l.disconnected
 }
 
-func (l *storeLink) setDisconnected(cut bool) {
+func (l *storeLink) setDisconnected(disconnected bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.disconnected = cut
+	l.disconnected = disconnected
 }
 
 func (l *storeLink) client() Store {
@@ -219,7 +219,7 @@
 }
 
 type (
-	// fleet is a few proxies in one process over one store.
+	// fleet is a set of proxies in one process that share a store.
 	fleet struct {
 		t       *testing.T
 		store   *memoryStore
@@ -229,7 +229,7 @@
 		ended   []chan error
 		backend *httptest.Server
 		served  sync.Map
-		// storeOutage cuts new proxies off from the store.
+		// storeOutage makes new proxies start without a connection to the store.
 		storeOutage bool
 	}
 )
@@ -273,7 +273,7 @@
 
 func (f *fleet) start(i int, seeds []netip.AddrPort) netip.AddrPort {
 	f.t.Helper()
-	l := &storeLink{store: f.store, disconnected: f.storeOutage}
+	link := &storeLink{store: f.store, disconnected: f.storeOutage}
 	s := &Settings{
 		Name: "proxy-" + string(rune('a'+i)), Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"},
 		Listen: ListenAddresses{Callers: freePort(f.t), Readiness: freePort(f.t), Peers: freePort(f.t), Directory: freePort(f.t), Operators: freePort(f.t)},
@@ -290,7 +290,7 @@
 			LookupPath:    "/lookup", LookupHost: "host", LookupRegion: "region", LookupDomain: "domain", ReadinessPath: "/ready",
 			ConfigurationKey: "config", EvacuationPrefix: "evacuate/", ServerPrefix: "servers/",
 		},
-		Store: l.client(),
+		Store: link.client(),
 		Codec: testCodec(), DroppedLogLines: func() uint64 { return 0 }, LoadSettings: func() (*Settings, error) { return s, nil },
 	})
 	if err != nil {
@@ -299,7 +299,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- d.Run(ctx, nil) }()
-	f.daemons, f.links, f.stops, f.ended = append(f.daemons, d), append(f.links, l), append(f.stops, stop), append(f.ended, ended)
+	f.daemons, f.links, f.stops, f.ended = append(f.daemons, d), append(f.links, link), append(f.stops, stop), append(f.ended, ended)
 	f.t.Cleanup(func() {
 		stop()
 		select {
@@ -308,7 +308,7 @@
 				f.t.Errorf("%s ended with %v", s.Name, err)
 			}
 		case <-time.After(waitTimeout):
-			f.t.Errorf("%s did not stop", s.Name)
+			f.t.Errorf("%s did not stop in time", s.Name)
 		}
 	})
 	f.eventually(s.Name+" is ready", func() bool { return f.status(d.settings.Listen.Readiness, "/ready") == http.StatusOK })
@@ -345,8 +345,7 @@
 	}
 }
 
-// endConnections closes a proxy's connections once it has stopped, as the end of
-// its process does.
+// endConnections closes a proxy's connections after its shutdown, as the exit of its process would.
 func (f *fleet) endConnections(i int) {
 	err := <-f.ended[i]
 	_ = f.daemons[i].callerServer.Close()
@@ -360,7 +359,7 @@
 			return
 		}
 	}
-	f.t.Fatalf("%s did not come true within %s", what, waitTimeout)
+	f.t.Fatalf("condition %q not met within %s", what, waitTimeout)
 }
 
 func (f *fleet) status(address netip.AddrPort, path string) int {
@@ -397,26 +396,26 @@
 func TestProxiesServeAndListEachOther(t *testing.T) {
 	f := newFleet(t, 2)
 	f.eventually("requests are served", func() bool { return f.get(0, "/a/x") == http.StatusOK && f.get(1, "/a/x") == http.StatusOK })
-	f.eventually("both proxies are named", func() bool { return f.lookupCount(0) == 2 && f.lookupCount(1) == 2 })
+	f.eventually("lookups return both proxies", func() bool { return f.lookupCount(0) == 2 && f.lookupCount(1) == 2 })
 	if got := f.get(0, "/none"); got != http.StatusNotFound {
-		t.Errorf("a path without a route gets %d, want 404", got)
+		t.Errorf("status of a path without a route is %d, want 404", got)
 	}
 }
 
-// A proxy is cut off from the store while the operator rolls out a version
-// and drains a server. It still reaches another proxy, which knows.
+// A proxy can't reach the store while the operator rolls out a configuration and drains a server.
+// It must get both changes from another proxy.
 func TestDisconnectedProxyReceivesChangesFromPeer(t *testing.T) {
 	f := newFleet(t, 2)
 	f.eventually("the proxies know each other", func() bool { return f.lookupCount(0) == 2 && f.lookupCount(1) == 2 })
 	f.links[1].setDisconnected(true)
 	f.store.write("config", testTable{Version: 3, Service: "service"})
-	f.eventually("the version is in force at the one cut off", func() bool { return f.version(1) == 3 })
+	f.eventually("the version is in force at the disconnected proxy", func() bool { return f.version(1) == 3 })
 	f.store.write("servers/s1", testServer{Service: "service", Domain: "a", Address: addressOf(f.backend.URL), Drains: true})
-	f.eventually("the server is known to drain at the one cut off", func() bool { return f.get(1, "/a/x") == http.StatusServiceUnavailable })
+	f.eventually("the server is draining at the disconnected proxy", func() bool { return f.get(1, "/a/x") == http.StatusServiceUnavailable })
 }
 
-// The store is down for all. A VM is replaced meanwhile: the new process has
-// nothing but the seeds, and must serve.
+// The store is unavailable to all while a VM is replaced: the new process knows only the seeds, and
+// must serve.
 func TestNewProxyBootstrapsFromSeedDuringStoreOutage(t *testing.T) {
 	f := newFleet(t, 1)
 	f.links[0].setDisconnected(true)
@@ -425,9 +424,9 @@
 	f.eventually("the new proxy serves", func() bool { return f.get(1, "/a/x") == http.StatusOK })
 }
 
-// All proxies lost power and come back at the same moment; the seeds they were
-// given are gone. Each must read the store at once: callers already come, and
-// waiting for a seed cost a second of refusals.
+// All proxies restart at the same moment after a power loss, and their seeds are gone. Each must
+// read the store at once: callers already send requests, and waiting for a seed meant a second of
+// rejected requests.
 func TestRestartedProxyDoesNotWaitForSeeds(t *testing.T) {
 	f := newFleet(t, 1)
 	for first, want := range map[bool]bool{true: true, false: false} {
@@ -437,22 +436,22 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		returned := make(chan struct{})
 		go func() { w.waitForSeed(ctx); close(returned) }()
-		waits := false
+		waiting := false
 		select {
 		case <-returned:
 		case <-time.After(seedTimeout / 4):
-			waits = true
+			waiting = true
 		}
-		if waits != want {
-			t.Errorf("first start %t: waits for a seed: %t, want %t", first, waits, want)
+		if waiting != want {
+			t.Errorf("first start %t: waiting for a seed is %t, want %t", first, waiting, want)
 		}
 		cancel()
 		<-returned
 	}
 }
 
-// The store drops its history while changes are made. The proxy must read
-// everything again and notice what was removed in between.
+// The store compacts its history while changes are made. The proxy must read everything again and
+// notice what was removed in between.
 func TestCompactedHistoryCausesFullRead(t *testing.T) {
 	f := newFleet(t, 1)
 	f.eventually("requests are served", func() bool { return f.get(0, "/a/x") == http.StatusOK })
@@ -463,12 +462,12 @@
 	f.store.mu.Unlock()
 	f.store.compact()
 	f.eventually("the version is in force", func() bool { return f.version(0) == 7 })
-	f.eventually("the server is gone", func() bool { return f.get(0, "/a/x") == http.StatusServiceUnavailable })
+	f.eventually("the server is removed", func() bool { return f.get(0, "/a/x") == http.StatusServiceUnavailable })
 }
 
-// Before it drops its history the store's watches hear nothing for a while. One
-// that ends meanwhile names the newest revision without the change that led to
-// it. A proxy that went on from there would miss a drain for good.
+// Before a compaction, the store's watches return no changes for a while. A watch that ends then
+// reports the newest revision without the change that led to it; a proxy that continued from there
+// would miss a drain for good.
 func TestSilentWatchDoesNotSkipChanges(t *testing.T) {
 	f := newFleet(t, 1)
 	f.eventually("requests are served", func() bool { return f.get(0, "/a/x") == http.StatusOK })
@@ -481,27 +480,26 @@
 	f.store.watchesSilent = false
 	f.store.mu.Unlock()
 	f.store.compact()
-	f.eventually("the drain is known", func() bool { return f.get(0, "/a/x") == http.StatusServiceUnavailable })
+	f.eventually("the server is draining", func() bool { return f.get(0, "/a/x") == http.StatusServiceUnavailable })
 }
 
-// The platform revokes a live proxy's key without telling it otherwise. It
-// must write the key again, or callers would no longer be sent there.
+// The platform deletes a live proxy's entry without notice. The proxy must write it again, or
+// callers would no longer be sent there.
 func TestDeletedProxyEntryIsRewritten(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("both proxies are named", func() bool { return f.lookupCount(1) == 2 })
+	f.eventually("lookups return both proxies", func() bool { return f.lookupCount(1) == 2 })
 	f.store.remove(proxyKeyPrefix + "proxy-a")
-	f.eventually("the entry is back", func() bool {
+	f.eventually("the entry is written again", func() bool {
 		f.store.mu.Lock()
 		defer f.store.mu.Unlock()
 		_, held := f.store.items[proxyKeyPrefix+"proxy-a"]
 		return held
 	})
-	f.eventually("both proxies are named again", func() bool { return f.lookupCount(1) == 2 })
+	f.eventually("lookups return both proxies again", func() bool { return f.lookupCount(1) == 2 })
 }
 
-// An operator stops a proxy that is cut off from the store. Taking its entry back
-// takes until the call gives up; if the stop waited for that, no time would be
-// left for requests, and those in progress would be cut.
+// A proxy that can't reach the store shuts down. Revoking its lease hangs until the call times out;
+// if the shutdown waited for that, no time would be left for the requests in progress.
 func TestShutdownDoesNotWaitForStore(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.daemons[0]
@@ -512,41 +510,40 @@
 	address := d.settings.Listen.Callers
 	f.stops[0]()
 	go f.endConnections(0)
-	began := time.Now()
-	var cut atomic.Int32
+	start := time.Now()
+	var interrupted atomic.Int32
 	var callers sync.WaitGroup
 	for range 8 {
 		callers.Go(func() {
-			for time.Since(began) < d.bounds().GracePeriod {
+			for time.Since(start) < d.bounds().GracePeriod {
 				response, err := http.Get("http://" + address.String() + "/a/slow")
 				switch {
 				case err == nil:
 					_ = response.Body.Close()
 				case errors.Is(err, io.EOF):
-					cut.Add(1)
+					interrupted.Add(1)
 				}
 			}
 		})
 	}
 	callers.Wait()
-	if got := cut.Load(); got > 0 {
-		t.Errorf("%d requests were cut by the stop, want none", got)
+	if got := interrupted.Load(); got > 0 {
+		t.Errorf("%d requests were interrupted by the shutdown, want none", got)
 	}
 }
 
-// A backend server hangs while an operator stops a proxy. Requests that come
-// late in the time in which new ones are still taken have longer to wait than
-// the process has left. Each must get an answer before the process ends; their
-// connections were closed without one.
+// A backend server hangs during a shutdown. Requests accepted late have a longer timeout than the
+// process has left. Each must be answered before the exit; their connections used to be closed
+// without a response.
 func TestShutdownAnswersLateRequests(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.daemons[0]
-	began, taken := time.Now(), time.Duration(acceptRatio*float64(d.bounds().GracePeriod))
+	start, acceptPeriod := time.Now(), time.Duration(acceptRatio*float64(d.bounds().GracePeriod))
 	f.stops[0]()
 	go f.endConnections(0)
-	var cut, answered atomic.Int32
+	var interrupted, answered atomic.Int32
 	var callers sync.WaitGroup
-	for time.Since(began) < taken {
+	for time.Since(start) < acceptPeriod {
 		callers.Go(func() {
 			response, err := http.Get("http://" + d.settings.Listen.Callers.String() + "/a/hangs")
 			switch {
@@ -554,39 +551,39 @@
 				answered.Add(1)
 				_ = response.Body.Close()
 			case errors.Is(err, io.EOF):
-				cut.Add(1)
+				interrupted.Add(1)
 			}
 		})
 		time.Sleep(50 * time.Millisecond)
 	}
 	callers.Wait()
-	if got := cut.Load(); got > 0 || answered.Load() == 0 {
-		t.Errorf("%d requests were cut by the stop and %d answered, want none cut", got, answered.Load())
+	if got := interrupted.Load(); got > 0 || answered.Load() == 0 {
+		t.Errorf("%d requests were interrupted by the shutdown and %d answered, want none interrupted", got, answered.Load())
 	}
 }
 
-// An operator stops a proxy while callers use it. It is not ready at once and
-// no longer named, yet serves whoever still comes, and cuts nobody off.
+// A proxy shuts down while callers use it. It must become unready and leave the lookup responses at
+// once, but serve the requests that still arrive and finish those in flight.
 func TestShutdownCompletesRequestsInFlight(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("both proxies are named", func() bool { return f.lookupCount(1) == 2 })
+	f.eventually("lookups return both proxies", func() bool { return f.lookupCount(1) == 2 })
 	slow := make(chan int, 1)
 	go func() { slow <- f.get(0, "/a/slow") }()
 	f.eventually("the slow request runs", func() bool { _, seen := f.served.Load(""); return seen })
 	f.stops[0]()
-	f.eventually("it is not ready", func() bool {
+	f.eventually("the stopping proxy is not ready", func() bool {
 		return f.status(f.daemons[0].settings.Listen.Readiness, "/ready") == http.StatusServiceUnavailable
 	})
-	f.eventually("the other no longer names it", func() bool { return f.lookupCount(1) == 1 })
+	f.eventually("lookups return only the other proxy", func() bool { return f.lookupCount(1) == 1 })
 	if got := f.get(0, "/a/x"); got != http.StatusOK {
-		t.Errorf("a request during the stop gets %d, want 200", got)
+		t.Errorf("status of a request during the shutdown is %d, want 200", got)
 	}
 	if got := <-slow; got != http.StatusOK {
-		t.Errorf("the request in flight got %d, want 200", got)
+		t.Errorf("status of the request in flight is %d, want 200", got)
 	}
 }
 
-// Callers must not be sent to a proxy that does not know where to send them.
+// Callers must not be sent to a proxy that has no configuration yet.
 func TestUnconfiguredProxyIsNotReady(t *testing.T) {
 	f := &fleet{t: t, store: newMemoryStore()}
 	l := &storeLink{store: f.store}
@@ -600,23 +597,23 @@
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
 		if w.Code != http.StatusServiceUnavailable {
-			t.Errorf("%s answers %d, want 503", path, w.Code)
+			t.Errorf("status of %s is %d, want 503", path, w.Code)
 		}
 	}
 }
 
-// A caller complains about a request that got no answer. The operators have
-// its id and the address of any proxy.
+// A request got no response. Operators know its id and the address of some proxy, and must find the
+// cause with the command line.
 func TestOperatorCommandsExplainFailedRequest(t *testing.T) {
 	f := newFleet(t, 2)
 	f.eventually("the proxies know each other", func() bool { return f.lookupCount(0) == 2 && f.lookupCount(1) == 2 })
 	f.store.remove("servers/s1")
-	f.eventually("the server is gone", func() bool { return f.get(1, "/a/x") == http.StatusServiceUnavailable })
+	f.eventually("the server is removed", func() bool { return f.get(1, "/a/x") == http.StatusServiceUnavailable })
 	request, err := http.NewRequest(http.MethodGet, "http://"+f.daemons[1].settings.Listen.Callers.String()+"/a/x", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	request.Header.Set("Attempt", "complaint-1")
+	request.Header.Set("Attempt", "request-1")
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
@@ -625,17 +622,17 @@
 	for command, want := range map[string]string{
 		"explain": "reason=no-server", "status": "proxy-b", "events": "server-gone", "routes": "/a/", "servers": "as proxy-a",
 	} {
-		a := commandLine(t, f.daemons[0].settings.Listen.Operators, command)
-		var out, complaints strings.Builder
-		if code := clientcommand.Run(context.Background(), a, &out, &complaints); code != clientcommand.ExitOK {
-			t.Errorf("%s: exit code %d: %s", command, code, complaints.String())
+		args := commandLine(t, f.daemons[0].settings.Listen.Operators, command)
+		var out, errOut strings.Builder
+		if code := clientcommand.Run(context.Background(), args, &out, &errOut); code != clientcommand.ExitOK {
+			t.Errorf("%s: exit code %d: %s", command, code, errOut.String())
 		}
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%s printed %q, want %q in it", command, out.String(), want)
 		}
 	}
 	if got := f.status(f.daemons[0].settings.Listen.Operators, "/metrics"); got != http.StatusOK {
-		t.Errorf("metrics answer %d, want 200", got)
+		t.Errorf("status of the metrics is %d, want 200", got)
 	}
 }
 
@@ -644,7 +641,7 @@
 	steering := &clientcommand.SteeringArguments{}
 	switch name {
 	case "explain":
-		steering.Explain = &clientcommand.SteeringExplainArguments{Request: "complaint-1"}
+		steering.Explain = &clientcommand.SteeringExplainArguments{Request: "request-1"}
 	case "status":
 		steering.Status = &clientcommand.SteeringStatusArguments{}
 	case "events":
--- a/internal/proxy/forward/gossip_test.go
+++ b/internal/proxy/forward/gossip_test.go
@@ -20,7 +20,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/proxy/sleep"
 )
 
-// newIdleDaemon makes a daemon that never runs, with the seams of one that does.
+// newIdleDaemon creates a daemon that isn't run, with the dependencies of one that is.
 func (f *fleet) newIdleDaemon() *Daemon {
 	f.t.Helper()
 	s := *f.daemons[0].settings
@@ -31,8 +31,8 @@
 	return d
 }
 
-// servePeer answers the exchanges of proxies with a function.
-func servePeer(t *testing.T, answer func(peerdrpc.SyncMessage) peerdrpc.SyncMessage) netip.AddrPort {
+// servePeer serves the exchanges of proxies with a function.
+func servePeer(t *testing.T, handle func(peerdrpc.SyncMessage) peerdrpc.SyncMessage) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,19 +40,18 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- peerdrpc.ServeSync(ctx, listener, peerdrpc.SyncHandlers{Sync: answer}) }()
+	go func() { ended <- peerdrpc.ServeSync(ctx, listener, peerdrpc.SyncHandlers{Sync: handle}) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil && !errors.Is(err, context.Canceled) {
-			t.Errorf("peer ended with %v", err)
+			t.Errorf("peer server ended with %v", err)
 		}
 	})
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// Hundreds of proxies start again while the store is down, and all know the
-// same seed, which has given away as much as its link carries. It names others,
-// and one of these gives the newcomer what it needs.
+// Hundreds of proxies restart while the store is down, and all know the same seed, which has used
+// up its budget of full copies. The seed names other peers, and one of those must supply the copy.
 func TestNewProxyQueriesPeersNamedBySeed(t *testing.T) {
 	f := newFleet(t, 1)
 	seed := servePeer(t, func(peerdrpc.SyncMessage) peerdrpc.SyncMessage {
@@ -63,11 +62,11 @@
 	})
 	f.storeOutage = true
 	f.start(1, []netip.AddrPort{seed})
-	f.eventually("the newcomer serves", func() bool { return f.get(1, "/a/x") == http.StatusOK })
+	f.eventually("the new proxy serves", func() bool { return f.get(1, "/a/x") == http.StatusOK })
 }
 
-// A proxy that may not give everything away names others to one that starts, and
-// nothing to one that only lags.
+// A proxy that can't send a full copy names other peers to a proxy that starts, but not to one that
+// only lags.
 func TestPeersAreNamedToNewProxies(t *testing.T) {
 	f := newFleet(t, 2)
 	f.eventually("the proxies know each other", func() bool { return f.lookupCount(0) == 2 })
@@ -75,43 +74,43 @@
 	g.replica.members["proxy-b"] = proxyEntry{Name: "proxy-b", Region: "north", Peers: f.daemons[1].settings.Listen.Peers}
 	answer := g.handle(context.Background(), peerdrpc.SyncMessage{From: "newcomer"})
 	if got, want := fmt.Sprint(answer.Others), fmt.Sprint([]netip.AddrPort{f.daemons[1].settings.Listen.Peers}); got != want {
-		t.Errorf("a newcomer is told of %s, want %s", got, want)
+		t.Errorf("peers named to a new proxy are %s, want %s", got, want)
 	}
 	answer = g.handle(context.Background(), peerdrpc.SyncMessage{From: "lags", Delta: replica.Delta{Base: 3, Revision: 3}})
 	if len(answer.Others) != 0 {
-		t.Errorf("a peer that lags is told of %v, want none", answer.Others)
+		t.Errorf("peers named to a lagging proxy are %v, want none", answer.Others)
 	}
 }
 
-// A large store is read in many pages over a narrow link. A peer's copy comes
-// first, and the reading must end: it would fill the link for another second.
+// A large store is read in many pages over a narrow link. If a peer's copy arrives first, the read
+// must be canceled, or it would fill the link for another second.
 func TestStoreReadIsCanceledWhenPeerCopyArrives(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.newIdleDaemon()
-	given := make(chan struct{})
+	started := make(chan struct{})
 	w := &storeWatcher{replica: d.replica, onAdvance: func(uint64) {}, onUnchanged: func() {}, store: Store{
 		Range: func(ctx context.Context, _ string, _ bool) ([]KeyValue, uint64, error) {
-			close(given)
+			close(started)
 			<-ctx.Done()
 			return nil, 0, ctx.Err()
 		},
 	}}
 	ended := make(chan error, 1)
 	go func() { ended <- w.step(context.Background()) }()
-	<-given
+	<-started
 	d.replica.apply(replica.Delta{Revision: 7, Whole: true})
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("got %v, want no error: the store did not fail", err)
+			t.Errorf("got %v, want no error, as the store did not fail", err)
 		}
 	case <-time.After(waitTimeout):
-		t.Error("the reading goes on")
+		t.Error("the read was not canceled")
 	}
 }
 
-// A region has more proxies than its relays send a change to. Each that hears of
-// it tells a few others, once, or the rest would know a second later.
+// A region has more proxies than its relays send a change to. Each proxy that receives the change
+// must forward it to a few others, once, or the rest would receive it a second later.
 func TestChangesAreForwardedInLargeRegion(t *testing.T) {
 	f := newFleet(t, 1)
 	for _, c := range []struct {
@@ -130,20 +129,20 @@
 		}
 		d.replica.members["proxy-a"] = proxyEntry{Name: "proxy-a", Region: "north"}
 		d.replica.apply(replica.Delta{Revision: 7, Whole: true})
-		news := peerdrpc.SyncMessage{From: "peer-0", Delta: replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8}}}}
-		g.handle(context.Background(), news)
-		g.handle(context.Background(), news)
-		f.eventually(fmt.Sprintf("%d of %d peers are told", c.want, c.peers), func() bool { return sent.Load() == c.want })
+		change := peerdrpc.SyncMessage{From: "peer-0", Delta: replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8}}}}
+		g.handle(context.Background(), change)
+		g.handle(context.Background(), change)
+		f.eventually(fmt.Sprintf("%d of %d peers receive the change", c.want, c.peers), func() bool { return sent.Load() == c.want })
 		time.Sleep(50 * time.Millisecond)
 		if got := sent.Load(); got != c.want {
-			t.Errorf("%d peers: news were sent %d times, want %d", c.peers, got, c.want)
+			t.Errorf("%d peers: the change was sent %d times, want %d", c.peers, got, c.want)
 		}
 	}
 }
 
-// Nothing changes for a while in a region of a hundred proxies. The relay's word that its
-// copy is still right took three seconds to all of them by exchanges alone; the others
-// took their copies for old meanwhile and asked the store, forty calls a second.
+// Nothing changes for a while in a region of a hundred proxies. By exchanges alone, the relay's
+// confirmation took three seconds to reach all; the others considered their copies stale meanwhile
+// and queried the store, forty calls a second.
 func TestRelayConfirmsCopyInLargeRegion(t *testing.T) {
 	f := newFleet(t, 1)
 	for _, c := range []struct {
@@ -171,17 +170,17 @@
 		if err := w.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		f.eventually(fmt.Sprintf("%d of %d peers are told", c.want, c.peers), func() bool { return sent.Load() == c.want })
+		f.eventually(fmt.Sprintf("%d of %d peers receive the confirmation", c.want, c.peers), func() bool { return sent.Load() == c.want })
 	}
 }
 
-// Hundreds of proxies start and each hears of the others in a message for each. Listing
-// all of them anew for each message was most of what a start took. The first is known at
+// Hundreds of proxies start, and each receives the others' entries in a message for each. Updating
+// the kernel for every message was most of the cost of a start. The first entry must take effect at
 // once, the last with the next tick.
 func TestSimultaneousStartsAreBatched(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.newIdleDaemon()
-	named := func() (n int) {
+	lookupCount := func() (n int) {
 		d.withKernel(func(k *steering.Kernel, _ time.Time) { n = len(k.Lookup("host", "north", "a")) })
 		return n
 	}
@@ -195,26 +194,26 @@
 		}
 		revision := uint64(i + 1)
 		d.replica.apply(replica.Delta{Base: revision - 1, Revision: revision, Whole: i == 0, Entries: []replica.Entry{{Key: proxyKeyPrefix + name, Value: entry, Revision: revision}}})
-		if i == 0 && named() != 2 {
-			t.Errorf("%d proxies are named after the first message, want it and this one", named())
+		if i == 0 && lookupCount() != 2 {
+			t.Errorf("lookup returns %d proxies after the first message, want it and this one", lookupCount())
 		}
 	}
-	if got := named(); got > others/2 {
-		t.Errorf("%d proxies are named before the next tick, want most of them put off", got)
+	if got := lookupCount(); got > others/2 {
+		t.Errorf("lookup returns %d proxies before the next tick, want most of them deferred", got)
 	}
 	d.replica.flushProxies()
-	if got, want := named(), others+1; got != want {
-		t.Errorf("%d proxies are named after the next tick, want %d", got, want)
+	if got, want := lookupCount(), others+1; got != want {
+		t.Errorf("lookup returns %d proxies after the next tick, want %d", got, want)
 	}
 }
 
-// hasServer reports whether a daemon's kernel still holds the server of newDaemonWithServer.
+// hasServer reports whether a daemon's kernel has the server of newDaemonWithServer.
 func hasServer(d *Daemon) (held bool) {
 	d.withKernel(func(k *steering.Kernel, _ time.Time) { held = slices.Contains(k.Servers(), "s1") })
 	return held
 }
 
-// newDaemonWithServer makes an idle daemon that knows a server.
+// newDaemonWithServer creates an idle daemon that knows a server.
 func (f *fleet) newDaemonWithServer() *Daemon {
 	f.t.Helper()
 	d := f.newIdleDaemon()
@@ -224,33 +223,33 @@
 	}
 	d.replica.apply(replica.Delta{Revision: 1, Whole: true, Entries: []replica.Entry{{Key: "servers/s1", Value: value, Revision: 1}}})
 	if !hasServer(d) {
-		f.t.Fatal("the server is not known")
+		f.t.Fatal("the server is missing after its registration")
 	}
 	return d
 }
 
-// A VM was cut off from the store, not from its peers, and the store was there all
-// the time. A server leaves without a word. If the VM doubted what its peers tell
-// because its own calls had failed, it would go on sending requests for seconds.
+// A VM lost its connection to the store, but not to its peers, while the store was available. A
+// server leaves. If the proxy treated its peers' removals as tentative because its own calls had
+// failed, it would send requests to that server for seconds.
 func TestDisconnectedProxyAcceptsRemovalsFromPeers(t *testing.T) {
 	f := newFleet(t, 1)
 	removal := replica.Delta{Base: 1, Revision: 2}
-	for _, doubtful := range []bool{false, true} {
+	for _, tentative := range []bool{false, true} {
 		d := f.newDaemonWithServer()
 		d.replica.storeFailed(errDisconnected, d.now().Add(-time.Minute))
 		d.replica.storeFailed(context.DeadlineExceeded, d.now())
 		d.gossip.merge(peerdrpc.SyncMessage{From: "peer", Delta: replica.Delta{
 			Base: removal.Base, Revision: removal.Revision,
-			Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true, Doubtful: doubtful}},
+			Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true, Doubtful: tentative}},
 		}})
-		if got := hasServer(d); got != doubtful {
-			t.Errorf("removal doubted by the peer %t: the server is still used %t", doubtful, got)
+		if got := hasServer(d); got != tentative {
+			t.Errorf("removal tentative at the peer %t: the server is still used %t", tentative, got)
 		}
 	}
 }
 
-// A waiting watch is cut and answered at once when made again. A server's entry
-// goes just then: it has left, and no outage dropped it.
+// A watch is interrupted and succeeds at once when retried. A server's entry is removed just then:
+// the server has left, and its entry did not expire in an outage.
 func TestRemovalAfterInterruptedWatchIsAccepted(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.newDaemonWithServer()
@@ -267,8 +266,8 @@
 	}
 }
 
-// Two relays of a region hear of a change from another region before their own
-// watches answer. If neither told the others, these would go without.
+// Two relays of a region receive a change from another region before their own watches return. If
+// neither forwarded it, the other proxies of the region would not receive it.
 func TestRelayForwardsChangesFromOtherRegion(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.newIdleDaemon()
@@ -284,11 +283,11 @@
 	}
 	d.replica.apply(replica.Delta{Revision: 7, Whole: true})
 	g.handle(context.Background(), peerdrpc.SyncMessage{From: "far", Delta: replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8}}}})
-	f.eventually("the region is told", func() bool { return sent.Load() == 4 })
+	f.eventually("the region receives the change", func() bool { return sent.Load() == 4 })
 }
 
-// The same where the relay heard of the change in an exchange of its own, a moment
-// before its watch answers.
+// A relay received a change in an exchange shortly before its watch returns it. It must still
+// spread the change to its region.
 func TestRelaySpreadsWatchedChangesItAlreadyHas(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.newDaemonWithServer()
@@ -297,7 +296,7 @@
 	w := &storeWatcher{replica: d.replica, onUnchanged: func() {}, onAdvance: func(before uint64) {
 		spread++
 		if before != 1 {
-			t.Errorf("spreads what is newer than revision %d, want 1", before)
+			t.Errorf("spreads changes after revision %d, want 1", before)
 		}
 	}, store: Store{Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) {
 		d.replica.apply(replica.Delta{Base: 1, Revision: 2, Entries: replicaEntries(items)})
@@ -307,14 +306,13 @@
 		t.Fatal(err)
 	}
 	if spread != 1 {
-		t.Errorf("news were spread %d times, want once", spread)
+		t.Errorf("the change was spread %d times, want once", spread)
 	}
 }
 
-// The relays of a region are cut off, and so is every other peer there. Another
-// proxy asks the store itself. If it stopped at each answer until its copy was old
-// again, a server that drains just after an answer would get requests for two
-// seconds more.
+// No proxy of a region, relays included, can reach the store but one. If that one stopped watching
+// after each response until its copy was stale again, a server that drains just after a response
+// would get requests for two seconds more.
 func TestProxyWithoutFreshPeersKeepsFollowingStore(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.newDaemonWithServer()
@@ -335,8 +333,8 @@
 	ended := make(chan struct{})
 	go func() { w.run(ctx); close(ended) }()
 	defer func() { cancel(); <-ended }()
-	f.eventually("it asks the store itself", func() bool { return asked.Load() > 0 })
-	f.eventually("it goes on", func() bool {
+	f.eventually("the proxy queries the store", func() bool { return asked.Load() > 0 })
+	f.eventually("the proxy continues to query the store", func() bool {
 		d.gossip.merge(peerdrpc.SyncMessage{From: "far", Delta: replica.Delta{Base: 1, Revision: 1}})
 		d.gossip.merge(peerdrpc.SyncMessage{From: "wide-a", Delta: replica.Delta{Base: 1, Revision: 1, Age: time.Minute}})
 		return asked.Load() > 20
@@ -346,33 +344,33 @@
 	before := asked.Load()
 	time.Sleep(300 * time.Millisecond)
 	if got := asked.Load() - before; got > 0 {
-		t.Errorf("asked %d times more though a peer of the region has a fresh copy, want none", got)
+		t.Errorf("%d further store calls although a peer of the region has a fresh copy, want none", got)
 	}
 }
 
-// A proxy that is cut off from the store hears of a removal from a peer that read
-// it, and passes it on. Its own outage says nothing of that removal: were it passed
-// on as doubtful, the next proxy would send requests to a server that has left.
+// A proxy that can't reach the store receives a removal from a peer that read it, and forwards it.
+// Its own outage must not make the removal tentative: the next proxy would send requests to a
+// server that has left.
 func TestDisconnectedProxyForwardsRemovalsUnchanged(t *testing.T) {
 	f := newFleet(t, 1)
-	for _, doubtful := range []bool{false, true} {
-		cut, next := f.newDaemonWithServer(), f.newDaemonWithServer()
-		cut.replica.storeFailed(context.DeadlineExceeded, cut.now().Add(-time.Minute))
+	for _, tentative := range []bool{false, true} {
+		disconnected, next := f.newDaemonWithServer(), f.newDaemonWithServer()
+		disconnected.replica.storeFailed(context.DeadlineExceeded, disconnected.now().Add(-time.Minute))
 		reader := f.newDaemonWithServer()
-		if doubtful {
+		if tentative {
 			reader.replica.storeFailed(context.DeadlineExceeded, reader.now().Add(-time.Minute))
 		}
 		reader.replica.applyStoreRead(replica.Delta{Base: 1, Revision: 2, Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true}}})
-		cut.gossip.merge(peerdrpc.SyncMessage{From: "reader", Delta: reader.replica.deltaSince(1)})
+		disconnected.gossip.merge(peerdrpc.SyncMessage{From: "reader", Delta: reader.replica.deltaSince(1)})
 		time.Sleep(time.Millisecond)
-		next.gossip.merge(peerdrpc.SyncMessage{From: "cut", Delta: cut.replica.deltaSince(1)})
-		if got := hasServer(next); got != doubtful {
-			t.Errorf("removal doubted by its reader %t: the server is still used %t", doubtful, got)
+		next.gossip.merge(peerdrpc.SyncMessage{From: "cut", Delta: disconnected.replica.deltaSince(1)})
+		if got := hasServer(next); got != tentative {
+			t.Errorf("removal tentative at its reader %t: the server is still used %t", tentative, got)
 		}
 	}
 }
 
-// Guards against a large configuration that each relay brings to each proxy again.
+// Guards against each relay sending a large configuration again to every proxy.
 func TestLargeChangesAreSentOnlyToPeersThatLackThem(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.newIdleDaemon()
@@ -382,14 +380,14 @@
 		has  uint64
 		want int
 	}{"a proxy that has them": {8, 0}, "a proxy that lacks them": {7, 1}} {
-		brought := 0
+		sentEntries := 0
 		g := &gossip{replica: d.replica, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
-			brought += len(m.Entries)
+			sentEntries += len(m.Entries)
 			return peerdrpc.SyncMessage{Delta: replica.Delta{Base: c.has, Revision: c.has}}, nil
 		}}
 		g.offerDelta(context.Background(), netip.AddrPort{}, 7)
-		if brought != c.want {
-			t.Errorf("%s is brought %d entries, want %d", name, brought, c.want)
+		if sentEntries != c.want {
+			t.Errorf("%s is sent %d entries, want %d", name, sentEntries, c.want)
 		}
 	}
 }
--- a/internal/proxy/forward/permits_test.go
+++ b/internal/proxy/forward/permits_test.go
@@ -9,8 +9,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// permitRequest is a question of one proxy of a fleet to another for a place at the only
-// server, whose gate lets one run.
+// permitRequest is a request from one proxy of a fleet to another for a permit at the only server,
+// whose gate allows one request at a time.
 func (f *fleet) permitRequest(from, owner int, id uint64) steering.Ask {
 	d := f.daemons[from]
 	now := d.now()
@@ -20,7 +20,7 @@
 	}
 }
 
-// waitForMembership waits until all proxies have heard of each other.
+// waitForMembership waits until all proxies know each other.
 func (f *fleet) waitForMembership() {
 	f.t.Helper()
 	f.eventually("all proxies are known", func() bool {
@@ -33,42 +33,42 @@
 	})
 }
 
-// Two proxies want a place at a server that should run one request at a time. The
-// gate is at the first. The second waits until the first one's place is given back,
-// and no longer than a place is of use to it.
+// Two proxies need a permit at a server that should run one request at a time. The first proxy owns
+// the gate. The second must wait until the first one's permit is released, but no longer than the
+// permit is of use to it.
 func TestPermitsPassBetweenProxies(t *testing.T) {
 	f := newFleet(t, 2)
 	f.waitForMembership()
 	first, second := f.daemons[0].permits, f.daemons[1].permits
-	own := f.permitRequest(0, 0, 1)
-	if r, answered := first.acquire(context.Background(), own); !answered || r.Verdict != admission.Granted {
-		t.Fatalf("the first gets verdict %d (%t)", r.Verdict, answered)
+	request := f.permitRequest(0, 0, 1)
+	if r, answered := first.acquire(context.Background(), request); !answered || r.Verdict != admission.Granted {
+		t.Fatalf("the first proxy gets verdict %d (answered %t), want a permit", r.Verdict, answered)
 	}
-	granted := make(chan steering.Reply, 1)
+	replies := make(chan steering.Reply, 1)
 	go func() {
 		r, _ := second.acquire(context.Background(), f.permitRequest(1, 0, 1))
-		granted <- r
+		replies <- r
 	}()
-	f.eventually("the second waits", func() bool {
+	f.eventually("the second proxy waits", func() bool {
 		var waiting int
 		f.daemons[0].withKernel(func(k *steering.Kernel, now time.Time) {
-			waiting = k.HearAsk(now, own).Waiting
+			waiting = k.HearAsk(now, request).Waiting
 		})
 		return waiting == 1
 	})
-	first.release(steering.Release{Owner: own.Owner, Server: "s1", From: own.From, ID: own.ID})
-	if r := <-granted; r.Verdict != admission.Granted {
-		t.Errorf("the second gets verdict %d, want its place", r.Verdict)
+	first.release(steering.Release{Owner: request.Owner, Server: "s1", From: request.From, ID: request.ID})
+	if r := <-replies; r.Verdict != admission.Granted {
+		t.Errorf("the second proxy gets verdict %d, want a permit", r.Verdict)
 	}
-	late := f.permitRequest(1, 0, 2)
-	late.Last = f.daemons[1].now().Add(50 * time.Millisecond)
-	if r, answered := second.acquire(context.Background(), late); !answered || r.Verdict != admission.Denied {
-		t.Errorf("a place that comes too late: verdict %d (%t), want it denied", r.Verdict, answered)
+	expiring := f.permitRequest(1, 0, 2)
+	expiring.Last = f.daemons[1].now().Add(50 * time.Millisecond)
+	if r, answered := second.acquire(context.Background(), expiring); !answered || r.Verdict != admission.Denied {
+		t.Errorf("verdict after the deadline is %d (answered %t), want denied", r.Verdict, answered)
 	}
 }
 
-// The proxy that owns a gate is killed. Whoever asks it must not wait for longer than
-// one question takes; its request is sent without a place.
+// The proxy that owns a gate is killed. Requests for a permit must not block for longer than one
+// call takes; the callers' requests are then sent without a permit.
 func TestUnreachableOwnerDoesNotBlock(t *testing.T) {
 	f := newFleet(t, 2)
 	f.waitForMembership()
@@ -76,20 +76,20 @@
 	f.stops[1]()
 	f.endConnections(1)
 	if _, answered := f.daemons[0].permits.acquire(context.Background(), a); answered {
-		t.Error("a proxy that is gone has answered")
+		t.Error("got an answer from a proxy that is gone")
 	}
 	a.Owner.Name = "nobody"
 	if _, answered := f.daemons[0].permits.acquire(context.Background(), a); answered {
-		t.Error("a proxy that never was has answered")
+		t.Error("got an answer from a proxy that never existed")
 	}
 }
 
-// A caller leaves while its request waits: the wait ends at once.
+// A caller disconnects while its request waits for a permit: the wait must end at once.
 func TestCanceledRequestStopsWaiting(t *testing.T) {
 	f := newFleet(t, 1)
 	p := f.daemons[0].permits
 	if r, _ := p.acquire(context.Background(), f.permitRequest(0, 0, 1)); r.Verdict != admission.Granted {
-		t.Fatalf("verdict %d, want a place", r.Verdict)
+		t.Fatalf("verdict is %d, want a permit", r.Verdict)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan bool, 1)
@@ -99,35 +99,35 @@
 	}()
 	cancel()
 	if answered := <-ended; answered {
-		t.Error("a caller that left has got a place")
+		t.Error("the request of a disconnected caller got a permit")
 	}
 }
 
-// All processes lose power after they have learned that the servers of a service slow
-// down when full. If each had to learn it again while callers come back, every queue
-// would be full for ten seconds; what an entry says of it holds for its lease.
+// All processes restart after they have learned that the servers of a service slow down when full.
+// If each had to learn it again while callers come back, every queue would be full for ten seconds.
+// The limits in the entries must stay in force for the leases.
 func TestLearnedLimitsSurviveRestart(t *testing.T) {
 	f := newFleet(t, 2)
 	f.waitForMembership()
-	held := []steering.Held{{Service: "service", Limit: admission.Limit{Slots: 4, Most: 2, Evidence: 50}}}
+	limits := []steering.Held{{Service: "service", Limit: admission.Limit{Slots: 4, Most: 2, Evidence: 50}}}
 	f.daemons[0].withKernel(func(k *steering.Kernel, now time.Time) {
-		// A gate that says that fewer should run is a proxy's own sign.
-		k.SetHolding(now, held)
+		// A reply of the gate with a lower limit counts as learned by this proxy itself.
+		k.SetHolding(now, limits)
 		f, d := k.Begin(now, steering.Request{ID: "r", Host: "127.0.0.1", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
 		if d.Ask == nil {
-			t.Errorf("not held back: %+v", d)
+			t.Errorf("the request needs no permit: %+v", d)
 			return
 		}
-		k.Asked(now, f, steering.Reply{Grant: admission.Grant{Verdict: admission.Granted}, Limit: held[0].Limit}, true)
+		k.Asked(now, f, steering.Reply{Grant: admission.Grant{Verdict: admission.Granted}, Limit: limits[0].Limit}, true)
 	})
-	f.eventually("the entry tells the limit, and the other proxy holds back", func() bool {
-		asks := false
+	f.eventually("the other proxy applies the limit from the entry", func() bool {
+		needsPermit := false
 		f.daemons[1].withKernel(func(k *steering.Kernel, now time.Time) {
 			f, d := k.Begin(now, steering.Request{ID: "q", Host: "127.0.0.1", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
-			if asks = d.Ask != nil; d.Server != nil {
+			if needsPermit = d.Ask != nil; d.Server != nil {
 				k.Ended(now, f, steering.Attempt{Result: steering.Left})
 			}
 		})
-		return asks
+		return needsPermit
 	})
 }
--- a/internal/proxy/forward/quarantine_test.go
+++ b/internal/proxy/forward/quarantine_test.go
@@ -15,28 +15,28 @@
 
 const (
 	crashPath = "/b/deadly"
-	// restartDelay is after how long a server that has ended is back.
+	// restartDelay is how long after a crash a server is back.
 	restartDelay = 600 * time.Millisecond
-	// registrationExpiry is how long the registration of one that has ended stays.
+	// registrationExpiry is how long after a crash a server's registration is removed.
 	registrationExpiry = 400 * time.Millisecond
-	// propagationBound is the operators' bound for news at all proxies.
+	// propagationBound is the operators' bound for news to reach all proxies.
 	propagationBound = 4 * time.Second
-	// crashesToQuarantine are the servers that a request may end before it must be known, and
-	// runsAfter how often it may reach servers beyond the bound after that.
+	// crashesToQuarantine is how many servers a request may crash before it must be quarantined,
+	// and maxCrashesAfterBound how many it may crash after that and the propagation bound.
 	crashesToQuarantine  = 3
 	maxCrashesAfterBound = 3
 )
 
 type (
-	// crashingServers end when they run a request for the deadly path, with all that
-	// they are running, and are back with new ids after a while.
+	// crashingServers crash when they run a request for crashPath, with all their other requests,
+	// and restart with new ids after a while.
 	crashingServers struct {
 		fleet *fleet
 
 		mu      sync.Mutex
 		crashes []time.Time
 		starts  int
-		// live are the listening servers by their address.
+		// live holds the listening servers by address.
 		live   map[netip.AddrPort]*http.Server
 		closed bool
 	}
@@ -59,11 +59,11 @@
 	}
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
-		s.fleet.t.Errorf("a server can't start again: %v", err)
+		s.fleet.t.Errorf("restart of a server failed: %v", err)
 		return
 	}
 	s.starts++
-	id := fmt.Sprintf("frail-%d", s.starts)
+	id := fmt.Sprintf("crashing-%d", s.starts)
 	server := &http.Server{ReadHeaderTimeout: time.Second}
 	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == crashPath {
@@ -79,8 +79,8 @@
 	go func() { _ = server.Serve(listener) }()
 }
 
-// crash ends a server as a crash does: nothing listens any more, all connections break,
-// and its registration runs out some time after.
+// crash simulates a server's crash: it no longer listens, all its connections break, and its
+// registration expires some time later.
 func (s *crashingServers) crash(id string, address netip.AddrPort, server *http.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,66 +109,65 @@
 	return append([]time.Time(nil), s.crashes...)
 }
 
-// A service lost one server after the other for as long as a caller kept asking for one
-// thing: each server that began to run that request ended, with all its other requests,
-// and the caller came again, each time at another proxy. Each proxy held its breaks
-// against the servers and none against the request: it was the one that was there at all
-// ends whose logs were kept, nine of nine, where no other was there at more than three.
+// A service lost one server after another while a caller kept sending one request: each server that
+// ran it crashed with all its other requests, and the caller retried at another proxy. Each proxy
+// blamed the servers, none the request, although the logs showed that it was present at all nine
+// crashes of which logs were kept, while no other request was present at more than three.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	f := newFleet(t, 3)
 	f.store.remove("servers/s1")
 	servers := newCrashingServers(f, 6)
-	f.eventually("sound requests are served", func() bool { return f.get(0, "/b/sound") == http.StatusOK })
-	asked := 0
-	for end := time.Now().Add(waitTimeout); len(servers.crashTimes()) < crashesToQuarantine; asked++ {
+	f.eventually("other requests are served", func() bool { return f.get(0, "/b/sound") == http.StatusOK })
+	requestCount := 0
+	for end := time.Now().Add(waitTimeout); len(servers.crashTimes()) < crashesToQuarantine; requestCount++ {
 		if time.Now().After(end) {
-			t.Fatalf("%d servers ended, want %d before the request can be known", len(servers.crashTimes()), crashesToQuarantine)
+			t.Fatalf("%d servers crashed, want %d to quarantine the request", len(servers.crashTimes()), crashesToQuarantine)
 		}
-		f.get(asked%3, crashPath)
+		f.get(requestCount%3, crashPath)
 	}
 	bound := servers.crashTimes()[crashesToQuarantine-1].Add(propagationBound)
-	after, unserved := 0, 0
+	crashesAfterBound, failed := 0, 0
 	for time.Now().Before(bound.Add(3 * time.Second)) {
-		asked++
-		f.get(asked%3, crashPath)
+		requestCount++
+		f.get(requestCount%3, crashPath)
 		for i := range f.daemons {
-			status := f.get(i, fmt.Sprintf("/b/sound/%d", asked%40))
+			status := f.get(i, fmt.Sprintf("/b/sound/%d", requestCount%40))
 			if time.Now().After(bound) && status != http.StatusOK {
-				unserved++
+				failed++
 			}
 		}
 		time.Sleep(30 * time.Millisecond)
 	}
-	ends := servers.crashTimes()
-	for _, at := range ends {
+	crashes := servers.crashTimes()
+	for _, at := range crashes {
 		if at.After(bound) {
-			after++
+			crashesAfterBound++
 		}
 	}
-	t.Logf("asked %d times, %d servers ended, %d of them after the bound", asked, len(ends), after)
-	if after > maxCrashesAfterBound {
-		t.Errorf("the request ended %d servers after it was to be known everywhere, want %d at most", after, maxCrashesAfterBound)
+	t.Logf("%d requests sent, %d servers crashed, %d of them after the bound", requestCount, len(crashes), crashesAfterBound)
+	if crashesAfterBound > maxCrashesAfterBound {
+		t.Errorf("the request crashed %d servers after the propagation bound, want at most %d", crashesAfterBound, maxCrashesAfterBound)
 	}
-	if unserved > 0 {
-		t.Errorf("%d sound requests beside it were not served after that, want none", unserved)
+	if failed > 0 {
+		t.Errorf("%d other requests failed after the propagation bound, want none", failed)
 	}
 }
 
-// A request was condemned, and then all proxies lost power, twice. Each time those that
-// came back knew nothing of it, and it ended three servers more before it was refused
-// again: the count of the ends was in memory only.
+// A request was quarantined, and then all proxies lost power, twice. Each time the restarted
+// proxies knew nothing of it, and it crashed three more servers before it was rejected again: the
+// crashes were counted in memory only.
 func TestQuarantineSurvivesLossOfAllProxies(t *testing.T) {
 	f := newFleet(t, 2)
 	f.store.remove("servers/s1")
 	servers := newCrashingServers(f, 6)
-	condemned := func(proxy int) bool {
+	quarantined := func(proxy int) bool {
 		f.get(proxy, crashPath)
 		list := 0
 		f.daemons[proxy].withKernel(func(k *steering.Kernel, now time.Time) { list = len(k.Condemned(now)) })
 		return list > 0
 	}
-	f.eventually("the request is condemned", func() bool { return condemned(0) && condemned(1) })
-	f.eventually("that is stored", func() bool { return f.store.count(quarantineKeyPrefix) > 0 })
+	f.eventually("the request is quarantined", func() bool { return quarantined(0) && quarantined(1) })
+	f.eventually("the quarantine is stored", func() bool { return f.store.count(quarantineKeyPrefix) > 0 })
 	before, first := len(servers.crashTimes()), 0
 	for range 2 {
 		for i := first; i < len(f.daemons); i++ {
@@ -178,13 +177,13 @@
 		first = len(f.daemons)
 		f.start(first, nil)
 		f.start(first+1, nil)
-		f.eventually("sound requests are served", func() bool { return f.get(first, "/b/sound") == http.StatusOK })
+		f.eventually("other requests are served", func() bool { return f.get(first, "/b/sound") == http.StatusOK })
 		for i := range 40 {
 			f.get(first+i%2, crashPath)
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	if after := len(servers.crashTimes()) - before; after > maxCrashesAfterBound {
-		t.Errorf("the request ended %d servers after it was condemned, want %d at most", after, maxCrashesAfterBound)
+	if crashes := len(servers.crashTimes()) - before; crashes > maxCrashesAfterBound {
+		t.Errorf("the request crashed %d servers after it was quarantined, want at most %d", crashes, maxCrashesAfterBound)
 	}
 }
--- a/internal/proxy/forward/registrar_test.go
+++ b/internal/proxy/forward/registrar_test.go
@@ -10,7 +10,7 @@
 )
 
 type (
-	// countingStore counts a keeper's calls and answers them with err.
+	// countingStore counts a registrar's calls and answers them with err.
 	countingStore struct {
 		grants, puts, renewals int
 		err                    error
@@ -25,33 +25,33 @@
 	}
 }
 
-// The store is away for a few renewals and the lease outlives that. Were a new
-// entry written at each failure, seventy proxies would make a thousand calls in
-// an outage of some seconds, at ten times the price of a renewal.
+// The store is unavailable for a few renewals, and the lease outlives the outage. If a new entry
+// were written after each failure, seventy proxies would make a thousand calls in an outage of a
+// few seconds, at ten times the price of a renewal.
 func TestFailedRenewalIsRetried(t *testing.T) {
 	f := newFleet(t, 1)
 	s := &countingStore{}
 	k := &registrar{replica: f.newIdleDaemon().replica, store: s.client()}
 	ctx := context.Background()
 	if !k.ensureRegistered(ctx) {
-		t.Fatal("the entry is not there after the first calls")
+		t.Fatal("not registered after the first calls")
 	}
 	s.err = errDisconnected
 	for range 3 {
 		if k.ensureRegistered(ctx) {
-			t.Error("a renewal that failed counts as made")
+			t.Error("a failed renewal counts as successful")
 		}
 	}
 	s.err = nil
 	if !k.ensureRegistered(ctx) {
-		t.Error("the entry is not there after the outage")
+		t.Error("not registered after the outage")
 	}
 	if s.grants != 1 || s.puts != 1 || s.renewals != 4 {
 		t.Errorf("%d leases, %d entries, %d renewals; want 1, 1, 4", s.grants, s.puts, s.renewals)
 	}
 }
 
-// The lease ran out while the store was away. Only then is a new entry written.
+// The lease expired during a store outage. Only then is a new entry written.
 func TestExpiredLeaseIsReplaced(t *testing.T) {
 	f := newFleet(t, 1)
 	s := &countingStore{}
@@ -60,7 +60,7 @@
 	k.ensureRegistered(ctx)
 	s.err = &StoreError{Code: StoreNotFound}
 	if k.ensureRegistered(ctx) {
-		t.Error("the entry counts as there though its lease has ended")
+		t.Error("still registered although the lease has expired")
 	}
 	s.err = nil
 	if !k.ensureRegistered(ctx) || s.grants != 2 || s.puts != 2 {
@@ -68,8 +68,8 @@
 	}
 }
 
-// A lease was granted and the entry's answer got lost. The entry is written again
-// under the same lease.
+// A lease was granted and the response to the write of the entry was lost. The entry must be
+// written again under the same lease.
 func TestUnacknowledgedEntryIsRewritten(t *testing.T) {
 	f := newFleet(t, 1)
 	s := &countingStore{}
@@ -83,36 +83,36 @@
 	}
 	k := &registrar{replica: f.newIdleDaemon().replica, store: seams}
 	if k.ensureRegistered(context.Background()) || !k.ensureRegistered(context.Background()) {
-		t.Error("the entry is not there after the second try")
+		t.Error("not registered after the second attempt")
 	}
 	if s.grants != 1 || s.puts != 2 {
 		t.Errorf("%d leases, %d entries; want 1, 2", s.grants, s.puts)
 	}
 }
 
-// In an outage every proxy comes to ask the store. Those that are no relays wait
-// longer: the relays tell them of its return.
+// In an outage all proxies query the store in the end. Those that aren't relays must back off
+// longer, since the relays tell them of its recovery.
 func TestNonRelaysBackOffLongerDuringOutage(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.newIdleDaemon()
 	w := &storeWatcher{replica: d.replica, onUnchanged: func() {}}
 	if got := w.maxBackoff(); got != maxRetryBackoff {
-		t.Errorf("a relay waits %s at most, want %s", got, maxRetryBackoff)
+		t.Errorf("backoff of a relay is at most %s, want %s", got, maxRetryBackoff)
 	}
 	for _, name := range []string{"wide-a", "wide-b"} {
 		d.replica.members[name] = proxyEntry{Name: name, Region: "north", LinkMbps: 1000}
 	}
 	d.replica.members[d.settings.Name] = proxyEntry{Name: d.settings.Name, Region: "north"}
 	if d.replica.rank() < replica.Relays {
-		t.Fatal("the proxy is a relay beside two with wider links")
+		t.Fatal("the proxy is a relay despite two others with more bandwidth")
 	}
 	if got := w.maxBackoff(); got != maxNonRelayBackoff {
-		t.Errorf("another proxy waits %s at most, want %s", got, maxNonRelayBackoff)
+		t.Errorf("backoff of another proxy is at most %s, want %s", got, maxNonRelayBackoff)
 	}
 }
 
-// The platform takes the entry away again and again, and it is written each time.
-// If that put the renewal off, the lease would end, and with it the entry.
+// The platform deletes the entry again and again, and it is rewritten each time. If that delayed
+// the renewals, the lease would expire, and with it the entry.
 func TestRewritesDoNotDelayRenewals(t *testing.T) {
 	f := newFleet(t, 1)
 	s := &countingStore{}
--- a/internal/proxy/forward/storewatcher_test.go
+++ b/internal/proxy/forward/storewatcher_test.go
@@ -8,7 +8,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/replica"
 )
 
-// newSeededDaemon is a proxy that never runs and knows a seed, which it is itself or not.
+// newSeededDaemon creates a daemon that isn't run and knows a seed, and is a seed itself if isSeed.
 func newSeededDaemon(t *testing.T, isSeed bool) *Daemon {
 	t.Helper()
 	d := newFleet(t, 1).newIdleDaemon()
@@ -19,10 +19,10 @@
 	return d
 }
 
-// Hundreds of proxies start at once, and no entry is there yet. Each took itself for
-// the first of its region and followed the store, which answered it at each entry of
-// the others: more calls in two seconds than in a minute of traffic. A copy that
-// grows old is followed by whoever has it, or a fleet without seeds would hear nothing.
+// Hundreds of proxies start at once, before any has an entry. Each used to consider itself the first
+// of its region and followed the store, whose watches returned for each of the others' entries:
+// more calls in two seconds than in a minute of traffic. A proxy with a stale copy must follow the
+// store in any case, or a fleet without seeds would get no changes.
 func TestOnlySeedsFollowStoreBeforeMembersAreKnown(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -31,7 +31,7 @@
 	}{
 		{"a seed", true, false, true},
 		{"any other with a fresh copy", false, false, false},
-		{"any other with an old copy", false, true, true},
+		{"any other with a stale copy", false, true, true},
 	} {
 		d := newSeededDaemon(t, c.isSeed)
 		delta := replica.Delta{Revision: 7, Whole: true}
@@ -45,33 +45,33 @@
 	}
 }
 
-// A proxy that starts reads the store unless a seed gives it a copy. Its reading need
-// not be of this moment, unless it is to tell the others; and what it has read is news
-// to nobody: it was sent whole to each peer of the region.
+// A proxy that starts reads the store unless a seed sends it a copy. The read may be stale unless
+// the proxy is to inform the others. What it reads must not be propagated: it used to be sent in
+// full to each peer of the region.
 func TestInitialReadIsStaleAndNotForwarded(t *testing.T) {
 	for _, isSeed := range []bool{true, false} {
 		d := newSeededDaemon(t, isSeed)
-		var gotStale, passedOn bool
-		f := &storeWatcher{replica: d.replica, onAdvance: func(uint64) { passedOn = true }, store: Store{
+		var staleRead, propagated bool
+		f := &storeWatcher{replica: d.replica, onAdvance: func(uint64) { propagated = true }, store: Store{
 			Range: func(_ context.Context, _ string, stale bool) ([]KeyValue, uint64, error) {
-				gotStale = stale
+				staleRead = stale
 				return []KeyValue{{Key: "key", Revision: 4}}, 5, nil
 			},
 		}}
 		if err := f.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if gotStale == isSeed {
-			t.Errorf("a seed: %t; its first reading is stale: %t", isSeed, gotStale)
+		if staleRead == isSeed {
+			t.Errorf("seed %t: initial read is stale %t", isSeed, staleRead)
 		}
-		if passedOn {
-			t.Errorf("a seed: %t; its first reading was passed on, want not", isSeed)
+		if propagated {
+			t.Errorf("seed %t: initial read was propagated", isSeed)
 		}
 		if got, want := d.replica.revision(), uint64(5); got != want {
 			t.Errorf("revision is %d, want %d", got, want)
 		}
 		if fresh := d.replica.age() < staleReadAge; fresh != isSeed {
-			t.Errorf("a seed: %t; its copy is %v old, want a stale reading to count for %v", isSeed, d.replica.age(), staleReadAge)
+			t.Errorf("seed %t: copy is %v old, want a stale read to count for %v", isSeed, d.replica.age(), staleReadAge)
 		}
 	}
 }
