--- a/internal/proxy/forward/crashalerts.go
+++ b/internal/proxy/forward/crashalerts.go
@@ -24,8 +24,8 @@
 	reportSize = 48
 )
 
-// quarantineReports returns the reports of work that crashes servers to send to a peer; all of them
-// for one that knows none yet.
+// quarantineReports returns the reports of requests that crash servers to send to a peer; all of
+// them for one that knows none yet.
 func (d *Daemon) quarantineReports(all bool) (list []quarantine.Report) {
 	d.withKernel(func(k *steering.Kernel, now time.Time) { list = k.Suspicions(now, all) })
 	return list
--- a/internal/proxy/forward/daemon.go
+++ b/internal/proxy/forward/daemon.go
@@ -62,7 +62,7 @@
 		gossip          *gossip
 		registrar       *registrar
 		peerClient      *peerdrpc.Client
-		permits         *permitClient
+		slots           *slotClient
 		quarantine      *quarantineStore
 		quotas          *quotaClient
 
@@ -94,7 +94,7 @@
 	d.peerClient = peerdrpc.NewClient(func() *tls.Config { return nil })
 	d.peerClient.Sent, d.peerClient.Received = d.metrics.peerBytesSent.Add, d.metrics.peerBytesReceived.Add
 	d.metrics.registerGauges(d, deps.DroppedLogLines)
-	d.permits = newPermitClient(d)
+	d.slots = newSlotClient(d)
 	d.gossip = &gossip{replica: d.replica, send: d.peerClient.Sync}
 	d.storeWatcher = &storeWatcher{replica: d.replica, store: deps.Store}
 	d.registrar = &registrar{replica: d.replica, store: deps.Store}
@@ -102,7 +102,7 @@
 	d.serverClient = serverhttp.NewClient(deps.Names.ServerHeaders, memory, d.now, d.metrics.serverConnectionsOpened.Inc)
 	d.callerServer = (&forwardhttp.Server{
 		Headers: deps.Names.CallerHeaders, Kernel: d.withKernel, Memory: memory, Send: d.serverClient.Send, Now: d.now,
-		Ask: d.permits.acquire, GiveBack: d.permits.release, AskPool: d.quotas.takeToken,
+		Ask: d.slots.acquire, GiveBack: d.slots.release, AskPool: d.quotas.takeToken,
 		Stopping: d.isStopping, Configured: d.replica.loaded, Started: d.start,
 	}).HTTP()
 	d.readinessServer = &http.Server{Handler: d.readinessHandler(), ReadHeaderTimeout: time.Second, IdleTimeout: httpIdleTimeout}
@@ -231,7 +231,7 @@
 			d.withKernel(func(k *steering.Kernel, now time.Time) { reply = k.HearAsk(now, a) })
 			return reply
 		},
-		Release: d.permits.releaseLocal, Grant: d.permits.deliver, Now: d.now,
+		Release: d.slots.releaseLocal, Grant: d.slots.deliver, Now: d.now,
 		ReportLimits: func(r ratelimit.Report) (g ratelimit.Grants) {
 			d.withKernel(func(k *steering.Kernel, now time.Time) { g = k.HearReport(now, r) })
 			return g
@@ -243,7 +243,7 @@
 	}
 }
 
-// runTicks periodically lets the kernel expire state and sends the permits that this frees.
+// runTicks periodically lets the kernel expire state and sends the slots that this frees.
 func (d *Daemon) runTicks(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -258,7 +258,7 @@
 				k.Tick(now)
 				grants = k.Grants()
 			})
-			d.permits.sendReplies(grants)
+			d.slots.sendReplies(grants)
 		}
 	}
 }
--- a/internal/proxy/forward/decisionlog.go
+++ b/internal/proxy/forward/decisionlog.go
@@ -30,8 +30,8 @@
 	omittedMessage  = "requests left out of the log"
 	// outcomeLate labels requests answered after the route's target.
 	outcomeLate = "late"
-	// maxWorksPerLine bounds the works listed in one line.
-	maxWorksPerLine = 16
+	// maxFingerprintsPerLine bounds the request fingerprints listed in one line.
+	maxFingerprintsPerLine = 16
 	// eventRingSize is how many events are kept for the operators' API.
 	eventRingSize = 4096
 )
@@ -75,7 +75,7 @@
 	if e.Kind != steering.EventFinished {
 		j.record(e)
 		klog.InfoS(string(e.Kind), "service", e.Service, "server", e.Server, "failure-domain", e.Domain, "region", e.Region, "elsewhere", e.Elsewhere,
-			"configuration", e.Version, "draining", e.Draining, "cause", e.Result.String(), "for", e.Took.String(), "limit", e.Limit.String(), "work", e.Work.String(), "ends", e.Ends, "works", workList(e.Works))
+			"configuration", e.Version, "draining", e.Draining, "cause", e.Result.String(), "for", e.Took.String(), "limit", e.Limit.String(), "work", e.Work.String(), "ends", e.Ends, "works", formatFingerprints(e.Works))
 		return
 	}
 	wanted := j.chooseDetail(e)
@@ -118,10 +118,10 @@
 		"expected", s.Expected.String(), "took", s.Took.String(), "server-load", s.Load, "ago", ago.String(), "error", errorText(s.Err))
 }
 
-// workList formats works for the log, up to maxWorksPerLine.
-func workList(works []quarantine.Work) string {
-	list := make([]string, 0, maxWorksPerLine)
-	for _, w := range works[:min(len(works), maxWorksPerLine)] {
+// formatFingerprints lists request fingerprints for the log, up to maxFingerprintsPerLine.
+func formatFingerprints(fingerprints []quarantine.Work) string {
+	list := make([]string, 0, maxFingerprintsPerLine)
+	for _, w := range fingerprints[:min(len(fingerprints), maxFingerprintsPerLine)] {
 		list = append(list, w.String())
 	}
 	return strings.Join(list, ", ")
--- a/internal/proxy/forward/gossip.go
+++ b/internal/proxy/forward/gossip.go
@@ -235,7 +235,7 @@
 	}
 }
 
-// sendAlerts sends reports of work that crashes servers to a few peers of this region and to one
+// sendAlerts sends reports of requests that crash servers to a few peers of this region and to one
 // peer in each of a few other regions. Each proxy that receives new reports alerts others in turn:
 // with four and three alerts from each, 1,300 proxies are reached within four rounds. It returns
 // the number of peers alerted.
--- a/internal/proxy/forward/quarantine.go
+++ b/internal/proxy/forward/quarantine.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// quarantineInterval is how often the quarantined work is compared with the store, and how
-	// long each proxy waits per proxy ranked before it for one of those to store an entry.
+	// quarantineInterval is how often the quarantined requests are compared with the store, and
+	// how long each proxy waits per proxy ranked before it for one of those to store an entry.
 	quarantineInterval = time.Second
 	// quarantineTTL is the lease of a stored entry: the longest that the store grants.
 	quarantineTTL = 10 * time.Minute
@@ -32,19 +32,20 @@
 )
 
 type (
-	// quarantineStore keeps quarantined work in the platform's store. All proxies may lose power
-	// at once; without the stored entries, the work would crash more servers after a restart until
-	// it is detected again. Entries are rare: each costs two calls, made by one proxy.
+	// quarantineStore keeps quarantined requests in the platform's store. All proxies may lose
+	// power at once; without the stored entries, the requests would crash more servers after a
+	// restart until they are detected again. Entries are rare: each costs two calls, made by one
+	// proxy.
 	quarantineStore struct {
 		daemon *Daemon
 		store  Store
 
 		mu sync.Mutex
-		// stored holds the works known to have an entry in the store.
+		// stored holds the request fingerprints known to have an entry in the store.
 		stored map[quarantine.Work]bool
 		// owned holds the leases of the entries that this proxy has stored.
 		owned map[quarantine.Work]ownedLease
-		// missingSince is when this proxy first saw that a quarantined work has no entry.
+		// missingSince is when this proxy first saw that a quarantined request has no entry.
 		missingSince map[quarantine.Work]time.Time
 	}
 
@@ -53,12 +54,12 @@
 		renewedAt time.Time
 	}
 
-	// quarantineEntry is the stored record of a quarantined work.
+	// quarantineEntry is the stored record of a quarantined request.
 	quarantineEntry struct {
-		Work quarantine.Work   `json:"work"`
-		Ends []quarantineCrash `json:"ends"`
-		// RanWell is set if the work had run successfully before.
-		RanWell bool `json:"ran-well,omitempty"`
+		Fingerprint quarantine.Work   `json:"work"`
+		Crashes     []quarantineCrash `json:"ends"`
+		// Succeeded is set if the request had run successfully before.
+		Succeeded bool `json:"ran-well,omitempty"`
 	}
 
 	quarantineCrash struct {
@@ -78,28 +79,28 @@
 // handleEntry applies a stored entry or its removal. A removal doesn't end the quarantine, since
 // the lease may just have expired.
 func (v *quarantineStore) handleEntry(name string, e replica.Entry) {
-	var work quarantine.Work
-	if err := work.UnmarshalText([]byte(name)); err != nil {
+	var fingerprint quarantine.Work
+	if err := fingerprint.UnmarshalText([]byte(name)); err != nil {
 		v.daemon.replica.rejectEntry("verdict", name, err)
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if e.Removed {
-		delete(v.stored, work)
+		delete(v.stored, fingerprint)
 		return
 	}
-	report, err := decodeQuarantineEntry(work, e.Value)
+	report, err := decodeQuarantineEntry(fingerprint, e.Value)
 	if err != nil {
 		v.daemon.replica.rejectEntry("verdict", name, err)
 		return
 	}
-	v.stored[work] = true
+	v.stored[fingerprint] = true
 	v.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.HearSuspicions(now, []quarantine.Report{report}) })
 }
 
-func decodeQuarantineEntry(work quarantine.Work, data []byte) (quarantine.Report, error) {
-	r := quarantine.Report{Work: work}
+func decodeQuarantineEntry(fingerprint quarantine.Work, data []byte) (quarantine.Report, error) {
+	r := quarantine.Report{Work: fingerprint}
 	if err := operator.CheckSyntax(data); err != nil {
 		return r, err
 	}
@@ -107,11 +108,11 @@
 	if err := json.Unmarshal(data, &stored); err != nil {
 		return r, errors.Wrap(err, "decode quarantine entry")
 	}
-	if stored.Work != work {
-		return r, &operator.FieldError{Field: "work", Want: strconv.Quote(work.String()) + ", as in the key", Got: strconv.Quote(stored.Work.String())}
+	if stored.Fingerprint != fingerprint {
+		return r, &operator.FieldError{Field: "work", Want: strconv.Quote(fingerprint.String()) + ", as in the key", Got: strconv.Quote(stored.Fingerprint.String())}
 	}
-	r.RanWell = stored.RanWell
-	for _, e := range stored.Ends {
+	r.RanWell = stored.Succeeded
+	for _, e := range stored.Crashes {
 		if e.AgeMilli < 0 {
 			return r, &operator.FieldError{Field: "age-milli", Want: "0 or more", Got: strconv.FormatInt(e.AgeMilli, 10)}
 		}
@@ -126,14 +127,14 @@
 		var list []steering.Condemnation
 		v.daemon.withKernel(func(k *steering.Kernel, now time.Time) { list = k.Condemned(now) })
 		if err := v.reconcile(ctx, list[:min(len(list), maxQuarantineEntries)]); err != nil {
-			klog.InfoS("storing quarantined work failed; retrying", "condemned", len(list), "error", err.Error())
+			klog.InfoS("storing quarantined requests failed; retrying", "condemned", len(list), "error", err.Error())
 			sleep.For(ctx, quarantineRetryDelay)
 		}
 	}
 }
 
 // reconcile stores missing entries, renews the leases of those that this proxy has stored, and
-// revokes the leases of work that is no longer quarantined.
+// revokes the leases for requests that are no longer quarantined.
 func (v *quarantineStore) reconcile(ctx context.Context, list []steering.Condemnation) error {
 	quarantined := make(map[quarantine.Work]bool, len(list))
 	for _, c := range list {
@@ -146,8 +147,8 @@
 		}
 	}
 	v.dropMissingSince(quarantined)
-	for work, lease := range v.ownedLeases() {
-		if err := v.maintainLease(ctx, work, lease, quarantined[work]); err != nil {
+	for fingerprint, lease := range v.ownedLeases() {
+		if err := v.maintainLease(ctx, fingerprint, lease, quarantined[fingerprint]); err != nil {
 			return err
 		}
 	}
@@ -174,18 +175,18 @@
 func (v *quarantineStore) dropMissingSince(quarantined map[quarantine.Work]bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for work := range v.missingSince {
-		if !quarantined[work] {
-			delete(v.missingSince, work)
+	for fingerprint := range v.missingSince {
+		if !quarantined[fingerprint] {
+			delete(v.missingSince, fingerprint)
 		}
 	}
 }
 
 func (v *quarantineStore) storeEntry(ctx context.Context, r quarantine.Report) error {
-	stored := quarantineEntry{Work: r.Work, RanWell: r.RanWell}
+	stored := quarantineEntry{Fingerprint: r.Work, Succeeded: r.RanWell}
 	for _, e := range r.Ends {
 		if !e.Cleared {
-			stored.Ends = append(stored.Ends, quarantineCrash{Server: e.Server, AgeMilli: e.Age.Milliseconds()})
+			stored.Crashes = append(stored.Crashes, quarantineCrash{Server: e.Server, AgeMilli: e.Age.Milliseconds()})
 		}
 	}
 	data, err := json.Marshal(stored)
@@ -210,15 +211,15 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	list := make(map[quarantine.Work]ownedLease, len(v.owned))
-	for work, lease := range v.owned {
-		list[work] = lease
+	for fingerprint, lease := range v.owned {
+		list[fingerprint] = lease
 	}
 	return list
 }
 
 // maintainLease renews or revokes the lease of an entry stored by this proxy. If the store no
 // longer knows the lease, the first proxy to notice that the entry is missing stores it again.
-func (v *quarantineStore) maintainLease(ctx context.Context, work quarantine.Work, lease ownedLease, quarantined bool) error {
+func (v *quarantineStore) maintainLease(ctx context.Context, fingerprint quarantine.Work, lease ownedLease, quarantined bool) error {
 	now := v.daemon.now()
 	var err error
 	switch {
@@ -237,9 +238,9 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !quarantined || leaseLost {
-		delete(v.owned, work)
+		delete(v.owned, fingerprint)
 		return nil
 	}
-	v.owned[work] = ownedLease{id: lease.id, renewedAt: now}
+	v.owned[fingerprint] = ownedLease{id: lease.id, renewedAt: now}
 	return nil
 }
--- a/internal/proxy/forward/permits_test.go
+++ b/internal/proxy/forward/slots_test.go
@@ -9,9 +9,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// permitRequest is a request from one proxy of a fleet to another for a permit at the only server,
-// whose gate allows one request at a time.
-func (f *fleet) permitRequest(from, owner int, id uint64) steering.Ask {
+// slotRequest is a request from one proxy of a fleet to another for a slot at the only server, whose
+// limiter allows one request at a time.
+func (f *fleet) slotRequest(from, owner int, id uint64) steering.Ask {
 	d := f.daemons[from]
 	now := d.now()
 	return steering.Ask{
@@ -33,20 +33,20 @@
 	})
 }
 
-// Two proxies need a permit at a server that should run one request at a time. The first proxy owns
-// the gate. The second must wait until the first one's permit is released, but no longer than the
-// permit is of use to it.
-func TestPermitsPassBetweenProxies(t *testing.T) {
+// Two proxies need a slot at a server that should run one request at a time. The first proxy owns
+// the limiter. The second must wait until the first one's slot is released, but no longer than the
+// slot is of use to it.
+func TestSlotsPassBetweenProxies(t *testing.T) {
 	f := newFleet(t, 2)
 	f.waitForMembership()
-	first, second := f.daemons[0].permits, f.daemons[1].permits
-	request := f.permitRequest(0, 0, 1)
+	first, second := f.daemons[0].slots, f.daemons[1].slots
+	request := f.slotRequest(0, 0, 1)
 	if r, answered := first.acquire(context.Background(), request); !answered || r.Verdict != admission.Granted {
-		t.Fatalf("the first proxy gets verdict %d (answered %t), want a permit", r.Verdict, answered)
+		t.Fatalf("the first proxy gets verdict %d (answered %t), want a slot", r.Verdict, answered)
 	}
 	replies := make(chan steering.Reply, 1)
 	go func() {
-		r, _ := second.acquire(context.Background(), f.permitRequest(1, 0, 1))
+		r, _ := second.acquire(context.Background(), f.slotRequest(1, 0, 1))
 		replies <- r
 	}()
 	f.eventually("the second proxy waits", func() bool {
@@ -58,48 +58,48 @@
 	})
 	first.release(steering.Release{Owner: request.Owner, Server: "s1", From: request.From, ID: request.ID})
 	if r := <-replies; r.Verdict != admission.Granted {
-		t.Errorf("the second proxy gets verdict %d, want a permit", r.Verdict)
+		t.Errorf("the second proxy gets verdict %d, want a slot", r.Verdict)
 	}
-	expiring := f.permitRequest(1, 0, 2)
+	expiring := f.slotRequest(1, 0, 2)
 	expiring.Last = f.daemons[1].now().Add(50 * time.Millisecond)
 	if r, answered := second.acquire(context.Background(), expiring); !answered || r.Verdict != admission.Denied {
 		t.Errorf("verdict after the deadline is %d (answered %t), want denied", r.Verdict, answered)
 	}
 }
 
-// The proxy that owns a gate is killed. Requests for a permit must not block for longer than one
-// call takes; the callers' requests are then sent without a permit.
+// The proxy that owns a limiter is killed. Requests for a slot must not block for longer than one
+// call takes; the callers' requests are then sent without a slot.
 func TestUnreachableOwnerDoesNotBlock(t *testing.T) {
 	f := newFleet(t, 2)
 	f.waitForMembership()
-	a := f.permitRequest(0, 1, 1)
+	a := f.slotRequest(0, 1, 1)
 	f.stops[1]()
 	f.endConnections(1)
-	if _, answered := f.daemons[0].permits.acquire(context.Background(), a); answered {
+	if _, answered := f.daemons[0].slots.acquire(context.Background(), a); answered {
 		t.Error("got an answer from a proxy that is gone")
 	}
 	a.Owner.Name = "nobody"
-	if _, answered := f.daemons[0].permits.acquire(context.Background(), a); answered {
+	if _, answered := f.daemons[0].slots.acquire(context.Background(), a); answered {
 		t.Error("got an answer from a proxy that never existed")
 	}
 }
 
-// A caller disconnects while its request waits for a permit: the wait must end at once.
+// A caller disconnects while its request waits for a slot: the wait must end at once.
 func TestCanceledRequestStopsWaiting(t *testing.T) {
 	f := newFleet(t, 1)
-	p := f.daemons[0].permits
-	if r, _ := p.acquire(context.Background(), f.permitRequest(0, 0, 1)); r.Verdict != admission.Granted {
-		t.Fatalf("verdict is %d, want a permit", r.Verdict)
+	p := f.daemons[0].slots
+	if r, _ := p.acquire(context.Background(), f.slotRequest(0, 0, 1)); r.Verdict != admission.Granted {
+		t.Fatalf("verdict is %d, want a slot", r.Verdict)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan bool, 1)
 	go func() {
-		_, answered := p.acquire(ctx, f.permitRequest(0, 0, 2))
+		_, answered := p.acquire(ctx, f.slotRequest(0, 0, 2))
 		ended <- answered
 	}()
 	cancel()
 	if answered := <-ended; answered {
-		t.Error("the request of a disconnected caller got a permit")
+		t.Error("the request of a disconnected caller got a slot")
 	}
 }
 
@@ -111,23 +111,23 @@
 	f.waitForMembership()
 	limits := []steering.Held{{Service: "service", Limit: admission.Limit{Slots: 4, Most: 2, Evidence: 50}}}
 	f.daemons[0].withKernel(func(k *steering.Kernel, now time.Time) {
-		// A reply of the gate with a lower limit counts as learned by this proxy itself.
+		// A reply of the limiter with a lower limit counts as learned by this proxy itself.
 		k.SetHolding(now, limits)
 		f, d := k.Begin(now, steering.Request{ID: "r", Host: "127.0.0.1", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
 		if d.Ask == nil {
-			t.Errorf("the request needs no permit: %+v", d)
+			t.Errorf("the request needs no slot: %+v", d)
 			return
 		}
 		k.Asked(now, f, steering.Reply{Grant: admission.Grant{Verdict: admission.Granted}, Limit: limits[0].Limit}, true)
 	})
 	f.eventually("the other proxy applies the limit from the entry", func() bool {
-		needsPermit := false
+		needsSlot := false
 		f.daemons[1].withKernel(func(k *steering.Kernel, now time.Time) {
 			f, d := k.Begin(now, steering.Request{ID: "q", Host: "127.0.0.1", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
-			if needsPermit = d.Ask != nil; d.Server != nil {
+			if needsSlot = d.Ask != nil; d.Server != nil {
 				k.Ended(now, f, steering.Attempt{Result: steering.Left})
 			}
 		})
-		return needsPermit
+		return needsSlot
 	})
 }
