--- a/internal/proxy/forward/registrar_test.go
+++ b/internal/proxy/forward/registrar_test.go
@@ -73,15 +73,15 @@
 func TestUnacknowledgedEntryIsRewritten(t *testing.T) {
 	f := newFleet(t, 1)
 	s := &countingStore{}
-	seams := s.client()
-	seams.Put = func(context.Context, string, []byte, uint64) error {
+	client := s.client()
+	client.Put = func(context.Context, string, []byte, uint64) error {
 		s.puts++
 		if s.puts == 1 {
 			return errDisconnected
 		}
 		return nil
 	}
-	k := &registrar{replica: f.newIdleDaemon().replica, store: seams}
+	k := &registrar{replica: f.newIdleDaemon().replica, store: client}
 	if k.ensureRegistered(context.Background()) || !k.ensureRegistered(context.Background()) {
 		t.Error("not registered after the second attempt")
 	}
@@ -116,10 +116,10 @@
 func TestRewritesDoNotDelayRenewals(t *testing.T) {
 	f := newFleet(t, 1)
 	s := &countingStore{}
-	seams := s.client()
+	client := s.client()
 	var renewals atomic.Int32
-	seams.RenewLease = func(context.Context, uint64) error { renewals.Add(1); return nil }
-	k := &registrar{replica: f.newIdleDaemon().replica, store: seams}
+	client.RenewLease = func(context.Context, uint64) error { renewals.Add(1); return nil }
+	k := &registrar{replica: f.newIdleDaemon().replica, store: client}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { k.run(ctx); close(ended) }()
