--- a/internal/proxy/forward/bench_test.go
+++ b/internal/proxy/forward/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/proxy/logs"
 )
 
-// BenchmarkRequest forwards requests over loopback: with no log, with the log
-// as it is for requests that end well, and with every request written in full.
+// BenchmarkRequest forwards requests over loopback: without logging, with successful requests
+// sampled as in production, and with every request logged in detail.
 func BenchmarkRequest(b *testing.B) {
 	buffer := logs.NewBuffer(io.Discard, 4096)
 	logs.Setup(buffer, 0)
@@ -26,11 +26,11 @@
 		observe func(*Daemon) func(steering.Event)
 	}{
 		{"silent", func(*Daemon) func(steering.Event) { return func(steering.Event) {} }},
-		{"sampled", func(d *Daemon) func(steering.Event) { return d.journal.event }},
+		{"sampled", func(d *Daemon) func(steering.Event) { return d.decisionLog.handleEvent }},
 		{"written", func(d *Daemon) func(steering.Event) {
 			return func(e steering.Event) {
-				d.journal.full, e.Attempt = 0, 2
-				d.journal.event(e)
+				d.decisionLog.detailedCount, e.Attempt = 0, 2
+				d.decisionLog.handleEvent(e)
 			}
 		}},
 	} {
@@ -44,11 +44,11 @@
 		w.Header().Set("Seal", "s")
 	}))
 	defer backend.Close()
-	names := Names{
-		Caller: forwardhttp.Headers{Attempt: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
-		Server: serverhttp.Headers{Attempt: "Attempt", Deadline: "Left", Instance: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal"},
+	names := WireNames{
+		CallerHeaders: forwardhttp.Headers{Attempt: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
+		ServerHeaders: serverhttp.Headers{Attempt: "Attempt", Deadline: "Left", Instance: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal"},
 	}
-	d, err := New(&Settings{Name: "p", Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"}}, Seams{Names: names, Dropped: func() uint64 { return 0 }})
+	d, err := New(&Settings{Name: "p", Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"}}, Dependencies{Names: names, DroppedLogLines: func() uint64 { return 0 }})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 	route := &routing.Route{Name: "r", Host: "127.0.0.1", Prefix: "/", Attempts: 1, Timeout: time.Minute, Target: time.Minute, Parts: []routing.Part{{Service: "s", Weight: 1}}}
 	d.kernel.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 	d.kernel.RegisterServer(d.now(), routing.Server{ID: "s1", Service: "s", Domain: "a", Slots: 64, Address: netip.MustParseAddrPort(backend.Listener.Addr().String())})
-	front := httptest.NewServer(d.callers.Handler)
+	front := httptest.NewServer(d.callerServer.Handler)
 	defer front.Close()
 	b.ReportAllocs()
 	n := 0
--- /dev/null
+++ b/internal/proxy/forward/decisionlog.go
@@ -0,0 +1,213 @@
+package forward
+
+import (
+	"strings"
+	"sync"
+	"time"
+
+	"k8s.io/klog/v2"
+
+	"github.com/gypsumquay/gypsumquay/internal/adapter/steeringhttp"
+	"github.com/gypsumquay/gypsumquay/internal/kernel/core"
+	"github.com/gypsumquay/gypsumquay/internal/kernel/quarantine"
+	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
+)
+
+const (
+	// sampleEveryNth is how many successful requests there are for each one that is logged.
+	// Failed, slow, rejected and retried requests are always logged, within the limits below.
+	sampleEveryNth = 200
+	// maxDetailedPerSecond bounds the requests that are logged with each decision: a failing
+	// group of servers must not make logging the main load. At 300 bytes a line and four lines a
+	// request this is 120 KB a second.
+	maxDetailedPerSecond = 100
+	// maxSummariesPerSecond bounds the further requests that are logged with their last line only,
+	// which lists the attempted servers: another 120 KB a second. Requests beyond both are counted
+	// by outcome.
+	maxSummariesPerSecond = 400
+	// omittedInterval is how often the number of omitted requests is logged.
+	omittedInterval = 10 * time.Second
+	omittedMessage  = "requests left out of the log"
+	// outcomeLate labels requests answered after the route's target.
+	outcomeLate = "late"
+	// maxFingerprintsPerLine bounds the request fingerprints listed in one line.
+	maxFingerprintsPerLine = 16
+	// eventRingSize is how many events are kept for the operators' API.
+	eventRingSize = 4096
+)
+
+type (
+	// decisionLog records the kernel's events: as log lines, as metrics, and in memory for the
+	// operators' API.
+	decisionLog struct {
+		vm      string
+		now     func() time.Time
+		metrics *proxyMetrics
+
+		mu            sync.Mutex
+		ring          *core.RingBuffer[steeringhttp.Event]
+		served        uint64
+		windowStart   time.Time
+		detailedCount int
+		summaryCount  int
+		// omitted counts the requests that weren't logged, by outcome label.
+		omitted           map[string]int
+		omittedReportedAt time.Time
+	}
+
+	// logDetail is how much of a request is logged.
+	logDetail int
+)
+
+const (
+	logNothing logDetail = iota
+	logSummary
+	logAllSteps
+)
+
+func newDecisionLog(vm string, now func() time.Time, m *proxyMetrics) *decisionLog {
+	return &decisionLog{vm: vm, now: now, metrics: m, ring: core.NewRingBuffer[steeringhttp.Event](eventRingSize), omitted: make(map[string]int), omittedReportedAt: now()}
+}
+
+// handleEvent records an event of the kernel.
+func (j *decisionLog) handleEvent(e steering.Event) {
+	j.metrics.recordEvent(e)
+	if e.Kind != steering.EventRequestEnded {
+		j.record(e)
+		klog.InfoS(string(e.Kind), "service", e.Service, "server", e.Server, "failure-domain", e.Domain, "region", e.Region, "elsewhere", e.CallersElsewhere,
+			"configuration", e.Version, "draining", e.Draining, "cause", e.Result.String(), "for", e.Duration.String(), "limit", e.Limit.String(), "work", e.Fingerprint.String(), "ends", e.Crashes, "works", formatFingerprints(e.RunningFingerprints))
+		return
+	}
+	wanted := j.chooseDetail(e)
+	if wanted == logNothing {
+		return
+	}
+	if wanted == logAllSteps {
+		for _, s := range e.Steps {
+			s.Request, s.Route, s.Service, s.Object, s.Fingerprint, s.Version = e.Request, e.Route, e.Service, e.Object, e.Fingerprint, e.Version
+			j.record(s)
+			j.writeStep(s, e.At.Sub(s.At))
+		}
+	}
+	j.record(e)
+	klog.InfoS(string(e.Kind), "request", e.Request, "route", e.Route, "account", e.Account, "work", e.Fingerprint.String(), "configuration", e.Version,
+		"outcome", e.Outcome.String(), "reason", string(e.Reason), "took", e.Duration.String(), "attempts", e.Attempt, "tried", attemptedServers(e.Steps),
+		"come-back", e.RetryAfter.String(), "pressure", e.Pressure, "target", e.Target.String(), "cause", string(e.Cause), "server-state", string(e.State))
+}
+
+// attemptedServers lists the servers that a request was sent to, with the result of each attempt.
+func attemptedServers(steps []steering.Event) string {
+	var list []string
+	for _, s := range steps {
+		if s.Kind == steering.EventAttemptEnded {
+			list = append(list, s.Server+" "+s.Result.String())
+		}
+	}
+	return strings.Join(list, ", ")
+}
+
+// writeStep logs a decision about a request that ended the given time later.
+func (j *decisionLog) writeStep(s steering.Event, ago time.Duration) {
+	if s.Kind == steering.EventRequestSent {
+		klog.InfoS(string(s.Kind), "request", s.Request, "route", s.Route, "configuration", s.Version, "service", s.Service,
+			"server", s.Server, "failure-domain", s.Domain, "object", s.Object, "work", s.Fingerprint.String(), "home-rank", s.HomeRank, "warm", s.Warm, "attempt", s.Attempt,
+			"expected", s.Expected.String(), "load", s.Load, "wait", s.ExpectedWait.String(), "server-state", string(s.State), "load-age", formatAge(s.LoadAge), "ago", ago.String())
+		return
+	}
+	klog.InfoS(string(s.Kind), "request", s.Request, "work", s.Fingerprint.String(), "server", s.Server, "attempt", s.Attempt, "result", s.Result.String(),
+		"expected", s.Expected.String(), "took", s.Duration.String(), "server-load", s.Load, "ago", ago.String(), "error", errorText(s.Err))
+}
+
+// formatFingerprints lists request fingerprints for the log, up to maxFingerprintsPerLine.
+func formatFingerprints(fingerprints []quarantine.Fingerprint) string {
+	list := make([]string, 0, maxFingerprintsPerLine)
+	for _, w := range fingerprints[:min(len(fingerprints), maxFingerprintsPerLine)] {
+		list = append(list, w.String())
+	}
+	return strings.Join(list, ", ")
+}
+
+// chooseDetail decides how much of a request is logged, and counts the omitted ones.
+func (j *decisionLog) chooseDetail(e steering.Event) logDetail {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	now := j.now()
+	if now.Sub(j.windowStart) >= time.Second {
+		j.windowStart, j.detailedCount, j.summaryCount = now, 0, 0
+	}
+	j.reportOmitted(now)
+	noteworthy := e.Reason != steering.ReasonNone || e.Attempt > 1 || isLate(e)
+	j.served++
+	switch {
+	case !noteworthy && j.served%sampleEveryNth != 0:
+	case j.detailedCount < maxDetailedPerSecond:
+		j.detailedCount++
+		return logAllSteps
+	case j.summaryCount < maxSummariesPerSecond:
+		j.summaryCount++
+		return logSummary
+	}
+	j.omitted[outcomeLabel(e)]++
+	return logNothing
+}
+
+// isLate reports whether a request took longer than its route's target.
+func isLate(e steering.Event) bool { return e.Target > 0 && e.Duration > e.Target }
+
+// outcomeLabel names how a request ended, for the counts of omitted requests.
+func outcomeLabel(e steering.Event) string {
+	switch {
+	case e.Reason != steering.ReasonNone:
+		return string(e.Reason)
+	case isLate(e):
+		return outcomeLate
+	}
+	return e.Outcome.String()
+}
+
+func (j *decisionLog) reportOmitted(now time.Time) {
+	if now.Sub(j.omittedReportedAt) < omittedInterval {
+		return
+	}
+	klog.InfoS(omittedMessage, "counts", j.omitted, "served", j.served)
+	clear(j.omitted)
+	j.omittedReportedAt = now
+}
+
+// record keeps an event for the operators' API.
+func (j *decisionLog) record(e steering.Event) {
+	if e.At.IsZero() {
+		e.At = j.now()
+	}
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.ring.Add(steeringhttp.EventOf(j.vm, e))
+}
+
+// events lists the kept events of one request, or all if request is empty.
+func (j *decisionLog) events(request string) []steeringhttp.Event {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	var list []steeringhttp.Event
+	for _, e := range j.ring.All() {
+		if request == "" || e.Request == request {
+			list = append(list, e)
+		}
+	}
+	return list
+}
+
+// formatAge formats an age for the log; a negative one means that there is none.
+func formatAge(d time.Duration) string {
+	if d < 0 {
+		return "none"
+	}
+	return d.String()
+}
+
+func errorText(err error) string {
+	if err == nil {
+		return ""
+	}
+	return err.Error()
+}
--- a/internal/proxy/forward/fleet_test.go
+++ b/internal/proxy/forward/fleet_test.go
@@ -27,32 +27,31 @@
 )
 
 const (
-	// patience bounds waits for what must happen soon; only a failure waits
-	// so long.
-	patience = 20 * time.Second
+	// waitTimeout bounds the waits for conditions; only a failing test waits this long.
+	waitTimeout = 20 * time.Second
 )
 
 type (
-	// memoryStore stands in for the platform's store.
+	// memoryStore is an in-memory fake of the platform's store.
 	memoryStore struct {
-		mu       sync.Mutex
-		items    map[string]Item
-		log      []Item
-		revision uint64
-		lease    uint64
-		owner    map[uint64]string
-		forgot   uint64
-		changed  chan struct{}
-		// deaf watches tell of no change.
-		deaf bool
-	}
-
-	// link is one proxy's way to the store, which a test can cut.
-	link struct {
-		store *memoryStore
-		mu    sync.Mutex
-		cut   bool
-		calls int
+		mu        sync.Mutex
+		items     map[string]KeyValue
+		log       []KeyValue
+		revision  uint64
+		lease     uint64
+		keys      map[uint64]string
+		compacted uint64
+		changed   chan struct{}
+		// watchesSilent is set while watches return no changes.
+		watchesSilent bool
+	}
+
+	// storeLink is one proxy's connection to the store, which a test can disconnect.
+	storeLink struct {
+		store        *memoryStore
+		mu           sync.Mutex
+		disconnected bool
+		calls        int
 	}
 
 	testServer struct {
@@ -65,18 +64,19 @@
 	testTable struct {
 		Version uint64
 		Service string
-		// Key opens the only client account, with a limit; no key means no accounts.
+		// Key belongs to the only client account, which has a rate limit; without a key there are
+		// no accounts.
 		Key       string
 		PerSecond float64
 	}
 )
 
 var (
-	errCut = errors.New("no way to the store")
+	errDisconnected = errors.New("store is disconnected")
 )
 
 func newMemoryStore() *memoryStore {
-	return &memoryStore{items: make(map[string]Item), owner: make(map[uint64]string), changed: make(chan struct{})}
+	return &memoryStore{items: make(map[string]KeyValue), keys: make(map[uint64]string), changed: make(chan struct{})}
 }
 
 func (s *memoryStore) write(key string, value any) {
@@ -86,16 +86,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.change(Item{Key: key, Value: data})
+	s.apply(KeyValue{Key: key, Value: data})
 }
 
 func (s *memoryStore) remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.change(Item{Key: key, Removed: true})
+	s.apply(KeyValue{Key: key, Removed: true})
 }
 
-func (s *memoryStore) change(i Item) {
+func (s *memoryStore) apply(i KeyValue) {
 	s.revision++
 	i.Revision = s.revision
 	s.log = append(s.log, i)
@@ -120,41 +120,41 @@
 	return n
 }
 
-// forget drops the history, as a store does that compacts.
-func (s *memoryStore) forget() {
+// compact drops the history of changes.
+func (s *memoryStore) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgot = s.revision
+	s.compacted = s.revision
 	s.log = nil
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (l *link) down() bool {
+func (l *storeLink) down() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
-	return l.cut
+	return l.disconnected
 }
 
-func (l *link) setCut(cut bool) {
+func (l *storeLink) setDisconnected(disconnected bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = cut
+	l.disconnected = disconnected
 }
 
-func (l *link) seams() Store {
+func (l *storeLink) client() Store {
 	s := l.store
 	guard := func(f func() error) error {
 		if l.down() {
-			return errCut
+			return errDisconnected
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return f()
 	}
 	return Store{
-		Range: func(context.Context, string, bool) (items []Item, revision uint64, err error) {
+		Range: func(context.Context, string, bool) (items []KeyValue, revision uint64, err error) {
 			err = guard(func() error {
 				for _, i := range s.items {
 					items = append(items, i)
@@ -165,41 +165,41 @@
 			return items, revision, err
 		},
 		Watch: l.watch,
-		Grant: func(context.Context, time.Duration) (lease uint64, err error) {
-			err = guard(func() error { s.lease++; lease = s.lease; return nil })
-			return lease, err
+		GrantLease: func(context.Context, time.Duration) (id uint64, err error) {
+			err = guard(func() error { s.lease++; id = s.lease; return nil })
+			return id, err
 		},
-		Renew: func(_ context.Context, lease uint64) error {
+		RenewLease: func(_ context.Context, id uint64) error {
 			return guard(func() error {
-				if _, held := s.owner[lease]; !held {
-					return &StoreError{Outcome: StoreAbsent}
+				if _, known := s.keys[id]; !known {
+					return &StoreError{Code: StoreNotFound}
 				}
 				return nil
 			})
 		},
-		Put: func(_ context.Context, key string, value []byte, lease uint64) error {
-			return guard(func() error { s.owner[lease] = key; s.change(Item{Key: key, Value: value}); return nil })
+		Put: func(_ context.Context, key string, value []byte, id uint64) error {
+			return guard(func() error { s.keys[id] = key; s.apply(KeyValue{Key: key, Value: value}); return nil })
 		},
-		End: func(_ context.Context, lease uint64) error {
-			return guard(func() error { s.change(Item{Key: s.owner[lease], Removed: true}); delete(s.owner, lease); return nil })
+		RevokeLease: func(_ context.Context, id uint64) error {
+			return guard(func() error { s.apply(KeyValue{Key: s.keys[id], Removed: true}); delete(s.keys, id); return nil })
 		},
 	}
 }
 
-func (l *link) watch(ctx context.Context, _ string, after uint64, wait time.Duration) ([]Item, error) {
+func (l *storeLink) watch(ctx context.Context, _ string, after uint64, wait time.Duration) ([]KeyValue, error) {
 	end := time.After(wait)
 	for {
 		if l.down() {
-			return nil, errCut
+			return nil, errDisconnected
 		}
 		l.store.mu.Lock()
-		if after < l.store.forgot {
+		if after < l.store.compacted {
 			l.store.mu.Unlock()
-			return nil, &StoreError{Outcome: StoreForgot}
+			return nil, &StoreError{Code: StoreCompacted}
 		}
-		var items []Item
+		var items []KeyValue
 		for _, i := range l.store.log {
-			if i.Revision > after && !l.store.deaf {
+			if i.Revision > after && !l.store.watchesSilent {
 				items = append(items, i)
 			}
 		}
@@ -219,18 +219,18 @@
 }
 
 type (
-	// fleet is a few proxies in one process over one store.
+	// fleet is a set of proxies in one process that share a store.
 	fleet struct {
 		t       *testing.T
 		store   *memoryStore
 		daemons []*Daemon
-		links   []*link
+		links   []*storeLink
 		stops   []context.CancelFunc
 		ended   []chan error
 		backend *httptest.Server
 		served  sync.Map
-		// outage cuts new proxies off from the store.
-		outage bool
+		// storeOutage makes new proxies start without a connection to the store.
+		storeOutage bool
 	}
 )
 
@@ -273,25 +273,25 @@
 
 func (f *fleet) start(i int, seeds []netip.AddrPort) netip.AddrPort {
 	f.t.Helper()
-	l := &link{store: f.store, cut: f.outage}
+	link := &storeLink{store: f.store, disconnected: f.storeOutage}
 	s := &Settings{
 		Name: "proxy-" + string(rune('a'+i)), Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"},
-		Listen: Listen{Callers: freePort(f.t), Readiness: freePort(f.t), Peers: freePort(f.t), Directory: freePort(f.t), Operators: freePort(f.t)},
+		Listen: ListenAddresses{Callers: freePort(f.t), Readiness: freePort(f.t), Peers: freePort(f.t), Directory: freePort(f.t), Operators: freePort(f.t)},
 		Seeds:  seeds,
 		Bounds: Bounds{
-			Grace: 2 * time.Second, LookupLifetime: 5 * time.Second,
+			GracePeriod: 2 * time.Second, MaxLookupTTL: 5 * time.Second,
 			RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 60, ColdFactor: 1.5, ColdSlack: 5,
 		},
 	}
-	d, err := New(s, Seams{
-		Names: Names{
-			Caller:     forwardhttp.Headers{Attempt: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
-			Server:     serverhttp.Headers{Attempt: "Attempt", Deadline: "Left", Instance: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal"},
-			LookupPath: "/lookup", LookupHost: "host", LookupRegion: "region", LookupDomain: "domain", ReadinessPath: "/ready",
-			Configuration: "config", Evacuations: "evacuate/", Servers: "servers/",
+	d, err := New(s, Dependencies{
+		Names: WireNames{
+			CallerHeaders: forwardhttp.Headers{Attempt: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
+			ServerHeaders: serverhttp.Headers{Attempt: "Attempt", Deadline: "Left", Instance: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal"},
+			LookupPath:    "/lookup", LookupHost: "host", LookupRegion: "region", LookupDomain: "domain", ReadinessPath: "/ready",
+			ConfigurationKey: "config", EvacuationPrefix: "evacuate/", ServerPrefix: "servers/",
 		},
-		Store: l.seams(),
-		Codec: testCodec(), Dropped: func() uint64 { return 0 }, Settings: func() (*Settings, error) { return s, nil },
+		Store: link.client(),
+		Codec: testCodec(), DroppedLogLines: func() uint64 { return 0 }, LoadSettings: func() (*Settings, error) { return s, nil },
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -299,7 +299,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- d.Run(ctx, nil) }()
-	f.daemons, f.links, f.stops, f.ended = append(f.daemons, d), append(f.links, l), append(f.stops, stop), append(f.ended, ended)
+	f.daemons, f.links, f.stops, f.ended = append(f.daemons, d), append(f.links, link), append(f.stops, stop), append(f.ended, ended)
 	f.t.Cleanup(func() {
 		stop()
 		select {
@@ -307,8 +307,8 @@
 			if err != nil {
 				f.t.Errorf("%s ended with %v", s.Name, err)
 			}
-		case <-time.After(patience):
-			f.t.Errorf("%s did not stop", s.Name)
+		case <-time.After(waitTimeout):
+			f.t.Errorf("%s did not stop in time", s.Name)
 		}
 	})
 	f.eventually(s.Name+" is ready", func() bool { return f.status(d.settings.Listen.Readiness, "/ready") == http.StatusOK })
@@ -317,7 +317,7 @@
 
 func testCodec() Codec {
 	return Codec{
-		Table: func(data []byte) (*routing.Table, error) {
+		DecodeTable: func(data []byte) (*routing.Table, error) {
 			var w testTable
 			if err := json.Unmarshal(data, &w); err != nil {
 				return nil, err
@@ -336,31 +336,30 @@
 			}
 			return table, nil
 		},
-		Server: func(id string, data []byte) (routing.Server, error) {
+		DecodeServer: func(id string, data []byte) (routing.Server, error) {
 			var w testServer
 			err := json.Unmarshal(data, &w)
 			return routing.Server{ID: id, Service: w.Service, Address: w.Address, Domain: w.Domain, Slots: 4, Draining: w.Drains}, err
 		},
-		LookupAnswer: func(list []netip.AddrPort, _ time.Duration) ([]byte, error) { return json.Marshal(list) },
+		EncodeLookupResponse: func(list []netip.AddrPort, _ time.Duration) ([]byte, error) { return json.Marshal(list) },
 	}
 }
 
-// endConnections closes a proxy's connections once it has stopped, as the end of
-// its process does.
+// endConnections closes a proxy's connections after its shutdown, as the exit of its process would.
 func (f *fleet) endConnections(i int) {
 	err := <-f.ended[i]
-	_ = f.daemons[i].callers.Close()
+	_ = f.daemons[i].callerServer.Close()
 	f.ended[i] <- err
 }
 
 func (f *fleet) eventually(what string, done func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	f.t.Fatalf("%s did not come true within %s", what, patience)
+	f.t.Fatalf("condition %q not met within %s", what, waitTimeout)
 }
 
 func (f *fleet) status(address netip.AddrPort, path string) int {
@@ -372,16 +371,16 @@
 	return response.StatusCode
 }
 
-func (f *fleet) ask(i int, path string) int {
+func (f *fleet) get(i int, path string) int {
 	return f.status(f.daemons[i].settings.Listen.Callers, path)
 }
 
 func (f *fleet) version(i int) (v uint64) {
-	f.daemons[i].do(func(k *steering.Kernel, _ time.Time) { v = k.Version() })
+	f.daemons[i].withKernel(func(k *steering.Kernel, _ time.Time) { v = k.Version() })
 	return v
 }
 
-func (f *fleet) named(i int) int {
+func (f *fleet) lookupCount(i int) int {
 	response, err := http.Get("http://" + f.daemons[i].settings.Listen.Directory.String() + "/lookup?host=h&region=north&domain=a")
 	if err != nil {
 		return -1
@@ -394,159 +393,157 @@
 	return len(list)
 }
 
-func TestCalmDay(t *testing.T) {
+func TestProxiesServeAndListEachOther(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("requests are served", func() bool { return f.ask(0, "/a/x") == http.StatusOK && f.ask(1, "/a/x") == http.StatusOK })
-	f.eventually("both proxies are named", func() bool { return f.named(0) == 2 && f.named(1) == 2 })
-	if got := f.ask(0, "/none"); got != http.StatusNotFound {
-		t.Errorf("a path without a route gets %d, want 404", got)
+	f.eventually("requests are served", func() bool { return f.get(0, "/a/x") == http.StatusOK && f.get(1, "/a/x") == http.StatusOK })
+	f.eventually("lookups return both proxies", func() bool { return f.lookupCount(0) == 2 && f.lookupCount(1) == 2 })
+	if got := f.get(0, "/none"); got != http.StatusNotFound {
+		t.Errorf("status of a path without a route is %d, want 404", got)
 	}
 }
 
-// A proxy is cut off from the store while the operator rolls out a version
-// and drains a server. It still reaches another proxy, which knows.
-func TestCutOffProxyHearsChangesFromAnother(t *testing.T) {
+// A proxy can't reach the store while the operator rolls out a configuration and drains a server.
+// It must get both changes from another proxy.
+func TestDisconnectedProxyReceivesChangesFromPeer(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("the proxies know each other", func() bool { return f.named(0) == 2 && f.named(1) == 2 })
-	f.links[1].setCut(true)
+	f.eventually("the proxies know each other", func() bool { return f.lookupCount(0) == 2 && f.lookupCount(1) == 2 })
+	f.links[1].setDisconnected(true)
 	f.store.write("config", testTable{Version: 3, Service: "service"})
-	f.eventually("the version is in force at the one cut off", func() bool { return f.version(1) == 3 })
+	f.eventually("the version is in force at the disconnected proxy", func() bool { return f.version(1) == 3 })
 	f.store.write("servers/s1", testServer{Service: "service", Domain: "a", Address: addressOf(f.backend.URL), Drains: true})
-	f.eventually("the server is known to drain at the one cut off", func() bool { return f.ask(1, "/a/x") == http.StatusServiceUnavailable })
+	f.eventually("the server is draining at the disconnected proxy", func() bool { return f.get(1, "/a/x") == http.StatusServiceUnavailable })
 }
 
-// The store is down for all. A VM is replaced meanwhile: the new process has
-// nothing but the seeds, and must serve.
-func TestNewProxyDuringAnOutageLearnsFromASeed(t *testing.T) {
+// The store is unavailable to all while a VM is replaced: the new process knows only the seeds, and
+// must serve.
+func TestNewProxyBootstrapsFromSeedDuringStoreOutage(t *testing.T) {
 	f := newFleet(t, 1)
-	f.links[0].setCut(true)
-	f.outage = true
+	f.links[0].setDisconnected(true)
+	f.storeOutage = true
 	f.start(1, []netip.AddrPort{f.daemons[0].settings.Listen.Peers})
-	f.eventually("the new proxy serves", func() bool { return f.ask(1, "/a/x") == http.StatusOK })
+	f.eventually("the new proxy serves", func() bool { return f.get(1, "/a/x") == http.StatusOK })
 }
 
-// All proxies lost power and come back at the same moment; the seeds they were
-// given are gone. Each must read the store at once: callers already come, and
-// waiting for a seed cost a second of refusals.
+// All proxies restart at the same moment after a power loss, and their seeds are gone. Each must
+// read the store at once: callers already send requests, and waiting for a seed meant a second of
+// rejected requests.
 func TestRestartedProxyDoesNotWaitForSeeds(t *testing.T) {
 	f := newFleet(t, 1)
 	for first, want := range map[bool]bool{true: true, false: false} {
-		idle := f.idle()
+		idle := f.newIdleDaemon()
 		idle.settings.Seeds, idle.settings.FirstStart = []netip.AddrPort{freePort(t)}, first
-		w := &follower{feed: idle.feed, confirmed: func() {}, store: f.links[0].seams()}
+		w := &storeWatcher{replica: idle.replica, onUnchanged: func() {}, store: f.links[0].client()}
 		ctx, cancel := context.WithCancel(context.Background())
 		returned := make(chan struct{})
-		go func() { w.awaitSeed(ctx); close(returned) }()
-		waits := false
+		go func() { w.waitForSeed(ctx); close(returned) }()
+		waiting := false
 		select {
 		case <-returned:
-		case <-time.After(seedPatience / 4):
-			waits = true
+		case <-time.After(seedTimeout / 4):
+			waiting = true
 		}
-		if waits != want {
-			t.Errorf("first start %t: waits for a seed: %t, want %t", first, waits, want)
+		if waiting != want {
+			t.Errorf("first start %t: waiting for a seed is %t, want %t", first, waiting, want)
 		}
 		cancel()
 		<-returned
 	}
 }
 
-// The store drops its history while changes are made. The proxy must read
-// everything again and notice what was removed in between.
-func TestForgottenHistory(t *testing.T) {
+// The store compacts its history while changes are made. The proxy must read everything again and
+// notice what was removed in between.
+func TestCompactedHistoryCausesFullRead(t *testing.T) {
 	f := newFleet(t, 1)
-	f.eventually("requests are served", func() bool { return f.ask(0, "/a/x") == http.StatusOK })
+	f.eventually("requests are served", func() bool { return f.get(0, "/a/x") == http.StatusOK })
 	f.store.mu.Lock()
 	f.store.revision++
-	f.store.items["config"] = Item{Key: "config", Value: []byte(`{"Version":7,"Service":"service"}`), Revision: f.store.revision}
+	f.store.items["config"] = KeyValue{Key: "config", Value: []byte(`{"Version":7,"Service":"service"}`), Revision: f.store.revision}
 	delete(f.store.items, "servers/s1")
 	f.store.mu.Unlock()
-	f.store.forget()
+	f.store.compact()
 	f.eventually("the version is in force", func() bool { return f.version(0) == 7 })
-	f.eventually("the server is gone", func() bool { return f.ask(0, "/a/x") == http.StatusServiceUnavailable })
+	f.eventually("the server is removed", func() bool { return f.get(0, "/a/x") == http.StatusServiceUnavailable })
 }
 
-// Before it drops its history the store's watches hear nothing for a while. One
-// that ends meanwhile names the newest revision without the change that led to
-// it. A proxy that went on from there would miss a drain for good.
-func TestWatchThatHearsNothingDoesNotSkipChanges(t *testing.T) {
+// Before a compaction, the store's watches return no changes for a while. A watch that ends then
+// reports the newest revision without the change that led to it; a proxy that continued from there
+// would miss a drain for good.
+func TestSilentWatchDoesNotSkipChanges(t *testing.T) {
 	f := newFleet(t, 1)
-	f.eventually("requests are served", func() bool { return f.ask(0, "/a/x") == http.StatusOK })
+	f.eventually("requests are served", func() bool { return f.get(0, "/a/x") == http.StatusOK })
 	f.store.mu.Lock()
-	f.store.deaf = true
+	f.store.watchesSilent = true
 	f.store.mu.Unlock()
 	f.store.write("servers/s1", testServer{Service: "service", Domain: "a", Address: addressOf(f.backend.URL), Drains: true})
-	time.Sleep(watchWait + 200*time.Millisecond)
+	time.Sleep(watchTimeout + 200*time.Millisecond)
 	f.store.mu.Lock()
-	f.store.deaf = false
+	f.store.watchesSilent = false
 	f.store.mu.Unlock()
-	f.store.forget()
-	f.eventually("the drain is known", func() bool { return f.ask(0, "/a/x") == http.StatusServiceUnavailable })
+	f.store.compact()
+	f.eventually("the server is draining", func() bool { return f.get(0, "/a/x") == http.StatusServiceUnavailable })
 }
 
-// The platform revokes a live proxy's key without telling it otherwise. It
-// must write the key again, or callers would no longer be sent there.
-func TestRevokedEntryIsWrittenAgain(t *testing.T) {
+// The platform deletes a live proxy's entry without notice. The proxy must write it again, or
+// callers would no longer be sent there.
+func TestDeletedProxyEntryIsRewritten(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("both proxies are named", func() bool { return f.named(1) == 2 })
-	f.store.remove(memberPrefix + "proxy-a")
-	f.eventually("the entry is back", func() bool {
+	f.eventually("lookups return both proxies", func() bool { return f.lookupCount(1) == 2 })
+	f.store.remove(proxyKeyPrefix + "proxy-a")
+	f.eventually("the entry is written again", func() bool {
 		f.store.mu.Lock()
 		defer f.store.mu.Unlock()
-		_, held := f.store.items[memberPrefix+"proxy-a"]
+		_, held := f.store.items[proxyKeyPrefix+"proxy-a"]
 		return held
 	})
-	f.eventually("both proxies are named again", func() bool { return f.named(1) == 2 })
+	f.eventually("lookups return both proxies again", func() bool { return f.lookupCount(1) == 2 })
 }
 
-// An operator stops a proxy that is cut off from the store. Taking its entry back
-// takes until the call gives up; if the stop waited for that, no time would be
-// left for requests, and those in progress would be cut.
-func TestPlannedStopDoesNotWaitForTheStore(t *testing.T) {
+// A proxy that can't reach the store shuts down. Revoking its lease hangs until the call times out;
+// if the shutdown waited for that, no time would be left for the requests in progress.
+func TestShutdownDoesNotWaitForStore(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.daemons[0]
-	d.keeper.store.End = func(ctx context.Context, _ uint64) error {
+	d.registrar.store.RevokeLease = func(ctx context.Context, _ uint64) error {
 		sleep.For(ctx, time.Minute)
 		return ctx.Err()
 	}
 	address := d.settings.Listen.Callers
 	f.stops[0]()
 	go f.endConnections(0)
-	began := time.Now()
-	var cut atomic.Int32
+	start := time.Now()
+	var interrupted atomic.Int32
 	var callers sync.WaitGroup
 	for range 8 {
 		callers.Go(func() {
-			for time.Since(began) < d.bounds().Grace {
+			for time.Since(start) < d.bounds().GracePeriod {
 				response, err := http.Get("http://" + address.String() + "/a/slow")
 				switch {
 				case err == nil:
 					_ = response.Body.Close()
 				case errors.Is(err, io.EOF):
-					cut.Add(1)
+					interrupted.Add(1)
 				}
 			}
 		})
 	}
 	callers.Wait()
-	if got := cut.Load(); got > 0 {
-		t.Errorf("%d requests were cut by the stop, want none", got)
+	if got := interrupted.Load(); got > 0 {
+		t.Errorf("%d requests were interrupted by the shutdown, want none", got)
 	}
 }
 
-// A backend server hangs while an operator stops a proxy. Requests that come
-// late in the time in which new ones are still taken have longer to wait than
-// the process has left. Each must get an answer before the process ends; their
-// connections were closed without one.
-func TestPlannedStopAnswersWhatCameLast(t *testing.T) {
+// A backend server hangs during a shutdown. Requests accepted late have a longer timeout than the
+// process has left. Each must be answered before the exit; their connections used to be closed
+// without a response.
+func TestShutdownAnswersLateRequests(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.daemons[0]
-	began, taken := time.Now(), time.Duration(drainShare*float64(d.bounds().Grace))
+	start, acceptPeriod := time.Now(), time.Duration(acceptRatio*float64(d.bounds().GracePeriod))
 	f.stops[0]()
 	go f.endConnections(0)
-	var cut, answered atomic.Int32
+	var interrupted, answered atomic.Int32
 	var callers sync.WaitGroup
-	for time.Since(began) < taken {
+	for time.Since(start) < acceptPeriod {
 		callers.Go(func() {
 			response, err := http.Get("http://" + d.settings.Listen.Callers.String() + "/a/hangs")
 			switch {
@@ -554,44 +551,44 @@
 				answered.Add(1)
 				_ = response.Body.Close()
 			case errors.Is(err, io.EOF):
-				cut.Add(1)
+				interrupted.Add(1)
 			}
 		})
 		time.Sleep(50 * time.Millisecond)
 	}
 	callers.Wait()
-	if got := cut.Load(); got > 0 || answered.Load() == 0 {
-		t.Errorf("%d requests were cut by the stop and %d answered, want none cut", got, answered.Load())
+	if got := interrupted.Load(); got > 0 || answered.Load() == 0 {
+		t.Errorf("%d requests were interrupted by the shutdown and %d answered, want none interrupted", got, answered.Load())
 	}
 }
 
-// An operator stops a proxy while callers use it. It is not ready at once and
-// no longer named, yet serves whoever still comes, and cuts nobody off.
-func TestPlannedStopCutsNobodyOff(t *testing.T) {
+// A proxy shuts down while callers use it. It must become unready and leave the lookup responses at
+// once, but serve the requests that still arrive and finish those in flight.
+func TestShutdownCompletesRequestsInFlight(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("both proxies are named", func() bool { return f.named(1) == 2 })
+	f.eventually("lookups return both proxies", func() bool { return f.lookupCount(1) == 2 })
 	slow := make(chan int, 1)
-	go func() { slow <- f.ask(0, "/a/slow") }()
+	go func() { slow <- f.get(0, "/a/slow") }()
 	f.eventually("the slow request runs", func() bool { _, seen := f.served.Load(""); return seen })
 	f.stops[0]()
-	f.eventually("it is not ready", func() bool {
+	f.eventually("the stopping proxy is not ready", func() bool {
 		return f.status(f.daemons[0].settings.Listen.Readiness, "/ready") == http.StatusServiceUnavailable
 	})
-	f.eventually("the other no longer names it", func() bool { return f.named(1) == 1 })
-	if got := f.ask(0, "/a/x"); got != http.StatusOK {
-		t.Errorf("a request during the stop gets %d, want 200", got)
+	f.eventually("lookups return only the other proxy", func() bool { return f.lookupCount(1) == 1 })
+	if got := f.get(0, "/a/x"); got != http.StatusOK {
+		t.Errorf("status of a request during the shutdown is %d, want 200", got)
 	}
 	if got := <-slow; got != http.StatusOK {
-		t.Errorf("the request in flight got %d, want 200", got)
+		t.Errorf("status of the request in flight is %d, want 200", got)
 	}
 }
 
-// Callers must not be sent to a proxy that does not know where to send them.
+// Callers must not be sent to a proxy that has no configuration yet.
 func TestUnconfiguredProxyIsNotReady(t *testing.T) {
 	f := &fleet{t: t, store: newMemoryStore()}
-	l := &link{store: f.store}
-	d, err := New(&Settings{Name: "p", Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"}}, Seams{
-		Names: Names{ReadinessPath: "/ready", LookupPath: "/lookup"}, Store: l.seams(), Codec: testCodec(),
+	l := &storeLink{store: f.store}
+	d, err := New(&Settings{Name: "p", Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"}}, Dependencies{
+		Names: WireNames{ReadinessPath: "/ready", LookupPath: "/lookup"}, Store: l.client(), Codec: testCodec(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -600,23 +597,23 @@
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
 		if w.Code != http.StatusServiceUnavailable {
-			t.Errorf("%s answers %d, want 503", path, w.Code)
+			t.Errorf("status of %s is %d, want 503", path, w.Code)
 		}
 	}
 }
 
-// A caller complains about a request that got no answer. The operators have
-// its id and the address of any proxy.
-func TestOperatorsFindTheCauseOfARequest(t *testing.T) {
+// A request got no response. Operators know its id and the address of some proxy, and must find the
+// cause with the command line.
+func TestOperatorCommandsExplainFailedRequest(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("the proxies know each other", func() bool { return f.named(0) == 2 && f.named(1) == 2 })
+	f.eventually("the proxies know each other", func() bool { return f.lookupCount(0) == 2 && f.lookupCount(1) == 2 })
 	f.store.remove("servers/s1")
-	f.eventually("the server is gone", func() bool { return f.ask(1, "/a/x") == http.StatusServiceUnavailable })
+	f.eventually("the server is removed", func() bool { return f.get(1, "/a/x") == http.StatusServiceUnavailable })
 	request, err := http.NewRequest(http.MethodGet, "http://"+f.daemons[1].settings.Listen.Callers.String()+"/a/x", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	request.Header.Set("Attempt", "complaint-1")
+	request.Header.Set("Attempt", "request-1")
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
@@ -625,17 +622,17 @@
 	for command, want := range map[string]string{
 		"explain": "reason=no-server", "status": "proxy-b", "events": "server-gone", "routes": "/a/", "servers": "as proxy-a",
 	} {
-		a := commandLine(t, f.daemons[0].settings.Listen.Operators, command)
-		var out, complaints strings.Builder
-		if code := clientcommand.Run(context.Background(), a, &out, &complaints); code != clientcommand.ExitOK {
-			t.Errorf("%s: exit code %d: %s", command, code, complaints.String())
+		args := commandLine(t, f.daemons[0].settings.Listen.Operators, command)
+		var out, errOut strings.Builder
+		if code := clientcommand.Run(context.Background(), args, &out, &errOut); code != clientcommand.ExitOK {
+			t.Errorf("%s: exit code %d: %s", command, code, errOut.String())
 		}
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%s printed %q, want %q in it", command, out.String(), want)
 		}
 	}
 	if got := f.status(f.daemons[0].settings.Listen.Operators, "/metrics"); got != http.StatusOK {
-		t.Errorf("metrics answer %d, want 200", got)
+		t.Errorf("status of the metrics is %d, want 200", got)
 	}
 }
 
@@ -644,7 +641,7 @@
 	steering := &clientcommand.SteeringArguments{}
 	switch name {
 	case "explain":
-		steering.Explain = &clientcommand.SteeringExplainArguments{Request: "complaint-1"}
+		steering.Explain = &clientcommand.SteeringExplainArguments{Request: "request-1"}
 	case "status":
 		steering.Status = &clientcommand.SteeringStatusArguments{}
 	case "events":
--- a/internal/proxy/forward/gossip_test.go
+++ b/internal/proxy/forward/gossip_test.go
@@ -20,19 +20,19 @@
 	"github.com/gypsumquay/gypsumquay/internal/proxy/sleep"
 )
 
-// idle makes a daemon that never runs, with the seams of one that does.
-func (f *fleet) idle() *Daemon {
+// newIdleDaemon creates a daemon that isn't run, with the dependencies of one that is.
+func (f *fleet) newIdleDaemon() *Daemon {
 	f.t.Helper()
 	s := *f.daemons[0].settings
-	d, err := New(&s, f.daemons[0].seams)
+	d, err := New(&s, f.daemons[0].deps)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	return d
 }
 
-// servePeer answers the exchanges of proxies with a function.
-func servePeer(t *testing.T, answer func(peerdrpc.SyncMessage) peerdrpc.SyncMessage) netip.AddrPort {
+// servePeer serves the exchanges of proxies with a function.
+func servePeer(t *testing.T, handle func(peerdrpc.SyncMessage) peerdrpc.SyncMessage) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,20 +40,19 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- peerdrpc.ServeSync(ctx, listener, peerdrpc.SyncHandlers{Sync: answer}) }()
+	go func() { ended <- peerdrpc.ServeSync(ctx, listener, peerdrpc.SyncHandlers{Sync: handle}) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil && !errors.Is(err, context.Canceled) {
-			t.Errorf("peer ended with %v", err)
+			t.Errorf("peer server ended with %v", err)
 		}
 	})
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// Hundreds of proxies start again while the store is down, and all know the
-// same seed, which has given away as much as its link carries. It names others,
-// and one of these gives the newcomer what it needs.
-func TestNewcomerAsksThoseThatASeedNames(t *testing.T) {
+// Hundreds of proxies restart while the store is down, and all know the same seed, which has used
+// up its budget of full copies. The seed names other peers, and one of those must supply the copy.
+func TestNewProxyQueriesPeersNamedBySeed(t *testing.T) {
 	f := newFleet(t, 1)
 	seed := servePeer(t, func(peerdrpc.SyncMessage) peerdrpc.SyncMessage {
 		return peerdrpc.SyncMessage{
@@ -61,98 +60,98 @@
 			Others: []netip.AddrPort{f.daemons[0].settings.Listen.Peers},
 		}
 	})
-	f.outage = true
+	f.storeOutage = true
 	f.start(1, []netip.AddrPort{seed})
-	f.eventually("the newcomer serves", func() bool { return f.ask(1, "/a/x") == http.StatusOK })
+	f.eventually("the new proxy serves", func() bool { return f.get(1, "/a/x") == http.StatusOK })
 }
 
-// A proxy that may not give everything away names others to one that starts, and
-// nothing to one that only lags.
-func TestOthersAreNamedToNewcomers(t *testing.T) {
+// A proxy that can't send a full copy names other peers to a proxy that starts, but not to one that
+// only lags.
+func TestPeersAreNamedToNewProxies(t *testing.T) {
 	f := newFleet(t, 2)
-	f.eventually("the proxies know each other", func() bool { return f.named(0) == 2 })
-	g := &gossip{feed: f.idle().feed}
-	g.feed.members["proxy-b"] = member{Name: "proxy-b", Region: "north", Peers: f.daemons[1].settings.Listen.Peers}
+	f.eventually("the proxies know each other", func() bool { return f.lookupCount(0) == 2 })
+	g := &gossip{replica: f.newIdleDaemon().replica}
+	g.replica.members["proxy-b"] = proxyEntry{Name: "proxy-b", Region: "north", Peers: f.daemons[1].settings.Listen.Peers}
 	answer := g.handle(context.Background(), peerdrpc.SyncMessage{From: "newcomer"})
 	if got, want := fmt.Sprint(answer.Others), fmt.Sprint([]netip.AddrPort{f.daemons[1].settings.Listen.Peers}); got != want {
-		t.Errorf("a newcomer is told of %s, want %s", got, want)
+		t.Errorf("peers named to a new proxy are %s, want %s", got, want)
 	}
 	answer = g.handle(context.Background(), peerdrpc.SyncMessage{From: "lags", Delta: replica.Delta{Base: 3, Revision: 3}})
 	if len(answer.Others) != 0 {
-		t.Errorf("a peer that lags is told of %v, want none", answer.Others)
+		t.Errorf("peers named to a lagging proxy are %v, want none", answer.Others)
 	}
 }
 
-// A large store is read in many pages over a narrow link. A peer's copy comes
-// first, and the reading must end: it would fill the link for another second.
-func TestReadingEndsWhenAPeersCopyComes(t *testing.T) {
+// A large store is read in many pages over a narrow link. If a peer's copy arrives first, the read
+// must be canceled, or it would fill the link for another second.
+func TestStoreReadIsCanceledWhenPeerCopyArrives(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.idle()
-	given := make(chan struct{})
-	w := &follower{feed: d.feed, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
-		Range: func(ctx context.Context, _ string, _ bool) ([]Item, uint64, error) {
-			close(given)
+	d := f.newIdleDaemon()
+	started := make(chan struct{})
+	w := &storeWatcher{replica: d.replica, onAdvance: func(uint64) {}, onUnchanged: func() {}, store: Store{
+		Range: func(ctx context.Context, _ string, _ bool) ([]KeyValue, uint64, error) {
+			close(started)
 			<-ctx.Done()
 			return nil, 0, ctx.Err()
 		},
 	}}
 	ended := make(chan error, 1)
 	go func() { ended <- w.step(context.Background()) }()
-	<-given
-	d.feed.apply(replica.Delta{Revision: 7, Full: true})
+	<-started
+	d.replica.apply(replica.Delta{Revision: 7, Full: true})
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("got %v, want no error: the store did not fail", err)
+			t.Errorf("got %v, want no error, as the store did not fail", err)
 		}
-	case <-time.After(patience):
-		t.Error("the reading goes on")
+	case <-time.After(waitTimeout):
+		t.Error("the read was not canceled")
 	}
 }
 
-// A region has more proxies than its relays send a change to. Each that hears of
-// it tells a few others, once, or the rest would know a second later.
-func TestNewsArePassedOnInALargeRegion(t *testing.T) {
+// A region has more proxies than its relays send a change to. Each proxy that receives the change
+// must forward it to a few others, once, or the rest would receive it a second later.
+func TestChangesAreForwardedInLargeRegion(t *testing.T) {
 	f := newFleet(t, 1)
 	for _, c := range []struct {
 		peers int
 		want  int32
-	}{{pushesMost, 0}, {pushesMost + 8, passesMost}} {
-		d := f.idle()
+	}{{spreadFanout, 0}, {spreadFanout + 8, forwardFanout}} {
+		d := f.newIdleDaemon()
 		var sent atomic.Int32
-		g := &gossip{feed: d.feed, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
+		g := &gossip{replica: d.replica, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 			sent.Add(1)
 			return peerdrpc.SyncMessage{}, nil
 		}}
 		for i := range c.peers {
 			name := fmt.Sprintf("peer-%d", i)
-			d.feed.members[name] = member{Name: name, Region: "north", Peers: freePort(t), LinkMbps: 200}
+			d.replica.members[name] = proxyEntry{Name: name, Region: "north", Peers: freePort(t), LinkMbps: 200}
 		}
-		d.feed.members["proxy-a"] = member{Name: "proxy-a", Region: "north"}
-		d.feed.apply(replica.Delta{Revision: 7, Full: true})
-		news := peerdrpc.SyncMessage{From: "peer-0", Delta: replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8}}}}
-		g.handle(context.Background(), news)
-		g.handle(context.Background(), news)
-		f.eventually(fmt.Sprintf("%d of %d peers are told", c.want, c.peers), func() bool { return sent.Load() == c.want })
+		d.replica.members["proxy-a"] = proxyEntry{Name: "proxy-a", Region: "north"}
+		d.replica.apply(replica.Delta{Revision: 7, Full: true})
+		change := peerdrpc.SyncMessage{From: "peer-0", Delta: replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8}}}}
+		g.handle(context.Background(), change)
+		g.handle(context.Background(), change)
+		f.eventually(fmt.Sprintf("%d of %d peers receive the change", c.want, c.peers), func() bool { return sent.Load() == c.want })
 		time.Sleep(50 * time.Millisecond)
 		if got := sent.Load(); got != c.want {
-			t.Errorf("%d peers: news were sent %d times, want %d", c.peers, got, c.want)
+			t.Errorf("%d peers: the change was sent %d times, want %d", c.peers, got, c.want)
 		}
 	}
 }
 
-// Nothing changes for a while in a region of a hundred proxies. The relay's word that its
-// copy is still right took three seconds to all of them by exchanges alone; the others
-// took their copies for old meanwhile and asked the store, forty calls a second.
-func TestRelayConfirmsItsCopyInALargeRegion(t *testing.T) {
+// Nothing changes for a while in a region of a hundred proxies. By exchanges alone, the relay's
+// confirmation took three seconds to reach all; the others considered their copies stale meanwhile
+// and queried the store, forty calls a second.
+func TestRelayConfirmsCopyInLargeRegion(t *testing.T) {
 	f := newFleet(t, 1)
 	for _, c := range []struct {
 		peers int
 		want  int32
-	}{{pushesMost, 0}, {pushesMost + 8, confirmsMost}} {
-		d := f.idle()
+	}{{spreadFanout, 0}, {spreadFanout + 8, confirmFanout}} {
+		d := f.newIdleDaemon()
 		var sent atomic.Int32
-		g := &gossip{feed: d.feed, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
+		g := &gossip{replica: d.replica, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 			if m.Revision != 7 || len(m.Entries) > 0 || !replica.Fresh(m.Age) {
 				t.Errorf("got %+v, want revision 7, fresh, without entries", m.Delta)
 			}
@@ -161,171 +160,170 @@
 		}}
 		for i := range c.peers {
 			name := fmt.Sprintf("peer-%d", i)
-			d.feed.members[name] = member{Name: name, Region: "north", Peers: freePort(t)}
+			d.replica.members[name] = proxyEntry{Name: name, Region: "north", Peers: freePort(t)}
 		}
-		d.feed.members["proxy-a"] = member{Name: "proxy-a", Region: "north", LinkMbps: 200}
-		d.feed.apply(replica.Delta{Revision: 7, Full: true})
-		w := &follower{feed: d.feed, confirmed: func() { g.confirm(context.Background()) }, store: Store{
-			Watch: func(context.Context, string, uint64, time.Duration) ([]Item, error) { return nil, nil },
+		d.replica.members["proxy-a"] = proxyEntry{Name: "proxy-a", Region: "north", LinkMbps: 200}
+		d.replica.apply(replica.Delta{Revision: 7, Full: true})
+		w := &storeWatcher{replica: d.replica, onUnchanged: func() { g.confirm(context.Background()) }, store: Store{
+			Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) { return nil, nil },
 		}}
 		if err := w.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		f.eventually(fmt.Sprintf("%d of %d peers are told", c.want, c.peers), func() bool { return sent.Load() == c.want })
+		f.eventually(fmt.Sprintf("%d of %d peers receive the confirmation", c.want, c.peers), func() bool { return sent.Load() == c.want })
 	}
 }
 
-// Hundreds of proxies start and each hears of the others in a message for each. Listing
-// all of them anew for each message was most of what a start took. The first is known at
+// Hundreds of proxies start, and each receives the others' entries in a message for each. Updating
+// the kernel for every message was most of the cost of a start. The first entry must take effect at
 // once, the last with the next tick.
-func TestProxiesThatStartTogetherAreListedTogether(t *testing.T) {
+func TestSimultaneousStartsAreBatched(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.idle()
-	named := func() (n int) {
-		d.do(func(k *steering.Kernel, _ time.Time) { n = len(k.Lookup("host", "north", "a")) })
+	d := f.newIdleDaemon()
+	lookupCount := func() (n int) {
+		d.withKernel(func(k *steering.Kernel, _ time.Time) { n = len(k.Lookup("host", "north", "a")) })
 		return n
 	}
 	const others = 40
 	for i := range others {
 		name := fmt.Sprintf("peer-%d", i)
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)
-		entry, err := json.Marshal(member{Name: name, Domain: "a", Region: "north", Callers: address, Peers: address})
+		entry, err := json.Marshal(proxyEntry{Name: name, Domain: "a", Region: "north", Callers: address, Peers: address})
 		if err != nil {
 			t.Fatal(err)
 		}
 		revision := uint64(i + 1)
-		d.feed.apply(replica.Delta{Base: revision - 1, Revision: revision, Full: i == 0, Entries: []replica.Entry{{Key: memberPrefix + name, Value: entry, Revision: revision}}})
-		if i == 0 && named() != 2 {
-			t.Errorf("%d proxies are named after the first message, want it and this one", named())
+		d.replica.apply(replica.Delta{Base: revision - 1, Revision: revision, Full: i == 0, Entries: []replica.Entry{{Key: proxyKeyPrefix + name, Value: entry, Revision: revision}}})
+		if i == 0 && lookupCount() != 2 {
+			t.Errorf("lookup returns %d proxies after the first message, want it and this one", lookupCount())
 		}
 	}
-	if got := named(); got > others/2 {
-		t.Errorf("%d proxies are named before the next tick, want most of them put off", got)
+	if got := lookupCount(); got > others/2 {
+		t.Errorf("lookup returns %d proxies before the next tick, want most of them deferred", got)
 	}
-	d.feed.listLate()
-	if got, want := named(), others+1; got != want {
-		t.Errorf("%d proxies are named after the next tick, want %d", got, want)
+	d.replica.flushProxies()
+	if got, want := lookupCount(), others+1; got != want {
+		t.Errorf("lookup returns %d proxies after the next tick, want %d", got, want)
 	}
 }
 
-// knows reports whether a daemon's kernel still holds the server of withServer.
-func knows(d *Daemon) (held bool) {
-	d.do(func(k *steering.Kernel, _ time.Time) { held = slices.Contains(k.ServerIDs(), "s1") })
+// hasServer reports whether a daemon's kernel has the server of newDaemonWithServer.
+func hasServer(d *Daemon) (held bool) {
+	d.withKernel(func(k *steering.Kernel, _ time.Time) { held = slices.Contains(k.ServerIDs(), "s1") })
 	return held
 }
 
-// withServer makes an idle daemon that knows a server.
-func (f *fleet) withServer() *Daemon {
+// newDaemonWithServer creates an idle daemon that knows a server.
+func (f *fleet) newDaemonWithServer() *Daemon {
 	f.t.Helper()
-	d := f.idle()
+	d := f.newIdleDaemon()
 	value, err := json.Marshal(testServer{Service: "service", Domain: "a", Address: addressOf(f.backend.URL)})
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	d.feed.apply(replica.Delta{Revision: 1, Full: true, Entries: []replica.Entry{{Key: "servers/s1", Value: value, Revision: 1}}})
-	if !knows(d) {
-		f.t.Fatal("the server is not known")
+	d.replica.apply(replica.Delta{Revision: 1, Full: true, Entries: []replica.Entry{{Key: "servers/s1", Value: value, Revision: 1}}})
+	if !hasServer(d) {
+		f.t.Fatal("the server is missing after its registration")
 	}
 	return d
 }
 
-// A VM was cut off from the store, not from its peers, and the store was there all
-// the time. A server leaves without a word. If the VM doubted what its peers tell
-// because its own calls had failed, it would go on sending requests for seconds.
-func TestRemovalThatPeersTellIsBelievedByAProxyThatWasCutOff(t *testing.T) {
+// A VM lost its connection to the store, but not to its peers, while the store was available. A
+// server leaves. If the proxy treated its peers' removals as tentative because its own calls had
+// failed, it would send requests to that server for seconds.
+func TestDisconnectedProxyAcceptsRemovalsFromPeers(t *testing.T) {
 	f := newFleet(t, 1)
 	removal := replica.Delta{Base: 1, Revision: 2}
-	for _, doubtful := range []bool{false, true} {
-		d := f.withServer()
-		d.feed.failed(errCut, d.now().Add(-time.Minute))
-		d.feed.failed(context.DeadlineExceeded, d.now())
-		d.gossip.take(peerdrpc.SyncMessage{From: "peer", Delta: replica.Delta{
+	for _, tentative := range []bool{false, true} {
+		d := f.newDaemonWithServer()
+		d.replica.storeFailed(errDisconnected, d.now().Add(-time.Minute))
+		d.replica.storeFailed(context.DeadlineExceeded, d.now())
+		d.gossip.merge(peerdrpc.SyncMessage{From: "peer", Delta: replica.Delta{
 			Base: removal.Base, Revision: removal.Revision,
-			Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true, Tentative: doubtful}},
+			Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true, Tentative: tentative}},
 		}})
-		if got := knows(d); got != doubtful {
-			t.Errorf("removal doubted by the peer %t: the server is still used %t", doubtful, got)
+		if got := hasServer(d); got != tentative {
+			t.Errorf("removal tentative at the peer %t: the server is still used %t", tentative, got)
 		}
 	}
 }
 
-// A waiting watch is cut and answered at once when made again. A server's entry
-// goes just then: it has left, and no outage dropped it.
-func TestRemovalJustAfterAWatchWasCutIsBelieved(t *testing.T) {
+// A watch is interrupted and succeeds at once when retried. A server's entry is removed just then:
+// the server has left, and its entry did not expire in an outage.
+func TestRemovalAfterInterruptedWatchIsAccepted(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.withServer()
-	d.feed.failed(errCut, d.now())
-	items := []Item{{Key: "servers/s1", Revision: 2, Removed: true}}
-	w := &follower{feed: d.feed, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
-		Watch: func(context.Context, string, uint64, time.Duration) ([]Item, error) { return items, nil },
+	d := f.newDaemonWithServer()
+	d.replica.storeFailed(errDisconnected, d.now())
+	items := []KeyValue{{Key: "servers/s1", Revision: 2, Removed: true}}
+	w := &storeWatcher{replica: d.replica, onAdvance: func(uint64) {}, onUnchanged: func() {}, store: Store{
+		Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) { return items, nil },
 	}}
 	if err := w.step(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if knows(d) {
+	if hasServer(d) {
 		t.Error("the server is still used")
 	}
 }
 
-// Two relays of a region hear of a change from another region before their own
-// watches answer. If neither told the others, these would go without.
-func TestRelayPassesOnWhatAnotherRegionTells(t *testing.T) {
+// Two relays of a region receive a change from another region before their own watches return. If
+// neither forwarded it, the other proxies of the region would not receive it.
+func TestRelayForwardsChangesFromOtherRegion(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.idle()
+	d := f.newIdleDaemon()
 	var sent atomic.Int32
-	g := &gossip{feed: d.feed, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
+	g := &gossip{replica: d.replica, send: func(context.Context, netip.AddrPort, peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
 		sent.Add(1)
 		return peerdrpc.SyncMessage{}, nil
 	}}
-	d.feed.members["proxy-a"] = member{Name: "proxy-a", Region: "north", LinkMbps: 100}
+	d.replica.members["proxy-a"] = proxyEntry{Name: "proxy-a", Region: "north", LinkMbps: 100}
 	for i := range 4 {
 		name := fmt.Sprintf("peer-%d", i)
-		d.feed.members[name] = member{Name: name, Region: "north", Peers: freePort(t)}
+		d.replica.members[name] = proxyEntry{Name: name, Region: "north", Peers: freePort(t)}
 	}
-	d.feed.apply(replica.Delta{Revision: 7, Full: true})
+	d.replica.apply(replica.Delta{Revision: 7, Full: true})
 	g.handle(context.Background(), peerdrpc.SyncMessage{From: "far", Delta: replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8}}}})
-	f.eventually("the region is told", func() bool { return sent.Load() == 4 })
+	f.eventually("the region receives the change", func() bool { return sent.Load() == 4 })
 }
 
-// The same where the relay heard of the change in an exchange of its own, a moment
-// before its watch answers.
-func TestRelaySpreadsWhatItsWatchTellsThoughItKnows(t *testing.T) {
+// A relay received a change in an exchange shortly before its watch returns it. It must still
+// spread the change to its region.
+func TestRelaySpreadsWatchedChangesItAlreadyHas(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.withServer()
-	items := []Item{{Key: "servers/s1", Revision: 2, Removed: true}}
+	d := f.newDaemonWithServer()
+	items := []KeyValue{{Key: "servers/s1", Revision: 2, Removed: true}}
 	spread := 0
-	w := &follower{feed: d.feed, confirmed: func() {}, advanced: func(before uint64) {
+	w := &storeWatcher{replica: d.replica, onUnchanged: func() {}, onAdvance: func(before uint64) {
 		spread++
 		if before != 1 {
-			t.Errorf("spreads what is newer than revision %d, want 1", before)
+			t.Errorf("spreads changes after revision %d, want 1", before)
 		}
-	}, store: Store{Watch: func(context.Context, string, uint64, time.Duration) ([]Item, error) {
-		d.feed.apply(replica.Delta{Base: 1, Revision: 2, Entries: entriesOf(items)})
+	}, store: Store{Watch: func(context.Context, string, uint64, time.Duration) ([]KeyValue, error) {
+		d.replica.apply(replica.Delta{Base: 1, Revision: 2, Entries: replicaEntries(items)})
 		return items, nil
 	}}}
 	if err := w.step(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if spread != 1 {
-		t.Errorf("news were spread %d times, want once", spread)
+		t.Errorf("the change was spread %d times, want once", spread)
 	}
 }
 
-// The relays of a region are cut off, and so is every other peer there. Another
-// proxy asks the store itself. If it stopped at each answer until its copy was old
-// again, a server that drains just after an answer would get requests for two
-// seconds more.
-func TestProxyWithoutFreshPeersKeepsFollowing(t *testing.T) {
+// No proxy of a region, relays included, can reach the store but one. If that one stopped watching
+// after each response until its copy was stale again, a server that drains just after a response
+// would get requests for two seconds more.
+func TestProxyWithoutFreshPeersKeepsFollowingStore(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.withServer()
+	d := f.newDaemonWithServer()
 	for _, name := range []string{"wide-a", "wide-b"} {
-		d.feed.members[name] = member{Name: name, Region: "north", LinkMbps: 1000}
+		d.replica.members[name] = proxyEntry{Name: name, Region: "north", LinkMbps: 1000}
 	}
-	d.feed.members["far"] = member{Name: "far", Region: "south"}
-	d.feed.members[d.settings.Name] = member{Name: d.settings.Name, Region: "north"}
+	d.replica.members["far"] = proxyEntry{Name: "far", Region: "south"}
+	d.replica.members[d.settings.Name] = proxyEntry{Name: d.settings.Name, Region: "north"}
 	var asked atomic.Int32
-	w := &follower{feed: d.feed, advanced: func(uint64) {}, confirmed: func() {}, store: Store{
-		Watch: func(ctx context.Context, _ string, _ uint64, _ time.Duration) ([]Item, error) {
+	w := &storeWatcher{replica: d.replica, onAdvance: func(uint64) {}, onUnchanged: func() {}, store: Store{
+		Watch: func(ctx context.Context, _ string, _ uint64, _ time.Duration) ([]KeyValue, error) {
 			asked.Add(1)
 			sleep.For(ctx, 20*time.Millisecond)
 			return nil, ctx.Err()
@@ -335,61 +333,61 @@
 	ended := make(chan struct{})
 	go func() { w.run(ctx); close(ended) }()
 	defer func() { cancel(); <-ended }()
-	f.eventually("it asks the store itself", func() bool { return asked.Load() > 0 })
-	f.eventually("it goes on", func() bool {
-		d.gossip.take(peerdrpc.SyncMessage{From: "far", Delta: replica.Delta{Base: 1, Revision: 1}})
-		d.gossip.take(peerdrpc.SyncMessage{From: "wide-a", Delta: replica.Delta{Base: 1, Revision: 1, Age: time.Minute}})
+	f.eventually("the proxy queries the store", func() bool { return asked.Load() > 0 })
+	f.eventually("the proxy continues to query the store", func() bool {
+		d.gossip.merge(peerdrpc.SyncMessage{From: "far", Delta: replica.Delta{Base: 1, Revision: 1}})
+		d.gossip.merge(peerdrpc.SyncMessage{From: "wide-a", Delta: replica.Delta{Base: 1, Revision: 1, Age: time.Minute}})
 		return asked.Load() > 20
 	})
-	d.gossip.take(peerdrpc.SyncMessage{From: "wide-a", Delta: replica.Delta{Base: 1, Revision: 1}})
+	d.gossip.merge(peerdrpc.SyncMessage{From: "wide-a", Delta: replica.Delta{Base: 1, Revision: 1}})
 	time.Sleep(100 * time.Millisecond)
 	before := asked.Load()
 	time.Sleep(300 * time.Millisecond)
 	if got := asked.Load() - before; got > 0 {
-		t.Errorf("asked %d times more though a peer of the region has a fresh copy, want none", got)
+		t.Errorf("%d further store calls although a peer of the region has a fresh copy, want none", got)
 	}
 }
 
-// A proxy that is cut off from the store hears of a removal from a peer that read
-// it, and passes it on. Its own outage says nothing of that removal: were it passed
-// on as doubtful, the next proxy would send requests to a server that has left.
-func TestCutOffProxyPassesRemovalsOnAsItHeardThem(t *testing.T) {
+// A proxy that can't reach the store receives a removal from a peer that read it, and forwards it.
+// Its own outage must not make the removal tentative: the next proxy would send requests to a
+// server that has left.
+func TestDisconnectedProxyForwardsRemovalsUnchanged(t *testing.T) {
 	f := newFleet(t, 1)
-	for _, doubtful := range []bool{false, true} {
-		cut, next := f.withServer(), f.withServer()
-		cut.feed.failed(context.DeadlineExceeded, cut.now().Add(-time.Minute))
-		reader := f.withServer()
-		if doubtful {
-			reader.feed.failed(context.DeadlineExceeded, reader.now().Add(-time.Minute))
+	for _, tentative := range []bool{false, true} {
+		disconnected, next := f.newDaemonWithServer(), f.newDaemonWithServer()
+		disconnected.replica.storeFailed(context.DeadlineExceeded, disconnected.now().Add(-time.Minute))
+		reader := f.newDaemonWithServer()
+		if tentative {
+			reader.replica.storeFailed(context.DeadlineExceeded, reader.now().Add(-time.Minute))
 		}
-		reader.feed.applyOwn(replica.Delta{Base: 1, Revision: 2, Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true}}})
-		cut.gossip.take(peerdrpc.SyncMessage{From: "reader", Delta: reader.feed.since(1)})
+		reader.replica.applyStoreRead(replica.Delta{Base: 1, Revision: 2, Entries: []replica.Entry{{Key: "servers/s1", Revision: 2, Removed: true}}})
+		disconnected.gossip.merge(peerdrpc.SyncMessage{From: "reader", Delta: reader.replica.deltaSince(1)})
 		time.Sleep(time.Millisecond)
-		next.gossip.take(peerdrpc.SyncMessage{From: "cut", Delta: cut.feed.since(1)})
-		if got := knows(next); got != doubtful {
-			t.Errorf("removal doubted by its reader %t: the server is still used %t", doubtful, got)
+		next.gossip.merge(peerdrpc.SyncMessage{From: "cut", Delta: disconnected.replica.deltaSince(1)})
+		if got := hasServer(next); got != tentative {
+			t.Errorf("removal tentative at its reader %t: the server is still used %t", tentative, got)
 		}
 	}
 }
 
-// Guards against a large configuration that each relay brings to each proxy again.
-func TestLargeNewsAreBroughtToThoseThatLackThem(t *testing.T) {
+// Guards against each relay sending a large configuration again to every proxy.
+func TestLargeChangesAreSentOnlyToPeersThatLackThem(t *testing.T) {
 	f := newFleet(t, 1)
-	d := f.idle()
-	d.feed.apply(replica.Delta{Revision: 7, Full: true})
-	d.feed.apply(replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8, Value: make([]byte, 2*offerFrom)}}})
+	d := f.newIdleDaemon()
+	d.replica.apply(replica.Delta{Revision: 7, Full: true})
+	d.replica.apply(replica.Delta{Base: 7, Revision: 8, Entries: []replica.Entry{{Key: "x", Revision: 8, Value: make([]byte, 2*offerMinBytes)}}})
 	for name, c := range map[string]struct {
 		has  uint64
 		want int
 	}{"a proxy that has them": {8, 0}, "a proxy that lacks them": {7, 1}} {
-		brought := 0
-		g := &gossip{feed: d.feed, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
-			brought += len(m.Entries)
+		sentEntries := 0
+		g := &gossip{replica: d.replica, send: func(_ context.Context, _ netip.AddrPort, m peerdrpc.SyncMessage) (peerdrpc.SyncMessage, error) {
+			sentEntries += len(m.Entries)
 			return peerdrpc.SyncMessage{Delta: replica.Delta{Base: c.has, Revision: c.has}}, nil
 		}}
-		g.offer(context.Background(), netip.AddrPort{}, 7)
-		if brought != c.want {
-			t.Errorf("%s is brought %d entries, want %d", name, brought, c.want)
+		g.offerDelta(context.Background(), netip.AddrPort{}, 7)
+		if sentEntries != c.want {
+			t.Errorf("%s is sent %d entries, want %d", name, sentEntries, c.want)
 		}
 	}
 }
--- a/internal/proxy/forward/face.go
+++ b/internal/proxy/forward/handlers.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// lookupLifetime is how long callers should keep an answer: short, so
-	// that they learn of proxies that left within a planned stop.
-	lookupLifetime = 2 * time.Second
+	// lookupTTL is how long callers should cache a lookup response. It is short so that callers
+	// learn of a leaving proxy before its graceful shutdown ends.
+	lookupTTL = 2 * time.Second
 )
 
 func (d *Daemon) readinessHandler() http.Handler {
 	router := mux.NewRouter()
-	router.HandleFunc(d.seams.Names.ReadinessPath, func(w http.ResponseWriter, _ *http.Request) {
+	router.HandleFunc(d.deps.Names.ReadinessPath, func(w http.ResponseWriter, _ *http.Request) {
 		if d.isStopping() || !d.configured() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -35,24 +35,24 @@
 
 func (d *Daemon) configured() bool {
 	version := uint64(0)
-	d.do(func(k *steering.Kernel, _ time.Time) { version = k.Version() })
+	d.withKernel(func(k *steering.Kernel, _ time.Time) { version = k.Version() })
 	return version > 0
 }
 
 func (d *Daemon) directoryHandler() http.Handler {
-	n := d.seams.Names
+	n := d.deps.Names
 	router := mux.NewRouter()
 	router.HandleFunc(n.LookupPath, func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
 		var list []netip.AddrPort
-		d.do(func(k *steering.Kernel, _ time.Time) {
+		d.withKernel(func(k *steering.Kernel, _ time.Time) {
 			list = k.Lookup(q.Get(n.LookupHost), q.Get(n.LookupRegion), q.Get(n.LookupDomain))
 		})
 		if len(list) == 0 || !d.configured() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		data, err := d.seams.Codec.LookupAnswer(list, min(lookupLifetime, d.bounds().LookupLifetime))
+		data, err := d.deps.Codec.EncodeLookupResponse(list, min(lookupTTL, d.bounds().MaxLookupTTL))
 		if err != nil {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
@@ -63,25 +63,25 @@
 	return router
 }
 
-// status is what operators see of this proxy.
+// status describes this proxy for the operators' API.
 func (d *Daemon) status() steeringhttp.Status {
-	var view steering.Status
+	var status steering.Status
 	var table *routing.Table
-	d.do(func(k *steering.Kernel, now time.Time) { view, table = k.Status(now), k.Table() })
+	d.withKernel(func(k *steering.Kernel, now time.Time) { status, table = k.Status(now), k.Table() })
 	s := steeringhttp.Status{
-		VM: d.settings.Name, Configuration: view.Version, CopyRevision: d.feed.revision(),
-		CopyAge: d.feed.age().Round(time.Millisecond).String(), InFlight: view.InFlight, Stopping: d.isStopping(),
-		Evacuated: view.Evacuated, Stranded: view.RegionsWithoutProxies, Off: view.MechanismsOff, Holding: view.ConcurrencyLimits, Proxies: d.feed.proxies(), At: time.Now(),
+		VM: d.settings.Name, Configuration: status.Version, CopyRevision: d.replica.revision(),
+		CopyAge: d.replica.age().Round(time.Millisecond).String(), InFlight: status.InFlight, Stopping: d.isStopping(),
+		Evacuated: status.Evacuated, Stranded: status.RegionsWithoutProxies, Off: status.MechanismsOff, Holding: status.ConcurrencyLimits, Proxies: d.replica.proxies(), At: time.Now(),
 	}
-	for _, b := range view.Servers {
-		s.Servers = append(s.Servers, serverOf(b))
+	for _, b := range status.Servers {
+		s.Servers = append(s.Servers, serverStatus(b))
 	}
-	for _, c := range view.QuarantinedWork {
+	for _, c := range status.QuarantinedWork {
 		s.Condemned = append(s.Condemned, steeringhttp.CondemnedWork{Work: c.Fingerprint.String(), Ends: c.UnclearedCrashes(), For: c.QuarantinedFor.Round(time.Second).String()})
 	}
-	s.Holders, s.Pool = view.QuotaProxies, view.QuotaPool
-	for _, a := range view.Accounts {
-		s.Accounts = append(s.Accounts, accountOf(a))
+	s.Holders, s.Pool = status.QuotaProxies, status.QuotaPool
+	for _, a := range status.Accounts {
+		s.Accounts = append(s.Accounts, accountStatus(a))
 	}
 	if table == nil {
 		return s
@@ -97,8 +97,8 @@
 	return s
 }
 
-// serverOf is a backend server as operators see it.
-func serverOf(b steering.ServerStatus) steeringhttp.BackendServer {
+// serverStatus describes a backend server for the operators' API.
+func serverStatus(b steering.ServerStatus) steeringhttp.BackendServer {
 	out := steeringhttp.BackendServer{
 		ID: b.ID, Service: b.Service, Domain: b.Domain, State: steeringhttp.StateOf(b), InFlight: b.InFlight,
 		Slots: b.Slots, Load: b.Load, Speed: b.Slowdown, Failed: b.FailureShare, Leaves: b.ReportsDraining,
@@ -112,8 +112,8 @@
 	return out
 }
 
-// accountOf is a client account as operators see it.
-func accountOf(a steering.AccountStatus) steeringhttp.Account {
+// accountStatus describes a client account for the operators' API.
+func accountStatus(a steering.AccountStatus) steeringhttp.Account {
 	out := steeringhttp.Account{
 		Name: a.Name, Regions: a.Regions, Priority: a.Priority, LimitPerSecond: a.Limit.PerSecond, Burst: a.Limit.Burst,
 		HeldShare: float64(a.Share) / float64(ratelimit.FullShare), PerSecond: a.PerSecond, Admitted: a.Admitted, Refused: a.Denied,
--- a/internal/proxy/forward/members.go
+++ b/internal/proxy/forward/members.go
@@ -19,96 +19,96 @@
 )
 
 type (
-	// member is a proxy's own entry in the store.
-	member struct {
+	// proxyEntry is the entry that each proxy writes to the store.
+	proxyEntry struct {
 		Name    string         `json:"name"`
 		Domain  string         `json:"failure-domain"`
 		Region  string         `json:"region"`
 		Callers netip.AddrPort `json:"callers"`
 		Peers   netip.AddrPort `json:"peers"`
-		// Operators is where the command line asks.
+		// Operators is the address of the operators' API, used by the command line.
 		Operators netip.AddrPort `json:"operators"`
-		// LinkMbps is how wide its link is, in Mbit/s; zero if not known.
+		// LinkMbps is the bandwidth of the VM's link, in Mbit/s; zero if unknown.
 		LinkMbps int  `json:"link-mbps,omitempty"`
 		Leaving  bool `json:"leaving,omitempty"`
-		// Held is what the proxy has learned of services whose servers slow down when
-		// full. It outlives the process by its lease: proxies that have all lost power
-		// need not learn it again while every queue is full.
+		// Held holds the concurrency limits learned for services whose servers slow down when
+		// full. The entry outlives the process by its lease, so that proxies that have all lost
+		// power need not learn them again while every queue is full.
 		Held []steering.ServiceLimit `json:"held,omitempty"`
-		// Started tells the starts of a VM under one name apart: Unix milliseconds
-		// of its own clock, zero from a proxy that does not tell.
+		// Started distinguishes the starts of a VM under one name: Unix milliseconds by its own
+		// clock, zero if the proxy does not report it.
 		Started int64 `json:"started,omitempty"`
 	}
 )
 
-// tellProxies takes in the changes of proxies' entries. It comes before the
-// servers: a proxy that knew a cold server and no other proxy would send it all
-// that it bears.
-func (f *feed) tellProxies(changed []replica.Entry) {
-	gone := false
+// dispatchProxies applies the changed entries of proxies. It must run before the servers' entries
+// are applied: a proxy that knew a cold server but no other proxies would use the server's whole
+// warm-up rate.
+func (f *storeReplica) dispatchProxies(changed []replica.Entry) {
+	removed := false
 	for _, e := range changed {
-		if name, ok := strings.CutPrefix(e.Key, memberPrefix); ok {
-			f.hearMember(name, e)
-			f.unlisted = true
-			gone = gone || e.Removed
+		if name, ok := strings.CutPrefix(e.Key, proxyKeyPrefix); ok {
+			f.dispatchProxyEntry(name, e)
+			f.proxiesStale = true
+			removed = removed || e.Removed
 		}
 	}
-	// When hundreds start, each hears of the others in hundreds of messages, and a list
-	// for each was most of what starting took. So arrivals just after a list wait for the
-	// next tick; one that is gone must not be named to callers until then.
-	if f.unlisted && (gone || f.daemon.now().Sub(f.listedAt) >= tickEvery) {
-		f.listProxies()
+	// When hundreds of proxies start, each learns of the others in hundreds of messages, and
+	// updating the kernel for each message was most of the cost of a start. So additions shortly
+	// after an update wait for the next tick. Removals don't: a proxy that is gone must not be
+	// returned to callers until then.
+	if f.proxiesStale && (removed || f.daemon.now().Sub(f.proxiesSetAt) >= tickInterval) {
+		f.setProxies()
 	}
 }
 
-// listLate brings a list to the kernel that has been put off.
-func (f *feed) listLate() {
+// flushProxies passes changes of the proxies that were deferred to the kernel.
+func (f *storeReplica) flushProxies() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.unlisted {
-		f.listProxies()
+	if f.proxiesStale {
+		f.setProxies()
 	}
 }
 
-func (f *feed) hearMember(name string, e replica.Entry) {
-	f.changed++
+func (f *storeReplica) dispatchProxyEntry(name string, e replica.Entry) {
+	f.membershipChanges++
 	if e.Removed {
 		delete(f.members, name)
 		if name == f.daemon.settings.Name {
-			f.writeSoon()
+			f.requestRewrite()
 		}
 		if e.Tentative {
-			f.daemon.do(func(k *steering.Kernel, now time.Time) { k.IgnoreMissingProxiesUntil(now.Add(absentFor)) })
+			f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.IgnoreMissingProxiesUntil(now.Add(absenceGracePeriod)) })
 		}
-		klog.InfoS("proxy gone", "proxy", name)
+		klog.InfoS("proxy removed", "proxy", name)
 		return
 	}
 	m, err := f.decodeMember(name, e.Value)
 	if err != nil {
-		f.refused("proxy", name, err)
+		f.rejectEntry("proxy", name, err)
 		delete(f.members, name)
 		if name == f.daemon.settings.Name {
-			f.writeSoon()
+			f.requestRewrite()
 		}
 		return
 	}
 	f.members[name] = m
 	if len(m.Held) > 0 {
-		f.daemon.do(func(k *steering.Kernel, now time.Time) { k.ApplyConcurrencyLimits(now, m.Held) })
+		f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.ApplyConcurrencyLimits(now, m.Held) })
 	}
-	klog.InfoS("proxy known", "proxy", name, "failure-domain", m.Domain)
+	klog.InfoS("proxy registered", "proxy", name, "failure-domain", m.Domain)
 }
 
-// decodeMember reads a proxy's entry. Callers are sent to the address in it and
-// limits are divided by the number of entries, so one that is not whole names no
-// proxy.
-func (f *feed) decodeMember(name string, data []byte) (member, error) {
-	var m member
+// decodeMember decodes a proxy's entry. Callers are sent to its address and rate limits are
+// divided by the number of entries, so an incomplete entry is rejected.
+func (f *storeReplica) decodeMember(name string, data []byte) (proxyEntry, error) {
+	var m proxyEntry
 	if err := operator.CheckSyntax(data); err != nil {
 		return m, err
 	}
 	if err := json.Unmarshal(data, &m); err != nil {
-		return m, errors.Wrap(err, "entry")
+		return m, errors.Wrap(err, "decode proxy entry")
 	}
 	if m.Name != name {
 		return m, &operator.FieldError{Field: "name", Want: strconv.Quote(name) + ", as in the key", Got: strconv.Quote(m.Name)}
@@ -121,41 +121,41 @@
 	return m, f.checkDomain(m.Domain, m.Region)
 }
 
-// listProxies brings the list of live proxies to the kernel.
-func (f *feed) listProxies() {
-	f.listedAt, f.unlisted = f.daemon.now(), false
+// setProxies passes the list of live proxies to the kernel.
+func (f *storeReplica) setProxies() {
+	f.proxiesSetAt, f.proxiesStale = f.daemon.now(), false
 	list := make([]steering.Proxy, 0, len(f.members))
 	for _, m := range f.members {
 		list = append(list, steering.Proxy{Name: m.Name, Domain: m.Domain, Region: m.Region, Address: m.Callers, Leaving: m.Leaving})
 	}
-	f.daemon.do(func(k *steering.Kernel, now time.Time) { k.SetProxies(now, list) })
+	f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.SetProxies(now, list) })
 }
 
-// hear takes in a proxy's own word: whether it leaves, and how fresh its copy is.
-// What a process said before its VM started again may come after the new entry,
-// and would have the new process leave for as long as it lives.
-func (f *feed) hear(said peerdrpc.SyncMessage) {
+// handlePeerState applies what a peer reports of itself: whether it is leaving, and the age of its
+// copy. A leaving message of an earlier start may arrive after the entry of the new one and must
+// be ignored, or the new process would count as leaving for its lifetime.
+func (f *storeReplica) handlePeerState(msg peerdrpc.SyncMessage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	name := said.From
+	name := msg.From
 	m, known := f.members[name]
 	if !known {
 		return
 	}
-	if m.Region == f.daemon.settings.Region && replica.Fresh(said.Age) {
-		f.nearAt = f.daemon.now()
+	if m.Region == f.daemon.settings.Region && replica.Fresh(msg.Age) {
+		f.peerFreshAt = f.daemon.now()
 	}
-	sameStart := said.Started == 0 || said.Started == m.Started
-	if said.Leaving && sameStart && !m.Leaving {
+	sameStart := msg.Started == 0 || msg.Started == m.Started
+	if msg.Leaving && sameStart && !m.Leaving {
 		m.Leaving = true
 		f.members[name] = m
-		f.changed++
-		f.listProxies()
+		f.membershipChanges++
+		f.setProxies()
 	}
 }
 
-// proxies lists the known proxies for operators.
-func (f *feed) proxies() []steeringhttp.Proxy {
+// proxies lists the known proxies for the operators' API, by name.
+func (f *storeReplica) proxies() []steeringhttp.Proxy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := make([]steeringhttp.Proxy, 0, len(f.members))
@@ -166,16 +166,16 @@
 	return list
 }
 
-// peerOf is where other proxies reach one by its name.
-func (f *feed) peerOf(name string) (netip.AddrPort, bool) {
+// peerAddress returns the peer address of the proxy of a name.
+func (f *storeReplica) peerAddress(name string) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, known := f.members[name]
 	return m.Peers, known
 }
 
-// candidates lists the proxies that match and do not leave.
-func (f *feed) candidates(matches func(member) bool) []replica.Candidate {
+// candidates lists the matching proxies that aren't leaving.
+func (f *storeReplica) candidates(matches func(proxyEntry) bool) []replica.Candidate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []replica.Candidate
@@ -187,19 +187,19 @@
 	return list
 }
 
-// changes counts the changes of who is known and who leaves.
-func (f *feed) changes() int {
+// membershipVersion changes whenever the set of known or of leaving proxies does.
+func (f *storeReplica) membershipVersion() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.changed
+	return f.membershipChanges
 }
 
-// rank is this proxy's place among those of its region. While none is known, as when
-// a whole fleet starts, the seeds follow the store and tell the others; hundreds that
-// each took themselves for the first made a call for each of the others' entries.
-func (f *feed) rank() int {
+// rank is this proxy's rank among those of its region. While no proxies are known, as when a whole
+// fleet starts, only the seeds are relays: when hundreds of proxies each considered themselves the
+// first, each made a store call for every other proxy's entry.
+func (f *storeReplica) rank() int {
 	settings := f.daemon.settings
-	list := f.candidates(func(m member) bool { return m.Region == settings.Region })
+	list := f.candidates(func(m proxyEntry) bool { return m.Region == settings.Region })
 	if len(list) == 0 && len(settings.Seeds) > 0 && !slices.Contains(settings.Seeds, settings.Listen.Peers) {
 		return replica.RelaysPerRegion
 	}
--- a/internal/proxy/forward/meters.go
+++ b/internal/proxy/forward/metrics.go
@@ -10,17 +10,17 @@
 )
 
 type (
-	// meters holds the process's metrics. Names follow the Prometheus habit:
-	// base units, and _total for counters.
-	meters struct {
-		set         *metrics.Set
-		connections *metrics.Counter
-		turnedAway  *metrics.Counter
-		sent        *metrics.Counter
-		received    *metrics.Counter
-		requests    map[requestLabels]*metrics.Counter
-		attempts    map[attemptLabels]*metrics.Counter
-		durations   map[string]*metrics.Histogram
+	// proxyMetrics holds the process's metrics. Names follow the Prometheus conventions: base
+	// units, and _total for counters.
+	proxyMetrics struct {
+		set                      *metrics.Set
+		serverConnectionsOpened  *metrics.Counter
+		callerConnectionsRefused *metrics.Counter
+		peerBytesSent            *metrics.Counter
+		peerBytesReceived        *metrics.Counter
+		requests                 map[requestLabels]*metrics.Counter
+		attempts                 map[attemptLabels]*metrics.Counter
+		durations                map[string]*metrics.Histogram
 	}
 
 	requestLabels struct {
@@ -35,35 +35,35 @@
 	}
 )
 
-func newMeters() *meters {
+func newProxyMetrics() *proxyMetrics {
 	set := metrics.NewSet()
-	return &meters{
-		set:         set,
-		connections: set.NewCounter("gypsumquay_server_connections_opened_total"),
-		turnedAway:  set.NewCounter("gypsumquay_caller_connections_refused_total"),
-		sent:        set.NewCounter("gypsumquay_peer_sent_bytes_total"),
-		received:    set.NewCounter("gypsumquay_peer_received_bytes_total"),
-		requests:    make(map[requestLabels]*metrics.Counter),
-		attempts:    make(map[attemptLabels]*metrics.Counter),
-		durations:   make(map[string]*metrics.Histogram),
+	return &proxyMetrics{
+		set:                      set,
+		serverConnectionsOpened:  set.NewCounter("gypsumquay_server_connections_opened_total"),
+		callerConnectionsRefused: set.NewCounter("gypsumquay_caller_connections_refused_total"),
+		peerBytesSent:            set.NewCounter("gypsumquay_peer_sent_bytes_total"),
+		peerBytesReceived:        set.NewCounter("gypsumquay_peer_received_bytes_total"),
+		requests:                 make(map[requestLabels]*metrics.Counter),
+		attempts:                 make(map[attemptLabels]*metrics.Counter),
+		durations:                make(map[string]*metrics.Histogram),
 	}
 }
 
-// event counts. The kernel's lock is held, so the maps need none.
-func (m *meters) event(e steering.Event) {
+// recordEvent counts an event. The caller holds the kernel's lock, which guards the maps.
+func (m *proxyMetrics) recordEvent(e steering.Event) {
 	if e.Kind != steering.EventRequestEnded {
 		m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_events_total{kind=%q}", e.Kind)).Inc()
 		return
 	}
-	m.request(e)
+	m.recordRequest(e)
 	for _, s := range e.Steps {
 		if s.Kind == steering.EventAttemptEnded {
-			m.attempt(attemptLabels{e.Service, s.Result})
+			m.recordAttempt(attemptLabels{e.Service, s.Result})
 		}
 	}
 }
 
-func (m *meters) request(e steering.Event) {
+func (m *proxyMetrics) recordRequest(e steering.Event) {
 	labels := requestLabels{e.Route, e.Service, e.Outcome, e.Reason}
 	counter := m.requests[labels]
 	if counter == nil {
@@ -80,7 +80,7 @@
 	duration.Update(e.Duration.Seconds())
 }
 
-func (m *meters) attempt(labels attemptLabels) {
+func (m *proxyMetrics) recordAttempt(labels attemptLabels) {
 	counter := m.attempts[labels]
 	if counter == nil {
 		counter = m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_attempts_total{service=%q,result=%q}", labels.service, labels.result.String()))
@@ -89,22 +89,22 @@
 	counter.Inc()
 }
 
-// storeCall counts a call to the platform's store.
-func (m *meters) storeCall(operation string, err error) {
+// recordStoreCall counts a call to the platform's store.
+func (m *proxyMetrics) recordStoreCall(operation string, err error) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_store_calls_total{operation=%q,failed=\"%t\"}", operation, err != nil)).Inc()
 }
 
-// entryRefused counts an entry that cannot be used.
-func (m *meters) entryRefused(kind string) {
+// recordRejectedEntry counts an invalid entry of the store.
+func (m *proxyMetrics) recordRejectedEntry(kind string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_entries_refused_total{kind=%q}", kind)).Inc()
 }
 
-// watch adds gauges that are read when asked for.
-func (m *meters) watch(d *Daemon, dropped func() uint64) {
+// registerGauges adds the gauges, which are computed when the metrics are read.
+func (m *proxyMetrics) registerGauges(d *Daemon, dropped func() uint64) {
 	status := func(read func(steering.Status) float64) func() float64 {
 		return func() float64 {
 			var s steering.Status
-			d.do(func(k *steering.Kernel, now time.Time) { s = k.Status(now) })
+			d.withKernel(func(k *steering.Kernel, now time.Time) { s = k.Status(now) })
 			return read(s)
 		}
 	}
@@ -112,10 +112,10 @@
 	m.set.NewGauge("gypsumquay_in_flight_requests", status(func(s steering.Status) float64 { return float64(s.InFlight) }))
 	m.set.NewGauge("gypsumquay_live_proxies", status(func(s steering.Status) float64 { return float64(len(s.Proxies)) }))
 	m.set.NewGauge("gypsumquay_backend_servers", status(func(s steering.Status) float64 { return float64(len(s.Servers)) }))
-	servers := func(counts func(steering.ServerStatus) bool) func() float64 {
+	servers := func(matches func(steering.ServerStatus) bool) func() float64 {
 		return status(func(s steering.Status) (n float64) {
 			for _, b := range s.Servers {
-				if counts(b) {
+				if matches(b) {
 					n++
 				}
 			}
@@ -127,6 +127,6 @@
 	m.set.NewGauge("gypsumquay_leaving_servers", servers(func(b steering.ServerStatus) bool { return b.ReportsDraining }))
 	m.set.NewGauge("gypsumquay_regions_without_proxies", status(func(s steering.Status) float64 { return float64(len(s.RegionsWithoutProxies)) }))
 	m.set.NewGauge("gypsumquay_condemned_works", status(func(s steering.Status) float64 { return float64(len(s.QuarantinedWork)) }))
-	m.set.NewGauge("gypsumquay_store_copy_age_seconds", func() float64 { return d.feed.age().Seconds() })
+	m.set.NewGauge("gypsumquay_store_copy_age_seconds", func() float64 { return d.replica.age().Seconds() })
 	m.set.NewGauge("gypsumquay_log_lines_dropped", func() float64 { return float64(dropped()) })
 }
--- a/internal/proxy/forward/quotas.go
+++ b/internal/proxy/forward/quotas.go
@@ -22,89 +22,91 @@
 )
 
 const (
-	// fleetKey holds among how many proxies limits are divided. It has no lease: proxies
-	// that have all lost power must not take the first few for all.
-	fleetKey = "gypsumquay/fleet"
-	// fleetEvery is how often the stored number is compared with the proxies known.
-	fleetEvery = 300 * time.Millisecond
-	// fleetSettles is how long a proxy must have known the same number before it stores a
-	// larger one, fleetShrinks the same for a smaller one.
-	fleetSettles = 1200 * time.Millisecond
-	fleetShrinks = time.Minute
-	// groupMost is how many proxies report to one pool at most.
-	groupMost = 40
-	// lendersMost is how many other pools are asked at a time.
-	lendersMost = 4
-	// askedMost is how many of them a request is asked of in turn.
-	askedMost = 2
-	// poolPause is how long a pool that did not answer unansweredMost reports in a row is
-	// passed over. When a large fleet starts, pools and proxies are busy, and each change of
-	// the pool costs the proxy its part for as long as it was given away.
-	poolPause      = 2 * time.Second
-	unansweredMost = 3
+	// fleetSizeKey holds the number of proxies that the limits are divided by. It has no lease:
+	// when all proxies restart after a power loss, the first few must not divide the limits among
+	// themselves only.
+	fleetSizeKey = "gypsumquay/fleet"
+	// fleetCheckInterval is how often the stored number is compared with the known proxies.
+	fleetCheckInterval = 300 * time.Millisecond
+	// fleetGrowDelay is how long the number of known proxies must be stable before a larger one
+	// is stored; fleetShrinkDelay is the same for a smaller one.
+	fleetGrowDelay   = 1200 * time.Millisecond
+	fleetShrinkDelay = time.Minute
+	// maxGroupSize bounds the proxies that report to one pool.
+	maxGroupSize = 40
+	// maxLenders bounds the pools that are asked for loans at a time.
+	maxLenders = 4
+	// maxFallbackPools bounds the other groups' pools that a request is tried at in turn.
+	maxFallbackPools = 2
+	// poolBackoff is how long a pool is skipped that didn't answer maxUnansweredReports reports in
+	// a row. When a large fleet starts, pools and proxies are busy, and each change of the pool
+	// costs the proxy its share until the lease of the share ends.
+	poolBackoff          = 2 * time.Second
+	maxUnansweredReports = 3
 )
 
 type (
-	// quotas carry what the limits of client accounts need between proxies.
-	quotas struct {
+	// quotaClient exchanges with other proxies what the rate limits of client accounts need:
+	// usage reports, loans between pools, single tokens, and the stored number of proxies.
+	quotaClient struct {
 		daemon *Daemon
 		store  Store
 
 		mu sync.Mutex
-		// groups are the proxies that have a pool together, the first to be it first, as of
-		// a number of changes of who is known.
-		groups  map[group][]replica.Candidate
-		changes int
-		// silent is until when a pool is passed over, unanswered counts the reports in a row
-		// that it did not answer.
-		silent     map[string]time.Time
-		unanswered map[string]int
-		// stored is the number that the store holds, known how many proxies are known and
-		// since when.
-		stored     int
-		known      int
-		knownSince time.Time
+		// poolGroups holds the candidates for the pool of each group in order of preference, as
+		// of the membership version groupsVersion.
+		poolGroups    map[poolGroup][]replica.Candidate
+		groupsVersion int
+		// skippedUntil holds the pools that are skipped and until when; unanswered counts the
+		// consecutive reports that a pool didn't answer.
+		skippedUntil map[string]time.Time
+		unanswered   map[string]int
+		// storedFleetSize is the number in the store, knownFleetSize the number of known proxies,
+		// unchanged since knownSince.
+		storedFleetSize int
+		knownFleetSize  int
+		knownSince      time.Time
 	}
 
-	// group names proxies that have a pool together: those of a region, or of one failure
-	// domain of it.
-	group struct {
+	// poolGroup identifies the proxies that share a pool: those of a region, or of one of its
+	// failure domains.
+	poolGroup struct {
 		region, domain string
 	}
 
-	// fleetSize is the text at fleetKey.
+	// fleetSize is the stored value of fleetSizeKey.
 	fleetSize struct {
 		Proxies int `json:"proxies"`
 	}
 )
 
-func newQuotas(d *Daemon, s Store) *quotas {
-	return &quotas{daemon: d, store: s, silent: make(map[string]time.Time), unanswered: make(map[string]int)}
+func newQuotaClient(d *Daemon, s Store) *quotaClient {
+	return &quotaClient{daemon: d, store: s, skippedUntil: make(map[string]time.Time), unanswered: make(map[string]int)}
 }
 
-// hear takes in the stored number of proxies.
-func (q *quotas) hear(e replica.Entry) {
+// handleStoredFleetSize applies the stored number of proxies.
+func (q *quotaClient) handleStoredFleetSize(e replica.Entry) {
 	if e.Removed {
 		return
 	}
-	n, err := decodeFleet(e.Value)
+	n, err := decodeFleetSize(e.Value)
 	if err != nil {
-		q.daemon.feed.refused("fleet", fleetKey, err)
+		q.daemon.replica.rejectEntry("fleet", fleetSizeKey, err)
 		return
 	}
 	q.mu.Lock()
-	q.stored = n
+	q.storedFleetSize = n
 	q.mu.Unlock()
-	q.daemon.do(func(k *steering.Kernel, _ time.Time) { k.SetFleetSize(n) })
+	q.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { k.SetFleetSize(n) })
 }
 
-func decodeFleet(data []byte) (int, error) {
+func decodeFleetSize(data []byte) (int, error) {
 	if err := operator.CheckSyntax(data); err != nil {
 		return 0, err
 	}
 	var f fleetSize
 	if err := json.Unmarshal(data, &f); err != nil {
-		return 0, errors.Wrap(err, "fleet")
+		return 0, errors.Wrap(err, "decode fleet size")
 	}
 	if f.Proxies < 1 {
 		return 0, &operator.FieldError{Field: "proxies", Want: "1 or more", Got: strconv.Itoa(f.Proxies)}
@@ -112,11 +114,11 @@
 	return f.Proxies, nil
 }
 
-// run reports to the pool of this proxy's group, and borrows for the pool here if there is
-// one.
-func (q *quotas) run(ctx context.Context) {
+// run periodically reports to the pool of this proxy's group, and borrows for the pool at this
+// proxy if there is one.
+func (q *quotaClient) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !q.limited() {
+		if !q.hasLimits() {
 			sleep.For(ctx, ratelimit.ReportInterval)
 			continue
 		}
@@ -129,80 +131,80 @@
 	}
 }
 
-func (q *quotas) limited() (limited bool) {
-	q.daemon.do(func(k *steering.Kernel, _ time.Time) { limited = k.HasRateLimits() })
+func (q *quotaClient) hasLimits() (limited bool) {
+	q.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { limited = k.HasRateLimits() })
 	return limited
 }
 
-// report makes one report, and tells whether the next one should follow at once.
-func (q *quotas) report(ctx context.Context) (again bool) {
+// report sends one report, and reports whether the next one should follow at once.
+func (q *quotaClient) report(ctx context.Context) (again bool) {
 	d := q.daemon
-	best, others := q.pools()
-	if best == "" {
+	own, others := q.choosePools()
+	if own == "" {
 		return false
 	}
 	var to string
 	var r ratelimit.Report
-	var asked time.Time
-	d.do(func(k *steering.Kernel, now time.Time) {
-		asked = now
-		to, r = k.QuotaReport(now, best, others[:min(len(others), askedMost)])
+	var sentAt time.Time
+	d.withKernel(func(k *steering.Kernel, now time.Time) {
+		sentAt = now
+		to, r = k.QuotaReport(now, own, others[:min(len(others), maxFallbackPools)])
 	})
-	g, err := q.tell(ctx, to, r)
-	d.do(func(k *steering.Kernel, now time.Time) {
+	g, err := q.sendReport(ctx, to, r)
+	d.withKernel(func(k *steering.Kernel, now time.Time) {
 		if err != nil {
 			k.QuotaReportUnanswered(now, to)
 			return
 		}
-		again = k.ApplyQuotaGrants(now, asked, to, g)
+		again = k.ApplyQuotaGrants(now, sentAt, to, g)
 	})
 	return again
 }
 
-// borrow asks other pools for what the one here lacks.
-func (q *quotas) borrow(ctx context.Context) {
+// borrow requests loans from other pools for the one at this proxy.
+func (q *quotaClient) borrow(ctx context.Context) {
 	d := q.daemon
-	_, lenders := q.pools()
+	_, lenders := q.choosePools()
 	if len(lenders) == 0 {
 		return
 	}
 	var loans []ratelimit.LoanRequest
-	var asked time.Time
-	d.do(func(k *steering.Kernel, now time.Time) {
-		asked = now
+	var sentAt time.Time
+	d.withKernel(func(k *steering.Kernel, now time.Time) {
+		sentAt = now
 		loans = k.BorrowQuota(now, lenders)
 	})
 	for _, l := range loans {
 		go func() {
-			if g, err := q.tell(ctx, l.Lender, l.Report); err == nil {
-				d.do(func(k *steering.Kernel, now time.Time) { k.ApplyQuotaLoan(now, asked, l.Lender, g) })
+			if g, err := q.sendReport(ctx, l.Lender, l.Report); err == nil {
+				d.withKernel(func(k *steering.Kernel, now time.Time) { k.ApplyQuotaLoan(now, sentAt, l.Lender, g) })
 			}
 		}()
 	}
 }
 
-// tell brings a report to a pool, which may be here.
-func (q *quotas) tell(ctx context.Context, to string, r ratelimit.Report) (g ratelimit.Grants, err error) {
+// sendReport sends a report to a pool, possibly the one at this proxy.
+func (q *quotaClient) sendReport(ctx context.Context, to string, r ratelimit.Report) (g ratelimit.Grants, err error) {
 	d := q.daemon
 	if to == d.settings.Name {
-		d.do(func(k *steering.Kernel, now time.Time) { g = k.HandleQuotaReport(now, r) })
+		d.withKernel(func(k *steering.Kernel, now time.Time) { g = k.HandleQuotaReport(now, r) })
 		return g, nil
 	}
-	peer, known := d.feed.peerOf(to)
+	peer, known := d.replica.peerAddress(to)
 	if !known {
-		return g, errors.New("pool of limits is gone")
+		return g, errors.New("proxy of the quota pool is unknown")
 	}
-	g, err = d.peers.ReportLimits(ctx, peer, r)
+	g, err = d.peerClient.ReportLimits(ctx, peer, r)
 	if err != nil {
-		klog.V(1).InfoS("pool of limits does not answer", "proxy", to, "error", err.Error())
+		klog.V(1).InfoS("report to quota pool failed", "proxy", to, "error", err.Error())
 	}
-	q.note(to, err)
+	q.recordPoolResult(to, err)
 	return g, err
 }
 
-// note takes in whether a pool has answered. One at whose address nothing listens is passed
-// over at once.
-func (q *quotas) note(pool string, err error) {
+// recordPoolResult records whether a pool answered a report. A pool that refuses connections is
+// skipped at once.
+func (q *quotaClient) recordPoolResult(pool string, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if err == nil {
@@ -210,58 +212,59 @@
 		return
 	}
 	q.unanswered[pool]++
-	if q.unanswered[pool] >= unansweredMost || errors.Is(err, syscall.ECONNREFUSED) {
-		q.silent[pool] = q.daemon.now().Add(poolPause)
+	if q.unanswered[pool] >= maxUnansweredReports || errors.Is(err, syscall.ECONNREFUSED) {
+		q.skippedUntil[pool] = q.daemon.now().Add(poolBackoff)
 		delete(q.unanswered, pool)
 	}
 }
 
-// ask asks a pool for one request of an account.
-func (q *quotas) ask(ctx context.Context, pool, account string) (ratelimit.TokenReply, bool) {
-	peer, known := q.daemon.feed.peerOf(pool)
+// takeToken requests the token for one request of an account from a pool. It reports false if the
+// pool doesn't answer.
+func (q *quotaClient) takeToken(ctx context.Context, pool, account string) (ratelimit.TokenReply, bool) {
+	peer, known := q.daemon.replica.peerAddress(pool)
 	if !known {
 		return ratelimit.TokenReply{}, false
 	}
-	t, err := q.daemon.peers.TakeToken(ctx, peer, account)
+	t, err := q.daemon.peerClient.TakeToken(ctx, peer, account)
 	if err != nil {
-		klog.V(1).InfoS("pool of limits does not answer", "proxy", pool, "account", account, "error", err.Error())
+		klog.V(1).InfoS("token request to quota pool failed", "proxy", pool, "account", account, "error", err.Error())
 	}
 	return t, err == nil
 }
 
-// pool names the proxy that is the pool of a group now, empty for none.
-func (q *quotas) pool(g group) string {
+// activePool is the name of the proxy that is currently the pool of a group, empty for none.
+func (q *quotaClient) activePool(g poolGroup) string {
 	now := q.daemon.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, c := range q.groups[g] {
-		if now.After(q.silent[c.Name]) {
+	for _, c := range q.poolGroups[g] {
+		if now.After(q.skippedUntil[c.Name]) {
 			return c.Name
 		}
 	}
 	return ""
 }
 
-// pools names the pool of this proxy's group, empty for none, and some others: those of its
-// region first, then others in turn.
-func (q *quotas) pools() (own string, others []string) {
+// choosePools returns the pool of this proxy's group, empty for none, and pools of other groups in
+// random order, those of this region first.
+func (q *quotaClient) choosePools() (own string, others []string) {
 	q.regroup()
 	self := q.daemon.settings
-	var near, far []group
-	for _, g := range q.allGroups() {
+	var local, remote []poolGroup
+	for _, g := range q.groups() {
 		switch {
-		case g == (group{region: self.Region}), g == group{region: self.Region, domain: self.Domain}:
-			own = q.pool(g)
+		case g == (poolGroup{region: self.Region}), g == poolGroup{region: self.Region, domain: self.Domain}:
+			own = q.activePool(g)
 		case g.region == self.Region:
-			near = append(near, g)
+			local = append(local, g)
 		default:
-			far = append(far, g)
+			remote = append(remote, g)
 		}
 	}
-	for _, list := range [][]group{near, far} {
+	for _, list := range [][]poolGroup{local, remote} {
 		rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		for _, g := range list {
-			if name := q.pool(g); name != "" && len(others) < lendersMost {
+			if name := q.activePool(g); name != "" && len(others) < maxLenders {
 				others = append(others, name)
 			}
 		}
@@ -269,73 +272,76 @@
 	return own, others
 }
 
-func (q *quotas) allGroups() []group {
+func (q *quotaClient) groups() []poolGroup {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return slices.Collect(maps.Keys(q.groups))
+	return slices.Collect(maps.Keys(q.poolGroups))
 }
 
-// regroup settles which proxies have a pool together, after changes of who is known: those
-// of a region, or of each failure domain where the region has many. All that know the same
-// proxies come to the same groups.
-func (q *quotas) regroup() {
-	f := q.daemon.feed
-	changes := f.changes()
+// regroup recomputes the groups if the membership has changed: one per region, or one per failure
+// domain in regions with more than maxGroupSize proxies. Proxies that know the same members compute
+// the same groups.
+func (q *quotaClient) regroup() {
+	f := q.daemon.replica
+	version := f.membershipVersion()
 	q.mu.Lock()
-	same := q.groups != nil && changes == q.changes
+	unchanged := q.poolGroups != nil && version == q.groupsVersion
 	q.mu.Unlock()
-	if same {
+	if unchanged {
 		return
 	}
-	groups := make(map[group][]replica.Candidate)
+	groups := make(map[poolGroup][]replica.Candidate)
 	for domain, region := range q.daemon.settings.RegionOf {
-		all := f.candidates(func(m member) bool { return m.Region == region })
-		g := group{region: region}
-		if len(all) > groupMost {
+		all := f.candidates(func(m proxyEntry) bool { return m.Region == region })
+		g := poolGroup{region: region}
+		if len(all) > maxGroupSize {
 			g.domain = domain
-			all = f.candidates(func(m member) bool { return m.Domain == domain })
+			all = f.candidates(func(m proxyEntry) bool { return m.Domain == domain })
 		}
 		groups[g] = replica.SortCandidates(all)
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.groups, q.changes = groups, changes
+	q.poolGroups, q.groupsVersion = groups, version
 }
 
-// count keeps the stored number of proxies: the first of the fleet sees to it.
-func (q *quotas) count(ctx context.Context) {
+// runFleetSize keeps the stored number of proxies up to date, if this proxy is the first of the
+// fleet.
+func (q *quotaClient) runFleetSize(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep.For(ctx, fleetEvery)
-		n, due := q.due()
+		sleep.For(ctx, fleetCheckInterval)
+		n, due := q.fleetSizeDue()
 		if !due {
 			continue
 		}
 		data, err := json.Marshal(fleetSize{Proxies: n})
 		if err == nil {
-			err = q.store.Put(ctx, fleetKey, data, 0)
+			err = q.store.Put(ctx, fleetSizeKey, data, 0)
 		}
 		if err != nil {
-			klog.InfoS("number of proxies not stored yet", "proxies", n, "error", err.Error())
+			klog.InfoS("fleet size not stored; retrying", "proxies", n, "error", err.Error())
 			continue
 		}
-		klog.InfoS("limits are divided", "proxies", n)
+		klog.InfoS("fleet size for rate limits stored", "proxies", n)
 	}
 }
 
-// due reports whether another number should be stored now, and which.
-func (q *quotas) due() (n int, due bool) {
+// fleetSizeDue returns the number of proxies, and whether it should be stored now.
+func (q *quotaClient) fleetSizeDue() (n int, due bool) {
 	d := q.daemon
-	first := false
-	d.do(func(k *steering.Kernel, _ time.Time) { n, first = k.QuotaProxies(), k.HasRateLimits() && k.IsLeader() })
+	isFirst := false
+	d.withKernel(func(k *steering.Kernel, _ time.Time) {
+		n, isFirst = k.QuotaProxies(), k.HasRateLimits() && k.IsLeader()
+	})
 	now := d.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if n != q.known {
-		q.known, q.knownSince = n, now
+	if n != q.knownFleetSize {
+		q.knownFleetSize, q.knownSince = n, now
 	}
-	settles := fleetSettles
-	if n < q.stored {
-		settles = fleetShrinks
+	delay := fleetGrowDelay
+	if n < q.storedFleetSize {
+		delay = fleetShrinkDelay
 	}
-	return n, first && n != q.stored && now.Sub(q.knownSince) >= settles
+	return n, isFirst && n != q.storedFleetSize && now.Sub(q.knownSince) >= delay
 }
--- a/internal/proxy/forward/reload.go
+++ b/internal/proxy/forward/reload.go
@@ -12,67 +12,67 @@
 )
 
 const (
-	// rereadEvery is how often the settings are read without being told to:
-	// they may change without a signal.
-	rereadEvery = 5 * time.Second
+	// reloadInterval is how often the settings are read without a signal, since they may change
+	// without one.
+	reloadInterval = 5 * time.Second
 )
 
-// followSettings reads the settings again when told to and from time to time.
-func (d *Daemon) followSettings(ctx context.Context, told <-chan struct{}) {
-	ticker := time.NewTicker(rereadEvery)
+// watchSettings reloads the settings on each signal and at every reloadInterval.
+func (d *Daemon) watchSettings(ctx context.Context, reload <-chan struct{}) {
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
-	complaint := ""
+	lastError := ""
 	for {
-		hangUp := false
+		requested := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-told:
-			hangUp = true
+		case <-reload:
+			requested = true
 		case <-ticker.C:
 		}
-		s, err := d.seams.Settings()
+		s, err := d.deps.LoadSettings()
 		if err == nil {
-			complaint = ""
-			d.reload(s, hangUp)
+			lastError = ""
+			d.reload(s, requested)
 			continue
 		}
-		if hangUp || err.Error() != complaint {
-			complaint = err.Error()
-			klog.ErrorS(err, "settings refused; those before stay in force")
+		if requested || err.Error() != lastError {
+			lastError = err.Error()
+			klog.ErrorS(err, "invalid settings; the previous ones stay in force")
 		}
 	}
 }
 
-// reload takes new bounds in. Names, places and addresses hold for the life of
-// a process: a change of them is told and waits for the next start.
-func (d *Daemon) reload(s *Settings, hangUp bool) {
+// reload applies changed bounds. Names, locations and addresses are fixed for the life of the
+// process: a change of those is logged and takes effect at the next start.
+func (d *Daemon) reload(s *Settings, requested bool) {
 	changed := !reflect.DeepEqual(s.Bounds, d.bounds())
 	if changed {
-		d.do(func(k *steering.Kernel, _ time.Time) { k.SetBounds(boundsOf(s)) })
+		d.withKernel(func(k *steering.Kernel, _ time.Time) { k.SetBounds(kernelBounds(s)) })
 		d.setBounds(s.Bounds)
 	}
-	rest := *s
-	rest.Bounds = d.settings.Bounds
-	waits := !reflect.DeepEqual(&rest, d.settings)
-	if changed || hangUp {
-		klog.InfoS("settings in force", "bounds-changed", changed, "other-changes-wait-for-a-start", waits)
+	fixed := *s
+	fixed.Bounds = d.settings.Bounds
+	needsRestart := !reflect.DeepEqual(&fixed, d.settings)
+	if changed || requested {
+		klog.InfoS("settings in force", "bounds-changed", changed, "other-changes-wait-for-a-start", needsRestart)
 	}
 }
 
 func (d *Daemon) bounds() Bounds {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.inForce
+	return d.currentBounds
 }
 
 func (d *Daemon) setBounds(b Bounds) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.inForce = b
+	d.currentBounds = b
 }
 
-func boundsOf(s *Settings) steering.Bounds {
+func kernelBounds(s *Settings) steering.Bounds {
 	return steering.Bounds{
 		Retry: steering.RetryBudget{
 			Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Window: s.Bounds.RetryWindow,
--- a/internal/proxy/forward/settings.go
+++ b/internal/proxy/forward/settings.go
@@ -1,7 +1,6 @@
-// Package forward is the proxy process that forwards callers' requests as they
-// are: it wires the steering kernel to callers, backend servers, the
-// platform's store and the other proxies. Where it stands and what the
-// platform calls things is told by the seams that the main program fills.
+// Package forward is the proxy process that forwards callers' requests unchanged. It connects the
+// steering kernel to callers, backend servers, the platform's store and the other proxies. The
+// main program supplies the platform's interfaces and names as Dependencies.
 package forward
 
 import (
@@ -16,40 +15,41 @@
 )
 
 const (
-	// StoreAbsent means that the key or lease does not exist.
-	StoreAbsent StoreOutcome = iota + 1
-	// StoreForgot means that the history asked for is no longer kept.
-	StoreForgot
-	// StoreConflict means that a condition did not hold.
+	// StoreNotFound means that the key or lease doesn't exist.
+	StoreNotFound StoreErrorCode = iota + 1
+	// StoreCompacted means that the requested history has been compacted.
+	StoreCompacted
+	// StoreConflict means that a precondition of the call didn't hold.
 	StoreConflict
-	// StoreBusy means that the store refused the call and did nothing.
-	StoreBusy
+	// StoreUnavailable means that the store rejected the call without effect, such as when
+	// overloaded.
+	StoreUnavailable
 )
 
 type (
-	// Settings is what a process is told when it starts.
+	// Settings configures the process.
 	Settings struct {
 		Name   string
 		Domain string
 		Region string
-		Listen Listen
-		// Seeds are peer addresses of other proxies; they may be stale.
+		Listen ListenAddresses
+		// Seeds are peer addresses of proxies to bootstrap from; they may be outdated.
 		Seeds []netip.AddrPort
-		// FirstStart is set when the whole system starts for the first time.
+		// FirstStart is set if the whole system starts for the first time.
 		FirstStart bool
-		// RegionOf tells the region of each failure domain.
+		// RegionOf maps each failure domain to its region.
 		RegionOf map[string]string
-		// MemoryBytes is what the process may use before it is killed.
+		// MemoryBytes is the memory above which the process is killed; zero if unknown.
 		MemoryBytes int64
-		// LinkMbps is how wide the VM's link is, in Mbit/s.
+		// LinkMbps is the bandwidth of the VM's link, in Mbit/s; zero if unknown.
 		LinkMbps int
 		Bounds   Bounds
-		// Off lists the mechanisms that are not used, from the command line.
-		Off []steering.Mechanism
+		// DisabledMechanisms lists the mechanisms that the command line switches off.
+		DisabledMechanisms []steering.Mechanism
 	}
 
-	// Listen holds the addresses that the process listens on.
-	Listen struct {
+	// ListenAddresses holds the addresses that the process listens on.
+	ListenAddresses struct {
 		Callers   netip.AddrPort
 		Readiness netip.AddrPort
 		Peers     netip.AddrPort
@@ -57,98 +57,99 @@
 		Operators netip.AddrPort
 	}
 
-	// Bounds are the limits that the operators have agreed on.
+	// Bounds are the limits that operators set. They may change while the process runs.
 	Bounds struct {
-		// Grace is how long a stopping process may take.
-		Grace time.Duration
-		// LookupLifetime is the longest that callers keep an answer.
-		LookupLifetime time.Duration
-		// RetryRatio, RetryWindow and RetrySlack are the shared budget of
-		// repeats: a share of the requests in the window and a number on top.
+		// GracePeriod is how long a graceful shutdown may take.
+		GracePeriod time.Duration
+		// MaxLookupTTL is the longest time that callers may cache a lookup response.
+		MaxLookupTTL time.Duration
+		// RetryRatio, RetryWindow and RetrySlack are the retry budget that all proxies share: a
+		// fraction of the requests in the window, plus a fixed number.
 		RetryRatio  float64
 		RetryWindow time.Duration
 		RetrySlack  float64
-		// ColdFactor and ColdSlack bound what a cold server gets in a second.
+		// ColdFactor and ColdSlack bound the requests per second to a cold server.
 		ColdFactor float64
 		ColdSlack  float64
-		// QuotaRatio and QuotaRequests are allowed beyond the limits of client accounts in any
-		// QuotaWindow: a part of the limit, and a number on top.
+		// QuotaRatio and QuotaRequests are the overage allowed beyond the limit of a client account
+		// in any QuotaWindow: a fraction of the limit, plus a fixed number.
 		QuotaWindow   time.Duration
 		QuotaRatio    float64
 		QuotaRequests float64
 	}
 
-	// Names is how messages and keys call the product's fields.
-	Names struct {
-		Caller forwardhttp.Headers
-		Server serverhttp.Headers
-		// Lookup of proxies by callers: path and query fields.
+	// WireNames are the platform's names of headers, paths, query parameters and store keys.
+	WireNames struct {
+		CallerHeaders forwardhttp.Headers
+		ServerHeaders serverhttp.Headers
+		// The path and query parameters by which callers look up proxies.
 		LookupPath, LookupHost, LookupRegion, LookupDomain string
 		ReadinessPath                                      string
-		// Configuration is the key of the configuration in force, the others
-		// are prefixes of keys, each followed by a name.
-		Configuration, Evacuations, Servers string
+		// ConfigurationKey is the key of the configuration in force. The others are prefixes of
+		// keys, each followed by a name.
+		ConfigurationKey, EvacuationPrefix, ServerPrefix string
 	}
 
-	// Item is one key of the store.
-	Item struct {
+	// KeyValue is one key of the store with its value, or its removal.
+	KeyValue struct {
 		Key      string
 		Value    []byte
 		Revision uint64
 		Removed  bool
 	}
 
-	// StoreOutcome is what the store's refusal means.
-	StoreOutcome uint8
+	// StoreErrorCode classifies a StoreError.
+	StoreErrorCode uint8
 
-	// StoreError is a refusal by the store. Any other error of a call leaves
-	// open whether it was done.
+	// StoreError is an error response of the store. After any other error of a call it's unknown
+	// whether the call took effect.
 	StoreError struct {
-		Outcome StoreOutcome
-		Status  int
+		Code   StoreErrorCode
+		Status int
 	}
 
-	// Store is the platform's metadata store.
+	// Store holds the calls to the platform's metadata store.
 	Store struct {
-		// Range reads all items under a prefix and the revision from which a watch misses
-		// nothing. What a stale reading tells may be seconds old; it costs a tenth.
-		Range func(ctx context.Context, prefix string, stale bool) ([]Item, uint64, error)
-		Watch func(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Item, error)
-		Grant func(ctx context.Context, span time.Duration) (uint64, error)
-		Renew func(ctx context.Context, lease uint64) error
-		Put   func(ctx context.Context, key string, value []byte, lease uint64) error
-		End   func(ctx context.Context, lease uint64) error
+		// Range reads all keys with a prefix, and the revision from which a watch misses no
+		// change. A stale read may be seconds old and costs a tenth.
+		Range       func(ctx context.Context, prefix string, stale bool) ([]KeyValue, uint64, error)
+		Watch       func(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]KeyValue, error)
+		GrantLease  func(ctx context.Context, span time.Duration) (uint64, error)
+		RenewLease  func(ctx context.Context, lease uint64) error
+		Put         func(ctx context.Context, key string, value []byte, lease uint64) error
+		RevokeLease func(ctx context.Context, lease uint64) error
 	}
 
-	// Codec decodes what the operator and the servers write.
+	// Codec decodes the configuration and the servers' registrations, and encodes lookup
+	// responses.
 	Codec struct {
-		Table        func([]byte) (*routing.Table, error)
-		Server       func(id string, data []byte) (routing.Server, error)
-		LookupAnswer func([]netip.AddrPort, time.Duration) ([]byte, error)
+		DecodeTable          func([]byte) (*routing.Table, error)
+		DecodeServer         func(id string, data []byte) (routing.Server, error)
+		EncodeLookupResponse func([]netip.AddrPort, time.Duration) ([]byte, error)
 	}
 
-	// Seams is what the main program fills in.
-	Seams struct {
-		Names Names
+	// Dependencies are supplied by the main program.
+	Dependencies struct {
+		Names WireNames
 		Store Store
 		Codec Codec
-		// Settings reads the settings again.
-		Settings func() (*Settings, error)
-		// Dropped counts the log lines that found no room.
-		Dropped func() uint64
-		// Record sees each call of the kernel; nil for none.
+		// LoadSettings reads the current settings.
+		LoadSettings func() (*Settings, error)
+		// DroppedLogLines counts the log lines dropped because the log buffer was full.
+		DroppedLogLines func() uint64
+		// Record receives each call of the kernel, for recordings; nil for none.
 		Record func(steering.Call)
 	}
 )
 
 // Error implements error.
 func (e *StoreError) Error() string {
-	texts := map[StoreOutcome]string{
-		StoreAbsent: "no such key or lease", StoreForgot: "history no longer kept",
-		StoreConflict: "condition did not hold", StoreBusy: "store refused the call",
+	texts := map[StoreErrorCode]string{
+		StoreNotFound: "key or lease not found", StoreCompacted: "requested history has been compacted",
+		StoreConflict: "precondition failed", StoreUnavailable: "store rejected the call",
 	}
-	if text, ok := texts[e.Outcome]; ok {
+	if text, ok := texts[e.Code]; ok {
 		return text
 	}
-	return "store answered with an unexpected status"
+	return "unexpected status from the store"
 }
--- /dev/null
+++ b/internal/proxy/forward/storereplica.go
@@ -0,0 +1,252 @@
+package forward
+
+import (
+	"context"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/go-faster/errors"
+	"k8s.io/klog/v2"
+
+	"github.com/gypsumquay/gypsumquay/internal/kernel/operator"
+	"github.com/gypsumquay/gypsumquay/internal/kernel/replica"
+	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
+)
+
+const (
+	// absenceGracePeriod is how long a server is kept whose registration may have expired during
+	// a store outage. Live servers register again within about two seconds of the store's
+	// recovery.
+	absenceGracePeriod = 2200 * time.Millisecond
+
+	proxyKeyPrefix      = "gypsumquay/proxies/"
+	quarantineKeyPrefix = "gypsumquay/condemned/"
+)
+
+type (
+	// storeReplica holds this proxy's copy of the store and applies its changes to the kernel.
+	storeReplica struct {
+		daemon *Daemon
+
+		mu   sync.Mutex
+		copy *replica.Copy
+		// fullCopyBudget limits the full copies sent to peers.
+		fullCopyBudget replica.FullCopyBudget
+		members        map[string]proxyEntry
+		// membershipChanges counts the changes of members, including proxies that start to leave.
+		membershipChanges int
+		// proxiesSetAt is when the kernel last got the list of live proxies; proxiesStale is set
+		// if members have changed since.
+		proxiesSetAt time.Time
+		proxiesStale bool
+		// peerFreshAt is when a peer of this region last had a copy so fresh that no other proxy
+		// needs to query the store; followsAlone is set while this proxy queries the store because
+		// no peer has one.
+		peerFreshAt  time.Time
+		followsAlone bool
+		// outage records when the store was unavailable.
+		outage replica.Outage
+		// rewriteEntry asks the registrar to write this proxy's entry again.
+		rewriteEntry chan struct{}
+		// loaded is closed once the copy has any content.
+		loaded     chan struct{}
+		loadedOnce sync.Once
+	}
+)
+
+func newStoreReplica(d *Daemon) *storeReplica {
+	return &storeReplica{
+		daemon: d, copy: replica.NewCopy(), members: make(map[string]proxyEntry),
+		rewriteEntry: make(chan struct{}, 1), loaded: make(chan struct{}),
+	}
+}
+
+// apply merges a delta into the copy and reports whether the copy advanced.
+func (f *storeReplica) apply(d replica.Delta) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	before := f.copy.Revision()
+	changed, ok := f.copy.Apply(f.daemon.now(), d)
+	if !ok {
+		return false
+	}
+	f.dispatchProxies(changed)
+	for _, e := range changed {
+		f.dispatch(e)
+	}
+	f.loadedOnce.Do(func() { close(f.loaded) })
+	return f.copy.Revision() > before
+}
+
+// dispatch applies one changed entry to the kernel.
+func (f *storeReplica) dispatch(e replica.Entry) {
+	n := f.daemon.deps.Names
+	switch e.Key {
+	case n.ConfigurationKey:
+		f.dispatchTable(e)
+		return
+	case fleetSizeKey:
+		f.daemon.quotas.handleStoredFleetSize(e)
+		return
+	}
+	if domain, ok := strings.CutPrefix(e.Key, n.EvacuationPrefix); ok {
+		if err := f.checkDomain(domain, ""); err != nil && !e.Removed {
+			f.rejectEntry("evacuation", domain, err)
+			return
+		}
+		f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.SetDomainEvacuated(now, domain, !e.Removed) })
+		return
+	}
+	if name, ok := strings.CutPrefix(e.Key, quarantineKeyPrefix); ok {
+		f.daemon.quarantine.handleEntry(name, e)
+		return
+	}
+	if id, ok := strings.CutPrefix(e.Key, n.ServerPrefix); ok {
+		f.dispatchServer(id, e)
+	}
+}
+
+func (f *storeReplica) dispatchTable(e replica.Entry) {
+	if e.Removed {
+		return
+	}
+	t, err := f.daemon.deps.Codec.DecodeTable(e.Value)
+	if err != nil {
+		f.rejectEntry("configuration", "", err)
+		return
+	}
+	f.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { k.SetTable(t) })
+}
+
+// dispatchServer applies a server's registration to the kernel. A server whose removal is
+// tentative is kept for a grace period, or all servers would vanish at once after an outage. Any
+// other removed server has left and is dropped at once, or it would get requests for too long. An
+// entry that cannot be decoded, or that names an unknown failure domain, makes the server
+// unusable: its previous registration no longer holds.
+func (f *storeReplica) dispatchServer(id string, e replica.Entry) {
+	if e.Removed {
+		f.daemon.withKernel(func(k *steering.Kernel, now time.Time) {
+			if e.Tentative {
+				k.MarkServerAbsent(id, now.Add(absenceGracePeriod))
+				return
+			}
+			k.RemoveServer(now, id)
+		})
+		return
+	}
+	r, err := f.daemon.deps.Codec.DecodeServer(id, e.Value)
+	if err == nil {
+		err = f.checkDomain(r.Domain, "")
+	}
+	if err != nil {
+		f.rejectEntry("server", id, err)
+		f.daemon.withKernel(func(k *steering.Kernel, _ time.Time) { k.MarkServerUnreadable(id) })
+		return
+	}
+	f.daemon.withKernel(func(k *steering.Kernel, now time.Time) { k.RegisterServer(now, r) })
+}
+
+// checkDomain rejects a failure domain that belongs to no region, or not to the given one: it
+// would be unknown which callers an entry there may serve.
+func (f *storeReplica) checkDomain(domain, region string) error {
+	actual, known := f.daemon.settings.RegionOf[domain]
+	switch {
+	case !known:
+		return &operator.FieldError{Field: "failure-domain", Want: "one of the settings", Got: strconv.Quote(domain)}
+	case region != "" && region != actual:
+		return &operator.FieldError{Field: "region", Want: strconv.Quote(actual) + ", which the failure domain is in", Got: strconv.Quote(region)}
+	}
+	return nil
+}
+
+// rejectEntry counts and logs an invalid entry of the store, once each time that it is written.
+func (f *storeReplica) rejectEntry(kind, name string, err error) {
+	f.daemon.metrics.recordRejectedEntry(kind)
+	klog.ErrorS(err, "invalid store entry ignored", "kind", kind, "name", name)
+}
+
+// deltaSince returns the changes that a peer at a revision lacks. If there are none, or the peer
+// needs a full copy and the budget is used up, the delta has only this copy's revision and age. A
+// peer that sees a newer revision without entries asks another proxy.
+func (f *storeReplica) deltaSince(revision uint64) replica.Delta {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := f.daemon.now()
+	header := replica.Delta{Base: f.copy.RequestRevision(), Revision: f.copy.RequestRevision(), Age: f.copy.Age(now)}
+	if f.copy.Revision() <= revision {
+		return header
+	}
+	d := f.copy.Since(now, revision)
+	if d.Full && !f.fullCopyBudget.Allow(now, d.CompressedSize()) {
+		return header
+	}
+	return d
+}
+
+// age is the time since the copy was last known to match the store.
+func (f *storeReplica) age() time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.copy.Age(f.daemon.now())
+}
+
+func (f *storeReplica) revision() uint64 {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.copy.Revision()
+}
+
+// shouldFollowStore reports whether this proxy should query the store itself. A proxy that began
+// to do so because no changes arrived continues until a peer of its region has a fresh copy: the
+// store's responses keep its own copy fresh, and if it stopped after each of them, it would
+// receive nothing for the next two seconds.
+func (f *storeReplica) shouldFollowStore() bool {
+	rank, age := f.rank(), f.age()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	since := f.daemon.now().Sub(f.peerFreshAt)
+	f.followsAlone = replica.ShouldFollowStore(rank, age) || f.followsAlone && replica.ShouldFollowStore(rank, since)
+	return f.followsAlone
+}
+
+// storeFailed records a failed call to the store that began at the given time. If the call timed
+// out, the store counts as unavailable from the beginning of the call.
+func (f *storeReplica) storeFailed(err error, start time.Time) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	since := f.daemon.now()
+	if errors.Is(err, context.DeadlineExceeded) {
+		since = start
+	}
+	if f.outage.RecordFailure(since) {
+		klog.InfoS("store unavailable", "error", err.Error(), "revision", f.copy.Revision())
+	}
+}
+
+// storeResponded records that the store responded to a call.
+func (f *storeReplica) storeResponded() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.outage.RecordSuccess(f.daemon.now()) {
+		klog.InfoS("store available again", "revision", f.copy.Revision())
+	}
+}
+
+// applyStoreRead applies what this proxy read from the store and reports whether the copy
+// advanced.
+func (f *storeReplica) applyStoreRead(d replica.Delta) bool {
+	f.storeResponded()
+	f.mu.Lock()
+	d.TentativeRemovals = f.outage.RemovalsTentative(f.daemon.now())
+	f.mu.Unlock()
+	return f.apply(d)
+}
+
+func (f *storeReplica) requestRewrite() {
+	select {
+	case f.rewriteEntry <- struct{}{}:
+	default:
+	}
+}
