--- a/cmd/gypsumquay-bench/bench.go
+++ b/cmd/gypsumquay-bench/bench.go
@@ -153,7 +153,7 @@
 	callers := s.Callers()
 	return row{
 		Load: load, Balancer: name, Done: len(callers.Took),
-		Refused: callers.Outcomes[caller.NotRun], Unknown: callers.Outcomes[caller.Unknown],
+		Refused: callers.Outcomes[caller.OutcomeNotRun], Unknown: callers.Outcomes[caller.OutcomeUnknown],
 		Sheds: s.Checks().Sheds() - sheds, Used: s.Checks().Used,
 		P50: millis(callers.Quantile(0.5)), P99: millis(callers.Quantile(0.99)), P999: millis(callers.Quantile(0.999)),
 	}
--- a/cmd/gypsumquay-bench/slopes.go
+++ b/cmd/gypsumquay-bench/slopes.go
@@ -83,10 +83,10 @@
 				at++
 			}
 		})
-		fmt.Printf("%-10d %10d %8.2f MB %10.1f %9.0f ms %7d ns %8d\n", n, table.Ranges(), float64(table.Bytes())/bytesPerMega,
-			float64(table.Bytes())/float64(n), built.Seconds()*1000, result.NsPerOp(), result.AllocsPerOp())
+		fmt.Printf("%-10d %10d %8.2f MB %10.1f %9.0f ms %7d ns %8d\n", n, table.RangeCount(), float64(table.MemoryBytes())/bytesPerMega,
+			float64(table.MemoryBytes())/float64(n), built.Seconds()*1000, result.NsPerOp(), result.AllocsPerOp())
 		xs = append(xs, float64(n))
-		ys = append(ys, float64(table.Bytes()))
+		ys = append(ys, float64(table.MemoryBytes()))
 	}
 	slope, intercept, deviation := fit(xs, ys)
 	fmt.Printf("fit: %.0f bytes + %.2f bytes a prefix, error %.1f%%\n\n", intercept, slope, 100*deviation)
@@ -236,24 +236,24 @@
 
 // planSlopes measures one round of planning against the number of regions.
 func planSlopes() {
-	planner, _ := region.FindPlanner(region.Headroom)
+	planner, _ := region.FindPlanner(region.DefaultPlanner)
 	fmt.Printf("%-8s %12s\n", "REGIONS", "PLAN")
 	var xs, ys []float64
 	for _, n := range []int{3, 11, 22, 44} {
-		in := region.Input{
+		in := region.PlannerInput{
 			Usable: make([]bool, n), Demand: make([]float64, n), Capacity: make([]int, n),
-			Quota: make([]int, n), Refused: make([]float64, n),
+			Quota: make([]int, n), Rejected: make([]float64, n),
 		}
-		movers := make([]*region.Mover, n)
+		movers := make([]*region.Shifter, n)
 		for i := range n {
-			in.Preferred = append(in.Preferred, region.Unit(n, i))
-			in.Current = append(in.Current, region.Unit(n, i))
+			in.Preferred = append(in.Preferred, region.SingleRegionRow(n, i))
+			in.Current = append(in.Current, region.SingleRegionRow(n, i))
 			in.Usable[i] = i > 0
 			in.Demand[i], in.Capacity[i], in.Quota[i] = 100, 1000, 100
-			movers[i] = region.NewMover(in.Current[i])
+			movers[i] = region.NewShifter(in.Current[i])
 		}
 		lost := make([]bool, n)
-		pace := region.Pace{Cap: 100, Interval: 10 * time.Second}
+		pace := region.ShiftLimit{Cap: 100, Interval: 10 * time.Second}
 		now := time.Unix(0, 0)
 		result := testing.Benchmark(func(b *testing.B) {
 			for b.Loop() {
--- a/internal/adapter/backendhttp/client.go
+++ b/internal/adapter/backendhttp/client.go
@@ -62,7 +62,7 @@
 	// part of a long answer; the reader must close it.
 	Response struct {
 		Result backend.Result
-		Answer *caller.Answer
+		Answer *caller.Response
 		Report *backend.Report
 		// Refusing is set if nothing listens at the server's address.
 		Refusing bool
@@ -155,7 +155,7 @@
 
 func (c *Client) receive(ctx context.Context, response *http.Response, server string) Response {
 	report := c.report(response, server)
-	if response.Header.Get(caller.HeaderOutcome) == caller.NotRun.String() {
+	if response.Header.Get(caller.HeaderOutcome) == caller.OutcomeNotRun.String() {
 		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, BufferedBytes))
 		_ = response.Body.Close()
 		return Response{Result: backend.Rejected, Report: report}
@@ -170,7 +170,7 @@
 	for _, own := range []string{caller.HeaderLoad, caller.HeaderLeaving, caller.HeaderLimit} {
 		header.Del(own)
 	}
-	answer := &caller.Answer{Status: response.StatusCode, Header: header, Body: head}
+	answer := &caller.Response{Status: response.StatusCode, Header: header, Body: head}
 	out := Response{Result: backend.Answered, Answer: answer, Report: report}
 	if len(head) < BufferedBytes {
 		_ = response.Body.Close()
--- a/internal/adapter/bearer/bearer.go
+++ b/internal/adapter/bearer/bearer.go
@@ -20,18 +20,18 @@
 func CredentialOf(h http.Header) account.Credential {
 	fields := h[Field]
 	if len(fields) == 0 {
-		return account.Credential{State: account.Absent}
+		return account.Credential{State: account.CredentialAbsent}
 	}
 	scheme, text, _ := strings.Cut(strings.TrimSpace(fields[0]), " ")
 	text = strings.TrimLeft(text, " ")
 	if len(fields) > 1 || !strings.EqualFold(scheme, Scheme) || !isToken(text) {
-		return account.Credential{State: account.Malformed}
+		return account.Credential{State: account.CredentialMalformed}
 	}
-	key, ok := account.KeyOf(text)
+	key, ok := account.HashKey(text)
 	if !ok {
-		return account.Credential{State: account.Malformed}
+		return account.Credential{State: account.CredentialMalformed}
 	}
-	return account.Credential{State: account.Present, Key: key}
+	return account.Credential{State: account.CredentialPresent, Key: key}
 }
 
 // isToken reports whether a text is one word of visible characters.
--- a/internal/adapter/bearer/bearer_test.go
+++ b/internal/adapter/bearer/bearer_test.go
@@ -13,26 +13,26 @@
 		fields []string
 		want   account.CredentialState
 	}{
-		{nil, account.Absent},
-		{[]string{"Bearer abc"}, account.Present},
-		{[]string{"bearer abc"}, account.Present},
-		{[]string{"BEARER   abc "}, account.Present},
-		{[]string{"Bearer"}, account.Malformed},
-		{[]string{"Bearer "}, account.Malformed},
-		{[]string{""}, account.Malformed},
-		{[]string{"Basic abc"}, account.Malformed},
-		{[]string{"abc"}, account.Malformed},
-		{[]string{"Bearer abc def"}, account.Malformed},
-		{[]string{"Bearer abc\tdef"}, account.Malformed},
-		{[]string{"Bearer ab\u00e7"}, account.Malformed},
-		{[]string{"Bearer abc", "Bearer abc"}, account.Malformed},
-		{[]string{"Bearer " + strings.Repeat("x", 10_000)}, account.Malformed},
+		{nil, account.CredentialAbsent},
+		{[]string{"Bearer abc"}, account.CredentialPresent},
+		{[]string{"bearer abc"}, account.CredentialPresent},
+		{[]string{"BEARER   abc "}, account.CredentialPresent},
+		{[]string{"Bearer"}, account.CredentialMalformed},
+		{[]string{"Bearer "}, account.CredentialMalformed},
+		{[]string{""}, account.CredentialMalformed},
+		{[]string{"Basic abc"}, account.CredentialMalformed},
+		{[]string{"abc"}, account.CredentialMalformed},
+		{[]string{"Bearer abc def"}, account.CredentialMalformed},
+		{[]string{"Bearer abc\tdef"}, account.CredentialMalformed},
+		{[]string{"Bearer ab\u00e7"}, account.CredentialMalformed},
+		{[]string{"Bearer abc", "Bearer abc"}, account.CredentialMalformed},
+		{[]string{"Bearer " + strings.Repeat("x", 10_000)}, account.CredentialMalformed},
 	} {
 		got := CredentialOf(http.Header{Field: c.fields})
 		if got.State != c.want {
 			t.Errorf("%q: state is %d, want %d", c.fields, got.State, c.want)
 		}
-		if want, _ := account.KeyOf("abc"); c.want == account.Present && got.Key != want {
+		if want, _ := account.HashKey("abc"); c.want == account.CredentialPresent && got.Key != want {
 			t.Errorf("%q: key is %s, want that of abc", c.fields, got.Key)
 		}
 	}
@@ -51,10 +51,10 @@
 		got := CredentialOf(h)
 		words := strings.Fields(one)
 		proper := two == "" && len(words) == 2 && strings.EqualFold(words[0], Scheme)
-		if got.State == account.Present && !proper {
+		if got.State == account.CredentialPresent && !proper {
 			t.Errorf("%q and %q are taken for a key", one, two)
 		}
-		if got.State != account.Present && got.Key != (account.Key{}) {
+		if got.State != account.CredentialPresent && got.Key != (account.Key{}) {
 			t.Errorf("%q and %q: state %d with a key", one, two, got.State)
 		}
 	})
--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -35,18 +35,18 @@
 
 var (
 	reasonStatus = map[caller.Reason]int{
-		caller.ReasonNoService:      http.StatusNotFound,
-		caller.ReasonTokenNeeded:    http.StatusPreconditionRequired,
-		caller.ReasonTokenInvalid:   http.StatusBadRequest,
-		caller.ReasonTokenExpired:   http.StatusPreconditionFailed,
-		caller.ReasonTokenClosed:    http.StatusPreconditionFailed,
-		caller.ReasonInProgress:     http.StatusConflict,
-		caller.ReasonTooLargeToKeep: http.StatusGone,
-		caller.ReasonDeadline:       http.StatusGatewayTimeout,
-		caller.ReasonMinterSlow:     http.StatusGatewayTimeout,
-		caller.ReasonBroken:         http.StatusBadGateway,
-		caller.ReasonMinterGone:     http.StatusBadGateway,
-		caller.ReasonTokenForgotten: http.StatusBadGateway,
+		caller.ReasonNoService:           http.StatusNotFound,
+		caller.ReasonTokenRequired:       http.StatusPreconditionRequired,
+		caller.ReasonTokenInvalid:        http.StatusBadRequest,
+		caller.ReasonTokenExpired:        http.StatusPreconditionFailed,
+		caller.ReasonTokenClosed:         http.StatusPreconditionFailed,
+		caller.ReasonInProgress:          http.StatusConflict,
+		caller.ReasonResponseNotRetained: http.StatusGone,
+		caller.ReasonDeadline:            http.StatusGatewayTimeout,
+		caller.ReasonMinterTimeout:       http.StatusGatewayTimeout,
+		caller.ReasonConnectionLost:      http.StatusBadGateway,
+		caller.ReasonMinterGone:          http.StatusBadGateway,
+		caller.ReasonTokenRecordExpired:  http.StatusBadGateway,
 	}
 )
 
@@ -240,11 +240,11 @@
 }
 
 func (s *Server) refuse(w http.ResponseWriter, service string, began time.Time, err error) {
-	result := caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonBusy, RetryAfter: time.Second}
+	result := caller.Result{Outcome: caller.OutcomeNotRun, Reason: caller.ReasonProxyBusy, RetryAfter: time.Second}
 	switch {
 	case errors.Is(err, bodies.ErrTooLarge):
 		writeOutcome(w, result)
-		writeJSON(w, http.StatusRequestEntityTooLarge, refusal{Outcome: caller.NotRun.String(), Text: err.Error()})
+		writeJSON(w, http.StatusRequestEntityTooLarge, refusal{Outcome: caller.OutcomeNotRun.String(), Text: err.Error()})
 	default:
 		s.write(w, Reply{Result: result})
 	}
@@ -271,7 +271,7 @@
 	if reply.NewToken != "" {
 		w.Header().Set(caller.HeaderToken, reply.NewToken)
 	}
-	if result.Outcome != caller.Done || result.Answer == nil {
+	if result.Outcome != caller.OutcomeDone || result.Response == nil {
 		status, ok := reasonStatus[result.Reason]
 		if !ok {
 			status = http.StatusServiceUnavailable
@@ -279,16 +279,16 @@
 		writeJSON(w, status, refusal{Outcome: result.Outcome.String(), Reason: result.Reason})
 		return
 	}
-	for name, values := range result.Answer.Header {
+	for name, values := range result.Response.Header {
 		w.Header()[name] = values
 	}
 	if reply.Stream == nil {
-		w.Header().Set("Content-Length", strconv.Itoa(len(result.Answer.Body)))
-		w.WriteHeader(result.Answer.Status)
-		_, _ = w.Write(result.Answer.Body)
+		w.Header().Set("Content-Length", strconv.Itoa(len(result.Response.Body)))
+		w.WriteHeader(result.Response.Status)
+		_, _ = w.Write(result.Response.Body)
 		return
 	}
-	w.WriteHeader(result.Answer.Status)
+	w.WriteHeader(result.Response.Status)
 	if err := reply.Stream(w); err != nil {
 		// The answer broke off after its first bytes went out. Ending the
 		// response normally would pass a part off as the whole; breaking the
--- a/internal/adapter/callerhttp/server_test.go
+++ b/internal/adapter/callerhttp/server_test.go
@@ -31,7 +31,7 @@
 	s := testServer(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		s.write(w, Reply{
-			Result: caller.Result{Outcome: caller.Done, Answer: &caller.Answer{Status: http.StatusOK}},
+			Result: caller.Result{Outcome: caller.OutcomeDone, Response: &caller.Response{Status: http.StatusOK}},
 			Stream: func(w io.Writer) error {
 				_, _ = io.WriteString(w, strings.Repeat("x", 10_000))
 				return errBroke
@@ -82,7 +82,7 @@
 func TestRefusalTellsWhenToComeBack(t *testing.T) {
 	w := httptest.NewRecorder()
 	testServer(t).write(w, Reply{
-		Result:   caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonCapacity, RetryAfter: 1200 * time.Millisecond},
+		Result:   caller.Result{Outcome: caller.OutcomeNotRun, Reason: caller.ReasonRegionCapacity, RetryAfter: 1200 * time.Millisecond},
 		NewToken: "t",
 	})
 	for name, want := range map[string]string{
--- a/internal/adapter/forwardhttp/account_test.go
+++ b/internal/adapter/forwardhttp/account_test.go
@@ -37,7 +37,7 @@
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	key, _ := account.KeyOf("good")
+	key, _ := account.HashKey("good")
 	accounts, _ := account.NewTable([]*account.Account{{Name: "anna", Keys: []account.Key{key}, Limit: l}})
 	old := f.kernel.Table()
 	f.kernel.SetTable(routing.NewTable(old.Version+1, []*routing.Route{old.Routes["route"]}, nil, routing.Limits{}).WithAccounts(accounts))
--- a/internal/adapter/forwardhttp/server_test.go
+++ b/internal/adapter/forwardhttp/server_test.go
@@ -69,7 +69,7 @@
 	defer f.mu.Unlock()
 	route := &routing.Route{
 		Name: "route", Host: "127.0.0.1", Prefix: "/a/", Attempts: 2, Timeout: time.Second, Target: time.Second,
-		Parts: []routing.Part{{Service: "service", Weight: 1}},
+		Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 	}
 	f.kernel.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{BodyBytes: 100}))
 	f.kernel.SetServer(time.Now(), routing.Server{
--- a/internal/adapter/peerdrpc/convert.go
+++ b/internal/adapter/peerdrpc/convert.go
@@ -27,14 +27,14 @@
 		Name:        m.Name,
 		Address:     m.Address.String(),
 		PeerAddress: m.PeerAddress.String(),
-		Operators:   m.Operators.String(),
+		Operators:   m.OperatorAddress.String(),
 		Region:      m.Region,
 		Domain:      m.Domain,
 		Incarnation: m.Incarnation,
 		Sequence:    m.Sequence,
 		State:       uint32(m.State),
 		Successor:   m.Successor,
-		Figures:     m.Figures,
+		Figures:     m.CapacityBundle,
 	}
 }
 
@@ -45,17 +45,17 @@
 	peerAddress, _ := netip.ParseAddrPort(m.GetPeerAddress())
 	operators, _ := netip.ParseAddrPort(m.GetOperators())
 	return peer.Member{
-		Name:        m.GetName(),
-		Operators:   operators,
-		Address:     address,
-		PeerAddress: peerAddress,
-		Region:      m.GetRegion(),
-		Domain:      m.GetDomain(),
-		Incarnation: m.GetIncarnation(),
-		Sequence:    m.GetSequence(),
-		State:       peer.State(m.GetState()),
-		Successor:   m.GetSuccessor(),
-		Figures:     m.GetFigures(),
+		Name:            m.GetName(),
+		OperatorAddress: operators,
+		Address:         address,
+		PeerAddress:     peerAddress,
+		Region:          m.GetRegion(),
+		Domain:          m.GetDomain(),
+		Incarnation:     m.GetIncarnation(),
+		Sequence:        m.GetSequence(),
+		State:           peer.MemberState(m.GetState()),
+		Successor:       m.GetSuccessor(),
+		CapacityBundle:  m.GetFigures(),
 	}
 }
 
@@ -69,7 +69,7 @@
 			Machines:   e.Versions.Machines,
 			Members:    e.Versions.Members,
 			Prefixes:   e.Versions.Prefixes,
-			Known:      uint32(e.Versions.Known),
+			Known:      uint32(e.Versions.MemberCount),
 		},
 		Bundle:     e.Bundle,
 		Assignment: e.Assignment,
@@ -85,7 +85,7 @@
 		}
 		out.Rows = append(out.Rows, one)
 	}
-	out.Suspicions, out.Signals = suspicionsOut(e.Suspicions), signalsOut(e.Signals)
+	out.Suspicions, out.Signals = suspicionsOut(e.QuarantineReports), signalsOut(e.BackpressureReports)
 	return out
 }
 
@@ -95,12 +95,12 @@
 		From:  e.GetFrom(),
 		Stamp: stampIn(e.GetStamp()),
 		Versions: peer.Versions{
-			Bundle:     v.GetBundle(),
-			Assignment: v.GetAssignment(),
-			Machines:   v.GetMachines(),
-			Members:    v.GetMembers(),
-			Prefixes:   v.GetPrefixes(),
-			Known:      int(v.GetKnown()),
+			Bundle:      v.GetBundle(),
+			Assignment:  v.GetAssignment(),
+			Machines:    v.GetMachines(),
+			Members:     v.GetMembers(),
+			Prefixes:    v.GetPrefixes(),
+			MemberCount: int(v.GetKnown()),
 		},
 		Bundle:     e.GetBundle(),
 		Assignment: e.GetAssignment(),
@@ -117,10 +117,10 @@
 		in.Rows = append(in.Rows, one)
 	}
 	var err error
-	if in.Suspicions, err = suspicionsIn(e.GetSuspicions()); err != nil {
+	if in.QuarantineReports, err = suspicionsIn(e.GetSuspicions()); err != nil {
 		return in, err
 	}
-	in.Signals, err = signalsIn(e.GetSignals())
+	in.BackpressureReports, err = signalsIn(e.GetSignals())
 	return in, err
 }
 
@@ -140,18 +140,18 @@
 	return h
 }
 
-func answerOut(a *caller.Answer) *peerpb.Answer {
+func answerOut(a *caller.Response) *peerpb.Answer {
 	if a == nil {
 		return nil
 	}
 	return &peerpb.Answer{Status: int32(a.Status), Header: headerOut(a.Header), Body: a.Body}
 }
 
-func answerIn(a *peerpb.Answer) *caller.Answer {
+func answerIn(a *peerpb.Answer) *caller.Response {
 	if a == nil {
 		return nil
 	}
-	return &caller.Answer{Status: int(a.GetStatus()), Header: headerIn(a.GetHeader()), Body: a.GetBody()}
+	return &caller.Response{Status: int(a.GetStatus()), Header: headerIn(a.GetHeader()), Body: a.GetBody()}
 }
 
 func forwardOut(f peer.ForwardRequest) *peerpb.ForwardRequest {
@@ -190,7 +190,7 @@
 		Outcome:         uint32(r.Result.Outcome),
 		Reason:          string(r.Result.Reason),
 		RetryAfterMicro: r.Result.RetryAfter.Microseconds(),
-		Answer:          answerOut(r.Result.Answer),
+		Answer:          answerOut(r.Result.Response),
 	}
 }
 
@@ -201,7 +201,7 @@
 			Outcome:    caller.Outcome(r.GetOutcome()),
 			Reason:     caller.Reason(r.GetReason()),
 			RetryAfter: time.Duration(r.GetRetryAfterMicro()) * time.Microsecond,
-			Answer:     answerIn(r.GetAnswer()),
+			Response:   answerIn(r.GetAnswer()),
 		},
 	}
 }
@@ -219,8 +219,8 @@
 			message.Records = append(message.Records, &peerpb.Record{
 				Nonce:           r.Nonce[:],
 				State:           uint32(r.State),
-				Answer:          answerOut(r.Answer),
-				Dropped:         r.Dropped,
+				Answer:          answerOut(r.Response),
+				Dropped:         r.ResponseDropped,
 				ExpiryUnixMilli: r.Expiry.UnixMilli(),
 			})
 		}
@@ -238,11 +238,11 @@
 		}
 		copy(one.Key[:], message.GetKey())
 		for _, r := range message.GetRecords() {
-			record := caller.Record{
-				State:   uint8(r.GetState()),
-				Answer:  answerIn(r.GetAnswer()),
-				Dropped: r.GetDropped(),
-				Expiry:  time.UnixMilli(r.GetExpiryUnixMilli()),
+			record := caller.TokenRecord{
+				State:           uint8(r.GetState()),
+				Response:        answerIn(r.GetAnswer()),
+				ResponseDropped: r.GetDropped(),
+				Expiry:          time.UnixMilli(r.GetExpiryUnixMilli()),
 			}
 			copy(record.Nonce[:], r.GetNonce())
 			one.Records = append(one.Records, record)
--- a/internal/adapter/peerdrpc/peerdrpc_test.go
+++ b/internal/adapter/peerdrpc/peerdrpc_test.go
@@ -125,11 +125,11 @@
 	return peer.Exchange{
 		From:     "proxy-1",
 		Stamp:    peer.Stamp{Wall: 5, Count: 6},
-		Versions: peer.Versions{Bundle: 1, Assignment: 2, Machines: 3, Members: 4, Prefixes: 5, Known: 6},
+		Versions: peer.Versions{Bundle: 1, Assignment: 2, Machines: 3, Members: 4, Prefixes: 5, MemberCount: 6},
 		Members: []peer.Member{{
 			Name: "proxy-1", Address: netip.MustParseAddrPort("10.0.0.1:80"), PeerAddress: netip.MustParseAddrPort("10.0.0.1:81"),
-			Operators: netip.MustParseAddrPort("10.0.0.1:82"), Region: "r", Domain: "d", Incarnation: 7, Sequence: 8,
-			State: peer.Leaving, Successor: "proxy-2", Figures: 9,
+			OperatorAddress: netip.MustParseAddrPort("10.0.0.1:82"), Region: "r", Domain: "d", Incarnation: 7, Sequence: 8,
+			State: peer.StateLeaving, Successor: "proxy-2", CapacityBundle: 9,
 		}},
 		Bundle: []byte("b"), Assignment: []byte("a"), Machines: []byte("m"), Rows: [][]int{{400, 600}, {0, 1000}},
 	}
@@ -152,9 +152,9 @@
 	}
 	handover := peer.HandoverRequest{From: "proxy-1", Stamp: peer.Stamp{Wall: 1}, Records: []caller.Handover{{
 		Minter: caller.Minter{Name: "proxy-1", Incarnation: 3}, Key: caller.TokenKey{1, 2, 3}, Retention: time.Minute,
-		Records: []caller.Record{{
+		Records: []caller.TokenRecord{{
 			Nonce: caller.Nonce{9}, State: 2, Expiry: time.UnixMilli(1234),
-			Answer: &caller.Answer{Status: 201, Header: http.Header{"X": {"y"}}, Body: []byte("z")},
+			Response: &caller.Response{Status: 201, Header: http.Header{"X": {"y"}}, Body: []byte("z")},
 		}},
 	}}}
 	if _, err := client.Handover(context.Background(), to, handover); err != nil {
--- a/internal/client/command/bundle.go
+++ b/internal/client/command/bundle.go
@@ -118,8 +118,8 @@
 	if !slices.Contains(backend.Balancers(), b.Balancer) {
 		return &operator.FieldError{Field: "balancer", Want: "one of " + strings.Join(backend.Balancers(), ", "), Got: b.Balancer}
 	}
-	if !slices.Contains(region.Planners(), b.Shift.Planner) {
-		return &operator.FieldError{Field: "shift.planner", Want: "one of " + strings.Join(region.Planners(), ", "), Got: b.Shift.Planner}
+	if !slices.Contains(region.PlannerNames(), b.Shift.Planner) {
+		return &operator.FieldError{Field: "shift.planner", Want: "one of " + strings.Join(region.PlannerNames(), ", "), Got: b.Shift.Planner}
 	}
 	return nil
 }
@@ -345,10 +345,10 @@
 		return entries, []string{"all"}
 	}
 	for _, m := range members.Members {
-		if m.State == peer.Gone || m.State == peer.Suspect {
+		if m.State == peer.StateGone || m.State == peer.StateSuspect {
 			continue
 		}
-		status, err := s.client.Status(s.ctx, m.Operators)
+		status, err := s.client.Status(s.ctx, m.OperatorAddress)
 		if err != nil || status.Bundle < version {
 			behind = append(behind, m.Name)
 		}
--- a/internal/client/command/status.go
+++ b/internal/client/command/status.go
@@ -64,7 +64,7 @@
 	var report statusReport
 	for _, m := range members.Members {
 		p := proxyStatus{Member: m}
-		if status, err := s.client.Status(s.ctx, m.Operators); err == nil {
+		if status, err := s.client.Status(s.ctx, m.OperatorAddress); err == nil {
 			p.Status = &status
 		} else {
 			p.Error = err.Error()
@@ -128,7 +128,7 @@
 		return Result{}, err
 	}
 	for _, m := range members.Members {
-		if m.State != peer.Live {
+		if m.State != peer.StateLive {
 			continue
 		}
 		query := url.Values{"service": {a.Service}, "client": {a.Client.String()}, "explain": {""}}
@@ -188,7 +188,7 @@
 	}
 	var all []core.Event
 	for _, m := range members.Members {
-		events, err := s.client.Events(s.ctx, m.Operators)
+		events, err := s.client.Events(s.ctx, m.OperatorAddress)
 		if err != nil {
 			continue
 		}
--- a/internal/fake/backendfake/server.go
+++ b/internal/fake/backendfake/server.go
@@ -150,7 +150,7 @@
 
 func (s *Server) refuse(w http.ResponseWriter) {
 	s.report(w)
-	w.Header().Set(caller.HeaderOutcome, caller.NotRun.String())
+	w.Header().Set(caller.HeaderOutcome, caller.OutcomeNotRun.String())
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
--- a/internal/fake/callerfake/caller.go
+++ b/internal/fake/callerfake/caller.go
@@ -157,18 +157,18 @@
 	began := time.Now()
 	for try := range repeatsMost {
 		r, err := f.send(id, http.MethodPost, f.plan.Book, path, token, key)
-		if try == 0 || err != nil || r.reason != string(caller.ReasonTokenNeeded) {
+		if try == 0 || err != nil || r.reason != string(caller.ReasonTokenRequired) {
 			f.note(r, err, time.Since(began), http.MethodPost, path)
 		}
 		switch {
 		case err != nil:
-		case r.outcome == caller.Done:
+		case r.outcome == caller.OutcomeDone:
 			f.count(func(p *Report) { p.Booked++ })
 			return
 		case r.token != "":
 			token = r.token
 			continue
-		case r.outcome == caller.NotRun && caller.Reason(r.reason).NeverRuns():
+		case r.outcome == caller.OutcomeNotRun && caller.Reason(r.reason).GuaranteesNotRun():
 			token = ""
 		case hopeless(r.reason):
 			f.count(func(p *Report) { p.BookLost++ })
@@ -182,7 +182,7 @@
 
 // hopeless reports whether nobody will ever know more of a token.
 func hopeless(reason string) bool {
-	return reason == string(caller.ReasonMinterGone) || reason == string(caller.ReasonTokenForgotten)
+	return reason == string(caller.ReasonMinterGone) || reason == string(caller.ReasonTokenRecordExpired)
 }
 
 func (f *Fleet) count(change func(*Report)) {
@@ -208,7 +208,7 @@
 	if r.reason != "" {
 		f.r.Reasons[r.reason]++
 	}
-	if r.outcome != caller.Done {
+	if r.outcome != caller.OutcomeDone {
 		return
 	}
 	f.took = append(f.took, took)
--- a/internal/fake/simnet/callers.go
+++ b/internal/fake/simnet/callers.go
@@ -149,11 +149,11 @@
 	r := core.Request{Service: b.service, Method: "POST", Path: "/book", Client: b.group.address, Token: b.token}
 	sent := c.sim.now
 	b.group.send(r, b.key, func(result caller.Result, token string, ok bool) {
-		if result.Reason != caller.ReasonTokenNeeded || !ok {
+		if result.Reason != caller.ReasonTokenRequired || !ok {
 			c.note(b.group, sent, result, ok, b.key)
 		}
 		switch {
-		case ok && result.Outcome == caller.Done:
+		case ok && result.Outcome == caller.OutcomeDone:
 			c.Booked++
 			c.sim.checks.booked(b.key)
 			return
@@ -161,7 +161,7 @@
 			b.token = token
 			b.try()
 			return
-		case ok && result.Outcome == caller.NotRun && result.Reason.NeverRuns():
+		case ok && result.Outcome == caller.OutcomeNotRun && result.Reason.GuaranteesNotRun():
 			b.token = ""
 		case ok && final(result.Reason):
 			// Nobody can say. A caller asks a few times all the same, then a
@@ -187,14 +187,14 @@
 }
 
 func final(r caller.Reason) bool {
-	return r == caller.ReasonMinterGone || r == caller.ReasonTokenForgotten || r == caller.ReasonBroken
+	return r == caller.ReasonMinterGone || r == caller.ReasonTokenRecordExpired || r == caller.ReasonConnectionLost
 }
 
 func (c *Callers) note(g *group, began time.Time, result caller.Result, ok bool, key string) {
 	if c.sim.now.Before(c.sim.checks.from) {
 		return
 	}
-	if !ok || result.Outcome != caller.Done {
+	if !ok || result.Outcome != caller.OutcomeDone {
 		c.Failed[g.home] = append(c.Failed[g.home], c.sim.now)
 	}
 	if !ok {
@@ -205,11 +205,11 @@
 	if result.Reason != caller.ReasonNone {
 		c.Reasons[result.Reason]++
 	}
-	if result.Outcome != caller.Done {
+	if result.Outcome != caller.OutcomeDone {
 		return
 	}
-	if result.Answer != nil && string(result.Answer.Body) != key {
-		c.sim.checks.violate("caller of %s got the answer of %s", key, result.Answer.Body)
+	if result.Response != nil && string(result.Response.Body) != key {
+		c.sim.checks.violate("caller of %s got the answer of %s", key, result.Response.Body)
 	}
 	c.Took = append(c.Took, c.sim.now.Sub(began))
 	c.Done[g.home] = append(c.Done[g.home], c.sim.now)
--- a/internal/fake/simnet/checks.go
+++ b/internal/fake/simnet/checks.go
@@ -14,7 +14,7 @@
 	// come: the spread of the bundle and one look-up of the clock.
 	leavingGrace = 3 * time.Second
 	// capacityGrace is how long admissions under an older bundle still count.
-	capacityGrace = peer.WindowSpan + 100*time.Millisecond
+	capacityGrace = peer.WindowLength + 100*time.Millisecond
 	// maxViolations bounds what a broken run prints.
 	maxViolations = 20
 	maxNotes      = 200
@@ -30,7 +30,7 @@
 		runs       map[string]int
 		sendRan    map[uint64]bool
 		sendNotRun map[uint64]string
-		windows    map[string]*peer.Window
+		windows    map[string]*peer.SlidingWindow
 		versions   map[string]uint64
 		isolated   map[string]bool
 		live       map[string]bool
@@ -84,7 +84,7 @@
 		runs:       make(map[string]int),
 		sendRan:    make(map[uint64]bool),
 		sendNotRun: make(map[uint64]string),
-		windows:    make(map[string]*peer.Window),
+		windows:    make(map[string]*peer.SlidingWindow),
 		versions:   make(map[string]uint64),
 		isolated:   make(map[string]bool),
 		live:       make(map[string]bool),
@@ -147,7 +147,7 @@
 
 // told notes what a caller was told of one send.
 func (c *Checks) told(send uint64, key string, result caller.Result) {
-	if result.Outcome != caller.NotRun {
+	if result.Outcome != caller.OutcomeNotRun {
 		return
 	}
 	c.sendNotRun[send] = string(result.Reason)
@@ -174,7 +174,7 @@
 	name := w.config.Region
 	window := c.windows[name]
 	if window == nil {
-		window = &peer.Window{}
+		window = &peer.SlidingWindow{}
 		c.windows[name] = window
 		c.Dispatched[name] = make(map[int64]int)
 	}
@@ -207,7 +207,7 @@
 	}
 	name := p.place.region + ">" + w.config.Region
 	if c.windows[name] == nil {
-		c.windows[name] = &peer.Window{}
+		c.windows[name] = &peer.SlidingWindow{}
 	}
 	if !c.windows[name].Admit(c.sim.now, limit) {
 		c.violate("link %s got more than %d requests within a second, last from %s", name, limit, p.name)
@@ -298,7 +298,7 @@
 // traffic like one of them, within one step: else its part of the traffic would
 // shift at once.
 func (c *Checks) joined(p *Proxy, id string) {
-	if c.live[id] || p.kernel.Self().State != peer.Live {
+	if c.live[id] || p.kernel.Self().State != peer.StateLive {
 		return
 	}
 	c.live[id] = true
@@ -307,7 +307,7 @@
 	for i := range own {
 		nearest := -1
 		for _, other := range c.sim.proxies {
-			if other == p || !other.alive || other.frozen || other.kernel.Self().State != peer.Live {
+			if other == p || !other.alive || other.frozen || other.kernel.Self().State != peer.StateLive {
 				continue
 			}
 			rows := other.kernel.Status(other.now()).Regions
--- a/internal/fake/simnet/serve.go
+++ b/internal/fake/simnet/serve.go
@@ -60,9 +60,9 @@
 			}
 			ended = true
 			p.sim.checks.heard(p, w, report)
-			var answer *caller.Answer
+			var answer *caller.Response
 			if result == backend.Answered {
-				answer = &caller.Answer{Status: 200, Body: []byte(r.key)}
+				answer = &caller.Response{Status: 200, Body: []byte(r.key)}
 			}
 			p.step(r, p.kernel.EndAttempt(p.now(), core.AttemptEnd{
 				Attempt: d.Attempt, Result: result, Answer: answer, Report: report, ConnectionRefused: result == backend.Unreachable && w.down,
--- a/internal/fake/warmnet/play.go
+++ b/internal/fake/warmnet/play.go
@@ -164,7 +164,7 @@
 func (w *world) configure(k *steering.Kernel, region string) {
 	route := &routing.Route{
 		Name: "route", Host: host, Prefix: "/", Idempotent: true, Attempts: 2, Sticky: !w.load.Plain,
-		Timeout: w.load.Timeout.Std(), Target: w.load.Target.Std(), Parts: []routing.Part{{Service: service, Weight: 1}},
+		Timeout: w.load.Timeout.Std(), Target: w.load.Target.Std(), Parts: []routing.WeightedService{{Service: service, Weight: 1}},
 	}
 	bounds := &routing.Service{Name: service, Connections: w.load.Connections}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, []*routing.Service{bounds}, routing.Limits{}).WithAccounts(w.accounts()))
@@ -192,7 +192,7 @@
 }
 
 func accountKey(i int) account.Key {
-	key, _ := account.KeyOf("key-" + strconv.Itoa(i))
+	key, _ := account.HashKey("key-" + strconv.Itoa(i))
 	return key
 }
 
@@ -252,7 +252,7 @@
 	}
 	j := &job{region: region, began: w.Now, object: object, returns: w.load.Returns}
 	if w.load.Bound > 0 {
-		j.credential = account.Credential{State: account.Present, Key: accountKey(w.random.IntN(accountsInAll))}
+		j.credential = account.Credential{State: account.CredentialPresent, Key: accountKey(w.random.IntN(accountsInAll))}
 	}
 	w.begin(j)
 }
--- a/internal/kernel/account/key.go
+++ b/internal/kernel/account/key.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// Absent means that a request carries no key.
-	Absent CredentialState = iota
-	// Malformed means that what stands where the key should is none, or is several.
-	Malformed
-	// Present means that a request carries one key, of an account or of nobody.
-	Present
+	// CredentialAbsent means that a request carries no key.
+	CredentialAbsent CredentialState = iota
+	// CredentialMalformed means that what stands where the key should is none, or is several.
+	CredentialMalformed
+	// CredentialPresent means that a request carries one key, of an account or of nobody.
+	CredentialPresent
 )
 
 type (
@@ -41,8 +41,8 @@
 	}
 )
 
-// KeyOf is the key of a text, or false if the text can be none.
-func KeyOf(text string) (Key, bool) {
+// HashKey is the key of a text, or false if the text can be none.
+func HashKey(text string) (Key, bool) {
 	if text == "" || len(text) > keyBytesMost {
 		return Key{}, false
 	}
--- a/internal/kernel/account/table.go
+++ b/internal/kernel/account/table.go
@@ -61,14 +61,14 @@
 	return t, conflicts
 }
 
-// Limited reports whether any account has a limit.
-func (t *Table) Limited() bool { return t != nil && t.limited }
+// HasRateLimits reports whether any account has a limit.
+func (t *Table) HasRateLimits() bool { return t != nil && t.limited }
 
-// Holder is the account that a key belongs to, nil for none.
-func (t *Table) Holder(key Key) *Account { return t.byKey[key] }
+// ByKey is the account that a key belongs to, nil for none.
+func (t *Table) ByKey(key Key) *Account { return t.byKey[key] }
 
-// Named is the account of a name, nil for none.
-func (t *Table) Named(name string) *Account {
+// ByName is the account of a name, nil for none.
+func (t *Table) ByName(name string) *Account {
 	if t == nil {
 		return nil
 	}
--- a/internal/kernel/account/table_test.go
+++ b/internal/kernel/account/table_test.go
@@ -9,7 +9,7 @@
 
 func key(t testing.TB, text string) Key {
 	t.Helper()
-	k, ok := KeyOf(text)
+	k, ok := HashKey(text)
 	if !ok {
 		t.Fatalf("%q is no key", text)
 	}
@@ -24,7 +24,7 @@
 	}
 	for text, want := range map[string]string{"1": "anna", "2": "anna", "3": "bruno", "4": ""} {
 		got := ""
-		if a := table.Holder(key(t, text)); a != nil {
+		if a := table.ByKey(key(t, text)); a != nil {
 			got = a.Name
 		}
 		if got != want {
@@ -38,10 +38,10 @@
 	table, conflicts := NewTable([]*Account{
 		{Name: "anna", Keys: []Key{key(t, "1"), key(t, "2")}}, {Name: "bruno", Keys: []Key{key(t, "1")}}, {Name: "carla", Keys: []Key{key(t, "1")}},
 	})
-	if a := table.Holder(key(t, "1")); a != nil {
+	if a := table.ByKey(key(t, "1")); a != nil {
 		t.Errorf("the key is of %s, want nobody", a.Name)
 	}
-	if a := table.Holder(key(t, "2")); a == nil || a.Name != "anna" {
+	if a := table.ByKey(key(t, "2")); a == nil || a.Name != "anna" {
 		t.Errorf("the other key is of %v, want anna", a)
 	}
 	if got, want := len(conflicts), 2; got != want {
@@ -51,7 +51,7 @@
 
 func TestTextsThatAreNoKeys(t *testing.T) {
 	for _, text := range []string{"", strings.Repeat("x", keyBytesMost+1)} {
-		if _, ok := KeyOf(text); ok {
+		if _, ok := HashKey(text); ok {
 			t.Errorf("a text of %d bytes is taken for a key", len(text))
 		}
 	}
@@ -59,7 +59,7 @@
 
 func TestFingerprintTellsNothingOfTheKey(t *testing.T) {
 	const text = "fwrz56aw63is47qdqiqr"
-	data, err := json.Marshal(Credential{State: Present, Key: key(t, text)})
+	data, err := json.Marshal(Credential{State: CredentialPresent, Key: key(t, text)})
 	if err != nil || strings.Contains(string(data), text) {
 		t.Errorf("credential is written as %s, %v", data, err)
 	}
@@ -79,8 +79,8 @@
 			table, _ := NewTable([]*Account{a})
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				k, _ := KeyOf("17")
-				if table.Holder(k) == nil && keys > 17 {
+				k, _ := HashKey("17")
+				if table.ByKey(k) == nil && keys > 17 {
 					b.Fatal("key not found")
 				}
 			}
--- a/internal/kernel/caller/outcome.go
+++ b/internal/kernel/caller/outcome.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// Done means that the backend server's whole answer is known.
-	Done Outcome = iota + 1
-	// NotRun means that no backend server ran the request or will run it.
-	NotRun
-	// Unknown means that the request may have run.
-	Unknown
+	// OutcomeDone means that the backend server's whole answer is known.
+	OutcomeDone Outcome = iota + 1
+	// OutcomeNotRun means that no backend server ran the request or will run it.
+	OutcomeNotRun
+	// OutcomeUnknown means that the request may have run.
+	OutcomeUnknown
 )
 
 const (
@@ -24,9 +24,9 @@
 	ReasonNoService Reason = "no-such-service"
 	// ReasonNoBundle means that no bundle is in force here yet.
 	ReasonNoBundle Reason = "no-bundle-yet"
-	// ReasonTokenNeeded means that a non-idempotent request came without an
+	// ReasonTokenRequired means that a non-idempotent request came without an
 	// idempotency token.
-	ReasonTokenNeeded Reason = "token-needed"
+	ReasonTokenRequired Reason = "token-needed"
 	// ReasonTokenInvalid means that the token was not minted here.
 	ReasonTokenInvalid Reason = "token-invalid"
 	// ReasonTokenExpired means that the token can no longer be used and was
@@ -35,42 +35,42 @@
 	// ReasonTokenClosed means that the minting proxy stopped before the token
 	// was used; it will never be dispatched.
 	ReasonTokenClosed Reason = "token-closed"
-	// ReasonTokenForgotten means that the token's record is gone.
-	ReasonTokenForgotten Reason = "token-forgotten"
+	// ReasonTokenRecordExpired means that the token's record is gone.
+	ReasonTokenRecordExpired Reason = "token-forgotten"
 	// ReasonInProgress means that the token's request is running now.
 	ReasonInProgress Reason = "in-progress"
 	// ReasonMinterGone means that the proxy that minted the token is gone.
 	ReasonMinterGone Reason = "minter-gone"
-	// ReasonMinterSlow means that the minting proxy did not answer in time.
-	ReasonMinterSlow Reason = "minter-slow"
-	// ReasonCapacity means that the region's capacity is used up.
-	ReasonCapacity Reason = "region-capacity"
-	// ReasonLink means that a link's limit is used up.
-	ReasonLink Reason = "link-limit"
+	// ReasonMinterTimeout means that the minting proxy did not answer in time.
+	ReasonMinterTimeout Reason = "minter-slow"
+	// ReasonRegionCapacity means that the region's capacity is used up.
+	ReasonRegionCapacity Reason = "region-capacity"
+	// ReasonLinkLimit means that a link's limit is used up.
+	ReasonLinkLimit Reason = "link-limit"
 	// ReasonNoServer means that no backend server can take the request now.
 	ReasonNoServer Reason = "no-backend-server"
 	// ReasonDeadline means that the deadline has passed or cannot be met.
 	ReasonDeadline Reason = "deadline"
 	// ReasonShed means that the backend server refused before running it.
 	ReasonShed Reason = "backend-shed"
-	// ReasonBroken means that the exchange with the backend server broke.
-	ReasonBroken Reason = "backend-broken"
-	// ReasonMayEndServers means that the request's work may have ended backend servers
+	// ReasonConnectionLost means that the exchange with the backend server broke.
+	ReasonConnectionLost Reason = "backend-broken"
+	// ReasonMayCrashServers means that the request's work may have ended backend servers
 	// and runs once at a time, and not again.
-	ReasonMayEndServers Reason = "may-end-servers"
-	// ReasonEndsServers means that the request's work has ended backend servers.
-	ReasonEndsServers Reason = "ends-servers"
-	// ReasonBusy means that this proxy holds as many requests as it may.
-	ReasonBusy Reason = "proxy-busy"
-	// ReasonStopping means that this proxy takes no new requests.
-	ReasonStopping Reason = "proxy-stopping"
-	// ReasonTooLargeToKeep means that the request ran, but its answer was too
+	ReasonMayCrashServers Reason = "may-end-servers"
+	// ReasonCrashesServers means that the request's work has ended backend servers.
+	ReasonCrashesServers Reason = "ends-servers"
+	// ReasonProxyBusy means that this proxy holds as many requests as it may.
+	ReasonProxyBusy Reason = "proxy-busy"
+	// ReasonProxyStopping means that this proxy takes no new requests.
+	ReasonProxyStopping Reason = "proxy-stopping"
+	// ReasonResponseNotRetained means that the request ran, but its answer was too
 	// large to be kept for a repeat.
-	ReasonTooLargeToKeep Reason = "answer-not-kept"
+	ReasonResponseNotRetained Reason = "answer-not-kept"
 )
 
 var (
-	outcomeNames = map[Outcome]string{Done: "done", NotRun: "not-run", Unknown: "unknown"}
+	outcomeNames = map[Outcome]string{OutcomeDone: "done", OutcomeNotRun: "not-run", OutcomeUnknown: "unknown"}
 )
 
 type (
@@ -80,13 +80,13 @@
 	// Reason explains an outcome in a form that programs can compare.
 	Reason string
 
-	// Answer is a backend server's whole answer. NotKept means that its body
+	// Response is a backend server's whole answer. Streamed means that its body
 	// went to the caller as a stream and is not here.
-	Answer struct {
-		Status  int
-		Header  http.Header
-		Body    []byte
-		NotKept bool
+	Response struct {
+		Status   int
+		Header   http.Header
+		Body     []byte
+		Streamed bool
 	}
 
 	// Result is what a caller is told: an outcome, with the answer when done,
@@ -95,13 +95,13 @@
 		Outcome    Outcome
 		Reason     Reason
 		RetryAfter time.Duration
-		Answer     *Answer
+		Response   *Response
 	}
 )
 
-// NeverRuns reports whether a token that was refused for this reason was never
+// GuaranteesNotRun reports whether a token that was refused for this reason was never
 // run and never will be, so that a fresh one is safe.
-func (r Reason) NeverRuns() bool {
+func (r Reason) GuaranteesNotRun() bool {
 	switch r {
 	case ReasonTokenExpired, ReasonTokenClosed, ReasonTokenInvalid:
 		return true
--- a/internal/kernel/caller/prefix.go
+++ b/internal/kernel/caller/prefix.go
@@ -86,13 +86,13 @@
 	return t.v6.find(key6(a))
 }
 
-// Bytes is the memory that the table's arrays take.
-func (t *PrefixTable) Bytes() int {
+// MemoryBytes is the memory that the table's arrays take.
+func (t *PrefixTable) MemoryBytes() int {
 	return 6*len(t.v4.starts) + 10*len(t.v6.starts) + 4*(len(t.v4.index)+len(t.v6.index))
 }
 
-// Ranges counts the disjoint ranges.
-func (t *PrefixTable) Ranges() int { return len(t.v4.starts) + len(t.v6.starts) }
+// RangeCount counts the disjoint ranges.
+func (t *PrefixTable) RangeCount() int { return len(t.v4.starts) + len(t.v6.starts) }
 
 func key4(a netip.Addr) uint32 {
 	b := a.As4()
--- a/internal/kernel/caller/records.go
+++ b/internal/kernel/caller/records.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// Fresh means that the token may be dispatched now; its record says
+	// ClaimGranted means that the token may be dispatched now; its record says
 	// running from here on.
-	Fresh Claim = iota + 1
-	// Settled means that the result is final and needs no dispatch.
-	Settled
+	ClaimGranted ClaimStatus = iota + 1
+	// ClaimResolved means that the result is final and needs no dispatch.
+	ClaimResolved
 )
 
 const (
@@ -23,8 +23,8 @@
 const (
 	// maxRecords bounds a process's records; minting is refused beyond.
 	maxRecords = 200_000
-	// MaxKeptBody is the largest answer body, in bytes, kept for a repeat.
-	MaxKeptBody = 64 << 10
+	// MaxRetainedBody is the largest answer body, in bytes, kept for a repeat.
+	MaxRetainedBody = 64 << 10
 	// maxKeptBytes bounds all kept bodies of a process, in bytes.
 	maxKeptBytes = 6 << 20
 	// inProgressRetry is when to ask again for a running request.
@@ -32,24 +32,24 @@
 )
 
 var (
-	// ErrDoubleRun is the broken invariant that a token was finished twice.
-	ErrDoubleRun = errors.New("invariant: token dispatched twice")
+	// ErrTokenRunTwice is the broken invariant that a token was finished twice.
+	ErrTokenRunTwice = errors.New("invariant: token dispatched twice")
 )
 
 type (
-	// Claim says what an attempt to use a token leads to.
-	Claim uint8
+	// ClaimStatus says what an attempt to use a token leads to.
+	ClaimStatus uint8
 
 	state uint8
 
-	// Record is the fate of one token. It is exported for the hand-over at a
+	// TokenRecord is the fate of one token. It is exported for the hand-over at a
 	// planned stop only.
-	Record struct {
-		Nonce   Nonce
-		State   uint8
-		Answer  *Answer
-		Dropped bool
-		Expiry  time.Time
+	TokenRecord struct {
+		Nonce           Nonce
+		State           uint8
+		Response        *Response
+		ResponseDropped bool
+		Expiry          time.Time
 	}
 
 	// Handover is everything a stopping minter leaves to a peer. Its absence
@@ -59,36 +59,36 @@
 		Minter    Minter
 		Key       TokenKey
 		Retention time.Duration
-		Records   []Record
+		Records   []TokenRecord
 	}
 
-	// Records decides over the tokens of one minter: which may be dispatched
+	// TokenRecords decides over the tokens of one minter: which may be dispatched
 	// and what the others are told. Only the process that minted a token ever
 	// dispatches it, and it does so once: that is the whole guard against a
 	// doubled request, and it needs no agreement with any other process.
-	Records struct {
+	TokenRecords struct {
 		minter    Minter
 		key       TokenKey
 		closed    bool
 		retention time.Duration
-		records   map[Nonce]*Record
+		records   map[Nonce]*TokenRecord
 		keptBytes int
-		inherited map[Minter]*Records
+		inherited map[Minter]*TokenRecords
 	}
 )
 
-// NewRecords starts a minter's empty books.
-func NewRecords(m Minter, key TokenKey) *Records {
-	return &Records{
+// NewTokenRecords starts a minter's empty books.
+func NewTokenRecords(m Minter, key TokenKey) *TokenRecords {
+	return &TokenRecords{
 		minter:    m,
 		key:       key,
-		records:   make(map[Nonce]*Record),
-		inherited: make(map[Minter]*Records),
+		records:   make(map[Nonce]*TokenRecord),
+		inherited: make(map[Minter]*TokenRecords),
 	}
 }
 
 // Mint makes a token. It reports false when the books are full or closed.
-func (r *Records) Mint(service string, nonce Nonce, now time.Time, lifetime, retention time.Duration) (*Token, bool) {
+func (r *TokenRecords) Mint(service string, nonce Nonce, now time.Time, lifetime, retention time.Duration) (*Token, bool) {
 	if r.closed || len(r.records) >= maxRecords {
 		return nil, false
 	}
@@ -98,56 +98,56 @@
 	return t, true
 }
 
-// Owner reports whether this process decides over the token, as its minter or
+// Owns reports whether this process decides over the token, as its minter or
 // as the heir of a minter that stopped as planned.
-func (r *Records) Owner(t *Token) bool {
+func (r *TokenRecords) Owns(t *Token) bool {
 	return t.Minter == r.minter || r.inherited[t.Minter] != nil
 }
 
-// Use claims a token for dispatch. Fresh is returned at most once per token
+// Claim claims a token for dispatch. Fresh is returned at most once per token
 // unless Release gives it back.
-func (r *Records) Use(t *Token, service string, now time.Time) (Claim, Result) {
+func (r *TokenRecords) Claim(t *Token, service string, now time.Time) (ClaimStatus, Result) {
 	if t.Minter != r.minter {
 		if heir := r.inherited[t.Minter]; heir != nil {
-			return heir.Use(t, service, now)
+			return heir.Claim(t, service, now)
 		}
-		return Settled, Result{Outcome: Unknown, Reason: ReasonMinterGone}
+		return ClaimResolved, Result{Outcome: OutcomeUnknown, Reason: ReasonMinterGone}
 	}
-	if !r.key.Valid(t) || t.Service != service {
+	if !r.key.Verify(t) || t.Service != service {
 		// Nothing is dispatched under a forged or foreign token, so this
 		// request was truly not run.
-		return Settled, Result{Outcome: NotRun, Reason: ReasonTokenInvalid}
+		return ClaimResolved, Result{Outcome: OutcomeNotRun, Reason: ReasonTokenInvalid}
 	}
 	if record := r.records[t.Nonce]; record != nil {
-		return Settled, record.result()
+		return ClaimResolved, record.result()
 	}
 	switch {
 	case now.After(t.Expiry.Add(r.retention)):
-		return Settled, Result{Outcome: Unknown, Reason: ReasonTokenForgotten}
+		return ClaimResolved, Result{Outcome: OutcomeUnknown, Reason: ReasonTokenRecordExpired}
 	case now.After(t.Expiry):
-		return Settled, Result{Outcome: NotRun, Reason: ReasonTokenExpired}
+		return ClaimResolved, Result{Outcome: OutcomeNotRun, Reason: ReasonTokenExpired}
 	case r.closed:
-		return Settled, Result{Outcome: NotRun, Reason: ReasonTokenClosed}
+		return ClaimResolved, Result{Outcome: OutcomeNotRun, Reason: ReasonTokenClosed}
 	}
-	r.records[t.Nonce] = &Record{Nonce: t.Nonce, State: uint8(stateRunning), Expiry: t.Expiry}
-	return Fresh, Result{}
+	r.records[t.Nonce] = &TokenRecord{Nonce: t.Nonce, State: uint8(stateRunning), Expiry: t.Expiry}
+	return ClaimGranted, Result{}
 }
 
-func (r *Record) result() Result {
+func (r *TokenRecord) result() Result {
 	switch state(r.State) {
 	case stateDone:
-		if r.Dropped {
-			return Result{Outcome: Done, Reason: ReasonTooLargeToKeep}
+		if r.ResponseDropped {
+			return Result{Outcome: OutcomeDone, Reason: ReasonResponseNotRetained}
 		}
-		return Result{Outcome: Done, Answer: r.Answer}
+		return Result{Outcome: OutcomeDone, Response: r.Response}
 	case stateUnknown:
-		return Result{Outcome: Unknown, Reason: ReasonBroken}
+		return Result{Outcome: OutcomeUnknown, Reason: ReasonConnectionLost}
 	}
-	return Result{Outcome: Unknown, Reason: ReasonInProgress, RetryAfter: inProgressRetry}
+	return Result{Outcome: OutcomeUnknown, Reason: ReasonInProgress, RetryAfter: inProgressRetry}
 }
 
 // Release gives a running token back after an attempt that was truly not run.
-func (r *Records) Release(n Nonce) {
+func (r *TokenRecords) Release(n Nonce) {
 	if record := r.records[n]; record != nil && state(record.State) == stateRunning {
 		delete(r.records, n)
 	}
@@ -155,37 +155,37 @@
 
 // Finish keeps the final outcome of a dispatched token. A done answer that
 // arrives after the request was called unknown replaces it.
-func (r *Records) Finish(n Nonce, result Result) error {
+func (r *TokenRecords) Finish(n Nonce, result Result) error {
 	record := r.records[n]
 	if record == nil {
 		return nil
 	}
 	if state(record.State) == stateDone {
-		return ErrDoubleRun
+		return ErrTokenRunTwice
 	}
-	if result.Outcome != Done || result.Answer == nil {
+	if result.Outcome != OutcomeDone || result.Response == nil {
 		record.State = uint8(stateUnknown)
 		return nil
 	}
 	record.State = uint8(stateDone)
-	size := len(result.Answer.Body)
-	if result.Answer.NotKept || size > MaxKeptBody || r.keptBytes+size > maxKeptBytes {
-		record.Dropped = true
+	size := len(result.Response.Body)
+	if result.Response.Streamed || size > MaxRetainedBody || r.keptBytes+size > maxKeptBytes {
+		record.ResponseDropped = true
 		return nil
 	}
-	record.Answer = result.Answer
+	record.Response = result.Response
 	r.keptBytes += size
 	return nil
 }
 
 // Expire forgets records whose retention has run out.
-func (r *Records) Expire(now time.Time) {
+func (r *TokenRecords) Expire(now time.Time) {
 	for n, record := range r.records {
 		if state(record.State) == stateRunning || !now.After(record.Expiry.Add(r.retention)) {
 			continue
 		}
-		if record.Answer != nil {
-			r.keptBytes -= len(record.Answer.Body)
+		if record.Response != nil {
+			r.keptBytes -= len(record.Response.Body)
 		}
 		delete(r.records, n)
 	}
@@ -195,7 +195,7 @@
 }
 
 // Running counts the tokens whose dispatch has not ended.
-func (r *Records) Running() int {
+func (r *TokenRecords) Running() int {
 	running := 0
 	for _, record := range r.records {
 		if state(record.State) == stateRunning {
@@ -206,7 +206,7 @@
 }
 
 // Len counts the records kept, inherited ones included.
-func (r *Records) Len() int {
+func (r *TokenRecords) Len() int {
 	total := len(r.records)
 	for _, heir := range r.inherited {
 		total += heir.Len()
@@ -215,12 +215,12 @@
 }
 
 // Close ends dispatching for good: tokens not used by now are not run.
-func (r *Records) Close() { r.closed = true }
+func (r *TokenRecords) Close() { r.closed = true }
 
 // Export lists what a peer needs to answer for this minter and for those it
 // inherited from. It must follow Close and the end of all running requests;
 // what still runs is exported as unknown, which it then is.
-func (r *Records) Export() []Handover {
+func (r *TokenRecords) Export() []Handover {
 	own := Handover{Minter: r.minter, Key: r.key, Retention: r.retention}
 	for _, record := range r.records {
 		copied := *record
@@ -236,13 +236,13 @@
 	return all
 }
 
-// Inherit takes over a stopped minter's records. A second copy of the same
+// Import takes over a stopped minter's records. A second copy of the same
 // hand-over is harmless: the first stays.
-func (r *Records) Inherit(h Handover) {
+func (r *TokenRecords) Import(h Handover) {
 	if h.Minter == r.minter || r.inherited[h.Minter] != nil {
 		return
 	}
-	heir := NewRecords(h.Minter, h.Key)
+	heir := NewTokenRecords(h.Minter, h.Key)
 	heir.closed = true
 	heir.retention = h.Retention
 	for i := range h.Records {
--- a/internal/kernel/caller/records_test.go
+++ b/internal/kernel/caller/records_test.go
@@ -31,7 +31,7 @@
 		now    time.Time
 		tokens map[string]*Token
 		nonces byte
-		books  map[string]*Records
+		books  map[string]*TokenRecords
 	}
 )
 
@@ -59,9 +59,9 @@
 			r := &scriptRun{
 				now:    time.Unix(1_000_000, 0),
 				tokens: make(map[string]*Token),
-				books: map[string]*Records{
-					"minter": NewRecords(Minter{"proxy-1", 1}, key(1)),
-					"peer":   NewRecords(Minter{"proxy-2", 1}, key(2)),
+				books: map[string]*TokenRecords{
+					"minter": NewTokenRecords(Minter{"proxy-1", 1}, key(1)),
+					"peer":   NewTokenRecords(Minter{"proxy-2", 1}, key(2)),
 				},
 			}
 			for i, st := range s.Steps {
@@ -97,18 +97,18 @@
 		if s.Do != "use" {
 			service = "board"
 		}
-		claim, result := books.Use(r.tokens[s.Token], service, r.now)
-		if claim == Fresh {
+		claim, result := books.Claim(r.tokens[s.Token], service, r.now)
+		if claim == ClaimGranted {
 			return "fresh"
 		}
 		return strings.TrimSpace(result.Outcome.String() + " " + string(result.Reason))
 	case "alter":
 		r.tokens[s.Token].Expiry = r.tokens[s.Token].Expiry.Add(time.Hour)
 	case "done":
-		answer := &Answer{Status: 200, Body: make([]byte, s.Body)}
-		return errorText(books.Finish(r.tokens[s.Token].Nonce, Result{Outcome: Done, Answer: answer}))
+		answer := &Response{Status: 200, Body: make([]byte, s.Body)}
+		return errorText(books.Finish(r.tokens[s.Token].Nonce, Result{Outcome: OutcomeDone, Response: answer}))
 	case "broken":
-		return errorText(books.Finish(r.tokens[s.Token].Nonce, Result{Outcome: Unknown, Reason: ReasonBroken}))
+		return errorText(books.Finish(r.tokens[s.Token].Nonce, Result{Outcome: OutcomeUnknown, Reason: ReasonConnectionLost}))
 	case "shed":
 		books.Release(r.tokens[s.Token].Nonce)
 	case "wait":
@@ -122,7 +122,7 @@
 		books.Close()
 	case "hand-over":
 		for _, h := range books.Export() {
-			r.books["peer"].Inherit(h)
+			r.books["peer"].Import(h)
 		}
 	default:
 		t.Fatalf("no step is named %q", s.Do)
@@ -131,7 +131,7 @@
 }
 
 func errorText(err error) string {
-	if errors.Is(err, ErrDoubleRun) {
+	if errors.Is(err, ErrTokenRunTwice) {
 		return "double run"
 	}
 	return ""
--- a/internal/kernel/caller/token.go
+++ b/internal/kernel/caller/token.go
@@ -72,9 +72,9 @@
 	t.mac = k.mac(t)
 }
 
-// Valid reports whether the token carries this key's authenticator, that is,
+// Verify reports whether the token carries this key's authenticator, that is,
 // whether it was minted with it and not altered since.
-func (k *TokenKey) Valid(t *Token) bool {
+func (k *TokenKey) Verify(t *Token) bool {
 	return subtle.ConstantTimeCompare(k.mac(t), t.mac) == 1
 }
 
--- a/internal/kernel/core/action.go
+++ b/internal/kernel/core/action.go
@@ -65,7 +65,7 @@
 	AttemptEnd struct {
 		Attempt Attempt
 		Result  backend.Result
-		Answer  *caller.Answer
+		Answer  *caller.Response
 		Report  *backend.Report
 		// NoRetry is set if no further attempt may follow, because the caller has received part of
 		// this answer or has disconnected.
--- a/internal/kernel/core/assign.go
+++ b/internal/kernel/core/assign.go
@@ -140,7 +140,7 @@
 		k.releaseStartedAt = now
 		k.applyQuota(now)
 	}
-	return releasing && (k.hasLentQuota(now) || now.Sub(k.releaseStartedAt) < peer.WindowSpan)
+	return releasing && (k.hasLentQuota(now) || now.Sub(k.releaseStartedAt) < peer.WindowLength)
 }
 
 // hasLentQuota reports whether a peer may still use quota of this proxy.
@@ -167,13 +167,13 @@
 	if !ok || m.Incarnation != h.Incarnation {
 		return 0
 	}
-	return m.Figures
+	return m.CapacityBundle
 }
 
 // hasPeerWithoutSlots reports whether another live or joining proxy owns no slot.
 func (k *Kernel) hasPeerWithoutSlots() bool {
 	for _, m := range k.members.All() {
-		if m.Name == k.config.Self.Name || (m.State != peer.Live && m.State != peer.Joining) {
+		if m.Name == k.config.Self.Name || (m.State != peer.StateLive && m.State != peer.StateJoining) {
 			continue
 		}
 		h := kv.Holder{Name: m.Name, Incarnation: m.Incarnation}
--- a/internal/kernel/core/backpressure.go
+++ b/internal/kernel/core/backpressure.go
@@ -102,7 +102,7 @@
 // rankInRegion returns the number of proxies in the local region whose names sort before this one.
 func (k *Kernel) rankInRegion() (rank int) {
 	for _, m := range k.members.All() {
-		if m.State != peer.Gone && m.Region == k.config.Self.Region && m.Name < k.config.Self.Name {
+		if m.State != peer.StateGone && m.Region == k.config.Self.Region && m.Name < k.config.Self.Name {
 			rank++
 		}
 	}
--- a/internal/kernel/core/bench_test.go
+++ b/internal/kernel/core/bench_test.go
@@ -75,8 +75,8 @@
 func BenchmarkLookup(b *testing.B) {
 	k, now := readyKernel(b)
 	for i := range 1300 {
-		k.members.Hear(peer.Member{
-			Name: "vm-" + string(rune('a'+i%26)) + string(rune('a'+i/26)), State: peer.Live, Incarnation: 1,
+		k.members.Merge(peer.Member{
+			Name: "vm-" + string(rune('a'+i%26)) + string(rune('a'+i/26)), State: peer.StateLive, Incarnation: 1,
 			Region: k.regions[i%3].Name,
 		}, now)
 	}
--- a/internal/kernel/core/borrow.go
+++ b/internal/kernel/core/borrow.go
@@ -39,13 +39,13 @@
 	}
 	var peers []peer.Member
 	k.eachQuota(func(name peer.Resource, q *peer.Quota) {
-		q.Sample(now)
-		for _, r := range q.Renewals(now) {
+		q.UpdateDemand(now)
+		for _, r := range q.TakeRenewals(now) {
 			if lender, ok := k.members.Get(r.Lender); ok {
 				actions = append(actions, k.newBorrowRequest(now, lender, name, r.Keep, r.ID))
 			}
 		}
-		short := q.Need() - q.Limit(now)
+		short := q.Demand() - q.Limit(now)
 		if until := k.borrowBlockedUntil[name]; short <= 0 || now.Before(until) {
 			return
 		}
@@ -79,7 +79,7 @@
 // HandleBorrow answers a borrow request of a peer. A proxy that is releasing slots lends nothing,
 // since it would otherwise never stop waiting for loans to end.
 func (k *Kernel) HandleBorrow(now time.Time, m peer.BorrowRequest) peer.BorrowReply {
-	k.clock.Hear(m.Stamp)
+	k.clock.Observe(m.Stamp)
 	reply := peer.BorrowReply{Stamp: k.clock.Now(now)}
 	q := k.quota(m.Resource)
 	if q == nil || !k.mayUseQuota(now) || k.releasingOne || k.releasingAll {
@@ -108,14 +108,14 @@
 	if reply == nil || q == nil {
 		return
 	}
-	k.clock.Hear(reply.Stamp)
+	k.clock.Observe(reply.Stamp)
 	if sent.Message.Renew != 0 {
-		q.Renewed(sent.To.Name, reply.Loan, reply.Amount, sent.SentAt)
+		q.HandleRenewalReply(sent.To.Name, reply.Loan, reply.Amount, sent.SentAt)
 		return
 	}
 	if reply.Amount <= 0 {
 		return
 	}
-	q.Borrow(sent.To.Name, reply.Loan, reply.Amount, sent.SentAt, now)
+	q.AddBorrowed(sent.To.Name, reply.Loan, reply.Amount, sent.SentAt, now)
 	k.log(now, Event{Kind: EventBorrowed, Target: string(name), Detail: strconv.Itoa(reply.Amount) + " from " + sent.To.Name})
 }
--- a/internal/kernel/core/bundle.go
+++ b/internal/kernel/core/bundle.go
@@ -38,7 +38,7 @@
 		// The client that signs bundles validates names against its own registry, and a newer
 		// client may know planners that this proxy does not. Falling back to the default planner
 		// keeps the bundle in force on all proxies.
-		planner, _ = region.FindPlanner(region.Headroom)
+		planner, _ = region.FindPlanner(region.DefaultPlanner)
 		k.logBundleRejection(now, b.Version, &operator.FieldError{Field: "shift.planner", Want: "a known planner", Got: b.Shift.Planner})
 	}
 	k.planner = planner
@@ -100,7 +100,7 @@
 		} else {
 			// A proxy that has just started, or whose regions have changed, has no previous row to
 			// shift from. It starts with the row that its peers shift towards.
-			state.mover = region.NewMover(rows[i])
+			state.mover = region.NewShifter(rows[i])
 		}
 		state.Region = b.Regions[i]
 		k.regions[i] = state
@@ -166,13 +166,13 @@
 	}
 	sameCapacities := previous != nil && kv.CapacitiesOf(previous).Equal(kv.CapacitiesOf(b))
 	k.eachQuota(func(_ peer.Resource, q *peer.Quota) {
-		q.SetDeadline(longest)
+		q.SetMaxDeadline(longest)
 		if !sameCapacities {
 			q.DropBorrowed()
 		}
 	})
 	if !sameCapacities {
-		k.members.UpdateSelf(now, func(m *peer.Member) { m.Figures = b.Version })
+		k.members.UpdateSelf(now, func(m *peer.Member) { m.CapacityBundle = b.Version })
 	}
 }
 
--- a/internal/kernel/core/gossip.go
+++ b/internal/kernel/core/gossip.go
@@ -33,7 +33,7 @@
 // documentVersions returns the versions of the documents and the digest of the membership known to
 // this proxy.
 func (k *Kernel) documentVersions() peer.Versions {
-	v := peer.Versions{Bundle: k.BundleVersion(), Members: k.members.Digest(), Known: k.members.Len()}
+	v := peer.Versions{Bundle: k.BundleVersion(), Members: k.members.Digest(), MemberCount: k.members.Len()}
 	if k.assignment != nil {
 		v.Assignment = k.assignment.Version
 	}
@@ -102,10 +102,10 @@
 		From:     k.config.Self.Name,
 		Stamp:    k.clock.Now(now),
 		Versions: k.documentVersions(),
-		Members:  k.members.Newest(maxMembersPerExchange, now.Add(-updateTTL)),
+		Members:  k.members.RecentlyChanged(maxMembersPerExchange, now.Add(-updateTTL)),
 
-		Suspicions: k.quarantine.Reports(now, false),
-		Signals:    k.backpressure.Reports(now, false),
+		QuarantineReports:   k.quarantine.Reports(now, false),
+		BackpressureReports: k.backpressure.Reports(now, false),
 	}
 }
 
@@ -132,9 +132,9 @@
 	if k.needsFullMemberList(now, m.Versions) {
 		reply.Members = k.members.All()
 	}
-	if sender, _ := k.members.Get(m.From); sender.State == peer.Joining && k.members.Self().State == peer.Live {
+	if sender, _ := k.members.Get(m.From); sender.State == peer.StateJoining && k.members.Self().State == peer.StateLive {
 		reply.Rows = k.currentRows()
-		reply.Suspicions, reply.Signals = k.quarantine.Reports(now, true), k.backpressure.Reports(now, true)
+		reply.QuarantineReports, reply.BackpressureReports = k.quarantine.Reports(now, true), k.backpressure.Reports(now, true)
 	}
 	if reply.Versions.Bundle > m.Versions.Bundle {
 		reply.Bundle = k.envelope
@@ -158,7 +158,7 @@
 		return false
 	}
 	own := k.members.Len()
-	return own <= smallFleetSize || 2*v.Known < own || now.Sub(k.members.Changed()) > viewSettleTime
+	return own <= smallFleetSize || 2*v.MemberCount < own || now.Sub(k.members.LastChanged()) > viewSettleTime
 }
 
 // isBehind reports whether the versions include a newer document than this proxy has.
@@ -171,7 +171,7 @@
 // before the fence is lifted, so that a proxy resuming after a freeze first learns that it has lost
 // its slots.
 func (k *Kernel) HandleExchangeReply(now, sentAt time.Time, m peer.Exchange) {
-	k.members.Answered(m.From)
+	k.members.RecordSuccess(m.From)
 	if len(m.Machines) > 0 {
 		if list, err := kv.ParseMachines(m.Machines); err == nil {
 			k.ApplyMachines(now, list)
@@ -192,8 +192,8 @@
 
 // HandleExchangeFailure records that a peer did not answer an exchange.
 func (k *Kernel) HandleExchangeFailure(now time.Time, name string) {
-	if k.members.Failed(name, now) {
-		k.log(now, Event{Kind: EventMember, Target: name, Detail: peer.Suspect.String()})
+	if k.members.RecordFailure(name, now) {
+		k.log(now, Event{Kind: EventMember, Target: name, Detail: peer.StateSuspect.String()})
 		k.scheduleGossip(now)
 	}
 }
@@ -201,12 +201,12 @@
 // mergeExchange merges the clock, backpressure, quarantine and member records of an exchange or its
 // reply.
 func (k *Kernel) mergeExchange(now time.Time, m peer.Exchange) {
-	k.clock.Hear(m.Stamp)
-	k.quarantine.Hear(now, m.Suspicions)
-	k.backpressure.Hear(now, m.Signals)
+	k.clock.Observe(m.Stamp)
+	k.quarantine.Hear(now, m.QuarantineReports)
+	k.backpressure.Hear(now, m.BackpressureReports)
 	changed := false
 	for _, member := range m.Members {
-		if k.members.Hear(member, now) {
+		if k.members.Merge(member, now) {
 			changed = true
 			k.log(now, Event{Kind: EventMember, Target: member.Name, Detail: member.State.String()})
 		}
@@ -227,15 +227,15 @@
 
 // HandleHandover takes over the token records of a stopping proxy.
 func (k *Kernel) HandleHandover(now time.Time, from string, stamp peer.Stamp, records []caller.Handover) {
-	k.clock.Hear(stamp)
+	k.clock.Observe(stamp)
 	for _, h := range records {
-		k.tokenRecords.Inherit(h)
+		k.tokenRecords.Import(h)
 		k.log(now, Event{Kind: EventInherited, Target: h.Minter.Name, Detail: from})
 	}
 }
 
 // ObserveStamp advances the clock with the stamp of a forwarded request or its answer.
-func (k *Kernel) ObserveStamp(s peer.Stamp) { k.clock.Hear(s) }
+func (k *Kernel) ObserveStamp(s peer.Stamp) { k.clock.Observe(s) }
 
 // Stamp returns a stamp for an outgoing message.
 func (k *Kernel) Stamp(now time.Time) peer.Stamp { return k.clock.Now(now) }
--- a/internal/kernel/core/kernel.go
+++ b/internal/kernel/core/kernel.go
@@ -75,7 +75,7 @@
 		clock        peer.Clock
 		events       *RingBuffer[Event]
 		members      *peer.Members
-		tokenRecords *caller.Records
+		tokenRecords *caller.TokenRecords
 
 		bundle     *operator.Bundle
 		quotaSlots int
@@ -156,8 +156,8 @@
 	regionState struct {
 		operator.Region
 		quota    peer.Quota
-		mover    *region.Mover
-		spreader region.Spreader
+		mover    *region.Shifter
+		spreader region.WeightedRoundRobin
 		servers  []*backend.Server
 		lost     bool
 		demand   rateMeter
@@ -170,13 +170,13 @@
 	if c.MaxInFlight == 0 {
 		c.MaxInFlight = DefaultMaxInFlight
 	}
-	c.Self.State = peer.Joining
+	c.Self.State = peer.StateJoining
 	k := &Kernel{
 		config:             c,
 		random:             rand.New(rand.NewChaCha8(c.Seed)),
 		events:             NewRingBuffer[Event](eventLogSize),
 		members:            peer.NewMembers(c.Self, now),
-		tokenRecords:       caller.NewRecords(c.Self.Minter(), c.TokenKey),
+		tokenRecords:       caller.NewTokenRecords(c.Self.Minter(), c.TokenKey),
 		startedAt:          now,
 		lastTick:           now,
 		gossipTargets:      make(map[string]bool),
@@ -199,12 +199,12 @@
 	k.tokenRecords.Expire(now)
 	if !now.Before(k.nextForget) {
 		k.nextForget = now.Add(forgetInterval)
-		k.members.Forget(now)
+		k.members.Expire(now)
 	}
 	if k.bundle != nil {
 		k.joinIfReady(now)
 		k.applyLeaving(now)
-		if k.members.Self().State != peer.Joining {
+		if k.members.Self().State != peer.StateJoining {
 			k.advanceShifts(now)
 		}
 		actions = k.borrowQuota(now, actions)
@@ -223,7 +223,7 @@
 // of a serving peer, if there is one. After joinTimeout it joins without quota, since it may be
 // able to borrow.
 func (k *Kernel) joinIfReady(now time.Time) {
-	if k.members.Self().State != peer.Joining {
+	if k.members.Self().State != peer.StateJoining {
 		return
 	}
 	quota := 0
@@ -234,7 +234,7 @@
 	if !ready && now.Sub(k.startedAt) < joinTimeout {
 		return
 	}
-	k.members.UpdateSelf(now, func(m *peer.Member) { m.State = peer.Live })
+	k.members.UpdateSelf(now, func(m *peer.Member) { m.State = peer.StateLive })
 	k.scheduleGossip(now)
 }
 
@@ -269,7 +269,7 @@
 // The fence lasts at least one window: if only the clock jumped and the process kept running, the
 // requests it admitted just before still count.
 func (k *Kernel) maybeLiftFence(now, sentAt time.Time) {
-	if !sentAt.Before(k.fencedAt) && now.Sub(k.fencedAt) >= peer.WindowSpan {
+	if !sentAt.Before(k.fencedAt) && now.Sub(k.fencedAt) >= peer.WindowLength {
 		k.fenced = false
 	}
 }
--- a/internal/kernel/core/quarantine.go
+++ b/internal/kernel/core/quarantine.go
@@ -26,9 +26,9 @@
 	ruling, remaining := k.quarantine.Rule(now, inflight.work)
 	switch {
 	case ruling == quarantine.Condemned:
-		return caller.ReasonEndsServers, min(remaining, quarantine.AwayMost)
+		return caller.ReasonCrashesServers, min(remaining, quarantine.AwayMost)
 	case ruling == quarantine.Busy, ruling == quarantine.Suspected && inflight.interruptions > 0, inflight.interruptions >= quarantine.BreaksMost:
-		return caller.ReasonMayEndServers, time.Second
+		return caller.ReasonMayCrashServers, time.Second
 	}
 	return caller.ReasonNone, 0
 }
--- a/internal/kernel/core/relay.go
+++ b/internal/kernel/core/relay.go
@@ -22,7 +22,7 @@
 			names = append(names, m.Name)
 		}
 	}
-	ranked := peer.Rendezvous("relay/"+k.config.Self.Domain, names)
+	ranked := peer.RendezvousRank("relay/"+k.config.Self.Domain, names)
 	for _, name := range ranked[:min(relaysPerDomain, len(ranked))] {
 		if name == k.config.Self.Name {
 			return true
--- a/internal/kernel/core/request.go
+++ b/internal/kernel/core/request.go
@@ -76,7 +76,7 @@
 // if the decision is final without a dispatch by this proxy.
 func (k *Kernel) claimToken(now time.Time, r Request, inflight *inFlightRequest) (Decision, bool) {
 	if r.Token == "" {
-		d := k.rejectRequest(now, r, caller.ReasonTokenNeeded, 0)
+		d := k.rejectRequest(now, r, caller.ReasonTokenRequired, 0)
 		if t, ok := k.Mint(now, r.Service); ok {
 			d.NewToken = t
 		}
@@ -86,12 +86,12 @@
 	if err != nil {
 		return k.rejectRequest(now, r, caller.ReasonTokenInvalid, 0), true
 	}
-	if !k.tokenRecords.Owner(t) {
+	if !k.tokenRecords.Owns(t) {
 		return k.forwardToMinter(now, r, t, inflight.deadline), true
 	}
-	claim, result := k.tokenRecords.Use(t, r.Service, now)
-	reuse := k.config.Faults.TokenReuse && result.Outcome != caller.NotRun
-	if claim == caller.Settled && !reuse {
+	claim, result := k.tokenRecords.Claim(t, r.Service, now)
+	reuse := k.config.Faults.TokenReuse && result.Outcome != caller.OutcomeNotRun
+	if claim == caller.ClaimResolved && !reuse {
 		d := Decision{Step: StepFinish, ID: t.ID(), Result: result}
 		k.log(now, Event{Kind: EventFinished, Service: r.Service, Request: d.ID, Outcome: result.Outcome, Reason: result.Reason, Detail: "kept"})
 		return d, true
@@ -105,11 +105,11 @@
 // minter and its successors are gone, the outcome stays unknown for good, since the request may
 // have run before the minter stopped.
 func (k *Kernel) forwardToMinter(now time.Time, r Request, t *caller.Token, deadline time.Time) Decision {
-	owner, ok := k.members.Heir(t.Minter)
+	owner, ok := k.members.TokenOwner(t.Minter)
 	if !ok && now.Sub(k.startedAt) < startupPeriod {
-		return k.finishUnknown(now, r, t, caller.ReasonMinterSlow, forwardRetryAfter)
+		return k.finishUnknown(now, r, t, caller.ReasonMinterTimeout, forwardRetryAfter)
 	}
-	if ok && owner.State == peer.Suspect && k.isVMUnlisted(owner.Name) {
+	if ok && owner.State == peer.StateSuspect && k.isVMUnlisted(owner.Name) {
 		// The peer does not respond and the platform no longer lists its VM, so the outcome will
 		// never become known and the caller gets no retry time.
 		ok = false
@@ -129,7 +129,7 @@
 
 // finishUnknown ends a request with an unknown outcome.
 func (k *Kernel) finishUnknown(now time.Time, r Request, t *caller.Token, reason caller.Reason, retryAfter time.Duration) Decision {
-	result := caller.Result{Outcome: caller.Unknown, Reason: reason, RetryAfter: retryAfter}
+	result := caller.Result{Outcome: caller.OutcomeUnknown, Reason: reason, RetryAfter: retryAfter}
 	k.log(now, Event{Kind: EventFinished, Service: r.Service, Request: t.ID(), Outcome: result.Outcome, Reason: reason})
 	return Decision{Step: StepFinish, ID: t.ID(), Result: result}
 }
@@ -137,8 +137,8 @@
 // HandleForwardFailure returns the result for a request whose forward to the minter was not
 // answered.
 func (k *Kernel) HandleForwardFailure(now time.Time, service, id, minter string) caller.Result {
-	k.members.Failed(minter, now)
-	result := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonMinterSlow, RetryAfter: forwardRetryAfter}
+	k.members.RecordFailure(minter, now)
+	result := caller.Result{Outcome: caller.OutcomeUnknown, Reason: caller.ReasonMinterTimeout, RetryAfter: forwardRetryAfter}
 	k.log(now, Event{Kind: EventFinished, Service: service, Request: id, Target: minter, Outcome: result.Outcome, Reason: result.Reason})
 	return result
 }
@@ -169,7 +169,7 @@
 		return k.rejectAttempt(now, inflight, reason, retryAfter)
 	}
 	if k.inFlight >= k.config.MaxInFlight {
-		return k.rejectAttempt(now, inflight, caller.ReasonBusy, time.Second)
+		return k.rejectAttempt(now, inflight, caller.ReasonProxyBusy, time.Second)
 	}
 	regionIndex := k.regions[inflight.homeRegion].spreader.Next(k.regions[inflight.homeRegion].mover.Row())
 	if k.regions[regionIndex].lost {
@@ -179,14 +179,14 @@
 		return k.rejectAttempt(now, inflight, caller.ReasonNoServer, k.bundle.Shift.FailoverInterval.Std())
 	}
 	r := k.regions[regionIndex]
-	if !k.mayUseQuota(now) || !r.quota.Take(now) && !k.config.Faults.QuotaDisabled {
+	if !k.mayUseQuota(now) || !r.quota.TryAcquire(now) && !k.config.Faults.QuotaDisabled {
 		r.rejected.count++
-		return k.rejectAttempt(now, inflight, caller.ReasonCapacity, k.retryAfter(now, &r.quota))
+		return k.rejectAttempt(now, inflight, caller.ReasonRegionCapacity, k.retryAfter(now, &r.quota))
 	}
 	link := k.links[linkKey{k.regionIndex(k.config.Self.Region), regionIndex}]
-	if link != nil && !link.Take(now) {
+	if link != nil && !link.TryAcquire(now) {
 		r.quota.Undo()
-		return k.rejectAttempt(now, inflight, caller.ReasonLink, k.retryAfter(now, link))
+		return k.rejectAttempt(now, inflight, caller.ReasonLinkLimit, k.retryAfter(now, link))
 	}
 	server := inflight.service.picker.Pick(now, inflight.service.byRegion[regionIndex], avoid, k.serverLimit(now))
 	if server == nil {
@@ -211,7 +211,7 @@
 		if i == lostIndex || r.lost || k.bundle.Drained(operator.DrainRegion, r.Name, now) {
 			continue
 		}
-		if free := r.quota.Free(now); free > mostFree {
+		if free := r.quota.Available(now); free > mostFree {
 			best = i
 			mostFree = free
 		}
@@ -289,15 +289,15 @@
 	}
 	switch e.Result {
 	case backend.Answered:
-		return k.finish(now, inflight, caller.Result{Outcome: caller.Done, Answer: e.Answer})
+		return k.finish(now, inflight, caller.Result{Outcome: caller.OutcomeDone, Response: e.Answer})
 	case backend.Rejected:
-		return k.retryOrFinish(now, inflight, e.NoRetry, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonShed})
+		return k.retryOrFinish(now, inflight, e.NoRetry, caller.Result{Outcome: caller.OutcomeNotRun, Reason: caller.ReasonShed})
 	case backend.Unreachable:
-		return k.retryOrFinish(now, inflight, e.NoRetry, caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonNoServer})
+		return k.retryOrFinish(now, inflight, e.NoRetry, caller.Result{Outcome: caller.OutcomeNotRun, Reason: caller.ReasonNoServer})
 	case backend.Abandoned:
-		return k.finish(now, inflight, caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetryAfter})
+		return k.finish(now, inflight, caller.Result{Outcome: caller.OutcomeUnknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetryAfter})
 	}
-	interrupted := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonBroken, RetryAfter: forwardRetryAfter}
+	interrupted := caller.Result{Outcome: caller.OutcomeUnknown, Reason: caller.ReasonConnectionLost, RetryAfter: forwardRetryAfter}
 	if !inflight.idempotent || e.NoRetry {
 		// Bytes were sent and no complete answer was received, so the request may have run. A
 		// second dispatch could run it twice.
@@ -310,7 +310,7 @@
 // still running. The attempt of a non-idempotent request continues for up to AnswerGracePeriod, so
 // that its outcome can be recorded.
 func (k *Kernel) HandleDeadlineExceeded(now time.Time, a Attempt) caller.Result {
-	result := caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetryAfter}
+	result := caller.Result{Outcome: caller.OutcomeUnknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetryAfter}
 	if inflight := k.requests.Get(a.handle); inflight != nil && inflight.serial == a.serial {
 		k.log(now, Event{Kind: EventOverdue, Service: inflight.service.Name, Request: inflight.id, Target: inflight.server.Name})
 	}
@@ -322,15 +322,15 @@
 // result.
 func (k *Kernel) retryOrFinish(now time.Time, inflight inFlightRequest, noRetry bool, result caller.Result) Decision {
 	if noRetry || inflight.attempts >= k.bundle.Retry.Attempts || !now.Before(inflight.deadline) || !inflight.service.retryBudget.TryWithdraw() {
-		if result.Outcome == caller.NotRun {
+		if result.Outcome == caller.OutcomeNotRun {
 			result.RetryAfter = k.jitter(time.Second)
 		}
 		return k.finish(now, inflight, result)
 	}
 	d := k.dispatch(now, inflight, inflight.server)
-	if d.Step == StepFinish && result.Outcome == caller.Unknown {
+	if d.Step == StepFinish && result.Outcome == caller.OutcomeUnknown {
 		// The retry was not dispatched, but the previous attempt may have run.
-		d.Result.Outcome = caller.Unknown
+		d.Result.Outcome = caller.OutcomeUnknown
 	}
 	return d
 }
@@ -338,7 +338,7 @@
 // finish completes a request that was dispatched at least once.
 func (k *Kernel) finish(now time.Time, inflight inFlightRequest, result caller.Result) Decision {
 	if inflight.token != nil {
-		if result.Outcome == caller.NotRun {
+		if result.Outcome == caller.OutcomeNotRun {
 			k.tokenRecords.Release(inflight.token.Nonce)
 		} else if err := k.tokenRecords.Finish(inflight.token.Nonce, result); err != nil && !k.config.Faults.TokenReuse {
 			k.invariantViolated(err.Error() + " " + inflight.id)
@@ -354,14 +354,14 @@
 	if inflight.token != nil {
 		k.tokenRecords.Release(inflight.token.Nonce)
 	}
-	result := caller.Result{Outcome: caller.NotRun, Reason: reason, RetryAfter: k.jitter(retryAfter)}
+	result := caller.Result{Outcome: caller.OutcomeNotRun, Reason: reason, RetryAfter: k.jitter(retryAfter)}
 	k.log(now, Event{Kind: EventRefused, Service: inflight.service.Name, Request: inflight.id, Outcome: result.Outcome, Reason: result.Reason})
 	return Decision{Step: StepFinish, ID: inflight.id, Idempotent: inflight.idempotent, Result: result}
 }
 
 // rejectRequest rejects a request before its first attempt.
 func (k *Kernel) rejectRequest(now time.Time, r Request, reason caller.Reason, retryAfter time.Duration) Decision {
-	result := caller.Result{Outcome: caller.NotRun, Reason: reason, RetryAfter: retryAfter}
+	result := caller.Result{Outcome: caller.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter}
 	k.log(now, Event{Kind: EventRefused, Service: r.Service, Outcome: result.Outcome, Reason: result.Reason})
 	return Decision{Step: StepFinish, Result: result}
 }
--- a/internal/kernel/core/route.go
+++ b/internal/kernel/core/route.go
@@ -66,8 +66,8 @@
 	targets := k.planner.Target(k.plannerInput(now))
 	planned, failover := k.shiftPaces()
 	if k.config.Faults.ShiftUncapped {
-		planned.Cap = region.Full
-		failover.Cap = region.Full
+		planned.Cap = region.FullShare
+		failover.Cap = region.FullShare
 	}
 	for i, r := range k.regions {
 		if n := r.mover.Advance(now, targets[i], lost, planned, failover); n > 0 {
@@ -77,22 +77,22 @@
 }
 
 // shiftPaces returns the bundle's limits on planned shifts and on failover.
-func (k *Kernel) shiftPaces() (planned, failover region.Pace) {
+func (k *Kernel) shiftPaces() (planned, failover region.ShiftLimit) {
 	s := k.bundle.Shift
-	return region.Pace{Cap: s.CapPermille, Interval: s.Interval.Std()},
-		region.Pace{Cap: s.FailoverCapPermille, Interval: s.FailoverInterval.Std()}
+	return region.ShiftLimit{Cap: s.CapPermille, Interval: s.Interval.Std()},
+		region.ShiftLimit{Cap: s.FailoverCapPermille, Interval: s.FailoverInterval.Std()}
 }
 
-func (k *Kernel) plannerInput(now time.Time) region.Input {
+func (k *Kernel) plannerInput(now time.Time) region.PlannerInput {
 	n := len(k.regions)
-	in := region.Input{
+	in := region.PlannerInput{
 		Preferred: preferredRows(k.bundle),
 		Current:   make([]region.Row, n),
 		Usable:    make([]bool, n),
 		Demand:    make([]float64, n),
 		Capacity:  make([]int, n),
 		Quota:     make([]int, n),
-		Refused:   make([]float64, n),
+		Rejected:  make([]float64, n),
 	}
 	for i, r := range k.regions {
 		in.Current[i] = r.mover.Row()
@@ -103,7 +103,7 @@
 		if now.Sub(k.startedAt) > startupPeriod {
 			// Shortly after the start, quota has not arrived yet and rejections do not indicate a
 			// shortage.
-			in.Refused[i] = r.rejected.rate
+			in.Rejected[i] = r.rejected.rate
 		}
 	}
 	return in
@@ -114,7 +114,7 @@
 	rows := make([]region.Row, len(b.Regions))
 	index := make(map[string]int)
 	for i, r := range b.Regions {
-		rows[i] = region.Unit(len(b.Regions), i)
+		rows[i] = region.SingleRegionRow(len(b.Regions), i)
 		index[r.Name] = i
 	}
 	for _, s := range b.Steering {
@@ -212,8 +212,8 @@
 // excess.
 func (k *Kernel) retryAfter(now time.Time, q *peer.Quota) time.Duration {
 	limit := max(1, q.Limit(now))
-	windows := 1 + q.RefusedRecently(now)/limit
-	return min(time.Duration(windows)*peer.WindowSpan, maxRetryAfter)
+	windows := 1 + q.RecentRejections(now)/limit
+	return min(time.Duration(windows)*peer.WindowLength, maxRetryAfter)
 }
 
 // jitter returns a random duration between d and 2*d, so that callers rejected together do not
@@ -241,14 +241,14 @@
 	if k.bundle == nil || m.Versions.Bundle != k.bundle.Version || len(m.Rows) != len(k.regions) {
 		return
 	}
-	if k.members.Self().State != peer.Joining {
+	if k.members.Self().State != peer.StateJoining {
 		return
 	}
 	for i, row := range m.Rows {
-		if len(row) != len(k.regions) || region.Row(row).Sum() != region.Full {
+		if len(row) != len(k.regions) || region.Row(row).Sum() != region.FullShare {
 			return
 		}
-		k.regions[i].mover = region.NewMover(row)
+		k.regions[i].mover = region.NewShifter(row)
 	}
 	k.rowsAdopted = true
 }
--- a/internal/kernel/core/stop.go
+++ b/internal/kernel/core/stop.go
@@ -22,7 +22,7 @@
 	}
 	k.stopping = true
 	k.stopStartedAt = now
-	k.members.UpdateSelf(now, func(m *peer.Member) { m.State = peer.Leaving })
+	k.members.UpdateSelf(now, func(m *peer.Member) { m.State = peer.StateLeaving })
 	k.log(now, Event{Kind: EventStopping})
 	k.scheduleGossip(now)
 }
@@ -65,7 +65,7 @@
 // FinishHandover records which peer holds the token records now and leaves the membership.
 func (k *Kernel) FinishHandover(now time.Time, successor string) []Action {
 	k.members.UpdateSelf(now, func(m *peer.Member) {
-		m.State = peer.Gone
+		m.State = peer.StateGone
 		m.Successor = successor
 	})
 	k.log(now, Event{Kind: EventHandover, Target: successor})
--- a/internal/kernel/peer/clock.go
+++ b/internal/kernel/peer/clock.go
@@ -48,8 +48,8 @@
 	return c.last
 }
 
-// Hear takes in a stamp that came with a message.
-func (c *Clock) Hear(s Stamp) {
+// Observe takes in a stamp that came with a message.
+func (c *Clock) Observe(s Stamp) {
 	if c.last.Less(s) {
 		c.last = s
 	}
--- a/internal/kernel/peer/member.go
+++ b/internal/kernel/peer/member.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// Live proxies take requests.
-	Live State = iota + 1
-	// Leaving proxies finish what they have and are left out of look-ups.
-	Leaving
-	// Gone proxies have stopped as planned; Successor holds their records.
-	Gone
-	// Suspect proxies did not answer; they may refute it.
-	Suspect
-	// Joining proxies have no quota of their own yet. Callers sent there would
+	// StateLive proxies take requests.
+	StateLive MemberState = iota + 1
+	// StateLeaving proxies finish what they have and are left out of look-ups.
+	StateLeaving
+	// StateGone proxies have stopped as planned; Successor holds their records.
+	StateGone
+	// StateSuspect proxies did not answer; they may refute it.
+	StateSuspect
+	// StateJoining proxies have no quota of their own yet. Callers sent there would
 	// only be refused, so look-ups do not name them.
-	Joining
+	StateJoining
 )
 
 const (
@@ -39,30 +39,30 @@
 )
 
 var (
-	stateNames = map[State]string{Live: "live", Leaving: "leaving", Gone: "gone", Suspect: "suspect", Joining: "joining"}
+	stateNames = map[MemberState]string{StateLive: "live", StateLeaving: "leaving", StateGone: "gone", StateSuspect: "suspect", StateJoining: "joining"}
 )
 
 type (
-	// State is where a proxy is in its life.
-	State uint8
+	// MemberState is where a proxy is in its life.
+	MemberState uint8
 
 	// Member is one proxy's record. Only its own process raises Sequence,
 	// except that a suspicion copies it; the higher sequence wins.
 	Member struct {
-		Name        string         `json:"name"`
-		Address     netip.AddrPort `json:"address"`
-		PeerAddress netip.AddrPort `json:"peer-address"`
-		Operators   netip.AddrPort `json:"operator-address"`
-		Region      string         `json:"region"`
-		Domain      string         `json:"failure-domain"`
-		Incarnation uint64         `json:"incarnation"`
-		Sequence    uint64         `json:"sequence"`
-		State       State          `json:"state"`
-		Successor   string         `json:"successor,omitempty"`
-		// Figures is the bundle whose capacities this proxy goes by. It changes
+		Name            string         `json:"name"`
+		Address         netip.AddrPort `json:"address"`
+		PeerAddress     netip.AddrPort `json:"peer-address"`
+		OperatorAddress netip.AddrPort `json:"operator-address"`
+		Region          string         `json:"region"`
+		Domain          string         `json:"failure-domain"`
+		Incarnation     uint64         `json:"incarnation"`
+		Sequence        uint64         `json:"sequence"`
+		State           MemberState    `json:"state"`
+		Successor       string         `json:"successor,omitempty"`
+		// CapacityBundle is the bundle whose capacities this proxy goes by. It changes
 		// with those only: a record that changed with every bundle would cost
 		// each proxy a message for each other one, each time.
-		Figures uint64 `json:"capacity-bundle"`
+		CapacityBundle uint64 `json:"capacity-bundle"`
 	}
 
 	known struct {
@@ -90,13 +90,13 @@
 )
 
 // String is the state's name.
-func (s State) String() string { return stateNames[s] }
+func (s MemberState) String() string { return stateNames[s] }
 
 // MarshalText writes the state's name.
-func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+func (s MemberState) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // UnmarshalText reads the state's name.
-func (s *State) UnmarshalText(text []byte) error {
+func (s *MemberState) UnmarshalText(text []byte) error {
 	for state, name := range stateNames {
 		if name == string(text) {
 			*s = state
@@ -119,7 +119,7 @@
 	if m.Sequence != old.Sequence {
 		return m.Sequence > old.Sequence
 	}
-	return m.State == Suspect && old.State != Suspect && old.State != Gone
+	return m.State == StateSuspect && old.State != StateSuspect && old.State != StateGone
 }
 
 // NewMembers starts a view that knows only its own process.
@@ -129,7 +129,7 @@
 		all:      make(map[string]*known),
 		departed: make(map[caller.Minter]departure),
 	}
-	m.Hear(self, now)
+	m.Merge(self, now)
 	return m
 }
 
@@ -144,19 +144,19 @@
 	m.put(own, now)
 }
 
-// Hear takes in a record and reports whether it was news. A suspicion about
+// Merge takes in a record and reports whether it was news. A suspicion about
 // the own process is refuted at once by a higher sequence.
-func (m *Members) Hear(news Member, now time.Time) bool {
+func (m *Members) Merge(news Member, now time.Time) bool {
 	old := m.all[news.Name]
 	if news.Name == m.self && old != nil {
-		if news.Incarnation == old.Incarnation && news.State == Suspect && old.Sequence <= news.Sequence {
+		if news.Incarnation == old.Incarnation && news.State == StateSuspect && old.Sequence <= news.Sequence {
 			m.all[m.self].Sequence = news.Sequence
 			m.UpdateSelf(now, func(*Member) {})
 			return true
 		}
 		return false
 	}
-	if news.State == Gone && news.Successor != "" {
+	if news.State == StateGone && news.Successor != "" {
 		m.departed[news.Minter()] = departure{successor: news.Successor, at: now}
 	}
 	if old != nil && !news.supersedes(&old.Member) {
@@ -176,7 +176,7 @@
 	} else {
 		m.digest ^= old.hash()
 	}
-	if old.Incarnation != news.Incarnation || news.State != Suspect {
+	if old.Incarnation != news.Incarnation || news.State != StateSuspect {
 		old.failures = 0
 	}
 	old.Member = news
@@ -188,8 +188,8 @@
 // Len counts the records.
 func (m *Members) Len() int { return len(m.all) }
 
-// Changed is when a record last changed.
-func (m *Members) Changed() time.Time { return m.changed }
+// LastChanged is when a record last changed.
+func (m *Members) LastChanged() time.Time { return m.changed }
 
 // Digest sums the view up, so that two proxies see whether theirs are alike
 // without sending them.
@@ -224,9 +224,9 @@
 	return list
 }
 
-// Newest lists up to limit records that changed last, and not before since.
+// RecentlyChanged lists up to limit records that changed last, and not before since.
 // An exchange carries only these; a differing digest asks for the rest.
-func (m *Members) Newest(limit int, since time.Time) []Member {
+func (m *Members) RecentlyChanged(limit int, since time.Time) []Member {
 	if m.changed.Before(since) {
 		return nil
 	}
@@ -244,25 +244,25 @@
 	return newest
 }
 
-// Failed counts an exchange that got no answer, and reports whether the
+// RecordFailure counts an exchange that got no answer, and reports whether the
 // member has just become suspect.
-func (m *Members) Failed(name string, now time.Time) bool {
+func (m *Members) RecordFailure(name string, now time.Time) bool {
 	k := m.all[name]
 	if k == nil || name == m.self {
 		return false
 	}
 	k.failures++
-	if k.failures < suspectAfter || k.State == Suspect || k.State == Gone {
+	if k.failures < suspectAfter || k.State == StateSuspect || k.State == StateGone {
 		return false
 	}
 	news := k.Member
-	news.State = Suspect
+	news.State = StateSuspect
 	m.put(news, now)
 	return true
 }
 
-// Answered notes that a member is reachable from here.
-func (m *Members) Answered(name string) {
+// RecordSuccess notes that a member is reachable from here.
+func (m *Members) RecordSuccess(name string) {
 	if k := m.all[name]; k != nil {
 		k.failures = 0
 	}
@@ -275,9 +275,9 @@
 	for _, name := range m.order {
 		k := m.all[name]
 		switch {
-		case k.State == Live:
+		case k.State == StateLive:
 			list = append(list, k.Member)
-		case k.State == Suspect && name == m.self:
+		case k.State == StateSuspect && name == m.self:
 			list = append(list, k.Member)
 		}
 	}
@@ -291,8 +291,8 @@
 	for _, name := range m.order {
 		k := m.all[name]
 		switch {
-		case name == m.self || k.State == Gone:
-		case k.State == Suspect && now.Sub(k.changed) > suspectHold:
+		case name == m.self || k.State == StateGone:
+		case k.State == StateSuspect && now.Sub(k.changed) > suspectHold:
 			suspects = append(suspects, k.Member)
 		default:
 			list = append(list, k.Member)
@@ -304,11 +304,11 @@
 	return list
 }
 
-// Heir finds who decides over a minter's tokens now: the minter itself while
+// TokenOwner finds who decides over a minter's tokens now: the minter itself while
 // its incarnation is a member, or whoever took its records over.
-func (m *Members) Heir(minter caller.Minter) (Member, bool) {
+func (m *Members) TokenOwner(minter caller.Minter) (Member, bool) {
 	for range len(m.all) + 1 {
-		if k := m.all[minter.Name]; k != nil && k.Incarnation == minter.Incarnation && k.State != Gone {
+		if k := m.all[minter.Name]; k != nil && k.Incarnation == minter.Incarnation && k.State != StateGone {
 			return k.Member, true
 		}
 		left, ok := m.departed[minter]
@@ -319,7 +319,7 @@
 		if next == nil {
 			return Member{}, false
 		}
-		if next.State != Gone {
+		if next.State != StateGone {
 			return next.Member, true
 		}
 		minter = next.Minter()
@@ -327,9 +327,9 @@
 	return Member{}, false
 }
 
-// Forget drops records that nobody has renewed for long, and incarnations that
+// Expire drops records that nobody has renewed for long, and incarnations that
 // left so long ago that none of their tokens can still be asked for.
-func (m *Members) Forget(now time.Time) {
+func (m *Members) Expire(now time.Time) {
 	for minter, left := range m.departed {
 		if now.Sub(left.at) >= forgetAfter {
 			delete(m.departed, minter)
@@ -337,7 +337,7 @@
 	}
 	for _, name := range slices.Clone(m.order) {
 		k := m.all[name]
-		if name == m.self || now.Sub(k.changed) < forgetAfter || k.State == Live {
+		if name == m.self || now.Sub(k.changed) < forgetAfter || k.State == StateLive {
 			continue
 		}
 		m.digest ^= k.hash()
@@ -346,9 +346,9 @@
 	}
 }
 
-// Rendezvous ranks candidates by highest hash with a key, so that the loss of
+// RendezvousRank ranks candidates by highest hash with a key, so that the loss of
 // one moves only what was on it.
-func Rendezvous(key string, names []string) []string {
+func RendezvousRank(key string, names []string) []string {
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b string) int {
 		ha := xxhash.Sum64String(key + "/" + a)
--- a/internal/kernel/peer/message.go
+++ b/internal/kernel/peer/message.go
@@ -17,8 +17,8 @@
 		Machines   uint64 `json:"machines"`
 		Members    uint64 `json:"members"`
 		Prefixes   uint64 `json:"prefixes"`
-		// Known is how many members the sender knows.
-		Known int `json:"known"`
+		// MemberCount is how many members the sender knows.
+		MemberCount int `json:"known"`
 	}
 
 	// Exchange is the periodic message between two proxies and its reply.
@@ -34,10 +34,10 @@
 		// Rows tell a newcomer how the sender spreads traffic now, by home
 		// region, in thousandths in the order of the sender's bundle.
 		Rows [][]int
-		// Suspicions are works that were there at the ends of backend servers.
-		Suspicions []quarantine.Report
-		// Signals are what backend servers ask of all proxies.
-		Signals []backpressure.Report
+		// QuarantineReports are works that were there at the ends of backend servers.
+		QuarantineReports []quarantine.Report
+		// BackpressureReports are what backend servers ask of all proxies.
+		BackpressureReports []backpressure.Report
 	}
 
 	// BorrowRequest asks for quota of one resource. With a loan's number it
@@ -50,7 +50,7 @@
 		Renew    LoanID
 	}
 
-	// BorrowReply grants quota for LoanLife, counted from before the request.
+	// BorrowReply grants quota for LoanTTL, counted from before the request.
 	BorrowReply struct {
 		Stamp  Stamp
 		Loan   LoanID
--- a/internal/kernel/peer/quota.go
+++ b/internal/kernel/peer/quota.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// LoanLife is how long a loan of quota lasts for its borrower, counted
+	// LoanTTL is how long a loan of quota lasts for its borrower, counted
 	// from before it asked.
-	LoanLife = 2 * time.Second
+	LoanTTL = 2 * time.Second
 	// releaseGuard is how long a lender waits before it uses quota again that
 	// the borrower has given back: the borrower's last admissions still count.
-	releaseGuard = WindowSpan + WindowSpan/10
+	releaseGuard = WindowLength + WindowLength/10
 	// maxTurned bounds the refusals counted.
 	maxTurned = 4096
 	// renewBefore its end a borrower asks to keep a loan up. Renewed loans
@@ -54,35 +54,35 @@
 	// before the lender counts it as its own again, and a lost grant wastes
 	// quota until its end but never doubles it.
 	Quota struct {
-		Window
+		SlidingWindow
 		base     int
 		pending  int
 		raiseAt  time.Time
 		lastLoan LoanID
 		lent     []loan
 		borrowed []loan
-		turned   Window
+		turned   SlidingWindow
 		need     float64
 		guard    time.Duration
 	}
 )
 
-// SetDeadline tells the longest deadline that a request may carry. A VM that
+// SetMaxDeadline tells the longest deadline that a request may carry. A VM that
 // was paused with its clock stopped believes that its loans still last. What
 // it then dispatches carries deadlines that lie behind by the pause, and
 // backend servers refuse it once they have passed. A lender that waits for the
 // longest deadline beyond a loan's end is thus safe from pauses of any length.
-func (q *Quota) SetDeadline(longest time.Duration) {
-	q.guard = WindowSpan + LoanLife/10 + longest
+func (q *Quota) SetMaxDeadline(longest time.Duration) {
+	q.guard = WindowLength + LoanTTL/10 + longest
 }
 
-// TakeoverPause is how long a raised share waits before use. Whoever held the
+// RaiseDelay is how long a raised share waits before use. Whoever held the
 // difference may have lent it just before, and its borrower uses the loan to
 // its end.
-func (q *Quota) TakeoverPause() time.Duration { return LoanLife + q.guard }
+func (q *Quota) RaiseDelay() time.Duration { return LoanTTL + q.guard }
 
 // SetBase sets the own share. A lower one holds at once. A higher one waits
-// for TakeoverPause, unless whoever held the difference is known to have
+// for RaiseDelay, unless whoever held the difference is known to have
 // stopped using and lending it.
 func (q *Quota) SetBase(base int, clean bool, now time.Time) {
 	if clean && q.raiseAt.IsZero() {
@@ -100,7 +100,7 @@
 		return
 	}
 	q.pending = base
-	q.raiseAt = now.Add(q.TakeoverPause())
+	q.raiseAt = now.Add(q.RaiseDelay())
 }
 
 // Base is the own share in force.
@@ -131,8 +131,8 @@
 	return total
 }
 
-// Take admits one request or notes that quota was short.
-func (q *Quota) Take(now time.Time) bool {
+// TryAcquire admits one request or notes that quota was short.
+func (q *Quota) TryAcquire(now time.Time) bool {
 	if q.Admit(now, q.Limit(now)) {
 		return true
 	}
@@ -140,15 +140,15 @@
 	return false
 }
 
-// RefusedRecently counts refusals within the last window, up to a bound that
+// RecentRejections counts refusals within the last window, up to a bound that
 // keeps the count's memory small.
-func (q *Quota) RefusedRecently(now time.Time) int { return q.turned.Used(now) }
+func (q *Quota) RecentRejections(now time.Time) int { return q.turned.Used(now) }
 
-// Sample takes the traffic of the last second into the estimated need, once a
+// UpdateDemand takes the traffic of the last second into the estimated need, once a
 // tick. The estimate rises at once and falls slowly, so that a short lull does
 // not give back what the next moment needs.
-func (q *Quota) Sample(now time.Time) {
-	wanted := float64(q.Used(now) + q.RefusedRecently(now))
+func (q *Quota) UpdateDemand(now time.Time) {
+	wanted := float64(q.Used(now) + q.RecentRejections(now))
 	if wanted > q.need {
 		q.need = wanted
 		return
@@ -156,17 +156,17 @@
 	q.need += needFall * (wanted - q.need)
 }
 
-// Need is how much quota the own traffic wants, with room for the unevenness
+// Demand is how much quota the own traffic wants, with room for the unevenness
 // of arrivals, whose spread within a window is about the root of their number.
-func (q *Quota) Need() int {
+func (q *Quota) Demand() int {
 	if q.need < 1 {
 		return 0
 	}
 	return int(q.need+needRoots*math.Sqrt(q.need)) + 1
 }
 
-// Free is what is left in the current window.
-func (q *Quota) Free(now time.Time) int {
+// Available is what is left in the current window.
+func (q *Quota) Available(now time.Time) int {
 	return max(0, q.Limit(now)-q.Used(now))
 }
 
@@ -176,13 +176,13 @@
 // Borrowed quota is never lent on: its end would have to be passed on too.
 func (q *Quota) Lend(to string, want int, now time.Time) (LoanID, int) {
 	own := q.Base(now) - sum(&q.lent, now)
-	spare := own - max(q.Used(now), q.Need())
+	spare := own - max(q.Used(now), q.Demand())
 	amount := min(want, spare)
 	if amount <= 0 {
 		return 0, 0
 	}
 	q.lastLoan++
-	q.lent = append(q.lent, loan{id: q.lastLoan, peer: to, amount: amount, until: now.Add(LoanLife + q.guard)})
+	q.lent = append(q.lent, loan{id: q.lastLoan, peer: to, amount: amount, until: now.Add(LoanTTL + q.guard)})
 	return q.lastLoan, amount
 }
 
@@ -209,7 +209,7 @@
 		}
 		l.amount = keep
 		if keep > 0 {
-			l.until = now.Add(LoanLife + q.guard)
+			l.until = now.Add(LoanTTL + q.guard)
 		}
 		if rest.amount > 0 {
 			q.lent = append(q.lent, rest)
@@ -219,23 +219,23 @@
 	return 0
 }
 
-// Borrow adds a loan that was asked for at the given time. Counting from the
+// AddBorrowed adds a loan that was asked for at the given time. Counting from the
 // asking keeps the borrower's end before the lender's however long the
 // message took.
-func (q *Quota) Borrow(lender string, id LoanID, amount int, asked, now time.Time) {
-	until := asked.Add(LoanLife)
+func (q *Quota) AddBorrowed(lender string, id LoanID, amount int, asked, now time.Time) {
+	until := asked.Add(LoanTTL)
 	if amount <= 0 || !now.Before(until) {
 		return
 	}
 	q.borrowed = append(q.borrowed, loan{id: id, peer: lender, amount: amount, until: until})
 }
 
-// Renewals lists loans that end soon, each with how much of it is still
+// TakeRenewals lists loans that end soon, each with how much of it is still
 // needed. What is no longer needed stops counting here at once, before the
 // lender hears of it.
-func (q *Quota) Renewals(now time.Time) []Renewal {
+func (q *Quota) TakeRenewals(now time.Time) []Renewal {
 	var list []Renewal
-	surplus := q.Limit(now) - q.Need()
+	surplus := q.Limit(now) - q.Demand()
 	for i := range q.borrowed {
 		l := &q.borrowed[i]
 		if l.asked || l.until.Sub(now) > renewBefore {
@@ -254,16 +254,16 @@
 // keep less than it has lent, and could not make up for the difference.
 func (q *Quota) DropBorrowed() { q.borrowed = nil }
 
-// Renewed takes in the lender's answer. A refused or lost one lets the loan
+// HandleRenewalReply takes in the lender's answer. A refused or lost one lets the loan
 // run out at its old end.
-func (q *Quota) Renewed(lender string, id LoanID, kept int, asked time.Time) {
+func (q *Quota) HandleRenewalReply(lender string, id LoanID, kept int, asked time.Time) {
 	for i := range q.borrowed {
 		l := &q.borrowed[i]
 		if l.id != id || l.peer != lender {
 			continue
 		}
 		if kept >= l.amount && l.amount > 0 {
-			l.until = asked.Add(LoanLife)
+			l.until = asked.Add(LoanTTL)
 			l.asked = false
 		}
 		return
--- a/internal/kernel/peer/quota_test.go
+++ b/internal/kernel/peer/quota_test.go
@@ -26,10 +26,10 @@
 		now := time.Unix(1_000_000, 0)
 		quotas := [2]*Quota{{}, {}}
 		for _, q := range quotas {
-			q.SetDeadline(testDeadline)
+			q.SetMaxDeadline(testDeadline)
 			q.SetBase(capacity/2, true, now)
 		}
-		var all Window
+		var all SlidingWindow
 		var wire []pending
 		send := func(f func()) {
 			if rapid.IntRange(0, 5).Draw(t, "lost") == 0 {
@@ -55,22 +55,22 @@
 			own, other := quotas[who], quotas[1-who]
 			name, otherName := "01"[who:who+1], "01"[1-who:2-who]
 			for range rapid.IntRange(0, 30).Draw(t, "requests") {
-				if own.Take(now) && !all.Admit(now, capacity) {
+				if own.TryAcquire(now) && !all.Admit(now, capacity) {
 					t.Fatalf("got more than %d admissions within a second, want none", capacity)
 				}
 			}
-			own.Sample(now)
+			own.UpdateDemand(now)
 			asked := now
-			for _, r := range own.Renewals(now) {
+			for _, r := range own.TakeRenewals(now) {
 				send(func() {
 					kept := other.Renew(name, r.ID, r.Keep, now)
-					send(func() { own.Renewed(otherName, r.ID, kept, asked) })
+					send(func() { own.HandleRenewalReply(otherName, r.ID, kept, asked) })
 				})
 			}
 			if rapid.Bool().Draw(t, "borrow") {
 				send(func() {
 					id, amount := other.Lend(name, 10, now)
-					send(func() { own.Borrow(otherName, id, amount, asked, now) })
+					send(func() { own.AddBorrowed(otherName, id, amount, asked, now) })
 				})
 			}
 		}
@@ -81,7 +81,7 @@
 // the begin of the next must not both pass, as they would with a counter that
 // is reset each second.
 func TestWindowIsSliding(t *testing.T) {
-	var w Window
+	var w SlidingWindow
 	now := time.Unix(100, 0)
 	for i := range 10 {
 		if got, want := w.Admit(now.Add(900*time.Millisecond), 10), true; got != want {
--- a/internal/kernel/peer/window.go
+++ b/internal/kernel/peer/window.go
@@ -5,17 +5,17 @@
 )
 
 const (
-	// WindowSpan is the length of the sliding window that quotas count in.
-	WindowSpan = time.Second
+	// WindowLength is the length of the sliding window that quotas count in.
+	WindowLength = time.Second
 	// minRing is the smallest ring of admission times.
 	minRing = 16
 )
 
 type (
-	// Window counts admissions in a sliding window of one second. It keeps
+	// SlidingWindow counts admissions in a sliding window of one second. It keeps
 	// the time of each, because a bucket that refills steadily would let
 	// nearly twice its rate through within some one-second windows.
-	Window struct {
+	SlidingWindow struct {
 		times []time.Time
 		head  int
 		count int
@@ -23,13 +23,13 @@
 )
 
 // Used is the number of admissions within the window that ends at now.
-func (w *Window) Used(now time.Time) int {
+func (w *SlidingWindow) Used(now time.Time) int {
 	w.trim(now)
 	return w.count
 }
 
 // Admit counts one admission unless the limit is reached.
-func (w *Window) Admit(now time.Time, limit int) bool {
+func (w *SlidingWindow) Admit(now time.Time, limit int) bool {
 	if w.Used(now) >= limit {
 		return false
 	}
@@ -39,20 +39,20 @@
 
 // Undo takes back the newest admission, for a request that another limit
 // turned away.
-func (w *Window) Undo() {
+func (w *SlidingWindow) Undo() {
 	if w.count > 0 {
 		w.count--
 	}
 }
 
-func (w *Window) trim(now time.Time) {
-	for w.count > 0 && now.Sub(w.times[w.head]) >= WindowSpan {
+func (w *SlidingWindow) trim(now time.Time) {
+	for w.count > 0 && now.Sub(w.times[w.head]) >= WindowLength {
 		w.head = (w.head + 1) % len(w.times)
 		w.count--
 	}
 }
 
-func (w *Window) push(now time.Time) {
+func (w *SlidingWindow) push(now time.Time) {
 	if w.count == len(w.times) {
 		w.grow()
 	}
@@ -60,7 +60,7 @@
 	w.count++
 }
 
-func (w *Window) grow() {
+func (w *SlidingWindow) grow() {
 	bigger := make([]time.Time, max(minRing, 2*len(w.times)))
 	for i := range w.count {
 		bigger[i] = w.times[(w.head+i)%len(w.times)]
--- a/internal/kernel/region/mover.go
+++ b/internal/kernel/region/mover.go
@@ -6,8 +6,8 @@
 )
 
 type (
-	// Pace is one limit on shifts: at most Cap thousandths within Interval.
-	Pace struct {
+	// ShiftLimit is one limit on shifts: at most Cap thousandths within Interval.
+	ShiftLimit struct {
 		Cap      int
 		Interval time.Duration
 	}
@@ -17,7 +17,7 @@
 		amount int
 	}
 
-	// Mover brings one home region's row towards its target and never moves
+	// Shifter brings one home region's row towards its target and never moves
 	// more than the pace allows within any window of the interval. Each proxy
 	// limits its own row, and the traffic of all is the weighted mean of the
 	// proxies' rows; so the sum keeps the cap too, without a coordinator that
@@ -25,29 +25,29 @@
 	//
 	// Shares that leave a lost region count against the failover pace, all
 	// others against the planned one.
-	Mover struct {
+	Shifter struct {
 		row      Row
 		planned  []move
 		failover []move
 	}
 )
 
-// NewMover starts from a row.
-func NewMover(start Row) *Mover {
-	return &Mover{row: slices.Clone(start)}
+// NewShifter starts from a row.
+func NewShifter(start Row) *Shifter {
+	return &Shifter{row: slices.Clone(start)}
 }
 
 // Row is the row in force. The caller must not change it.
-func (m *Mover) Row() Row { return m.row }
+func (m *Shifter) Row() Row { return m.row }
 
-// Moved is how much has moved within the pace's interval, by kind.
-func (m *Mover) Moved(now time.Time, planned, failover Pace) (int, int) {
+// RecentShifts is how much has moved within the pace's interval, by kind.
+func (m *Shifter) RecentShifts(now time.Time, planned, failover ShiftLimit) (int, int) {
 	return spent(&m.planned, now, planned.Interval), spent(&m.failover, now, failover.Interval)
 }
 
 // Advance moves the row towards the target as far as the paces allow and
 // returns by how much, in thousandths.
-func (m *Mover) Advance(now time.Time, target Row, lost []bool, planned, failover Pace) int {
+func (m *Shifter) Advance(now time.Time, target Row, lost []bool, planned, failover ShiftLimit) int {
 	total := 0
 	budget := failover.Cap - spent(&m.failover, now, failover.Interval)
 	if n := m.shift(target, budget, func(i int) bool { return lost[i] }); n > 0 {
@@ -75,7 +75,7 @@
 // shift moves up to budget from regions that have too much, and that from
 // selects, to those that have too little, the neediest first. Filling one after
 // the other would send a lost region's traffic to a single one of the rest.
-func (m *Mover) shift(target Row, budget int, from func(int) bool) int {
+func (m *Shifter) shift(target Row, budget int, from func(int) bool) int {
 	moved := 0
 	for i := range m.row {
 		if !from(i) {
@@ -95,7 +95,7 @@
 }
 
 // neediest is the region furthest below its target, or -1.
-func (m *Mover) neediest(target Row) int {
+func (m *Shifter) neediest(target Row) int {
 	best, most := -1, 0
 	for i := range m.row {
 		if need := target[i] - m.row[i]; need > most {
--- a/internal/kernel/region/mover_test.go
+++ b/internal/kernel/region/mover_test.go
@@ -28,9 +28,9 @@
 func TestMoverKeepsItsPace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := rapid.IntRange(2, 5).Draw(t, "regions")
-		planned := Pace{Cap: rapid.IntRange(1, 300).Draw(t, "cap"), Interval: 10 * time.Second}
-		failover := Pace{Cap: rapid.IntRange(1, 300).Draw(t, "failover cap"), Interval: time.Second}
-		m := NewMover(Unit(regions, 0))
+		planned := ShiftLimit{Cap: rapid.IntRange(1, 300).Draw(t, "cap"), Interval: 10 * time.Second}
+		failover := ShiftLimit{Cap: rapid.IntRange(1, 300).Draw(t, "failover cap"), Interval: time.Second}
+		m := NewShifter(SingleRegionRow(regions, 0))
 		now := time.Unix(1_000_000, 0)
 		var moves []logged
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
@@ -38,10 +38,10 @@
 			lost := make([]bool, regions)
 			lost[rapid.IntRange(0, regions-1).Draw(t, "lost")] = rapid.Bool().Draw(t, "is lost")
 			before := append(Row(nil), m.Row()...)
-			target := Unit(regions, rapid.IntRange(0, regions-1).Draw(t, "target"))
+			target := SingleRegionRow(regions, rapid.IntRange(0, regions-1).Draw(t, "target"))
 			m.Advance(now, target, lost, planned, failover)
-			if got := m.Row().Sum(); got != Full {
-				t.Fatalf("got a row that sums to %d, want %d", got, Full)
+			if got := m.Row().Sum(); got != FullShare {
+				t.Fatalf("got a row that sums to %d, want %d", got, FullShare)
 			}
 			moves = append(moves, logged{now, before.Distance(m.Row())})
 			within := 0
@@ -61,15 +61,15 @@
 // one request a region; chance would exceed a cap now and then.
 func TestSpreaderIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := rapid.IntRange(0, Full).Draw(t, "first")
-		b := rapid.IntRange(0, Full-a).Draw(t, "second")
-		row := Row{a, b, Full - a - b}
-		var s Spreader
+		a := rapid.IntRange(0, FullShare).Draw(t, "first")
+		b := rapid.IntRange(0, FullShare-a).Draw(t, "second")
+		row := Row{a, b, FullShare - a - b}
+		var s WeightedRoundRobin
 		counts := make([]int, len(row))
 		for n := 1; n <= 300; n++ {
 			counts[s.Next(row)]++
 			for i, share := range row {
-				got, want := float64(counts[i]), float64(n*share)/Full
+				got, want := float64(counts[i]), float64(n*share)/FullShare
 				if got-want > 2 || want-got > 2 {
 					t.Fatalf("row %v after %d requests: got %v for region %d, want about %.1f", row, n, got, i, want)
 				}
@@ -81,32 +81,32 @@
 // TestHeadroomPlanner: refusals move traffic to where quota is free, nothing
 // goes to an unusable region, and traffic comes home when nothing is refused.
 func TestHeadroomPlanner(t *testing.T) {
-	in := func(current Row, refused float64, usable ...bool) Input {
-		return Input{
-			Preferred: []Row{Unit(3, 0), Unit(3, 1), Unit(3, 2)},
-			Current:   []Row{current, Unit(3, 1), Unit(3, 2)},
+	in := func(current Row, refused float64, usable ...bool) PlannerInput {
+		return PlannerInput{
+			Preferred: []Row{SingleRegionRow(3, 0), SingleRegionRow(3, 1), SingleRegionRow(3, 2)},
+			Current:   []Row{current, SingleRegionRow(3, 1), SingleRegionRow(3, 2)},
 			Usable:    usable,
 			Demand:    []float64{100, 10, 10},
 			Capacity:  []int{200, 200, 200},
 			Quota:     []int{80, 100, 100},
-			Refused:   []float64{refused, 0, 0},
+			Rejected:  []float64{refused, 0, 0},
 		}
 	}
 	cases := []struct {
 		name  string
-		input Input
+		input PlannerInput
 		check func(Row) bool
 	}{
-		{"calm", in(Unit(3, 0), 0, true, true, true), func(r Row) bool { return r.Equal(Unit(3, 0)) }},
-		{"refusals move away", in(Unit(3, 0), 20, true, true, true), func(r Row) bool { return r[0] == 800 && r[1]+r[2] == 200 }},
-		{"chance refusals do not", in(Unit(3, 0), 4, true, true, true), func(r Row) bool { return r.Equal(Unit(3, 0)) }},
+		{"calm", in(SingleRegionRow(3, 0), 0, true, true, true), func(r Row) bool { return r.Equal(SingleRegionRow(3, 0)) }},
+		{"refusals move away", in(SingleRegionRow(3, 0), 20, true, true, true), func(r Row) bool { return r[0] == 800 && r[1]+r[2] == 200 }},
+		{"chance refusals do not", in(SingleRegionRow(3, 0), 4, true, true, true), func(r Row) bool { return r.Equal(SingleRegionRow(3, 0)) }},
 		{"comes home in steps", in(Row{700, 300, 0}, 0, true, true, true), func(r Row) bool { return r[0] == 700+homeStep }},
-		{"unusable is left", in(Unit(3, 0), 0, false, true, true), func(r Row) bool { return r[0] == 0 && r[1] == 500 && r[2] == 500 }},
-		{"only one is left", in(Unit(3, 0), 0, false, false, true), func(r Row) bool { return r.Equal(Unit(3, 2)) }},
+		{"unusable is left", in(SingleRegionRow(3, 0), 0, false, true, true), func(r Row) bool { return r[0] == 0 && r[1] == 500 && r[2] == 500 }},
+		{"only one is left", in(SingleRegionRow(3, 0), 0, false, false, true), func(r Row) bool { return r.Equal(SingleRegionRow(3, 2)) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := headroomTarget(c.input)[0]; !c.check(got) || got.Sum() != Full {
+			if got := headroomTarget(c.input)[0]; !c.check(got) || got.Sum() != FullShare {
 				t.Errorf("got row %v, want another", got)
 			}
 		})
--- a/internal/kernel/region/planner.go
+++ b/internal/kernel/region/planner.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// Headroom is the name of the default planner.
-	Headroom = "headroom"
+	// DefaultPlanner is the name of the default planner.
+	DefaultPlanner = "headroom"
 	// comfortable is the share of a quota that a planner fills before it
 	// moves traffic elsewhere, in thousandths.
 	comfortable = 950
@@ -28,8 +28,8 @@
 )
 
 type (
-	// Input is what a planner sees: one proxy's own view.
-	Input struct {
+	// PlannerInput is what a planner sees: one proxy's own view.
+	PlannerInput struct {
 		// Preferred is the bundle's row of each home region.
 		Preferred []Row
 		// Current is the row in force of each home region.
@@ -42,21 +42,21 @@
 		Capacity []int
 		// Quota is this proxy's requests per second by region.
 		Quota []int
-		// Refused is how many requests a second found no quota, by region.
-		Refused []float64
+		// Rejected is how many requests a second found no quota, by region.
+		Rejected []float64
 	}
 
 	// Planner computes the target row of each home region.
 	Planner struct {
 		Name   string
 		Help   string
-		Target func(Input) []Row
+		Target func(PlannerInput) []Row
 	}
 )
 
 func init() {
 	RegisterPlanner(Planner{
-		Name:   Headroom,
+		Name:   DefaultPlanner,
 		Help:   "the bundle's rows; what a region cannot take goes where quota is free",
 		Target: headroomTarget,
 	})
@@ -81,8 +81,8 @@
 	return p, ok
 }
 
-// Planners lists the registered names in order.
-func Planners() []string {
+// PlannerNames lists the registered names in order.
+func PlannerNames() []string {
 	names := make([]string, 0, len(planners))
 	for name := range planners {
 		names = append(names, name)
@@ -92,7 +92,7 @@
 }
 
 // fixedTarget moves the share of unusable regions to the others.
-func fixedTarget(in Input) []Row {
+func fixedTarget(in PlannerInput) []Row {
 	rows := make([]Row, len(in.Preferred))
 	weights := capacityWeights(in)
 	for home, preferred := range in.Preferred {
@@ -149,7 +149,7 @@
 // brings traffic back to where the bundle wants it while its region has room.
 // It goes by refusals and not by how full the own quota is, for quota is
 // borrowed as it is needed and is always nearly full.
-func headroomTarget(in Input) []Row {
+func headroomTarget(in PlannerInput) []Row {
 	rows := make([]Row, len(in.Preferred))
 	weights := capacityWeights(in)
 	for home := range rows {
@@ -158,13 +158,13 @@
 	load := make([]float64, len(in.Usable))
 	for home, row := range rows {
 		for i, share := range row {
-			load[i] += in.Demand[home] * float64(share) / Full
+			load[i] += in.Demand[home] * float64(share) / FullShare
 		}
 	}
 	room := make([]float64, len(load))
 	for i := range load {
 		if in.Usable[i] {
-			room[i] = max(0, float64(in.Quota[i])*comfortable/Full-load[i])
+			room[i] = max(0, float64(in.Quota[i])*comfortable/FullShare-load[i])
 		}
 	}
 	for i := range load {
@@ -179,13 +179,13 @@
 }
 
 // overfull reports whether a region refuses more than chance does.
-func overfull(in Input, load []float64, i int) bool {
-	return in.Refused[i] > max(tolerated*load[i], toleratedRate)
+func overfull(in PlannerInput, load []float64, i int) bool {
+	return in.Rejected[i] > max(tolerated*load[i], toleratedRate)
 }
 
 // capacityWeights spreads by the regions' whole capacity and not by the own
 // quota, which is small and uneven where this proxy had no traffic so far.
-func capacityWeights(in Input) []float64 {
+func capacityWeights(in PlannerInput) []float64 {
 	weights := make([]float64, len(in.Usable))
 	for i := range weights {
 		if in.Usable[i] {
@@ -197,7 +197,7 @@
 
 // relieve moves what one region refuses to others, as far as they have room,
 // each home in proportion to what it sends there.
-func relieve(in Input, rows []Row, room, load []float64, full int) {
+func relieve(in PlannerInput, rows []Row, room, load []float64, full int) {
 	free := make([]float64, len(room))
 	total := 0.0
 	for i, r := range room {
@@ -206,7 +206,7 @@
 			total += r
 		}
 	}
-	excess := min(in.Refused[full], total)
+	excess := min(in.Rejected[full], total)
 	if excess <= 0 || load[full] <= 0 {
 		return
 	}
@@ -223,9 +223,9 @@
 
 // comeHome moves one step towards the bundle's row, into regions that refuse
 // next to nothing now.
-func comeHome(in Input, row, preferred Row) {
+func comeHome(in PlannerInput, row, preferred Row) {
 	for to := range row {
-		if !in.Usable[to] || in.Refused[to] > toleratedRate/2 || row[to] >= preferred[to] {
+		if !in.Usable[to] || in.Rejected[to] > toleratedRate/2 || row[to] >= preferred[to] {
 			continue
 		}
 		for from := range row {
--- a/internal/kernel/region/row.go
+++ b/internal/kernel/region/row.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// Full is a whole row in thousandths.
-	Full = 1000
+	// FullShare is a whole row in thousandths.
+	FullShare = 1000
 )
 
 type (
@@ -16,19 +16,19 @@
 	// the bundle's order, which sum to Full.
 	Row []int
 
-	// Spreader turns a row into choices one at a time. Each choice goes to the
+	// WeightedRoundRobin turns a row into choices one at a time. Each choice goes to the
 	// region that is furthest behind its share, so any run of n requests gives
 	// a region its share of n within one request; a random draw would exceed
 	// a cap by chance.
-	Spreader struct {
+	WeightedRoundRobin struct {
 		credit []int
 	}
 )
 
-// Unit is the row that sends everything to one region.
-func Unit(regions, to int) Row {
+// SingleRegionRow is the row that sends everything to one region.
+func SingleRegionRow(regions, to int) Row {
 	r := make(Row, regions)
-	r[to] = Full
+	r[to] = FullShare
 	return r
 }
 
@@ -57,7 +57,7 @@
 func (r Row) Equal(other Row) bool { return slices.Equal(r, other) }
 
 // Next chooses the region of the next request.
-func (s *Spreader) Next(r Row) int {
+func (s *WeightedRoundRobin) Next(r Row) int {
 	if len(s.credit) != len(r) {
 		s.credit = make([]int, len(r))
 	}
@@ -73,7 +73,7 @@
 		}
 	}
 	if best >= 0 {
-		s.credit[best] -= Full
+		s.credit[best] -= FullShare
 	}
 	return best
 }
--- a/internal/kernel/routing/routing_test.go
+++ b/internal/kernel/routing/routing_test.go
@@ -29,7 +29,7 @@
 // random, thirty requests could miss it altogether.
 func TestSplitKeepsWeightsToTheRequest(t *testing.T) {
 	s := NewSplitter()
-	r := &Route{Name: "r", Parts: []Part{{"old", 90}, {"new", 10}}}
+	r := &Route{Name: "r", Parts: []WeightedService{{"old", 90}, {"new", 10}}}
 	for round := range 5 {
 		count := make(map[string]int)
 		for range 10 {
@@ -45,8 +45,8 @@
 // must not be taken for them.
 func TestSplitAfterAChangeOfParts(t *testing.T) {
 	s := NewSplitter()
-	s.Next(&Route{Name: "r", Parts: []Part{{"a", 1}, {"b", 1}}})
-	r := &Route{Name: "r", Parts: []Part{{"a", 1}, {"b", 1}, {"c", 2}}}
+	s.Next(&Route{Name: "r", Parts: []WeightedService{{"a", 1}, {"b", 1}}})
+	r := &Route{Name: "r", Parts: []WeightedService{{"a", 1}, {"b", 1}, {"c", 2}}}
 	count := make(map[string]int)
 	for range 8 {
 		count[s.Next(r)]++
@@ -54,7 +54,7 @@
 	if count["a"] != 2 || count["b"] != 2 || count["c"] != 4 {
 		t.Errorf("shares are %v, want 2, 2 and 4", count)
 	}
-	s.Forget(NewTable(2, nil, nil, Limits{}))
+	s.Prune(NewTable(2, nil, nil, Limits{}))
 	if len(s.credit) != 0 {
 		t.Errorf("%d routes are kept after they are gone, want none", len(s.credit))
 	}
--- a/internal/kernel/routing/splitter.go
+++ b/internal/kernel/routing/splitter.go
@@ -38,8 +38,8 @@
 	return r.Parts[best].Service
 }
 
-// Forget drops what is kept of routes that a table no longer holds.
-func (s *Splitter) Forget(t *Table) {
+// Prune drops what is kept of routes that a table no longer holds.
+func (s *Splitter) Prune(t *Table) {
 	for name := range s.credit {
 		if t.Routes[name] == nil {
 			delete(s.credit, name)
--- a/internal/kernel/routing/table.go
+++ b/internal/kernel/routing/table.go
@@ -55,11 +55,11 @@
 		// Public routes need no API key.
 		Public bool
 		// Parts are the services that share the route's requests.
-		Parts []Part
+		Parts []WeightedService
 	}
 
-	// Part is a service's share of a route.
-	Part struct {
+	// WeightedService is a service's share of a route.
+	WeightedService struct {
 		Service string
 		Weight  int
 	}
--- a/internal/kernel/steering/access.go
+++ b/internal/kernel/steering/access.go
@@ -12,8 +12,8 @@
 	if !f.Keyed {
 		return ReasonNone
 	}
-	if f.Credential.State == account.Present {
-		f.Account = k.table.Accounts.Holder(f.Credential.Key)
+	if f.Credential.State == account.CredentialPresent {
+		f.Account = k.table.Accounts.ByKey(f.Credential.Key)
 	}
 	if f.Account == nil {
 		if f.Route.Public {
--- a/internal/kernel/steering/access_test.go
+++ b/internal/kernel/steering/access_test.go
@@ -28,7 +28,7 @@
 	accounts, _ := account.NewTable([]*account.Account{&a})
 	k.SetTable(routing.NewTable(1, []*routing.Route{{
 		Name: "route", Host: "host", Prefix: "/", Idempotent: true, Attempts: 2, Timeout: 2 * time.Second, Target: time.Second, Priority: 2,
-		Parts: []routing.Part{{Service: "service", Weight: 1}},
+		Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 	}}, nil, routing.Limits{}).WithAccounts(accounts))
 	k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 1000})
 	k.SetFleet(1)
@@ -38,7 +38,7 @@
 
 func ask(t *testing.T, k *Kernel, now time.Time) (*Flight, Decision) {
 	t.Helper()
-	return k.Begin(now, Request{ID: "r", Host: "host", Path: "/x", Credential: account.Credential{State: account.Present, Key: keyOf(t, secret)}})
+	return k.Begin(now, Request{ID: "r", Host: "host", Path: "/x", Credential: account.Credential{State: account.CredentialPresent, Key: keyOf(t, secret)}})
 }
 
 // Guards against an account that sends more than its limit, and against one that is
--- a/internal/kernel/steering/bench_test.go
+++ b/internal/kernel/steering/bench_test.go
@@ -32,7 +32,7 @@
 		name := fmt.Sprint(s)
 		routes = append(routes, &routing.Route{
 			Name: name, Host: "host", Prefix: "/" + name + "/", Sticky: true, Attempts: 2, Timeout: time.Second, Target: time.Second,
-			Parts: []routing.Part{{Service: name, Weight: 1}},
+			Parts: []routing.WeightedService{{Service: name, Weight: 1}},
 		})
 		services = append(services, &routing.Service{Name: name, ColdStart: 3 * time.Second, ColdPerSecond: 3.1})
 		for i := range largeServers {
--- a/internal/kernel/steering/failover_test.go
+++ b/internal/kernel/steering/failover_test.go
@@ -27,7 +27,7 @@
 func stickyTable(target time.Duration, regions ...string) *routing.Table {
 	route := &routing.Route{
 		Name: "route", Host: "host", Prefix: "/", Idempotent: true, Sticky: true, Attempts: 2, Timeout: time.Second, Target: target, Regions: regions,
-		Parts: []routing.Part{{Service: "service", Weight: 1}},
+		Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 	}
 	return routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{})
 }
--- a/internal/kernel/steering/hold_test.go
+++ b/internal/kernel/steering/hold_test.go
@@ -16,8 +16,8 @@
 	for _, p := range list {
 		k := New(Config{Name: p.Name, Domain: p.Domain, Region: p.Region, RegionOf: regionOf, Bounds: Bounds{Retry: RetryBudget{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}}})
 		k.SetTable(routing.NewTable(1, []*routing.Route{
-			{Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 2, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}}},
-			{Name: "short", Host: "host", Prefix: "/short/", Attempts: 1, Timeout: 300 * time.Millisecond, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}}},
+			{Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 2, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.WeightedService{{Service: "service", Weight: 1}}},
+			{Name: "short", Host: "host", Prefix: "/short/", Attempts: 1, Timeout: 300 * time.Millisecond, Target: time.Second, Parts: []routing.WeightedService{{Service: "service", Weight: 1}}},
 		}, nil, routing.Limits{}))
 		k.SetProxies(now, list)
 		k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3})
@@ -138,7 +138,7 @@
 		now := time.Unix(1_000_000, 0)
 		k := New(Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf})
 		k.SetTable(routing.NewTable(1, []*routing.Route{{
-			Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 1, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}},
+			Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 1, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 		}}, nil, routing.Limits{}))
 		for _, id := range []string{"a", "b", "c", "d"} {
 			k.SetServer(now, routing.Server{ID: id, Service: "service", Domain: "north-a", Slots: 2})
@@ -202,7 +202,7 @@
 	now := time.Unix(1_000_000, 0)
 	k := holdFleet(now)[0]
 	k.SetTable(routing.NewTable(2, []*routing.Route{{
-		Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 2, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}},
+		Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 2, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 	}}, []*routing.Service{{Name: "service", ColdStart: time.Minute, ColdPerSecond: 10}}, routing.Limits{}))
 	k.SetBounds(Bounds{Retry: RetryBudget{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}, ColdFactor: 1.5, ColdSlack: 5})
 	k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3, ColdFor: time.Minute})
--- a/internal/kernel/steering/kernel.go
+++ b/internal/kernel/steering/kernel.go
@@ -214,7 +214,7 @@
 	}
 	k.leastUrgent = leastUrgentOf(t)
 	k.setBound(t)
-	k.splitter.Forget(t)
+	k.splitter.Prune(t)
 	for _, g := range k.services {
 		g.forgetWork(t)
 	}
--- a/internal/kernel/steering/limits.go
+++ b/internal/kernel/steering/limits.go
@@ -56,7 +56,7 @@
 	if l.kernel.table == nil {
 		return account.Account{}
 	}
-	a := l.kernel.table.Accounts.Named(name)
+	a := l.kernel.table.Accounts.ByName(name)
 	if a == nil {
 		return account.Account{}
 	}
@@ -142,7 +142,7 @@
 
 // HasLimits reports whether any account of the configuration in force has a limit.
 func (k *Kernel) HasLimits() bool {
-	return k.table != nil && k.table.Accounts.Limited()
+	return k.table != nil && k.table.Accounts.HasRateLimits()
 }
 
 // LimitReport tells what this proxy's pool must hear now, and who that is; best is the
--- a/internal/kernel/steering/lookup_test.go
+++ b/internal/kernel/steering/lookup_test.go
@@ -19,8 +19,8 @@
 		proxies[i].Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)
 		at[proxies[i].Address] = proxies[i].Name
 	}
-	free := &routing.Route{Name: "free", Host: "free", Prefix: "/", Parts: []routing.Part{{Service: "s", Weight: 1}}}
-	bound := &routing.Route{Name: "bound", Host: "bound", Prefix: "/", Regions: []string{"south"}, Parts: []routing.Part{{Service: "s", Weight: 1}}}
+	free := &routing.Route{Name: "free", Host: "free", Prefix: "/", Parts: []routing.WeightedService{{Service: "s", Weight: 1}}}
+	bound := &routing.Route{Name: "bound", Host: "bound", Prefix: "/", Regions: []string{"south"}, Parts: []routing.WeightedService{{Service: "s", Weight: 1}}}
 	k.SetTable(routing.NewTable(1, []*routing.Route{free, bound}, nil, routing.Limits{}))
 	k.SetProxies(time.Time{}, proxies)
 	k.proxies = slices.DeleteFunc(k.proxies, func(p Proxy) bool { return p.Name == "self" })
--- a/internal/kernel/steering/mechanism_test.go
+++ b/internal/kernel/steering/mechanism_test.go
@@ -30,7 +30,7 @@
 	now := time.Unix(1_000_000, 0)
 	k := New(Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf, Off: []Mechanism{MechanismHomes}})
 	k.SetTable(routing.NewTable(1, []*routing.Route{{
-		Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 1, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}},
+		Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 1, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 	}}, nil, routing.Limits{}))
 	for id, domain := range map[string]string{"n": "north-a", "s": "south-a"} {
 		k.SetServer(now, routing.Server{ID: id, Service: "service", Domain: domain, Slots: 100})
--- a/internal/kernel/steering/quarantine_test.go
+++ b/internal/kernel/steering/quarantine_test.go
@@ -20,7 +20,7 @@
 	})
 	route := &routing.Route{
 		Name: "route", Host: "host", Prefix: "/a/", Idempotent: idempotent, Sticky: true, Attempts: 3, Timeout: 2 * time.Second,
-		Target: 500 * time.Millisecond, Parts: []routing.Part{{Service: "service", Weight: 1}},
+		Target: 500 * time.Millisecond, Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 	}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 	for _, id := range []string{"s1", "s2", "s3", "s4", "s5", "s6"} {
@@ -91,7 +91,7 @@
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, true)
 	k.SetTable(routing.NewTable(2, []*routing.Route{{
-		Name: "route", Host: "host", Prefix: "/a/", Attempts: 1, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}},
+		Name: "route", Host: "host", Prefix: "/a/", Attempts: 1, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 	}}, nil, routing.Limits{}))
 	for range quarantine.EndsToCondemn {
 		if d := runDeadly(t, k, now); d.NotRun {
--- a/internal/kernel/steering/restart_test.go
+++ b/internal/kernel/steering/restart_test.go
@@ -37,7 +37,7 @@
 	k := New(Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf})
 	route := &routing.Route{
 		Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 1, Timeout: time.Second, Target: time.Second,
-		Parts: []routing.Part{{Service: "service", Weight: 1}},
+		Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 	}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 	ask := func() (warm bool) {
--- a/internal/kernel/steering/shares_test.go
+++ b/internal/kernel/steering/shares_test.go
@@ -35,7 +35,7 @@
 		})
 		route := &routing.Route{
 			Name: "route", Host: "host", Prefix: "/a/", Idempotent: true, Attempts: 2, Timeout: time.Second, Target: time.Second,
-			Parts: []routing.Part{{Service: "service", Weight: 1}},
+			Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 		}
 		service := &routing.Service{Name: "service", ColdStart: time.Hour, ColdPerSecond: 3.1}
 		k.SetTable(routing.NewTable(1, []*routing.Route{route}, []*routing.Service{service}, routing.Limits{}))
--- a/internal/kernel/steering/shed_test.go
+++ b/internal/kernel/steering/shed_test.go
@@ -18,7 +18,7 @@
 	for priority, prefix := range []string{"/urgent/", "/plain/"} {
 		routes = append(routes, &routing.Route{
 			Name: prefix, Host: "host", Prefix: prefix, Idempotent: true, Sticky: true, Attempts: 2, Timeout: time.Second,
-			Target: 600 * time.Millisecond, Priority: priority, Parts: []routing.Part{{Service: "service", Weight: 1}},
+			Target: 600 * time.Millisecond, Priority: priority, Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 		})
 	}
 	k.SetTable(routing.NewTable(1, routes, nil, routing.Limits{}))
--- a/internal/kernel/steering/story_test.go
+++ b/internal/kernel/steering/story_test.go
@@ -188,7 +188,7 @@
 	route := &routing.Route{
 		Name: "route", Host: "host", Prefix: "/a/", Idempotent: r.story.Route.Idempotent, Sticky: true,
 		Attempts: max(1, r.story.Route.Attempts), Timeout: span(r.t, r.story.Route.Timeout), Target: 500 * time.Millisecond,
-		Regions: r.story.Route.Regions, Public: r.story.Route.Public, Parts: []routing.Part{{Service: "service", Weight: 1}},
+		Regions: r.story.Route.Regions, Public: r.story.Route.Public, Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 	}
 	if route.Timeout == 0 {
 		route.Timeout = 2 * time.Second
@@ -216,7 +216,7 @@
 
 func keyOf(t *testing.T, text string) account.Key {
 	t.Helper()
-	key, ok := account.KeyOf(text)
+	key, ok := account.HashKey(text)
 	if !ok {
 		t.Fatalf("%q is no key", text)
 	}
@@ -228,7 +228,7 @@
 	if s.Key == "" {
 		return account.Credential{}
 	}
-	return account.Credential{State: account.Present, Key: keyOf(r.t, s.Key)}
+	return account.Credential{State: account.CredentialPresent, Key: keyOf(r.t, s.Key)}
 }
 
 func (r *storyRun) step(i int, s storyStep) {
--- a/internal/kernel/steering/work_test.go
+++ b/internal/kernel/steering/work_test.go
@@ -22,7 +22,7 @@
 			}
 		}
 	}})
-	parts := []routing.Part{{Service: "service", Weight: 1}}
+	parts := []routing.WeightedService{{Service: "service", Weight: 1}}
 	k.SetTable(routing.NewTable(1, []*routing.Route{
 		{Name: "tried", Host: "host", Prefix: "/new/", Attempts: 1, Timeout: 2 * time.Second, Target: 600 * time.Millisecond, Parts: parts},
 		{Name: "browse", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 1, Timeout: 2 * time.Second, Target: 600 * time.Millisecond, Parts: parts},
@@ -59,7 +59,7 @@
 	table := func(version uint64, name string) {
 		k.SetTable(routing.NewTable(version, []*routing.Route{{
 			Name: name, Host: "host", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second,
-			Parts: []routing.Part{{Service: "service", Weight: 1}},
+			Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 		}}, nil, routing.Limits{}))
 	}
 	k.SetServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4})
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -95,12 +95,12 @@
 func kernelConfig(s *settings.Settings) (core.Config, error) {
 	c := core.Config{
 		Self: peer.Member{
-			Name:        s.Name,
-			Address:     s.Listen.Callers,
-			PeerAddress: s.Listen.Peers,
-			Operators:   s.Listen.Operators,
-			Region:      s.Region,
-			Domain:      s.Domain,
+			Name:            s.Name,
+			Address:         s.Listen.Callers,
+			PeerAddress:     s.Listen.Peers,
+			OperatorAddress: s.Listen.Operators,
+			Region:          s.Region,
+			Domain:          s.Domain,
 		},
 		Trust:       s.Operators,
 		MaxInFlight: s.Limits.InFlight,
@@ -131,7 +131,7 @@
 func (d *Daemon) ready() bool {
 	ready := false
 	d.driver.Do(func(k *core.Kernel, _ time.Time) {
-		ready = k.BundleVersion() > 0 && k.Self().State == peer.Live
+		ready = k.BundleVersion() > 0 && k.Self().State == peer.StateLive
 	})
 	return ready
 }
--- a/internal/proxy/daemon/process_test.go
+++ b/internal/proxy/daemon/process_test.go
@@ -200,7 +200,7 @@
 		members, err := f.client.Members(context.Background())
 		live := 0
 		for _, m := range members.Members {
-			if m.State == peer.Live {
+			if m.State == peer.StateLive {
 				live++
 			}
 		}
--- a/internal/proxy/forward/bench_test.go
+++ b/internal/proxy/forward/bench_test.go
@@ -53,7 +53,7 @@
 		b.Fatal(err)
 	}
 	d.kernel = steering.New(steering.Config{Name: "p", Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"}, Observe: observe(d)})
-	route := &routing.Route{Name: "r", Host: "127.0.0.1", Prefix: "/", Attempts: 1, Timeout: time.Minute, Target: time.Minute, Parts: []routing.Part{{Service: "s", Weight: 1}}}
+	route := &routing.Route{Name: "r", Host: "127.0.0.1", Prefix: "/", Attempts: 1, Timeout: time.Minute, Target: time.Minute, Parts: []routing.WeightedService{{Service: "s", Weight: 1}}}
 	d.kernel.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 	d.kernel.SetServer(d.now(), routing.Server{ID: "s1", Service: "s", Domain: "a", Slots: 64, Address: netip.MustParseAddrPort(backend.Listener.Addr().String())})
 	front := httptest.NewServer(d.callers.Handler)
--- a/internal/proxy/forward/fleet_test.go
+++ b/internal/proxy/forward/fleet_test.go
@@ -324,13 +324,13 @@
 			}
 			route := &routing.Route{
 				Name: "r", Host: "127.0.0.1", Prefix: "/a/", Sticky: true, Attempts: 2, Timeout: time.Second, Target: time.Second,
-				Parts: []routing.Part{{Service: w.Service, Weight: 1}},
+				Parts: []routing.WeightedService{{Service: w.Service, Weight: 1}},
 			}
 			read := *route
 			read.Name, read.Prefix, read.Idempotent = "reads", "/b/", true
 			table := routing.NewTable(w.Version, []*routing.Route{route, &read}, nil, routing.Limits{})
 			if w.Key != "" {
-				key, _ := account.KeyOf(w.Key)
+				key, _ := account.HashKey(w.Key)
 				accounts, _ := account.NewTable([]*account.Account{{Name: "anna", Keys: []account.Key{key}, Limit: ratelimit.Limit{PerSecond: w.PerSecond, Burst: 1}}})
 				table.WithAccounts(accounts)
 			}
--- a/internal/proxy/forward/journal_test.go
+++ b/internal/proxy/forward/journal_test.go
@@ -139,7 +139,7 @@
 func TestServersOwnFailureIsInTheLog(t *testing.T) {
 	lines := journalLines(t, func(j *journal, clock *time.Time) {
 		k := steering.New(steering.Config{Name: "vm-1", Observe: j.event})
-		route := &routing.Route{Name: "r", Host: "h", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.Part{{Service: "s", Weight: 1}}}
+		route := &routing.Route{Name: "r", Host: "h", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.WeightedService{{Service: "s", Weight: 1}}}
 		k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 		k.SetServer(*clock, routing.Server{ID: "i-1", Service: "s", Slots: 4})
 		f, _ := k.Begin(*clock, steering.Request{ID: "complaint", Host: "h", Path: "/"})
--- a/internal/proxy/recording/file_test.go
+++ b/internal/proxy/recording/file_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	k := steering.New(steering.Config{Name: "vm-1", Domain: "north-a", Region: "north", RegionOf: map[string]string{"north-a": "north"}, Record: file.Write})
-	route := &routing.Route{Name: "route", Host: "host", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}}}
+	route := &routing.Route{Name: "route", Host: "host", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.WeightedService{{Service: "service", Weight: 1}}}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 	k.SetServer(now, routing.Server{ID: "server-1", Service: "service", Domain: "north-a", Slots: 4})
 	f, _ := k.Begin(now, steering.Request{ID: "first", Host: "host", Path: "/"})
--- a/internal/proxy/runner/runner.go
+++ b/internal/proxy/runner/runner.go
@@ -100,7 +100,7 @@
 	case a := <-done:
 		if a.response.Rest != nil {
 			_ = a.response.Rest.Close()
-			a.response.Answer.NotKept = true
+			a.response.Answer.Streamed = true
 		}
 		r.end(a, true)
 	default:
@@ -151,7 +151,7 @@
 
 // stream passes a long answer on as it arrives. The attempt ends with it.
 func (r *Runner) stream(a attempt) callerhttp.Reply {
-	result := caller.Result{Outcome: caller.Done, Answer: a.response.Answer}
+	result := caller.Result{Outcome: caller.OutcomeDone, Response: a.response.Answer}
 	return callerhttp.Reply{Result: result, ID: a.decision.ID, Stream: func(w io.Writer) error {
 		defer func() { _ = a.response.Rest.Close() }()
 		_, err := w.Write(a.response.Answer.Body)
@@ -161,7 +161,7 @@
 		if err != nil {
 			a.response.Result = backend.Interrupted
 		}
-		a.response.Answer.NotKept = true
+		a.response.Answer.Streamed = true
 		r.end(a, true)
 		return err
 	}}
@@ -219,12 +219,12 @@
 func (r *Runner) collect(reply callerhttp.Reply) caller.Result {
 	var whole bodyBuffer
 	if err := reply.Stream(&whole); err != nil {
-		return caller.Result{Outcome: caller.Unknown, Reason: caller.ReasonBroken}
+		return caller.Result{Outcome: caller.OutcomeUnknown, Reason: caller.ReasonConnectionLost}
 	}
 	result := reply.Result
-	result.Answer = &caller.Answer{
-		Status: result.Answer.Status,
-		Header: result.Answer.Header,
+	result.Response = &caller.Response{
+		Status: result.Response.Status,
+		Header: result.Response.Header,
 		Body:   whole.data,
 	}
 	return result
