--- a/internal/kernel/account/key.go
+++ b/internal/kernel/account/key.go
@@ -13,8 +13,8 @@
 	digestBytes = 16
 	// fingerprintBytes are those that operators see.
 	fingerprintBytes = 4
-	// keyBytesMost is the longest text, in bytes, that is taken for a key.
-	keyBytesMost = 512
+	// maxKeyBytes is the longest text, in bytes, that is taken for a key.
+	maxKeyBytes = 512
 )
 
 const (
@@ -43,7 +43,7 @@
 
 // HashKey is the key of a text, or false if the text can be none.
 func HashKey(text string) (Key, bool) {
-	if text == "" || len(text) > keyBytesMost {
+	if text == "" || len(text) > maxKeyBytes {
 		return Key{}, false
 	}
 	digest := sha256.Sum256([]byte(text))
--- a/internal/kernel/account/table.go
+++ b/internal/kernel/account/table.go
@@ -27,8 +27,8 @@
 	Table struct {
 		byName map[string]*Account
 		byKey  map[Key]*Account
-		// limited is set if any account has a limit.
-		limited bool
+		// hasRateLimits is set if any account has a limit.
+		hasRateLimits bool
 	}
 
 	// Conflict is a key that more than one account claims.
@@ -43,9 +43,9 @@
 func NewTable(accounts []*Account) (*Table, []Conflict) {
 	t := &Table{byName: make(map[string]*Account, len(accounts)), byKey: make(map[Key]*Account, len(accounts))}
 	var conflicts []Conflict
-	for _, a := range sorted(accounts) {
+	for _, a := range sortedByName(accounts) {
 		t.byName[a.Name] = a
-		t.limited = t.limited || !a.Limit.None()
+		t.hasRateLimits = t.hasRateLimits || !a.Limit.None()
 		for _, key := range a.Keys {
 			other, claimed := t.byKey[key]
 			if claimed && other != a {
@@ -62,7 +62,7 @@
 }
 
 // HasRateLimits reports whether any account has a limit.
-func (t *Table) HasRateLimits() bool { return t != nil && t.limited }
+func (t *Table) HasRateLimits() bool { return t != nil && t.hasRateLimits }
 
 // ByKey is the account that a key belongs to, nil for none.
 func (t *Table) ByKey(key Key) *Account { return t.byKey[key] }
@@ -86,10 +86,10 @@
 	for _, a := range t.byName {
 		list = append(list, a)
 	}
-	return sorted(list)
+	return sortedByName(list)
 }
 
-func sorted(accounts []*Account) []*Account {
+func sortedByName(accounts []*Account) []*Account {
 	list := slices.Clone(accounts)
 	slices.SortFunc(list, func(a, b *Account) int { return cmp.Compare(a.Name, b.Name) })
 	return list
--- a/internal/kernel/account/table_test.go
+++ b/internal/kernel/account/table_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func key(t testing.TB, text string) Key {
+func mustHashKey(t testing.TB, text string) Key {
 	t.Helper()
 	k, ok := HashKey(text)
 	if !ok {
@@ -16,15 +16,15 @@
 	return k
 }
 
-func TestHolderOfAKey(t *testing.T) {
-	anna := &Account{Name: "anna", Keys: []Key{key(t, "1"), key(t, "2"), key(t, "2")}}
-	table, conflicts := NewTable([]*Account{anna, {Name: "bruno", Keys: []Key{key(t, "3")}}})
+func TestByKey(t *testing.T) {
+	anna := &Account{Name: "anna", Keys: []Key{mustHashKey(t, "1"), mustHashKey(t, "2"), mustHashKey(t, "2")}}
+	table, conflicts := NewTable([]*Account{anna, {Name: "bruno", Keys: []Key{mustHashKey(t, "3")}}})
 	if len(conflicts) > 0 {
 		t.Errorf("conflicts are %v, want none: an account may name a key twice", conflicts)
 	}
 	for text, want := range map[string]string{"1": "anna", "2": "anna", "3": "bruno", "4": ""} {
 		got := ""
-		if a := table.ByKey(key(t, text)); a != nil {
+		if a := table.ByKey(mustHashKey(t, text)); a != nil {
 			got = a.Name
 		}
 		if got != want {
@@ -34,14 +34,14 @@
 }
 
 // Guards against a key that runs requests for whichever account was read first.
-func TestKeyOfTwoAccountsOpensNeither(t *testing.T) {
+func TestKeyOfTwoAccountsMatchesNeither(t *testing.T) {
 	table, conflicts := NewTable([]*Account{
-		{Name: "anna", Keys: []Key{key(t, "1"), key(t, "2")}}, {Name: "bruno", Keys: []Key{key(t, "1")}}, {Name: "carla", Keys: []Key{key(t, "1")}},
+		{Name: "anna", Keys: []Key{mustHashKey(t, "1"), mustHashKey(t, "2")}}, {Name: "bruno", Keys: []Key{mustHashKey(t, "1")}}, {Name: "carla", Keys: []Key{mustHashKey(t, "1")}},
 	})
-	if a := table.ByKey(key(t, "1")); a != nil {
+	if a := table.ByKey(mustHashKey(t, "1")); a != nil {
 		t.Errorf("the key is of %s, want nobody", a.Name)
 	}
-	if a := table.ByKey(key(t, "2")); a == nil || a.Name != "anna" {
+	if a := table.ByKey(mustHashKey(t, "2")); a == nil || a.Name != "anna" {
 		t.Errorf("the other key is of %v, want anna", a)
 	}
 	if got, want := len(conflicts), 2; got != want {
@@ -49,32 +49,32 @@
 	}
 }
 
-func TestTextsThatAreNoKeys(t *testing.T) {
-	for _, text := range []string{"", strings.Repeat("x", keyBytesMost+1)} {
+func TestHashKeyRejectsInvalidText(t *testing.T) {
+	for _, text := range []string{"", strings.Repeat("x", maxKeyBytes+1)} {
 		if _, ok := HashKey(text); ok {
 			t.Errorf("a text of %d bytes is taken for a key", len(text))
 		}
 	}
 }
 
-func TestFingerprintTellsNothingOfTheKey(t *testing.T) {
+func TestCredentialIsEncodedAsFingerprint(t *testing.T) {
 	const text = "fwrz56aw63is47qdqiqr"
-	data, err := json.Marshal(Credential{State: CredentialPresent, Key: key(t, text)})
+	data, err := json.Marshal(Credential{State: CredentialPresent, Key: mustHashKey(t, text)})
 	if err != nil || strings.Contains(string(data), text) {
 		t.Errorf("credential is written as %s, %v", data, err)
 	}
-	var back Credential
-	if err := json.Unmarshal(data, &back); err != nil || back.Key.Fingerprint() != key(t, text).Fingerprint() {
-		t.Errorf("read back as %s, %v, want the fingerprint %s", back.Key, err, key(t, text))
+	var decoded Credential
+	if err := json.Unmarshal(data, &decoded); err != nil || decoded.Key.Fingerprint() != mustHashKey(t, text).Fingerprint() {
+		t.Errorf("read back as %s, %v, want the fingerprint %s", decoded.Key, err, mustHashKey(t, text))
 	}
 }
 
-func BenchmarkHolder(b *testing.B) {
+func BenchmarkByKey(b *testing.B) {
 	for _, keys := range []int{10, 1_000, 100_000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			a := &Account{Name: "anna"}
 			for i := range keys {
-				a.Keys = append(a.Keys, key(b, fmt.Sprint(i)))
+				a.Keys = append(a.Keys, mustHashKey(b, fmt.Sprint(i)))
 			}
 			table, _ := NewTable([]*Account{a})
 			b.ReportAllocs()
@@ -91,7 +91,7 @@
 func BenchmarkNewTable(b *testing.B) {
 	a := &Account{Name: "anna"}
 	for i := range 100_000 {
-		a.Keys = append(a.Keys, key(b, fmt.Sprint(i)))
+		a.Keys = append(a.Keys, mustHashKey(b, fmt.Sprint(i)))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/kernel/caller/prefix.go
+++ b/internal/kernel/caller/prefix.go
@@ -10,8 +10,8 @@
 const (
 	// NoSite stands for an address that no prefix covers.
 	NoSite Site = 0xFFFF
-	// fanoutBits is how many leading bits the index of a range list resolves.
-	fanoutBits = 16
+	// indexBits is how many leading bits the index of a range list resolves.
+	indexBits = 16
 )
 
 type (
@@ -32,11 +32,11 @@
 	// range costs 4+2 bytes for IPv4 and 8+2 for IPv6 (whose prefixes longer
 	// than 64 bits are refused), which is what lets 940,000 prefixes fit.
 	PrefixTable struct {
-		v4 ranges[uint32]
-		v6 ranges[uint64]
+		v4 rangeTable[uint32]
+		v6 rangeTable[uint64]
 	}
 
-	ranges[K uint32 | uint64] struct {
+	rangeTable[K uint32 | uint64] struct {
 		starts []K
 		sites  []Site
 		index  []uint32
@@ -53,37 +53,37 @@
 // NewPrefixTable builds a table. Prefixes may nest and come in any order;
 // equal prefixes are settled by the last one given.
 func NewPrefixTable(list []PrefixSite) *PrefixTable {
-	var four []span[uint32]
-	var six []span[uint64]
+	var v4Spans []span[uint32]
+	var v6Spans []span[uint64]
 	for _, p := range list {
 		prefix := p.Prefix.Masked()
 		if prefix.Addr().Is4() {
-			first := key4(prefix.Addr())
+			first := ipv4Key(prefix.Addr())
 			size := uint32(1)<<(32-prefix.Bits()) - 1
 			if prefix.Bits() == 0 {
 				size = ^uint32(0)
 			}
-			four = append(four, span[uint32]{first: first, last: first + size, bits: prefix.Bits(), site: p.Site})
+			v4Spans = append(v4Spans, span[uint32]{first: first, last: first + size, bits: prefix.Bits(), site: p.Site})
 			continue
 		}
 		bits := min(prefix.Bits(), 64)
-		first := key6(prefix.Addr())
+		first := ipv6Key(prefix.Addr())
 		size := ^uint64(0)
 		if bits > 0 {
 			size = uint64(1)<<(64-bits) - 1
 		}
-		six = append(six, span[uint64]{first: first, last: first + size, bits: bits, site: p.Site})
+		v6Spans = append(v6Spans, span[uint64]{first: first, last: first + size, bits: bits, site: p.Site})
 	}
-	return &PrefixTable{v4: flatten(four, 32), v6: flatten(six, 64)}
+	return &PrefixTable{v4: flatten(v4Spans, 32), v6: flatten(v6Spans, 64)}
 }
 
 // Lookup finds the site of an address.
 func (t *PrefixTable) Lookup(a netip.Addr) Site {
 	a = a.Unmap()
 	if a.Is4() {
-		return t.v4.find(key4(a))
+		return t.v4.find(ipv4Key(a))
 	}
-	return t.v6.find(key6(a))
+	return t.v6.find(ipv6Key(a))
 }
 
 // MemoryBytes is the memory that the table's arrays take.
@@ -94,26 +94,26 @@
 // RangeCount counts the disjoint ranges.
 func (t *PrefixTable) RangeCount() int { return len(t.v4.starts) + len(t.v6.starts) }
 
-func key4(a netip.Addr) uint32 {
+func ipv4Key(a netip.Addr) uint32 {
 	b := a.As4()
 	return binary.BigEndian.Uint32(b[:])
 }
 
-func key6(a netip.Addr) uint64 {
+func ipv6Key(a netip.Addr) uint64 {
 	b := a.As16()
 	return binary.BigEndian.Uint64(b[:8])
 }
 
 // flatten turns nested spans into disjoint ranges. Spans are sorted so that
 // an outer one comes before those inside; a stack holds the open ones.
-func flatten[K uint32 | uint64](spans []span[K], width uint) ranges[K] {
+func flatten[K uint32 | uint64](spans []span[K], width uint) rangeTable[K] {
 	sort.SliceStable(spans, func(i, j int) bool {
 		if spans[i].first != spans[j].first {
 			return spans[i].first < spans[j].first
 		}
 		return spans[i].bits < spans[j].bits
 	})
-	r := ranges[K]{shift: width - fanoutBits}
+	r := rangeTable[K]{shift: width - indexBits}
 	r.starts = make([]K, 0, len(spans)+1)
 	r.sites = make([]Site, 0, len(spans)+1)
 	var open []span[K]
@@ -128,12 +128,12 @@
 			if len(open) > 0 {
 				site = open[len(open)-1].site
 			}
-			r.put(top.last+1, site)
+			r.appendRange(top.last+1, site)
 		}
 	}
 	for _, s := range spans {
 		closeUntil(s.first, false)
-		r.put(s.first, s.site)
+		r.appendRange(s.first, s.site)
 		open = append(open, s)
 	}
 	closeUntil(0, true)
@@ -143,9 +143,9 @@
 	return r
 }
 
-// put adds a range start. One that begins where the last did replaces it, and
+// appendRange adds a range start. One that begins where the last did replaces it, and
 // one with the last's site adds nothing.
-func (r *ranges[K]) put(start K, site Site) {
+func (r *rangeTable[K]) appendRange(start K, site Site) {
 	n := len(r.starts)
 	if n > 0 && r.starts[n-1] == start {
 		r.sites[n-1] = site
@@ -164,27 +164,27 @@
 
 // buildIndex notes, for each value of the leading bits, the first range that
 // starts at or after it, so that a look-up searches a short stretch only.
-func (r *ranges[K]) buildIndex() {
+func (r *rangeTable[K]) buildIndex() {
 	if len(r.starts) == 0 {
 		return
 	}
-	r.index = make([]uint32, 1<<fanoutBits+1)
-	at := 0
-	for lead := range 1 << fanoutBits {
-		for at < len(r.starts) && int(r.starts[at]>>r.shift) < lead {
-			at++
+	r.index = make([]uint32, 1<<indexBits+1)
+	next := 0
+	for leading := range 1 << indexBits {
+		for next < len(r.starts) && int(r.starts[next]>>r.shift) < leading {
+			next++
 		}
-		r.index[lead] = uint32(at)
+		r.index[leading] = uint32(next)
 	}
-	r.index[1<<fanoutBits] = uint32(len(r.starts))
+	r.index[1<<indexBits] = uint32(len(r.starts))
 }
 
-func (r *ranges[K]) find(key K) Site {
+func (r *rangeTable[K]) find(key K) Site {
 	if len(r.starts) == 0 {
 		return NoSite
 	}
-	lead := int(key >> r.shift)
-	low, high := int(r.index[lead]), int(r.index[lead+1])
+	leading := int(key >> r.shift)
+	low, high := int(r.index[leading]), int(r.index[leading+1])
 	for low < high {
 		middle := int(uint(low+high) >> 1)
 		if r.starts[middle] <= key {
--- a/internal/kernel/caller/prefix_test.go
+++ b/internal/kernel/caller/prefix_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// longest is the plain meaning of a look-up: the last of the longest prefixes
+// linearLookup is the plain meaning of a look-up: the last of the longest prefixes
 // that cover the address.
-func longest(list []PrefixSite, a netip.Addr) Site {
+func linearLookup(list []PrefixSite, a netip.Addr) Site {
 	site, bits := NoSite, -1
 	for _, p := range list {
 		if p.Prefix.Contains(a) && p.Prefix.Bits() >= bits {
@@ -20,13 +20,13 @@
 	return site
 }
 
-func TestPrefixTableAgainstPlainSearch(t *testing.T) {
+func TestPrefixTableMatchesLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		six := rapid.Bool().Draw(t, "IPv6")
+		ipv6 := rapid.Bool().Draw(t, "IPv6")
 		address := func(label string) netip.Addr {
 			// Few distinct leading bytes make prefixes nest and touch.
 			b := rapid.SliceOfN(rapid.SampledFrom([]byte{0, 1, 127, 128, 255}), 4, 4).Draw(t, label)
-			if six {
+			if ipv6 {
 				return netip.AddrFrom16([16]byte{b[0], b[1], b[2], b[3]})
 			}
 			return netip.AddrFrom4([4]byte(b))
@@ -40,7 +40,7 @@
 		table := NewPrefixTable(list)
 		for range 20 {
 			a := address("address")
-			if got, want := table.Lookup(a), longest(list, a); got != want {
+			if got, want := table.Lookup(a), linearLookup(list, a); got != want {
 				t.Fatalf("%s in %v: got site %d, want %d", a, list, got, want)
 			}
 		}
--- a/internal/kernel/caller/records.go
+++ b/internal/kernel/caller/records.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	// maxRecords bounds a process's records; minting is refused beyond.
-	maxRecords = 200_000
+	// maxTokenRecords bounds a process's records; minting is refused beyond.
+	maxTokenRecords = 200_000
 	// MaxRetainedBody is the largest answer body, in bytes, kept for a repeat.
 	MaxRetainedBody = 64 << 10
-	// maxKeptBytes bounds all kept bodies of a process, in bytes.
-	maxKeptBytes = 6 << 20
-	// inProgressRetry is when to ask again for a running request.
-	inProgressRetry = 500 * time.Millisecond
+	// maxRetainedBytes bounds all kept bodies of a process, in bytes.
+	maxRetainedBytes = 6 << 20
+	// inProgressRetryAfter is when to ask again for a running request.
+	inProgressRetryAfter = 500 * time.Millisecond
 )
 
 var (
@@ -67,29 +67,29 @@
 	// dispatches it, and it does so once: that is the whole guard against a
 	// doubled request, and it needs no agreement with any other process.
 	TokenRecords struct {
-		minter    Minter
-		key       TokenKey
-		closed    bool
-		retention time.Duration
-		records   map[Nonce]*TokenRecord
-		keptBytes int
-		inherited map[Minter]*TokenRecords
+		minter        Minter
+		key           TokenKey
+		closed        bool
+		retention     time.Duration
+		records       map[Nonce]*TokenRecord
+		retainedBytes int
+		imported      map[Minter]*TokenRecords
 	}
 )
 
 // NewTokenRecords starts a minter's empty books.
 func NewTokenRecords(m Minter, key TokenKey) *TokenRecords {
 	return &TokenRecords{
-		minter:    m,
-		key:       key,
-		records:   make(map[Nonce]*TokenRecord),
-		inherited: make(map[Minter]*TokenRecords),
+		minter:   m,
+		key:      key,
+		records:  make(map[Nonce]*TokenRecord),
+		imported: make(map[Minter]*TokenRecords),
 	}
 }
 
 // Mint makes a token. It reports false when the books are full or closed.
 func (r *TokenRecords) Mint(service string, nonce Nonce, now time.Time, lifetime, retention time.Duration) (*Token, bool) {
-	if r.closed || len(r.records) >= maxRecords {
+	if r.closed || len(r.records) >= maxTokenRecords {
 		return nil, false
 	}
 	r.retention = max(r.retention, retention)
@@ -101,15 +101,15 @@
 // Owns reports whether this process decides over the token, as its minter or
 // as the heir of a minter that stopped as planned.
 func (r *TokenRecords) Owns(t *Token) bool {
-	return t.Minter == r.minter || r.inherited[t.Minter] != nil
+	return t.Minter == r.minter || r.imported[t.Minter] != nil
 }
 
 // Claim claims a token for dispatch. Fresh is returned at most once per token
 // unless Release gives it back.
 func (r *TokenRecords) Claim(t *Token, service string, now time.Time) (ClaimStatus, Result) {
 	if t.Minter != r.minter {
-		if heir := r.inherited[t.Minter]; heir != nil {
-			return heir.Claim(t, service, now)
+		if imported := r.imported[t.Minter]; imported != nil {
+			return imported.Claim(t, service, now)
 		}
 		return ClaimResolved, Result{Outcome: OutcomeUnknown, Reason: ReasonMinterGone}
 	}
@@ -143,7 +143,7 @@
 	case stateUnknown:
 		return Result{Outcome: OutcomeUnknown, Reason: ReasonConnectionLost}
 	}
-	return Result{Outcome: OutcomeUnknown, Reason: ReasonInProgress, RetryAfter: inProgressRetry}
+	return Result{Outcome: OutcomeUnknown, Reason: ReasonInProgress, RetryAfter: inProgressRetryAfter}
 }
 
 // Release gives a running token back after an attempt that was truly not run.
@@ -169,12 +169,12 @@
 	}
 	record.State = uint8(stateDone)
 	size := len(result.Response.Body)
-	if result.Response.Streamed || size > MaxRetainedBody || r.keptBytes+size > maxKeptBytes {
+	if result.Response.Streamed || size > MaxRetainedBody || r.retainedBytes+size > maxRetainedBytes {
 		record.ResponseDropped = true
 		return nil
 	}
 	record.Response = result.Response
-	r.keptBytes += size
+	r.retainedBytes += size
 	return nil
 }
 
@@ -185,12 +185,12 @@
 			continue
 		}
 		if record.Response != nil {
-			r.keptBytes -= len(record.Response.Body)
+			r.retainedBytes -= len(record.Response.Body)
 		}
 		delete(r.records, n)
 	}
-	for _, heir := range r.inherited {
-		heir.Expire(now)
+	for _, imported := range r.imported {
+		imported.Expire(now)
 	}
 }
 
@@ -208,8 +208,8 @@
 // Len counts the records kept, inherited ones included.
 func (r *TokenRecords) Len() int {
 	total := len(r.records)
-	for _, heir := range r.inherited {
-		total += heir.Len()
+	for _, imported := range r.imported {
+		total += imported.Len()
 	}
 	return total
 }
@@ -223,15 +223,15 @@
 func (r *TokenRecords) Export() []Handover {
 	own := Handover{Minter: r.minter, Key: r.key, Retention: r.retention}
 	for _, record := range r.records {
-		copied := *record
-		if state(copied.State) == stateRunning {
-			copied.State = uint8(stateUnknown)
+		exported := *record
+		if state(exported.State) == stateRunning {
+			exported.State = uint8(stateUnknown)
 		}
-		own.Records = append(own.Records, copied)
+		own.Records = append(own.Records, exported)
 	}
 	all := []Handover{own}
-	for _, heir := range r.inherited {
-		all = append(all, heir.Export()...)
+	for _, imported := range r.imported {
+		all = append(all, imported.Export()...)
 	}
 	return all
 }
@@ -239,15 +239,15 @@
 // Import takes over a stopped minter's records. A second copy of the same
 // hand-over is harmless: the first stays.
 func (r *TokenRecords) Import(h Handover) {
-	if h.Minter == r.minter || r.inherited[h.Minter] != nil {
+	if h.Minter == r.minter || r.imported[h.Minter] != nil {
 		return
 	}
-	heir := NewTokenRecords(h.Minter, h.Key)
-	heir.closed = true
-	heir.retention = h.Retention
+	imported := NewTokenRecords(h.Minter, h.Key)
+	imported.closed = true
+	imported.retention = h.Retention
 	for i := range h.Records {
 		record := h.Records[i]
-		heir.records[record.Nonce] = &record
+		imported.records[record.Nonce] = &record
 	}
-	r.inherited[h.Minter] = heir
+	r.imported[h.Minter] = imported
 }
--- a/internal/kernel/caller/records_test.go
+++ b/internal/kernel/caller/records_test.go
@@ -11,31 +11,31 @@
 )
 
 type (
-	// script is one story of tokens, read from a data file.
-	script struct {
-		Name  string   `json:"name"`
-		Story []string `json:"story"`
-		Steps []step   `json:"steps"`
+	// tokenScenario is one story of tokens, read from a data file.
+	tokenScenario struct {
+		Name        string         `json:"name"`
+		Description []string       `json:"story"`
+		Steps       []scenarioStep `json:"steps"`
 	}
 
-	step struct {
-		Do    string `json:"do"`
-		Token string `json:"token,omitempty"`
-		By    string `json:"by,omitempty"`
-		Wait  string `json:"wait,omitempty"`
-		Body  int    `json:"body,omitempty"`
-		Want  string `json:"want,omitempty"`
+	scenarioStep struct {
+		Action    string `json:"do"`
+		Token     string `json:"token,omitempty"`
+		Process   string `json:"by,omitempty"`
+		Wait      string `json:"wait,omitempty"`
+		BodyBytes int    `json:"body,omitempty"`
+		Want      string `json:"want,omitempty"`
 	}
 
-	scriptRun struct {
-		now    time.Time
-		tokens map[string]*Token
-		nonces byte
-		books  map[string]*TokenRecords
+	scenarioRun struct {
+		now       time.Time
+		tokens    map[string]*Token
+		lastNonce byte
+		records   map[string]*TokenRecords
 	}
 )
 
-func key(fill byte) TokenKey {
+func testTokenKey(fill byte) TokenKey {
 	var k TokenKey
 	for i := range k {
 		k[i] = fill
@@ -43,47 +43,47 @@
 	return k
 }
 
-// TestTokenStories plays testdata/tokens.json: what each use of a token leads
+// TestTokenScenarios plays testdata/tokens.json: what each use of a token leads
 // to, over mint, loss, repeat, expiry, planned stop and hand-over.
-func TestTokenStories(t *testing.T) {
+func TestTokenScenarios(t *testing.T) {
 	data, err := os.ReadFile("testdata/tokens.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var scripts []script
-	if err := json.Unmarshal(data, &scripts); err != nil {
+	var scenarios []tokenScenario
+	if err := json.Unmarshal(data, &scenarios); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range scripts {
+	for _, s := range scenarios {
 		t.Run(strings.ReplaceAll(s.Name, " ", "-"), func(t *testing.T) {
-			r := &scriptRun{
+			r := &scenarioRun{
 				now:    time.Unix(1_000_000, 0),
 				tokens: make(map[string]*Token),
-				books: map[string]*TokenRecords{
-					"minter": NewTokenRecords(Minter{"proxy-1", 1}, key(1)),
-					"peer":   NewTokenRecords(Minter{"proxy-2", 1}, key(2)),
+				records: map[string]*TokenRecords{
+					"minter": NewTokenRecords(Minter{"proxy-1", 1}, testTokenKey(1)),
+					"peer":   NewTokenRecords(Minter{"proxy-2", 1}, testTokenKey(2)),
 				},
 			}
 			for i, st := range s.Steps {
-				if got := r.do(t, st); got != st.Want {
-					t.Fatalf("step %d (%s %s): got %q, want %q", i+1, st.Do, st.Token, got, st.Want)
+				if got := r.runStep(t, st); got != st.Want {
+					t.Fatalf("step %d (%s %s): got %q, want %q", i+1, st.Action, st.Token, got, st.Want)
 				}
 			}
 		})
 	}
 }
 
-func (r *scriptRun) do(t *testing.T, s step) string {
+func (r *scenarioRun) runStep(t *testing.T, s scenarioStep) string {
 	t.Helper()
-	by := s.By
-	if by == "" {
-		by = "minter"
+	process := s.Process
+	if process == "" {
+		process = "minter"
 	}
-	books := r.books[by]
-	switch s.Do {
+	records := r.records[process]
+	switch s.Action {
 	case "mint":
-		r.nonces++
-		token, ok := books.Mint("ledger", Nonce{r.nonces}, r.now, time.Minute, 10*time.Minute)
+		r.lastNonce++
+		token, ok := records.Mint("ledger", Nonce{r.lastNonce}, r.now, time.Minute, 10*time.Minute)
 		if !ok {
 			return "refused"
 		}
@@ -94,10 +94,10 @@
 		r.tokens[s.Token] = parsed
 	case "use", "use-for-other-service":
 		service := "ledger"
-		if s.Do != "use" {
+		if s.Action != "use" {
 			service = "board"
 		}
-		claim, result := books.Claim(r.tokens[s.Token], service, r.now)
+		claim, result := records.Claim(r.tokens[s.Token], service, r.now)
 		if claim == ClaimGranted {
 			return "fresh"
 		}
@@ -105,32 +105,32 @@
 	case "alter":
 		r.tokens[s.Token].Expiry = r.tokens[s.Token].Expiry.Add(time.Hour)
 	case "done":
-		answer := &Response{Status: 200, Body: make([]byte, s.Body)}
-		return errorText(books.Finish(r.tokens[s.Token].Nonce, Result{Outcome: OutcomeDone, Response: answer}))
+		answer := &Response{Status: 200, Body: make([]byte, s.BodyBytes)}
+		return finishError(records.Finish(r.tokens[s.Token].Nonce, Result{Outcome: OutcomeDone, Response: answer}))
 	case "broken":
-		return errorText(books.Finish(r.tokens[s.Token].Nonce, Result{Outcome: OutcomeUnknown, Reason: ReasonConnectionLost}))
+		return finishError(records.Finish(r.tokens[s.Token].Nonce, Result{Outcome: OutcomeUnknown, Reason: ReasonConnectionLost}))
 	case "shed":
-		books.Release(r.tokens[s.Token].Nonce)
+		records.Release(r.tokens[s.Token].Nonce)
 	case "wait":
 		d, err := time.ParseDuration(s.Wait)
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.now = r.now.Add(d)
-		books.Expire(r.now)
+		records.Expire(r.now)
 	case "close":
-		books.Close()
+		records.Close()
 	case "hand-over":
-		for _, h := range books.Export() {
-			r.books["peer"].Import(h)
+		for _, h := range records.Export() {
+			r.records["peer"].Import(h)
 		}
 	default:
-		t.Fatalf("no step is named %q", s.Do)
+		t.Fatalf("no step is named %q", s.Action)
 	}
 	return ""
 }
 
-func errorText(err error) string {
+func finishError(err error) string {
 	if errors.Is(err, ErrTokenRunTwice) {
 		return "double run"
 	}
--- a/internal/kernel/caller/token.go
+++ b/internal/kernel/caller/token.go
@@ -19,7 +19,7 @@
 	tokenFields   = 7
 	maxTokenBytes = 512
 	nonceBytes    = 12
-	keyBytes      = 32
+	tokenKeyBytes = 32
 )
 
 var (
@@ -49,7 +49,7 @@
 
 	// TokenKey authenticates a minter's tokens. It lives in the process and,
 	// after a planned stop, in the peer that took its records over.
-	TokenKey [keyBytes]byte
+	TokenKey [tokenKeyBytes]byte
 )
 
 // ID names the token in events, logs and the header to backend servers.
@@ -100,7 +100,7 @@
 		return nil, ErrTokenSyntax
 	}
 	t.Minter.Incarnation = incarnation
-	if n, err := hex.Decode(t.Nonce[:], padded(parts[4])); err != nil || n != nonceBytes {
+	if n, err := hex.Decode(t.Nonce[:], nonceHex(parts[4])); err != nil || n != nonceBytes {
 		return nil, ErrTokenSyntax
 	}
 	millis, err := strconv.ParseInt(parts[5], 10, 64)
@@ -115,9 +115,9 @@
 	return t, nil
 }
 
-// padded returns the text only if it has a nonce's length, so that decoding
+// nonceHex returns the text only if it has a nonce's length, so that decoding
 // cannot write past the array.
-func padded(text string) []byte {
+func nonceHex(text string) []byte {
 	if len(text) != 2*nonceBytes {
 		return nil
 	}
--- a/internal/kernel/peer/member.go
+++ b/internal/kernel/peer/member.go
@@ -28,14 +28,14 @@
 )
 
 const (
-	// suspectAfter failed exchanges in a row make a member suspect.
-	suspectAfter = 2
-	// suspectHold is how long a suspect may refute before it is left out of
+	// suspicionThreshold failed exchanges in a row make a member suspect.
+	suspicionThreshold = 2
+	// suspicionTimeout is how long a suspect may refute before it is left out of
 	// every look-up and its address is no longer tried for exchanges.
-	suspectHold = 3 * time.Second
-	// forgetAfter removes a member that nobody has heard of. It must exceed
+	suspicionTimeout = 3 * time.Second
+	// memberTTL removes a member that nobody has heard of. It must exceed
 	// the life of tokens, whose minter must stay known to be believed.
-	forgetAfter = 2 * time.Hour
+	memberTTL = 2 * time.Hour
 )
 
 var (
@@ -65,27 +65,27 @@
 		CapacityBundle uint64 `json:"capacity-bundle"`
 	}
 
-	known struct {
+	memberEntry struct {
 		Member
-		changed  time.Time
-		failures int
+		changedAt time.Time
+		failures  int
 	}
 
-	departure struct {
+	plannedStop struct {
 		successor string
-		at        time.Time
+		learnedAt time.Time
 	}
 
 	// Members is one proxy's view of all proxies.
 	Members struct {
-		self    string
-		all     map[string]*known
-		digest  uint64
-		changed time.Time
-		// departed keeps the successors of incarnations that stopped as
+		self        string
+		entries     map[string]*memberEntry
+		digest      uint64
+		lastChanged time.Time
+		// plannedStops keeps the successors of incarnations that stopped as
 		// planned, for a restarted proxy reuses its name.
-		departed map[caller.Minter]departure
-		order    []string
+		plannedStops map[caller.Minter]plannedStop
+		sortedNames  []string
 	}
 )
 
@@ -125,71 +125,71 @@
 // NewMembers starts a view that knows only its own process.
 func NewMembers(self Member, now time.Time) *Members {
 	m := &Members{
-		self:     self.Name,
-		all:      make(map[string]*known),
-		departed: make(map[caller.Minter]departure),
+		self:         self.Name,
+		entries:      make(map[string]*memberEntry),
+		plannedStops: make(map[caller.Minter]plannedStop),
 	}
 	m.Merge(self, now)
 	return m
 }
 
 // Self is the own record.
-func (m *Members) Self() Member { return m.all[m.self].Member }
+func (m *Members) Self() Member { return m.entries[m.self].Member }
 
 // UpdateSelf changes the own record and raises its sequence.
 func (m *Members) UpdateSelf(now time.Time, change func(*Member)) {
-	own := m.all[m.self].Member
+	own := m.entries[m.self].Member
 	change(&own)
 	own.Sequence++
-	m.put(own, now)
+	m.store(own, now)
 }
 
 // Merge takes in a record and reports whether it was news. A suspicion about
 // the own process is refuted at once by a higher sequence.
-func (m *Members) Merge(news Member, now time.Time) bool {
-	old := m.all[news.Name]
-	if news.Name == m.self && old != nil {
-		if news.Incarnation == old.Incarnation && news.State == StateSuspect && old.Sequence <= news.Sequence {
-			m.all[m.self].Sequence = news.Sequence
+func (m *Members) Merge(update Member, now time.Time) bool {
+	old := m.entries[update.Name]
+	if update.Name == m.self && old != nil {
+		if update.Incarnation == old.Incarnation && update.State == StateSuspect && old.Sequence <= update.Sequence {
+			m.entries[m.self].Sequence = update.Sequence
 			m.UpdateSelf(now, func(*Member) {})
 			return true
 		}
 		return false
 	}
-	if news.State == StateGone && news.Successor != "" {
-		m.departed[news.Minter()] = departure{successor: news.Successor, at: now}
+	if update.State == StateGone && update.Successor != "" {
+		m.plannedStops[update.Minter()] = plannedStop{successor: update.Successor, learnedAt: now}
 	}
-	if old != nil && !news.supersedes(&old.Member) {
+	if old != nil && !update.supersedes(&old.Member) {
 		return false
 	}
-	m.put(news, now)
+	m.store(update, now)
 	return true
 }
 
-func (m *Members) put(news Member, now time.Time) {
-	old := m.all[news.Name]
-	if old == nil {
-		old = &known{}
-		m.all[news.Name] = old
-		m.order = append(m.order, news.Name)
-		sort.Strings(m.order)
+func (m *Members) store(update Member, now time.Time) {
+	entry := m.entries[update.Name]
+	if entry == nil {
+		entry = &memberEntry{}
+		m.entries[update.Name] = entry
+		m.sortedNames = append(m.sortedNames, update.Name)
+		sort.Strings(m.sortedNames)
 	} else {
-		m.digest ^= old.hash()
+		m.digest ^= entry.hash()
 	}
-	if old.Incarnation != news.Incarnation || news.State != StateSuspect {
-		old.failures = 0
+	if entry.Incarnation != update.Incarnation || update.State != StateSuspect {
+		entry.failures = 0
 	}
-	old.Member = news
-	old.changed = now
-	m.changed = now
-	m.digest ^= news.hash()
+	entry.Member = update
+	entry.changedAt = now
+	m.lastChanged = now
+	m.digest ^= update.hash()
 }
 
 // Len counts the records.
-func (m *Members) Len() int { return len(m.all) }
+func (m *Members) Len() int { return len(m.entries) }
 
 // LastChanged is when a record last changed.
-func (m *Members) LastChanged() time.Time { return m.changed }
+func (m *Members) LastChanged() time.Time { return m.lastChanged }
 
 // Digest sums the view up, so that two proxies see whether theirs are alike
 // without sending them.
@@ -208,7 +208,7 @@
 
 // Get finds a member by name.
 func (m *Members) Get(name string) (Member, bool) {
-	k, ok := m.all[name]
+	k, ok := m.entries[name]
 	if !ok {
 		return Member{}, false
 	}
@@ -217,9 +217,9 @@
 
 // All lists every record in name order.
 func (m *Members) All() []Member {
-	list := make([]Member, 0, len(m.order))
-	for _, name := range m.order {
-		list = append(list, m.all[name].Member)
+	list := make([]Member, 0, len(m.sortedNames))
+	for _, name := range m.sortedNames {
+		list = append(list, m.entries[name].Member)
 	}
 	return list
 }
@@ -227,43 +227,43 @@
 // RecentlyChanged lists up to limit records that changed last, and not before since.
 // An exchange carries only these; a differing digest asks for the rest.
 func (m *Members) RecentlyChanged(limit int, since time.Time) []Member {
-	if m.changed.Before(since) {
+	if m.lastChanged.Before(since) {
 		return nil
 	}
-	var list []*known
-	for _, name := range m.order {
-		if k := m.all[name]; !k.changed.Before(since) {
+	var list []*memberEntry
+	for _, name := range m.sortedNames {
+		if k := m.entries[name]; !k.changedAt.Before(since) {
 			list = append(list, k)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *known) int { return b.changed.Compare(a.changed) })
-	var newest []Member
+	slices.SortStableFunc(list, func(a, b *memberEntry) int { return b.changedAt.Compare(a.changedAt) })
+	var recent []Member
 	for _, k := range list[:min(limit, len(list))] {
-		newest = append(newest, k.Member)
+		recent = append(recent, k.Member)
 	}
-	return newest
+	return recent
 }
 
 // RecordFailure counts an exchange that got no answer, and reports whether the
 // member has just become suspect.
 func (m *Members) RecordFailure(name string, now time.Time) bool {
-	k := m.all[name]
+	k := m.entries[name]
 	if k == nil || name == m.self {
 		return false
 	}
 	k.failures++
-	if k.failures < suspectAfter || k.State == StateSuspect || k.State == StateGone {
+	if k.failures < suspicionThreshold || k.State == StateSuspect || k.State == StateGone {
 		return false
 	}
-	news := k.Member
-	news.State = StateSuspect
-	m.put(news, now)
+	update := k.Member
+	update.State = StateSuspect
+	m.store(update, now)
 	return true
 }
 
 // RecordSuccess notes that a member is reachable from here.
 func (m *Members) RecordSuccess(name string) {
-	if k := m.all[name]; k != nil {
+	if k := m.entries[name]; k != nil {
 		k.failures = 0
 	}
 }
@@ -272,8 +272,8 @@
 // process counts as live whatever others suspect.
 func (m *Members) Serving() []Member {
 	var list []Member
-	for _, name := range m.order {
-		k := m.all[name]
+	for _, name := range m.sortedNames {
+		k := m.entries[name]
 		switch {
 		case k.State == StateLive:
 			list = append(list, k.Member)
@@ -288,11 +288,11 @@
 // and not suspect for long unless nobody else is left.
 func (m *Members) Reachable(now time.Time) []Member {
 	var list, suspects []Member
-	for _, name := range m.order {
-		k := m.all[name]
+	for _, name := range m.sortedNames {
+		k := m.entries[name]
 		switch {
 		case name == m.self || k.State == StateGone:
-		case k.State == StateSuspect && now.Sub(k.changed) > suspectHold:
+		case k.State == StateSuspect && now.Sub(k.changedAt) > suspicionTimeout:
 			suspects = append(suspects, k.Member)
 		default:
 			list = append(list, k.Member)
@@ -307,15 +307,15 @@
 // TokenOwner finds who decides over a minter's tokens now: the minter itself while
 // its incarnation is a member, or whoever took its records over.
 func (m *Members) TokenOwner(minter caller.Minter) (Member, bool) {
-	for range len(m.all) + 1 {
-		if k := m.all[minter.Name]; k != nil && k.Incarnation == minter.Incarnation && k.State != StateGone {
+	for range len(m.entries) + 1 {
+		if k := m.entries[minter.Name]; k != nil && k.Incarnation == minter.Incarnation && k.State != StateGone {
 			return k.Member, true
 		}
-		left, ok := m.departed[minter]
+		stop, ok := m.plannedStops[minter]
 		if !ok {
 			return Member{}, false
 		}
-		next := m.all[left.successor]
+		next := m.entries[stop.successor]
 		if next == nil {
 			return Member{}, false
 		}
@@ -330,19 +330,19 @@
 // Expire drops records that nobody has renewed for long, and incarnations that
 // left so long ago that none of their tokens can still be asked for.
 func (m *Members) Expire(now time.Time) {
-	for minter, left := range m.departed {
-		if now.Sub(left.at) >= forgetAfter {
-			delete(m.departed, minter)
+	for minter, stop := range m.plannedStops {
+		if now.Sub(stop.learnedAt) >= memberTTL {
+			delete(m.plannedStops, minter)
 		}
 	}
-	for _, name := range slices.Clone(m.order) {
-		k := m.all[name]
-		if name == m.self || now.Sub(k.changed) < forgetAfter || k.State == StateLive {
+	for _, name := range slices.Clone(m.sortedNames) {
+		k := m.entries[name]
+		if name == m.self || now.Sub(k.changedAt) < memberTTL || k.State == StateLive {
 			continue
 		}
 		m.digest ^= k.hash()
-		delete(m.all, name)
-		m.order = slices.DeleteFunc(m.order, func(n string) bool { return n == name })
+		delete(m.entries, name)
+		m.sortedNames = slices.DeleteFunc(m.sortedNames, func(n string) bool { return n == name })
 	}
 }
 
--- a/internal/kernel/peer/member_test.go
+++ b/internal/kernel/peer/member_test.go
@@ -8,10 +8,10 @@
 )
 
 var (
-	start = time.Unix(1_000_000, 0)
+	testTime = time.Unix(1_000_000, 0)
 )
 
-func member(name string, incarnation uint64, state MemberState) Member {
+func newMember(name string, incarnation uint64, state MemberState) Member {
 	return Member{Name: name, Incarnation: incarnation, State: state}
 }
 
@@ -19,38 +19,38 @@
 // hears so itself and says that it lives, with a newer record; callers are
 // sent to it again.
 func TestSuspicionIsRefuted(t *testing.T) {
-	slow := NewMembers(member("a", 1, StateLive), start)
-	peer := NewMembers(member("b", 1, StateLive), start)
-	peer.Merge(slow.Self(), start)
-	peer.RecordFailure("a", start)
-	peer.RecordFailure("a", start)
+	slow := NewMembers(newMember("a", 1, StateLive), testTime)
+	peer := NewMembers(newMember("b", 1, StateLive), testTime)
+	peer.Merge(slow.Self(), testTime)
+	peer.RecordFailure("a", testTime)
+	peer.RecordFailure("a", testTime)
 	suspect, _ := peer.Get("a")
 	if got, want := suspect.State, StateSuspect; got != want {
 		t.Fatalf("got state %s, want %s", got, want)
 	}
-	slow.Merge(suspect, start)
-	peer.Merge(slow.Self(), start)
+	slow.Merge(suspect, testTime)
+	peer.Merge(slow.Self(), testTime)
 	again, _ := peer.Get("a")
 	if got, want := again.State, StateLive; got != want {
 		t.Errorf("got state %s after the refutation, want %s", got, want)
 	}
 }
 
-// TestHeirOfAChainOfStops: a minter stops and leaves its records to a peer,
+// TestTokenOwnerAfterChainOfPlannedStops: a minter stops and leaves its records to a peer,
 // which stops later and leaves them on. A repeat must find the last one, also
 // when the first VM runs a new incarnation by then.
-func TestHeirOfAChainOfStops(t *testing.T) {
-	m := NewMembers(member("self", 1, StateLive), start)
-	first := member("a", 1, StateGone)
+func TestTokenOwnerAfterChainOfPlannedStops(t *testing.T) {
+	m := NewMembers(newMember("self", 1, StateLive), testTime)
+	first := newMember("a", 1, StateGone)
 	first.Successor = "b"
-	second := member("b", 1, StateGone)
+	second := newMember("b", 1, StateGone)
 	second.Successor = "c"
-	m.Merge(first, start)
-	m.Merge(second, start)
-	m.Merge(member("c", 1, StateLive), start)
-	m.Merge(member("a", 2, StateLive), start)
-	heir, ok := m.TokenOwner(caller.Minter{Name: "a", Incarnation: 1})
-	if got, want := heir.Name, "c"; !ok || got != want {
+	m.Merge(first, testTime)
+	m.Merge(second, testTime)
+	m.Merge(newMember("c", 1, StateLive), testTime)
+	m.Merge(newMember("a", 2, StateLive), testTime)
+	owner, ok := m.TokenOwner(caller.Minter{Name: "a", Incarnation: 1})
+	if got, want := owner.Name, "c"; !ok || got != want {
 		t.Errorf("got heir %q, %v; want %q", got, ok, want)
 	}
 	if _, ok := m.TokenOwner(caller.Minter{Name: "a", Incarnation: 7}); ok {
--- a/internal/kernel/peer/quota.go
+++ b/internal/kernel/peer/quota.go
@@ -10,18 +10,18 @@
 	// LoanTTL is how long a loan of quota lasts for its borrower, counted
 	// from before it asked.
 	LoanTTL = 2 * time.Second
-	// releaseGuard is how long a lender waits before it uses quota again that
+	// returnDelay is how long a lender waits before it uses quota again that
 	// the borrower has given back: the borrower's last admissions still count.
-	releaseGuard = WindowLength + WindowLength/10
-	// maxTurned bounds the refusals counted.
-	maxTurned = 4096
-	// renewBefore its end a borrower asks to keep a loan up. Renewed loans
+	returnDelay = WindowLength + WindowLength/10
+	// maxCountedRejections bounds the refusals counted.
+	maxCountedRejections = 4096
+	// renewalLeadTime its end a borrower asks to keep a loan up. Renewed loans
 	// waste nothing; one that ends lies idle for the lender's guard.
-	renewBefore = 900 * time.Millisecond
-	// needFall is how much of the way the estimated need falls a tick.
-	needFall = 0.03
-	// needRoots is the room above the traffic of the last second, in roots.
-	needRoots = 2.5
+	renewalLeadTime = 900 * time.Millisecond
+	// demandDecay is how much of the way the estimated need falls a tick.
+	demandDecay = 0.03
+	// demandMargin is the room above the traffic of the last second, in roots.
+	demandMargin = 2.5
 )
 
 type (
@@ -33,12 +33,12 @@
 	LoanID uint64
 
 	loan struct {
-		id     LoanID
-		peer   string
-		amount int
-		until  time.Time
-		// asked marks a loan whose renewal is under way.
-		asked bool
+		id        LoanID
+		peer      string
+		amount    int
+		expiresAt time.Time
+		// renewalPending marks a loan whose renewal is under way.
+		renewalPending bool
 	}
 
 	// Renewal asks a lender to keep up part of a loan.
@@ -55,15 +55,15 @@
 	// quota until its end but never doubles it.
 	Quota struct {
 		SlidingWindow
-		base     int
-		pending  int
-		raiseAt  time.Time
-		lastLoan LoanID
-		lent     []loan
-		borrowed []loan
-		turned   SlidingWindow
-		need     float64
-		guard    time.Duration
+		base         int
+		pendingBase  int
+		raiseAt      time.Time
+		lastLoanID   LoanID
+		lent         []loan
+		borrowed     []loan
+		rejections   SlidingWindow
+		demand       float64
+		reclaimDelay time.Duration
 	}
 )
 
@@ -72,41 +72,41 @@
 // it then dispatches carries deadlines that lie behind by the pause, and
 // backend servers refuse it once they have passed. A lender that waits for the
 // longest deadline beyond a loan's end is thus safe from pauses of any length.
-func (q *Quota) SetMaxDeadline(longest time.Duration) {
-	q.guard = WindowLength + LoanTTL/10 + longest
+func (q *Quota) SetMaxDeadline(maxDeadline time.Duration) {
+	q.reclaimDelay = WindowLength + LoanTTL/10 + maxDeadline
 }
 
 // RaiseDelay is how long a raised share waits before use. Whoever held the
 // difference may have lent it just before, and its borrower uses the loan to
 // its end.
-func (q *Quota) RaiseDelay() time.Duration { return LoanTTL + q.guard }
+func (q *Quota) RaiseDelay() time.Duration { return LoanTTL + q.reclaimDelay }
 
 // SetBase sets the own share. A lower one holds at once. A higher one waits
 // for RaiseDelay, unless whoever held the difference is known to have
 // stopped using and lending it.
-func (q *Quota) SetBase(base int, clean bool, now time.Time) {
-	if clean && q.raiseAt.IsZero() {
+func (q *Quota) SetBase(base int, immediate bool, now time.Time) {
+	if immediate && q.raiseAt.IsZero() {
 		q.base = base
-		q.pending = base
+		q.pendingBase = base
 		return
 	}
 	if base <= q.base {
 		q.base = base
-		q.pending = base
+		q.pendingBase = base
 		q.raiseAt = time.Time{}
 		return
 	}
-	if base == q.pending && !q.raiseAt.IsZero() {
+	if base == q.pendingBase && !q.raiseAt.IsZero() {
 		return
 	}
-	q.pending = base
+	q.pendingBase = base
 	q.raiseAt = now.Add(q.RaiseDelay())
 }
 
 // Base is the own share in force.
 func (q *Quota) Base(now time.Time) int {
-	if q.pending > q.base && !now.Before(q.raiseAt) {
-		q.base = q.pending
+	if q.pendingBase > q.base && !now.Before(q.raiseAt) {
+		q.base = q.pendingBase
 		q.raiseAt = time.Time{}
 	}
 	return q.base
@@ -115,15 +115,15 @@
 // Limit is how many requests may be admitted per window now. It is below zero
 // when the own share shrank while part of it was on loan.
 func (q *Quota) Limit(now time.Time) int {
-	return q.Base(now) - sum(&q.lent, now) + sum(&q.borrowed, now)
+	return q.Base(now) - sumActive(&q.lent, now) + sumActive(&q.borrowed, now)
 }
 
-// sum adds up the loans that last and drops the others.
-func sum(loans *[]loan, now time.Time) int {
+// sumActive adds up the loans that last and drops the others.
+func sumActive(loans *[]loan, now time.Time) int {
 	if len(*loans) == 0 {
 		return 0
 	}
-	*loans = slices.DeleteFunc(*loans, func(l loan) bool { return !now.Before(l.until) })
+	*loans = slices.DeleteFunc(*loans, func(l loan) bool { return !now.Before(l.expiresAt) })
 	total := 0
 	for _, l := range *loans {
 		total += l.amount
@@ -136,33 +136,33 @@
 	if q.Admit(now, q.Limit(now)) {
 		return true
 	}
-	q.turned.Admit(now, maxTurned)
+	q.rejections.Admit(now, maxCountedRejections)
 	return false
 }
 
 // RecentRejections counts refusals within the last window, up to a bound that
 // keeps the count's memory small.
-func (q *Quota) RecentRejections(now time.Time) int { return q.turned.Used(now) }
+func (q *Quota) RecentRejections(now time.Time) int { return q.rejections.Used(now) }
 
 // UpdateDemand takes the traffic of the last second into the estimated need, once a
 // tick. The estimate rises at once and falls slowly, so that a short lull does
 // not give back what the next moment needs.
 func (q *Quota) UpdateDemand(now time.Time) {
-	wanted := float64(q.Used(now) + q.RecentRejections(now))
-	if wanted > q.need {
-		q.need = wanted
+	observed := float64(q.Used(now) + q.RecentRejections(now))
+	if observed > q.demand {
+		q.demand = observed
 		return
 	}
-	q.need += needFall * (wanted - q.need)
+	q.demand += demandDecay * (observed - q.demand)
 }
 
 // Demand is how much quota the own traffic wants, with room for the unevenness
 // of arrivals, whose spread within a window is about the root of their number.
 func (q *Quota) Demand() int {
-	if q.need < 1 {
+	if q.demand < 1 {
 		return 0
 	}
-	return int(q.need+needRoots*math.Sqrt(q.need)) + 1
+	return int(q.demand+demandMargin*math.Sqrt(q.demand)) + 1
 }
 
 // Available is what is left in the current window.
@@ -175,21 +175,21 @@
 // since a unit used here and there within one second would count twice.
 // Borrowed quota is never lent on: its end would have to be passed on too.
 func (q *Quota) Lend(to string, want int, now time.Time) (LoanID, int) {
-	own := q.Base(now) - sum(&q.lent, now)
+	own := q.Base(now) - sumActive(&q.lent, now)
 	spare := own - max(q.Used(now), q.Demand())
 	amount := min(want, spare)
 	if amount <= 0 {
 		return 0, 0
 	}
-	q.lastLoan++
-	q.lent = append(q.lent, loan{id: q.lastLoan, peer: to, amount: amount, until: now.Add(LoanTTL + q.guard)})
-	return q.lastLoan, amount
+	q.lastLoanID++
+	q.lent = append(q.lent, loan{id: q.lastLoanID, peer: to, amount: amount, expiresAt: now.Add(LoanTTL + q.reclaimDelay)})
+	return q.lastLoanID, amount
 }
 
 // Renew keeps part of a loan up and takes the rest home, after one window in
 // which the borrower's last use of it still counts. It returns what is kept.
 func (q *Quota) Renew(borrower string, id LoanID, keep int, now time.Time) int {
-	sum(&q.lent, now)
+	sumActive(&q.lent, now)
 	for i := range q.lent {
 		l := &q.lent[i]
 		if l.id != id || l.peer != borrower {
@@ -197,22 +197,22 @@
 		}
 		// The own share may have shrunk since; what it no longer covers must
 		// not be kept up.
-		others := sum(&q.lent, now) - l.amount
+		others := sumActive(&q.lent, now) - l.amount
 		granted := min(keep, l.amount, max(0, q.Base(now)-others))
-		rest := loan{peer: borrower, amount: l.amount - granted, until: now.Add(releaseGuard)}
+		returned := loan{peer: borrower, amount: l.amount - granted, expiresAt: now.Add(returnDelay)}
 		if granted < keep {
 			// The borrower hears of the refusal and uses all to the old end.
 			return 0
 		}
-		if rest.until.After(l.until) {
-			rest.until = l.until
+		if returned.expiresAt.After(l.expiresAt) {
+			returned.expiresAt = l.expiresAt
 		}
 		l.amount = keep
 		if keep > 0 {
-			l.until = now.Add(LoanTTL + q.guard)
+			l.expiresAt = now.Add(LoanTTL + q.reclaimDelay)
 		}
-		if rest.amount > 0 {
-			q.lent = append(q.lent, rest)
+		if returned.amount > 0 {
+			q.lent = append(q.lent, returned)
 		}
 		return keep
 	}
@@ -222,12 +222,12 @@
 // AddBorrowed adds a loan that was asked for at the given time. Counting from the
 // asking keeps the borrower's end before the lender's however long the
 // message took.
-func (q *Quota) AddBorrowed(lender string, id LoanID, amount int, asked, now time.Time) {
-	until := asked.Add(LoanTTL)
-	if amount <= 0 || !now.Before(until) {
+func (q *Quota) AddBorrowed(lender string, id LoanID, amount int, requestedAt, now time.Time) {
+	expiresAt := requestedAt.Add(LoanTTL)
+	if amount <= 0 || !now.Before(expiresAt) {
 		return
 	}
-	q.borrowed = append(q.borrowed, loan{id: id, peer: lender, amount: amount, until: until})
+	q.borrowed = append(q.borrowed, loan{id: id, peer: lender, amount: amount, expiresAt: expiresAt})
 }
 
 // TakeRenewals lists loans that end soon, each with how much of it is still
@@ -238,13 +238,13 @@
 	surplus := q.Limit(now) - q.Demand()
 	for i := range q.borrowed {
 		l := &q.borrowed[i]
-		if l.asked || l.until.Sub(now) > renewBefore {
+		if l.renewalPending || l.expiresAt.Sub(now) > renewalLeadTime {
 			continue
 		}
-		l.asked = true
-		give := min(max(surplus, 0), l.amount)
-		l.amount -= give
-		surplus -= give
+		l.renewalPending = true
+		returned := min(max(surplus, 0), l.amount)
+		l.amount -= returned
+		surplus -= returned
 		list = append(list, Renewal{Lender: l.peer, ID: l.id, Keep: l.amount})
 	}
 	return list
@@ -256,15 +256,15 @@
 
 // HandleRenewalReply takes in the lender's answer. A refused or lost one lets the loan
 // run out at its old end.
-func (q *Quota) HandleRenewalReply(lender string, id LoanID, kept int, asked time.Time) {
+func (q *Quota) HandleRenewalReply(lender string, id LoanID, kept int, requestedAt time.Time) {
 	for i := range q.borrowed {
 		l := &q.borrowed[i]
 		if l.id != id || l.peer != lender {
 			continue
 		}
 		if kept >= l.amount && l.amount > 0 {
-			l.until = asked.Add(LoanTTL)
-			l.asked = false
+			l.expiresAt = requestedAt.Add(LoanTTL)
+			l.renewalPending = false
 		}
 		return
 	}
--- a/internal/kernel/peer/quota_test.go
+++ b/internal/kernel/peer/quota_test.go
@@ -11,16 +11,16 @@
 
 type (
 	// lender and borrower with a message between them that may be late or lost.
-	pending struct {
-		at     time.Time
-		arrive func()
+	delayedMessage struct {
+		deliverAt time.Time
+		deliver   func()
 	}
 )
 
-// TestLoansNeverDouble: two proxies lend and borrow a resource with messages
+// TestLoansNeverExceedCapacity: two proxies lend and borrow a resource with messages
 // that are late or lost, renewals refused, and shares that shrink. At every
 // moment what both admitted within one second stays within the capacity.
-func TestLoansNeverDouble(t *testing.T) {
+func TestLoansNeverExceedCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 40
 		now := time.Unix(1_000_000, 0)
@@ -30,27 +30,27 @@
 			q.SetBase(capacity/2, true, now)
 		}
 		var all SlidingWindow
-		var wire []pending
+		var inFlight []delayedMessage
 		send := func(f func()) {
 			if rapid.IntRange(0, 5).Draw(t, "lost") == 0 {
 				return
 			}
 			delay := time.Duration(rapid.IntRange(0, 1500).Draw(t, "delay")) * time.Millisecond
-			wire = append(wire, pending{now.Add(delay), f})
+			inFlight = append(inFlight, delayedMessage{now.Add(delay), f})
 		}
 		for range rapid.IntRange(10, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "step")) * time.Millisecond)
-			var rest []pending
-			due := wire
-			wire = nil
+			var rest []delayedMessage
+			due := inFlight
+			inFlight = nil
 			for _, p := range due {
-				if p.at.After(now) {
+				if p.deliverAt.After(now) {
 					rest = append(rest, p)
 				} else {
-					p.arrive()
+					p.deliver()
 				}
 			}
-			wire = append(wire, rest...)
+			inFlight = append(inFlight, rest...)
 			who := rapid.IntRange(0, 1).Draw(t, "who")
 			own, other := quotas[who], quotas[1-who]
 			name, otherName := "01"[who:who+1], "01"[1-who:2-who]
@@ -60,17 +60,17 @@
 				}
 			}
 			own.UpdateDemand(now)
-			asked := now
+			requestedAt := now
 			for _, r := range own.TakeRenewals(now) {
 				send(func() {
 					kept := other.Renew(name, r.ID, r.Keep, now)
-					send(func() { own.HandleRenewalReply(otherName, r.ID, kept, asked) })
+					send(func() { own.HandleRenewalReply(otherName, r.ID, kept, requestedAt) })
 				})
 			}
 			if rapid.Bool().Draw(t, "borrow") {
 				send(func() {
 					id, amount := other.Lend(name, 10, now)
-					send(func() { own.AddBorrowed(otherName, id, amount, asked, now) })
+					send(func() { own.AddBorrowed(otherName, id, amount, requestedAt, now) })
 				})
 			}
 		}
--- a/internal/kernel/peer/window.go
+++ b/internal/kernel/peer/window.go
@@ -7,8 +7,8 @@
 const (
 	// WindowLength is the length of the sliding window that quotas count in.
 	WindowLength = time.Second
-	// minRing is the smallest ring of admission times.
-	minRing = 16
+	// minRingSize is the smallest ring of admission times.
+	minRingSize = 16
 )
 
 type (
@@ -61,10 +61,10 @@
 }
 
 func (w *SlidingWindow) grow() {
-	bigger := make([]time.Time, max(minRing, 2*len(w.times)))
+	larger := make([]time.Time, max(minRingSize, 2*len(w.times)))
 	for i := range w.count {
-		bigger[i] = w.times[(w.head+i)%len(w.times)]
+		larger[i] = w.times[(w.head+i)%len(w.times)]
 	}
-	w.times = bigger
+	w.times = larger
 	w.head = 0
 }
--- a/internal/kernel/region/mover.go
+++ b/internal/kernel/region/mover.go
@@ -12,7 +12,7 @@
 		Interval time.Duration
 	}
 
-	move struct {
+	shiftRecord struct {
 		at     time.Time
 		amount int
 	}
@@ -27,8 +27,8 @@
 	// others against the planned one.
 	Shifter struct {
 		row      Row
-		planned  []move
-		failover []move
+		planned  []shiftRecord
+		failover []shiftRecord
 	}
 )
 
@@ -42,29 +42,29 @@
 
 // RecentShifts is how much has moved within the pace's interval, by kind.
 func (m *Shifter) RecentShifts(now time.Time, planned, failover ShiftLimit) (int, int) {
-	return spent(&m.planned, now, planned.Interval), spent(&m.failover, now, failover.Interval)
+	return sumRecent(&m.planned, now, planned.Interval), sumRecent(&m.failover, now, failover.Interval)
 }
 
 // Advance moves the row towards the target as far as the paces allow and
 // returns by how much, in thousandths.
 func (m *Shifter) Advance(now time.Time, target Row, lost []bool, planned, failover ShiftLimit) int {
 	total := 0
-	budget := failover.Cap - spent(&m.failover, now, failover.Interval)
-	if n := m.shift(target, budget, func(i int) bool { return lost[i] }); n > 0 {
-		m.failover = append(m.failover, move{at: now, amount: n})
+	budget := failover.Cap - sumRecent(&m.failover, now, failover.Interval)
+	if n := m.shiftShares(target, budget, func(i int) bool { return lost[i] }); n > 0 {
+		m.failover = append(m.failover, shiftRecord{at: now, amount: n})
 		total += n
 	}
-	budget = planned.Cap - spent(&m.planned, now, planned.Interval)
-	if n := m.shift(target, budget, func(i int) bool { return !lost[i] }); n > 0 {
-		m.planned = append(m.planned, move{at: now, amount: n})
+	budget = planned.Cap - sumRecent(&m.planned, now, planned.Interval)
+	if n := m.shiftShares(target, budget, func(i int) bool { return !lost[i] }); n > 0 {
+		m.planned = append(m.planned, shiftRecord{at: now, amount: n})
 		total += n
 	}
 	return total
 }
 
-// spent sums the moves within the interval and forgets older ones.
-func spent(moves *[]move, now time.Time, interval time.Duration) int {
-	*moves = slices.DeleteFunc(*moves, func(m move) bool { return now.Sub(m.at) >= interval })
+// sumRecent sums the moves within the interval and forgets older ones.
+func sumRecent(moves *[]shiftRecord, now time.Time, interval time.Duration) int {
+	*moves = slices.DeleteFunc(*moves, func(m shiftRecord) bool { return now.Sub(m.at) >= interval })
 	total := 0
 	for _, m := range *moves {
 		total += m.amount
@@ -72,17 +72,17 @@
 	return total
 }
 
-// shift moves up to budget from regions that have too much, and that from
+// shiftShares moves up to budget from regions that have too much, and that from
 // selects, to those that have too little, the neediest first. Filling one after
 // the other would send a lost region's traffic to a single one of the rest.
-func (m *Shifter) shift(target Row, budget int, from func(int) bool) int {
+func (m *Shifter) shiftShares(target Row, budget int, from func(int) bool) int {
 	moved := 0
 	for i := range m.row {
 		if !from(i) {
 			continue
 		}
 		for m.row[i] > target[i] && moved < budget {
-			to := m.neediest(target)
+			to := m.largestDeficit(target)
 			if to < 0 {
 				return moved
 			}
@@ -94,13 +94,13 @@
 	return moved
 }
 
-// neediest is the region furthest below its target, or -1.
-func (m *Shifter) neediest(target Row) int {
-	best, most := -1, 0
+// largestDeficit is the region furthest below its target, or -1.
+func (m *Shifter) largestDeficit(target Row) int {
+	best, maxDeficit := -1, 0
 	for i := range m.row {
-		if need := target[i] - m.row[i]; need > most {
+		if deficit := target[i] - m.row[i]; deficit > maxDeficit {
 			best = i
-			most = need
+			maxDeficit = deficit
 		}
 	}
 	return best
--- a/internal/kernel/region/mover_test.go
+++ b/internal/kernel/region/mover_test.go
@@ -11,7 +11,7 @@
 )
 
 type (
-	logged struct {
+	observedShift struct {
 		at     time.Time
 		amount int
 	}
@@ -22,17 +22,17 @@
 	os.Exit(m.Run())
 }
 
-// TestMoverKeepsItsPace: targets jump about and regions are lost and come back
+// TestShifterStaysWithinLimits: targets jump about and regions are lost and come back
 // at random. Within no interval, wherever it begins, do more thousandths move
 // than the two paces allow together, and a row always sums to the whole.
-func TestMoverKeepsItsPace(t *testing.T) {
+func TestShifterStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := rapid.IntRange(2, 5).Draw(t, "regions")
 		planned := ShiftLimit{Cap: rapid.IntRange(1, 300).Draw(t, "cap"), Interval: 10 * time.Second}
 		failover := ShiftLimit{Cap: rapid.IntRange(1, 300).Draw(t, "failover cap"), Interval: time.Second}
 		m := NewShifter(SingleRegionRow(regions, 0))
 		now := time.Unix(1_000_000, 0)
-		var moves []logged
+		var shifts []observedShift
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "wait")) * time.Millisecond)
 			lost := make([]bool, regions)
@@ -43,23 +43,23 @@
 			if got := m.Row().Sum(); got != FullShare {
 				t.Fatalf("got a row that sums to %d, want %d", got, FullShare)
 			}
-			moves = append(moves, logged{now, before.Distance(m.Row())})
-			within := 0
-			for _, move := range moves {
-				if now.Sub(move.at) < failover.Interval {
-					within += move.amount
+			shifts = append(shifts, observedShift{now, before.Distance(m.Row())})
+			recent := 0
+			for _, shift := range shifts {
+				if now.Sub(shift.at) < failover.Interval {
+					recent += shift.amount
 				}
 			}
-			if want := planned.Cap + failover.Cap; within > want {
-				t.Fatalf("got %d thousandths moved within %s, want at most %d", within, failover.Interval, want)
+			if want := planned.Cap + failover.Cap; recent > want {
+				t.Fatalf("got %d thousandths moved within %s, want at most %d", recent, failover.Interval, want)
 			}
 		}
 	})
 }
 
-// TestSpreaderIsExact: of any run of requests a region gets its share within
+// TestWeightedRoundRobinKeepsShares: of any run of requests a region gets its share within
 // one request a region; chance would exceed a cap now and then.
-func TestSpreaderIsExact(t *testing.T) {
+func TestWeightedRoundRobinKeepsShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := rapid.IntRange(0, FullShare).Draw(t, "first")
 		b := rapid.IntRange(0, FullShare-a).Draw(t, "second")
@@ -100,7 +100,7 @@
 		{"calm", in(SingleRegionRow(3, 0), 0, true, true, true), func(r Row) bool { return r.Equal(SingleRegionRow(3, 0)) }},
 		{"refusals move away", in(SingleRegionRow(3, 0), 20, true, true, true), func(r Row) bool { return r[0] == 800 && r[1]+r[2] == 200 }},
 		{"chance refusals do not", in(SingleRegionRow(3, 0), 4, true, true, true), func(r Row) bool { return r.Equal(SingleRegionRow(3, 0)) }},
-		{"comes home in steps", in(Row{700, 300, 0}, 0, true, true, true), func(r Row) bool { return r[0] == 700+homeStep }},
+		{"comes home in steps", in(Row{700, 300, 0}, 0, true, true, true), func(r Row) bool { return r[0] == 700+returnStep }},
 		{"unusable is left", in(SingleRegionRow(3, 0), 0, false, true, true), func(r Row) bool { return r[0] == 0 && r[1] == 500 && r[2] == 500 }},
 		{"only one is left", in(SingleRegionRow(3, 0), 0, false, false, true), func(r Row) bool { return r.Equal(SingleRegionRow(3, 2)) }},
 	}
--- a/internal/kernel/region/planner.go
+++ b/internal/kernel/region/planner.go
@@ -8,16 +8,16 @@
 const (
 	// DefaultPlanner is the name of the default planner.
 	DefaultPlanner = "headroom"
-	// comfortable is the share of a quota that a planner fills before it
+	// targetUtilization is the share of a quota that a planner fills before it
 	// moves traffic elsewhere, in thousandths.
-	comfortable = 950
-	// tolerated is the share of a region's traffic that may be refused before
+	targetUtilization = 950
+	// maxRejectionRatio is the share of a region's traffic that may be refused before
 	// any is moved elsewhere; chance alone refuses a few.
-	tolerated = 0.02
-	// toleratedRate is the same in requests per second, where load is low.
-	toleratedRate = 5
-	// homeStep is how much of a row comes home at once, in thousandths.
-	homeStep = 50
+	maxRejectionRatio = 0.02
+	// minRejectionRate is the same in requests per second, where load is low.
+	minRejectionRate = 5
+	// returnStep is how much of a row comes home at once, in thousandths.
+	returnStep = 50
 	// deadband is the smallest change of a share worth a move, in
 	// thousandths. Demand that wobbles would else move traffic for nothing.
 	deadband = 10
@@ -96,31 +96,31 @@
 	rows := make([]Row, len(in.Preferred))
 	weights := capacityWeights(in)
 	for home, preferred := range in.Preferred {
-		rows[home] = evict(preferred, in.Usable, weights)
+		rows[home] = excludeUnusable(preferred, in.Usable, weights)
 	}
 	return rows
 }
 
-// evict spreads what unusable regions hold over the usable ones by weight.
-func evict(row Row, usable []bool, weights []float64) Row {
+// excludeUnusable spreads what unusable regions hold over the usable ones by weight.
+func excludeUnusable(row Row, usable []bool, weights []float64) Row {
 	out := make(Row, len(row))
-	loose := 0
+	unassigned := 0
 	for i, share := range row {
 		if usable[i] {
 			out[i] = share
 		} else {
-			loose += share
+			unassigned += share
 		}
 	}
-	if !spread(out, loose, weights) {
+	if !distribute(out, unassigned, weights) {
 		return append(Row(nil), row...)
 	}
 	return out
 }
 
-// spread adds an amount to a row in proportion to weights, to the unit. It
+// distribute adds an amount to a row in proportion to weights, to the unit. It
 // reports false when no weight is positive.
-func spread(row Row, amount int, weights []float64) bool {
+func distribute(row Row, amount int, weights []float64) bool {
 	total := 0.0
 	last := -1
 	for i, w := range weights {
@@ -132,16 +132,16 @@
 	if last < 0 {
 		return amount == 0
 	}
-	left := amount
+	remaining := amount
 	for i, w := range weights {
 		if w <= 0 || i == last {
 			continue
 		}
 		n := int(float64(amount) * w / total)
 		row[i] += n
-		left -= n
+		remaining -= n
 	}
-	row[last] += left
+	row[last] += remaining
 	return true
 }
 
@@ -153,7 +153,7 @@
 	rows := make([]Row, len(in.Preferred))
 	weights := capacityWeights(in)
 	for home := range rows {
-		rows[home] = evict(in.Current[home], in.Usable, weights)
+		rows[home] = excludeUnusable(in.Current[home], in.Usable, weights)
 	}
 	load := make([]float64, len(in.Usable))
 	for home, row := range rows {
@@ -161,26 +161,26 @@
 			load[i] += in.Demand[home] * float64(share) / FullShare
 		}
 	}
-	room := make([]float64, len(load))
+	headroom := make([]float64, len(load))
 	for i := range load {
 		if in.Usable[i] {
-			room[i] = max(0, float64(in.Quota[i])*comfortable/FullShare-load[i])
+			headroom[i] = max(0, float64(in.Quota[i])*targetUtilization/FullShare-load[i])
 		}
 	}
 	for i := range load {
-		if in.Usable[i] && overfull(in, load, i) {
-			relieve(in, rows, room, load, i)
+		if in.Usable[i] && isOverloaded(in, load, i) {
+			offload(in, rows, headroom, load, i)
 		}
 	}
 	for home := range rows {
-		comeHome(in, rows[home], in.Preferred[home])
+		returnTraffic(in, rows[home], in.Preferred[home])
 	}
 	return rows
 }
 
-// overfull reports whether a region refuses more than chance does.
-func overfull(in PlannerInput, load []float64, i int) bool {
-	return in.Rejected[i] > max(tolerated*load[i], toleratedRate)
+// isOverloaded reports whether a region refuses more than chance does.
+func isOverloaded(in PlannerInput, load []float64, i int) bool {
+	return in.Rejected[i] > max(maxRejectionRatio*load[i], minRejectionRate)
 }
 
 // capacityWeights spreads by the regions' whole capacity and not by the own
@@ -195,41 +195,41 @@
 	return weights
 }
 
-// relieve moves what one region refuses to others, as far as they have room,
+// offload moves what one region refuses to others, as far as they have room,
 // each home in proportion to what it sends there.
-func relieve(in PlannerInput, rows []Row, room, load []float64, full int) {
-	free := make([]float64, len(room))
+func offload(in PlannerInput, rows []Row, headroom, load []float64, overloaded int) {
+	available := make([]float64, len(headroom))
 	total := 0.0
-	for i, r := range room {
-		if i != full && !overfull(in, load, i) {
-			free[i] = r
+	for i, r := range headroom {
+		if i != overloaded && !isOverloaded(in, load, i) {
+			available[i] = r
 			total += r
 		}
 	}
-	excess := min(in.Rejected[full], total)
-	if excess <= 0 || load[full] <= 0 {
+	excess := min(in.Rejected[overloaded], total)
+	if excess <= 0 || load[overloaded] <= 0 {
 		return
 	}
 	for _, row := range rows {
-		n := int(float64(row[full]) * excess / load[full])
-		if n >= deadband && spread(row, n, free) {
-			row[full] -= n
+		n := int(float64(row[overloaded]) * excess / load[overloaded])
+		if n >= deadband && distribute(row, n, available) {
+			row[overloaded] -= n
 		}
 	}
-	for i := range free {
-		room[i] -= excess * free[i] / total
+	for i := range available {
+		headroom[i] -= excess * available[i] / total
 	}
 }
 
-// comeHome moves one step towards the bundle's row, into regions that refuse
+// returnTraffic moves one step towards the bundle's row, into regions that refuse
 // next to nothing now.
-func comeHome(in PlannerInput, row, preferred Row) {
+func returnTraffic(in PlannerInput, row, preferred Row) {
 	for to := range row {
-		if !in.Usable[to] || in.Rejected[to] > toleratedRate/2 || row[to] >= preferred[to] {
+		if !in.Usable[to] || in.Rejected[to] > minRejectionRate/2 || row[to] >= preferred[to] {
 			continue
 		}
 		for from := range row {
-			n := min(homeStep, preferred[to]-row[to], row[from]-preferred[from])
+			n := min(returnStep, preferred[to]-row[to], row[from]-preferred[from])
 			if n > 0 {
 				row[from] -= n
 				row[to] += n
--- a/internal/kernel/routing/routing_test.go
+++ b/internal/kernel/routing/routing_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchPrefersLongestPrefixOfHost(t *testing.T) {
 	table := NewTable(1, []*Route{
 		{Name: "all", Host: "a", Prefix: "/"},
 		{Name: "deep", Host: "a", Prefix: "/x/y/"},
@@ -27,7 +27,7 @@
 
 // An operator moves a tenth of a route's requests to a new service. Drawn at
 // random, thirty requests could miss it altogether.
-func TestSplitKeepsWeightsToTheRequest(t *testing.T) {
+func TestSplitFollowsWeightsExactly(t *testing.T) {
 	s := NewSplitter()
 	r := &Route{Name: "r", Parts: []WeightedService{{"old", 90}, {"new", 10}}}
 	for round := range 5 {
@@ -43,7 +43,7 @@
 
 // A new version gives the route other parts; what was counted for the old ones
 // must not be taken for them.
-func TestSplitAfterAChangeOfParts(t *testing.T) {
+func TestSplitAfterServicesChange(t *testing.T) {
 	s := NewSplitter()
 	s.Next(&Route{Name: "r", Parts: []WeightedService{{"a", 1}, {"b", 1}}})
 	r := &Route{Name: "r", Parts: []WeightedService{{"a", 1}, {"b", 1}, {"c", 2}}}
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestRegionsOfAHost(t *testing.T) {
+func TestHostRegions(t *testing.T) {
 	table := NewTable(1, []*Route{
 		{Name: "1", Host: "a", Prefix: "/1/", Regions: []string{"north"}},
 		{Name: "2", Host: "a", Prefix: "/2/", Regions: []string{"south"}},
--- a/internal/kernel/routing/table.go
+++ b/internal/kernel/routing/table.go
@@ -21,8 +21,8 @@
 		Services map[string]*Service
 		Limits   Limits
 		// Accounts are the client accounts; nil if requests need no key.
-		Accounts *account.Table `json:"-"`
-		byHost   map[string][]*Route
+		Accounts     *account.Table `json:"-"`
+		routesByHost map[string][]*Route
 	}
 
 	// Limits bounds what a caller may send, in bytes and time.
@@ -97,18 +97,18 @@
 func NewTable(version uint64, routes []*Route, services []*Service, limits Limits) *Table {
 	t := &Table{
 		Version: version, Limits: limits,
-		Routes:   make(map[string]*Route, len(routes)),
-		Services: make(map[string]*Service, len(services)),
-		byHost:   make(map[string][]*Route),
+		Routes:       make(map[string]*Route, len(routes)),
+		Services:     make(map[string]*Service, len(services)),
+		routesByHost: make(map[string][]*Route),
 	}
 	for _, s := range services {
 		t.Services[s.Name] = s
 	}
 	for _, r := range routes {
 		t.Routes[r.Name] = r
-		t.byHost[r.Host] = append(t.byHost[r.Host], r)
+		t.routesByHost[r.Host] = append(t.routesByHost[r.Host], r)
 	}
-	for _, list := range t.byHost {
+	for _, list := range t.routesByHost {
 		slices.SortFunc(list, func(a, b *Route) int {
 			return cmp.Or(cmp.Compare(len(b.Prefix), len(a.Prefix)), cmp.Compare(a.Name, b.Name))
 		})
@@ -124,7 +124,7 @@
 
 // Match finds the route with the longest prefix of path among the host's.
 func (t *Table) Match(host, path string) *Route {
-	for _, r := range t.byHost[host] {
+	for _, r := range t.routesByHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -137,7 +137,7 @@
 // not pass on.
 func (t *Table) HostRegions(host string) []string {
 	var regions []string
-	for _, r := range t.byHost[host] {
+	for _, r := range t.routesByHost[host] {
 		if len(r.Regions) == 0 {
 			return nil
 		}
