--- a/internal/kernel/account/key.go
+++ b/internal/kernel/account/key.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	// digestBytes are those of a key's digest that tell keys apart: enough that nobody
-	// can make another text with the same digest.
+	// digestBytes is the length of the SHA-256 prefix that identifies a key. It is long enough that
+	// finding another text with the same digest is infeasible.
 	digestBytes = 16
-	// fingerprintBytes are those that operators see.
+	// fingerprintBytes is the length of the digest prefix that operators see.
 	fingerprintBytes = 4
-	// maxKeyBytes is the longest text, in bytes, that is taken for a key.
+	// maxKeyBytes is the maximum length of an API key.
 	maxKeyBytes = 512
 )
 
 const (
-	// CredentialAbsent means that a request carries no key.
+	// CredentialAbsent means that a request carries no API key.
 	CredentialAbsent CredentialState = iota
-	// CredentialMalformed means that what stands where the key should is none, or is several.
+	// CredentialMalformed means that the authorization of a request is not a single valid API key.
 	CredentialMalformed
-	// CredentialPresent means that a request carries one key, of an account or of nobody.
+	// CredentialPresent means that a request carries one API key, which may be of no account.
 	CredentialPresent
 )
 
 type (
-	// Key stands for the text of an API key, which is kept nowhere: not in memory that a
-	// snapshot shows, nor in logs, recordings or messages.
+	// Key is the digest of an API key. The text of the key itself is never retained: neither in
+	// memory that a snapshot exposes, nor in logs, recordings or messages.
 	Key [digestBytes]byte
 
-	// CredentialState says what a request carries in the place of its key.
+	// CredentialState says whether a request carries an API key.
 	CredentialState uint8
 
-	// Credential is what a request carries to show whose it is.
+	// Credential is what a request carries to authenticate its account.
 	Credential struct {
 		State CredentialState
 		Key   Key
 	}
 )
 
-// HashKey is the key of a text, or false if the text can be none.
+// HashKey returns the digest of an API key, or false if the text is empty or too long for a key.
 func HashKey(text string) (Key, bool) {
 	if text == "" || len(text) > maxKeyBytes {
 		return Key{}, false
@@ -50,23 +50,23 @@
 	return Key(digest[:digestBytes]), true
 }
 
-// Fingerprint tells keys apart for operators, and says nothing of their texts.
+// Fingerprint identifies the key to operators without disclosing its text.
 func (k Key) Fingerprint() string { return hex.EncodeToString(k[:fingerprintBytes]) }
 
-// String is the fingerprint.
+// String returns the fingerprint.
 func (k Key) String() string { return k.Fingerprint() }
 
-// MarshalText writes the fingerprint, which is enough to replay a recording.
+// MarshalText returns the fingerprint, which is enough to replay a recording.
 func (k Key) MarshalText() ([]byte, error) { return []byte(k.Fingerprint()), nil }
 
-// UnmarshalText reads a fingerprint.
+// UnmarshalText decodes a fingerprint. The rest of the digest is zero.
 func (k *Key) UnmarshalText(text []byte) error {
 	*k = Key{}
 	if hex.DecodedLen(len(text)) != fingerprintBytes {
-		return errors.Errorf("fingerprint of a key: must have %d hexadecimal digits, has %d", 2*fingerprintBytes, len(text))
+		return errors.Errorf("key fingerprint must have %d hexadecimal digits, has %d", 2*fingerprintBytes, len(text))
 	}
 	if _, err := hex.Decode(k[:fingerprintBytes], text); err != nil {
-		return errors.Wrap(err, "fingerprint of a key")
+		return errors.Wrap(err, "decode key fingerprint")
 	}
 	return nil
 }
--- a/internal/kernel/account/table.go
+++ b/internal/kernel/account/table.go
@@ -1,5 +1,5 @@
-// Package account knows the client accounts of a configuration: which API keys each
-// has, and what it may do.
+// Package account holds the client accounts of a configuration with their API keys, rate limits and
+// regions.
 package account
 
 import (
@@ -14,32 +14,32 @@
 	Account struct {
 		Name string
 		Keys []Key
-		// Priority goes before that of a route, 0 first; nil leaves it to the route.
+		// Priority overrides the priority of the route; 0 is the highest. If it is nil, the priority
+		// of the route applies.
 		Priority *int
-		// Limit is how many requests it may send, over all proxies together.
+		// Limit is the rate limit of the account over all proxies together.
 		Limit ratelimit.Limit
-		// Regions that may serve it; none means all.
+		// Regions lists the regions that may serve the account. If it is empty, all may.
 		Regions []string
 	}
 
-	// Table finds accounts. It is built once for each version of the configuration and
-	// never changes.
+	// Table indexes accounts by name and by key. It is built once per configuration version and is
+	// immutable.
 	Table struct {
-		byName map[string]*Account
-		byKey  map[Key]*Account
-		// hasRateLimits is set if any account has a limit.
+		byName        map[string]*Account
+		byKey         map[Key]*Account
 		hasRateLimits bool
 	}
 
-	// Conflict is a key that more than one account claims.
+	// Conflict is a key that is configured for more than one account.
 	Conflict struct {
 		Key      Key
 		Accounts [2]string
 	}
 )
 
-// NewTable indexes accounts. A key that several claim belongs to none of them: run for
-// either, a request might run for the wrong one.
+// NewTable indexes accounts. A key that several accounts have is assigned to none of them, because a
+// request with it could be attributed to the wrong account.
 func NewTable(accounts []*Account) (*Table, []Conflict) {
 	t := &Table{byName: make(map[string]*Account, len(accounts)), byKey: make(map[Key]*Account, len(accounts))}
 	var conflicts []Conflict
@@ -61,13 +61,13 @@
 	return t, conflicts
 }
 
-// HasRateLimits reports whether any account has a limit.
+// HasRateLimits reports whether any account has a rate limit.
 func (t *Table) HasRateLimits() bool { return t != nil && t.hasRateLimits }
 
-// ByKey is the account that a key belongs to, nil for none.
+// ByKey returns the account that a key belongs to, or nil if there is none.
 func (t *Table) ByKey(key Key) *Account { return t.byKey[key] }
 
-// ByName is the account of a name, nil for none.
+// ByName returns the account with a name, or nil if there is none.
 func (t *Table) ByName(name string) *Account {
 	if t == nil {
 		return nil
@@ -75,13 +75,13 @@
 	return t.byName[name]
 }
 
-// All lists the accounts by name.
+// All returns the accounts in order of name, or nil if the configuration has no account section.
 func (t *Table) All() []*Account {
 	if t == nil {
 		return nil
 	}
-	// An empty list stands for a configuration whose accounts are none, nil for one
-	// without them.
+	// An empty list means that the configuration has an empty list of accounts; nil means that it
+	// has none.
 	list := make([]*Account, 0, len(t.byName))
 	for _, a := range t.byName {
 		list = append(list, a)
--- a/internal/kernel/account/table_test.go
+++ b/internal/kernel/account/table_test.go
@@ -11,7 +11,7 @@
 	t.Helper()
 	k, ok := HashKey(text)
 	if !ok {
-		t.Fatalf("%q is no key", text)
+		t.Fatalf("HashKey rejects %q, want a key", text)
 	}
 	return k
 }
@@ -20,7 +20,7 @@
 	anna := &Account{Name: "anna", Keys: []Key{mustHashKey(t, "1"), mustHashKey(t, "2"), mustHashKey(t, "2")}}
 	table, conflicts := NewTable([]*Account{anna, {Name: "bruno", Keys: []Key{mustHashKey(t, "3")}}})
 	if len(conflicts) > 0 {
-		t.Errorf("conflicts are %v, want none: an account may name a key twice", conflicts)
+		t.Errorf("got conflicts %v, want none: an account may list a key twice", conflicts)
 	}
 	for text, want := range map[string]string{"1": "anna", "2": "anna", "3": "bruno", "4": ""} {
 		got := ""
@@ -28,31 +28,31 @@
 			got = a.Name
 		}
 		if got != want {
-			t.Errorf("key %s is of %q, want %q", text, got, want)
+			t.Errorf("key %s: got account %q, want %q", text, got, want)
 		}
 	}
 }
 
-// Guards against a key that runs requests for whichever account was read first.
+// Guards against a shared key that is attributed to whichever account was read first.
 func TestKeyOfTwoAccountsMatchesNeither(t *testing.T) {
 	table, conflicts := NewTable([]*Account{
 		{Name: "anna", Keys: []Key{mustHashKey(t, "1"), mustHashKey(t, "2")}}, {Name: "bruno", Keys: []Key{mustHashKey(t, "1")}}, {Name: "carla", Keys: []Key{mustHashKey(t, "1")}},
 	})
 	if a := table.ByKey(mustHashKey(t, "1")); a != nil {
-		t.Errorf("the key is of %s, want nobody", a.Name)
+		t.Errorf("shared key: got account %s, want none", a.Name)
 	}
 	if a := table.ByKey(mustHashKey(t, "2")); a == nil || a.Name != "anna" {
-		t.Errorf("the other key is of %v, want anna", a)
+		t.Errorf("other key: got account %v, want anna", a)
 	}
 	if got, want := len(conflicts), 2; got != want {
-		t.Errorf("%d conflicts, want %d", got, want)
+		t.Errorf("got %d conflicts, want %d", got, want)
 	}
 }
 
 func TestHashKeyRejectsInvalidText(t *testing.T) {
 	for _, text := range []string{"", strings.Repeat("x", maxKeyBytes+1)} {
 		if _, ok := HashKey(text); ok {
-			t.Errorf("a text of %d bytes is taken for a key", len(text))
+			t.Errorf("HashKey accepts a text of %d bytes, want it rejected", len(text))
 		}
 	}
 }
@@ -61,11 +61,11 @@
 	const text = "fwrz56aw63is47qdqiqr"
 	data, err := json.Marshal(Credential{State: CredentialPresent, Key: mustHashKey(t, text)})
 	if err != nil || strings.Contains(string(data), text) {
-		t.Errorf("credential is written as %s, %v", data, err)
+		t.Errorf("got encoded credential %s, %v; want one without the text of the key", data, err)
 	}
 	var decoded Credential
 	if err := json.Unmarshal(data, &decoded); err != nil || decoded.Key.Fingerprint() != mustHashKey(t, text).Fingerprint() {
-		t.Errorf("read back as %s, %v, want the fingerprint %s", decoded.Key, err, mustHashKey(t, text))
+		t.Errorf("got key %s, %v after decoding, want fingerprint %s", decoded.Key, err, mustHashKey(t, text))
 	}
 }
 
--- a/internal/kernel/region/planner.go
+++ b/internal/kernel/region/planner.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// DefaultPlanner is the name of the default planner.
+	// DefaultPlanner is the name of the planner used if the bundle does not name a registered one.
 	DefaultPlanner = "headroom"
-	// targetUtilization is the share of a quota that a planner fills before it
-	// moves traffic elsewhere, in thousandths.
+	// targetUtilization is the share of a region's quota, in thousandths, that the planner counts
+	// as usable when it moves traffic to the region.
 	targetUtilization = 950
-	// maxRejectionRatio is the share of a region's traffic that may be refused before
-	// any is moved elsewhere; chance alone refuses a few.
+	// maxRejectionRatio is the share of a region's traffic that may be rejected before any is moved
+	// elsewhere. Random arrivals alone cause a few rejections.
 	maxRejectionRatio = 0.02
-	// minRejectionRate is the same in requests per second, where load is low.
+	// minRejectionRate is the corresponding threshold at low load, in requests per second.
 	minRejectionRate = 5
-	// returnStep is how much of a row comes home at once, in thousandths.
+	// returnStep is the most that moves back from one region to another per run, in thousandths.
 	returnStep = 50
-	// deadband is the smallest change of a share worth a move, in
-	// thousandths. Demand that wobbles would else move traffic for nothing.
+	// deadband is the smallest change of a share, in thousandths, that is applied. Without it,
+	// small variations in demand would cause needless shifts.
 	deadband = 10
 )
 
@@ -28,21 +28,22 @@
 )
 
 type (
-	// PlannerInput is what a planner sees: one proxy's own view.
+	// PlannerInput is the state a planner works from, as seen by one proxy.
 	PlannerInput struct {
-		// Preferred is the bundle's row of each home region.
+		// Preferred holds the row that the bundle sets for each home region.
 		Preferred []Row
-		// Current is the row in force of each home region.
+		// Current holds the current row of each home region.
 		Current []Row
-		// Usable tells which regions are neither lost nor drained.
+		// Usable marks the regions that are neither lost nor drained.
 		Usable []bool
-		// Demand is this proxy's requests per second by home region.
+		// Demand is the rate of requests at this proxy by home region, in requests per second.
 		Demand []float64
-		// Capacity is each region's requests per second for all proxies.
+		// Capacity is what each region serves for all proxies together, in requests per second.
 		Capacity []int
-		// Quota is this proxy's requests per second by region.
+		// Quota is this proxy's quota by region, in requests per second.
 		Quota []int
-		// Rejected is how many requests a second found no quota, by region.
+		// Rejected is the rate of requests rejected for lack of quota by region, in requests per
+		// second.
 		Rejected []float64
 	}
 
@@ -57,17 +58,17 @@
 func init() {
 	RegisterPlanner(Planner{
 		Name:   DefaultPlanner,
-		Help:   "the bundle's rows; what a region cannot take goes where quota is free",
+		Help:   "the bundle's rows; traffic that a region rejects goes to regions with free quota",
 		Target: headroomTarget,
 	})
 	RegisterPlanner(Planner{
 		Name:   "fixed",
-		Help:   "the bundle's rows; only lost and drained regions are left out",
+		Help:   "the bundle's rows without lost and drained regions",
 		Target: fixedTarget,
 	})
 }
 
-// RegisterPlanner adds a planner to the registry, from init functions only.
+// RegisterPlanner adds a planner to the registry. It must only be called from init functions.
 func RegisterPlanner(p Planner) {
 	if _, taken := planners[p.Name]; taken {
 		panic(fmt.Sprintf("region: planner %q registered twice", p.Name))
@@ -75,13 +76,13 @@
 	planners[p.Name] = p
 }
 
-// FindPlanner looks a planner up.
+// FindPlanner returns the planner registered under a name.
 func FindPlanner(name string) (Planner, bool) {
 	p, ok := planners[name]
 	return p, ok
 }
 
-// PlannerNames lists the registered names in order.
+// PlannerNames returns the names of the registered planners in sorted order.
 func PlannerNames() []string {
 	names := make([]string, 0, len(planners))
 	for name := range planners {
@@ -91,7 +92,7 @@
 	return names
 }
 
-// fixedTarget moves the share of unusable regions to the others.
+// fixedTarget redistributes the shares of unusable regions over the usable ones.
 func fixedTarget(in PlannerInput) []Row {
 	rows := make([]Row, len(in.Preferred))
 	weights := capacityWeights(in)
@@ -101,7 +102,8 @@
 	return rows
 }
 
-// excludeUnusable spreads what unusable regions hold over the usable ones by weight.
+// excludeUnusable returns the row with the shares of unusable regions distributed over the usable
+// ones by weight. If no region is usable it returns the row unchanged.
 func excludeUnusable(row Row, usable []bool, weights []float64) Row {
 	out := make(Row, len(row))
 	unassigned := 0
@@ -118,8 +120,9 @@
 	return out
 }
 
-// distribute adds an amount to a row in proportion to weights, to the unit. It
-// reports false when no weight is positive.
+// distribute adds an amount to a row in proportion to weights; the last region with a positive
+// weight gets the rounding remainder. It returns false if no weight is positive and the amount is
+// not zero.
 func distribute(row Row, amount int, weights []float64) bool {
 	total := 0.0
 	last := -1
@@ -145,10 +148,10 @@
 	return true
 }
 
-// headroomTarget moves what a region refuses to regions with free quota, and
-// brings traffic back to where the bundle wants it while its region has room.
-// It goes by refusals and not by how full the own quota is, for quota is
-// borrowed as it is needed and is always nearly full.
+// headroomTarget moves traffic that a region rejects to regions with free quota, and returns it to
+// the regions that the bundle prefers once they reject almost nothing. It uses rejections rather
+// than the utilization of this proxy's quota: quota is borrowed on demand, so it is always nearly
+// used up.
 func headroomTarget(in PlannerInput) []Row {
 	rows := make([]Row, len(in.Preferred))
 	weights := capacityWeights(in)
@@ -178,13 +181,13 @@
 	return rows
 }
 
-// isOverloaded reports whether a region refuses more than chance does.
+// isOverloaded reports whether a region rejects more requests than random arrivals explain.
 func isOverloaded(in PlannerInput, load []float64, i int) bool {
 	return in.Rejected[i] > max(maxRejectionRatio*load[i], minRejectionRate)
 }
 
-// capacityWeights spreads by the regions' whole capacity and not by the own
-// quota, which is small and uneven where this proxy had no traffic so far.
+// capacityWeights weights usable regions by their total capacity. This proxy's quota would not do:
+// it is small and uneven in regions to which this proxy has sent no traffic yet.
 func capacityWeights(in PlannerInput) []float64 {
 	weights := make([]float64, len(in.Usable))
 	for i := range weights {
@@ -195,8 +198,8 @@
 	return weights
 }
 
-// offload moves what one region refuses to others, as far as they have room,
-// each home in proportion to what it sends there.
+// offload moves the traffic that one region rejects to other regions as far as they have headroom,
+// from each home region in proportion to the load that it sends to the overloaded one.
 func offload(in PlannerInput, rows []Row, headroom, load []float64, overloaded int) {
 	available := make([]float64, len(headroom))
 	total := 0.0
@@ -221,8 +224,8 @@
 	}
 }
 
-// returnTraffic moves one step towards the bundle's row, into regions that refuse
-// next to nothing now.
+// returnTraffic moves a row one step towards the row that the bundle prefers, only into regions that
+// reject almost nothing.
 func returnTraffic(in PlannerInput, row, preferred Row) {
 	for to := range row {
 		if !in.Usable[to] || in.Rejected[to] > minRejectionRate/2 || row[to] >= preferred[to] {
--- a/internal/kernel/region/row.go
+++ b/internal/kernel/region/row.go
@@ -1,5 +1,5 @@
-// Package region decides how the traffic of each home region is spread over
-// the regions that can serve it, and how fast that spread may change.
+// Package region decides how the traffic of each home region is distributed over the regions that
+// can serve it, and how fast this distribution may change.
 package region
 
 import (
@@ -7,44 +7,43 @@
 )
 
 const (
-	// FullShare is a whole row in thousandths.
+	// FullShare is all traffic of a home region, in thousandths.
 	FullShare = 1000
 )
 
 type (
-	// Row spreads the traffic of one home region: thousandths by region, in
-	// the bundle's order, which sum to Full.
+	// Row is a row of the traffic matrix: the shares of one home region's traffic that each region
+	// serves, in thousandths. Regions are in the order of the bundle, and the shares sum to
+	// FullShare.
 	Row []int
 
-	// WeightedRoundRobin turns a row into choices one at a time. Each choice goes to the
-	// region that is furthest behind its share, so any run of n requests gives
-	// a region its share of n within one request; a random draw would exceed
-	// a cap by chance.
+	// WeightedRoundRobin selects a region for each request by the shares of a row. It selects the
+	// region that is furthest behind its share, so over any n consecutive requests a region gets
+	// its share of n within one request. A random choice would exceed a shift cap by chance.
 	WeightedRoundRobin struct {
 		credit []int
 	}
 )
 
-// SingleRegionRow is the row that sends everything to one region.
+// SingleRegionRow returns the row that sends all traffic to one region.
 func SingleRegionRow(regions, to int) Row {
 	r := make(Row, regions)
 	r[to] = FullShare
 	return r
 }
 
-// Distance is how many thousandths of the traffic change their destination
-// from one row to the other.
+// Distance returns how many thousandths of the traffic change their destination between two rows.
 func (r Row) Distance(other Row) int {
-	moved := 0
+	shifted := 0
 	for i := range r {
 		if other[i] > r[i] {
-			moved += other[i] - r[i]
+			shifted += other[i] - r[i]
 		}
 	}
-	return moved
+	return shifted
 }
 
-// Sum adds the row up; any other value than Full is a broken invariant.
+// Sum returns the sum of the shares. Any value other than FullShare violates an invariant.
 func (r Row) Sum() int {
 	total := 0
 	for _, share := range r {
@@ -53,10 +52,10 @@
 	return total
 }
 
-// Equal compares two rows.
+// Equal reports whether two rows have the same shares.
 func (r Row) Equal(other Row) bool { return slices.Equal(r, other) }
 
-// Next chooses the region of the next request.
+// Next returns the index of the region for the next request, or -1 if all shares are zero.
 func (s *WeightedRoundRobin) Next(r Row) int {
 	if len(s.credit) != len(r) {
 		s.credit = make([]int, len(r))
@@ -68,7 +67,8 @@
 			best = i
 		}
 		if share == 0 {
-			// A region taken out keeps no claim to be made up for later.
+			// A region without a share keeps no credit, or it would get a burst of requests when it
+			// returns.
 			s.credit[i] = 0
 		}
 	}
--- a/internal/kernel/region/mover_test.go
+++ b/internal/kernel/region/shifter_test.go
@@ -22,9 +22,9 @@
 	os.Exit(m.Run())
 }
 
-// TestShifterStaysWithinLimits: targets jump about and regions are lost and come back
-// at random. Within no interval, wherever it begins, do more thousandths move
-// than the two paces allow together, and a row always sums to the whole.
+// TestShifterStaysWithinLimits changes targets and loses and restores regions at random. In every
+// failover interval, wherever it begins, at most as many thousandths move as the two limits allow
+// together, and the row always sums to FullShare.
 func TestShifterStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := rapid.IntRange(2, 5).Draw(t, "regions")
@@ -51,14 +51,15 @@
 				}
 			}
 			if want := planned.Cap + failover.Cap; recent > want {
-				t.Fatalf("got %d thousandths moved within %s, want at most %d", recent, failover.Interval, want)
+				t.Fatalf("got %d thousandths shifted within %s, want at most %d", recent, failover.Interval, want)
 			}
 		}
 	})
 }
 
-// TestWeightedRoundRobinKeepsShares: of any run of requests a region gets its share within
-// one request a region; chance would exceed a cap now and then.
+// TestWeightedRoundRobinKeepsShares checks that each region's count of requests stays within two
+// requests of its share after any number of requests. A random choice would exceed a shift cap now
+// and then.
 func TestWeightedRoundRobinKeepsShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := rapid.IntRange(0, FullShare).Draw(t, "first")
@@ -78,10 +79,10 @@
 	})
 }
 
-// TestHeadroomPlanner: refusals move traffic to where quota is free, nothing
-// goes to an unusable region, and traffic comes home when nothing is refused.
+// TestHeadroomPlanner checks that rejections move traffic to regions with free quota, that no traffic
+// goes to an unusable region, and that traffic returns once nothing is rejected.
 func TestHeadroomPlanner(t *testing.T) {
-	in := func(current Row, refused float64, usable ...bool) PlannerInput {
+	in := func(current Row, rejected float64, usable ...bool) PlannerInput {
 		return PlannerInput{
 			Preferred: []Row{SingleRegionRow(3, 0), SingleRegionRow(3, 1), SingleRegionRow(3, 2)},
 			Current:   []Row{current, SingleRegionRow(3, 1), SingleRegionRow(3, 2)},
@@ -89,7 +90,7 @@
 			Demand:    []float64{100, 10, 10},
 			Capacity:  []int{200, 200, 200},
 			Quota:     []int{80, 100, 100},
-			Rejected:  []float64{refused, 0, 0},
+			Rejected:  []float64{rejected, 0, 0},
 		}
 	}
 	cases := []struct {
@@ -97,17 +98,17 @@
 		input PlannerInput
 		check func(Row) bool
 	}{
-		{"calm", in(SingleRegionRow(3, 0), 0, true, true, true), func(r Row) bool { return r.Equal(SingleRegionRow(3, 0)) }},
-		{"refusals move away", in(SingleRegionRow(3, 0), 20, true, true, true), func(r Row) bool { return r[0] == 800 && r[1]+r[2] == 200 }},
-		{"chance refusals do not", in(SingleRegionRow(3, 0), 4, true, true, true), func(r Row) bool { return r.Equal(SingleRegionRow(3, 0)) }},
-		{"comes home in steps", in(Row{700, 300, 0}, 0, true, true, true), func(r Row) bool { return r[0] == 700+returnStep }},
-		{"unusable is left", in(SingleRegionRow(3, 0), 0, false, true, true), func(r Row) bool { return r[0] == 0 && r[1] == 500 && r[2] == 500 }},
-		{"only one is left", in(SingleRegionRow(3, 0), 0, false, false, true), func(r Row) bool { return r.Equal(SingleRegionRow(3, 2)) }},
+		{"no rejections", in(SingleRegionRow(3, 0), 0, true, true, true), func(r Row) bool { return r.Equal(SingleRegionRow(3, 0)) }},
+		{"rejections move traffic away", in(SingleRegionRow(3, 0), 20, true, true, true), func(r Row) bool { return r[0] == 800 && r[1]+r[2] == 200 }},
+		{"few rejections move nothing", in(SingleRegionRow(3, 0), 4, true, true, true), func(r Row) bool { return r.Equal(SingleRegionRow(3, 0)) }},
+		{"traffic returns in steps", in(Row{700, 300, 0}, 0, true, true, true), func(r Row) bool { return r[0] == 700+returnStep }},
+		{"unusable region gets no traffic", in(SingleRegionRow(3, 0), 0, false, true, true), func(r Row) bool { return r[0] == 0 && r[1] == 500 && r[2] == 500 }},
+		{"single usable region", in(SingleRegionRow(3, 0), 0, false, false, true), func(r Row) bool { return r.Equal(SingleRegionRow(3, 2)) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := headroomTarget(c.input)[0]; !c.check(got) || got.Sum() != FullShare {
-				t.Errorf("got row %v, want another", got)
+				t.Errorf("got row %v, which fails the check of this case", got)
 			}
 		})
 	}
--- a/internal/kernel/routing/routing_test.go
+++ b/internal/kernel/routing/routing_test.go
@@ -18,15 +18,15 @@
 		}
 	}
 	if got := table.Match("b", "/x/"); got != nil {
-		t.Errorf("a host without a matching prefix: got %s, want none", got.Name)
+		t.Errorf("host without a matching prefix: got %s, want no route", got.Name)
 	}
 	if got := table.Match("c", "/"); got != nil {
-		t.Errorf("an unknown host: got %s, want none", got.Name)
+		t.Errorf("unknown host: got %s, want no route", got.Name)
 	}
 }
 
-// An operator moves a tenth of a route's requests to a new service. Drawn at
-// random, thirty requests could miss it altogether.
+// An operator sends a tenth of a route's requests to a new service. With a random choice, none of
+// thirty requests might reach it.
 func TestSplitFollowsWeightsExactly(t *testing.T) {
 	s := NewSplitter()
 	r := &Route{Name: "r", Parts: []WeightedService{{"old", 90}, {"new", 10}}}
@@ -36,13 +36,13 @@
 			count[s.Next(r)]++
 		}
 		if count["new"] != 1 || count["old"] != 9 {
-			t.Errorf("round %d: %v, want 9 old and 1 new", round, count)
+			t.Errorf("round %d: got %v, want 9 old and 1 new", round, count)
 		}
 	}
 }
 
-// A new version gives the route other parts; what was counted for the old ones
-// must not be taken for them.
+// A new configuration version changes the services of a route. The credit of the old services must
+// not be applied to the new ones.
 func TestSplitAfterServicesChange(t *testing.T) {
 	s := NewSplitter()
 	s.Next(&Route{Name: "r", Parts: []WeightedService{{"a", 1}, {"b", 1}}})
@@ -52,14 +52,14 @@
 		count[s.Next(r)]++
 	}
 	if count["a"] != 2 || count["b"] != 2 || count["c"] != 4 {
-		t.Errorf("shares are %v, want 2, 2 and 4", count)
+		t.Errorf("got requests %v, want 2, 2 and 4", count)
 	}
 	s.Prune(NewTable(2, nil, nil, Limits{}))
 	if len(s.credit) != 0 {
-		t.Errorf("%d routes are kept after they are gone, want none", len(s.credit))
+		t.Errorf("state of %d removed routes is kept, want none", len(s.credit))
 	}
 	if got := s.Next(&Route{Name: "none"}); got != "" {
-		t.Errorf("a route without services goes to %q, want none", got)
+		t.Errorf("route without services: got service %q, want none", got)
 	}
 }
 
@@ -73,9 +73,9 @@
 	got := table.HostRegions("a")
 	slices.Sort(got)
 	if want := []string{"north", "south"}; !slices.Equal(got, want) {
-		t.Errorf("regions of a are %v, want %v", got, want)
+		t.Errorf("host a: got regions %v, want %v", got, want)
 	}
 	if got := table.HostRegions("b"); got != nil {
-		t.Errorf("regions of b are %v, want all", got)
+		t.Errorf("host b: got regions %v, want none, which means all", got)
 	}
 }
--- a/internal/kernel/routing/splitter.go
+++ b/internal/kernel/routing/splitter.go
@@ -1,19 +1,18 @@
 package routing
 
 type (
-	// Splitter shares the requests of split routes by weight, exactly and
-	// smoothly: after every sum-of-weights requests each part has had its
-	// share to the request. Drawing at random would stray from the weights on
-	// routes with few requests.
+	// Splitter splits the requests of a route between its services by smooth weighted round robin.
+	// After as many requests as the weights sum to, each service has received exactly its weight.
+	// A random choice would deviate from the weights on routes with few requests.
 	Splitter struct {
 		credit map[string][]int
 	}
 )
 
-// NewSplitter starts with no route seen.
+// NewSplitter returns a Splitter without state of any route.
 func NewSplitter() *Splitter { return &Splitter{credit: make(map[string][]int)} }
 
-// Next picks the service for the route's next request, "" if it has none.
+// Next returns the service for the route's next request, or "" if the route has no services.
 func (s *Splitter) Next(r *Route) string {
 	switch len(r.Parts) {
 	case 0:
@@ -38,7 +37,7 @@
 	return r.Parts[best].Service
 }
 
-// Prune drops what is kept of routes that a table no longer holds.
+// Prune deletes the state of routes that are not in the table.
 func (s *Splitter) Prune(t *Table) {
 	for name := range s.credit {
 		if t.Routes[name] == nil {
--- a/internal/kernel/routing/table.go
+++ b/internal/kernel/routing/table.go
@@ -1,6 +1,5 @@
-// Package routing decides which route a request takes and which service a
-// split route hands it to. A table is built once for each version of the
-// configuration and never changes.
+// Package routing selects the route of a request and, for a route that is split between services,
+// the service. A routing table is built once per configuration version and is immutable.
 package routing
 
 import (
@@ -14,18 +13,18 @@
 )
 
 type (
-	// Table is one version of the configuration in force.
+	// Table is the routing table built from one version of the configuration.
 	Table struct {
 		Version  uint64
 		Routes   map[string]*Route
 		Services map[string]*Service
 		Limits   Limits
-		// Accounts are the client accounts; nil if requests need no key.
+		// Accounts holds the client accounts. It is nil if requests need no API key.
 		Accounts     *account.Table `json:"-"`
 		routesByHost map[string][]*Route
 	}
 
-	// Limits bounds what a caller may send, in bytes and time.
+	// Limits bounds what a caller may send: sizes in bytes, and timeouts.
 	Limits struct {
 		HeaderBytes   int64
 		BodyBytes     int64
@@ -33,67 +32,69 @@
 		IdleTimeout   time.Duration
 	}
 
-	// Route says how the requests of one host and path prefix are handled.
+	// Route configures how requests with a host and path prefix are handled.
 	Route struct {
 		Name   string
 		Host   string
 		Prefix string
-		// Idempotent requests may run more than once.
+		// Idempotent marks requests that are safe to run more than once.
 		Idempotent bool
-		// Timeout is the longest that a caller is kept waiting.
+		// Timeout is the maximum time that a caller waits for a response.
 		Timeout time.Duration
-		// Target is the time within which an answer has its full worth.
+		// Target is the latency target: a response within this time has its full value.
 		Target time.Duration
-		// Attempts is the number of backend servers one request may be sent to.
+		// Attempts is the maximum number of backend servers that one request is sent to.
 		Attempts int
-		// Priority ranks routes, 0 first.
+		// Priority is the priority of the route's requests; 0 is the highest.
 		Priority int
-		// Sticky routes are faster where the same object was handled lately.
+		// Sticky marks routes with object affinity: a server handles a request faster if it has
+		// recently handled the same object.
 		Sticky bool
-		// Regions that may serve the route; none means all.
+		// Regions lists the regions that may serve the route. If it is empty, all may.
 		Regions []string
-		// Public routes need no API key.
+		// Public marks routes that need no API key.
 		Public bool
-		// Parts are the services that share the route's requests.
+		// Parts lists the services that the route's requests are split between.
 		Parts []WeightedService
 	}
 
-	// WeightedService is a service's share of a route.
+	// WeightedService is a service of a route and its weight in the traffic split.
 	WeightedService struct {
 		Service string
 		Weight  int
 	}
 
-	// Service is what the configuration says of one service.
+	// Service is the configuration of one service.
 	Service struct {
 		Name       string
 		HealthPath string
-		// Connections is how many one server accepts from all proxies.
+		// Connections is the number of connections that one server accepts from all proxies
+		// together.
 		Connections int
-		// ColdStart is how long a new server stays cold.
+		// ColdStart is how long a server is cold after its start.
 		ColdStart time.Duration
-		// ColdPerSecond is the request rate that a cold server bears.
+		// ColdPerSecond is the request rate that a cold server sustains.
 		ColdPerSecond float64
 	}
 
-	// Server is one start of a backend server as it registered itself.
+	// Server is one incarnation of a backend server as it registered itself.
 	Server struct {
 		ID      string
 		Service string
 		Address netip.AddrPort
 		Domain  string
 		Slots   int
-		// Draining servers take no new requests.
+		// Draining marks servers that accept no new requests.
 		Draining bool
-		// ColdFor is how much longer the server stays cold, as of the entry.
+		// ColdFor is how much longer the server was cold when the entry was written.
 		ColdFor time.Duration
-		// Started tells the starts under one id apart; zero if the server does not
-		// say. It is of the server's own clock.
+		// Started distinguishes incarnations with the same ID. It is read from the server's own
+		// clock, and is zero if the server does not report it.
 		Started time.Time
 	}
 )
 
-// NewTable indexes routes and services.
+// NewTable builds a table and indexes its routes and services.
 func NewTable(version uint64, routes []*Route, services []*Service, limits Limits) *Table {
 	t := &Table{
 		Version: version, Limits: limits,
@@ -116,13 +117,14 @@
 	return t
 }
 
-// WithAccounts adds the client accounts, while the table is being built.
+// WithAccounts sets the client accounts and returns t. It must only be called while the table is
+// being built.
 func (t *Table) WithAccounts(accounts *account.Table) *Table {
 	t.Accounts = accounts
 	return t
 }
 
-// Match finds the route with the longest prefix of path among the host's.
+// Match returns the host's route with the longest prefix of path, or nil if none matches.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.routesByHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -132,9 +134,9 @@
 	return nil
 }
 
-// HostRegions lists the regions in which any route of the host may be served;
-// none means all. An entry proxy elsewhere would take in requests that it may
-// not pass on.
+// HostRegions returns the regions in which at least one route of the host may be served, or nil if
+// all regions may serve it. An entry proxy in any other region would accept requests that it must
+// not forward.
 func (t *Table) HostRegions(host string) []string {
 	var regions []string
 	for _, r := range t.routesByHost[host] {
