--- a/internal/kernel/caller/header.go
+++ b/internal/kernel/caller/header.go
@@ -1,29 +1,29 @@
 package caller
 
 const (
-	// HeaderOutcome carries an Outcome's name to callers, and "not-run" from
-	// a backend server that refused before running the request.
+	// HeaderOutcome carries the name of an Outcome to callers. A backend server sets it to "not-run"
+	// if it rejected the request before running it.
 	HeaderOutcome = "Gypsumquay-Outcome"
 	// HeaderReason carries a Reason to callers.
 	HeaderReason = "Gypsumquay-Reason"
-	// HeaderToken carries an idempotency token, both ways.
+	// HeaderToken carries an idempotency token, in requests and responses.
 	HeaderToken = "Gypsumquay-Token"
-	// HeaderTimeout is how long the caller is willing to wait, such as
-	// "800ms"; the bundle's deadline bounds it.
+	// HeaderTimeout is the caller's timeout, such as "800ms". It is capped by the deadline that the
+	// bundle sets.
 	HeaderTimeout = "Gypsumquay-Timeout"
-	// HeaderRequest names the request towards backend servers and callers.
+	// HeaderRequest carries the request ID to backend servers and callers.
 	HeaderRequest = "Gypsumquay-Request"
-	// HeaderAttempt numbers dispatches of this process towards backend
-	// servers.
+	// HeaderAttempt carries the number of the attempt to backend servers. Attempts are numbered per
+	// proxy process.
 	HeaderAttempt = "Gypsumquay-Attempt"
-	// HeaderDeadline is the absolute time, in Unix microseconds, after which
-	// a backend server must not begin the request.
+	// HeaderDeadline is the time, in Unix microseconds, after which a backend server must not start
+	// the request.
 	HeaderDeadline = "Gypsumquay-Deadline"
-	// HeaderLoad is a backend server's count of running requests.
+	// HeaderLoad is the number of requests that a backend server is running.
 	HeaderLoad = "Gypsumquay-Load"
-	// HeaderLeaving is "true" from a backend server that wants no new work.
+	// HeaderLeaving is "true" in responses of a backend server that is draining.
 	HeaderLeaving = "Gypsumquay-Leaving"
-	// HeaderLimit is the rate, in requests a second, that a backend server takes from all
+	// HeaderLimit is the rate, in requests per second, that a backend server accepts from all
 	// proxies together.
 	HeaderLimit = "Gypsumquay-Limit"
 )
--- a/internal/kernel/caller/outcome.go
+++ b/internal/kernel/caller/outcome.go
@@ -1,6 +1,6 @@
-// Package caller holds what the system promises to callers: outcomes of
-// requests, idempotency tokens that make a repeat safe, and the table that
-// maps client prefixes to points of presence.
+// Package caller defines what the system guarantees to callers: the outcomes of requests, the
+// idempotency tokens that make retries safe, and the table that maps client prefixes to points of
+// presence.
 package caller
 
 import (
@@ -9,63 +9,64 @@
 )
 
 const (
-	// OutcomeDone means that the backend server's whole answer is known.
+	// OutcomeDone means that the proxy received the backend server's complete response.
 	OutcomeDone Outcome = iota + 1
-	// OutcomeNotRun means that no backend server ran the request or will run it.
+	// OutcomeNotRun means that no backend server has run the request or will run it.
 	OutcomeNotRun
 	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown
 )
 
 const (
-	// ReasonNone stands where nothing needs explaining.
+	// ReasonNone means that the outcome needs no reason.
 	ReasonNone Reason = ""
-	// ReasonNoService means that the bundle names no such service.
+	// ReasonNoService means that the bundle does not contain the service.
 	ReasonNoService Reason = "no-such-service"
-	// ReasonNoBundle means that no bundle is in force here yet.
+	// ReasonNoBundle means that the proxy has not received a bundle yet.
 	ReasonNoBundle Reason = "no-bundle-yet"
-	// ReasonTokenRequired means that a non-idempotent request came without an
-	// idempotency token.
+	// ReasonTokenRequired means that a non-idempotent request carries no idempotency token.
 	ReasonTokenRequired Reason = "token-needed"
-	// ReasonTokenInvalid means that the token was not minted here.
+	// ReasonTokenInvalid means that the token is malformed or altered, was not minted by the proxy
+	// that it names, or is for another service.
 	ReasonTokenInvalid Reason = "token-invalid"
-	// ReasonTokenExpired means that the token can no longer be used and was
-	// never dispatched.
+	// ReasonTokenExpired means that the token has expired and was never dispatched.
 	ReasonTokenExpired Reason = "token-expired"
-	// ReasonTokenClosed means that the minting proxy stopped before the token
-	// was used; it will never be dispatched.
+	// ReasonTokenClosed means that the minting proxy stopped before the token was used, so the token
+	// will never be dispatched.
 	ReasonTokenClosed Reason = "token-closed"
-	// ReasonTokenRecordExpired means that the token's record is gone.
+	// ReasonTokenRecordExpired means that the retention of the token's record has ended, so it is not
+	// known whether the token was dispatched.
 	ReasonTokenRecordExpired Reason = "token-forgotten"
-	// ReasonInProgress means that the token's request is running now.
+	// ReasonInProgress means that the token's request is still running.
 	ReasonInProgress Reason = "in-progress"
-	// ReasonMinterGone means that the proxy that minted the token is gone.
+	// ReasonMinterGone means that the proxy that minted the token no longer exists and that its
+	// records were not handed over.
 	ReasonMinterGone Reason = "minter-gone"
-	// ReasonMinterTimeout means that the minting proxy did not answer in time.
+	// ReasonMinterTimeout means that the minting proxy did not respond in time.
 	ReasonMinterTimeout Reason = "minter-slow"
-	// ReasonRegionCapacity means that the region's capacity is used up.
+	// ReasonRegionCapacity means that the region's capacity is exhausted.
 	ReasonRegionCapacity Reason = "region-capacity"
-	// ReasonLinkLimit means that a link's limit is used up.
+	// ReasonLinkLimit means that the limit of a link between regions is exhausted.
 	ReasonLinkLimit Reason = "link-limit"
-	// ReasonNoServer means that no backend server can take the request now.
+	// ReasonNoServer means that no backend server can currently accept the request.
 	ReasonNoServer Reason = "no-backend-server"
 	// ReasonDeadline means that the deadline has passed or cannot be met.
 	ReasonDeadline Reason = "deadline"
-	// ReasonShed means that the backend server refused before running it.
+	// ReasonShed means that the backend server shed the request before running it.
 	ReasonShed Reason = "backend-shed"
-	// ReasonConnectionLost means that the exchange with the backend server broke.
+	// ReasonConnectionLost means that the exchange with the backend server was interrupted.
 	ReasonConnectionLost Reason = "backend-broken"
-	// ReasonMayCrashServers means that the request's work may have ended backend servers
-	// and runs once at a time, and not again.
+	// ReasonMayCrashServers means that the request is suspected of having crashed backend servers.
+	// Such requests run one at a time and are not retried.
 	ReasonMayCrashServers Reason = "may-end-servers"
-	// ReasonCrashesServers means that the request's work has ended backend servers.
+	// ReasonCrashesServers means that the request has crashed backend servers.
 	ReasonCrashesServers Reason = "ends-servers"
-	// ReasonProxyBusy means that this proxy holds as many requests as it may.
+	// ReasonProxyBusy means that this proxy has reached its limit of concurrent requests.
 	ReasonProxyBusy Reason = "proxy-busy"
-	// ReasonProxyStopping means that this proxy takes no new requests.
+	// ReasonProxyStopping means that this proxy is stopping and accepts no new requests.
 	ReasonProxyStopping Reason = "proxy-stopping"
-	// ReasonResponseNotRetained means that the request ran, but its answer was too
-	// large to be kept for a repeat.
+	// ReasonResponseNotRetained means that the request ran, but its response was too large to be
+	// retained for a retry.
 	ReasonResponseNotRetained Reason = "answer-not-kept"
 )
 
@@ -74,14 +75,14 @@
 )
 
 type (
-	// Outcome is the final word on a request.
+	// Outcome is the final status of a request.
 	Outcome uint8
 
-	// Reason explains an outcome in a form that programs can compare.
+	// Reason is a machine-readable reason for an outcome.
 	Reason string
 
-	// Response is a backend server's whole answer. Streamed means that its body
-	// went to the caller as a stream and is not here.
+	// Response is the complete response of a backend server. Streamed means that the body was
+	// streamed to the caller and is not in Body.
 	Response struct {
 		Status   int
 		Header   http.Header
@@ -89,8 +90,8 @@
 		Streamed bool
 	}
 
-	// Result is what a caller is told: an outcome, with the answer when done,
-	// and when to come back otherwise.
+	// Result is what is returned to a caller: the outcome with the response if it is done, or with
+	// the time after which to retry otherwise.
 	Result struct {
 		Outcome    Outcome
 		Reason     Reason
@@ -99,8 +100,8 @@
 	}
 )
 
-// GuaranteesNotRun reports whether a token that was refused for this reason was never
-// run and never will be, so that a fresh one is safe.
+// GuaranteesNotRun reports whether a token rejected for this reason was never run and never will be,
+// so that the caller can safely retry with a new token.
 func (r Reason) GuaranteesNotRun() bool {
 	switch r {
 	case ReasonTokenExpired, ReasonTokenClosed, ReasonTokenInvalid:
@@ -109,7 +110,7 @@
 	return false
 }
 
-// String is the outcome's name in headers, logs and events.
+// String returns the outcome's name as used in headers, logs and events.
 func (o Outcome) String() string {
 	if name, ok := outcomeNames[o]; ok {
 		return name
@@ -117,7 +118,7 @@
 	return "none"
 }
 
-// ParseOutcome reads the name that String writes.
+// ParseOutcome parses a name returned by String.
 func ParseOutcome(name string) (Outcome, bool) {
 	for o, n := range outcomeNames {
 		if n == name {
@@ -127,10 +128,10 @@
 	return 0, false
 }
 
-// MarshalText writes the outcome's name.
+// MarshalText returns the outcome's name.
 func (o Outcome) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
-// UnmarshalText reads the outcome's name; an unknown one becomes zero.
+// UnmarshalText parses the outcome's name. An unknown name yields zero.
 func (o *Outcome) UnmarshalText(text []byte) error {
 	*o, _ = ParseOutcome(string(text))
 	return nil
--- a/internal/kernel/caller/prefix.go
+++ b/internal/kernel/caller/prefix.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// NoSite stands for an address that no prefix covers.
+	// NoSite is the result of a lookup for an address that no prefix covers.
 	NoSite Site = 0xFFFF
-	// indexBits is how many leading bits the index of a range list resolves.
+	// indexBits is the number of leading key bits that the index of a rangeTable resolves.
 	indexBits = 16
 )
 
 type (
-	// Site is the number of a point of presence in a table's list of names.
+	// Site is the index of a point of presence in the list of their names.
 	Site uint16
 
 	// PrefixSite maps one client prefix to a point of presence.
@@ -24,13 +24,13 @@
 		Site   Site
 	}
 
-	// PrefixTable finds the point of presence of the longest prefix that
-	// covers an address. It is immutable: a new version replaces it whole by
-	// one pointer, so that no look-up ever sees half a change.
+	// PrefixTable maps an address to the point of presence of the longest prefix that covers it. It
+	// is immutable: a new version replaces it by swapping one pointer, so no lookup sees a partial
+	// update.
 	//
-	// Nested prefixes are flattened into disjoint ranges at build time. A
-	// range costs 4+2 bytes for IPv4 and 8+2 for IPv6 (whose prefixes longer
-	// than 64 bits are refused), which is what lets 940,000 prefixes fit.
+	// Nested prefixes are flattened into disjoint ranges at build time. A range takes 4+2 bytes for
+	// IPv4 and 8+2 bytes for IPv6, whose prefixes longer than 64 bits are rejected. This size lets
+	// 940,000 prefixes fit into memory.
 	PrefixTable struct {
 		v4 rangeTable[uint32]
 		v6 rangeTable[uint64]
@@ -50,8 +50,8 @@
 	}
 )
 
-// NewPrefixTable builds a table. Prefixes may nest and come in any order;
-// equal prefixes are settled by the last one given.
+// NewPrefixTable builds a table. Prefixes may be nested and in any order. Of equal prefixes, the
+// last one applies.
 func NewPrefixTable(list []PrefixSite) *PrefixTable {
 	var v4Spans []span[uint32]
 	var v6Spans []span[uint64]
@@ -77,7 +77,7 @@
 	return &PrefixTable{v4: flatten(v4Spans, 32), v6: flatten(v6Spans, 64)}
 }
 
-// Lookup finds the site of an address.
+// Lookup returns the site of an address, or NoSite if no prefix covers it.
 func (t *PrefixTable) Lookup(a netip.Addr) Site {
 	a = a.Unmap()
 	if a.Is4() {
@@ -86,12 +86,12 @@
 	return t.v6.find(ipv6Key(a))
 }
 
-// MemoryBytes is the memory that the table's arrays take.
+// MemoryBytes returns the size of the table's arrays in bytes.
 func (t *PrefixTable) MemoryBytes() int {
 	return 6*len(t.v4.starts) + 10*len(t.v6.starts) + 4*(len(t.v4.index)+len(t.v6.index))
 }
 
-// RangeCount counts the disjoint ranges.
+// RangeCount returns the number of disjoint ranges.
 func (t *PrefixTable) RangeCount() int { return len(t.v4.starts) + len(t.v6.starts) }
 
 func ipv4Key(a netip.Addr) uint32 {
@@ -104,8 +104,8 @@
 	return binary.BigEndian.Uint64(b[:8])
 }
 
-// flatten turns nested spans into disjoint ranges. Spans are sorted so that
-// an outer one comes before those inside; a stack holds the open ones.
+// flatten converts nested spans into disjoint ranges. It sorts the spans so that an outer span
+// precedes the spans inside it, and keeps the spans that enclose the current position on a stack.
 func flatten[K uint32 | uint64](spans []span[K], width uint) rangeTable[K] {
 	sort.SliceStable(spans, func(i, j int) bool {
 		if spans[i].first != spans[j].first {
@@ -143,8 +143,8 @@
 	return r
 }
 
-// appendRange adds a range start. One that begins where the last did replaces it, and
-// one with the last's site adds nothing.
+// appendRange appends a range. A range that begins where the last one does replaces it, and a range
+// with the site of the last one is merged into it.
 func (r *rangeTable[K]) appendRange(start K, site Site) {
 	n := len(r.starts)
 	if n > 0 && r.starts[n-1] == start {
@@ -162,8 +162,8 @@
 	r.sites = append(r.sites, site)
 }
 
-// buildIndex notes, for each value of the leading bits, the first range that
-// starts at or after it, so that a look-up searches a short stretch only.
+// buildIndex records for each value of the leading bits the first range that starts at or after it,
+// so that a lookup has to search only a few ranges.
 func (r *rangeTable[K]) buildIndex() {
 	if len(r.starts) == 0 {
 		return
@@ -186,11 +186,11 @@
 	leading := int(key >> r.shift)
 	low, high := int(r.index[leading]), int(r.index[leading+1])
 	for low < high {
-		middle := int(uint(low+high) >> 1)
-		if r.starts[middle] <= key {
-			low = middle + 1
+		mid := int(uint(low+high) >> 1)
+		if r.starts[mid] <= key {
+			low = mid + 1
 		} else {
-			high = middle
+			high = mid
 		}
 	}
 	if low == 0 {
--- a/internal/kernel/caller/prefix_test.go
+++ b/internal/kernel/caller/prefix_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// linearLookup is the plain meaning of a look-up: the last of the longest prefixes
-// that cover the address.
+// linearLookup is the reference implementation of Lookup: the last of the longest prefixes that
+// cover the address.
 func linearLookup(list []PrefixSite, a netip.Addr) Site {
 	site, bits := NoSite, -1
 	for _, p := range list {
@@ -24,7 +24,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ipv6 := rapid.Bool().Draw(t, "IPv6")
 		address := func(label string) netip.Addr {
-			// Few distinct leading bytes make prefixes nest and touch.
+			// With few distinct byte values, prefixes are often nested or adjacent.
 			b := rapid.SliceOfN(rapid.SampledFrom([]byte{0, 1, 127, 128, 255}), 4, 4).Draw(t, label)
 			if ipv6 {
 				return netip.AddrFrom16([16]byte{b[0], b[1], b[2], b[3]})
--- a/internal/kernel/caller/records.go
+++ b/internal/kernel/caller/records.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// ClaimGranted means that the token may be dispatched now; its record says
-	// running from here on.
+	// ClaimGranted means that the token may be dispatched now. Its record is marked as running.
 	ClaimGranted ClaimStatus = iota + 1
-	// ClaimResolved means that the result is final and needs no dispatch.
+	// ClaimResolved means that the token must not be dispatched and that the returned result
+	// applies.
 	ClaimResolved
 )
 
@@ -21,29 +21,30 @@
 )
 
 const (
-	// maxTokenRecords bounds a process's records; minting is refused beyond.
+	// maxTokenRecords bounds the records of a process. When it is reached, no token is minted.
 	maxTokenRecords = 200_000
-	// MaxRetainedBody is the largest answer body, in bytes, kept for a repeat.
+	// MaxRetainedBody is the largest response body, in bytes, that is retained for retries.
 	MaxRetainedBody = 64 << 10
-	// maxRetainedBytes bounds all kept bodies of a process, in bytes.
+	// maxRetainedBytes bounds the total size of the retained bodies of a process.
 	maxRetainedBytes = 6 << 20
-	// inProgressRetryAfter is when to ask again for a running request.
+	// inProgressRetryAfter is the Retry-After of a request that is still running.
 	inProgressRetryAfter = 500 * time.Millisecond
 )
 
 var (
-	// ErrTokenRunTwice is the broken invariant that a token was finished twice.
-	ErrTokenRunTwice = errors.New("invariant: token dispatched twice")
+	// ErrTokenRunTwice means that an invariant is violated: a token was finished twice, so it was
+	// dispatched twice.
+	ErrTokenRunTwice = errors.New("token dispatched twice")
 )
 
 type (
-	// ClaimStatus says what an attempt to use a token leads to.
+	// ClaimStatus is the result of an attempt to claim a token for dispatch.
 	ClaimStatus uint8
 
 	state uint8
 
-	// TokenRecord is the fate of one token. It is exported for the hand-over at a
-	// planned stop only.
+	// TokenRecord is the state of a token that was dispatched. It is exported only for the handover
+	// at a planned stop.
 	TokenRecord struct {
 		Nonce           Nonce
 		State           uint8
@@ -52,9 +53,9 @@
 		Expiry          time.Time
 	}
 
-	// Handover is everything a stopping minter leaves to a peer. Its absence
-	// of a record means that the token was never dispatched and never will
-	// be, for the minter stops dispatching before it exports.
+	// Handover is the state that a stopping minter transfers to a peer. A token without a record in
+	// it was never dispatched and never will be, because the minter stops dispatching before it
+	// exports its records.
 	Handover struct {
 		Minter    Minter
 		Key       TokenKey
@@ -62,10 +63,9 @@
 		Records   []TokenRecord
 	}
 
-	// TokenRecords decides over the tokens of one minter: which may be dispatched
-	// and what the others are told. Only the process that minted a token ever
-	// dispatches it, and it does so once: that is the whole guard against a
-	// doubled request, and it needs no agreement with any other process.
+	// TokenRecords decides which tokens of a minter may be dispatched and what result the others
+	// get. Only the process that minted a token dispatches it, and only once. This alone prevents
+	// duplicate execution, without coordination with any other process.
 	TokenRecords struct {
 		minter        Minter
 		key           TokenKey
@@ -77,7 +77,7 @@
 	}
 )
 
-// NewTokenRecords starts a minter's empty books.
+// NewTokenRecords returns the empty records of a minter.
 func NewTokenRecords(m Minter, key TokenKey) *TokenRecords {
 	return &TokenRecords{
 		minter:   m,
@@ -87,7 +87,7 @@
 	}
 }
 
-// Mint makes a token. It reports false when the books are full or closed.
+// Mint creates and signs a token. It returns false if the records are full or closed.
 func (r *TokenRecords) Mint(service string, nonce Nonce, now time.Time, lifetime, retention time.Duration) (*Token, bool) {
 	if r.closed || len(r.records) >= maxTokenRecords {
 		return nil, false
@@ -98,14 +98,14 @@
 	return t, true
 }
 
-// Owns reports whether this process decides over the token, as its minter or
-// as the heir of a minter that stopped as planned.
+// Owns reports whether this process decides about the token, either as its minter or as the
+// successor of a minter that stopped as planned.
 func (r *TokenRecords) Owns(t *Token) bool {
 	return t.Minter == r.minter || r.imported[t.Minter] != nil
 }
 
-// Claim claims a token for dispatch. Fresh is returned at most once per token
-// unless Release gives it back.
+// Claim claims a token for dispatch. It returns ClaimGranted at most once per token unless the token
+// is released.
 func (r *TokenRecords) Claim(t *Token, service string, now time.Time) (ClaimStatus, Result) {
 	if t.Minter != r.minter {
 		if imported := r.imported[t.Minter]; imported != nil {
@@ -114,8 +114,8 @@
 		return ClaimResolved, Result{Outcome: OutcomeUnknown, Reason: ReasonMinterGone}
 	}
 	if !r.key.Verify(t) || t.Service != service {
-		// Nothing is dispatched under a forged or foreign token, so this
-		// request was truly not run.
+		// A token that is forged or for another service is never dispatched, so the request was
+		// certainly not run.
 		return ClaimResolved, Result{Outcome: OutcomeNotRun, Reason: ReasonTokenInvalid}
 	}
 	if record := r.records[t.Nonce]; record != nil {
@@ -146,15 +146,16 @@
 	return Result{Outcome: OutcomeUnknown, Reason: ReasonInProgress, RetryAfter: inProgressRetryAfter}
 }
 
-// Release gives a running token back after an attempt that was truly not run.
+// Release returns a running token after an attempt that was certainly not run, so that it can be
+// claimed again.
 func (r *TokenRecords) Release(n Nonce) {
 	if record := r.records[n]; record != nil && state(record.State) == stateRunning {
 		delete(r.records, n)
 	}
 }
 
-// Finish keeps the final outcome of a dispatched token. A done answer that
-// arrives after the request was called unknown replaces it.
+// Finish records the final outcome of a dispatched token. A complete response that arrives after the
+// outcome was recorded as unknown replaces it.
 func (r *TokenRecords) Finish(n Nonce, result Result) error {
 	record := r.records[n]
 	if record == nil {
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// Expire forgets records whose retention has run out.
+// Expire deletes records whose retention has ended.
 func (r *TokenRecords) Expire(now time.Time) {
 	for n, record := range r.records {
 		if state(record.State) == stateRunning || !now.After(record.Expiry.Add(r.retention)) {
@@ -194,7 +195,7 @@
 	}
 }
 
-// Running counts the tokens whose dispatch has not ended.
+// Running returns the number of dispatched tokens that have not finished.
 func (r *TokenRecords) Running() int {
 	running := 0
 	for _, record := range r.records {
@@ -205,7 +206,7 @@
 	return running
 }
 
-// Len counts the records kept, inherited ones included.
+// Len returns the number of records, including imported ones.
 func (r *TokenRecords) Len() int {
 	total := len(r.records)
 	for _, imported := range r.imported {
@@ -214,12 +215,13 @@
 	return total
 }
 
-// Close ends dispatching for good: tokens not used by now are not run.
+// Close permanently stops dispatching. Tokens that have not been claimed will not be run.
 func (r *TokenRecords) Close() { r.closed = true }
 
-// Export lists what a peer needs to answer for this minter and for those it
-// inherited from. It must follow Close and the end of all running requests;
-// what still runs is exported as unknown, which it then is.
+// Export returns the state that a peer needs to take over from this minter and from the minters
+// whose records it imported. It must be called after Close and after all running requests have
+// ended. A request that is still running is exported as unknown, because its outcome is then not
+// known.
 func (r *TokenRecords) Export() []Handover {
 	own := Handover{Minter: r.minter, Key: r.key, Retention: r.retention}
 	for _, record := range r.records {
@@ -236,8 +238,8 @@
 	return all
 }
 
-// Import takes over a stopped minter's records. A second copy of the same
-// hand-over is harmless: the first stays.
+// Import takes over the records of a stopped minter. A repeated handover of the same minter is
+// ignored.
 func (r *TokenRecords) Import(h Handover) {
 	if h.Minter == r.minter || r.imported[h.Minter] != nil {
 		return
--- a/internal/kernel/caller/records_test.go
+++ b/internal/kernel/caller/records_test.go
@@ -11,7 +11,7 @@
 )
 
 type (
-	// tokenScenario is one story of tokens, read from a data file.
+	// tokenScenario is a sequence of operations on tokens, read from testdata.
 	tokenScenario struct {
 		Name        string         `json:"name"`
 		Description []string       `json:"story"`
@@ -43,8 +43,8 @@
 	return k
 }
 
-// TestTokenScenarios plays testdata/tokens.json: what each use of a token leads
-// to, over mint, loss, repeat, expiry, planned stop and hand-over.
+// TestTokenScenarios runs testdata/tokens.json and checks the result of each claim, with lost
+// responses, retries, expiry, planned stops and handovers.
 func TestTokenScenarios(t *testing.T) {
 	data, err := os.ReadFile("testdata/tokens.json")
 	if err != nil {
@@ -105,8 +105,8 @@
 	case "alter":
 		r.tokens[s.Token].Expiry = r.tokens[s.Token].Expiry.Add(time.Hour)
 	case "done":
-		answer := &Response{Status: 200, Body: make([]byte, s.BodyBytes)}
-		return finishError(records.Finish(r.tokens[s.Token].Nonce, Result{Outcome: OutcomeDone, Response: answer}))
+		response := &Response{Status: 200, Body: make([]byte, s.BodyBytes)}
+		return finishError(records.Finish(r.tokens[s.Token].Nonce, Result{Outcome: OutcomeDone, Response: response}))
 	case "broken":
 		return finishError(records.Finish(r.tokens[s.Token].Nonce, Result{Outcome: OutcomeUnknown, Reason: ReasonConnectionLost}))
 	case "shed":
@@ -125,7 +125,7 @@
 			r.records["peer"].Import(h)
 		}
 	default:
-		t.Fatalf("no step is named %q", s.Action)
+		t.Fatalf("unknown step %q", s.Action)
 	}
 	return ""
 }
@@ -137,8 +137,8 @@
 	return ""
 }
 
-// FuzzParseToken: any text is a token or an error, and a token's text parses
-// to the same token.
+// FuzzParseToken checks that any text parses to a token or to an error, and that the text of a parsed
+// token parses to the same token.
 func FuzzParseToken(f *testing.F) {
 	f.Add("g1.proxy-1.a.ledger.000102030405060708090a0b.1700000000000.AAAA")
 	f.Add("g1......")
@@ -149,10 +149,10 @@
 		}
 		again, err := ParseToken(token.Text())
 		if err != nil {
-			t.Fatalf("got error %v for the token's own text, want none", err)
+			t.Fatalf("parsing the text of a token: got error %v, want none", err)
 		}
 		if got, want := again.Text(), token.Text(); got != want {
-			t.Errorf("got %q after one round, want %q", got, want)
+			t.Errorf("got text %q after parsing again, want %q", got, want)
 		}
 	})
 }
--- a/internal/kernel/caller/token.go
+++ b/internal/kernel/caller/token.go
@@ -23,22 +23,22 @@
 )
 
 var (
-	// ErrTokenSyntax means that a text is no token at all.
+	// ErrTokenSyntax means that a text does not have the syntax of a token.
 	ErrTokenSyntax = errors.New("not an idempotency token")
 )
 
 type (
-	// Nonce identifies one token of one minter.
+	// Nonce identifies a token among those of a minter.
 	Nonce [nonceBytes]byte
 
-	// Minter identifies one process that mints tokens. A restarted process
-	// has a new incarnation and knows nothing of the old one's tokens.
+	// Minter identifies a process that mints tokens. A restarted process has a new incarnation and
+	// does not know the tokens of the old one.
 	Minter struct {
 		Name        string
 		Incarnation uint64
 	}
 
-	// Token is the right to dispatch one request once, through its minter.
+	// Token is an idempotency token: the right to dispatch one request once, through its minter.
 	Token struct {
 		Minter  Minter
 		Service string
@@ -47,17 +47,17 @@
 		mac     []byte
 	}
 
-	// TokenKey authenticates a minter's tokens. It lives in the process and,
-	// after a planned stop, in the peer that took its records over.
+	// TokenKey authenticates the tokens of a minter. It is held in memory only, by the minter and,
+	// after a planned stop, by the peer that took over its records.
 	TokenKey [tokenKeyBytes]byte
 )
 
-// ID names the token in events, logs and the header to backend servers.
+// ID identifies the token in events, logs and the header to backend servers.
 func (t *Token) ID() string {
 	return t.Minter.Name + "-" + strconv.FormatUint(t.Minter.Incarnation, 16) + "-" + hex.EncodeToString(t.Nonce[:])
 }
 
-// Text is the form that callers carry.
+// Text returns the encoding of the token that callers send.
 func (t *Token) Text() string {
 	return t.signedPart() + "." + base64.RawURLEncoding.EncodeToString(t.mac)
 }
@@ -67,13 +67,13 @@
 		t.Service, hex.EncodeToString(t.Nonce[:]), t.Expiry.UnixMilli())
 }
 
-// Sign sets the token's authenticator.
+// Sign sets the message authentication code (MAC) of the token.
 func (k *TokenKey) Sign(t *Token) {
 	t.mac = k.mac(t)
 }
 
-// Verify reports whether the token carries this key's authenticator, that is,
-// whether it was minted with it and not altered since.
+// Verify reports whether the token's MAC matches this key, that is, whether the token was minted with
+// the key and not altered since.
 func (k *TokenKey) Verify(t *Token) bool {
 	return subtle.ConstantTimeCompare(k.mac(t), t.mac) == 1
 }
@@ -84,8 +84,8 @@
 	return h.Sum(nil)
 }
 
-// ParseToken reads a token's text. It proves nothing: the minter's name is
-// to be believed only if it names a known member, the rest only by the key.
+// ParseToken parses the text of a token without authenticating it. The minter's name may be trusted
+// only if it is that of a known member, and the rest only after verification with the key.
 func ParseToken(text string) (*Token, error) {
 	if len(text) > maxTokenBytes {
 		return nil, ErrTokenSyntax
@@ -115,8 +115,8 @@
 	return t, nil
 }
 
-// nonceHex returns the text only if it has a nonce's length, so that decoding
-// cannot write past the array.
+// nonceHex returns the text only if it has the length of an encoded nonce, so that decoding cannot
+// write past the array.
 func nonceHex(text string) []byte {
 	if len(text) != 2*nonceBytes {
 		return nil
