--- a/internal/kernel/account/table.go
+++ b/internal/kernel/account/table.go
@@ -14,8 +14,8 @@
 	Account struct {
 		Name string
 		Keys []Key
-		// Priority overrides the priority of the route; 0 is the highest. If it is nil, the priority
-		// of the route applies.
+		// Priority overrides the priority of the route; 0 is the highest. If it is nil, the
+		// priority of the route applies.
 		Priority *int
 		// Limit is the rate limit of the account over all proxies together.
 		Limit ratelimit.Limit
@@ -38,8 +38,8 @@
 	}
 )
 
-// NewTable indexes accounts. A key that several accounts have is assigned to none of them, because a
-// request with it could be attributed to the wrong account.
+// NewTable indexes accounts. A key that several accounts have is assigned to none of them, because
+// a request with it could be attributed to the wrong account.
 func NewTable(accounts []*Account) (*Table, []Conflict) {
 	t := &Table{byName: make(map[string]*Account, len(accounts)), byKey: make(map[Key]*Account, len(accounts))}
 	var conflicts []Conflict
--- a/internal/kernel/caller/header.go
+++ b/internal/kernel/caller/header.go
@@ -1,8 +1,8 @@
 package caller
 
 const (
-	// HeaderOutcome carries the name of an Outcome to callers. A backend server sets it to "not-run"
-	// if it rejected the request before running it.
+	// HeaderOutcome carries the name of an Outcome to callers. A backend server sets it to
+	// "not-run" if it rejected the request before running it.
 	HeaderOutcome = "Gypsumquay-Outcome"
 	// HeaderReason carries a Reason to callers.
 	HeaderReason = "Gypsumquay-Reason"
--- a/internal/kernel/caller/outcome.go
+++ b/internal/kernel/caller/outcome.go
@@ -31,11 +31,11 @@
 	ReasonTokenInvalid Reason = "token-invalid"
 	// ReasonTokenExpired means that the token has expired and was never dispatched.
 	ReasonTokenExpired Reason = "token-expired"
-	// ReasonTokenClosed means that the minting proxy stopped before the token was used, so the token
-	// will never be dispatched.
+	// ReasonTokenClosed means that the minting proxy stopped before the token was used, so the
+	// token will never be dispatched.
 	ReasonTokenClosed Reason = "token-closed"
-	// ReasonTokenRecordExpired means that the retention of the token's record has ended, so it is not
-	// known whether the token was dispatched.
+	// ReasonTokenRecordExpired means that the retention of the token's record has ended, so it is
+	// not known whether the token was dispatched.
 	ReasonTokenRecordExpired Reason = "token-forgotten"
 	// ReasonInProgress means that the token's request is still running.
 	ReasonInProgress Reason = "in-progress"
@@ -100,8 +100,8 @@
 	}
 )
 
-// GuaranteesNotRun reports whether a token rejected for this reason was never run and never will be,
-// so that the caller can safely retry with a new token.
+// GuaranteesNotRun reports whether a token rejected for this reason was never run and never will
+// be, so that the caller can safely retry with a new token.
 func (r Reason) GuaranteesNotRun() bool {
 	switch r {
 	case ReasonTokenExpired, ReasonTokenClosed, ReasonTokenInvalid:
--- a/internal/kernel/caller/records.go
+++ b/internal/kernel/caller/records.go
@@ -104,8 +104,8 @@
 	return t.Minter == r.minter || r.imported[t.Minter] != nil
 }
 
-// Claim claims a token for dispatch. It returns ClaimGranted at most once per token unless the token
-// is released.
+// Claim claims a token for dispatch. It returns ClaimGranted at most once per token unless the
+// token is released.
 func (r *TokenRecords) Claim(t *Token, service string, now time.Time) (ClaimStatus, Result) {
 	if t.Minter != r.minter {
 		if imported := r.imported[t.Minter]; imported != nil {
@@ -154,8 +154,8 @@
 	}
 }
 
-// Finish records the final outcome of a dispatched token. A complete response that arrives after the
-// outcome was recorded as unknown replaces it.
+// Finish records the final outcome of a dispatched token. A complete response that arrives after
+// the outcome was recorded as unknown replaces it.
 func (r *TokenRecords) Finish(n Nonce, result Result) error {
 	record := r.records[n]
 	if record == nil {
--- a/internal/kernel/caller/records_test.go
+++ b/internal/kernel/caller/records_test.go
@@ -137,8 +137,8 @@
 	return ""
 }
 
-// FuzzParseToken checks that any text parses to a token or to an error, and that the text of a parsed
-// token parses to the same token.
+// FuzzParseToken checks that any text parses to a token or to an error, and that the text of a
+// parsed token parses to the same token.
 func FuzzParseToken(f *testing.F) {
 	f.Add("g1.proxy-1.a.ledger.000102030405060708090a0b.1700000000000.AAAA")
 	f.Add("g1......")
--- a/internal/kernel/caller/token.go
+++ b/internal/kernel/caller/token.go
@@ -72,8 +72,8 @@
 	t.mac = k.mac(t)
 }
 
-// Verify reports whether the token's MAC matches this key, that is, whether the token was minted with
-// the key and not altered since.
+// Verify reports whether the token's MAC matches this key, that is, whether the token was minted
+// with the key and not altered since.
 func (k *TokenKey) Verify(t *Token) bool {
 	return subtle.ConstantTimeCompare(k.mac(t), t.mac) == 1
 }
--- a/internal/kernel/peer/clock.go
+++ b/internal/kernel/peer/clock.go
@@ -1,5 +1,5 @@
-// Package peer holds what proxies tell one another: membership, versions,
-// capacity quota on loan, and the hybrid clock that orders events.
+// Package peer implements what proxies exchange with each other: membership, document versions,
+// loans of capacity quota, and the hybrid logical clock that orders events.
 package peer
 
 import (
@@ -8,22 +8,22 @@
 )
 
 type (
-	// Stamp is a hybrid logical time: wall time of the fastest clock heard of
-	// in nanoseconds, then a counter. An event that another one caused has
-	// the larger stamp even when the two VMs' clocks differ, because every
-	// message between proxies carries the sender's stamp.
+	// Stamp is a timestamp of a hybrid logical clock: the wall time of the fastest clock observed
+	// so far, in nanoseconds, and a counter. An event has a larger stamp than the event that caused
+	// it even if the clocks of the two VMs differ, because every message between proxies carries
+	// the sender's stamp.
 	Stamp struct {
 		Wall  int64 `json:"wall"`
 		Count int32 `json:"count"`
 	}
 
-	// Clock issues stamps of one process.
+	// Clock is the hybrid logical clock of a process.
 	Clock struct {
 		last Stamp
 	}
 )
 
-// Less orders stamps.
+// Less reports whether s is before t.
 func (s Stamp) Less(t Stamp) bool {
 	if s.Wall != t.Wall {
 		return s.Wall < t.Wall
@@ -31,13 +31,13 @@
 	return s.Count < t.Count
 }
 
-// Time is the wall part.
+// Time returns the wall time of the stamp in UTC.
 func (s Stamp) Time() time.Time { return time.Unix(0, s.Wall).UTC() }
 
-// String is a fixed-width form that sorts like Less.
+// String returns a fixed-width encoding that sorts in the order of Less.
 func (s Stamp) String() string { return fmt.Sprintf("%019d.%06d", s.Wall, s.Count) }
 
-// Now issues the stamp of a local event.
+// Now advances the clock and returns the stamp of a local event.
 func (c *Clock) Now(now time.Time) Stamp {
 	wall := now.UnixNano()
 	if wall > c.last.Wall {
@@ -48,9 +48,9 @@
 	return c.last
 }
 
-// Observe takes in a stamp that came with a message.
-func (c *Clock) Observe(s Stamp) {
-	if c.last.Less(s) {
-		c.last = s
+// Observe advances the clock to the stamp of a received message if that is later.
+func (c *Clock) Observe(seen Stamp) {
+	if c.last.Less(seen) {
+		c.last = seen
 	}
 }
--- a/internal/kernel/peer/member.go
+++ b/internal/kernel/peer/member.go
@@ -14,27 +14,32 @@
 )
 
 const (
-	// StateLive proxies take requests.
+	// StateLive is the state of a proxy that accepts requests.
 	StateLive MemberState = iota + 1
-	// StateLeaving proxies finish what they have and are left out of look-ups.
+	// StateLeaving is the state of a proxy that only finishes its current requests. Lookups do not
+	// return it.
 	StateLeaving
-	// StateGone proxies have stopped as planned; Successor holds their records.
+	// StateGone is the state of a proxy that has stopped as planned. Its Successor holds its token
+	// records.
 	StateGone
-	// StateSuspect proxies did not answer; they may refute it.
+	// StateSuspect is the state of a proxy that did not respond. The proxy may refute the
+	// suspicion.
 	StateSuspect
-	// StateJoining proxies have no quota of their own yet. Callers sent there would
-	// only be refused, so look-ups do not name them.
+	// StateJoining is the state of a proxy that has no quota yet. It would only reject requests, so
+	// lookups do not return it.
 	StateJoining
 )
 
 const (
-	// suspicionThreshold failed exchanges in a row make a member suspect.
+	// suspicionThreshold is the number of consecutive failed exchanges after which a member is
+	// suspected.
 	suspicionThreshold = 2
-	// suspicionTimeout is how long a suspect may refute before it is left out of
-	// every look-up and its address is no longer tried for exchanges.
+	// suspicionTimeout is how long a suspected member can refute the suspicion before its address
+	// is no longer tried for exchanges.
 	suspicionTimeout = 3 * time.Second
-	// memberTTL removes a member that nobody has heard of. It must exceed
-	// the life of tokens, whose minter must stay known to be believed.
+	// memberTTL is the time without updates after which a member that is not live is removed. It
+	// must exceed the lifetime of tokens, because a token is trusted only while its minter is
+	// known.
 	memberTTL = 2 * time.Hour
 )
 
@@ -43,11 +48,12 @@
 )
 
 type (
-	// MemberState is where a proxy is in its life.
+	// MemberState is the lifecycle state of a proxy.
 	MemberState uint8
 
-	// Member is one proxy's record. Only its own process raises Sequence,
-	// except that a suspicion copies it; the higher sequence wins.
+	// Member is the membership record of a proxy. Only the proxy itself increments Sequence, and
+	// the record with the higher sequence wins. A suspicion keeps the sequence of the record that
+	// it replaces.
 	Member struct {
 		Name            string         `json:"name"`
 		Address         netip.AddrPort `json:"address"`
@@ -59,9 +65,9 @@
 		Sequence        uint64         `json:"sequence"`
 		State           MemberState    `json:"state"`
 		Successor       string         `json:"successor,omitempty"`
-		// CapacityBundle is the bundle whose capacities this proxy goes by. It changes
-		// with those only: a record that changed with every bundle would cost
-		// each proxy a message for each other one, each time.
+		// CapacityBundle is the version of the bundle whose capacities the proxy uses. It changes
+		// only if the capacities do: otherwise each new bundle would change every record and cost
+		// each proxy a message per other proxy.
 		CapacityBundle uint64 `json:"capacity-bundle"`
 	}
 
@@ -76,26 +82,26 @@
 		learnedAt time.Time
 	}
 
-	// Members is one proxy's view of all proxies.
+	// Members is a proxy's view of the membership of all proxies.
 	Members struct {
 		self        string
 		entries     map[string]*memberEntry
 		digest      uint64
 		lastChanged time.Time
-		// plannedStops keeps the successors of incarnations that stopped as
-		// planned, for a restarted proxy reuses its name.
+		// plannedStops holds the successors of incarnations that stopped as planned. They are kept
+		// apart from the entries because a restarted proxy reuses its name.
 		plannedStops map[caller.Minter]plannedStop
 		sortedNames  []string
 	}
 )
 
-// String is the state's name.
+// String returns the state's name.
 func (s MemberState) String() string { return stateNames[s] }
 
-// MarshalText writes the state's name.
+// MarshalText returns the state's name.
 func (s MemberState) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads the state's name.
+// UnmarshalText parses the state's name. An unknown name leaves the state unchanged.
 func (s *MemberState) UnmarshalText(text []byte) error {
 	for state, name := range stateNames {
 		if name == string(text) {
@@ -105,13 +111,13 @@
 	return nil
 }
 
-// Minter is the member as a minter of tokens.
+// Minter returns the member's identity as a minter of tokens.
 func (m *Member) Minter() caller.Minter {
 	return caller.Minter{Name: m.Name, Incarnation: m.Incarnation}
 }
 
-// supersedes reports whether m is newer news than old: a later incarnation,
-// a later sequence of it, or a suspicion about the same sequence.
+// supersedes reports whether m is newer than old: it has a later incarnation, a later sequence of
+// the same incarnation, or is a suspicion with the same sequence.
 func (m *Member) supersedes(old *Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
@@ -122,7 +128,7 @@
 	return m.State == StateSuspect && old.State != StateSuspect && old.State != StateGone
 }
 
-// NewMembers starts a view that knows only its own process.
+// NewMembers returns a view that contains only this proxy.
 func NewMembers(self Member, now time.Time) *Members {
 	m := &Members{
 		self:         self.Name,
@@ -133,10 +139,10 @@
 	return m
 }
 
-// Self is the own record.
+// Self returns the record of this proxy.
 func (m *Members) Self() Member { return m.entries[m.self].Member }
 
-// UpdateSelf changes the own record and raises its sequence.
+// UpdateSelf changes the record of this proxy and increments its sequence.
 func (m *Members) UpdateSelf(now time.Time, change func(*Member)) {
 	own := m.entries[m.self].Member
 	change(&own)
@@ -144,8 +150,8 @@
 	m.store(own, now)
 }
 
-// Merge takes in a record and reports whether it was news. A suspicion about
-// the own process is refuted at once by a higher sequence.
+// Merge merges a received record into the view and reports whether it changed the view. A suspicion
+// of this proxy is refuted immediately by a higher sequence.
 func (m *Members) Merge(update Member, now time.Time) bool {
 	old := m.entries[update.Name]
 	if update.Name == m.self && old != nil {
@@ -185,14 +191,14 @@
 	m.digest ^= update.hash()
 }
 
-// Len counts the records.
+// Len returns the number of records.
 func (m *Members) Len() int { return len(m.entries) }
 
-// LastChanged is when a record last changed.
+// LastChanged returns the time of the last change to a record.
 func (m *Members) LastChanged() time.Time { return m.lastChanged }
 
-// Digest sums the view up, so that two proxies see whether theirs are alike
-// without sending them.
+// Digest returns a hash of the view, so that two proxies can compare their views without sending
+// them.
 func (m *Members) Digest() uint64 { return m.digest }
 
 func (m *Member) hash() uint64 {
@@ -206,7 +212,7 @@
 	return h.Sum64()
 }
 
-// Get finds a member by name.
+// Get returns the member with a name.
 func (m *Members) Get(name string) (Member, bool) {
 	k, ok := m.entries[name]
 	if !ok {
@@ -215,7 +221,7 @@
 	return k.Member, true
 }
 
-// All lists every record in name order.
+// All returns all records in order of name.
 func (m *Members) All() []Member {
 	list := make([]Member, 0, len(m.sortedNames))
 	for _, name := range m.sortedNames {
@@ -224,8 +230,8 @@
 	return list
 }
 
-// RecentlyChanged lists up to limit records that changed last, and not before since.
-// An exchange carries only these; a differing digest asks for the rest.
+// RecentlyChanged returns up to limit records that changed at or after since, most recent first. An
+// exchange carries only these records; a proxy whose digest differs requests the rest.
 func (m *Members) RecentlyChanged(limit int, since time.Time) []Member {
 	if m.lastChanged.Before(since) {
 		return nil
@@ -244,8 +250,8 @@
 	return recent
 }
 
-// RecordFailure counts an exchange that got no answer, and reports whether the
-// member has just become suspect.
+// RecordFailure counts an exchange without a reply and reports whether the member has become
+// suspect because of it.
 func (m *Members) RecordFailure(name string, now time.Time) bool {
 	k := m.entries[name]
 	if k == nil || name == m.self {
@@ -261,15 +267,15 @@
 	return true
 }
 
-// RecordSuccess notes that a member is reachable from here.
+// RecordSuccess resets the failure count of a member that replied.
 func (m *Members) RecordSuccess(name string) {
 	if k := m.entries[name]; k != nil {
 		k.failures = 0
 	}
 }
 
-// Serving lists members that callers may be sent to: the live ones. The own
-// process counts as live whatever others suspect.
+// Serving returns the live members, to which callers may be directed. This proxy counts as live
+// even if others suspect it.
 func (m *Members) Serving() []Member {
 	var list []Member
 	for _, name := range m.sortedNames {
@@ -284,8 +290,9 @@
 	return list
 }
 
-// Reachable lists peers worth an exchange: not the own process, not gone,
-// and not suspect for long unless nobody else is left.
+// Reachable returns the peers to exchange with: all but this proxy, those that have stopped, and
+// those suspected for longer than suspicionTimeout. If there are no others, it returns these
+// suspects.
 func (m *Members) Reachable(now time.Time) []Member {
 	var list, suspects []Member
 	for _, name := range m.sortedNames {
@@ -304,8 +311,8 @@
 	return list
 }
 
-// TokenOwner finds who decides over a minter's tokens now: the minter itself while
-// its incarnation is a member, or whoever took its records over.
+// TokenOwner returns the member that decides about a minter's tokens: the minter itself while its
+// incarnation is a member, or the last successor that took over its records.
 func (m *Members) TokenOwner(minter caller.Minter) (Member, bool) {
 	for range len(m.entries) + 1 {
 		if k := m.entries[minter.Name]; k != nil && k.Incarnation == minter.Incarnation && k.State != StateGone {
@@ -327,8 +334,8 @@
 	return Member{}, false
 }
 
-// Expire drops records that nobody has renewed for long, and incarnations that
-// left so long ago that none of their tokens can still be asked for.
+// Expire removes records of members that are not live and have not changed for memberTTL, and
+// planned stops so long ago that none of the minter's tokens can still be valid.
 func (m *Members) Expire(now time.Time) {
 	for minter, stop := range m.plannedStops {
 		if now.Sub(stop.learnedAt) >= memberTTL {
@@ -346,8 +353,8 @@
 	}
 }
 
-// RendezvousRank ranks candidates by highest hash with a key, so that the loss of
-// one moves only what was on it.
+// RendezvousRank ranks names by rendezvous hashing (highest random weight) with a key, so that the
+// loss of one name moves only the keys that were assigned to it.
 func RendezvousRank(key string, names []string) []string {
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b string) int {
--- a/internal/kernel/peer/member_test.go
+++ b/internal/kernel/peer/member_test.go
@@ -15,9 +15,8 @@
 	return Member{Name: name, Incarnation: incarnation, State: state}
 }
 
-// TestSuspicionIsRefuted: a proxy was slow and its peers take it for dead. It
-// hears so itself and says that it lives, with a newer record; callers are
-// sent to it again.
+// TestSuspicionIsRefuted checks that a slow proxy that its peers suspect of being dead refutes the
+// suspicion with a newer record once it learns of it, and is live again for its peers.
 func TestSuspicionIsRefuted(t *testing.T) {
 	slow := NewMembers(newMember("a", 1, StateLive), testTime)
 	peer := NewMembers(newMember("b", 1, StateLive), testTime)
@@ -36,9 +35,9 @@
 	}
 }
 
-// TestTokenOwnerAfterChainOfPlannedStops: a minter stops and leaves its records to a peer,
-// which stops later and leaves them on. A repeat must find the last one, also
-// when the first VM runs a new incarnation by then.
+// TestTokenOwnerAfterChainOfPlannedStops covers a minter that stops and hands its records over to a
+// peer, which later stops and hands them over in turn. A retry must find the last successor, even
+// if the minter's VM runs a new incarnation by then.
 func TestTokenOwnerAfterChainOfPlannedStops(t *testing.T) {
 	m := NewMembers(newMember("self", 1, StateLive), testTime)
 	first := newMember("a", 1, StateGone)
@@ -51,9 +50,9 @@
 	m.Merge(newMember("a", 2, StateLive), testTime)
 	owner, ok := m.TokenOwner(caller.Minter{Name: "a", Incarnation: 1})
 	if got, want := owner.Name, "c"; !ok || got != want {
-		t.Errorf("got heir %q, %v; want %q", got, ok, want)
+		t.Errorf("got owner %q, %v; want %q", got, ok, want)
 	}
 	if _, ok := m.TokenOwner(caller.Minter{Name: "a", Incarnation: 7}); ok {
-		t.Error("got an heir for an incarnation that never was, want none")
+		t.Error("got an owner for an incarnation that never existed, want none")
 	}
 }
--- a/internal/kernel/peer/message.go
+++ b/internal/kernel/peer/message.go
@@ -9,20 +9,20 @@
 )
 
 type (
-	// Versions sums up what a proxy knows. Two proxies compare them and only
-	// the one behind asks for more.
+	// Versions holds the versions of the documents that a proxy has. Two proxies compare their
+	// versions, and only the proxy that is behind requests documents.
 	Versions struct {
 		Bundle     uint64 `json:"bundle"`
 		Assignment uint64 `json:"assignment"`
 		Machines   uint64 `json:"machines"`
 		Members    uint64 `json:"members"`
 		Prefixes   uint64 `json:"prefixes"`
-		// MemberCount is how many members the sender knows.
+		// MemberCount is the number of members that the sender knows.
 		MemberCount int `json:"known"`
 	}
 
-	// Exchange is the periodic message between two proxies and its reply.
-	// The reply carries documents in which the asker is behind.
+	// Exchange is the periodic gossip message between two proxies and its reply. The reply carries
+	// the documents in which the requester is behind.
 	Exchange struct {
 		From       string
 		Stamp      Stamp
@@ -31,17 +31,17 @@
 		Bundle     []byte
 		Assignment []byte
 		Machines   []byte
-		// Rows tell a newcomer how the sender spreads traffic now, by home
-		// region, in thousandths in the order of the sender's bundle.
+		// Rows holds the sender's current rows of the traffic matrix by home region, in thousandths
+		// and in the order of the sender's bundle. A proxy that joins starts from them.
 		Rows [][]int
-		// QuarantineReports are works that were there at the ends of backend servers.
+		// QuarantineReports reports work that was running when backend servers crashed.
 		QuarantineReports []quarantine.Report
-		// BackpressureReports are what backend servers ask of all proxies.
+		// BackpressureReports reports the backpressure that backend servers signal to all proxies.
 		BackpressureReports []backpressure.Report
 	}
 
-	// BorrowRequest asks for quota of one resource. With a loan's number it
-	// asks to keep Want of that loan up.
+	// BorrowRequest requests a loan of a resource's quota. If Renew is set, it requests the renewal
+	// of that loan with the amount Want.
 	BorrowRequest struct {
 		From     string
 		Stamp    Stamp
@@ -50,14 +50,15 @@
 		Renew    LoanID
 	}
 
-	// BorrowReply grants quota for LoanTTL, counted from before the request.
+	// BorrowReply grants quota for LoanTTL, counted from the time at which the borrower sent its
+	// request.
 	BorrowReply struct {
 		Stamp  Stamp
 		Loan   LoanID
 		Amount int
 	}
 
-	// ForwardRequest hands a request to the minter of its token.
+	// ForwardRequest forwards a request to the minter of its token.
 	ForwardRequest struct {
 		From     string
 		Stamp    Stamp
@@ -77,7 +78,7 @@
 		Result caller.Result
 	}
 
-	// HandoverRequest leaves a stopping minter's records to a peer.
+	// HandoverRequest transfers the token records of a stopping minter to a peer.
 	HandoverRequest struct {
 		From    string
 		Stamp   Stamp
--- a/internal/kernel/peer/quota.go
+++ b/internal/kernel/peer/quota.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// LoanTTL is how long a loan of quota lasts for its borrower, counted
-	// from before it asked.
+	// LoanTTL is how long a borrower may use a loan of quota, counted from the time at which it
+	// sent the request.
 	LoanTTL = 2 * time.Second
-	// returnDelay is how long a lender waits before it uses quota again that
-	// the borrower has given back: the borrower's last admissions still count.
+	// returnDelay is how long a lender waits before it reuses quota that a borrower has returned.
+	// The borrower's last admissions still count within the window.
 	returnDelay = WindowLength + WindowLength/10
-	// maxCountedRejections bounds the refusals counted.
+	// maxCountedRejections bounds the number of rejections that are counted.
 	maxCountedRejections = 4096
-	// renewalLeadTime its end a borrower asks to keep a loan up. Renewed loans
-	// waste nothing; one that ends lies idle for the lender's guard.
+	// renewalLeadTime is how long before its expiry a borrower requests the renewal of a loan. A
+	// renewed loan wastes no quota, while an expired one is unused during the lender's reclaim
+	// delay.
 	renewalLeadTime = 900 * time.Millisecond
-	// demandDecay is how much of the way the estimated need falls a tick.
+	// demandDecay is the fraction of the difference by which the demand estimate falls per tick.
 	demandDecay = 0.03
-	// demandMargin is the room above the traffic of the last second, in roots.
+	// demandMargin is the headroom above the estimated demand, in units of its square root.
 	demandMargin = 2.5
 )
 
 type (
-	// Resource names something with a capacity in requests per second, such
-	// as "region/palermo" or "link/palermo/catania".
+	// Resource is the name of something that has a capacity in requests per second, such as
+	// "region/palermo" or "link/palermo/catania".
 	Resource string
 
-	// LoanID numbers the loans of one lender.
+	// LoanID identifies a loan among those of a lender.
 	LoanID uint64
 
 	loan struct {
@@ -37,22 +38,21 @@
 		peer      string
 		amount    int
 		expiresAt time.Time
-		// renewalPending marks a loan whose renewal is under way.
+		// renewalPending is set while a renewal request is outstanding.
 		renewalPending bool
 	}
 
-	// Renewal asks a lender to keep up part of a loan.
+	// Renewal is a request to a lender to renew the amount Keep of a loan.
 	Renewal struct {
 		Lender string
 		ID     LoanID
 		Keep   int
 	}
 
-	// Quota is one proxy's share of one resource. The shares of all proxies
-	// and the loans between them sum to at most the capacity at every moment:
-	// a lender lowers its own limit before it grants, a borrower's loan ends
-	// before the lender counts it as its own again, and a lost grant wastes
-	// quota until its end but never doubles it.
+	// Quota is a proxy's share of the capacity of a resource. The shares of all proxies and the
+	// loans between them never sum to more than the capacity: a lender lowers its own limit before
+	// it grants a loan, a loan expires for its borrower before the lender reclaims it, and a lost
+	// grant wastes quota until it expires but never counts it twice.
 	Quota struct {
 		SlidingWindow
 		base         int
@@ -67,23 +67,22 @@
 	}
 )
 
-// SetMaxDeadline tells the longest deadline that a request may carry. A VM that
-// was paused with its clock stopped believes that its loans still last. What
-// it then dispatches carries deadlines that lie behind by the pause, and
-// backend servers refuse it once they have passed. A lender that waits for the
-// longest deadline beyond a loan's end is thus safe from pauses of any length.
+// SetMaxDeadline sets the longest deadline that a request may have. A VM that was paused with its
+// clock stopped considers its loans still valid. The requests that it then dispatches have
+// deadlines that are early by the length of the pause, and backend servers reject them once these
+// have passed. A lender that waits for the longest deadline after a loan's expiry is therefore safe
+// from pauses of any length.
 func (q *Quota) SetMaxDeadline(maxDeadline time.Duration) {
 	q.reclaimDelay = WindowLength + LoanTTL/10 + maxDeadline
 }
 
-// RaiseDelay is how long a raised share waits before use. Whoever held the
-// difference may have lent it just before, and its borrower uses the loan to
-// its end.
+// RaiseDelay returns how long an increase of the base share is delayed. The previous holder of the
+// difference may have lent it just before, and the borrower uses the loan until it expires.
 func (q *Quota) RaiseDelay() time.Duration { return LoanTTL + q.reclaimDelay }
 
-// SetBase sets the own share. A lower one holds at once. A higher one waits
-// for RaiseDelay, unless whoever held the difference is known to have
-// stopped using and lending it.
+// SetBase sets the base share of this proxy. A decrease takes effect immediately. An increase takes
+// effect after RaiseDelay, or immediately if immediate is set because the previous holder of the
+// difference is known to have stopped using and lending it.
 func (q *Quota) SetBase(base int, immediate bool, now time.Time) {
 	if immediate && q.raiseAt.IsZero() {
 		q.base = base
@@ -103,7 +102,7 @@
 	q.raiseAt = now.Add(q.RaiseDelay())
 }
 
-// Base is the own share in force.
+// Base returns the base share that is in effect.
 func (q *Quota) Base(now time.Time) int {
 	if q.pendingBase > q.base && !now.Before(q.raiseAt) {
 		q.base = q.pendingBase
@@ -112,13 +111,13 @@
 	return q.base
 }
 
-// Limit is how many requests may be admitted per window now. It is below zero
-// when the own share shrank while part of it was on loan.
+// Limit returns how many requests may currently be admitted per window. It is negative if the base
+// share was decreased while part of it was lent.
 func (q *Quota) Limit(now time.Time) int {
 	return q.Base(now) - sumActive(&q.lent, now) + sumActive(&q.borrowed, now)
 }
 
-// sumActive adds up the loans that last and drops the others.
+// sumActive returns the total amount of the active loans and removes expired ones.
 func sumActive(loans *[]loan, now time.Time) int {
 	if len(*loans) == 0 {
 		return 0
@@ -131,7 +130,7 @@
 	return total
 }
 
-// TryAcquire admits one request or notes that quota was short.
+// TryAcquire admits a request, or counts a rejection and returns false if the limit is reached.
 func (q *Quota) TryAcquire(now time.Time) bool {
 	if q.Admit(now, q.Limit(now)) {
 		return true
@@ -140,13 +139,13 @@
 	return false
 }
 
-// RecentRejections counts refusals within the last window, up to a bound that
-// keeps the count's memory small.
+// RecentRejections returns the number of rejections within the last window, up to a bound that
+// limits the memory for counting them.
 func (q *Quota) RecentRejections(now time.Time) int { return q.rejections.Used(now) }
 
-// UpdateDemand takes the traffic of the last second into the estimated need, once a
-// tick. The estimate rises at once and falls slowly, so that a short lull does
-// not give back what the next moment needs.
+// UpdateDemand updates the demand estimate with the traffic of the last second. It is called once
+// per tick. The estimate rises immediately and falls slowly, so that quota is not returned during a
+// short drop in traffic.
 func (q *Quota) UpdateDemand(now time.Time) {
 	observed := float64(q.Used(now) + q.RecentRejections(now))
 	if observed > q.demand {
@@ -156,8 +155,8 @@
 	q.demand += demandDecay * (observed - q.demand)
 }
 
-// Demand is how much quota the own traffic wants, with room for the unevenness
-// of arrivals, whose spread within a window is about the root of their number.
+// Demand returns how much quota this proxy's traffic needs, with headroom for random variation: the
+// standard deviation of arrivals within a window is about the square root of their number.
 func (q *Quota) Demand() int {
 	if q.demand < 1 {
 		return 0
@@ -165,15 +164,15 @@
 	return int(q.demand+demandMargin*math.Sqrt(q.demand)) + 1
 }
 
-// Available is what is left in the current window.
+// Available returns how many more requests may be admitted in the current window.
 func (q *Quota) Available(now time.Time) int {
 	return max(0, q.Limit(now)-q.Used(now))
 }
 
-// Lend lowers the own limit and returns the loan's number and what the
-// borrower may have. Only quota that was not used within the window is lent,
-// since a unit used here and there within one second would count twice.
-// Borrowed quota is never lent on: its end would have to be passed on too.
+// Lend lowers this proxy's limit and returns the ID and amount of the loan; the amount is zero if
+// nothing can be lent. Only quota that was not used within the window is lent, because a unit used
+// by both proxies within one second would count twice. Borrowed quota is never lent on, because its
+// expiry would have to be passed on as well.
 func (q *Quota) Lend(to string, want int, now time.Time) (LoanID, int) {
 	own := q.Base(now) - sumActive(&q.lent, now)
 	spare := own - max(q.Used(now), q.Demand())
@@ -186,8 +185,9 @@
 	return q.lastLoanID, amount
 }
 
-// Renew keeps part of a loan up and takes the rest home, after one window in
-// which the borrower's last use of it still counts. It returns what is kept.
+// Renew renews the amount keep of a loan and reclaims the rest after returnDelay, during which the
+// borrower's last use of it still counts. It returns the renewed amount, or zero if the renewal is
+// rejected.
 func (q *Quota) Renew(borrower string, id LoanID, keep int, now time.Time) int {
 	sumActive(&q.lent, now)
 	for i := range q.lent {
@@ -195,13 +195,12 @@
 		if l.id != id || l.peer != borrower {
 			continue
 		}
-		// The own share may have shrunk since; what it no longer covers must
-		// not be kept up.
+		// The base share may have been decreased since. Only what it still covers may be renewed.
 		others := sumActive(&q.lent, now) - l.amount
 		granted := min(keep, l.amount, max(0, q.Base(now)-others))
 		returned := loan{peer: borrower, amount: l.amount - granted, expiresAt: now.Add(returnDelay)}
 		if granted < keep {
-			// The borrower hears of the refusal and uses all to the old end.
+			// The borrower is told of the rejection and uses the whole loan until its old expiry.
 			return 0
 		}
 		if returned.expiresAt.After(l.expiresAt) {
@@ -219,9 +218,9 @@
 	return 0
 }
 
-// AddBorrowed adds a loan that was asked for at the given time. Counting from the
-// asking keeps the borrower's end before the lender's however long the
-// message took.
+// AddBorrowed adds a loan that was requested at requestedAt. Its lifetime is counted from the
+// request, so that it expires for the borrower before it does for the lender however long the
+// messages took.
 func (q *Quota) AddBorrowed(lender string, id LoanID, amount int, requestedAt, now time.Time) {
 	expiresAt := requestedAt.Add(LoanTTL)
 	if amount <= 0 || !now.Before(expiresAt) {
@@ -230,9 +229,9 @@
 	q.borrowed = append(q.borrowed, loan{id: id, peer: lender, amount: amount, expiresAt: expiresAt})
 }
 
-// TakeRenewals lists loans that end soon, each with how much of it is still
-// needed. What is no longer needed stops counting here at once, before the
-// lender hears of it.
+// TakeRenewals returns renewals for the loans that expire soon, each with the amount that is still
+// needed. The rest no longer counts towards this proxy's limit from now on, before the lender
+// learns that it is returned.
 func (q *Quota) TakeRenewals(now time.Time) []Renewal {
 	var list []Renewal
 	surplus := q.Limit(now) - q.Demand()
@@ -250,12 +249,12 @@
 	return list
 }
 
-// DropBorrowed gives up all loans. When shares are figured anew a lender may
-// keep less than it has lent, and could not make up for the difference.
+// DropBorrowed drops all borrowed quota. When shares are recomputed, a lender's new share may be
+// less than what it has lent, and it could not compensate for the difference.
 func (q *Quota) DropBorrowed() { q.borrowed = nil }
 
-// HandleRenewalReply takes in the lender's answer. A refused or lost one lets the loan
-// run out at its old end.
+// HandleRenewalReply applies the lender's reply to a renewal. If the renewal is rejected or the
+// reply is lost, the loan expires at its old time.
 func (q *Quota) HandleRenewalReply(lender string, id LoanID, kept int, requestedAt time.Time) {
 	for i := range q.borrowed {
 		l := &q.borrowed[i]
@@ -270,10 +269,10 @@
 	}
 }
 
-// ForgetLent counts what is on loan as the own again. Only a test that takes
-// the guard out calls it.
+// ForgetLent reclaims all lent quota immediately. It is called only if a test injects the fault
+// that lent quota is counted twice.
 func (q *Quota) ForgetLent() { q.lent = nil }
 
-// HasLent reports whether a loan to a peer may still be in use. Loans are
-// dropped when a limit is computed after their end.
+// HasLent reports whether a loan to a peer may still be in use. Expired loans are removed only when
+// a limit is computed.
 func (q *Quota) HasLent() bool { return len(q.lent) > 0 }
--- a/internal/kernel/peer/quota_test.go
+++ b/internal/kernel/peer/quota_test.go
@@ -10,16 +10,16 @@
 const testDeadline = 2 * time.Second
 
 type (
-	// lender and borrower with a message between them that may be late or lost.
+	// delayedMessage is a message in flight between lender and borrower.
 	delayedMessage struct {
 		deliverAt time.Time
 		deliver   func()
 	}
 )
 
-// TestLoansNeverExceedCapacity: two proxies lend and borrow a resource with messages
-// that are late or lost, renewals refused, and shares that shrink. At every
-// moment what both admitted within one second stays within the capacity.
+// TestLoansNeverExceedCapacity lets two proxies lend and borrow quota of a resource with delayed
+// and lost messages and rejected renewals. Within any second, both together must not admit more
+// than the capacity.
 func TestLoansNeverExceedCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 40
@@ -56,7 +56,7 @@
 			name, otherName := "01"[who:who+1], "01"[1-who:2-who]
 			for range rapid.IntRange(0, 30).Draw(t, "requests") {
 				if own.TryAcquire(now) && !all.Admit(now, capacity) {
-					t.Fatalf("got more than %d admissions within a second, want none", capacity)
+					t.Fatalf("got more than %d admissions within one second", capacity)
 				}
 			}
 			own.UpdateDemand(now)
@@ -77,9 +77,8 @@
 	})
 }
 
-// TestWindowIsSliding: a caller's burst at the end of one second and another at
-// the begin of the next must not both pass, as they would with a counter that
-// is reset each second.
+// TestWindowIsSliding checks that a burst at the end of one second and another at the start of the
+// next are not both admitted, as they would be by a counter that is reset every second.
 func TestWindowIsSliding(t *testing.T) {
 	var w SlidingWindow
 	now := time.Unix(100, 0)
@@ -92,6 +91,6 @@
 		t.Errorf("200 ms after a full window: got %v, want %v", got, want)
 	}
 	if got, want := w.Admit(now.Add(1900*time.Millisecond), 10), true; got != want {
-		t.Errorf("a second after: got %v, want %v", got, want)
+		t.Errorf("one second after a full window: got %v, want %v", got, want)
 	}
 }
--- a/internal/kernel/peer/window.go
+++ b/internal/kernel/peer/window.go
@@ -5,16 +5,16 @@
 )
 
 const (
-	// WindowLength is the length of the sliding window that quotas count in.
+	// WindowLength is the length of the sliding window in which quotas are counted.
 	WindowLength = time.Second
-	// minRingSize is the smallest ring of admission times.
+	// minRingSize is the initial size of the ring buffer of admission times.
 	minRingSize = 16
 )
 
 type (
-	// SlidingWindow counts admissions in a sliding window of one second. It keeps
-	// the time of each, because a bucket that refills steadily would let
-	// nearly twice its rate through within some one-second windows.
+	// SlidingWindow counts admissions in a sliding window of one second. It records the time of
+	// each admission, because a token bucket would admit nearly twice its rate within some
+	// one-second windows.
 	SlidingWindow struct {
 		times []time.Time
 		head  int
@@ -22,13 +22,13 @@
 	}
 )
 
-// Used is the number of admissions within the window that ends at now.
+// Used returns the number of admissions within the window that ends at now.
 func (w *SlidingWindow) Used(now time.Time) int {
 	w.trim(now)
 	return w.count
 }
 
-// Admit counts one admission unless the limit is reached.
+// Admit records an admission and returns true, or returns false if the limit is reached.
 func (w *SlidingWindow) Admit(now time.Time, limit int) bool {
 	if w.Used(now) >= limit {
 		return false
@@ -37,8 +37,7 @@
 	return true
 }
 
-// Undo takes back the newest admission, for a request that another limit
-// turned away.
+// Undo removes the latest admission, for a request that another limit rejected.
 func (w *SlidingWindow) Undo() {
 	if w.count > 0 {
 		w.count--
--- a/internal/kernel/region/planner.go
+++ b/internal/kernel/region/planner.go
@@ -224,8 +224,8 @@
 	}
 }
 
-// returnTraffic moves a row one step towards the row that the bundle prefers, only into regions that
-// reject almost nothing.
+// returnTraffic moves a row one step towards the row that the bundle prefers, only into regions
+// that reject almost nothing.
 func returnTraffic(in PlannerInput, row, preferred Row) {
 	for to := range row {
 		if !in.Usable[to] || in.Rejected[to] > minRejectionRate/2 || row[to] >= preferred[to] {
--- a/internal/kernel/region/shifter_test.go
+++ b/internal/kernel/region/shifter_test.go
@@ -79,8 +79,8 @@
 	})
 }
 
-// TestHeadroomPlanner checks that rejections move traffic to regions with free quota, that no traffic
-// goes to an unusable region, and that traffic returns once nothing is rejected.
+// TestHeadroomPlanner checks that rejections move traffic to regions with free quota, that no
+// traffic goes to an unusable region, and that traffic returns once nothing is rejected.
 func TestHeadroomPlanner(t *testing.T) {
 	in := func(current Row, rejected float64, usable ...bool) PlannerInput {
 		return PlannerInput{
