--- a/internal/kernel/caller/records.go
+++ b/internal/kernel/caller/records.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// Fresh means that the token may be dispatched now; its record says
-	// running from here on.
-	Fresh Claim = iota + 1
-	// Settled means that the result is final and needs no dispatch.
-	Settled
+	// ClaimGranted means that the token may be dispatched now. Its record is marked as running.
+	ClaimGranted ClaimStatus = iota + 1
+	// ClaimResolved means that the token must not be dispatched and that the returned result
+	// applies.
+	ClaimResolved
 )
 
 const (
@@ -21,75 +21,75 @@
 )
 
 const (
-	// maxRecords bounds a process's records; minting is refused beyond.
-	maxRecords = 200_000
-	// MaxKeptBody is the largest answer body, in bytes, kept for a repeat.
-	MaxKeptBody = 64 << 10
-	// maxKeptBytes bounds all kept bodies of a process, in bytes.
-	maxKeptBytes = 6 << 20
-	// inProgressRetry is when to ask again for a running request.
-	inProgressRetry = 500 * time.Millisecond
+	// maxTokenRecords bounds the records of a process. When it is reached, no token is minted.
+	maxTokenRecords = 200_000
+	// MaxRetainedBody is the largest response body, in bytes, that is retained for retries.
+	MaxRetainedBody = 64 << 10
+	// maxRetainedBytes bounds the total size of the retained bodies of a process.
+	maxRetainedBytes = 6 << 20
+	// inProgressRetryAfter is the Retry-After of a request that is still running.
+	inProgressRetryAfter = 500 * time.Millisecond
 )
 
 var (
-	// ErrDoubleRun is the broken invariant that a token was finished twice.
-	ErrDoubleRun = errors.New("invariant: token dispatched twice")
+	// ErrTokenRunTwice means that an invariant is violated: a token was finished twice, so it was
+	// dispatched twice.
+	ErrTokenRunTwice = errors.New("token dispatched twice")
 )
 
 type (
-	// Claim says what an attempt to use a token leads to.
-	Claim uint8
+	// ClaimStatus is the result of an attempt to claim a token for dispatch.
+	ClaimStatus uint8
 
 	state uint8
 
-	// Record is the fate of one token. It is exported for the hand-over at a
-	// planned stop only.
-	Record struct {
-		Nonce   Nonce
-		State   uint8
-		Answer  *Answer
-		Dropped bool
-		Expiry  time.Time
+	// TokenRecord is the state of a token that was dispatched. It is exported only for the handover
+	// at a planned stop.
+	TokenRecord struct {
+		Nonce           Nonce
+		State           uint8
+		Response        *Response
+		ResponseDropped bool
+		Expiry          time.Time
 	}
 
-	// Handover is everything a stopping minter leaves to a peer. Its absence
-	// of a record means that the token was never dispatched and never will
-	// be, for the minter stops dispatching before it exports.
+	// Handover is the state that a stopping minter transfers to a peer. A token without a record in
+	// it was never dispatched and never will be, because the minter stops dispatching before it
+	// exports its records.
 	Handover struct {
 		Minter    Minter
 		Key       TokenKey
 		Retention time.Duration
-		Records   []Record
-	}
-
-	// Records decides over the tokens of one minter: which may be dispatched
-	// and what the others are told. Only the process that minted a token ever
-	// dispatches it, and it does so once: that is the whole guard against a
-	// doubled request, and it needs no agreement with any other process.
-	Records struct {
-		minter    Minter
-		key       TokenKey
-		closed    bool
-		retention time.Duration
-		records   map[Nonce]*Record
-		keptBytes int
-		inherited map[Minter]*Records
+		Records   []TokenRecord
+	}
+
+	// TokenRecords decides which tokens of a minter may be dispatched and what result the others
+	// get. Only the process that minted a token dispatches it, and only once. This alone prevents
+	// duplicate execution, without coordination with any other process.
+	TokenRecords struct {
+		minter        Minter
+		key           TokenKey
+		closed        bool
+		retention     time.Duration
+		records       map[Nonce]*TokenRecord
+		retainedBytes int
+		imported      map[Minter]*TokenRecords
 	}
 )
 
-// NewRecords starts a minter's empty books.
-func NewRecords(m Minter, key TokenKey) *Records {
-	return &Records{
-		minter:    m,
-		key:       key,
-		records:   make(map[Nonce]*Record),
-		inherited: make(map[Minter]*Records),
+// NewTokenRecords returns the empty records of a minter.
+func NewTokenRecords(m Minter, key TokenKey) *TokenRecords {
+	return &TokenRecords{
+		minter:   m,
+		key:      key,
+		records:  make(map[Nonce]*TokenRecord),
+		imported: make(map[Minter]*TokenRecords),
 	}
 }
 
-// Mint makes a token. It reports false when the books are full or closed.
-func (r *Records) Mint(service string, nonce Nonce, now time.Time, lifetime, retention time.Duration) (*Token, bool) {
-	if r.closed || len(r.records) >= maxRecords {
+// Mint creates and signs a token. It returns false if the records are full or closed.
+func (r *TokenRecords) Mint(service string, nonce Nonce, now time.Time, lifetime, retention time.Duration) (*Token, bool) {
+	if r.closed || len(r.records) >= maxTokenRecords {
 		return nil, false
 	}
 	r.retention = max(r.retention, retention)
@@ -98,104 +98,105 @@
 	return t, true
 }
 
-// Owner reports whether this process decides over the token, as its minter or
-// as the heir of a minter that stopped as planned.
-func (r *Records) Owner(t *Token) bool {
-	return t.Minter == r.minter || r.inherited[t.Minter] != nil
+// Owns reports whether this process decides about the token, either as its minter or as the
+// successor of a minter that stopped as planned.
+func (r *TokenRecords) Owns(t *Token) bool {
+	return t.Minter == r.minter || r.imported[t.Minter] != nil
 }
 
-// Use claims a token for dispatch. Fresh is returned at most once per token
-// unless Release gives it back.
-func (r *Records) Use(t *Token, service string, now time.Time) (Claim, Result) {
+// Claim claims a token for dispatch. It returns ClaimGranted at most once per token unless the
+// token is released.
+func (r *TokenRecords) Claim(t *Token, service string, now time.Time) (ClaimStatus, Result) {
 	if t.Minter != r.minter {
-		if heir := r.inherited[t.Minter]; heir != nil {
-			return heir.Use(t, service, now)
+		if imported := r.imported[t.Minter]; imported != nil {
+			return imported.Claim(t, service, now)
 		}
-		return Settled, Result{Outcome: Unknown, Reason: ReasonMinterGone}
+		return ClaimResolved, Result{Outcome: OutcomeUnknown, Reason: ReasonMinterGone}
 	}
-	if !r.key.Valid(t) || t.Service != service {
-		// Nothing is dispatched under a forged or foreign token, so this
-		// request was truly not run.
-		return Settled, Result{Outcome: NotRun, Reason: ReasonTokenInvalid}
+	if !r.key.Verify(t) || t.Service != service {
+		// A token that is forged or for another service is never dispatched, so the request was
+		// certainly not run.
+		return ClaimResolved, Result{Outcome: OutcomeNotRun, Reason: ReasonTokenInvalid}
 	}
 	if record := r.records[t.Nonce]; record != nil {
-		return Settled, record.result()
+		return ClaimResolved, record.result()
 	}
 	switch {
 	case now.After(t.Expiry.Add(r.retention)):
-		return Settled, Result{Outcome: Unknown, Reason: ReasonTokenForgotten}
+		return ClaimResolved, Result{Outcome: OutcomeUnknown, Reason: ReasonTokenRecordExpired}
 	case now.After(t.Expiry):
-		return Settled, Result{Outcome: NotRun, Reason: ReasonTokenExpired}
+		return ClaimResolved, Result{Outcome: OutcomeNotRun, Reason: ReasonTokenExpired}
 	case r.closed:
-		return Settled, Result{Outcome: NotRun, Reason: ReasonTokenClosed}
+		return ClaimResolved, Result{Outcome: OutcomeNotRun, Reason: ReasonTokenClosed}
 	}
-	r.records[t.Nonce] = &Record{Nonce: t.Nonce, State: uint8(stateRunning), Expiry: t.Expiry}
-	return Fresh, Result{}
+	r.records[t.Nonce] = &TokenRecord{Nonce: t.Nonce, State: uint8(stateRunning), Expiry: t.Expiry}
+	return ClaimGranted, Result{}
 }
 
-func (r *Record) result() Result {
+func (r *TokenRecord) result() Result {
 	switch state(r.State) {
 	case stateDone:
-		if r.Dropped {
-			return Result{Outcome: Done, Reason: ReasonTooLargeToKeep}
+		if r.ResponseDropped {
+			return Result{Outcome: OutcomeDone, Reason: ReasonResponseNotRetained}
 		}
-		return Result{Outcome: Done, Answer: r.Answer}
+		return Result{Outcome: OutcomeDone, Response: r.Response}
 	case stateUnknown:
-		return Result{Outcome: Unknown, Reason: ReasonBroken}
+		return Result{Outcome: OutcomeUnknown, Reason: ReasonConnectionLost}
 	}
-	return Result{Outcome: Unknown, Reason: ReasonInProgress, RetryAfter: inProgressRetry}
+	return Result{Outcome: OutcomeUnknown, Reason: ReasonInProgress, RetryAfter: inProgressRetryAfter}
 }
 
-// Release gives a running token back after an attempt that was truly not run.
-func (r *Records) Release(n Nonce) {
+// Release returns a running token after an attempt that was certainly not run, so that it can be
+// claimed again.
+func (r *TokenRecords) Release(n Nonce) {
 	if record := r.records[n]; record != nil && state(record.State) == stateRunning {
 		delete(r.records, n)
 	}
 }
 
-// Finish keeps the final outcome of a dispatched token. A done answer that
-// arrives after the request was called unknown replaces it.
-func (r *Records) Finish(n Nonce, result Result) error {
+// Finish records the final outcome of a dispatched token. A complete response that arrives after
+// the outcome was recorded as unknown replaces it.
+func (r *TokenRecords) Finish(n Nonce, result Result) error {
 	record := r.records[n]
 	if record == nil {
 		return nil
 	}
 	if state(record.State) == stateDone {
-		return ErrDoubleRun
+		return ErrTokenRunTwice
 	}
-	if result.Outcome != Done || result.Answer == nil {
+	if result.Outcome != OutcomeDone || result.Response == nil {
 		record.State = uint8(stateUnknown)
 		return nil
 	}
 	record.State = uint8(stateDone)
-	size := len(result.Answer.Body)
-	if result.Answer.NotKept || size > MaxKeptBody || r.keptBytes+size > maxKeptBytes {
-		record.Dropped = true
+	size := len(result.Response.Body)
+	if result.Response.Streamed || size > MaxRetainedBody || r.retainedBytes+size > maxRetainedBytes {
+		record.ResponseDropped = true
 		return nil
 	}
-	record.Answer = result.Answer
-	r.keptBytes += size
+	record.Response = result.Response
+	r.retainedBytes += size
 	return nil
 }
 
-// Expire forgets records whose retention has run out.
-func (r *Records) Expire(now time.Time) {
+// Expire deletes records whose retention has ended.
+func (r *TokenRecords) Expire(now time.Time) {
 	for n, record := range r.records {
 		if state(record.State) == stateRunning || !now.After(record.Expiry.Add(r.retention)) {
 			continue
 		}
-		if record.Answer != nil {
-			r.keptBytes -= len(record.Answer.Body)
+		if record.Response != nil {
+			r.retainedBytes -= len(record.Response.Body)
 		}
 		delete(r.records, n)
 	}
-	for _, heir := range r.inherited {
-		heir.Expire(now)
+	for _, imported := range r.imported {
+		imported.Expire(now)
 	}
 }
 
-// Running counts the tokens whose dispatch has not ended.
-func (r *Records) Running() int {
+// Running returns the number of dispatched tokens that have not finished.
+func (r *TokenRecords) Running() int {
 	running := 0
 	for _, record := range r.records {
 		if state(record.State) == stateRunning {
@@ -205,49 +206,50 @@
 	return running
 }
 
-// Len counts the records kept, inherited ones included.
-func (r *Records) Len() int {
+// Len returns the number of records, including imported ones.
+func (r *TokenRecords) Len() int {
 	total := len(r.records)
-	for _, heir := range r.inherited {
-		total += heir.Len()
+	for _, imported := range r.imported {
+		total += imported.Len()
 	}
 	return total
 }
 
-// Close ends dispatching for good: tokens not used by now are not run.
-func (r *Records) Close() { r.closed = true }
+// Close permanently stops dispatching. Tokens that have not been claimed will not be run.
+func (r *TokenRecords) Close() { r.closed = true }
 
-// Export lists what a peer needs to answer for this minter and for those it
-// inherited from. It must follow Close and the end of all running requests;
-// what still runs is exported as unknown, which it then is.
-func (r *Records) Export() []Handover {
+// Export returns the state that a peer needs to take over from this minter and from the minters
+// whose records it imported. It must be called after Close and after all running requests have
+// ended. A request that is still running is exported as unknown, because its outcome is then not
+// known.
+func (r *TokenRecords) Export() []Handover {
 	own := Handover{Minter: r.minter, Key: r.key, Retention: r.retention}
 	for _, record := range r.records {
-		copied := *record
-		if state(copied.State) == stateRunning {
-			copied.State = uint8(stateUnknown)
+		exported := *record
+		if state(exported.State) == stateRunning {
+			exported.State = uint8(stateUnknown)
 		}
-		own.Records = append(own.Records, copied)
+		own.Records = append(own.Records, exported)
 	}
 	all := []Handover{own}
-	for _, heir := range r.inherited {
-		all = append(all, heir.Export()...)
+	for _, imported := range r.imported {
+		all = append(all, imported.Export()...)
 	}
 	return all
 }
 
-// Inherit takes over a stopped minter's records. A second copy of the same
-// hand-over is harmless: the first stays.
-func (r *Records) Inherit(h Handover) {
-	if h.Minter == r.minter || r.inherited[h.Minter] != nil {
+// Import takes over the records of a stopped minter. A repeated handover of the same minter is
+// ignored.
+func (r *TokenRecords) Import(h Handover) {
+	if h.Minter == r.minter || r.imported[h.Minter] != nil {
 		return
 	}
-	heir := NewRecords(h.Minter, h.Key)
-	heir.closed = true
-	heir.retention = h.Retention
+	imported := NewTokenRecords(h.Minter, h.Key)
+	imported.closed = true
+	imported.retention = h.Retention
 	for i := range h.Records {
 		record := h.Records[i]
-		heir.records[record.Nonce] = &record
+		imported.records[record.Nonce] = &record
 	}
-	r.inherited[h.Minter] = heir
+	r.imported[h.Minter] = imported
 }
--- a/internal/kernel/core/quarantine.go
+++ b/internal/kernel/core/quarantine.go
@@ -26,9 +26,9 @@
 	ruling, remaining := k.quarantine.Status(now, inflight.work)
 	switch {
 	case ruling == quarantine.Quarantined:
-		return caller.ReasonEndsServers, min(remaining, quarantine.MaxRetryAfter)
+		return caller.ReasonCrashesServers, min(remaining, quarantine.MaxRetryAfter)
 	case ruling == quarantine.Busy, ruling == quarantine.Suspected && inflight.interruptions > 0, inflight.interruptions >= quarantine.MaxConnectionLosses:
-		return caller.ReasonMayEndServers, time.Second
+		return caller.ReasonMayCrashServers, time.Second
 	}
 	return caller.ReasonNone, 0
 }
--- a/internal/kernel/peer/member.go
+++ b/internal/kernel/peer/member.go
@@ -14,89 +14,95 @@
 )
 
 const (
-	// Live proxies take requests.
-	Live State = iota + 1
-	// Leaving proxies finish what they have and are left out of look-ups.
-	Leaving
-	// Gone proxies have stopped as planned; Successor holds their records.
-	Gone
-	// Suspect proxies did not answer; they may refute it.
-	Suspect
-	// Joining proxies have no quota of their own yet. Callers sent there would
-	// only be refused, so look-ups do not name them.
-	Joining
+	// StateLive is the state of a proxy that accepts requests.
+	StateLive MemberState = iota + 1
+	// StateLeaving is the state of a proxy that only finishes its current requests. Lookups do not
+	// return it.
+	StateLeaving
+	// StateGone is the state of a proxy that has stopped as planned. Its Successor holds its token
+	// records.
+	StateGone
+	// StateSuspect is the state of a proxy that did not respond. The proxy may refute the
+	// suspicion.
+	StateSuspect
+	// StateJoining is the state of a proxy that has no quota yet. It would only reject requests, so
+	// lookups do not return it.
+	StateJoining
 )
 
 const (
-	// suspectAfter failed exchanges in a row make a member suspect.
-	suspectAfter = 2
-	// suspectHold is how long a suspect may refute before it is left out of
-	// every look-up and its address is no longer tried for exchanges.
-	suspectHold = 3 * time.Second
-	// forgetAfter removes a member that nobody has heard of. It must exceed
-	// the life of tokens, whose minter must stay known to be believed.
-	forgetAfter = 2 * time.Hour
+	// suspicionThreshold is the number of consecutive failed exchanges after which a member is
+	// suspected.
+	suspicionThreshold = 2
+	// suspicionTimeout is how long a suspected member can refute the suspicion before its address
+	// is no longer tried for exchanges.
+	suspicionTimeout = 3 * time.Second
+	// memberTTL is the time without updates after which a member that is not live is removed. It
+	// must exceed the lifetime of tokens, because a token is trusted only while its minter is
+	// known.
+	memberTTL = 2 * time.Hour
 )
 
 var (
-	stateNames = map[State]string{Live: "live", Leaving: "leaving", Gone: "gone", Suspect: "suspect", Joining: "joining"}
+	stateNames = map[MemberState]string{StateLive: "live", StateLeaving: "leaving", StateGone: "gone", StateSuspect: "suspect", StateJoining: "joining"}
 )
 
 type (
-	// State is where a proxy is in its life.
-	State uint8
+	// MemberState is the lifecycle state of a proxy.
+	MemberState uint8
 
-	// Member is one proxy's record. Only its own process raises Sequence,
-	// except that a suspicion copies it; the higher sequence wins.
+	// Member is the membership record of a proxy. Only the proxy itself increments Sequence, and
+	// the record with the higher sequence wins. A suspicion keeps the sequence of the record that
+	// it replaces.
 	Member struct {
-		Name        string         `json:"name"`
-		Address     netip.AddrPort `json:"address"`
-		PeerAddress netip.AddrPort `json:"peer-address"`
-		Operators   netip.AddrPort `json:"operator-address"`
-		Region      string         `json:"region"`
-		Domain      string         `json:"failure-domain"`
-		Incarnation uint64         `json:"incarnation"`
-		Sequence    uint64         `json:"sequence"`
-		State       State          `json:"state"`
-		Successor   string         `json:"successor,omitempty"`
-		// Figures is the bundle whose capacities this proxy goes by. It changes
-		// with those only: a record that changed with every bundle would cost
-		// each proxy a message for each other one, each time.
-		Figures uint64 `json:"capacity-bundle"`
+		Name            string         `json:"name"`
+		Address         netip.AddrPort `json:"address"`
+		PeerAddress     netip.AddrPort `json:"peer-address"`
+		OperatorAddress netip.AddrPort `json:"operator-address"`
+		Region          string         `json:"region"`
+		Domain          string         `json:"failure-domain"`
+		Incarnation     uint64         `json:"incarnation"`
+		Sequence        uint64         `json:"sequence"`
+		State           MemberState    `json:"state"`
+		Successor       string         `json:"successor,omitempty"`
+		// CapacityBundle is the version of the bundle whose capacities the proxy uses. It changes
+		// only if the capacities do: otherwise each new bundle would change every record and cost
+		// each proxy a message per other proxy.
+		CapacityBundle uint64 `json:"capacity-bundle"`
 	}
 
-	known struct {
+	memberEntry struct {
 		Member
-		changed  time.Time
-		failures int
+		changedAt time.Time
+		failures  int
 	}
 
-	departure struct {
+	plannedStop struct {
 		successor string
-		at        time.Time
+		learnedAt time.Time
 	}
 
-	// Members is one proxy's view of all proxies.
+	// Members is a proxy's view of the membership of all proxies.
 	Members struct {
-		self    string
-		all     map[string]*known
-		digest  uint64
-		changed time.Time
-		// departed keeps the successors of incarnations that stopped as
-		// planned, for a restarted proxy reuses its name.
-		departed map[caller.Minter]departure
-		order    []string
+		self        string
+		entries     map[string]*memberEntry
+		digest      uint64
+		lastChanged time.Time
+		// plannedStops holds the successors of incarnations that stopped as planned. They are kept
+		// apart from the entries because a restarted proxy reuses its name.
+		plannedStops map[caller.Minter]plannedStop
+		sortedNames  []string
 	}
 )
 
-// String is the state's name.
-func (s State) String() string { return stateNames[s] }
+// String returns the state's name.
+func (s MemberState) String() string { return stateNames[s] }
 
-// MarshalText writes the state's name.
-func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+// MarshalText returns the state's name.
+func (s MemberState) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads the state's name.
-func (s *State) UnmarshalText(text []byte) error {
+// UnmarshalText parses the state's name. An unknown name leaves the state unchanged.
+func (s *MemberState) UnmarshalText(text []byte) error {
 	for state, name := range stateNames {
 		if name == string(text) {
 			*s = state
@@ -105,13 +111,13 @@
 	return nil
 }
 
-// Minter is the member as a minter of tokens.
+// Minter returns the member's identity as a minter of tokens.
 func (m *Member) Minter() caller.Minter {
 	return caller.Minter{Name: m.Name, Incarnation: m.Incarnation}
 }
 
-// supersedes reports whether m is newer news than old: a later incarnation,
-// a later sequence of it, or a suspicion about the same sequence.
+// supersedes reports whether m is newer than old: it has a later incarnation, a later sequence of
+// the same incarnation, or is a suspicion with the same sequence.
 func (m *Member) supersedes(old *Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
@@ -119,80 +125,80 @@
 	if m.Sequence != old.Sequence {
 		return m.Sequence > old.Sequence
 	}
-	return m.State == Suspect && old.State != Suspect && old.State != Gone
+	return m.State == StateSuspect && old.State != StateSuspect && old.State != StateGone
 }
 
-// NewMembers starts a view that knows only its own process.
+// NewMembers returns a view that contains only this proxy.
 func NewMembers(self Member, now time.Time) *Members {
 	m := &Members{
-		self:     self.Name,
-		all:      make(map[string]*known),
-		departed: make(map[caller.Minter]departure),
+		self:         self.Name,
+		entries:      make(map[string]*memberEntry),
+		plannedStops: make(map[caller.Minter]plannedStop),
 	}
-	m.Hear(self, now)
+	m.Merge(self, now)
 	return m
 }
 
-// Self is the own record.
-func (m *Members) Self() Member { return m.all[m.self].Member }
+// Self returns the record of this proxy.
+func (m *Members) Self() Member { return m.entries[m.self].Member }
 
-// UpdateSelf changes the own record and raises its sequence.
+// UpdateSelf changes the record of this proxy and increments its sequence.
 func (m *Members) UpdateSelf(now time.Time, change func(*Member)) {
-	own := m.all[m.self].Member
+	own := m.entries[m.self].Member
 	change(&own)
 	own.Sequence++
-	m.put(own, now)
+	m.store(own, now)
 }
 
-// Hear takes in a record and reports whether it was news. A suspicion about
-// the own process is refuted at once by a higher sequence.
-func (m *Members) Hear(news Member, now time.Time) bool {
-	old := m.all[news.Name]
-	if news.Name == m.self && old != nil {
-		if news.Incarnation == old.Incarnation && news.State == Suspect && old.Sequence <= news.Sequence {
-			m.all[m.self].Sequence = news.Sequence
+// Merge merges a received record into the view and reports whether it changed the view. A suspicion
+// of this proxy is refuted immediately by a higher sequence.
+func (m *Members) Merge(update Member, now time.Time) bool {
+	old := m.entries[update.Name]
+	if update.Name == m.self && old != nil {
+		if update.Incarnation == old.Incarnation && update.State == StateSuspect && old.Sequence <= update.Sequence {
+			m.entries[m.self].Sequence = update.Sequence
 			m.UpdateSelf(now, func(*Member) {})
 			return true
 		}
 		return false
 	}
-	if news.State == Gone && news.Successor != "" {
-		m.departed[news.Minter()] = departure{successor: news.Successor, at: now}
+	if update.State == StateGone && update.Successor != "" {
+		m.plannedStops[update.Minter()] = plannedStop{successor: update.Successor, learnedAt: now}
 	}
-	if old != nil && !news.supersedes(&old.Member) {
+	if old != nil && !update.supersedes(&old.Member) {
 		return false
 	}
-	m.put(news, now)
+	m.store(update, now)
 	return true
 }
 
-func (m *Members) put(news Member, now time.Time) {
-	old := m.all[news.Name]
-	if old == nil {
-		old = &known{}
-		m.all[news.Name] = old
-		m.order = append(m.order, news.Name)
-		sort.Strings(m.order)
+func (m *Members) store(update Member, now time.Time) {
+	entry := m.entries[update.Name]
+	if entry == nil {
+		entry = &memberEntry{}
+		m.entries[update.Name] = entry
+		m.sortedNames = append(m.sortedNames, update.Name)
+		sort.Strings(m.sortedNames)
 	} else {
-		m.digest ^= old.hash()
+		m.digest ^= entry.hash()
 	}
-	if old.Incarnation != news.Incarnation || news.State != Suspect {
-		old.failures = 0
+	if entry.Incarnation != update.Incarnation || update.State != StateSuspect {
+		entry.failures = 0
 	}
-	old.Member = news
-	old.changed = now
-	m.changed = now
-	m.digest ^= news.hash()
+	entry.Member = update
+	entry.changedAt = now
+	m.lastChanged = now
+	m.digest ^= update.hash()
 }
 
-// Len counts the records.
-func (m *Members) Len() int { return len(m.all) }
+// Len returns the number of records.
+func (m *Members) Len() int { return len(m.entries) }
 
-// Changed is when a record last changed.
-func (m *Members) Changed() time.Time { return m.changed }
+// LastChanged returns the time of the last change to a record.
+func (m *Members) LastChanged() time.Time { return m.lastChanged }
 
-// Digest sums the view up, so that two proxies see whether theirs are alike
-// without sending them.
+// Digest returns a hash of the view, so that two proxies can compare their views without sending
+// them.
 func (m *Members) Digest() uint64 { return m.digest }
 
 func (m *Member) hash() uint64 {
@@ -206,93 +212,94 @@
 	return h.Sum64()
 }
 
-// Get finds a member by name.
+// Get returns the member with a name.
 func (m *Members) Get(name string) (Member, bool) {
-	k, ok := m.all[name]
+	k, ok := m.entries[name]
 	if !ok {
 		return Member{}, false
 	}
 	return k.Member, true
 }
 
-// All lists every record in name order.
+// All returns all records in order of name.
 func (m *Members) All() []Member {
-	list := make([]Member, 0, len(m.order))
-	for _, name := range m.order {
-		list = append(list, m.all[name].Member)
+	list := make([]Member, 0, len(m.sortedNames))
+	for _, name := range m.sortedNames {
+		list = append(list, m.entries[name].Member)
 	}
 	return list
 }
 
-// Newest lists up to limit records that changed last, and not before since.
-// An exchange carries only these; a differing digest asks for the rest.
-func (m *Members) Newest(limit int, since time.Time) []Member {
-	if m.changed.Before(since) {
+// RecentlyChanged returns up to limit records that changed at or after since, most recent first. An
+// exchange carries only these records; a proxy whose digest differs requests the rest.
+func (m *Members) RecentlyChanged(limit int, since time.Time) []Member {
+	if m.lastChanged.Before(since) {
 		return nil
 	}
-	var list []*known
-	for _, name := range m.order {
-		if k := m.all[name]; !k.changed.Before(since) {
+	var list []*memberEntry
+	for _, name := range m.sortedNames {
+		if k := m.entries[name]; !k.changedAt.Before(since) {
 			list = append(list, k)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *known) int { return b.changed.Compare(a.changed) })
-	var newest []Member
+	slices.SortStableFunc(list, func(a, b *memberEntry) int { return b.changedAt.Compare(a.changedAt) })
+	var recent []Member
 	for _, k := range list[:min(limit, len(list))] {
-		newest = append(newest, k.Member)
+		recent = append(recent, k.Member)
 	}
-	return newest
+	return recent
 }
 
-// Failed counts an exchange that got no answer, and reports whether the
-// member has just become suspect.
-func (m *Members) Failed(name string, now time.Time) bool {
-	k := m.all[name]
+// RecordFailure counts an exchange without a reply and reports whether the member has become
+// suspect because of it.
+func (m *Members) RecordFailure(name string, now time.Time) bool {
+	k := m.entries[name]
 	if k == nil || name == m.self {
 		return false
 	}
 	k.failures++
-	if k.failures < suspectAfter || k.State == Suspect || k.State == Gone {
+	if k.failures < suspicionThreshold || k.State == StateSuspect || k.State == StateGone {
 		return false
 	}
-	news := k.Member
-	news.State = Suspect
-	m.put(news, now)
+	update := k.Member
+	update.State = StateSuspect
+	m.store(update, now)
 	return true
 }
 
-// Answered notes that a member is reachable from here.
-func (m *Members) Answered(name string) {
-	if k := m.all[name]; k != nil {
+// RecordSuccess resets the failure count of a member that replied.
+func (m *Members) RecordSuccess(name string) {
+	if k := m.entries[name]; k != nil {
 		k.failures = 0
 	}
 }
 
-// Serving lists members that callers may be sent to: the live ones. The own
-// process counts as live whatever others suspect.
+// Serving returns the live members, to which callers may be directed. This proxy counts as live
+// even if others suspect it.
 func (m *Members) Serving() []Member {
 	var list []Member
-	for _, name := range m.order {
-		k := m.all[name]
+	for _, name := range m.sortedNames {
+		k := m.entries[name]
 		switch {
-		case k.State == Live:
+		case k.State == StateLive:
 			list = append(list, k.Member)
-		case k.State == Suspect && name == m.self:
+		case k.State == StateSuspect && name == m.self:
 			list = append(list, k.Member)
 		}
 	}
 	return list
 }
 
-// Reachable lists peers worth an exchange: not the own process, not gone,
-// and not suspect for long unless nobody else is left.
+// Reachable returns the peers to exchange with: all but this proxy, those that have stopped, and
+// those suspected for longer than suspicionTimeout. If there are no others, it returns these
+// suspects.
 func (m *Members) Reachable(now time.Time) []Member {
 	var list, suspects []Member
-	for _, name := range m.order {
-		k := m.all[name]
+	for _, name := range m.sortedNames {
+		k := m.entries[name]
 		switch {
-		case name == m.self || k.State == Gone:
-		case k.State == Suspect && now.Sub(k.changed) > suspectHold:
+		case name == m.self || k.State == StateGone:
+		case k.State == StateSuspect && now.Sub(k.changedAt) > suspicionTimeout:
 			suspects = append(suspects, k.Member)
 		default:
 			list = append(list, k.Member)
@@ -304,22 +311,22 @@
 	return list
 }
 
-// Heir finds who decides over a minter's tokens now: the minter itself while
-// its incarnation is a member, or whoever took its records over.
-func (m *Members) Heir(minter caller.Minter) (Member, bool) {
-	for range len(m.all) + 1 {
-		if k := m.all[minter.Name]; k != nil && k.Incarnation == minter.Incarnation && k.State != Gone {
+// TokenOwner returns the member that decides about a minter's tokens: the minter itself while its
+// incarnation is a member, or the last successor that took over its records.
+func (m *Members) TokenOwner(minter caller.Minter) (Member, bool) {
+	for range len(m.entries) + 1 {
+		if k := m.entries[minter.Name]; k != nil && k.Incarnation == minter.Incarnation && k.State != StateGone {
 			return k.Member, true
 		}
-		left, ok := m.departed[minter]
+		stop, ok := m.plannedStops[minter]
 		if !ok {
 			return Member{}, false
 		}
-		next := m.all[left.successor]
+		next := m.entries[stop.successor]
 		if next == nil {
 			return Member{}, false
 		}
-		if next.State != Gone {
+		if next.State != StateGone {
 			return next.Member, true
 		}
 		minter = next.Minter()
@@ -327,28 +334,28 @@
 	return Member{}, false
 }
 
-// Forget drops records that nobody has renewed for long, and incarnations that
-// left so long ago that none of their tokens can still be asked for.
-func (m *Members) Forget(now time.Time) {
-	for minter, left := range m.departed {
-		if now.Sub(left.at) >= forgetAfter {
-			delete(m.departed, minter)
+// Expire removes records of members that are not live and have not changed for memberTTL, and
+// planned stops so long ago that none of the minter's tokens can still be valid.
+func (m *Members) Expire(now time.Time) {
+	for minter, stop := range m.plannedStops {
+		if now.Sub(stop.learnedAt) >= memberTTL {
+			delete(m.plannedStops, minter)
 		}
 	}
-	for _, name := range slices.Clone(m.order) {
-		k := m.all[name]
-		if name == m.self || now.Sub(k.changed) < forgetAfter || k.State == Live {
+	for _, name := range slices.Clone(m.sortedNames) {
+		k := m.entries[name]
+		if name == m.self || now.Sub(k.changedAt) < memberTTL || k.State == StateLive {
 			continue
 		}
 		m.digest ^= k.hash()
-		delete(m.all, name)
-		m.order = slices.DeleteFunc(m.order, func(n string) bool { return n == name })
+		delete(m.entries, name)
+		m.sortedNames = slices.DeleteFunc(m.sortedNames, func(n string) bool { return n == name })
 	}
 }
 
-// Rendezvous ranks candidates by highest hash with a key, so that the loss of
-// one moves only what was on it.
-func Rendezvous(key string, names []string) []string {
+// RendezvousRank ranks names by rendezvous hashing (highest random weight) with a key, so that the
+// loss of one name moves only the keys that were assigned to it.
+func RendezvousRank(key string, names []string) []string {
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b string) int {
 		ha := xxhash.Sum64String(key + "/" + a)
--- a/internal/kernel/peer/member_test.go
+++ b/internal/kernel/peer/member_test.go
@@ -8,52 +8,51 @@
 )
 
 var (
-	start = time.Unix(1_000_000, 0)
+	testTime = time.Unix(1_000_000, 0)
 )
 
-func member(name string, incarnation uint64, state State) Member {
+func newMember(name string, incarnation uint64, state MemberState) Member {
 	return Member{Name: name, Incarnation: incarnation, State: state}
 }
 
-// TestSuspicionIsRefuted: a proxy was slow and its peers take it for dead. It
-// hears so itself and says that it lives, with a newer record; callers are
-// sent to it again.
+// TestSuspicionIsRefuted checks that a slow proxy that its peers suspect of being dead refutes the
+// suspicion with a newer record once it learns of it, and is live again for its peers.
 func TestSuspicionIsRefuted(t *testing.T) {
-	slow := NewMembers(member("a", 1, Live), start)
-	peer := NewMembers(member("b", 1, Live), start)
-	peer.Hear(slow.Self(), start)
-	peer.Failed("a", start)
-	peer.Failed("a", start)
+	slow := NewMembers(newMember("a", 1, StateLive), testTime)
+	peer := NewMembers(newMember("b", 1, StateLive), testTime)
+	peer.Merge(slow.Self(), testTime)
+	peer.RecordFailure("a", testTime)
+	peer.RecordFailure("a", testTime)
 	suspect, _ := peer.Get("a")
-	if got, want := suspect.State, Suspect; got != want {
+	if got, want := suspect.State, StateSuspect; got != want {
 		t.Fatalf("got state %s, want %s", got, want)
 	}
-	slow.Hear(suspect, start)
-	peer.Hear(slow.Self(), start)
+	slow.Merge(suspect, testTime)
+	peer.Merge(slow.Self(), testTime)
 	again, _ := peer.Get("a")
-	if got, want := again.State, Live; got != want {
+	if got, want := again.State, StateLive; got != want {
 		t.Errorf("got state %s after the refutation, want %s", got, want)
 	}
 }
 
-// TestHeirOfAChainOfStops: a minter stops and leaves its records to a peer,
-// which stops later and leaves them on. A repeat must find the last one, also
-// when the first VM runs a new incarnation by then.
-func TestHeirOfAChainOfStops(t *testing.T) {
-	m := NewMembers(member("self", 1, Live), start)
-	first := member("a", 1, Gone)
+// TestTokenOwnerAfterChainOfPlannedStops covers a minter that stops and hands its records over to a
+// peer, which later stops and hands them over in turn. A retry must find the last successor, even
+// if the minter's VM runs a new incarnation by then.
+func TestTokenOwnerAfterChainOfPlannedStops(t *testing.T) {
+	m := NewMembers(newMember("self", 1, StateLive), testTime)
+	first := newMember("a", 1, StateGone)
 	first.Successor = "b"
-	second := member("b", 1, Gone)
+	second := newMember("b", 1, StateGone)
 	second.Successor = "c"
-	m.Hear(first, start)
-	m.Hear(second, start)
-	m.Hear(member("c", 1, Live), start)
-	m.Hear(member("a", 2, Live), start)
-	heir, ok := m.Heir(caller.Minter{Name: "a", Incarnation: 1})
-	if got, want := heir.Name, "c"; !ok || got != want {
-		t.Errorf("got heir %q, %v; want %q", got, ok, want)
+	m.Merge(first, testTime)
+	m.Merge(second, testTime)
+	m.Merge(newMember("c", 1, StateLive), testTime)
+	m.Merge(newMember("a", 2, StateLive), testTime)
+	owner, ok := m.TokenOwner(caller.Minter{Name: "a", Incarnation: 1})
+	if got, want := owner.Name, "c"; !ok || got != want {
+		t.Errorf("got owner %q, %v; want %q", got, ok, want)
 	}
-	if _, ok := m.Heir(caller.Minter{Name: "a", Incarnation: 7}); ok {
-		t.Error("got an heir for an incarnation that never was, want none")
+	if _, ok := m.TokenOwner(caller.Minter{Name: "a", Incarnation: 7}); ok {
+		t.Error("got an owner for an incarnation that never existed, want none")
 	}
 }
--- a/internal/kernel/peer/quota_test.go
+++ b/internal/kernel/peer/quota_test.go
@@ -10,78 +10,77 @@
 const testDeadline = 2 * time.Second
 
 type (
-	// lender and borrower with a message between them that may be late or lost.
-	pending struct {
-		at     time.Time
-		arrive func()
+	// delayedMessage is a message in flight between lender and borrower.
+	delayedMessage struct {
+		deliverAt time.Time
+		deliver   func()
 	}
 )
 
-// TestLoansNeverDouble: two proxies lend and borrow a resource with messages
-// that are late or lost, renewals refused, and shares that shrink. At every
-// moment what both admitted within one second stays within the capacity.
-func TestLoansNeverDouble(t *testing.T) {
+// TestLoansNeverExceedCapacity lets two proxies lend and borrow quota of a resource with delayed
+// and lost messages and rejected renewals. Within any second, both together must not admit more
+// than the capacity.
+func TestLoansNeverExceedCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 40
 		now := time.Unix(1_000_000, 0)
 		quotas := [2]*Quota{{}, {}}
 		for _, q := range quotas {
-			q.SetDeadline(testDeadline)
+			q.SetMaxDeadline(testDeadline)
 			q.SetBase(capacity/2, true, now)
 		}
-		var all Window
-		var wire []pending
+		var all SlidingWindow
+		var inFlight []delayedMessage
 		send := func(f func()) {
 			if rapid.IntRange(0, 5).Draw(t, "lost") == 0 {
 				return
 			}
 			delay := time.Duration(rapid.IntRange(0, 1500).Draw(t, "delay")) * time.Millisecond
-			wire = append(wire, pending{now.Add(delay), f})
+			inFlight = append(inFlight, delayedMessage{now.Add(delay), f})
 		}
 		for range rapid.IntRange(10, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "step")) * time.Millisecond)
-			var rest []pending
-			due := wire
-			wire = nil
+			var rest []delayedMessage
+			due := inFlight
+			inFlight = nil
 			for _, p := range due {
-				if p.at.After(now) {
+				if p.deliverAt.After(now) {
 					rest = append(rest, p)
 				} else {
-					p.arrive()
+					p.deliver()
 				}
 			}
-			wire = append(wire, rest...)
+			inFlight = append(inFlight, rest...)
 			who := rapid.IntRange(0, 1).Draw(t, "who")
 			own, other := quotas[who], quotas[1-who]
 			name, otherName := "01"[who:who+1], "01"[1-who:2-who]
 			for range rapid.IntRange(0, 30).Draw(t, "requests") {
-				if own.Take(now) && !all.Admit(now, capacity) {
-					t.Fatalf("got more than %d admissions within a second, want none", capacity)
+				if own.TryAcquire(now) && !all.Admit(now, capacity) {
+					t.Fatalf("got more than %d admissions within one second", capacity)
 				}
 			}
-			own.Sample(now)
-			asked := now
-			for _, r := range own.Renewals(now) {
+			own.UpdateDemand(now)
+			requestedAt := now
+			for _, r := range own.TakeRenewals(now) {
 				send(func() {
 					kept := other.Renew(name, r.ID, r.Keep, now)
-					send(func() { own.Renewed(otherName, r.ID, kept, asked) })
+					send(func() { own.HandleRenewalReply(otherName, r.ID, kept, requestedAt) })
 				})
 			}
 			if rapid.Bool().Draw(t, "borrow") {
 				send(func() {
 					id, amount := other.Lend(name, 10, now)
-					send(func() { own.Borrow(otherName, id, amount, asked, now) })
+					send(func() { own.AddBorrowed(otherName, id, amount, requestedAt, now) })
 				})
 			}
 		}
 	})
 }
 
-// TestWindowIsSliding: a caller's burst at the end of one second and another at
-// the begin of the next must not both pass, as they would with a counter that
-// is reset each second.
+// TestWindowIsSliding checks that a burst at the end of one second and another at the start of the
+// next are not both admitted, as they would be by a counter that is reset every second.
 func TestWindowIsSliding(t *testing.T) {
-	var w Window
+	var w SlidingWindow
 	now := time.Unix(100, 0)
 	for i := range 10 {
 		if got, want := w.Admit(now.Add(900*time.Millisecond), 10), true; got != want {
@@ -92,6 +91,6 @@
 		t.Errorf("200 ms after a full window: got %v, want %v", got, want)
 	}
 	if got, want := w.Admit(now.Add(1900*time.Millisecond), 10), true; got != want {
-		t.Errorf("a second after: got %v, want %v", got, want)
+		t.Errorf("one second after a full window: got %v, want %v", got, want)
 	}
 }
--- a/internal/kernel/peer/window.go
+++ b/internal/kernel/peer/window.go
@@ -5,31 +5,31 @@
 )
 
 const (
-	// WindowSpan is the length of the sliding window that quotas count in.
-	WindowSpan = time.Second
-	// minRing is the smallest ring of admission times.
-	minRing = 16
+	// WindowLength is the length of the sliding window in which quotas are counted.
+	WindowLength = time.Second
+	// minRingSize is the initial size of the ring buffer of admission times.
+	minRingSize = 16
 )
 
 type (
-	// Window counts admissions in a sliding window of one second. It keeps
-	// the time of each, because a bucket that refills steadily would let
-	// nearly twice its rate through within some one-second windows.
-	Window struct {
+	// SlidingWindow counts admissions in a sliding window of one second. It records the time of
+	// each admission, because a token bucket would admit nearly twice its rate within some
+	// one-second windows.
+	SlidingWindow struct {
 		times []time.Time
 		head  int
 		count int
 	}
 )
 
-// Used is the number of admissions within the window that ends at now.
-func (w *Window) Used(now time.Time) int {
+// Used returns the number of admissions within the window that ends at now.
+func (w *SlidingWindow) Used(now time.Time) int {
 	w.trim(now)
 	return w.count
 }
 
-// Admit counts one admission unless the limit is reached.
-func (w *Window) Admit(now time.Time, limit int) bool {
+// Admit records an admission and returns true, or returns false if the limit is reached.
+func (w *SlidingWindow) Admit(now time.Time, limit int) bool {
 	if w.Used(now) >= limit {
 		return false
 	}
@@ -37,22 +37,21 @@
 	return true
 }
 
-// Undo takes back the newest admission, for a request that another limit
-// turned away.
-func (w *Window) Undo() {
+// Undo removes the latest admission, for a request that another limit rejected.
+func (w *SlidingWindow) Undo() {
 	if w.count > 0 {
 		w.count--
 	}
 }
 
-func (w *Window) trim(now time.Time) {
-	for w.count > 0 && now.Sub(w.times[w.head]) >= WindowSpan {
+func (w *SlidingWindow) trim(now time.Time) {
+	for w.count > 0 && now.Sub(w.times[w.head]) >= WindowLength {
 		w.head = (w.head + 1) % len(w.times)
 		w.count--
 	}
 }
 
-func (w *Window) push(now time.Time) {
+func (w *SlidingWindow) push(now time.Time) {
 	if w.count == len(w.times) {
 		w.grow()
 	}
@@ -60,11 +59,11 @@
 	w.count++
 }
 
-func (w *Window) grow() {
-	bigger := make([]time.Time, max(minRing, 2*len(w.times)))
+func (w *SlidingWindow) grow() {
+	larger := make([]time.Time, max(minRingSize, 2*len(w.times)))
 	for i := range w.count {
-		bigger[i] = w.times[(w.head+i)%len(w.times)]
+		larger[i] = w.times[(w.head+i)%len(w.times)]
 	}
-	w.times = bigger
+	w.times = larger
 	w.head = 0
 }
--- a/internal/kernel/region/planner.go
+++ b/internal/kernel/region/planner.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// Headroom is the name of the default planner.
-	Headroom = "headroom"
-	// comfortable is the share of a quota that a planner fills before it
-	// moves traffic elsewhere, in thousandths.
-	comfortable = 950
-	// tolerated is the share of a region's traffic that may be refused before
-	// any is moved elsewhere; chance alone refuses a few.
-	tolerated = 0.02
-	// toleratedRate is the same in requests per second, where load is low.
-	toleratedRate = 5
-	// homeStep is how much of a row comes home at once, in thousandths.
-	homeStep = 50
-	// deadband is the smallest change of a share worth a move, in
-	// thousandths. Demand that wobbles would else move traffic for nothing.
+	// DefaultPlanner is the name of the planner used if the bundle does not name a registered one.
+	DefaultPlanner = "headroom"
+	// targetUtilization is the share of a region's quota, in thousandths, that the planner counts
+	// as usable when it moves traffic to the region.
+	targetUtilization = 950
+	// maxRejectionRatio is the share of a region's traffic that may be rejected before any is moved
+	// elsewhere. Random arrivals alone cause a few rejections.
+	maxRejectionRatio = 0.02
+	// minRejectionRate is the corresponding threshold at low load, in requests per second.
+	minRejectionRate = 5
+	// returnStep is the most that moves back from one region to another per run, in thousandths.
+	returnStep = 50
+	// deadband is the smallest change of a share, in thousandths, that is applied. Without it,
+	// small variations in demand would cause needless shifts.
 	deadband = 10
 )
 
@@ -28,46 +28,47 @@
 )
 
 type (
-	// Input is what a planner sees: one proxy's own view.
-	Input struct {
-		// Preferred is the bundle's row of each home region.
+	// PlannerInput is the state a planner works from, as seen by one proxy.
+	PlannerInput struct {
+		// Preferred holds the row that the bundle sets for each home region.
 		Preferred []Row
-		// Current is the row in force of each home region.
+		// Current holds the current row of each home region.
 		Current []Row
-		// Usable tells which regions are neither lost nor drained.
+		// Usable marks the regions that are neither lost nor drained.
 		Usable []bool
-		// Demand is this proxy's requests per second by home region.
+		// Demand is the rate of requests at this proxy by home region, in requests per second.
 		Demand []float64
-		// Capacity is each region's requests per second for all proxies.
+		// Capacity is what each region serves for all proxies together, in requests per second.
 		Capacity []int
-		// Quota is this proxy's requests per second by region.
+		// Quota is this proxy's quota by region, in requests per second.
 		Quota []int
-		// Refused is how many requests a second found no quota, by region.
-		Refused []float64
+		// Rejected is the rate of requests rejected for lack of quota by region, in requests per
+		// second.
+		Rejected []float64
 	}
 
 	// Planner computes the target row of each home region.
 	Planner struct {
 		Name   string
 		Help   string
-		Target func(Input) []Row
+		Target func(PlannerInput) []Row
 	}
 )
 
 func init() {
 	RegisterPlanner(Planner{
-		Name:   Headroom,
-		Help:   "the bundle's rows; what a region cannot take goes where quota is free",
+		Name:   DefaultPlanner,
+		Help:   "the bundle's rows; traffic that a region rejects goes to regions with free quota",
 		Target: headroomTarget,
 	})
 	RegisterPlanner(Planner{
 		Name:   "fixed",
-		Help:   "the bundle's rows; only lost and drained regions are left out",
+		Help:   "the bundle's rows without lost and drained regions",
 		Target: fixedTarget,
 	})
 }
 
-// RegisterPlanner adds a planner to the registry, from init functions only.
+// RegisterPlanner adds a planner to the registry. It must only be called from init functions.
 func RegisterPlanner(p Planner) {
 	if _, taken := planners[p.Name]; taken {
 		panic(fmt.Sprintf("region: planner %q registered twice", p.Name))
@@ -75,14 +76,14 @@
 	planners[p.Name] = p
 }
 
-// FindPlanner looks a planner up.
+// FindPlanner returns the planner registered under a name.
 func FindPlanner(name string) (Planner, bool) {
 	p, ok := planners[name]
 	return p, ok
 }
 
-// Planners lists the registered names in order.
-func Planners() []string {
+// PlannerNames returns the names of the registered planners in sorted order.
+func PlannerNames() []string {
 	names := make([]string, 0, len(planners))
 	for name := range planners {
 		names = append(names, name)
@@ -91,36 +92,38 @@
 	return names
 }
 
-// fixedTarget moves the share of unusable regions to the others.
-func fixedTarget(in Input) []Row {
+// fixedTarget redistributes the shares of unusable regions over the usable ones.
+func fixedTarget(in PlannerInput) []Row {
 	rows := make([]Row, len(in.Preferred))
 	weights := capacityWeights(in)
 	for home, preferred := range in.Preferred {
-		rows[home] = evict(preferred, in.Usable, weights)
+		rows[home] = excludeUnusable(preferred, in.Usable, weights)
 	}
 	return rows
 }
 
-// evict spreads what unusable regions hold over the usable ones by weight.
-func evict(row Row, usable []bool, weights []float64) Row {
+// excludeUnusable returns the row with the shares of unusable regions distributed over the usable
+// ones by weight. If no region is usable it returns the row unchanged.
+func excludeUnusable(row Row, usable []bool, weights []float64) Row {
 	out := make(Row, len(row))
-	loose := 0
+	unassigned := 0
 	for i, share := range row {
 		if usable[i] {
 			out[i] = share
 		} else {
-			loose += share
+			unassigned += share
 		}
 	}
-	if !spread(out, loose, weights) {
+	if !distribute(out, unassigned, weights) {
 		return append(Row(nil), row...)
 	}
 	return out
 }
 
-// spread adds an amount to a row in proportion to weights, to the unit. It
-// reports false when no weight is positive.
-func spread(row Row, amount int, weights []float64) bool {
+// distribute adds an amount to a row in proportion to weights; the last region with a positive
+// weight gets the rounding remainder. It returns false if no weight is positive and the amount is
+// not zero.
+func distribute(row Row, amount int, weights []float64) bool {
 	total := 0.0
 	last := -1
 	for i, w := range weights {
@@ -132,60 +135,60 @@
 	if last < 0 {
 		return amount == 0
 	}
-	left := amount
+	remaining := amount
 	for i, w := range weights {
 		if w <= 0 || i == last {
 			continue
 		}
 		n := int(float64(amount) * w / total)
 		row[i] += n
-		left -= n
+		remaining -= n
 	}
-	row[last] += left
+	row[last] += remaining
 	return true
 }
 
-// headroomTarget moves what a region refuses to regions with free quota, and
-// brings traffic back to where the bundle wants it while its region has room.
-// It goes by refusals and not by how full the own quota is, for quota is
-// borrowed as it is needed and is always nearly full.
-func headroomTarget(in Input) []Row {
+// headroomTarget moves traffic that a region rejects to regions with free quota, and returns it to
+// the regions that the bundle prefers once they reject almost nothing. It uses rejections rather
+// than the utilization of this proxy's quota: quota is borrowed on demand, so it is always nearly
+// used up.
+func headroomTarget(in PlannerInput) []Row {
 	rows := make([]Row, len(in.Preferred))
 	weights := capacityWeights(in)
 	for home := range rows {
-		rows[home] = evict(in.Current[home], in.Usable, weights)
+		rows[home] = excludeUnusable(in.Current[home], in.Usable, weights)
 	}
 	load := make([]float64, len(in.Usable))
 	for home, row := range rows {
 		for i, share := range row {
-			load[i] += in.Demand[home] * float64(share) / Full
+			load[i] += in.Demand[home] * float64(share) / FullShare
 		}
 	}
-	room := make([]float64, len(load))
+	headroom := make([]float64, len(load))
 	for i := range load {
 		if in.Usable[i] {
-			room[i] = max(0, float64(in.Quota[i])*comfortable/Full-load[i])
+			headroom[i] = max(0, float64(in.Quota[i])*targetUtilization/FullShare-load[i])
 		}
 	}
 	for i := range load {
-		if in.Usable[i] && overfull(in, load, i) {
-			relieve(in, rows, room, load, i)
+		if in.Usable[i] && isOverloaded(in, load, i) {
+			offload(in, rows, headroom, load, i)
 		}
 	}
 	for home := range rows {
-		comeHome(in, rows[home], in.Preferred[home])
+		returnTraffic(in, rows[home], in.Preferred[home])
 	}
 	return rows
 }
 
-// overfull reports whether a region refuses more than chance does.
-func overfull(in Input, load []float64, i int) bool {
-	return in.Refused[i] > max(tolerated*load[i], toleratedRate)
+// isOverloaded reports whether a region rejects more requests than random arrivals explain.
+func isOverloaded(in PlannerInput, load []float64, i int) bool {
+	return in.Rejected[i] > max(maxRejectionRatio*load[i], minRejectionRate)
 }
 
-// capacityWeights spreads by the regions' whole capacity and not by the own
-// quota, which is small and uneven where this proxy had no traffic so far.
-func capacityWeights(in Input) []float64 {
+// capacityWeights weights usable regions by their total capacity. This proxy's quota would not do:
+// it is small and uneven in regions to which this proxy has sent no traffic yet.
+func capacityWeights(in PlannerInput) []float64 {
 	weights := make([]float64, len(in.Usable))
 	for i := range weights {
 		if in.Usable[i] {
@@ -195,41 +198,41 @@
 	return weights
 }
 
-// relieve moves what one region refuses to others, as far as they have room,
-// each home in proportion to what it sends there.
-func relieve(in Input, rows []Row, room, load []float64, full int) {
-	free := make([]float64, len(room))
+// offload moves the traffic that one region rejects to other regions as far as they have headroom,
+// from each home region in proportion to the load that it sends to the overloaded one.
+func offload(in PlannerInput, rows []Row, headroom, load []float64, overloaded int) {
+	available := make([]float64, len(headroom))
 	total := 0.0
-	for i, r := range room {
-		if i != full && !overfull(in, load, i) {
-			free[i] = r
+	for i, r := range headroom {
+		if i != overloaded && !isOverloaded(in, load, i) {
+			available[i] = r
 			total += r
 		}
 	}
-	excess := min(in.Refused[full], total)
-	if excess <= 0 || load[full] <= 0 {
+	excess := min(in.Rejected[overloaded], total)
+	if excess <= 0 || load[overloaded] <= 0 {
 		return
 	}
 	for _, row := range rows {
-		n := int(float64(row[full]) * excess / load[full])
-		if n >= deadband && spread(row, n, free) {
-			row[full] -= n
+		n := int(float64(row[overloaded]) * excess / load[overloaded])
+		if n >= deadband && distribute(row, n, available) {
+			row[overloaded] -= n
 		}
 	}
-	for i := range free {
-		room[i] -= excess * free[i] / total
+	for i := range available {
+		headroom[i] -= excess * available[i] / total
 	}
 }
 
-// comeHome moves one step towards the bundle's row, into regions that refuse
-// next to nothing now.
-func comeHome(in Input, row, preferred Row) {
+// returnTraffic moves a row one step towards the row that the bundle prefers, only into regions
+// that reject almost nothing.
+func returnTraffic(in PlannerInput, row, preferred Row) {
 	for to := range row {
-		if !in.Usable[to] || in.Refused[to] > toleratedRate/2 || row[to] >= preferred[to] {
+		if !in.Usable[to] || in.Rejected[to] > minRejectionRate/2 || row[to] >= preferred[to] {
 			continue
 		}
 		for from := range row {
-			n := min(homeStep, preferred[to]-row[to], row[from]-preferred[from])
+			n := min(returnStep, preferred[to]-row[to], row[from]-preferred[from])
 			if n > 0 {
 				row[from] -= n
 				row[to] += n
--- a/internal/kernel/steering/authorization.go
+++ b/internal/kernel/steering/authorization.go
@@ -12,8 +12,8 @@
 	if !req.HasAccounts {
 		return ReasonNone
 	}
-	if req.Credential.State == account.Present {
-		req.Account = k.table.Accounts.Holder(req.Credential.Key)
+	if req.Credential.State == account.CredentialPresent {
+		req.Account = k.table.Accounts.ByKey(req.Credential.Key)
 	}
 	if req.Account == nil {
 		if req.Route.Public {
--- a/internal/kernel/steering/kernel.go
+++ b/internal/kernel/steering/kernel.go
@@ -216,7 +216,7 @@
 	}
 	k.lowestPriority = lowestPriorities(t)
 	k.setPinnedTarget(t)
-	k.splitter.Forget(t)
+	k.splitter.Prune(t)
 	for _, svc := range k.services {
 		svc.pruneWork(t)
 	}
--- a/internal/kernel/steering/quotas.go
+++ b/internal/kernel/steering/quotas.go
@@ -58,7 +58,7 @@
 	if l.kernel.table == nil {
 		return account.Account{}
 	}
-	a := l.kernel.table.Accounts.Named(name)
+	a := l.kernel.table.Accounts.ByName(name)
 	if a == nil {
 		return account.Account{}
 	}
@@ -145,7 +145,7 @@
 
 // HasRateLimits reports whether any account of the active configuration has a limit.
 func (k *Kernel) HasRateLimits() bool {
-	return k.table != nil && k.table.Accounts.Limited()
+	return k.table != nil && k.table.Accounts.HasRateLimits()
 }
 
 // QuotaReport returns the name of this proxy's pool and the report that is due to it. bestPool is
--- a/internal/proxy/forward/decisionlog_test.go
+++ b/internal/proxy/forward/decisionlog_test.go
@@ -139,7 +139,7 @@
 func TestServerFailureIsLogged(t *testing.T) {
 	lines := loggedRequests(t, func(j *decisionLog, clock *time.Time) {
 		k := steering.New(steering.Config{Name: "vm-1", Observe: j.handleEvent})
-		route := &routing.Route{Name: "r", Host: "h", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.Part{{Service: "s", Weight: 1}}}
+		route := &routing.Route{Name: "r", Host: "h", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.WeightedService{{Service: "s", Weight: 1}}}
 		k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 		k.RegisterServer(*clock, routing.Server{ID: "i-1", Service: "s", Slots: 4})
 		f, _ := k.BeginRequest(*clock, steering.Request{ID: "failed-request", Host: "h", Path: "/"})
