--- a/cmd/gypsumquayd/main.go
+++ b/cmd/gypsumquayd/main.go
@@ -84,7 +84,7 @@
 func onPlatform(stop context.Context, a arguments) int {
 	told := hangUps()
 	if a.Settings == "" {
-		a.Settings = os.Getenv(platform.SettingsVariable)
+		a.Settings = os.Getenv(platform.SettingsEnv)
 	}
 	s, err := platform.LoadSettings(a.Settings)
 	if err != nil {
@@ -99,7 +99,7 @@
 	defer buffer.Close()
 	logs.Setup(buffer, a.Verbosity, "vm", s.Proxy.Name, "vm-region", s.Proxy.Region)
 	s.Proxy.Off = a.Off
-	seams := platform.Seams(a.Settings, s, buffer.Dropped)
+	seams := platform.NewDependencies(a.Settings, s, buffer.Dropped)
 	if a.Record != "" {
 		file, err := recording.Create(a.Record, s.Proxy.Name, time.Now())
 		if err != nil {
