--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -182,7 +182,7 @@
 	s.kernel(func(k *core.Kernel, now time.Time) {
 		text, ok = k.Mint(now, r.URL.Query().Get("service"))
 		if b := k.Bundle(); b != nil {
-			lifetime = b.Token.Lifetime.Std()
+			lifetime = b.Token.TTL.Std()
 		}
 	})
 	if !ok {
--- a/internal/adapter/kvhttp/client.go
+++ b/internal/adapter/kvhttp/client.go
@@ -28,26 +28,26 @@
 const (
 	// HeaderRevision carries a value's revision.
 	HeaderRevision = "Revision"
-	// HeaderExpect carries the revision that a write expects.
-	HeaderExpect = "Expect-Revision"
+	// HeaderExpectedRevision carries the revision that a write expects.
+	HeaderExpectedRevision = "Expect-Revision"
 	// MaxValueBytes is the largest value that the service takes.
 	MaxValueBytes = 1 << 20
 
 	readTimeout  = 2 * time.Second
 	writeTimeout = 2 * time.Second
-	// WatchWait is how long the service holds a watch without news.
-	WatchWait   = 30 * time.Second
-	watchMargin = 5 * time.Second
+	// WatchTimeout is how long the service holds a watch without news.
+	WatchTimeout       = 30 * time.Second
+	watchTimeoutMargin = 5 * time.Second
 )
 
 type (
 	// Client calls the platform, trying its addresses in turn.
 	Client struct {
-		addresses []netip.AddrPort
-		http      *http.Client
-		pick      atomic.Uint64
-		// Called counts calls by operation, for metrics; nil for none.
-		Called func(operation string)
+		addresses   []netip.AddrPort
+		http        *http.Client
+		nextAddress atomic.Uint64
+		// OnCall counts calls by operation, for metrics; nil for none.
+		OnCall func(operation string)
 	}
 )
 
@@ -57,32 +57,32 @@
 	return &Client{addresses: addresses, http: &http.Client{Transport: transport}}
 }
 
-// Get reads a value. ErrAbsent means that there is none.
+// Get reads a value. ErrNotFound means that there is none.
 func (c *Client) Get(ctx context.Context, key kv.Key) (kv.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return c.read(ctx, "get", "/v1/keys/"+url.PathEscape(string(key)), nil)
 }
 
-// Watch waits until the value is past a revision. It returns ErrAbsent or the
+// Watch waits until the value is past a revision. It returns ErrNotFound or the
 // same revision when nothing came in time.
 func (c *Client) Watch(ctx context.Context, key kv.Key, after kv.Revision) (kv.Value, error) {
-	ctx, cancel := context.WithTimeout(ctx, WatchWait+watchMargin)
+	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+watchTimeoutMargin)
 	defer cancel()
-	query := url.Values{"after": {fmt.Sprint(after)}, "wait": {WatchWait.String()}}
+	query := url.Values{"after": {fmt.Sprint(after)}, "wait": {WatchTimeout.String()}}
 	return c.read(ctx, "watch", "/v1/keys/"+url.PathEscape(string(key)), query)
 }
 
-// Machines waits until the list of VMs is past a version.
-func (c *Client) Machines(ctx context.Context, after uint64) (*kv.Machines, error) {
-	ctx, cancel := context.WithTimeout(ctx, WatchWait+watchMargin)
+// WatchMachines waits until the list of VMs is past a version.
+func (c *Client) WatchMachines(ctx context.Context, after uint64) (*kv.MachineList, error) {
+	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+watchTimeoutMargin)
 	defer cancel()
-	query := url.Values{"after": {fmt.Sprint(after)}, "wait": {WatchWait.String()}}
+	query := url.Values{"after": {fmt.Sprint(after)}, "wait": {WatchTimeout.String()}}
 	value, err := c.read(ctx, "machines", "/v1/machines", query)
 	if err != nil {
 		return nil, err
 	}
-	return kv.ParseMachines(value.Data)
+	return kv.ParseMachineList(value.Data)
 }
 
 // Swap writes a value if it is still at the expected revision; zero expects
@@ -90,25 +90,25 @@
 func (c *Client) Swap(ctx context.Context, key kv.Key, expect kv.Revision, data []byte) (kv.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	request, err := c.request(ctx, http.MethodPut, "/v1/keys/"+url.PathEscape(string(key)), nil, data)
+	request, err := c.newRequest(ctx, http.MethodPut, "/v1/keys/"+url.PathEscape(string(key)), nil, data)
 	if err != nil {
 		return 0, err
 	}
-	request.Header.Set(HeaderExpect, fmt.Sprint(expect))
+	request.Header.Set(HeaderExpectedRevision, fmt.Sprint(expect))
 	value, err := c.do("swap", request)
 	return value.Revision, err
 }
 
 func (c *Client) read(ctx context.Context, operation, path string, query url.Values) (kv.Value, error) {
-	request, err := c.request(ctx, http.MethodGet, path, query, nil)
+	request, err := c.newRequest(ctx, http.MethodGet, path, query, nil)
 	if err != nil {
 		return kv.Value{}, err
 	}
 	return c.do(operation, request)
 }
 
-func (c *Client) request(ctx context.Context, method, path string, query url.Values, data []byte) (*http.Request, error) {
-	address := c.addresses[c.pick.Add(1)%uint64(len(c.addresses))]
+func (c *Client) newRequest(ctx context.Context, method, path string, query url.Values, data []byte) (*http.Request, error) {
+	address := c.addresses[c.nextAddress.Add(1)%uint64(len(c.addresses))]
 	target := "http://" + address.String() + path
 	if len(query) > 0 {
 		target += "?" + query.Encode()
@@ -118,8 +118,8 @@
 }
 
 func (c *Client) do(operation string, request *http.Request) (kv.Value, error) {
-	if c.Called != nil {
-		c.Called(operation)
+	if c.OnCall != nil {
+		c.OnCall(operation)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -136,7 +136,7 @@
 	case http.StatusOK:
 		return value, nil
 	case http.StatusNotFound:
-		return value, kv.ErrAbsent
+		return value, kv.ErrNotFound
 	case http.StatusConflict:
 		return value, kv.ErrConflict
 	}
@@ -160,10 +160,10 @@
 
 // Store gives the client as the kernel's seam.
 func (c *Client) Store() kv.Store {
-	return kv.Store{Get: c.Get, Swap: c.Swap, Pause: pause}
+	return kv.Store{Get: c.Get, CompareAndSwap: c.Swap, Sleep: sleep}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/adapter/operatorhttp/api.go
+++ b/internal/adapter/operatorhttp/api.go
@@ -25,29 +25,29 @@
 )
 
 type (
-	// Rollout is what became of a roll-out and which version is in force.
-	Rollout struct {
-		Verdict kv.Verdict `json:"verdict"`
-		Current uint64     `json:"current-version"`
+	// RolloutResponse is what became of a roll-out and which version is in force.
+	RolloutResponse struct {
+		Result         kv.RolloutResult `json:"verdict"`
+		CurrentVersion uint64           `json:"current-version"`
 	}
 
-	// Failure is the body of an answer that is not a success.
-	Failure struct {
+	// ErrorResponse is the body of an answer that is not a success.
+	ErrorResponse struct {
 		Error string `json:"error"`
 	}
 
-	// Proposals lists envelopes that wait for approval or roll-out.
-	Proposals struct {
+	// ProposalsResponse lists envelopes that wait for approval or roll-out.
+	ProposalsResponse struct {
 		Envelopes []operator.Envelope `json:"proposals"`
 	}
 
-	// Members lists proxies.
-	Members struct {
+	// MembersResponse lists proxies.
+	MembersResponse struct {
 		Members []peer.Member `json:"members"`
 	}
 
-	// Events is a stretch of one proxy's event log.
-	Events struct {
+	// EventsResponse is a stretch of one proxy's event log.
+	EventsResponse struct {
 		Events []core.Event `json:"events"`
 	}
 )
--- a/internal/adapter/operatorhttp/server.go
+++ b/internal/adapter/operatorhttp/server.go
@@ -28,18 +28,18 @@
 	// Server answers operators. Nothing here needs a login: reading shows no
 	// secret, and whatever changes something carries its signatures.
 	Server struct {
-		Kernel   core.Executor
-		Trust    operator.Trust
-		Platform kv.Store
-		List     func(context.Context, kv.Key) (map[kv.Key]kv.Value, error)
-		Metrics  *metrics.Set
+		WithKernel core.Executor
+		Trust      operator.TrustedKeys
+		Store      kv.Store
+		ListValues func(context.Context, kv.Key) (map[kv.Key]kv.Value, error)
+		Metrics    *metrics.Set
 		// Ready reports whether callers may be sent here.
 		Ready func() bool
 	}
 )
 
-// HTTP wraps the server with time-outs and limits.
-func (s *Server) HTTP() *http.Server {
+// HTTPServer wraps the server with time-outs and limits.
+func (s *Server) HTTPServer() *http.Server {
 	router := mux.NewRouter()
 	router.HandleFunc("/healthz", s.health).Methods(http.MethodGet)
 	router.HandleFunc("/readyz", s.ready).Methods(http.MethodGet)
@@ -61,15 +61,15 @@
 }
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, map[string]string{"health": "ok"})
+	writeJSON(w, http.StatusOK, map[string]string{"health": "ok"})
 }
 
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	if !s.Ready() {
-		fail(w, http.StatusServiceUnavailable, errors.New("no bundle in force, or stopping"))
+		writeError(w, http.StatusServiceUnavailable, errors.New("no bundle in force, or stopping"))
 		return
 	}
-	reply(w, http.StatusOK, map[string]string{"ready": "yes"})
+	writeJSON(w, http.StatusOK, map[string]string{"ready": "yes"})
 }
 
 func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
@@ -79,27 +79,27 @@
 
 func (s *Server) status(w http.ResponseWriter, _ *http.Request) {
 	var status core.Status
-	s.Kernel(func(k *core.Kernel, now time.Time) { status = k.Status(now) })
-	reply(w, http.StatusOK, status)
+	s.WithKernel(func(k *core.Kernel, now time.Time) { status = k.Status(now) })
+	writeJSON(w, http.StatusOK, status)
 }
 
 func (s *Server) members(w http.ResponseWriter, _ *http.Request) {
-	var list Members
-	s.Kernel(func(k *core.Kernel, _ time.Time) { list.Members = k.Members() })
-	reply(w, http.StatusOK, list)
+	var list MembersResponse
+	s.WithKernel(func(k *core.Kernel, _ time.Time) { list.Members = k.Members() })
+	writeJSON(w, http.StatusOK, list)
 }
 
 func (s *Server) events(w http.ResponseWriter, _ *http.Request) {
-	var list Events
-	s.Kernel(func(k *core.Kernel, _ time.Time) { list.Events = k.Events() })
-	reply(w, http.StatusOK, list)
+	var list EventsResponse
+	s.WithKernel(func(k *core.Kernel, _ time.Time) { list.Events = k.Events() })
+	writeJSON(w, http.StatusOK, list)
 }
 
 func (s *Server) bundle(w http.ResponseWriter, _ *http.Request) {
 	var envelope []byte
-	s.Kernel(func(k *core.Kernel, _ time.Time) { envelope = k.Envelope() })
+	s.WithKernel(func(k *core.Kernel, _ time.Time) { envelope = k.Envelope() })
 	if envelope == nil {
-		fail(w, http.StatusNotFound, errors.New("no bundle is in force here"))
+		writeError(w, http.StatusNotFound, errors.New("no bundle is in force here"))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -109,18 +109,18 @@
 func (s *Server) proposals(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), listTimeout)
 	defer cancel()
-	values, err := s.List(ctx, kv.KeyProposals)
+	values, err := s.ListValues(ctx, kv.ProposalKeyPrefix)
 	if err != nil {
-		fail(w, http.StatusServiceUnavailable, err)
+		writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	var list Proposals
+	var list ProposalsResponse
 	for _, value := range values {
 		if e, err := operator.ParseEnvelope(value.Data); err == nil {
 			list.Envelopes = append(list.Envelopes, *e)
 		}
 	}
-	reply(w, http.StatusOK, list)
+	writeJSON(w, http.StatusOK, list)
 }
 
 func (s *Server) propose(w http.ResponseWriter, r *http.Request) {
@@ -129,23 +129,23 @@
 		return
 	}
 	if _, err := s.Trust.VerifyProposal(e); err != nil {
-		fail(w, http.StatusForbidden, err)
+		writeError(w, http.StatusForbidden, err)
 		return
 	}
-	err := s.keepProposal(r.Context(), e)
+	err := s.storeProposal(r.Context(), e)
 	if err != nil {
-		fail(w, http.StatusServiceUnavailable, err)
+		writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	reply(w, http.StatusOK, e)
+	writeJSON(w, http.StatusOK, e)
 }
 
-// keepProposal stores a proposal under its digest. Proposing the same bundle
+// storeProposal stores a proposal under its digest. Proposing the same bundle
 // again, or adding the approval, replaces it; both are the same content.
-func (s *Server) keepProposal(ctx context.Context, e *operator.Envelope) error {
-	key := kv.KeyProposals + kv.Key(e.Digest)
-	value, err := s.Platform.Get(ctx, key)
-	if err != nil && !errors.Is(err, kv.ErrAbsent) {
+func (s *Server) storeProposal(ctx context.Context, e *operator.Envelope) error {
+	key := kv.ProposalKeyPrefix + kv.Key(e.Digest)
+	value, err := s.Store.Get(ctx, key)
+	if err != nil && !errors.Is(err, kv.ErrNotFound) {
 		return errors.Wrap(err, "read proposal")
 	}
 	if stored, parseErr := operator.ParseEnvelope(value.Data); parseErr == nil && e.Approver == (operator.Signature{}) && stored.Approver != e.Approver {
@@ -153,7 +153,7 @@
 		// the bare proposal would undo the second person's work.
 		return nil
 	}
-	_, err = s.Platform.Swap(ctx, key, value.Revision, e.Encode())
+	_, err = s.Store.CompareAndSwap(ctx, key, value.Revision, e.Encode())
 	return errs.Wrap(err, "store proposal")
 }
 
@@ -164,40 +164,40 @@
 	}
 	b, err := s.Trust.Verify(e)
 	if err != nil {
-		fail(w, http.StatusForbidden, err)
+		writeError(w, http.StatusForbidden, err)
 		return
 	}
-	if e.Operation == "" {
-		fail(w, http.StatusBadRequest, errors.New("operation: must be set, or a lost answer could not be settled"))
+	if e.OperationID == "" {
+		writeError(w, http.StatusBadRequest, errors.New("operation: must be set, or a lost answer could not be settled"))
 		return
 	}
-	verdict, current := kv.Rollout(r.Context(), s.Platform, b, e)
-	if verdict == kv.Accepted {
-		s.Kernel(func(k *core.Kernel, now time.Time) { k.ApplyBundle(now, e.Encode()) })
+	verdict, current := kv.Rollout(r.Context(), s.Store, b, e)
+	if verdict == kv.RolloutAccepted {
+		s.WithKernel(func(k *core.Kernel, now time.Time) { k.ApplyBundle(now, e.Encode()) })
 	}
-	reply(w, http.StatusOK, Rollout{Verdict: verdict, Current: current})
+	writeJSON(w, http.StatusOK, RolloutResponse{Result: verdict, CurrentVersion: current})
 }
 
 func readEnvelope(w http.ResponseWriter, r *http.Request) (*operator.Envelope, bool) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, operator.MaxBundleBytes+maxHeaderBytes))
 	if err != nil {
-		fail(w, http.StatusRequestEntityTooLarge, err)
+		writeError(w, http.StatusRequestEntityTooLarge, err)
 		return nil, false
 	}
 	e, err := operator.ParseEnvelope(data)
 	if err != nil {
-		fail(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return nil, false
 	}
 	return e, true
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func fail(w http.ResponseWriter, status int, err error) {
-	reply(w, status, Failure{Error: err.Error()})
+func writeError(w http.ResponseWriter, status int, err error) {
+	writeJSON(w, status, ErrorResponse{Error: err.Error()})
 }
--- a/internal/adapter/steeringhttp/api.go
+++ b/internal/adapter/steeringhttp/api.go
@@ -20,59 +20,59 @@
 type (
 	// Status is one proxy's view.
 	Status struct {
-		VM            string   `json:"vm"`
-		Configuration uint64   `json:"configuration-version"`
-		CopyRevision  uint64   `json:"copy-revision"`
-		CopyAge       string   `json:"copy-age"`
-		InFlight      int      `json:"in-flight"`
-		Stopping      bool     `json:"stopping"`
-		Evacuated     []string `json:"evacuated-failure-domains,omitempty"`
-		// Stranded regions have no proxies; their callers ask those of others.
-		Stranded []string `json:"regions-without-proxies,omitempty"`
-		// Off lists the mechanisms that are not used.
-		Off []steering.Mechanism `json:"mechanisms-off,omitempty"`
-		// Holding lists services whose servers slow down when full.
-		Holding []steering.Held `json:"holding-back,omitempty"`
-		// Condemned is work that is refused because servers ended with it.
-		Condemned []CondemnedWork `json:"condemned-work,omitempty"`
+		VM                   string   `json:"vm"`
+		ConfigurationVersion uint64   `json:"configuration-version"`
+		ReplicaRevision      uint64   `json:"copy-revision"`
+		ReplicaAge           string   `json:"copy-age"`
+		InFlight             int      `json:"in-flight"`
+		Stopping             bool     `json:"stopping"`
+		EvacuatedDomains     []string `json:"evacuated-failure-domains,omitempty"`
+		// RegionsWithoutProxies regions have no proxies; their callers ask those of others.
+		RegionsWithoutProxies []string `json:"regions-without-proxies,omitempty"`
+		// MechanismsOff lists the mechanisms that are not used.
+		MechanismsOff []steering.Mechanism `json:"mechanisms-off,omitempty"`
+		// ConcurrencyLimits lists services whose servers slow down when full.
+		ConcurrencyLimits []steering.Held `json:"holding-back,omitempty"`
+		// QuarantinedWork is work that is refused because servers ended with it.
+		QuarantinedWork []QuarantinedWork `json:"condemned-work,omitempty"`
 		// Accounts are the client accounts; limits are divided among Holders proxies, and
 		// Pool is the proxy that this one gives its part to.
-		Accounts []Account       `json:"client-accounts,omitempty"`
-		Holders  int             `json:"limits-divided-among,omitempty"`
-		Pool     string          `json:"pool-of-limits,omitempty"`
-		Proxies  []Proxy         `json:"proxies"`
-		Servers  []BackendServer `json:"backend-servers"`
-		Routes   []Route         `json:"routes"`
-		At       time.Time       `json:"at"`
+		Accounts     []Account       `json:"client-accounts,omitempty"`
+		QuotaProxies int             `json:"limits-divided-among,omitempty"`
+		QuotaPool    string          `json:"pool-of-limits,omitempty"`
+		Proxies      []Proxy         `json:"proxies"`
+		Servers      []BackendServer `json:"backend-servers"`
+		Routes       []Route         `json:"routes"`
+		At           time.Time       `json:"at"`
 	}
 
 	// Proxy is a proxy that the asked one knows.
 	Proxy struct {
-		Name      string         `json:"name"`
-		Domain    string         `json:"failure-domain"`
-		Region    string         `json:"region"`
-		Operators netip.AddrPort `json:"operators"`
-		Leaving   bool           `json:"leaving,omitempty"`
+		Name            string         `json:"name"`
+		Domain          string         `json:"failure-domain"`
+		Region          string         `json:"region"`
+		OperatorAddress netip.AddrPort `json:"operators"`
+		Leaving         bool           `json:"leaving,omitempty"`
 	}
 
 	// BackendServer is one backend server as the asked proxy sees it.
 	BackendServer struct {
-		ID       string  `json:"id"`
-		Service  string  `json:"service"`
-		Domain   string  `json:"failure-domain"`
-		State    string  `json:"state"`
-		InFlight int     `json:"in-flight"`
-		Slots    int     `json:"slots"`
-		Load     float64 `json:"load"`
-		Speed    float64 `json:"speed"`
-		Failed   float64 `json:"failed-share"`
+		ID           string  `json:"id"`
+		Service      string  `json:"service"`
+		Domain       string  `json:"failure-domain"`
+		State        string  `json:"state"`
+		InFlight     int     `json:"in-flight"`
+		Slots        int     `json:"slots"`
+		Load         float64 `json:"load"`
+		Slowdown     float64 `json:"speed"`
+		FailureShare float64 `json:"failed-share"`
 		// Limit is how many requests a second it takes from all proxies together, nil if it
 		// names no limit.
 		Limit *float64 `json:"limit-per-second,omitempty"`
 		// PausedFor is for how long it wants nothing from the asked proxy.
 		PausedFor string `json:"paused-for,omitempty"`
-		// Leaves is set if it leaves by its own word.
-		Leaves bool `json:"leaves,omitempty"`
+		// ReportsDraining is set if it leaves by its own word.
+		ReportsDraining bool `json:"leaves,omitempty"`
 	}
 
 	// Route is one route in force.
@@ -85,12 +85,12 @@
 		Timeout    string   `json:"timeout"`
 	}
 
-	// CondemnedWork is refused because servers ended with it.
-	CondemnedWork struct {
-		Work string `json:"work"`
-		// Ends counts the servers, For is how much longer it is refused.
-		Ends int    `json:"ends"`
-		For  string `json:"for"`
+	// QuarantinedWork is refused because servers ended with it.
+	QuarantinedWork struct {
+		Fingerprint string `json:"work"`
+		// Crashes counts the servers, For is how much longer it is refused.
+		Crashes        int    `json:"ends"`
+		QuarantinedFor string `json:"for"`
 	}
 
 	// Account is a client account as the asked proxy sees it.
@@ -120,52 +120,52 @@
 		Request string    `json:"request,omitempty"`
 		Route   string    `json:"route,omitempty"`
 		// Account is the client account.
-		Account       string `json:"account,omitempty"`
-		Configuration uint64 `json:"configuration,omitempty"`
-		Service       string `json:"service,omitempty"`
-		Server        string `json:"server,omitempty"`
-		Object        string `json:"object,omitempty"`
-		// Work names what the request asks a server to do; requests with the same one
+		Account              string `json:"account,omitempty"`
+		ConfigurationVersion uint64 `json:"configuration,omitempty"`
+		Service              string `json:"service,omitempty"`
+		Server               string `json:"server,omitempty"`
+		Object               string `json:"object,omitempty"`
+		// Fingerprint names what the request asks a server to do; requests with the same one
 		// have the same path, client account and body.
-		Work   string `json:"work,omitempty"`
-		Domain string `json:"failure-domain,omitempty"`
-		Region string `json:"region,omitempty"`
-		// Elsewhere tells of a region without proxies that its callers count
+		Fingerprint string `json:"work,omitempty"`
+		Domain      string `json:"failure-domain,omitempty"`
+		Region      string `json:"region,omitempty"`
+		// CallersElsewhere tells of a region without proxies that its callers count
 		// with other regions.
-		Elsewhere bool    `json:"elsewhere,omitempty"`
-		Attempt   int     `json:"attempt,omitempty"`
-		Result    string  `json:"result,omitempty"`
-		Outcome   string  `json:"outcome,omitempty"`
-		Reason    string  `json:"reason,omitempty"`
-		Expected  string  `json:"expected,omitempty"`
-		Load      float64 `json:"load,omitempty"`
-		LoadAge   string  `json:"load-age,omitempty"`
-		Warm      bool    `json:"warm,omitempty"`
-		Draining  bool    `json:"draining,omitempty"`
-		Took      string  `json:"took,omitempty"`
-		ComeBack  string  `json:"come-back,omitempty"`
-		Pressure  float64 `json:"pressure,omitempty"`
-		Error     string  `json:"error,omitempty"`
+		CallersElsewhere bool    `json:"elsewhere,omitempty"`
+		Attempt          int     `json:"attempt,omitempty"`
+		Result           string  `json:"result,omitempty"`
+		Outcome          string  `json:"outcome,omitempty"`
+		Reason           string  `json:"reason,omitempty"`
+		Expected         string  `json:"expected,omitempty"`
+		Load             float64 `json:"load,omitempty"`
+		LoadAge          string  `json:"load-age,omitempty"`
+		Warm             bool    `json:"warm,omitempty"`
+		Draining         bool    `json:"draining,omitempty"`
+		Duration         string  `json:"took,omitempty"`
+		RetryAfter       string  `json:"come-back,omitempty"`
+		Pressure         float64 `json:"pressure,omitempty"`
+		Error            string  `json:"error,omitempty"`
 		// Limit is what a server takes from all proxies together.
 		Limit string `json:"limit,omitempty"`
-		// Wait is the part of Expected until a slot is free.
-		Wait string `json:"wait,omitempty"`
-		// State is how the server stood when the request was sent there last.
-		State string `json:"server-state,omitempty"`
+		// ExpectedWait is the part of Expected until a slot is free.
+		ExpectedWait string `json:"wait,omitempty"`
+		// ServerState is how the server stood when the request was sent there last.
+		ServerState string `json:"server-state,omitempty"`
 		// Cause says where the time of a late request went, Target is the route's.
 		Cause  string `json:"cause,omitempty"`
 		Target string `json:"target,omitempty"`
 	}
 )
 
-// EventOf is a kernel's event as operators see it.
-func EventOf(vm string, e steering.Event) Event {
+// NewEvent is a kernel's event as operators see it.
+func NewEvent(vm string, e steering.Event) Event {
 	out := Event{
-		At: e.At, VM: vm, Kind: string(e.Kind), Request: e.Request, Route: e.Route, Account: e.Account, Configuration: e.Version,
-		Service: e.Service, Server: e.Server, Object: e.Object, Work: e.Work.String(), Domain: e.Domain, Region: e.Region, Elsewhere: e.Elsewhere, Attempt: e.Attempt,
+		At: e.At, VM: vm, Kind: string(e.Kind), Request: e.Request, Route: e.Route, Account: e.Account, ConfigurationVersion: e.Version,
+		Service: e.Service, Server: e.Server, Object: e.Object, Fingerprint: e.Work.String(), Domain: e.Domain, Region: e.Region, CallersElsewhere: e.Elsewhere, Attempt: e.Attempt,
 		Reason: string(e.Reason), Load: e.Load, Warm: e.Warm, Draining: e.Draining,
-		Expected: span(e.Expected), Took: span(e.Took), ComeBack: span(e.ComeBack), Pressure: e.Pressure,
-		Wait: span(e.Wait), State: string(e.State), Cause: string(e.Cause), Target: span(e.Target), Limit: e.Limit.String(),
+		Expected: formatDuration(e.Expected), Duration: formatDuration(e.Took), RetryAfter: formatDuration(e.ComeBack), Pressure: e.Pressure,
+		ExpectedWait: formatDuration(e.Wait), ServerState: string(e.State), Cause: string(e.Cause), Target: formatDuration(e.Target), Limit: e.Limit.String(),
 	}
 	if e.Result != 0 {
 		out.Result = e.Result.String()
@@ -174,7 +174,7 @@
 		out.Outcome = e.Outcome.String()
 	}
 	if e.Kind == steering.EventSent {
-		out.LoadAge = span(e.LoadAge)
+		out.LoadAge = formatDuration(e.LoadAge)
 	}
 	if e.Err != nil {
 		out.Error = e.Err.Error()
@@ -182,15 +182,15 @@
 	return out
 }
 
-func span(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
 	return d.Round(10 * time.Microsecond).String()
 }
 
-// StateOf names a server's state, the most telling first.
-func StateOf(s steering.ServerStatus) string {
+// ServerState names a server's state, the most telling first.
+func ServerState(s steering.ServerStatus) string {
 	switch {
 	case s.Draining:
 		return "draining"
--- a/internal/adapter/steeringhttp/client.go
+++ b/internal/adapter/steeringhttp/client.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	askTimeout = 3 * time.Second
+	clientTimeout = 3 * time.Second
 )
 
 type (
 	// Client asks proxies.
 	Client struct {
-		HTTP *http.Client
+		HTTPClient *http.Client
 	}
 )
 
 // NewClient makes a client.
-func NewClient() *Client { return &Client{HTTP: &http.Client{Timeout: askTimeout}} }
+func NewClient() *Client { return &Client{HTTPClient: &http.Client{Timeout: clientTimeout}} }
 
 // Status asks one proxy for its view.
 func (c *Client) Status(ctx context.Context, proxy netip.AddrPort) (Status, error) {
@@ -50,7 +50,7 @@
 	if err != nil {
 		return errors.Wrap(err, "request")
 	}
-	response, err := c.HTTP.Do(request)
+	response, err := c.HTTPClient.Do(request)
 	if err != nil {
 		return errors.Wrap(err, "ask proxy")
 	}
--- a/internal/adapter/steeringhttp/server.go
+++ b/internal/adapter/steeringhttp/server.go
@@ -26,14 +26,14 @@
 	}
 )
 
-// HTTP wraps the server with time-outs.
-func (s *Server) HTTP() *http.Server {
+// HTTPServer wraps the server with time-outs.
+func (s *Server) HTTPServer() *http.Server {
 	router := mux.NewRouter()
 	router.HandleFunc(PathStatus, func(w http.ResponseWriter, _ *http.Request) {
-		reply(w, s.Status())
+		writeJSON(w, s.Status())
 	}).Methods(http.MethodGet)
 	router.HandleFunc(PathEvents, func(w http.ResponseWriter, r *http.Request) {
-		reply(w, s.Events(r.URL.Query().Get("request")))
+		writeJSON(w, s.Events(r.URL.Query().Get("request")))
 	}).Methods(http.MethodGet)
 	router.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		s.Metrics.WritePrometheus(w)
@@ -44,7 +44,7 @@
 	}
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
 		klog.V(1).InfoS("answer to an operator not written", "error", err.Error())
--- a/internal/client/command/bundle.go
+++ b/internal/client/command/bundle.go
@@ -138,7 +138,7 @@
 // current reads the bundle in force; nil when there is none yet.
 func (s *session) current() (*operator.Bundle, error) {
 	e, err := s.client.Bundle(s.ctx)
-	if errors.Is(err, operatorhttp.ErrRefused) {
+	if errors.Is(err, operatorhttp.ErrRejected) {
 		return nil, nil
 	}
 	if err != nil {
@@ -307,16 +307,16 @@
 	}
 	// The operation's name comes from what is rolled out, so a repeat after a
 	// lost answer, by whichever operator, is the same operation.
-	e.Operation = "rollout-" + string(e.Digest) + "-" + e.Approver.Value
+	e.OperationID = "rollout-" + string(e.Digest) + "-" + e.Approver.Value
 	began := time.Now()
 	out, err := s.client.Rollout(s.ctx, e)
 	if err != nil {
 		return Result{}, err
 	}
-	if err := verdictError(out.Verdict); err != nil {
+	if err := verdictError(out.Result); err != nil {
 		return Result{}, err
 	}
-	return s.waitInForce(out.Current, began, a.Wait), nil
+	return s.waitInForce(out.CurrentVersion, began, a.Wait), nil
 }
 
 // waitInForce asks every proxy that runs until all use the version.
--- a/internal/client/command/command.go
+++ b/internal/client/command/command.go
@@ -125,7 +125,7 @@
 		return ExitLostRace
 	case errors.Is(err, errUndecided):
 		return ExitUndecided
-	case errors.Is(err, operatorhttp.ErrRefused), errors.Is(err, operator.ErrSamePerson):
+	case errors.Is(err, operatorhttp.ErrRejected), errors.Is(err, operator.ErrSameOperator):
 		return ExitRefused
 	case errors.Is(err, operatorhttp.ErrNoProxy):
 		return ExitNoProxy
@@ -175,13 +175,13 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool}, nil
 }
 
-func verdictError(v kv.Verdict) error {
+func verdictError(v kv.RolloutResult) error {
 	switch v {
-	case kv.Accepted:
+	case kv.RolloutAccepted:
 		return nil
-	case kv.LostRace:
+	case kv.RolloutLostRace:
 		return errLostRace
-	case kv.WrongVersion:
+	case kv.RolloutWrongVersion:
 		return usageError("the bundle's version must be one more than the one in force")
 	}
 	return errUndecided
--- a/internal/client/command/drain.go
+++ b/internal/client/command/drain.go
@@ -73,7 +73,7 @@
 		a.Start = time.Now().UTC().Truncate(time.Second)
 	}
 	b.Drains = append(b.Drains, operator.Drain{Name: a.Name, Kind: a.Kind, Target: a.Target, Start: a.Start, End: a.End})
-	if err := b.Check(); err != nil {
+	if err := b.Validate(); err != nil {
 		return Result{}, err
 	}
 	return propose(s, b, a.Key)
--- a/internal/client/command/keys.go
+++ b/internal/client/command/keys.go
@@ -65,8 +65,8 @@
 		return Result{}, errors.Wrap(err, "key file")
 	}
 	return Result{
-		Text: fmt.Sprintf("key of %s written to %s; public key %s", a.Operator, a.Out, pair.Public),
-		Data: pair.Trusted(),
+		Text: fmt.Sprintf("key of %s written to %s; public key %s", a.Operator, a.Out, pair.PublicKey),
+		Data: pair.TrustedKey(),
 	}, nil
 }
 
@@ -78,8 +78,8 @@
 		if err != nil {
 			return Result{}, err
 		}
-		keys = append(keys, pair.Trusted())
-		fmt.Fprintf(&text, "%-20s %s\n", pair.Operator, pair.Public)
+		keys = append(keys, pair.TrustedKey())
+		fmt.Fprintf(&text, "%-20s %s\n", pair.Operator, pair.PublicKey)
 	}
 	return Result{Text: text.String(), Data: keys}, nil
 }
--- a/internal/client/command/losses.go
+++ b/internal/client/command/losses.go
@@ -90,7 +90,7 @@
 			}
 			counter.Add(losses.Ended{
 				At: e.At, Request: e.Request, Route: e.Route, Region: a.Proxy.Region, Outcome: e.Outcome, Reason: e.Reason,
-				Cause: e.Cause, State: e.State, Took: losses.ParseSpan(e.Took), Target: losses.ParseSpan(e.Target),
+				Cause: e.Cause, State: e.ServerState, Took: losses.ParseSpan(e.Duration), Target: losses.ParseSpan(e.Target),
 			})
 		}
 	}
--- a/internal/client/command/signals.go
+++ b/internal/client/command/signals.go
@@ -70,7 +70,7 @@
 
 // addSignals adds what one proxy knows of a server.
 func addSignals(asking map[string]*ServerSignals, b steeringhttp.BackendServer) {
-	if b.Limit == nil && b.PausedFor == "" && !b.Leaves {
+	if b.Limit == nil && b.PausedFor == "" && !b.ReportsDraining {
 		return
 	}
 	v := asking[b.ID]
@@ -79,7 +79,7 @@
 		asking[b.ID] = v
 	}
 	v.Known++
-	v.Leaving = v.Leaving || b.Leaves
+	v.Leaving = v.Leaving || b.ReportsDraining
 	if b.PausedFor != "" {
 		v.Pausing++
 	}
--- a/internal/client/command/steering.go
+++ b/internal/client/command/steering.go
@@ -117,7 +117,7 @@
 		status, err := c.Status(s.ctx, address)
 		if err == nil {
 			if !slices.ContainsFunc(status.Proxies, func(p steeringhttp.Proxy) bool { return p.Name == status.VM }) {
-				status.Proxies = append(status.Proxies, steeringhttp.Proxy{Name: status.VM, Operators: address})
+				status.Proxies = append(status.Proxies, steeringhttp.Proxy{Name: status.VM, OperatorAddress: address})
 			}
 			return status, nil
 		}
@@ -143,7 +143,7 @@
 			places <- struct{}{}
 			defer func() { <-places }()
 			answers[i].Proxy = p
-			value, err := question(s.ctx, p.Operators)
+			value, err := question(s.ctx, p.OperatorAddress)
 			answers[i].Value = value
 			if err != nil {
 				answers[i].Error = err.Error()
@@ -179,18 +179,18 @@
 		}
 		v := a.Value
 		fmt.Fprintf(&text, "%-24s %-16s %-12s %7d %9d %8s %9d %8d\n", v.VM, a.Proxy.Domain, a.Proxy.Region,
-			v.Configuration, v.CopyRevision, v.CopyAge, v.InFlight, len(v.Servers))
-		if len(v.Off) > 0 {
-			fmt.Fprintf(&text, "%24s switched off: %v\n", "", v.Off)
+			v.ConfigurationVersion, v.ReplicaRevision, v.ReplicaAge, v.InFlight, len(v.Servers))
+		if len(v.MechanismsOff) > 0 {
+			fmt.Fprintf(&text, "%24s switched off: %v\n", "", v.MechanismsOff)
 		}
-		for _, h := range v.Holding {
+		for _, h := range v.ConcurrencyLimits {
 			fmt.Fprintf(&text, "%24s holding back: %s, %d of %d slots (%d answers)\n", "", h.Service, h.Most, h.Slots, h.Evidence)
 		}
-		for _, c := range v.Condemned {
-			fmt.Fprintf(&text, "%24s refused for %s: work %s, at whose runs %d servers ended\n", "", c.For, c.Work, c.Ends)
+		for _, c := range v.QuarantinedWork {
+			fmt.Fprintf(&text, "%24s refused for %s: work %s, at whose runs %d servers ended\n", "", c.QuarantinedFor, c.Fingerprint, c.Crashes)
 		}
-		if len(v.Stranded) > 0 {
-			fmt.Fprintf(&text, "%24s without proxies: %s\n", "", strings.Join(v.Stranded, ", "))
+		if len(v.RegionsWithoutProxies) > 0 {
+			fmt.Fprintf(&text, "%24s without proxies: %s\n", "", strings.Join(v.RegionsWithoutProxies, ", "))
 		}
 	}
 	return Result{Text: text.String(), Data: answers}, nil
@@ -205,7 +205,7 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "as %s sees them\n%-16s %-12s %-16s %-20s %9s %6s %6s %6s\n", view.VM, "SERVER", "SERVICE", "DOMAIN", "STATE", "IN-FLIGHT", "LOAD", "SPEED", "FAILED")
 	for _, b := range list {
-		fmt.Fprintf(&text, "%-16s %-12s %-16s %-20s %5d/%-3d %6.1f %6.2f %6.2f\n", b.ID, b.Service, b.Domain, b.State, b.InFlight, b.Slots, b.Load, b.Speed, b.Failed)
+		fmt.Fprintf(&text, "%-16s %-12s %-16s %-20s %5d/%-3d %6.1f %6.2f %6.2f\n", b.ID, b.Service, b.Domain, b.State, b.InFlight, b.Slots, b.Load, b.Slowdown, b.FailureShare)
 	}
 	return Result{Text: text.String(), Data: list}, nil
 }
@@ -217,7 +217,7 @@
 	}
 	list := slices.DeleteFunc(view.Routes, func(r steeringhttp.Route) bool { return a.Host != "" && r.Host != a.Host })
 	var text strings.Builder
-	fmt.Fprintf(&text, "version %d at %s\n", view.Configuration, view.VM)
+	fmt.Fprintf(&text, "version %d at %s\n", view.ConfigurationVersion, view.VM)
 	for _, r := range list {
 		kind := "once"
 		if r.Idempotent {
@@ -261,8 +261,8 @@
 	for _, f := range []struct{ name, value string }{
 		{"request", e.Request}, {"route", e.Route}, {"account", e.Account}, {"service", e.Service}, {"server", e.Server}, {"object", e.Object},
 		{"failure-domain", e.Domain}, {"result", e.Result}, {"outcome", e.Outcome}, {"reason", e.Reason},
-		{"expected", e.Expected}, {"took", e.Took}, {"load-age", e.LoadAge}, {"come-back", e.ComeBack}, {"pressure", level(e.Pressure)},
-		{"cause", e.Cause}, {"server-state", e.State}, {"wait", e.Wait}, {"target", e.Target}, {"limit", e.Limit}, {"error", e.Error},
+		{"expected", e.Expected}, {"took", e.Duration}, {"load-age", e.LoadAge}, {"come-back", e.RetryAfter}, {"pressure", level(e.Pressure)},
+		{"cause", e.Cause}, {"server-state", e.ServerState}, {"wait", e.ExpectedWait}, {"target", e.Target}, {"limit", e.Limit}, {"error", e.Error},
 	} {
 		if f.value != "" {
 			parts = append(parts, f.name+"="+f.value)
@@ -271,8 +271,8 @@
 	if e.Attempt > 0 {
 		parts = append(parts, fmt.Sprintf("attempt=%d", e.Attempt))
 	}
-	if e.Configuration > 0 {
-		parts = append(parts, fmt.Sprintf("configuration=%d", e.Configuration))
+	if e.ConfigurationVersion > 0 {
+		parts = append(parts, fmt.Sprintf("configuration=%d", e.ConfigurationVersion))
 	}
 	return strings.Join(parts, " ")
 }
--- a/internal/client/command/steering_test.go
+++ b/internal/client/command/steering_test.go
@@ -27,7 +27,7 @@
 		},
 		Metrics: metrics.NewSet(),
 	}
-	server := httptest.NewServer(s.HTTP().Handler)
+	server := httptest.NewServer(s.HTTPServer().Handler)
 	defer server.Close()
 	address := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 	var out strings.Builder
@@ -45,12 +45,12 @@
 func TestJSONNamesProxiesThatDidNotAnswer(t *testing.T) {
 	s := steeringhttp.Server{
 		Status: func() steeringhttp.Status {
-			return steeringhttp.Status{VM: "vm-1", Proxies: []steeringhttp.Proxy{{Name: "vm-2", Operators: netip.MustParseAddrPort("127.0.0.1:1")}}}
+			return steeringhttp.Status{VM: "vm-1", Proxies: []steeringhttp.Proxy{{Name: "vm-2", OperatorAddress: netip.MustParseAddrPort("127.0.0.1:1")}}}
 		},
 		Events:  func(string) []steeringhttp.Event { return nil },
 		Metrics: metrics.NewSet(),
 	}
-	server := httptest.NewServer(s.HTTP().Handler)
+	server := httptest.NewServer(s.HTTPServer().Handler)
 	defer server.Close()
 	var out strings.Builder
 	code := Run(context.Background(), Arguments{
@@ -77,18 +77,18 @@
 		}}
 	}
 	one, two := use(3, 1), use(4, 0)
-	second := httptest.NewServer(two.HTTP().Handler)
+	second := httptest.NewServer(two.HTTPServer().Handler)
 	defer second.Close()
 	status := one.Status()
 	one.Status = func() steeringhttp.Status {
 		status.VM = "vm-1"
 		status.Proxies = []steeringhttp.Proxy{
-			{Name: "vm-2", Operators: netip.MustParseAddrPort(strings.TrimPrefix(second.URL, "http://"))},
-			{Name: "vm-3", Operators: netip.MustParseAddrPort("127.0.0.1:1")},
+			{Name: "vm-2", OperatorAddress: netip.MustParseAddrPort(strings.TrimPrefix(second.URL, "http://"))},
+			{Name: "vm-3", OperatorAddress: netip.MustParseAddrPort("127.0.0.1:1")},
 		}
 		return status
 	}
-	first := httptest.NewServer(one.HTTP().Handler)
+	first := httptest.NewServer(one.HTTPServer().Handler)
 	defer first.Close()
 	var out strings.Builder
 	code := Run(context.Background(), Arguments{
@@ -114,15 +114,15 @@
 	view := func(servers ...steeringhttp.BackendServer) steeringhttp.Server {
 		return steeringhttp.Server{Metrics: metrics.NewSet(), Status: func() steeringhttp.Status { return steeringhttp.Status{Servers: servers} }}
 	}
-	one := view(steeringhttp.BackendServer{ID: "a", Service: "x", Limit: &slow}, steeringhttp.BackendServer{ID: "b", Service: "x"}, steeringhttp.BackendServer{ID: "c", Service: "y", Leaves: true})
+	one := view(steeringhttp.BackendServer{ID: "a", Service: "x", Limit: &slow}, steeringhttp.BackendServer{ID: "b", Service: "x"}, steeringhttp.BackendServer{ID: "c", Service: "y", ReportsDraining: true})
 	two := view(steeringhttp.BackendServer{ID: "a", Service: "x", Limit: &slower, PausedFor: "1s"}, steeringhttp.BackendServer{ID: "b", Service: "x", PausedFor: "2s"})
-	second := httptest.NewServer(two.HTTP().Handler)
+	second := httptest.NewServer(two.HTTPServer().Handler)
 	defer second.Close()
 	status := one.Status()
 	status.VM = "vm-1"
-	status.Proxies = []steeringhttp.Proxy{{Name: "vm-2", Operators: netip.MustParseAddrPort(strings.TrimPrefix(second.URL, "http://"))}}
+	status.Proxies = []steeringhttp.Proxy{{Name: "vm-2", OperatorAddress: netip.MustParseAddrPort(strings.TrimPrefix(second.URL, "http://"))}}
 	one.Status = func() steeringhttp.Status { return status }
-	first := httptest.NewServer(one.HTTP().Handler)
+	first := httptest.NewServer(one.HTTPServer().Handler)
 	defer first.Close()
 	var out strings.Builder
 	a := Arguments{
--- a/internal/fake/kvfake/server.go
+++ b/internal/fake/kvfake/server.go
@@ -138,7 +138,7 @@
 }
 
 func (s *Server) swap(w http.ResponseWriter, r *http.Request) {
-	expect, err := strconv.ParseUint(r.Header.Get(kvhttp.HeaderExpect), 10, 64)
+	expect, err := strconv.ParseUint(r.Header.Get(kvhttp.HeaderExpectedRevision), 10, 64)
 	data, readErr := io.ReadAll(http.MaxBytesReader(w, r.Body, kvhttp.MaxValueBytes))
 	if err != nil || readErr != nil {
 		w.WriteHeader(http.StatusBadRequest)
--- a/internal/fake/kvfake/store.go
+++ b/internal/fake/kvfake/store.go
@@ -17,7 +17,7 @@
 		values   map[kv.Key]kv.Value
 		revision kv.Revision
 		changed  chan struct{}
-		machines kv.Machines
+		machines kv.MachineList
 		lag      time.Duration
 		saved    map[kv.Key]kv.Value
 	}
@@ -92,11 +92,11 @@
 }
 
 // Machines reads the list of VMs and the channel that closes at a change.
-func (s *Store) Machines() (kv.Machines, <-chan struct{}) {
+func (s *Store) Machines() (kv.MachineList, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.machines
-	list.List = append([]kv.Machine(nil), s.machines.List...)
+	list.Machines = append([]kv.Machine(nil), s.machines.Machines...)
 	return list, s.changed
 }
 
@@ -108,6 +108,6 @@
 func (s *Store) setMachineNow(name string, state kv.MachineState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.machines = s.machines.With(name, state)
+	s.machines = s.machines.WithState(name, state)
 	s.wake()
 }
--- a/internal/fake/simnet/message.go
+++ b/internal/fake/simnet/message.go
@@ -168,7 +168,7 @@
 		}
 		p.listSeen = list.Version
 		p.sim.platform.Calls++
-		list.List = append([]kv.Machine(nil), list.List...)
+		list.Machines = append([]kv.Machine(nil), list.Machines...)
 		p.kernel.ApplyMachines(p.now(), &list)
 	})
 }
--- a/internal/fake/simnet/platform.go
+++ b/internal/fake/simnet/platform.go
@@ -19,7 +19,7 @@
 		values   map[kv.Key]kv.Value
 		saved    map[kv.Key]kv.Value
 		revision kv.Revision
-		machines kv.Machines
+		machines kv.MachineList
 		down     bool
 		lose     int
 		// Calls counts calls, a watch that ends as one.
@@ -104,7 +104,7 @@
 }
 
 func (p *Platform) setMachine(name string, state kv.MachineState) {
-	p.machines = p.machines.With(name, state)
+	p.machines = p.machines.WithState(name, state)
 	for _, proxy := range p.sim.proxies {
 		proxy.machinesFire()
 	}
--- a/internal/fake/simnet/proxy.go
+++ b/internal/fake/simnet/proxy.go
@@ -57,8 +57,8 @@
 func (s *Sim) addProxy(i int) {
 	at := 0
 	n := i
-	for at < len(s.config.Bundle.Regions)-1 && n >= s.config.Bundle.Regions[at].Proxies {
-		n -= s.config.Bundle.Regions[at].Proxies
+	for at < len(s.config.Bundle.Regions)-1 && n >= s.config.Bundle.Regions[at].QuotaSlots {
+		n -= s.config.Bundle.Regions[at].QuotaSlots
 		at++
 	}
 	r := s.config.Bundle.Regions[at]
--- a/internal/fake/simnet/scenario.go
+++ b/internal/fake/simnet/scenario.go
@@ -291,7 +291,7 @@
 
 func (s *Sim) steer(from, to string, permille int) {
 	s.change(func(b *operator.Bundle) {
-		b.Steering = []operator.Steering{{From: from, To: to, Permille: permille}}
+		b.Steering = []operator.SteeringRule{{From: from, To: to, Permille: permille}}
 		s.trace("steer %d from %s to %s", permille, from, to)
 	})
 }
--- a/internal/fake/simnet/sim.go
+++ b/internal/fake/simnet/sim.go
@@ -49,7 +49,7 @@
 		*Clock
 		config   Config
 		random   *rand.Rand
-		trust    operator.Trust
+		trust    operator.TrustedKeys
 		proxies  []*Proxy
 		workers  map[string]*Worker
 		platform *Platform
@@ -75,7 +75,7 @@
 		Clock:   newClock(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)),
 		config:  c,
 		random:  rand.New(rand.NewPCG(c.Seed, 1)),
-		trust:   operator.Trust{c.Author.Trusted(), c.Second.Trusted()},
+		trust:   operator.TrustedKeys{c.Author.TrustedKey(), c.Second.TrustedKey()},
 		workers: make(map[string]*Worker),
 		cuts:    make(map[[2]string]bool),
 		lost:    make(map[string]bool),
--- a/internal/fake/simnet/synthetic.go
+++ b/internal/fake/simnet/synthetic.go
@@ -19,23 +19,23 @@
 	b := &operator.Bundle{
 		Version:  1,
 		Balancer: "spare-slots",
-		Shift: operator.Shift{
+		Shift: operator.ShiftConfig{
 			Planner: "headroom", CapPermille: 100, Interval: operator.Duration(10 * time.Second),
 			FailoverCapPermille: 250, FailoverInterval: operator.Duration(time.Second),
 		},
-		Lookup: operator.Lookup{Lifetime: operator.Duration(3 * time.Second), Answers: 3},
-		Retry:  operator.Retry{BudgetPermille: 100, Attempts: 3},
-		Token:  operator.Token{Lifetime: operator.Duration(time.Minute), Retention: operator.Duration(time.Minute)},
+		Lookup: operator.LookupConfig{TTL: operator.Duration(3 * time.Second), Answers: 3},
+		Retry:  operator.RetryConfig{BudgetPermille: 100, MaxAttempts: 3},
+		Token:  operator.TokenConfig{TTL: operator.Duration(time.Minute), Retention: operator.Duration(time.Minute)},
 	}
 	s := operator.Service{
-		Name: "service", Idempotent: []string{"GET"},
+		Name: "service", IdempotentMethods: []string{"GET"},
 		Deadline: operator.Duration(2 * time.Second), SlowStart: operator.Duration(10 * time.Second),
 	}
 	for i := range regions {
 		r := operator.Region{
-			Name:     fmt.Sprintf("region-%d", i),
-			Capacity: syntheticCapacity,
-			Proxies:  proxies/regions + min(1, max(0, proxies%regions-i)),
+			Name:       fmt.Sprintf("region-%d", i),
+			Capacity:   syntheticCapacity,
+			QuotaSlots: proxies/regions + min(1, max(0, proxies%regions-i)),
 		}
 		for k := range domainsPerRegion {
 			r.Domains = append(r.Domains, fmt.Sprintf("domain-%d-%d", i, k))
@@ -44,7 +44,7 @@
 		s.Servers = append(s.Servers, operator.Server{
 			Name:    fmt.Sprintf("server-%d", i),
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
-			Region:  r.Name, Domain: r.Domains[0], Slots: 64, Connections: 100_000,
+			Region:  r.Name, Domain: r.Domains[0], Slots: 64, MaxConnections: 100_000,
 		})
 	}
 	b.Services = []operator.Service{s}
--- a/internal/kernel/backend/server.go
+++ b/internal/kernel/backend/server.go
@@ -93,7 +93,7 @@
 		Region:      s.Region,
 		Domain:      s.Domain,
 		Slots:       s.Slots,
-		Connections: s.Connections,
+		Connections: s.MaxConnections,
 		slowStart:   slowStart,
 		listed:      true,
 	}
@@ -252,6 +252,6 @@
 	s.Region = c.Region
 	s.Domain = c.Domain
 	s.Slots = c.Slots
-	s.Connections = c.Connections
+	s.Connections = c.MaxConnections
 	s.slowStart = slowStart
 }
--- a/internal/kernel/core/assign.go
+++ b/internal/kernel/core/assign.go
@@ -38,7 +38,7 @@
 	}
 	var owned []int
 	if !k.releasingAll {
-		owned = k.assignment.Owned(k.holder())
+		owned = k.assignment.SlotsOf(k.holder())
 	}
 	if k.releasingOne && len(owned) > 1 {
 		owned = owned[:len(owned)-1]
@@ -46,7 +46,7 @@
 	current := kv.CapacitiesOf(k.bundle)
 	settled := current
 	if k.assignment != nil {
-		settled = k.assignment.Base
+		settled = k.assignment.BaseCapacities
 	}
 	immediate := k.canRaiseImmediately(owned)
 	for _, r := range k.regions {
@@ -68,16 +68,16 @@
 // canRaiseImmediately reports whether a higher share may be used at once: the capacities are the
 // settled ones, and every newly owned slot was released by its previous holder.
 func (k *Kernel) canRaiseImmediately(owned []int) bool {
-	if k.assignment == nil || !k.assignment.Base.Equal(kv.CapacitiesOf(k.bundle)) {
+	if k.assignment == nil || !k.assignment.BaseCapacities.Equal(kv.CapacitiesOf(k.bundle)) {
 		return false
 	}
-	immediate := k.sharesBundle == k.assignment.Settled || k.sharesBundle == 0
+	immediate := k.sharesBundle == k.assignment.BaseVersion || k.sharesBundle == 0
 	for _, slot := range owned {
-		if !slices.Contains(k.ownedSlots, slot) && k.assignment.Slots[slot].Seized {
+		if !slices.Contains(k.ownedSlots, slot) && k.assignment.Slots[slot].MayHaveLoans {
 			immediate = false
 		}
 	}
-	k.sharesBundle = k.assignment.Settled
+	k.sharesBundle = k.assignment.BaseVersion
 	k.ownedSlots = owned
 	return immediate
 }
@@ -107,16 +107,16 @@
 	if k.prepareRelease(now, peerWithoutSlots) {
 		return actions
 	}
-	next := kv.Step(kv.View{
-		Self:         k.holder(),
-		Region:       k.config.Self.Region,
-		Bundle:       k.bundle,
-		Assignment:   k.assignment,
-		Machines:     k.machines,
-		Using:        k.capacityBundleOf,
-		Unseated:     peerWithoutSlots,
-		MayTakeMore:  k.mayClaimMoreSlots(now),
-		MayTakeOther: now.Sub(k.assignmentChangedAt) > assignmentSettleTime,
+	next := kv.NextAssignment(kv.ProxyView{
+		Self:                 k.holder(),
+		Region:               k.config.Self.Region,
+		Bundle:               k.bundle,
+		Assignment:           k.assignment,
+		Machines:             k.machines,
+		CapacityBundle:       k.capacityBundleOf,
+		HasPeerWithoutSlots:  peerWithoutSlots,
+		MayClaimMoreSlots:    k.mayClaimMoreSlots(now),
+		MayClaimOtherRegions: now.Sub(k.assignmentChangedAt) > assignmentSettleTime,
 	})
 	if next == nil {
 		return actions
@@ -134,7 +134,7 @@
 // without slots. It returns true until all loans have ended, since the next holder uses the whole
 // slot.
 func (k *Kernel) prepareRelease(now time.Time, peerWithoutSlots bool) bool {
-	releasing := peerWithoutSlots && len(k.assignment.Owned(k.holder())) > 1
+	releasing := peerWithoutSlots && len(k.assignment.SlotsOf(k.holder())) > 1
 	if releasing != k.releasingOne {
 		k.releasingOne = releasing
 		k.releaseStartedAt = now
@@ -162,7 +162,7 @@
 
 // capacityBundleOf returns the version of the bundle whose capacities a slot holder is known to
 // use, or 0.
-func (k *Kernel) capacityBundleOf(h kv.Holder) uint64 {
+func (k *Kernel) capacityBundleOf(h kv.SlotHolder) uint64 {
 	m, ok := k.members.Get(h.Name)
 	if !ok || m.Incarnation != h.Incarnation {
 		return 0
@@ -176,8 +176,8 @@
 		if m.Name == k.config.Self.Name || (m.State != peer.Live && m.State != peer.Joining) {
 			continue
 		}
-		h := kv.Holder{Name: m.Name, Incarnation: m.Incarnation}
-		if len(k.assignment.Owned(h)) == 0 {
+		h := kv.SlotHolder{Name: m.Name, Incarnation: m.Incarnation}
+		if len(k.assignment.SlotsOf(h)) == 0 {
 			return true
 		}
 	}
--- a/internal/kernel/core/backpressure.go
+++ b/internal/kernel/core/backpressure.go
@@ -70,15 +70,15 @@
 	rank, localRank := backpressure.Rank{}, -1
 	for _, r := range k.regions {
 		if r.Name == serverRegion {
-			rank.Near = r.Proxies
+			rank.Near = r.QuotaSlots
 		}
 		if r.Name == self.Region {
 			localRank = k.rankInRegion()
-			if localRank >= r.Proxies {
+			if localRank >= r.QuotaSlots {
 				localRank = -1
 			}
 		}
-		rank.All += r.Proxies
+		rank.All += r.QuotaSlots
 	}
 	if localRank < 0 {
 		return backpressure.Rank{Place: rank.All, Near: rank.Near, All: rank.All}
@@ -93,7 +93,7 @@
 			break
 		}
 		if r.Name != serverRegion {
-			rank.Place += r.Proxies
+			rank.Place += r.QuotaSlots
 		}
 	}
 	return rank
--- a/internal/kernel/core/bench_test.go
+++ b/internal/kernel/core/bench_test.go
@@ -42,10 +42,10 @@
 	now := time.Unix(1_000_000, 0)
 	k := New(Config{
 		Self:  peer.Member{Name: "proxy-1", Region: "palermo", Domain: "palermo-a", Incarnation: 1, Address: netip.MustParseAddrPort("127.0.0.1:80")},
-		Trust: operator.Trust{anna.Trusted(), bruno.Trusted()},
+		Trust: operator.TrustedKeys{anna.TrustedKey(), bruno.TrustedKey()},
 	}, now)
 	k.ApplyBundle(now, e.Encode())
-	a := &kv.Assignment{Version: 1, Settled: 1, Base: kv.CapacitiesOf(b)}
+	a := &kv.Assignment{Version: 1, BaseVersion: 1, BaseCapacities: kv.CapacitiesOf(b)}
 	for range b.QuotaSlots() {
 		a.Slots = append(a.Slots, k.holder())
 	}
--- a/internal/kernel/core/bundle.go
+++ b/internal/kernel/core/bundle.go
@@ -181,7 +181,7 @@
 func clientPrefixTable(b *operator.Bundle) *caller.PrefixTable {
 	var list []caller.PrefixSite
 	for i, r := range b.Regions {
-		for _, p := range r.Prefixes {
+		for _, p := range r.ClientPrefixes {
 			list = append(list, caller.PrefixSite{Prefix: p, Site: caller.Site(i)})
 		}
 	}
--- a/internal/kernel/core/gossip.go
+++ b/internal/kernel/core/gossip.go
@@ -173,7 +173,7 @@
 func (k *Kernel) HandleExchangeReply(now, sentAt time.Time, m peer.Exchange) {
 	k.members.Answered(m.From)
 	if len(m.Machines) > 0 {
-		if list, err := kv.ParseMachines(m.Machines); err == nil {
+		if list, err := kv.ParseMachineList(m.Machines); err == nil {
 			k.ApplyMachines(now, list)
 		}
 	}
@@ -217,7 +217,7 @@
 }
 
 // ApplyMachines applies a version of the platform's VM list. Older versions are ignored.
-func (k *Kernel) ApplyMachines(now time.Time, list *kv.Machines) {
+func (k *Kernel) ApplyMachines(now time.Time, list *kv.MachineList) {
 	if k.machines != nil && list.Version <= k.machines.Version {
 		return
 	}
--- a/internal/kernel/core/kernel.go
+++ b/internal/kernel/core/kernel.go
@@ -41,7 +41,7 @@
 	// make the same decisions.
 	Config struct {
 		Self     peer.Member
-		Trust    operator.Trust
+		Trust    operator.TrustedKeys
 		Seed     [32]byte
 		TokenKey caller.TokenKey
 		// Seeds are the peer addresses to contact while no member is known.
@@ -81,7 +81,7 @@
 		quotaSlots int
 		envelope   []byte
 		assignment *kv.Assignment
-		machines   *kv.Machines
+		machines   *kv.MachineList
 		prefixes   *caller.PrefixTable
 
 		services map[string]*service
@@ -300,8 +300,8 @@
 // Envelope returns the signed form of the bundle in force.
 func (k *Kernel) Envelope() []byte { return k.envelope }
 
-func (k *Kernel) holder() kv.Holder {
-	return kv.Holder{Name: k.config.Self.Name, Incarnation: k.config.Self.Incarnation}
+func (k *Kernel) holder() kv.SlotHolder {
+	return kv.SlotHolder{Name: k.config.Self.Name, Incarnation: k.config.Self.Incarnation}
 }
 
 func (k *Kernel) regionIndex(name string) int {
--- a/internal/kernel/core/lookup.go
+++ b/internal/kernel/core/lookup.go
@@ -44,7 +44,7 @@
 	answer := LookupAnswer{
 		Service:    service,
 		HomeRegion: k.regions[home].Name,
-		TTL:        k.bundle.Lookup.Lifetime.Std(),
+		TTL:        k.bundle.Lookup.TTL.Std(),
 	}
 	key := xxhash.Sum64(client.AsSlice())
 	candidates := k.candidates(now)
@@ -137,5 +137,5 @@
 	if listed && state != kv.MachineLive {
 		return true
 	}
-	return k.bundle.Drained(operator.DrainProxy, name, now)
+	return k.bundle.IsDrained(operator.DrainProxy, name, now)
 }
--- a/internal/kernel/core/request.go
+++ b/internal/kernel/core/request.go
@@ -153,7 +153,7 @@
 	for i := range nonce {
 		nonce[i] = byte(k.random.Uint32())
 	}
-	t, ok := k.tokenRecords.Mint(service, nonce, now, k.bundle.Token.Lifetime.Std(), k.bundle.Token.Retention.Std())
+	t, ok := k.tokenRecords.Mint(service, nonce, now, k.bundle.Token.TTL.Std(), k.bundle.Token.Retention.Std())
 	if !ok {
 		return "", false
 	}
@@ -208,7 +208,7 @@
 	}
 	best, mostFree := -1, 0
 	for i, r := range k.regions {
-		if i == lostIndex || r.lost || k.bundle.Drained(operator.DrainRegion, r.Name, now) {
+		if i == lostIndex || r.lost || k.bundle.IsDrained(operator.DrainRegion, r.Name, now) {
 			continue
 		}
 		if free := r.quota.Free(now); free > mostFree {
@@ -321,7 +321,7 @@
 // not passed and the retry budget permits it. Otherwise it finishes the request with the given
 // result.
 func (k *Kernel) retryOrFinish(now time.Time, inflight inFlightRequest, noRetry bool, result caller.Result) Decision {
-	if noRetry || inflight.attempts >= k.bundle.Retry.Attempts || !now.Before(inflight.deadline) || !inflight.service.retryBudget.TryWithdraw() {
+	if noRetry || inflight.attempts >= k.bundle.Retry.MaxAttempts || !now.Before(inflight.deadline) || !inflight.service.retryBudget.TryWithdraw() {
 		if result.Outcome == caller.NotRun {
 			result.RetryAfter = k.jitter(time.Second)
 		}
--- a/internal/kernel/core/route.go
+++ b/internal/kernel/core/route.go
@@ -96,7 +96,7 @@
 	}
 	for i, r := range k.regions {
 		in.Current[i] = r.mover.Row()
-		in.Usable[i] = !r.lost && len(r.servers) > 0 && !k.bundle.Drained(operator.DrainRegion, r.Name, now)
+		in.Usable[i] = !r.lost && len(r.servers) > 0 && !k.bundle.IsDrained(operator.DrainRegion, r.Name, now)
 		in.Demand[i] = r.demand.rate
 		in.Capacity[i] = r.Capacity
 		in.Quota[i] = max(0, r.quota.Limit(now))
@@ -197,7 +197,7 @@
 	for _, r := range k.regions {
 		for _, s := range r.servers {
 			wasLeaving := s.Leaving()
-			s.SetDrained(k.bundle.Drained(operator.DrainServer, s.Name, now) && !k.config.Faults.LeavingServerUsed)
+			s.SetDrained(k.bundle.IsDrained(operator.DrainServer, s.Name, now) && !k.config.Faults.LeavingServerUsed)
 			state, listed := k.machines.State(s.Name)
 			s.SetListed(!listed || state == kv.MachineLive, now)
 			if !wasLeaving && s.Leaving() {
--- a/internal/kernel/core/status.go
+++ b/internal/kernel/core/status.go
@@ -60,8 +60,8 @@
 	}
 	if k.assignment != nil {
 		s.Assignment = k.assignment.Version
-		s.Settled = k.assignment.Settled
-		s.Slots = len(k.assignment.Owned(k.holder()))
+		s.Settled = k.assignment.BaseVersion
+		s.Slots = len(k.assignment.SlotsOf(k.holder()))
 	}
 	for _, r := range k.regions {
 		s.Regions = append(s.Regions, RegionStatus{
--- a/internal/kernel/core/stop.go
+++ b/internal/kernel/core/stop.go
@@ -35,7 +35,7 @@
 	}
 	lookupTTL := time.Duration(0)
 	if k.bundle != nil {
-		lookupTTL = k.bundle.Lookup.Lifetime.Std()
+		lookupTTL = k.bundle.Lookup.TTL.Std()
 	}
 	return !now.Before(k.stopStartedAt.Add(lookupTTL + stopGracePeriod))
 }
@@ -85,11 +85,11 @@
 	}
 	k.releasingAll = true
 	k.applyQuota(now)
-	return kv.Step(kv.View{
-		Self:       k.holder(),
-		Bundle:     k.bundle,
-		Assignment: k.assignment,
-		Lent:       k.hasLentQuota(now) || k.hasUsedQuota(now),
-		Leaving:    true,
+	return kv.NextAssignment(kv.ProxyView{
+		Self:         k.holder(),
+		Bundle:       k.bundle,
+		Assignment:   k.assignment,
+		HasLentQuota: k.hasLentQuota(now) || k.hasUsedQuota(now),
+		Leaving:      true,
 	})
 }
--- a/internal/kernel/kv/assignment.go
+++ b/internal/kernel/kv/assignment.go
@@ -17,16 +17,16 @@
 	KeyBundle Key = "gypsumquay/bundle"
 	// KeyAssignment holds who owns which quota slot.
 	KeyAssignment Key = "gypsumquay/assignment"
-	// KeyProposals is the prefix of proposed bundles, by digest.
-	KeyProposals Key = "gypsumquay/proposals/"
+	// ProposalKeyPrefix is the prefix of proposed bundles, by digest.
+	ProposalKeyPrefix Key = "gypsumquay/proposals/"
 )
 
 const (
-	// ownParts to otherParts is how a region's capacity is divided between its
+	// ownSlotsWeight to otherSlotsWeight is how a region's capacity is divided between its
 	// own slots and all others. What others hold is there at once when a region
 	// fails over; beyond it, quota is borrowed.
-	ownParts   = 7
-	otherParts = 1
+	ownSlotsWeight   = 7
+	otherSlotsWeight = 1
 )
 
 const (
@@ -52,20 +52,20 @@
 		State MachineState `json:"state"`
 	}
 
-	// Machines is one version of the list.
-	Machines struct {
-		Version uint64    `json:"version"`
-		List    []Machine `json:"machines"`
+	// MachineList is one version of the list.
+	MachineList struct {
+		Version  uint64    `json:"version"`
+		Machines []Machine `json:"machines"`
 	}
 
-	// Holder is the process that owns a quota slot. The zero value means that
+	// SlotHolder is the process that owns a quota slot. The zero value means that
 	// nobody does.
-	Holder struct {
+	SlotHolder struct {
 		Name        string `json:"name,omitempty"`
 		Incarnation uint64 `json:"incarnation,omitempty"`
-		// Seized marks a slot whose loans may still be in use, because its
+		// MayHaveLoans marks a slot whose loans may still be in use, because its
 		// holder died or left in haste. The next holder waits before use.
-		Seized bool `json:"seized,omitempty"`
+		MayHaveLoans bool `json:"seized,omitempty"`
 	}
 
 	// Assignment says who owns which quota slot. Settled is the newest bundle
@@ -73,11 +73,11 @@
 	// that one and the holder's own bundle give, so that a change of capacity
 	// or of the number of slots never sums to more than either allows.
 	Assignment struct {
-		Version uint64 `json:"version"`
-		Settled uint64 `json:"settled-bundle"`
-		// Base is the content of the settled bundle that shares depend on.
-		Base  Capacities `json:"base"`
-		Slots []Holder   `json:"slots"`
+		Version     uint64 `json:"version"`
+		BaseVersion uint64 `json:"settled-bundle"`
+		// BaseCapacities is the content of the settled bundle that shares depend on.
+		BaseCapacities Capacities   `json:"base"`
+		Slots          []SlotHolder `json:"slots"`
 	}
 
 	// Capacities are the figures of a bundle that quotas are computed from.
@@ -106,7 +106,7 @@
 func CapacitiesOf(b *operator.Bundle) Capacities {
 	var c Capacities
 	for _, r := range b.Regions {
-		c.Regions = append(c.Regions, RegionCapacity{Name: r.Name, Capacity: r.Capacity, Slots: r.Proxies})
+		c.Regions = append(c.Regions, RegionCapacity{Name: r.Name, Capacity: r.Capacity, Slots: r.QuotaSlots})
 	}
 	for _, l := range b.Links {
 		c.Links = append(c.Links, LinkCapacity{From: l.From, To: l.To, Limit: l.Limit})
@@ -141,7 +141,7 @@
 }
 
 // RegionShare is one slot's share of a region's capacity. The region's own
-// slots hold ownParts of it to otherParts of all others, however many there
+// slots hold ownSlotsWeight of it to otherSlotsWeight of all others, however many there
 // are of either, because its own proxies carry most of its traffic. The shares
 // of all slots sum to the capacity.
 func (c *Capacities) RegionShare(region string, slot int) int {
@@ -152,7 +152,7 @@
 			capacity = r.Capacity
 		}
 	}
-	ownWeight, otherWeight := ownParts*(c.slots()-own), otherParts*own
+	ownWeight, otherWeight := ownSlotsWeight*(c.slots()-own), otherSlotsWeight*own
 	if own == 0 || own == c.slots() {
 		ownWeight, otherWeight = 1, 1
 	}
@@ -172,7 +172,7 @@
 		total += weight * r.Slots
 		at += r.Slots
 	}
-	return part(capacity, before, mine, total)
+	return proportionalShare(capacity, before, mine, total)
 }
 
 // LinkShare is one slot's share of a link's limit, which only slots of the
@@ -194,14 +194,14 @@
 		if slot < at || slot >= at+slots {
 			return 0, true
 		}
-		return part(l.Limit, slot-at, 1, slots), true
+		return proportionalShare(l.Limit, slot-at, 1, slots), true
 	}
 	return 0, false
 }
 
-// part is what falls to own units after before units, of total, such that all
+// proportionalShare is what falls to own units after before units, of total, such that all
 // parts sum to the whole.
-func part(whole, before, own, total int) int {
+func proportionalShare(whole, before, own, total int) int {
 	if total == 0 {
 		return 0
 	}
@@ -220,9 +220,9 @@
 // Encode writes the assignment as stored and sent.
 func (a *Assignment) Encode() []byte { return encode(a) }
 
-// ParseMachines decodes a list of VMs.
-func ParseMachines(data []byte) (*Machines, error) {
-	var m Machines
+// ParseMachineList decodes a list of VMs.
+func ParseMachineList(data []byte) (*MachineList, error) {
+	var m MachineList
 	if err := json.Unmarshal(data, &m); err != nil {
 		return nil, errors.Wrap(err, "list of VMs")
 	}
@@ -230,7 +230,7 @@
 }
 
 // Encode writes the list as sent.
-func (m *Machines) Encode() []byte { return encode(m) }
+func (m *MachineList) Encode() []byte { return encode(m) }
 
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
@@ -240,36 +240,36 @@
 	return data
 }
 
-// With is the next version of the list with one VM's state changed. An empty
+// WithState is the next version of the list with one VM's state changed. An empty
 // state takes the VM out.
-func (m *Machines) With(name string, state MachineState) Machines {
-	next := Machines{Version: m.Version + 1}
-	for _, machine := range m.List {
+func (m *MachineList) WithState(name string, state MachineState) MachineList {
+	next := MachineList{Version: m.Version + 1}
+	for _, machine := range m.Machines {
 		if machine.Name != name {
-			next.List = append(next.List, machine)
+			next.Machines = append(next.Machines, machine)
 		}
 	}
 	if state != "" {
-		next.List = append(next.List, Machine{Name: name, State: state})
+		next.Machines = append(next.Machines, Machine{Name: name, State: state})
 	}
 	return next
 }
 
 // State finds a VM in the list; false means that the list does not show it.
-func (m *Machines) State(name string) (MachineState, bool) {
+func (m *MachineList) State(name string) (MachineState, bool) {
 	if m == nil {
 		return "", false
 	}
-	for i := range m.List {
-		if m.List[i].Name == name {
-			return m.List[i].State, true
+	for i := range m.Machines {
+		if m.Machines[i].Name == name {
+			return m.Machines[i].State, true
 		}
 	}
 	return "", false
 }
 
-// Owned lists the slots of a holder.
-func (a *Assignment) Owned(h Holder) []int {
+// SlotsOf lists the slots of a holder.
+func (a *Assignment) SlotsOf(h SlotHolder) []int {
 	if a == nil {
 		return nil
 	}
@@ -282,8 +282,8 @@
 	return slots
 }
 
-// next copies the assignment under the following version.
-func (a *Assignment) next(slots int) *Assignment {
+// nextVersion copies the assignment under the following version.
+func (a *Assignment) nextVersion(slots int) *Assignment {
 	n := &Assignment{Version: 1}
 	if a != nil {
 		*n = *a
@@ -291,7 +291,7 @@
 		n.Slots = slices.Clone(a.Slots)
 	}
 	for len(n.Slots) < slots {
-		n.Slots = append(n.Slots, Holder{})
+		n.Slots = append(n.Slots, SlotHolder{})
 	}
 	return n
 }
--- a/internal/kernel/kv/assignment_test.go
+++ b/internal/kernel/kv/assignment_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestSharesSumToTheCapacity: were the sum larger by one, a region could pass
+// TestSharesSumToCapacity: were the sum larger by one, a region could pass
 // its capacity by one; at every size and however slots are spread.
-func TestSharesSumToTheCapacity(t *testing.T) {
+func TestSharesSumToCapacity(t *testing.T) {
 	for _, slots := range [][]int{{4, 3, 3}, {1, 0, 0}, {0, 2, 5}, {59, 59, 60, 58, 59, 59}, {10}} {
 		c := Capacities{}
 		for i, n := range slots {
--- a/internal/kernel/kv/rollout_test.go
+++ b/internal/kernel/kv/rollout_test.go
@@ -11,9 +11,9 @@
 )
 
 type (
-	// rolloutStory is one roll-out against a platform that misbehaves, from a
+	// rolloutScenario is one roll-out against a platform that misbehaves, from a
 	// data file.
-	rolloutStory struct {
+	rolloutScenario struct {
 		Name  string   `json:"name"`
 		Story []string `json:"story"`
 		// Stored is the version in force before, under operation "earlier".
@@ -25,8 +25,8 @@
 		// down, or rival (another operator's bundle gets in first).
 		Swaps []string `json:"swaps"`
 		// DownReads is how many reads fail after the first write.
-		DownReads int     `json:"down-reads"`
-		Want      Verdict `json:"want"`
+		DownReads int           `json:"down-reads"`
+		Want      RolloutResult `json:"want"`
 		// WantOperation is what is in force in the end.
 		WantOperation string `json:"want-operation"`
 	}
@@ -42,11 +42,11 @@
 
 func envelope(version uint64, operation string) (*operator.Bundle, *operator.Envelope) {
 	b := &operator.Bundle{Version: version, Comment: operation}
-	return b, &operator.Envelope{Bundle: b.Encode(), Digest: b.Digest(), Operation: operation}
+	return b, &operator.Envelope{Bundle: b.Encode(), Digest: b.Digest(), OperationID: operation}
 }
 
 func (m *memoryStore) store() Store {
-	return Store{Get: m.get, Swap: m.swap, Pause: func(context.Context, time.Duration) {}}
+	return Store{Get: m.get, CompareAndSwap: m.swap, Sleep: func(context.Context, time.Duration) {}}
 }
 
 func (m *memoryStore) get(context.Context, Key) (Value, error) {
@@ -55,7 +55,7 @@
 		return Value{}, ErrUnavailable
 	}
 	if m.value.Revision == 0 {
-		return Value{}, ErrAbsent
+		return Value{}, ErrNotFound
 	}
 	return m.value, nil
 }
@@ -82,24 +82,24 @@
 	return m.value.Revision, nil
 }
 
-// TestRolloutStories plays testdata/rollouts.json: two operators race, answers
+// TestRolloutScenarios plays testdata/rollouts.json: two operators race, answers
 // are lost after the write took effect, the platform goes away. The verdict is
 // true in each, and a repeat is harmless.
-func TestRolloutStories(t *testing.T) {
+func TestRolloutScenarios(t *testing.T) {
 	data, err := os.ReadFile("testdata/rollouts.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var stories []rolloutStory
+	var stories []rolloutScenario
 	if err := json.Unmarshal(data, &stories); err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range stories {
-		t.Run(s.Name, func(t *testing.T) { playRollout(t, s) })
+		t.Run(s.Name, func(t *testing.T) { runRolloutScenario(t, s) })
 	}
 }
 
-func playRollout(t *testing.T, s rolloutStory) {
+func runRolloutScenario(t *testing.T, s rolloutScenario) {
 	t.Helper()
 	m := &memoryStore{swaps: s.Swaps, down: s.DownReads}
 	if s.Stored > 0 {
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := stored.Operation, s.WantOperation; got != want {
+	if got, want := stored.OperationID, s.WantOperation; got != want {
 		t.Errorf("got operation %q in force, want %q", got, want)
 	}
 }
--- a/internal/kernel/kv/steps.go
+++ b/internal/kernel/kv/steps.go
@@ -5,158 +5,158 @@
 )
 
 type (
-	// View is what a proxy knows when it looks for a useful change.
-	View struct {
-		Self       Holder
+	// ProxyView is what a proxy knows when it looks for a useful change.
+	ProxyView struct {
+		Self       SlotHolder
 		Region     string
 		Bundle     *operator.Bundle
 		Assignment *Assignment
-		Machines   *Machines
-		// Using is the bundle whose capacities a holder is known to go by, zero
+		Machines   *MachineList
+		// CapacityBundle is the bundle whose capacities a holder is known to go by, zero
 		// when nothing is known of it.
-		Using func(Holder) uint64
-		// Unseated reports whether a live proxy without a slot is known.
-		Unseated bool
-		// MayTakeMore permits a second slot. A proxy waits with that, because
+		CapacityBundle func(SlotHolder) uint64
+		// HasPeerWithoutSlots reports whether a live proxy without a slot is known.
+		HasPeerWithoutSlots bool
+		// MayClaimMoreSlots permits a second slot. A proxy waits with that, because
 		// at a cold start the others may only be a little later.
-		MayTakeMore bool
-		// MayTakeOther permits a slot of another region, after its own proxies
+		MayClaimMoreSlots bool
+		// MayClaimOtherRegions permits a slot of another region, after its own proxies
 		// had time to take it.
-		MayTakeOther bool
-		// Lent means that loans from the own slots may still be in use.
-		Lent bool
+		MayClaimOtherRegions bool
+		// HasLentQuota means that loans from the own slots may still be in use.
+		HasLentQuota bool
 		// Leaving means that this proxy is about to stop and idle.
 		Leaving bool
 	}
 )
 
-// Step returns the next assignment that this proxy should try to store, or
+// NextAssignment returns the next assignment that this proxy should try to store, or
 // nil. A proxy only ever takes slots for itself or gives its own away; that
 // and the store's compare-and-swap keep two holders off one slot. Steps are
 // taken in order of urgency: give back, settle a bundle, take one slot.
-func Step(v View) *Assignment {
+func NextAssignment(v ProxyView) *Assignment {
 	if v.Bundle == nil {
 		return nil
 	}
-	if n := giveBack(v); n != nil {
+	if n := releaseSlots(v); n != nil {
 		return n
 	}
 	if v.Leaving {
 		return nil
 	}
-	if n := settle(v); n != nil {
+	if n := adoptCapacities(v); n != nil {
 		return n
 	}
-	return take(v)
+	return claimSlot(v)
 }
 
-func giveBack(v View) *Assignment {
-	owned := v.Assignment.Owned(v.Self)
+func releaseSlots(v ProxyView) *Assignment {
+	owned := v.Assignment.SlotsOf(v.Self)
 	release := 0
 	switch {
 	case v.Leaving:
 		release = len(owned)
-	case v.Unseated && len(owned) > 1 && !v.vacant():
+	case v.HasPeerWithoutSlots && len(owned) > 1 && !v.hasFreeSlot():
 		release = 1
 	}
 	if release == 0 {
 		return nil
 	}
-	n := v.Assignment.next(0)
+	n := v.Assignment.nextVersion(0)
 	for _, slot := range owned[len(owned)-release:] {
-		n.Slots[slot] = Holder{Seized: v.Lent}
+		n.Slots[slot] = SlotHolder{MayHaveLoans: v.HasLentQuota}
 	}
 	return n
 }
 
-// settle takes a bundle's capacities over once every holder is known to go by
+// adoptCapacities takes a bundle's capacities over once every holder is known to go by
 // them. Until then all use the lower of two shares. Bundles that change none
 // need nothing of this.
-func settle(v View) *Assignment {
+func adoptCapacities(v ProxyView) *Assignment {
 	a := v.Assignment
 	if a == nil {
-		n := a.next(v.Bundle.QuotaSlots())
-		n.Settled = v.Bundle.Version
-		n.Base = CapacitiesOf(v.Bundle)
+		n := a.nextVersion(v.Bundle.QuotaSlots())
+		n.BaseVersion = v.Bundle.Version
+		n.BaseCapacities = CapacitiesOf(v.Bundle)
 		return n
 	}
-	if a.Base.Equal(CapacitiesOf(v.Bundle)) || len(a.Owned(v.Self)) == 0 {
+	if a.BaseCapacities.Equal(CapacitiesOf(v.Bundle)) || len(a.SlotsOf(v.Self)) == 0 {
 		return nil
 	}
 	for _, h := range a.Slots {
-		if h.Name != "" && v.Using(h) < v.Using(v.Self) {
+		if h.Name != "" && v.CapacityBundle(h) < v.CapacityBundle(v.Self) {
 			return nil
 		}
 	}
 	slots := v.Bundle.QuotaSlots()
-	n := a.next(slots)
+	n := a.nextVersion(slots)
 	for i := slots; i < len(n.Slots); i++ {
 		if h := n.Slots[i]; h.Name != "" && (h.Name != v.Self.Name || h.Incarnation != v.Self.Incarnation) {
 			// A slot beyond the new number is still owned: its holder gives
 			// it back first, or loses it when the list says it is dead.
 			continue
 		}
-		n.Slots[i] = Holder{}
+		n.Slots[i] = SlotHolder{}
 	}
-	n.Settled = v.Bundle.Version
-	n.Base = CapacitiesOf(v.Bundle)
+	n.BaseVersion = v.Bundle.Version
+	n.BaseCapacities = CapacitiesOf(v.Bundle)
 	return n
 }
 
-// take claims a slot that nobody holds, or whose holder is dead by the
+// claimSlot claims a slot that nobody holds, or whose holder is dead by the
 // platform's word: its VM has left the list, or runs a later incarnation,
 // which is this very process.
-func take(v View) *Assignment {
+func claimSlot(v ProxyView) *Assignment {
 	a := v.Assignment
-	owned := len(a.Owned(v.Self))
-	if owned > 0 && (v.Unseated || !v.MayTakeMore) {
+	owned := len(a.SlotsOf(v.Self))
+	if owned > 0 && (v.HasPeerWithoutSlots || !v.MayClaimMoreSlots) {
 		return nil
 	}
-	i := v.bestFree()
+	i := v.bestFreeSlot()
 	if i < 0 {
 		return nil
 	}
-	n := a.next(0)
+	n := a.nextVersion(0)
 	n.Slots[i] = v.Self
-	n.Slots[i].Seized = a.Slots[i] != (Holder{})
+	n.Slots[i].MayHaveLoans = a.Slots[i] != (SlotHolder{})
 	return n
 }
 
-// bestFree finds a free slot, one of the own region if there is one: it holds
+// bestFreeSlot finds a free slot, one of the own region if there is one: it holds
 // most of the capacity that the own callers need.
-func (v View) bestFree() int {
+func (v ProxyView) bestFreeSlot() int {
 	other := -1
 	for i := range v.Assignment.Slots[:min(len(v.Assignment.Slots), v.usableSlots())] {
-		if !v.free(v.Assignment.Slots[i]) {
+		if !v.isFree(v.Assignment.Slots[i]) {
 			continue
 		}
-		if v.Assignment.Base.SlotRegion(i) == v.Region {
+		if v.Assignment.BaseCapacities.SlotRegion(i) == v.Region {
 			return i
 		}
 		if other < 0 {
 			other = i
 		}
 	}
-	if !v.MayTakeOther {
+	if !v.MayClaimOtherRegions {
 		return -1
 	}
 	return other
 }
 
-func (v View) usableSlots() int {
-	return min(v.Bundle.QuotaSlots(), v.Assignment.Base.slots())
+func (v ProxyView) usableSlots() int {
+	return min(v.Bundle.QuotaSlots(), v.Assignment.BaseCapacities.slots())
 }
 
-func (v View) vacant() bool {
+func (v ProxyView) hasFreeSlot() bool {
 	for _, h := range v.Assignment.Slots[:min(len(v.Assignment.Slots), v.usableSlots())] {
-		if v.free(h) {
+		if v.isFree(h) {
 			return true
 		}
 	}
 	return false
 }
 
-func (v View) free(h Holder) bool {
+func (v ProxyView) isFree(h SlotHolder) bool {
 	if h.Name == "" {
 		return true
 	}
--- a/internal/kernel/operator/bundle.go
+++ b/internal/kernel/operator/bundle.go
@@ -36,29 +36,29 @@
 	// Bundle is one version of the whole configuration. Its JSON names are in
 	// kebab case; docs/BUNDLE.md lists every field with unit and bounds.
 	Bundle struct {
-		Version  uint64     `json:"version"`
-		Comment  string     `json:"comment,omitempty"`
-		Regions  []Region   `json:"regions"`
-		Links    []Link     `json:"links,omitempty"`
-		Services []Service  `json:"services"`
-		Steering []Steering `json:"steering,omitempty"`
-		Shift    Shift      `json:"shift"`
-		Lookup   Lookup     `json:"lookup"`
-		Retry    Retry      `json:"retry"`
-		Token    Token      `json:"token"`
-		Balancer string     `json:"balancer"`
-		Drains   []Drain    `json:"drains,omitempty"`
+		Version  uint64         `json:"version"`
+		Comment  string         `json:"comment,omitempty"`
+		Regions  []Region       `json:"regions"`
+		Links    []Link         `json:"links,omitempty"`
+		Services []Service      `json:"services"`
+		Steering []SteeringRule `json:"steering,omitempty"`
+		Shift    ShiftConfig    `json:"shift"`
+		Lookup   LookupConfig   `json:"lookup"`
+		Retry    RetryConfig    `json:"retry"`
+		Token    TokenConfig    `json:"token"`
+		Balancer string         `json:"balancer"`
+		Drains   []Drain        `json:"drains,omitempty"`
 	}
 
 	// Region is one data centre with its failure domains. Capacity counts
 	// requests per second over all services; Proxies is how many quota slots
 	// the region's proxies hold between them.
 	Region struct {
-		Name     string         `json:"name"`
-		Domains  []string       `json:"failure-domains"`
-		Capacity int            `json:"capacity-per-second"`
-		Proxies  int            `json:"proxies"`
-		Prefixes []netip.Prefix `json:"client-prefixes,omitempty"`
+		Name           string         `json:"name"`
+		Domains        []string       `json:"failure-domains"`
+		Capacity       int            `json:"capacity-per-second"`
+		QuotaSlots     int            `json:"proxies"`
+		ClientPrefixes []netip.Prefix `json:"client-prefixes,omitempty"`
 	}
 
 	// Link limits requests per second from the proxies of one region to the
@@ -72,12 +72,12 @@
 	// Service is one application. Requests whose method is in Idempotent may
 	// be retried; Routes override that by path prefix.
 	Service struct {
-		Name       string   `json:"name"`
-		Idempotent []string `json:"idempotent-methods"`
-		Routes     []Route  `json:"routes,omitempty"`
-		Deadline   Duration `json:"deadline"`
-		SlowStart  Duration `json:"slow-start"`
-		Servers    []Server `json:"backend-servers"`
+		Name              string   `json:"name"`
+		IdempotentMethods []string `json:"idempotent-methods"`
+		Routes            []Route  `json:"routes,omitempty"`
+		Deadline          Duration `json:"deadline"`
+		SlowStart         Duration `json:"slow-start"`
+		Servers           []Server `json:"backend-servers"`
 	}
 
 	// Route overrides idempotence for paths that begin with Prefix.
@@ -89,26 +89,26 @@
 	// Server is one backend server. Slots is how many requests it runs at
 	// once, Connections how many it accepts over all proxies.
 	Server struct {
-		Name        string         `json:"name"`
-		Address     netip.AddrPort `json:"address"`
-		Region      string         `json:"region"`
-		Domain      string         `json:"failure-domain"`
-		Slots       int            `json:"slots"`
-		Connections int            `json:"connections"`
+		Name           string         `json:"name"`
+		Address        netip.AddrPort `json:"address"`
+		Region         string         `json:"region"`
+		Domain         string         `json:"failure-domain"`
+		Slots          int            `json:"slots"`
+		MaxConnections int            `json:"connections"`
 	}
 
-	// Steering sends a share of one region's callers to another region.
+	// SteeringRule sends a share of one region's callers to another region.
 	// Permille is in thousandths of the traffic whose home is From.
-	Steering struct {
+	SteeringRule struct {
 		From     string `json:"from"`
 		To       string `json:"to"`
 		Permille int    `json:"permille"`
 	}
 
-	// Shift limits how fast traffic moves: within any window of Interval at
+	// ShiftConfig limits how fast traffic moves: within any window of Interval at
 	// most CapPermille of a home region's traffic changes its destination.
 	// Away from a lost region the failover figures hold instead.
-	Shift struct {
+	ShiftConfig struct {
 		Planner             string   `json:"planner"`
 		CapPermille         int      `json:"cap-permille"`
 		Interval            Duration `json:"interval"`
@@ -116,22 +116,22 @@
 		FailoverInterval    Duration `json:"failover-interval"`
 	}
 
-	// Lookup tells callers how long an answer may be cached.
-	Lookup struct {
-		Lifetime Duration `json:"lifetime"`
-		Answers  int      `json:"answers"`
+	// LookupConfig tells callers how long an answer may be cached.
+	LookupConfig struct {
+		TTL     Duration `json:"lifetime"`
+		Answers int      `json:"answers"`
 	}
 
-	// Retry bounds retries to a share of recent requests, in thousandths.
-	Retry struct {
+	// RetryConfig bounds retries to a share of recent requests, in thousandths.
+	RetryConfig struct {
 		BudgetPermille int `json:"budget-permille"`
-		Attempts       int `json:"attempts"`
+		MaxAttempts    int `json:"attempts"`
 	}
 
-	// Token bounds idempotency tokens: Lifetime is how long after minting one
+	// TokenConfig bounds idempotency tokens: Lifetime is how long after minting one
 	// may be used, Retention how long after that its outcome is kept.
-	Token struct {
-		Lifetime  Duration `json:"lifetime"`
+	TokenConfig struct {
+		TTL       Duration `json:"lifetime"`
 		Retention Duration `json:"retention"`
 	}
 
@@ -156,7 +156,7 @@
 	if err := DecodeStrict(data, &b); err != nil {
 		return nil, errors.Wrap(err, "bundle")
 	}
-	if err := b.Check(); err != nil {
+	if err := b.Validate(); err != nil {
 		return nil, err
 	}
 	return &b, nil
@@ -202,7 +202,7 @@
 func (b *Bundle) QuotaSlots() int {
 	total := 0
 	for _, r := range b.Regions {
-		total += r.Proxies
+		total += r.QuotaSlots
 	}
 	return total
 }
@@ -221,7 +221,7 @@
 	if longest >= 0 {
 		return idempotent
 	}
-	for _, m := range s.Idempotent {
+	for _, m := range s.IdempotentMethods {
 		if m == method {
 			return true
 		}
@@ -237,8 +237,8 @@
 	return d.End.IsZero() || now.Before(d.End)
 }
 
-// Drained reports whether a drain of this kind and target holds at now.
-func (b *Bundle) Drained(kind DrainKind, target string, now time.Time) bool {
+// IsDrained reports whether a drain of this kind and target holds at now.
+func (b *Bundle) IsDrained(kind DrainKind, target string, now time.Time) bool {
 	for i := range b.Drains {
 		d := &b.Drains[i]
 		if d.Kind == kind && d.Target == target && d.Active(now) {
--- a/internal/kernel/operator/bundle_test.go
+++ b/internal/kernel/operator/bundle_test.go
@@ -33,8 +33,8 @@
 	return data
 }
 
-// set puts a value at a path of object names and list indices.
-func set(node any, path []any, value any) {
+// setAt puts a value at a path of object names and list indices.
+func setAt(node any, path []any, value any) {
 	switch at := path[0].(type) {
 	case string:
 		object := node.(map[string]any)
@@ -42,18 +42,18 @@
 			object[at] = value
 			return
 		}
-		set(object[at], path[1:], value)
+		setAt(object[at], path[1:], value)
 	case float64:
 		list := node.([]any)
 		if len(path) == 1 {
 			list[int(at)] = value
 			return
 		}
-		set(list[int(at)], path[1:], value)
+		setAt(list[int(at)], path[1:], value)
 	}
 }
 
-func TestExamplesAreInOrder(t *testing.T) {
+func TestExampleBundlesAreValid(t *testing.T) {
 	for _, name := range []string{"trinacria", "hokkaido"} {
 		b, err := ParseBundle(exampleBundle(t, name))
 		if err != nil {
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestWrongBundles reads edits from a data file; each must give an error that
+// TestInvalidBundles reads edits from a data file; each must give an error that
 // names the field.
-func TestWrongBundles(t *testing.T) {
+func TestInvalidBundles(t *testing.T) {
 	data, err := os.ReadFile("testdata/wrong-bundles.json")
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 			if err := json.Unmarshal(exampleBundle(t, "trinacria"), &tree); err != nil {
 				t.Fatal(err)
 			}
-			set(tree, c.Path, c.Value)
+			setAt(tree, c.Path, c.Value)
 			edited, err := json.Marshal(tree)
 			if err != nil {
 				t.Fatal(err)
@@ -98,7 +98,7 @@
 	}
 }
 
-func keyPair(t *testing.T, operator string) *KeyPair {
+func newKeyPair(t *testing.T, operator string) *KeyPair {
 	t.Helper()
 	k, err := NewKeyPair(operator)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return k
 }
 
-func signed(t *testing.T, author, second *KeyPair) *Envelope {
+func signedEnvelope(t *testing.T, author, second *KeyPair) *Envelope {
 	t.Helper()
 	b, err := ParseBundle(exampleBundle(t, "trinacria"))
 	if err != nil {
@@ -128,31 +128,31 @@
 // stranger, with a signature of another role, or with the content changed
 // after signing. Every way must be refused at each proxy.
 func TestSignatures(t *testing.T) {
-	anna, bruno, stranger := keyPair(t, "anna"), keyPair(t, "bruno"), keyPair(t, "mallory")
-	annaToo := keyPair(t, "anna")
-	trust := Trust{anna.Trusted(), annaToo.Trusted(), bruno.Trusted()}
+	anna, bruno, stranger := newKeyPair(t, "anna"), newKeyPair(t, "bruno"), newKeyPair(t, "mallory")
+	annaToo := newKeyPair(t, "anna")
+	trust := TrustedKeys{anna.TrustedKey(), annaToo.TrustedKey(), bruno.TrustedKey()}
 	cases := []struct {
 		name string
 		edit func(*Envelope)
 		want error
 	}{
 		{"two people", func(*Envelope) {}, nil},
-		{"no approver", func(e *Envelope) { e.Approver = Signature{} }, ErrUnsigned},
-		{"no author", func(e *Envelope) { e.Author = Signature{} }, ErrUnsigned},
-		{"a stranger approves", func(e *Envelope) { e.Approver, _ = stranger.sign(roleApprover, e.Digest) }, ErrUntrusted},
-		{"one person with two keys", func(e *Envelope) { e.Approver, _ = annaToo.sign(roleApprover, e.Digest) }, ErrSamePerson},
-		{"author's signature as approver's", func(e *Envelope) { e.Approver, _ = bruno.sign(roleAuthor, e.Digest) }, ErrBadSignature},
+		{"no approver", func(e *Envelope) { e.Approver = Signature{} }, ErrMissingSignature},
+		{"no author", func(e *Envelope) { e.Author = Signature{} }, ErrMissingSignature},
+		{"a stranger approves", func(e *Envelope) { e.Approver, _ = stranger.sign(roleApprover, e.Digest) }, ErrUntrustedKey},
+		{"one person with two keys", func(e *Envelope) { e.Approver, _ = annaToo.sign(roleApprover, e.Digest) }, ErrSameOperator},
+		{"author's signature as approver's", func(e *Envelope) { e.Approver, _ = bruno.sign(roleAuthor, e.Digest) }, ErrInvalidSignature},
 		{"a stranger under a trusted name", func(e *Envelope) {
 			e.Approver, _ = stranger.sign(roleApprover, e.Digest)
 			e.Approver.Operator = "bruno"
-		}, ErrBadSignature},
+		}, ErrInvalidSignature},
 		{"content changed", func(e *Envelope) {
 			e.Bundle = json.RawMessage(strings.Replace(string(e.Bundle), `"capacity-per-second":2800`, `"capacity-per-second":2801`, 1))
-		}, ErrBadSignature},
+		}, ErrInvalidSignature},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			e := signed(t, anna, bruno)
+			e := signedEnvelope(t, anna, bruno)
 			c.edit(e)
 			_, err := trust.Verify(e)
 			if !errors.Is(err, c.want) {
@@ -162,8 +162,8 @@
 	}
 }
 
-func TestApproverMustBeAnother(t *testing.T) {
-	anna := keyPair(t, "anna")
+func TestAuthorCannotApprove(t *testing.T) {
+	anna := newKeyPair(t, "anna")
 	b, err := ParseBundle(exampleBundle(t, "trinacria"))
 	if err != nil {
 		t.Fatal(err)
@@ -172,8 +172,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := anna.Approve(e); !errors.Is(got, ErrSamePerson) {
-		t.Errorf("got error %v, want %v", got, ErrSamePerson)
+	if got := anna.Approve(e); !errors.Is(got, ErrSameOperator) {
+		t.Errorf("got error %v, want %v", got, ErrSameOperator)
 	}
 }
 
@@ -199,8 +199,8 @@
 
 func ExampleService_IsIdempotent() {
 	s := Service{
-		Idempotent: []string{"GET"},
-		Routes:     []Route{{Prefix: "/search", Idempotent: true}},
+		IdempotentMethods: []string{"GET"},
+		Routes:            []Route{{Prefix: "/search", Idempotent: true}},
 	}
 	fmt.Println(s.IsIdempotent("GET", "/bids/7"), s.IsIdempotent("POST", "/bids"), s.IsIdempotent("POST", "/search/all"))
 	// Output: true false true
@@ -224,8 +224,8 @@
 	// version 1 -> 2
 }
 
-// TestReferencePageNamesEveryField keeps docs/BUNDLE.md true.
-func TestReferencePageNamesEveryField(t *testing.T) {
+// TestReferencePageListsEveryField keeps docs/BUNDLE.md true.
+func TestReferencePageListsEveryField(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "BUNDLE.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -251,7 +251,7 @@
 
 // Two operators sign a bundle in which a field stands twice. One reader takes
 // the first value, another the last, and they would not have signed the same.
-func TestAmbiguousTextIsRefused(t *testing.T) {
+func TestAmbiguousTextIsRejected(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{`{"version": 3, "version": 1}`, "version: is given twice"},
 		{`{"regions": [{"name": "a", "name": "b"}]}`, "regions[0].name: is given twice"},
--- a/internal/kernel/operator/decode.go
+++ b/internal/kernel/operator/decode.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	textType = reflect.TypeFor[encoding.TextUnmarshaler]()
-	jsonType = reflect.TypeFor[json.Unmarshaler]()
+	textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
+	jsonUnmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 )
 
 // DecodeStrict decodes one JSON value, refusing unknown fields, fields given
@@ -30,7 +30,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		if path, cause := locate(data, reflect.TypeOf(into).Elem(), ""); cause != nil {
+		if path, cause := findDecodeError(data, reflect.TypeOf(into).Elem(), ""); cause != nil {
 			return errors.Wrap(cause, path)
 		}
 		return errors.Wrap(err, "decode")
@@ -57,15 +57,15 @@
 	if errors.Is(err, jsontext.ErrDuplicateName) {
 		cause = "is given twice"
 	}
-	path := pathOf(syntax.JSONPointer)
+	path := fieldPath(syntax.JSONPointer)
 	if path == "" {
 		return errors.Errorf("byte %d: %s", syntax.ByteOffset, cause)
 	}
 	return errors.Errorf("%s: %s", path, cause)
 }
 
-// pathOf writes a pointer such as "/regions/0/name" as regions[0].name.
-func pathOf(pointer jsontext.Pointer) string {
+// fieldPath writes a pointer such as "/regions/0/name" as regions[0].name.
+func fieldPath(pointer jsontext.Pointer) string {
 	path := ""
 	for token := range pointer.Tokens() {
 		if _, err := strconv.Atoi(token); err == nil {
@@ -77,22 +77,22 @@
 	return path
 }
 
-// locate finds the first field whose value does not decode. The decoder tells
+// findDecodeError finds the first field whose value does not decode. The decoder tells
 // the field for numbers and lists, but not for addresses, times and spans,
 // which are what an operator most often gets wrong.
-func locate(raw json.RawMessage, kind reflect.Type, path string) (string, error) {
-	decodesItself := reflect.PointerTo(kind).Implements(textType) || reflect.PointerTo(kind).Implements(jsonType)
+func findDecodeError(raw json.RawMessage, kind reflect.Type, path string) (string, error) {
+	decodesItself := reflect.PointerTo(kind).Implements(textUnmarshalerType) || reflect.PointerTo(kind).Implements(jsonUnmarshalerType)
 	switch {
 	case decodesItself:
 	case kind.Kind() == reflect.Struct:
-		return locateInObject(raw, kind, path)
+		return findDecodeErrorInObject(raw, kind, path)
 	case kind.Kind() == reflect.Slice && kind.Elem().Kind() != reflect.Uint8:
 		var items []json.RawMessage
 		if err := json.Unmarshal(raw, &items); err != nil {
 			return path, errors.New("must be a list")
 		}
 		for i, item := range items {
-			if at, err := locate(item, kind.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
+			if at, err := findDecodeError(item, kind.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
 				return at, err
 			}
 		}
@@ -101,7 +101,7 @@
 	return path, json.Unmarshal(raw, reflect.New(kind).Interface())
 }
 
-func locateInObject(raw json.RawMessage, kind reflect.Type, path string) (string, error) {
+func findDecodeErrorInObject(raw json.RawMessage, kind reflect.Type, path string) (string, error) {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &object); err != nil {
 		return path, errors.New("must be an object")
@@ -114,7 +114,7 @@
 		if !given {
 			continue
 		}
-		if at, err := locate(value, field.Type, joinPath(path, name)); err != nil {
+		if at, err := findDecodeError(value, field.Type, joinPath(path, name)); err != nil {
 			return at, err
 		}
 	}
--- a/internal/kernel/operator/sign.go
+++ b/internal/kernel/operator/sign.go
@@ -16,14 +16,14 @@
 )
 
 var (
-	// ErrUnsigned means that a needed signature is missing.
-	ErrUnsigned = errors.New("signature missing")
-	// ErrUntrusted means that a signature's key is not a trusted one.
-	ErrUntrusted = errors.New("key is not trusted")
-	// ErrBadSignature means that a signature does not fit the bundle.
-	ErrBadSignature = errors.New("signature does not fit the bundle")
-	// ErrSamePerson means that author and approver are one person.
-	ErrSamePerson = errors.New("author and approver must be two people")
+	// ErrMissingSignature means that a needed signature is missing.
+	ErrMissingSignature = errors.New("signature missing")
+	// ErrUntrustedKey means that a signature's key is not a trusted one.
+	ErrUntrustedKey = errors.New("key is not trusted")
+	// ErrInvalidSignature means that a signature does not fit the bundle.
+	ErrInvalidSignature = errors.New("signature does not fit the bundle")
+	// ErrSameOperator means that author and approver are one person.
+	ErrSameOperator = errors.New("author and approver must be two people")
 )
 
 type (
@@ -32,16 +32,16 @@
 
 	// KeyPair is an operator's key file. Seed never leaves the operator.
 	KeyPair struct {
-		Operator string    `json:"operator"`
-		Public   PublicKey `json:"public-key"`
-		Seed     string    `json:"seed"`
+		Operator  string    `json:"operator"`
+		PublicKey PublicKey `json:"public-key"`
+		Seed      string    `json:"seed"`
 	}
 
 	// TrustedKey binds a person to a verification key. Two keys with one
 	// operator name count as one person.
 	TrustedKey struct {
-		Operator string    `json:"operator"`
-		Public   PublicKey `json:"public-key"`
+		Operator  string    `json:"operator"`
+		PublicKey PublicKey `json:"public-key"`
 	}
 
 	// Signature is one person's consent to a digest.
@@ -53,15 +53,15 @@
 	// Envelope is a bundle with its signatures. Operation identifies one
 	// roll-out, so that a lost answer can be settled by reading back.
 	Envelope struct {
-		Bundle    json.RawMessage `json:"bundle"`
-		Digest    Digest          `json:"digest"`
-		Author    Signature       `json:"author"`
-		Approver  Signature       `json:"approver,omitzero"`
-		Operation string          `json:"operation,omitempty"`
+		Bundle      json.RawMessage `json:"bundle"`
+		Digest      Digest          `json:"digest"`
+		Author      Signature       `json:"author"`
+		Approver    Signature       `json:"approver,omitzero"`
+		OperationID string          `json:"operation,omitempty"`
 	}
 
-	// Trust is the set of keys that a node believes.
-	Trust []TrustedKey
+	// TrustedKeys is the set of keys that a node believes.
+	TrustedKeys []TrustedKey
 )
 
 // NewKeyPair makes a key for one operator.
@@ -74,15 +74,15 @@
 		return nil, errors.Wrap(err, "make key")
 	}
 	return &KeyPair{
-		Operator: operator,
-		Public:   PublicKey(base64.StdEncoding.EncodeToString(public)),
-		Seed:     base64.StdEncoding.EncodeToString(private.Seed()),
+		Operator:  operator,
+		PublicKey: PublicKey(base64.StdEncoding.EncodeToString(public)),
+		Seed:      base64.StdEncoding.EncodeToString(private.Seed()),
 	}, nil
 }
 
-// Trusted is the public half.
-func (k *KeyPair) Trusted() TrustedKey {
-	return TrustedKey{Operator: k.Operator, Public: k.Public}
+// TrustedKey is the public half.
+func (k *KeyPair) TrustedKey() TrustedKey {
+	return TrustedKey{Operator: k.Operator, PublicKey: k.PublicKey}
 }
 
 // Propose signs a bundle as its author.
@@ -98,7 +98,7 @@
 // Approve adds the second person's signature.
 func (k *KeyPair) Approve(e *Envelope) error {
 	if e.Author.Operator == k.Operator {
-		return ErrSamePerson
+		return ErrSameOperator
 	}
 	signature, err := k.sign(roleApprover, e.Digest)
 	if err != nil {
@@ -113,24 +113,24 @@
 	if err != nil || len(seed) != ed25519.SeedSize {
 		return Signature{}, errors.New("seed: must be 32 bytes in base64")
 	}
-	value := ed25519.Sign(ed25519.NewKeyFromSeed(seed), signedText(role, d))
+	value := ed25519.Sign(ed25519.NewKeyFromSeed(seed), signedMessage(role, d))
 	return Signature{Operator: k.Operator, Value: base64.StdEncoding.EncodeToString(value)}, nil
 }
 
-// signedText names the role, so that an author's signature cannot be replayed
+// signedMessage names the role, so that an author's signature cannot be replayed
 // as the approver's.
-func signedText(role string, d Digest) []byte {
+func signedMessage(role string, d Digest) []byte {
 	return fmt.Appendf(nil, "gypsumquay bundle %s %s", role, d)
 }
 
 // VerifyProposal checks the bundle, its digest and the author's signature.
-func (t Trust) VerifyProposal(e *Envelope) (*Bundle, error) {
+func (t TrustedKeys) VerifyProposal(e *Envelope) (*Bundle, error) {
 	b, err := ParseBundle(e.Bundle)
 	if err != nil {
 		return nil, err
 	}
 	if b.Digest() != e.Digest {
-		return nil, errors.Wrap(ErrBadSignature, "digest")
+		return nil, errors.Wrap(ErrInvalidSignature, "digest")
 	}
 	if err := t.verify(roleAuthor, e.Author, e.Digest); err != nil {
 		return nil, errors.Wrap(err, roleAuthor)
@@ -139,7 +139,7 @@
 }
 
 // Verify checks a bundle that is to come into force: two trusted people.
-func (t Trust) Verify(e *Envelope) (*Bundle, error) {
+func (t TrustedKeys) Verify(e *Envelope) (*Bundle, error) {
 	b, err := t.VerifyProposal(e)
 	if err != nil {
 		return nil, err
@@ -148,18 +148,18 @@
 		return nil, errors.Wrap(err, roleApprover)
 	}
 	if e.Author.Operator == e.Approver.Operator {
-		return nil, ErrSamePerson
+		return nil, ErrSameOperator
 	}
 	return b, nil
 }
 
-func (t Trust) verify(role string, s Signature, d Digest) error {
+func (t TrustedKeys) verify(role string, s Signature, d Digest) error {
 	if s.Operator == "" || s.Value == "" {
-		return ErrUnsigned
+		return ErrMissingSignature
 	}
 	value, err := base64.StdEncoding.DecodeString(s.Value)
 	if err != nil {
-		return ErrBadSignature
+		return ErrInvalidSignature
 	}
 	known := false
 	for _, k := range t {
@@ -167,15 +167,15 @@
 			continue
 		}
 		known = true
-		public, err := base64.StdEncoding.DecodeString(string(k.Public))
-		if err == nil && len(public) == ed25519.PublicKeySize && ed25519.Verify(public, signedText(role, d), value) {
+		public, err := base64.StdEncoding.DecodeString(string(k.PublicKey))
+		if err == nil && len(public) == ed25519.PublicKeySize && ed25519.Verify(public, signedMessage(role, d), value) {
 			return nil
 		}
 	}
 	if !known {
-		return errors.Wrap(ErrUntrusted, s.Operator)
+		return errors.Wrap(ErrUntrustedKey, s.Operator)
 	}
-	return ErrBadSignature
+	return ErrInvalidSignature
 }
 
 // ParseEnvelope decodes an envelope without judging its signatures.
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -61,7 +61,7 @@
 	d.peers.Sent = d.meters.peerSent
 	d.peers.Received = d.meters.peerReceived
 	d.platform = kvhttp.NewClient(s.Platform)
-	d.platform.Called = d.meters.platformCall
+	d.platform.OnCall = d.meters.platformCall
 	config, err := kernelConfig(s)
 	if err != nil {
 		return nil, err
@@ -81,13 +81,13 @@
 	limits := callerhttp.Limits{Body: s.Limits.Body, Total: s.Limits.AllBodies}
 	d.callers = callerhttp.NewServer(d.driver.Do, d.runner.Run, limits, d.driver.Now, d.meters.request).HTTP()
 	d.operators = (&operatorhttp.Server{
-		Kernel:   d.driver.Do,
-		Trust:    config.Trust,
-		Platform: d.platform.Store(),
-		List:     d.platform.List,
-		Metrics:  d.meters.set,
-		Ready:    d.ready,
-	}).HTTP()
+		WithKernel: d.driver.Do,
+		Trust:      config.Trust,
+		Store:      d.platform.Store(),
+		ListValues: d.platform.List,
+		Metrics:    d.meters.set,
+		Ready:      d.ready,
+	}).HTTPServer()
 	d.meters.watch(d.driver)
 	return d, nil
 }
@@ -149,7 +149,7 @@
 	go func() { failed <- d.callers.Serve(listeners[1]) }()
 	go func() { failed <- d.operators.Serve(listeners[2]) }()
 	watcher := driver.NewWatcher(d.driver, driver.Platform{
-		Store: d.platform.Store(), Watch: d.platform.Watch, Machines: d.platform.Machines,
+		Store: d.platform.Store(), Watch: d.platform.Watch, Machines: d.platform.WatchMachines,
 	})
 	go watcher.Run(ctx)
 	ticking := make(chan struct{})
--- a/internal/proxy/daemon/process_test.go
+++ b/internal/proxy/daemon/process_test.go
@@ -134,7 +134,7 @@
 			"callers": f.callers[i], "operators": f.operators[i], "peers": f.peers[i],
 		},
 		"platform": []netip.AddrPort{f.platform}, "seed-peers": []netip.AddrPort{f.peers[0], f.peers[1]},
-		"trusted-operators": []operator.TrustedKey{f.keys[0].Trusted(), f.keys[1].Trusted()},
+		"trusted-operators": []operator.TrustedKey{f.keys[0].TrustedKey(), f.keys[1].TrustedKey()},
 	}
 	data, err := json.Marshal(settings)
 	if err != nil {
@@ -187,10 +187,10 @@
 	if err := f.keys[1].Approve(e); err != nil {
 		f.t.Fatal(err)
 	}
-	e.Operation = "first"
+	e.OperationID = "first"
 	f.eventually("roll-out", func() bool {
 		out, err := f.client.Rollout(context.Background(), e)
-		return err == nil && out.Verdict == "accepted"
+		return err == nil && out.Result == "accepted"
 	})
 }
 
--- a/internal/proxy/driver/platform.go
+++ b/internal/proxy/driver/platform.go
@@ -24,7 +24,7 @@
 	Platform struct {
 		kv.Store
 		Watch    func(ctx context.Context, key kv.Key, after kv.Revision) (kv.Value, error)
-		Machines func(ctx context.Context, after uint64) (*kv.Machines, error)
+		Machines func(ctx context.Context, after uint64) (*kv.MachineList, error)
 	}
 
 	// Watcher brings what the platform holds to the kernel while this proxy
@@ -85,7 +85,7 @@
 	return func(ctx context.Context) error {
 		asked := w.driver.Now()
 		value, err := w.platform.Watch(ctx, key, after)
-		if err != nil && !errors.Is(err, kv.ErrAbsent) {
+		if err != nil && !errors.Is(err, kv.ErrNotFound) {
 			return err
 		}
 		if value.Revision == after && after != 0 {
@@ -98,7 +98,7 @@
 		}
 		// The platform holds an older value than this proxy: it was restored
 		// from a backup. Writing the newer one back keeps it in force.
-		if _, err := w.platform.Swap(ctx, key, value.Revision, repair); err != nil {
+		if _, err := w.platform.CompareAndSwap(ctx, key, value.Revision, repair); err != nil {
 			return errors.Wrap(err, "write back "+string(key))
 		}
 		klog.InfoS("platform held an older value; wrote the newer one back", "key", key)
@@ -147,7 +147,7 @@
 // swap. The result is heard back through the watch, or here at once.
 func StoreAssignment(ctx context.Context, s kv.Store, a core.StoreAssignment, hear func(*kv.Assignment)) {
 	value, err := s.Get(ctx, kv.KeyAssignment)
-	if err != nil && !errors.Is(err, kv.ErrAbsent) {
+	if err != nil && !errors.Is(err, kv.ErrNotFound) {
 		return
 	}
 	if stored, err := kv.ParseAssignment(value.Data); err == nil {
@@ -158,7 +158,7 @@
 	} else if a.ExpectedVersion != 0 {
 		return
 	}
-	if _, err := s.Swap(ctx, kv.KeyAssignment, value.Revision, a.Value.Encode()); err == nil {
+	if _, err := s.CompareAndSwap(ctx, kv.KeyAssignment, value.Revision, a.Value.Encode()); err == nil {
 		hear(a.Value)
 	}
 }
--- a/internal/proxy/forward/daemon.go
+++ b/internal/proxy/forward/daemon.go
@@ -85,7 +85,7 @@
 	d.journal = newJournal(s.Name, d.now, d.meters)
 	config.Observe, config.Record = d.observe, seams.Record
 	d.kernel = steering.New(config)
-	d.operators = (&steeringhttp.Server{Status: d.status, Events: d.journal.events, Metrics: d.meters.set}).HTTP()
+	d.operators = (&steeringhttp.Server{Status: d.status, Events: d.journal.events, Metrics: d.meters.set}).HTTPServer()
 	seams.Store = counted(seams.Store, d.meters.storeCall)
 	d.feed = newFeed(d)
 	d.verdicts = newVerdicts(d, seams.Store)
--- a/internal/proxy/forward/face.go
+++ b/internal/proxy/forward/face.go
@@ -69,17 +69,17 @@
 	var table *routing.Table
 	d.do(func(k *steering.Kernel, now time.Time) { view, table = k.Status(now), k.Table() })
 	s := steeringhttp.Status{
-		VM: d.settings.Name, Configuration: view.Version, CopyRevision: d.feed.revision(),
-		CopyAge: d.feed.age().Round(time.Millisecond).String(), InFlight: view.InFlight, Stopping: d.isStopping(),
-		Evacuated: view.Evacuated, Stranded: view.Stranded, Off: view.Off, Holding: view.Holding, Proxies: d.feed.proxies(), At: time.Now(),
+		VM: d.settings.Name, ConfigurationVersion: view.Version, ReplicaRevision: d.feed.revision(),
+		ReplicaAge: d.feed.age().Round(time.Millisecond).String(), InFlight: view.InFlight, Stopping: d.isStopping(),
+		EvacuatedDomains: view.Evacuated, RegionsWithoutProxies: view.Stranded, MechanismsOff: view.Off, ConcurrencyLimits: view.Holding, Proxies: d.feed.proxies(), At: time.Now(),
 	}
 	for _, b := range view.Servers {
 		s.Servers = append(s.Servers, serverOf(b))
 	}
 	for _, c := range view.Condemned {
-		s.Condemned = append(s.Condemned, steeringhttp.CondemnedWork{Work: c.Work.String(), Ends: c.Open(), For: c.For.Round(time.Second).String()})
+		s.QuarantinedWork = append(s.QuarantinedWork, steeringhttp.QuarantinedWork{Fingerprint: c.Work.String(), Crashes: c.Open(), QuarantinedFor: c.For.Round(time.Second).String()})
 	}
-	s.Holders, s.Pool = view.Holders, view.Pool
+	s.QuotaProxies, s.QuotaPool = view.Holders, view.Pool
 	for _, a := range view.Accounts {
 		s.Accounts = append(s.Accounts, accountOf(a))
 	}
@@ -100,8 +100,8 @@
 // serverOf is a backend server as operators see it.
 func serverOf(b steering.ServerStatus) steeringhttp.BackendServer {
 	out := steeringhttp.BackendServer{
-		ID: b.ID, Service: b.Service, Domain: b.Domain, State: steeringhttp.StateOf(b), InFlight: b.InFlight,
-		Slots: b.Slots, Load: b.Load, Speed: b.Speed, Failed: b.Failed, Leaves: b.Leaves,
+		ID: b.ID, Service: b.Service, Domain: b.Domain, State: steeringhttp.ServerState(b), InFlight: b.InFlight,
+		Slots: b.Slots, Load: b.Load, Slowdown: b.Speed, FailureShare: b.Failed, ReportsDraining: b.Leaves,
 	}
 	if b.Limit.Named {
 		out.Limit = &b.Limit.PerSecond
--- a/internal/proxy/forward/journal.go
+++ b/internal/proxy/forward/journal.go
@@ -180,7 +180,7 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.ring.Add(steeringhttp.EventOf(j.vm, e))
+	j.ring.Add(steeringhttp.NewEvent(j.vm, e))
 }
 
 // events lists what is kept, of one request or all.
--- a/internal/proxy/forward/members.go
+++ b/internal/proxy/forward/members.go
@@ -160,7 +160,7 @@
 	defer f.mu.Unlock()
 	list := make([]steeringhttp.Proxy, 0, len(f.members))
 	for _, m := range f.members {
-		list = append(list, steeringhttp.Proxy{Name: m.Name, Domain: m.Domain, Region: m.Region, Operators: m.Operators, Leaving: m.Leaving})
+		list = append(list, steeringhttp.Proxy{Name: m.Name, Domain: m.Domain, Region: m.Region, OperatorAddress: m.Operators, Leaving: m.Leaving})
 	}
 	slices.SortFunc(list, func(a, b steeringhttp.Proxy) int { return strings.Compare(a.Name, b.Name) })
 	return list
