--- a/internal/adapter/kvhttp/client.go
+++ b/internal/adapter/kvhttp/client.go
@@ -85,9 +85,9 @@
 	return kv.ParseMachineList(value.Data)
 }
 
-// Swap writes a value if it is still at the expected revision; zero expects
+// CompareAndSwap writes a value if it is still at the expected revision; zero expects
 // none. ErrUnavailable leaves open whether the write took effect: read back.
-func (c *Client) Swap(ctx context.Context, key kv.Key, expect kv.Revision, data []byte) (kv.Revision, error) {
+func (c *Client) CompareAndSwap(ctx context.Context, key kv.Key, expect kv.Revision, data []byte) (kv.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	request, err := c.newRequest(ctx, http.MethodPut, "/v1/keys/"+url.PathEscape(string(key)), nil, data)
@@ -131,16 +131,16 @@
 		return kv.Value{}, errors.Wrap(kv.ErrUnavailable, err.Error())
 	}
 	revision, _ := strconv.ParseUint(response.Header.Get(HeaderRevision), 10, 64)
-	value := kv.Value{Revision: kv.Revision(revision), Data: data}
+	result := kv.Value{Revision: kv.Revision(revision), Data: data}
 	switch response.StatusCode {
 	case http.StatusOK:
-		return value, nil
+		return result, nil
 	case http.StatusNotFound:
-		return value, kv.ErrNotFound
+		return result, kv.ErrNotFound
 	case http.StatusConflict:
-		return value, kv.ErrConflict
+		return result, kv.ErrConflict
 	}
-	return value, errors.Wrapf(kv.ErrUnavailable, "status %d", response.StatusCode)
+	return result, errors.Wrapf(kv.ErrUnavailable, "status %d", response.StatusCode)
 }
 
 // List reads all values whose keys begin with a prefix.
@@ -160,7 +160,7 @@
 
 // Store gives the client as the kernel's seam.
 func (c *Client) Store() kv.Store {
-	return kv.Store{Get: c.Get, CompareAndSwap: c.Swap, Sleep: sleep}
+	return kv.Store{Get: c.Get, CompareAndSwap: c.CompareAndSwap, Sleep: sleep}
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/adapter/operatorhttp/client.go
+++ b/internal/adapter/operatorhttp/client.go
@@ -50,22 +50,22 @@
 }
 
 // callAny asks one proxy after the other until one answers.
-func (c *Client) callAny(ctx context.Context, method, path string, in, out any) error {
-	var last error
+func (c *Client) callAny(ctx context.Context, method, path string, requestBody, responseBody any) error {
+	var lastErr error
 	for _, address := range c.addresses {
-		err := c.call(ctx, address, method, path, in, out)
+		err := c.call(ctx, address, method, path, requestBody, responseBody)
 		if err == nil || errors.Is(err, ErrRejected) {
 			return err
 		}
-		last = err
+		lastErr = err
 	}
-	return errors.Wrapf(ErrNoProxy, "%v", last)
+	return errors.Wrapf(ErrNoProxy, "%v", lastErr)
 }
 
-func (c *Client) call(ctx context.Context, address netip.AddrPort, method, path string, in, out any) error {
+func (c *Client) call(ctx context.Context, address netip.AddrPort, method, path string, requestBody, responseBody any) error {
 	var body []byte
-	if in != nil {
-		data, err := json.Marshal(in)
+	if requestBody != nil {
+		data, err := json.Marshal(requestBody)
 		if err != nil {
 			return errors.Wrap(err, "encode")
 		}
@@ -87,7 +87,7 @@
 	if response.StatusCode != http.StatusOK {
 		return responseError(response.StatusCode, data)
 	}
-	return errs.Wrap(json.Unmarshal(data, out), "decode answer")
+	return errs.Wrap(json.Unmarshal(data, responseBody), "decode answer")
 }
 
 func responseError(status int, data []byte) error {
@@ -138,14 +138,14 @@
 
 // Propose stores a proposal, or its approval.
 func (c *Client) Propose(ctx context.Context, e *operator.Envelope) error {
-	var out operator.Envelope
-	return c.callAny(ctx, http.MethodPost, PathProposals, e, &out)
+	var stored operator.Envelope
+	return c.callAny(ctx, http.MethodPost, PathProposals, e, &stored)
 }
 
 // Rollout brings a signed bundle into force. Through whichever proxy it goes,
 // and however often, the operation takes effect once.
 func (c *Client) Rollout(ctx context.Context, e *operator.Envelope) (RolloutResponse, error) {
-	var out RolloutResponse
-	err := c.callAny(ctx, http.MethodPost, PathRollout, e, &out)
-	return out, err
+	var response RolloutResponse
+	err := c.callAny(ctx, http.MethodPost, PathRollout, e, &response)
+	return response, err
 }
--- a/internal/adapter/operatorhttp/server.go
+++ b/internal/adapter/operatorhttp/server.go
@@ -171,11 +171,11 @@
 		writeError(w, http.StatusBadRequest, errors.New("operation: must be set, or a lost answer could not be settled"))
 		return
 	}
-	verdict, current := kv.Rollout(r.Context(), s.Store, b, e)
-	if verdict == kv.RolloutAccepted {
+	result, current := kv.Rollout(r.Context(), s.Store, b, e)
+	if result == kv.RolloutAccepted {
 		s.WithKernel(func(k *core.Kernel, now time.Time) { k.ApplyBundle(now, e.Encode()) })
 	}
-	writeJSON(w, http.StatusOK, RolloutResponse{Result: verdict, CurrentVersion: current})
+	writeJSON(w, http.StatusOK, RolloutResponse{Result: result, CurrentVersion: current})
 }
 
 func readEnvelope(w http.ResponseWriter, r *http.Request) (*operator.Envelope, bool) {
--- a/internal/adapter/steeringhttp/client.go
+++ b/internal/adapter/steeringhttp/client.go
@@ -45,7 +45,7 @@
 	return list, err
 }
 
-func (c *Client) get(ctx context.Context, target string, into any) error {
+func (c *Client) get(ctx context.Context, target string, out any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return errors.Wrap(err, "request")
@@ -58,5 +58,5 @@
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("proxy answered with status %d", response.StatusCode)
 	}
-	return errs.Wrap(json.NewDecoder(response.Body).Decode(into), "proxy's answer")
+	return errs.Wrap(json.NewDecoder(response.Body).Decode(out), "proxy's answer")
 }
--- a/internal/fake/simnet/synthetic.go
+++ b/internal/fake/simnet/synthetic.go
@@ -23,7 +23,7 @@
 			Planner: "headroom", CapPermille: 100, Interval: operator.Duration(10 * time.Second),
 			FailoverCapPermille: 250, FailoverInterval: operator.Duration(time.Second),
 		},
-		Lookup: operator.LookupConfig{TTL: operator.Duration(3 * time.Second), Answers: 3},
+		Lookup: operator.LookupConfig{TTL: operator.Duration(3 * time.Second), MaxProxies: 3},
 		Retry:  operator.RetryConfig{BudgetPermille: 100, MaxAttempts: 3},
 		Token:  operator.TokenConfig{TTL: operator.Duration(time.Minute), Retention: operator.Duration(time.Minute)},
 	}
--- a/internal/kernel/core/lookup.go
+++ b/internal/kernel/core/lookup.go
@@ -48,10 +48,10 @@
 	}
 	key := xxhash.Sum64(client.AsSlice())
 	candidates := k.candidates(now)
-	answer.Proxies = appendHighestRanked(nil, candidates[answer.HomeRegion], key, k.bundle.Lookup.Answers)
+	answer.Proxies = appendHighestRanked(nil, candidates[answer.HomeRegion], key, k.bundle.Lookup.MaxProxies)
 	for _, r := range k.regions {
-		if r.Name != answer.HomeRegion && len(answer.Proxies) < k.bundle.Lookup.Answers {
-			answer.Proxies = appendHighestRanked(answer.Proxies, candidates[r.Name], key, k.bundle.Lookup.Answers)
+		if r.Name != answer.HomeRegion && len(answer.Proxies) < k.bundle.Lookup.MaxProxies {
+			answer.Proxies = appendHighestRanked(answer.Proxies, candidates[r.Name], key, k.bundle.Lookup.MaxProxies)
 		}
 	}
 	return answer, len(answer.Proxies) > 0
--- a/internal/kernel/kv/assignment.go
+++ b/internal/kernel/kv/assignment.go
@@ -130,10 +130,10 @@
 
 // SlotRegion names the region that a slot belongs to.
 func (c *Capacities) SlotRegion(slot int) string {
-	at := 0
+	end := 0
 	for _, r := range c.Regions {
-		at += r.Slots
-		if slot < at {
+		end += r.Slots
+		if slot < end {
 			return r.Name
 		}
 	}
@@ -145,67 +145,67 @@
 // are of either, because its own proxies carry most of its traffic. The shares
 // of all slots sum to the capacity.
 func (c *Capacities) RegionShare(region string, slot int) int {
-	own, capacity := 0, 0
+	ownSlots, capacity := 0, 0
 	for _, r := range c.Regions {
 		if r.Name == region {
-			own = r.Slots
+			ownSlots = r.Slots
 			capacity = r.Capacity
 		}
 	}
-	ownWeight, otherWeight := ownSlotsWeight*(c.slots()-own), otherSlotsWeight*own
-	if own == 0 || own == c.slots() {
+	ownWeight, otherWeight := ownSlotsWeight*(c.slots()-ownSlots), otherSlotsWeight*ownSlots
+	if ownSlots == 0 || ownSlots == c.slots() {
 		ownWeight, otherWeight = 1, 1
 	}
-	before, mine, total, at := 0, 0, 0, 0
+	weightBefore, slotWeight, totalWeight, firstSlot := 0, 0, 0, 0
 	for _, r := range c.Regions {
 		weight := otherWeight
 		if r.Name == region {
 			weight = ownWeight
 		}
 		switch {
-		case slot >= at+r.Slots:
-			before += weight * r.Slots
-		case slot >= at:
-			before += weight * (slot - at)
-			mine = weight
+		case slot >= firstSlot+r.Slots:
+			weightBefore += weight * r.Slots
+		case slot >= firstSlot:
+			weightBefore += weight * (slot - firstSlot)
+			slotWeight = weight
 		}
-		total += weight * r.Slots
-		at += r.Slots
+		totalWeight += weight * r.Slots
+		firstSlot += r.Slots
 	}
-	return proportionalShare(capacity, before, mine, total)
+	return proportionalShare(capacity, weightBefore, slotWeight, totalWeight)
 }
 
 // LinkShare is one slot's share of a link's limit, which only slots of the
 // region that it leads from have. It reports false when there is no limit.
 func (c *Capacities) LinkShare(from, to string, slot int) (int, bool) {
-	at := 0
+	firstSlot := 0
 	slots := 0
 	for _, r := range c.Regions {
 		if r.Name == from {
 			slots = r.Slots
 			break
 		}
-		at += r.Slots
+		firstSlot += r.Slots
 	}
 	for _, l := range c.Links {
 		if l.From != from || l.To != to {
 			continue
 		}
-		if slot < at || slot >= at+slots {
+		if slot < firstSlot || slot >= firstSlot+slots {
 			return 0, true
 		}
-		return proportionalShare(l.Limit, slot-at, 1, slots), true
+		return proportionalShare(l.Limit, slot-firstSlot, 1, slots), true
 	}
 	return 0, false
 }
 
 // proportionalShare is what falls to own units after before units, of total, such that all
 // parts sum to the whole.
-func proportionalShare(whole, before, own, total int) int {
-	if total == 0 {
+func proportionalShare(amount, weightBefore, weight, totalWeight int) int {
+	if totalWeight == 0 {
 		return 0
 	}
-	return whole*(before+own)/total - whole*before/total
+	return amount*(weightBefore+weight)/totalWeight - amount*weightBefore/totalWeight
 }
 
 // ParseAssignment decodes an assignment.
@@ -218,7 +218,7 @@
 }
 
 // Encode writes the assignment as stored and sent.
-func (a *Assignment) Encode() []byte { return encode(a) }
+func (a *Assignment) Encode() []byte { return mustEncode(a) }
 
 // ParseMachineList decodes a list of VMs.
 func ParseMachineList(data []byte) (*MachineList, error) {
@@ -230,9 +230,9 @@
 }
 
 // Encode writes the list as sent.
-func (m *MachineList) Encode() []byte { return encode(m) }
+func (l *MachineList) Encode() []byte { return mustEncode(l) }
 
-func encode(v any) []byte {
+func mustEncode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
 		panic("platform: value does not encode: " + err.Error())
@@ -242,9 +242,9 @@
 
 // WithState is the next version of the list with one VM's state changed. An empty
 // state takes the VM out.
-func (m *MachineList) WithState(name string, state MachineState) MachineList {
-	next := MachineList{Version: m.Version + 1}
-	for _, machine := range m.Machines {
+func (l *MachineList) WithState(name string, state MachineState) MachineList {
+	next := MachineList{Version: l.Version + 1}
+	for _, machine := range l.Machines {
 		if machine.Name != name {
 			next.Machines = append(next.Machines, machine)
 		}
@@ -256,13 +256,13 @@
 }
 
 // State finds a VM in the list; false means that the list does not show it.
-func (m *MachineList) State(name string) (MachineState, bool) {
-	if m == nil {
+func (l *MachineList) State(name string) (MachineState, bool) {
+	if l == nil {
 		return "", false
 	}
-	for i := range m.Machines {
-		if m.Machines[i].Name == name {
-			return m.Machines[i].State, true
+	for i := range l.Machines {
+		if l.Machines[i].Name == name {
+			return l.Machines[i].State, true
 		}
 	}
 	return "", false
@@ -284,14 +284,14 @@
 
 // nextVersion copies the assignment under the following version.
 func (a *Assignment) nextVersion(slots int) *Assignment {
-	n := &Assignment{Version: 1}
+	next := &Assignment{Version: 1}
 	if a != nil {
-		*n = *a
-		n.Version = a.Version + 1
-		n.Slots = slices.Clone(a.Slots)
+		*next = *a
+		next.Version = a.Version + 1
+		next.Slots = slices.Clone(a.Slots)
 	}
-	for len(n.Slots) < slots {
-		n.Slots = append(n.Slots, SlotHolder{})
+	for len(next.Slots) < slots {
+		next.Slots = append(next.Slots, SlotHolder{})
 	}
-	return n
+	return next
 }
--- a/internal/kernel/kv/assignment_test.go
+++ b/internal/kernel/kv/assignment_test.go
@@ -15,17 +15,17 @@
 			c.Links = append(c.Links, LinkCapacity{From: fmt.Sprint("r", i), To: "r0", Limit: 601})
 		}
 		for _, r := range c.Regions {
-			sum, link := 0, 0
+			regionSum, linkSum := 0, 0
 			for slot := range c.slots() {
-				sum += c.RegionShare(r.Name, slot)
+				regionSum += c.RegionShare(r.Name, slot)
 				share, _ := c.LinkShare(r.Name, "r0", slot)
-				link += share
+				linkSum += share
 			}
-			if got, want := sum, r.Capacity; got != want {
+			if got, want := regionSum, r.Capacity; got != want {
 				t.Errorf("slots %v, region %s: got shares of %d, want %d", slots, r.Name, got, want)
 			}
-			if want := min(601, 601*r.Slots); link != want {
-				t.Errorf("slots %v, link from %s: got shares of %d, want %d", slots, r.Name, link, want)
+			if want := min(601, 601*r.Slots); linkSum != want {
+				t.Errorf("slots %v, link from %s: got shares of %d, want %d", slots, r.Name, linkSum, want)
 			}
 		}
 	}
--- a/internal/kernel/kv/steps.go
+++ b/internal/kernel/kv/next_assignment.go
@@ -38,35 +38,35 @@
 	if v.Bundle == nil {
 		return nil
 	}
-	if n := releaseSlots(v); n != nil {
-		return n
+	if next := releaseSlots(v); next != nil {
+		return next
 	}
 	if v.Leaving {
 		return nil
 	}
-	if n := adoptCapacities(v); n != nil {
-		return n
+	if next := adoptCapacities(v); next != nil {
+		return next
 	}
 	return claimSlot(v)
 }
 
 func releaseSlots(v ProxyView) *Assignment {
 	owned := v.Assignment.SlotsOf(v.Self)
-	release := 0
+	count := 0
 	switch {
 	case v.Leaving:
-		release = len(owned)
+		count = len(owned)
 	case v.HasPeerWithoutSlots && len(owned) > 1 && !v.hasFreeSlot():
-		release = 1
+		count = 1
 	}
-	if release == 0 {
+	if count == 0 {
 		return nil
 	}
-	n := v.Assignment.nextVersion(0)
-	for _, slot := range owned[len(owned)-release:] {
-		n.Slots[slot] = SlotHolder{MayHaveLoans: v.HasLentQuota}
+	next := v.Assignment.nextVersion(0)
+	for _, slot := range owned[len(owned)-count:] {
+		next.Slots[slot] = SlotHolder{MayHaveLoans: v.HasLentQuota}
 	}
-	return n
+	return next
 }
 
 // adoptCapacities takes a bundle's capacities over once every holder is known to go by
@@ -75,10 +75,10 @@
 func adoptCapacities(v ProxyView) *Assignment {
 	a := v.Assignment
 	if a == nil {
-		n := a.nextVersion(v.Bundle.QuotaSlots())
-		n.BaseVersion = v.Bundle.Version
-		n.BaseCapacities = CapacitiesOf(v.Bundle)
-		return n
+		next := a.nextVersion(v.Bundle.QuotaSlots())
+		next.BaseVersion = v.Bundle.Version
+		next.BaseCapacities = CapacitiesOf(v.Bundle)
+		return next
 	}
 	if a.BaseCapacities.Equal(CapacitiesOf(v.Bundle)) || len(a.SlotsOf(v.Self)) == 0 {
 		return nil
@@ -89,18 +89,18 @@
 		}
 	}
 	slots := v.Bundle.QuotaSlots()
-	n := a.nextVersion(slots)
-	for i := slots; i < len(n.Slots); i++ {
-		if h := n.Slots[i]; h.Name != "" && (h.Name != v.Self.Name || h.Incarnation != v.Self.Incarnation) {
+	next := a.nextVersion(slots)
+	for i := slots; i < len(next.Slots); i++ {
+		if h := next.Slots[i]; h.Name != "" && (h.Name != v.Self.Name || h.Incarnation != v.Self.Incarnation) {
 			// A slot beyond the new number is still owned: its holder gives
 			// it back first, or loses it when the list says it is dead.
 			continue
 		}
-		n.Slots[i] = SlotHolder{}
+		next.Slots[i] = SlotHolder{}
 	}
-	n.BaseVersion = v.Bundle.Version
-	n.BaseCapacities = CapacitiesOf(v.Bundle)
-	return n
+	next.BaseVersion = v.Bundle.Version
+	next.BaseCapacities = CapacitiesOf(v.Bundle)
+	return next
 }
 
 // claimSlot claims a slot that nobody holds, or whose holder is dead by the
@@ -108,24 +108,24 @@
 // which is this very process.
 func claimSlot(v ProxyView) *Assignment {
 	a := v.Assignment
-	owned := len(a.SlotsOf(v.Self))
-	if owned > 0 && (v.HasPeerWithoutSlots || !v.MayClaimMoreSlots) {
+	ownedCount := len(a.SlotsOf(v.Self))
+	if ownedCount > 0 && (v.HasPeerWithoutSlots || !v.MayClaimMoreSlots) {
 		return nil
 	}
-	i := v.bestFreeSlot()
-	if i < 0 {
+	slot := v.bestFreeSlot()
+	if slot < 0 {
 		return nil
 	}
-	n := a.nextVersion(0)
-	n.Slots[i] = v.Self
-	n.Slots[i].MayHaveLoans = a.Slots[i] != (SlotHolder{})
-	return n
+	next := a.nextVersion(0)
+	next.Slots[slot] = v.Self
+	next.Slots[slot].MayHaveLoans = a.Slots[slot] != (SlotHolder{})
+	return next
 }
 
 // bestFreeSlot finds a free slot, one of the own region if there is one: it holds
 // most of the capacity that the own callers need.
 func (v ProxyView) bestFreeSlot() int {
-	other := -1
+	otherRegionSlot := -1
 	for i := range v.Assignment.Slots[:min(len(v.Assignment.Slots), v.usableSlots())] {
 		if !v.isFree(v.Assignment.Slots[i]) {
 			continue
@@ -133,14 +133,14 @@
 		if v.Assignment.BaseCapacities.SlotRegion(i) == v.Region {
 			return i
 		}
-		if other < 0 {
-			other = i
+		if otherRegionSlot < 0 {
+			otherRegionSlot = i
 		}
 	}
 	if !v.MayClaimOtherRegions {
 		return -1
 	}
-	return other
+	return otherRegionSlot
 }
 
 func (v ProxyView) usableSlots() int {
--- a/internal/kernel/kv/rollout.go
+++ b/internal/kernel/kv/rollout.go
@@ -78,9 +78,9 @@
 	case err != nil:
 		return RolloutUndecided, 0
 	default:
-		var same bool
-		current, same = storedVersion(value.Data, e)
-		if same {
+		var isSame bool
+		current, isSame = storedVersion(value.Data, e)
+		if isSame {
 			return RolloutAccepted, current
 		}
 	}
@@ -105,11 +105,11 @@
 	if err != nil {
 		return 0, false
 	}
-	var head struct {
+	var header struct {
 		Version uint64 `json:"version"`
 	}
-	if err := json.Unmarshal(stored.Bundle, &head); err != nil {
+	if err := json.Unmarshal(stored.Bundle, &header); err != nil {
 		return 0, false
 	}
-	return head.Version, stored.OperationID == e.OperationID && stored.Digest == e.Digest
+	return header.Version, stored.OperationID == e.OperationID && stored.Digest == e.Digest
 }
--- a/internal/kernel/operator/bundle.go
+++ b/internal/kernel/operator/bundle.go
@@ -118,8 +118,8 @@
 
 	// LookupConfig tells callers how long an answer may be cached.
 	LookupConfig struct {
-		TTL     Duration `json:"lifetime"`
-		Answers int      `json:"answers"`
+		TTL        Duration `json:"lifetime"`
+		MaxProxies int      `json:"answers"`
 	}
 
 	// RetryConfig bounds retries to a share of recent requests, in thousandths.
@@ -210,15 +210,15 @@
 // IsIdempotent reports whether a request may be repeated. The longest route
 // that matches the path decides; without one the method does.
 func (s *Service) IsIdempotent(method, path string) bool {
-	longest := -1
+	longestPrefix := -1
 	idempotent := false
 	for _, r := range s.Routes {
-		if len(r.Prefix) > longest && len(path) >= len(r.Prefix) && path[:len(r.Prefix)] == r.Prefix {
-			longest = len(r.Prefix)
+		if len(r.Prefix) > longestPrefix && len(path) >= len(r.Prefix) && path[:len(r.Prefix)] == r.Prefix {
+			longestPrefix = len(r.Prefix)
 			idempotent = r.Idempotent
 		}
 	}
-	if longest >= 0 {
+	if longestPrefix >= 0 {
 		return idempotent
 	}
 	for _, m := range s.IdempotentMethods {
--- a/internal/kernel/operator/bundle_test.go
+++ b/internal/kernel/operator/bundle_test.go
@@ -14,9 +14,9 @@
 )
 
 type (
-	// editCase is one wrong bundle: a value set at a path, and the field that
+	// invalidBundleCase is one wrong bundle: a value set at a path, and the field that
 	// the error must name.
-	editCase struct {
+	invalidBundleCase struct {
 		Name  string `json:"name"`
 		Path  []any  `json:"path"`
 		Value any    `json:"value"`
@@ -35,21 +35,21 @@
 
 // setAt puts a value at a path of object names and list indices.
 func setAt(node any, path []any, value any) {
-	switch at := path[0].(type) {
+	switch step := path[0].(type) {
 	case string:
 		object := node.(map[string]any)
 		if len(path) == 1 {
-			object[at] = value
+			object[step] = value
 			return
 		}
-		setAt(object[at], path[1:], value)
+		setAt(object[step], path[1:], value)
 	case float64:
 		list := node.([]any)
 		if len(path) == 1 {
-			list[int(at)] = value
+			list[int(step)] = value
 			return
 		}
-		setAt(list[int(at)], path[1:], value)
+		setAt(list[int(step)], path[1:], value)
 	}
 }
 
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var cases []editCase
+	var cases []invalidBundleCase
 	if err := json.Unmarshal(data, &cases); err != nil {
 		t.Fatal(err)
 	}
@@ -129,8 +129,8 @@
 // after signing. Every way must be refused at each proxy.
 func TestSignatures(t *testing.T) {
 	anna, bruno, stranger := newKeyPair(t, "anna"), newKeyPair(t, "bruno"), newKeyPair(t, "mallory")
-	annaToo := newKeyPair(t, "anna")
-	trust := TrustedKeys{anna.TrustedKey(), annaToo.TrustedKey(), bruno.TrustedKey()}
+	secondAnnaKey := newKeyPair(t, "anna")
+	trust := TrustedKeys{anna.TrustedKey(), secondAnnaKey.TrustedKey(), bruno.TrustedKey()}
 	cases := []struct {
 		name string
 		edit func(*Envelope)
@@ -140,7 +140,7 @@
 		{"no approver", func(e *Envelope) { e.Approver = Signature{} }, ErrMissingSignature},
 		{"no author", func(e *Envelope) { e.Author = Signature{} }, ErrMissingSignature},
 		{"a stranger approves", func(e *Envelope) { e.Approver, _ = stranger.sign(roleApprover, e.Digest) }, ErrUntrustedKey},
-		{"one person with two keys", func(e *Envelope) { e.Approver, _ = annaToo.sign(roleApprover, e.Digest) }, ErrSameOperator},
+		{"one person with two keys", func(e *Envelope) { e.Approver, _ = secondAnnaKey.sign(roleApprover, e.Digest) }, ErrSameOperator},
 		{"author's signature as approver's", func(e *Envelope) { e.Approver, _ = bruno.sign(roleAuthor, e.Digest) }, ErrInvalidSignature},
 		{"a stranger under a trusted name", func(e *Envelope) {
 			e.Approver, _ = stranger.sign(roleApprover, e.Digest)
@@ -187,11 +187,11 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseBundle(b.Encode())
+		reparsed, err := ParseBundle(b.Encode())
 		if err != nil {
 			t.Fatalf("got error %v for the bundle's own encoding, want none", err)
 		}
-		if got, want := again.Digest(), b.Digest(); got != want {
+		if got, want := reparsed.Digest(), b.Digest(); got != want {
 			t.Errorf("got digest %s after one round, want %s", got, want)
 		}
 	})
@@ -231,17 +231,17 @@
 		t.Fatal(err)
 	}
 	var check func(reflect.Type)
-	check = func(kind reflect.Type) {
-		for kind.Kind() == reflect.Slice {
-			kind = kind.Elem()
+	check = func(typ reflect.Type) {
+		for typ.Kind() == reflect.Slice {
+			typ = typ.Elem()
 		}
-		if kind.Kind() != reflect.Struct || kind.PkgPath() != reflect.TypeFor[Bundle]().PkgPath() {
+		if typ.Kind() != reflect.Struct || typ.PkgPath() != reflect.TypeFor[Bundle]().PkgPath() {
 			return
 		}
-		for field := range kind.Fields() {
+		for field := range typ.Fields() {
 			name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 			if !strings.Contains(string(page), name+"`") && !strings.Contains(string(page), "`"+name+".") {
-				t.Errorf("got a page without field %q of %s, want it listed", name, kind.Name())
+				t.Errorf("got a page without field %q of %s, want it listed", name, typ.Name())
 			}
 			check(field.Type)
 		}
--- a/internal/kernel/operator/check.go
+++ b/internal/kernel/operator/check.go
@@ -18,7 +18,7 @@
 	maxDuration      = 10 * time.Minute
 	fullPermille     = 1000
 	maxAttempts      = 5
-	maxAnswers       = 16
+	maxLookupProxies = 16
 	maxTokenDuration = time.Hour
 	maxRateLimit     = 10_000_000
 	maxNameLength    = 64
@@ -52,7 +52,7 @@
 	c.regions(b)
 	c.links(b)
 	c.services(b)
-	c.steering(b)
+	c.steeringRules(b)
 	c.trafficSettings(b)
 	c.drains(b)
 	return errors.Join(c.errs...)
@@ -62,21 +62,21 @@
 	c.errs = append(c.errs, &FieldError{Field: field, Want: want, Got: fmt.Sprint(got)})
 }
 
-func (c *validator) atLeast(field string, got, least int64) {
-	if got < least {
-		c.addError(field, fmt.Sprintf("at least %d", least), got)
+func (c *validator) atLeast(field string, got, minimum int64) {
+	if got < minimum {
+		c.addError(field, fmt.Sprintf("at least %d", minimum), got)
 	}
 }
 
-func (c *validator) inRange(field string, got, least, most int) {
-	if got < least || got > most {
-		c.addError(field, fmt.Sprintf("between %d and %d", least, most), got)
+func (c *validator) inRange(field string, got, minimum, maximum int) {
+	if got < minimum || got > maximum {
+		c.addError(field, fmt.Sprintf("between %d and %d", minimum, maximum), got)
 	}
 }
 
-func (c *validator) durationInRange(field string, got Duration, least, most time.Duration) {
-	if got.Std() < least || got.Std() > most {
-		c.addError(field, fmt.Sprintf("between %s and %s", least, most), got.Std())
+func (c *validator) durationInRange(field string, got Duration, minimum, maximum time.Duration) {
+	if got.Std() < minimum || got.Std() > maximum {
+		c.addError(field, fmt.Sprintf("between %s and %s", minimum, maximum), got.Std())
 	}
 }
 
@@ -175,8 +175,8 @@
 	c.inRange(field+".connections", s.MaxConnections, 1, maxRateLimit)
 }
 
-func (c *validator) steering(b *Bundle) {
-	sums := make(map[string]int)
+func (c *validator) steeringRules(b *Bundle) {
+	totalPermille := make(map[string]int)
 	for i, s := range b.Steering {
 		field := fmt.Sprintf("steering[%d]", i)
 		c.existingRegion(b, field+".from", s.From)
@@ -185,9 +185,9 @@
 		if s.From == s.To {
 			c.addError(field+".to", "another region than from", fmt.Sprintf("%q", s.To))
 		}
-		sums[s.From] += s.Permille
-		if sums[s.From] > fullPermille {
-			c.addError(field+".permille", "at most 1000 in sum for "+s.From, sums[s.From])
+		totalPermille[s.From] += s.Permille
+		if totalPermille[s.From] > fullPermille {
+			c.addError(field+".permille", "at most 1000 in sum for "+s.From, totalPermille[s.From])
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	if b.Shift.Interval < b.Lookup.TTL {
 		c.addError("shift.interval", "at least lookup.lifetime ("+b.Lookup.TTL.Std().String()+")", b.Shift.Interval.Std())
 	}
-	c.inRange("lookup.answers", b.Lookup.Answers, 1, maxAnswers)
+	c.inRange("lookup.answers", b.Lookup.MaxProxies, 1, maxLookupProxies)
 	c.inRange("retry.budget-permille", b.Retry.BudgetPermille, 0, fullPermille)
 	c.inRange("retry.attempts", b.Retry.MaxAttempts, 1, maxAttempts)
 	c.durationInRange("token.lifetime", b.Token.TTL, minDuration, maxTokenDuration)
--- a/internal/kernel/operator/decode.go
+++ b/internal/kernel/operator/decode.go
@@ -23,14 +23,14 @@
 
 // DecodeStrict decodes one JSON value, refusing unknown fields, fields given
 // twice and trailing text. An error names the field by its path.
-func DecodeStrict(data []byte, into any) error {
+func DecodeStrict(data []byte, out any) error {
 	if err := CheckSyntax(data); err != nil {
 		return err
 	}
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
-		if path, cause := findDecodeError(data, reflect.TypeOf(into).Elem(), ""); cause != nil {
+	if err := decoder.Decode(out); err != nil {
+		if path, cause := findDecodeError(data, reflect.TypeOf(out).Elem(), ""); cause != nil {
 			return errors.Wrap(cause, path)
 		}
 		return errors.Wrap(err, "decode")
@@ -80,42 +80,42 @@
 // findDecodeError finds the first field whose value does not decode. The decoder tells
 // the field for numbers and lists, but not for addresses, times and spans,
 // which are what an operator most often gets wrong.
-func findDecodeError(raw json.RawMessage, kind reflect.Type, path string) (string, error) {
-	decodesItself := reflect.PointerTo(kind).Implements(textUnmarshalerType) || reflect.PointerTo(kind).Implements(jsonUnmarshalerType)
+func findDecodeError(raw json.RawMessage, typ reflect.Type, path string) (string, error) {
+	hasUnmarshaler := reflect.PointerTo(typ).Implements(textUnmarshalerType) || reflect.PointerTo(typ).Implements(jsonUnmarshalerType)
 	switch {
-	case decodesItself:
-	case kind.Kind() == reflect.Struct:
-		return findDecodeErrorInObject(raw, kind, path)
-	case kind.Kind() == reflect.Slice && kind.Elem().Kind() != reflect.Uint8:
+	case hasUnmarshaler:
+	case typ.Kind() == reflect.Struct:
+		return findDecodeErrorInObject(raw, typ, path)
+	case typ.Kind() == reflect.Slice && typ.Elem().Kind() != reflect.Uint8:
 		var items []json.RawMessage
 		if err := json.Unmarshal(raw, &items); err != nil {
 			return path, errors.New("must be a list")
 		}
 		for i, item := range items {
-			if at, err := findDecodeError(item, kind.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
-				return at, err
+			if errPath, err := findDecodeError(item, typ.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
+				return errPath, err
 			}
 		}
 		return "", nil
 	}
-	return path, json.Unmarshal(raw, reflect.New(kind).Interface())
+	return path, json.Unmarshal(raw, reflect.New(typ).Interface())
 }
 
-func findDecodeErrorInObject(raw json.RawMessage, kind reflect.Type, path string) (string, error) {
+func findDecodeErrorInObject(raw json.RawMessage, typ reflect.Type, path string) (string, error) {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &object); err != nil {
 		return path, errors.New("must be an object")
 	}
 	known := make(map[string]bool)
-	for field := range kind.Fields() {
+	for field := range typ.Fields() {
 		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 		known[name] = true
-		value, given := object[name]
-		if !given {
+		value, present := object[name]
+		if !present {
 			continue
 		}
-		if at, err := findDecodeError(value, field.Type, joinPath(path, name)); err != nil {
-			return at, err
+		if errPath, err := findDecodeError(value, field.Type, joinPath(path, name)); err != nil {
+			return errPath, err
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(object)) {
--- a/internal/kernel/operator/duration.go
+++ b/internal/kernel/operator/duration.go
@@ -27,10 +27,10 @@
 	if err := json.Unmarshal(data, &text); err != nil {
 		return errors.New(`a time span must be text with a unit, such as "250ms"`)
 	}
-	span, err := time.ParseDuration(text)
+	parsed, err := time.ParseDuration(text)
 	if err != nil {
 		return errors.Errorf("%q is no time span; write for example \"250ms\" or \"10s\"", text)
 	}
-	*d = Duration(span)
+	*d = Duration(parsed)
 	return nil
 }
--- a/internal/kernel/operator/sign.go
+++ b/internal/kernel/operator/sign.go
@@ -161,18 +161,18 @@
 	if err != nil {
 		return ErrInvalidSignature
 	}
-	known := false
+	hasKey := false
 	for _, k := range t {
 		if k.Operator != s.Operator {
 			continue
 		}
-		known = true
+		hasKey = true
 		public, err := base64.StdEncoding.DecodeString(string(k.PublicKey))
 		if err == nil && len(public) == ed25519.PublicKeySize && ed25519.Verify(public, signedMessage(role, d), value) {
 			return nil
 		}
 	}
-	if !known {
+	if !hasKey {
 		return errors.Wrap(ErrUntrustedKey, s.Operator)
 	}
 	return ErrInvalidSignature
