--- a/internal/adapter/kvhttp/client.go
+++ b/internal/adapter/kvhttp/client.go
@@ -1,9 +1,8 @@
-// Package kvhttp speaks to the platform's key-value service and list of
-// VMs over HTTP.
+// Package kvhttp is an HTTP client for the platform's key-value service and list of VMs.
 //
-// The dialect is that of the project's stand-in: GET with a revision to wait
-// for, PUT with the expected revision, and the new revision in a header. A
-// deployment on another service replaces this package only.
+// The protocol is that of the project's fake platform: GET with a revision to wait for, PUT with
+// the expected revision, and the new revision in a response header. A deployment on another service
+// only has to replace this package.
 package kvhttp
 
 import (
@@ -26,46 +25,46 @@
 )
 
 const (
-	// HeaderRevision carries a value's revision.
+	// HeaderRevision is the response header with a value's revision.
 	HeaderRevision = "Revision"
-	// HeaderExpectedRevision carries the revision that a write expects.
+	// HeaderExpectedRevision is the request header with the revision that a write expects.
 	HeaderExpectedRevision = "Expect-Revision"
-	// MaxValueBytes is the largest value that the service takes.
+	// MaxValueBytes is the maximum size of a value that the service accepts.
 	MaxValueBytes = 1 << 20
 
 	readTimeout  = 2 * time.Second
 	writeTimeout = 2 * time.Second
-	// WatchTimeout is how long the service holds a watch without news.
+	// WatchTimeout is how long the service keeps a watch request open without a change.
 	WatchTimeout       = 30 * time.Second
 	watchTimeoutMargin = 5 * time.Second
 )
 
 type (
-	// Client calls the platform, trying its addresses in turn.
+	// Client sends requests to the platform, to each of its addresses in turn.
 	Client struct {
 		addresses   []netip.AddrPort
 		http        *http.Client
 		nextAddress atomic.Uint64
-		// OnCall counts calls by operation, for metrics; nil for none.
+		// OnCall is called with the operation's name for each request, for metrics. It may be nil.
 		OnCall func(operation string)
 	}
 )
 
-// NewClient makes a client of the platform at these addresses.
+// NewClient returns a client of the platform at these addresses.
 func NewClient(addresses []netip.AddrPort) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute}
 	return &Client{addresses: addresses, http: &http.Client{Transport: transport}}
 }
 
-// Get reads a value. ErrNotFound means that there is none.
+// Get returns the value of a key, or kv.ErrNotFound.
 func (c *Client) Get(ctx context.Context, key kv.Key) (kv.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return c.read(ctx, "get", "/v1/keys/"+url.PathEscape(string(key)), nil)
 }
 
-// Watch waits until the value is past a revision. It returns ErrNotFound or the
-// same revision when nothing came in time.
+// Watch waits until the value has a later revision than after and returns it. At the timeout it
+// returns kv.ErrNotFound or the value at the unchanged revision.
 func (c *Client) Watch(ctx context.Context, key kv.Key, after kv.Revision) (kv.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+watchTimeoutMargin)
 	defer cancel()
@@ -73,7 +72,8 @@
 	return c.read(ctx, "watch", "/v1/keys/"+url.PathEscape(string(key)), query)
 }
 
-// WatchMachines waits until the list of VMs is past a version.
+// WatchMachines waits until the list of VMs has a later version than after, or the timeout, and
+// returns it.
 func (c *Client) WatchMachines(ctx context.Context, after uint64) (*kv.MachineList, error) {
 	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+watchTimeoutMargin)
 	defer cancel()
@@ -85,8 +85,9 @@
 	return kv.ParseMachineList(value.Data)
 }
 
-// CompareAndSwap writes a value if it is still at the expected revision; zero expects
-// none. ErrUnavailable leaves open whether the write took effect: read back.
+// CompareAndSwap writes a value if it is still at the expected revision; zero means that there is
+// no value yet. After kv.ErrUnavailable it is unknown whether the write took effect, so that the
+// caller has to read the value back.
 func (c *Client) CompareAndSwap(ctx context.Context, key kv.Key, expect kv.Revision, data []byte) (kv.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -114,7 +115,7 @@
 		target += "?" + query.Encode()
 	}
 	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(data))
-	return request, errs.Wrap(err, "platform request")
+	return request, errs.Wrap(err, "create platform request")
 }
 
 func (c *Client) do(operation string, request *http.Request) (kv.Value, error) {
@@ -143,7 +144,7 @@
 	return result, errors.Wrapf(kv.ErrUnavailable, "status %d", response.StatusCode)
 }
 
-// List reads all values whose keys begin with a prefix.
+// List returns all values whose keys begin with a prefix.
 func (c *Client) List(ctx context.Context, prefix kv.Key) (map[kv.Key]kv.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -153,12 +154,12 @@
 	}
 	var items map[kv.Key]kv.Value
 	if err := json.Unmarshal(value.Data, &items); err != nil {
-		return nil, errors.Wrap(err, "list of values")
+		return nil, errors.Wrap(err, "decode list of values")
 	}
 	return items, nil
 }
 
-// Store gives the client as the kernel's seam.
+// Store returns the client as the interface that package kv uses.
 func (c *Client) Store() kv.Store {
 	return kv.Store{Get: c.Get, CompareAndSwap: c.CompareAndSwap, Sleep: sleep}
 }
--- a/internal/adapter/operatorhttp/api.go
+++ b/internal/adapter/operatorhttp/api.go
@@ -1,5 +1,5 @@
-// Package operatorhttp is the system's face to operators: the interface that
-// each proxy offers and the client that the command line uses.
+// Package operatorhttp implements the HTTP API for operators: the server that runs in each proxy
+// and the client that the command line uses.
 package operatorhttp
 
 import (
@@ -10,43 +10,43 @@
 )
 
 const (
-	// PathStatus describes one proxy.
+	// PathStatus returns the status of the proxy.
 	PathStatus = "/v1/status"
-	// PathMembers lists all proxies that one knows.
+	// PathMembers lists all proxies that the proxy knows.
 	PathMembers = "/v1/members"
-	// PathEvents lists one proxy's event log.
+	// PathEvents lists the proxy's event log.
 	PathEvents = "/v1/events"
-	// PathBundle is the signed bundle in force.
+	// PathBundle returns the envelope of the current bundle.
 	PathBundle = "/v1/bundle"
-	// PathProposals lists and takes proposed bundles.
+	// PathProposals lists proposed bundles and accepts new ones.
 	PathProposals = "/v1/proposals"
-	// PathRollout brings a signed bundle into force.
+	// PathRollout rolls out a signed bundle.
 	PathRollout = "/v1/rollout"
 )
 
 type (
-	// RolloutResponse is what became of a roll-out and which version is in force.
+	// RolloutResponse is the outcome of a rollout, with the version of the current bundle.
 	RolloutResponse struct {
 		Result         kv.RolloutResult `json:"verdict"`
 		CurrentVersion uint64           `json:"current-version"`
 	}
 
-	// ErrorResponse is the body of an answer that is not a success.
+	// ErrorResponse is the body of an unsuccessful response.
 	ErrorResponse struct {
 		Error string `json:"error"`
 	}
 
-	// ProposalsResponse lists envelopes that wait for approval or roll-out.
+	// ProposalsResponse lists the envelopes that await approval or rollout.
 	ProposalsResponse struct {
 		Envelopes []operator.Envelope `json:"proposals"`
 	}
 
-	// MembersResponse lists proxies.
+	// MembersResponse lists the proxies that the responding proxy knows.
 	MembersResponse struct {
 		Members []peer.Member `json:"members"`
 	}
 
-	// EventsResponse is a stretch of one proxy's event log.
+	// EventsResponse is a part of a proxy's event log.
 	EventsResponse struct {
 		Events []core.Event `json:"events"`
 	}
--- a/internal/adapter/operatorhttp/client.go
+++ b/internal/adapter/operatorhttp/client.go
@@ -23,14 +23,14 @@
 )
 
 var (
-	// ErrRejected means that a proxy understood the request and refused it.
-	ErrRejected = errors.New("refused")
-	// ErrNoProxy means that no proxy answered.
-	ErrNoProxy = errors.New("no proxy answers")
+	// ErrRejected means that a proxy understood the request and rejected it.
+	ErrRejected = errors.New("request rejected")
+	// ErrNoProxy means that no proxy responded.
+	ErrNoProxy = errors.New("no proxy responded")
 )
 
 type (
-	// Client asks proxies on behalf of an operator.
+	// Client sends an operator's requests to proxies.
 	Client struct {
 		addresses []netip.AddrPort
 		scheme    string
@@ -38,8 +38,8 @@
 	}
 )
 
-// NewClient makes a client of the proxies at these operator addresses. With a
-// TLS configuration it speaks HTTPS.
+// NewClient returns a client of the proxies at these operator addresses. It uses HTTPS if config
+// isn't nil.
 func NewClient(addresses []netip.AddrPort, config *tls.Config) *Client {
 	c := &Client{addresses: addresses, scheme: "http", http: &http.Client{Timeout: clientTimeout}}
 	if config != nil {
@@ -49,7 +49,7 @@
 	return c
 }
 
-// callAny asks one proxy after the other until one answers.
+// callAny sends the request to one proxy after another until one accepts or rejects it.
 func (c *Client) callAny(ctx context.Context, method, path string, requestBody, responseBody any) error {
 	var lastErr error
 	for _, address := range c.addresses {
@@ -67,29 +67,31 @@
 	if requestBody != nil {
 		data, err := json.Marshal(requestBody)
 		if err != nil {
-			return errors.Wrap(err, "encode")
+			return errors.Wrap(err, "encode request")
 		}
 		body = data
 	}
 	request, err := http.NewRequestWithContext(ctx, method, c.scheme+"://"+address.String()+path, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "create request")
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "ask proxy")
+		return errors.Wrap(err, "send request to proxy")
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return errors.Wrap(err, "read answer")
+		return errors.Wrap(err, "read response")
 	}
 	if response.StatusCode != http.StatusOK {
 		return responseError(response.StatusCode, data)
 	}
-	return errs.Wrap(json.Unmarshal(data, responseBody), "decode answer")
+	return errs.Wrap(json.Unmarshal(data, responseBody), "decode response")
 }
 
+// responseError returns the error of an unsuccessful response. Server errors don't count as
+// rejections, so that callAny tries the next proxy.
 func responseError(status int, data []byte) error {
 	var f ErrorResponse
 	if err := json.Unmarshal(data, &f); err != nil || f.Error == "" {
@@ -101,49 +103,49 @@
 	return errors.Wrap(ErrRejected, f.Error)
 }
 
-// Status asks one proxy for its status.
+// Status returns the status of a proxy.
 func (c *Client) Status(ctx context.Context, address netip.AddrPort) (core.Status, error) {
 	var s core.Status
 	err := c.call(ctx, address, http.MethodGet, PathStatus, nil, &s)
 	return s, err
 }
 
-// Events asks one proxy for its event log.
+// Events returns the event log of a proxy.
 func (c *Client) Events(ctx context.Context, address netip.AddrPort) ([]core.Event, error) {
 	var e EventsResponse
 	err := c.call(ctx, address, http.MethodGet, PathEvents, nil, &e)
 	return e.Events, err
 }
 
-// Members asks any proxy for all that it knows.
+// Members returns the proxies that any one proxy knows.
 func (c *Client) Members(ctx context.Context) (MembersResponse, error) {
 	var m MembersResponse
 	err := c.callAny(ctx, http.MethodGet, PathMembers, nil, &m)
 	return m, err
 }
 
-// Bundle asks any proxy for the bundle in force.
+// Bundle returns the envelope of the current bundle from any proxy.
 func (c *Client) Bundle(ctx context.Context) (*operator.Envelope, error) {
 	var e operator.Envelope
 	err := c.callAny(ctx, http.MethodGet, PathBundle, nil, &e)
 	return &e, err
 }
 
-// Proposals lists proposed bundles.
+// Proposals returns the proposed bundles.
 func (c *Client) Proposals(ctx context.Context) ([]operator.Envelope, error) {
 	var p ProposalsResponse
 	err := c.callAny(ctx, http.MethodGet, PathProposals, nil, &p)
 	return p.Envelopes, err
 }
 
-// Propose stores a proposal, or its approval.
+// Propose stores a proposal or its approval.
 func (c *Client) Propose(ctx context.Context, e *operator.Envelope) error {
 	var stored operator.Envelope
 	return c.callAny(ctx, http.MethodPost, PathProposals, e, &stored)
 }
 
-// Rollout brings a signed bundle into force. Through whichever proxy it goes,
-// and however often, the operation takes effect once.
+// Rollout rolls out a signed bundle. The operation takes effect once, even if it is retried or sent
+// through several proxies.
 func (c *Client) Rollout(ctx context.Context, e *operator.Envelope) (RolloutResponse, error) {
 	var response RolloutResponse
 	err := c.callAny(ctx, http.MethodPost, PathRollout, e, &response)
--- a/internal/adapter/operatorhttp/server.go
+++ b/internal/adapter/operatorhttp/server.go
@@ -25,20 +25,20 @@
 )
 
 type (
-	// Server answers operators. Nothing here needs a login: reading shows no
-	// secret, and whatever changes something carries its signatures.
+	// Server serves the API for operators. It requires no authentication, because it exposes no
+	// secrets and every change carries its signatures.
 	Server struct {
 		WithKernel core.Executor
 		Trust      operator.TrustedKeys
 		Store      kv.Store
 		ListValues func(context.Context, kv.Key) (map[kv.Key]kv.Value, error)
 		Metrics    *metrics.Set
-		// Ready reports whether callers may be sent here.
+		// Ready reports whether the proxy accepts callers.
 		Ready func() bool
 	}
 )
 
-// HTTPServer wraps the server with time-outs and limits.
+// HTTPServer returns an HTTP server for the API, with timeouts and a header size limit.
 func (s *Server) HTTPServer() *http.Server {
 	router := mux.NewRouter()
 	router.HandleFunc("/healthz", s.health).Methods(http.MethodGet)
@@ -66,7 +66,7 @@
 
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	if !s.Ready() {
-		writeError(w, http.StatusServiceUnavailable, errors.New("no bundle in force, or stopping"))
+		writeError(w, http.StatusServiceUnavailable, errors.New("no bundle yet, or proxy is stopping"))
 		return
 	}
 	writeJSON(w, http.StatusOK, map[string]string{"ready": "yes"})
@@ -99,7 +99,7 @@
 	var envelope []byte
 	s.WithKernel(func(k *core.Kernel, _ time.Time) { envelope = k.Envelope() })
 	if envelope == nil {
-		writeError(w, http.StatusNotFound, errors.New("no bundle is in force here"))
+		writeError(w, http.StatusNotFound, errors.New("the proxy has no bundle yet"))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -140,8 +140,8 @@
 	writeJSON(w, http.StatusOK, e)
 }
 
-// storeProposal stores a proposal under its digest. Proposing the same bundle
-// again, or adding the approval, replaces it; both are the same content.
+// storeProposal stores a proposal under its digest. Proposing the same bundle again or adding the
+// approval replaces the stored proposal, as its bundle is the same.
 func (s *Server) storeProposal(ctx context.Context, e *operator.Envelope) error {
 	key := kv.ProposalKeyPrefix + kv.Key(e.Digest)
 	value, err := s.Store.Get(ctx, key)
@@ -149,8 +149,8 @@
 		return errors.Wrap(err, "read proposal")
 	}
 	if stored, parseErr := operator.ParseEnvelope(value.Data); parseErr == nil && e.Approver == (operator.Signature{}) && stored.Approver != e.Approver {
-		// The author proposes again what has been approved meanwhile; storing
-		// the bare proposal would undo the second person's work.
+		// The author proposes a bundle again that has been approved in the meantime. Storing the
+		// proposal without the approval would discard the approval.
 		return nil
 	}
 	_, err = s.Store.CompareAndSwap(ctx, key, value.Revision, e.Encode())
@@ -168,7 +168,7 @@
 		return
 	}
 	if e.OperationID == "" {
-		writeError(w, http.StatusBadRequest, errors.New("operation: must be set, or a lost answer could not be settled"))
+		writeError(w, http.StatusBadRequest, errors.New("operation: must be set, because the outcome could not be determined after a lost response"))
 		return
 	}
 	result, current := kv.Rollout(r.Context(), s.Store, b, e)
--- a/internal/adapter/steeringhttp/api.go
+++ b/internal/adapter/steeringhttp/api.go
@@ -1,6 +1,6 @@
-// Package steeringhttp is the operators' view of a proxy that forwards
-// requests on the platform: what it believes, and why a request ended as it
-// did. It changes nothing.
+// Package steeringhttp implements the read-only HTTP API for operators of a proxy that forwards
+// requests on the platform. It shows the state of the proxy and the decisions that led to a
+// request's outcome.
 package steeringhttp
 
 import (
@@ -11,14 +11,15 @@
 )
 
 const (
-	// PathStatus describes one proxy.
+	// PathStatus returns the status of the proxy.
 	PathStatus = "/v1/steering"
-	// PathEvents lists one proxy's decisions; ?request= picks one request's.
+	// PathEvents lists the decisions of the proxy; the query parameter request selects those about
+	// one request.
 	PathEvents = "/v1/steering/events"
 )
 
 type (
-	// Status is one proxy's view.
+	// Status is the state of a proxy and of the system as the proxy sees it.
 	Status struct {
 		VM                   string   `json:"vm"`
 		ConfigurationVersion uint64   `json:"configuration-version"`
@@ -27,16 +28,18 @@
 		InFlight             int      `json:"in-flight"`
 		Stopping             bool     `json:"stopping"`
 		EvacuatedDomains     []string `json:"evacuated-failure-domains,omitempty"`
-		// RegionsWithoutProxies regions have no proxies; their callers ask those of others.
+		// RegionsWithoutProxies lists regions without proxies, whose callers use proxies of other
+		// regions.
 		RegionsWithoutProxies []string `json:"regions-without-proxies,omitempty"`
-		// MechanismsOff lists the mechanisms that are not used.
+		// MechanismsOff lists the mechanisms that are disabled.
 		MechanismsOff []steering.Mechanism `json:"mechanisms-off,omitempty"`
-		// ConcurrencyLimits lists services whose servers slow down when full.
+		// ConcurrencyLimits lists the services whose concurrency is limited because their servers
+		// slow down when all slots are in use.
 		ConcurrencyLimits []steering.Held `json:"holding-back,omitempty"`
-		// QuarantinedWork is work that is refused because servers ended with it.
+		// QuarantinedWork lists work that is rejected because it crashed servers.
 		QuarantinedWork []QuarantinedWork `json:"condemned-work,omitempty"`
-		// Accounts are the client accounts; limits are divided among Holders proxies, and
-		// Pool is the proxy that this one gives its part to.
+		// Accounts lists the client accounts. Their limits are divided among QuotaProxies proxies;
+		// QuotaPool is the proxy to which this one gives its share.
 		Accounts     []Account       `json:"client-accounts,omitempty"`
 		QuotaProxies int             `json:"limits-divided-among,omitempty"`
 		QuotaPool    string          `json:"pool-of-limits,omitempty"`
@@ -46,7 +49,7 @@
 		At           time.Time       `json:"at"`
 	}
 
-	// Proxy is a proxy that the asked one knows.
+	// Proxy is a proxy that the responding proxy knows.
 	Proxy struct {
 		Name            string         `json:"name"`
 		Domain          string         `json:"failure-domain"`
@@ -55,7 +58,7 @@
 		Leaving         bool           `json:"leaving,omitempty"`
 	}
 
-	// BackendServer is one backend server as the asked proxy sees it.
+	// BackendServer is a backend server as the responding proxy sees it.
 	BackendServer struct {
 		ID           string  `json:"id"`
 		Service      string  `json:"service"`
@@ -66,16 +69,16 @@
 		Load         float64 `json:"load"`
 		Slowdown     float64 `json:"speed"`
 		FailureShare float64 `json:"failed-share"`
-		// Limit is how many requests a second it takes from all proxies together, nil if it
-		// names no limit.
+		// Limit is the number of requests per second that the server accepts from all proxies
+		// together, or nil if it advertises no limit.
 		Limit *float64 `json:"limit-per-second,omitempty"`
-		// PausedFor is for how long it wants nothing from the asked proxy.
+		// PausedFor is how much longer the server accepts no requests from the responding proxy.
 		PausedFor string `json:"paused-for,omitempty"`
-		// ReportsDraining is set if it leaves by its own word.
+		// ReportsDraining is set if the server itself has reported that it is draining.
 		ReportsDraining bool `json:"leaves,omitempty"`
 	}
 
-	// Route is one route in force.
+	// Route is a route of the current configuration.
 	Route struct {
 		Name       string   `json:"name"`
 		Host       string   `json:"host"`
@@ -85,26 +88,27 @@
 		Timeout    string   `json:"timeout"`
 	}
 
-	// QuarantinedWork is refused because servers ended with it.
+	// QuarantinedWork is work that is rejected because it crashed servers.
 	QuarantinedWork struct {
 		Fingerprint string `json:"work"`
-		// Crashes counts the servers, For is how much longer it is refused.
+		// Crashes is the number of servers that it crashed, QuarantinedFor how much longer it is
+		// rejected.
 		Crashes        int    `json:"ends"`
 		QuarantinedFor string `json:"for"`
 	}
 
-	// Account is a client account as the asked proxy sees it.
+	// Account is a client account as the responding proxy sees it.
 	Account struct {
 		Name string `json:"name"`
-		// Keys are fingerprints, which tell keys apart and nothing of them.
+		// Keys holds fingerprints, which distinguish the keys but don't reveal them.
 		Keys     []string `json:"key-fingerprints"`
 		Regions  []string `json:"regions,omitempty"`
 		Priority *int     `json:"priority,omitempty"`
-		// LimitPerSecond and Burst are the limit over all proxies, zero for none.
+		// LimitPerSecond and Burst are the rate limit over all proxies; zero means no limit.
 		LimitPerSecond float64 `json:"limit-per-second,omitempty"`
 		Burst          float64 `json:"burst,omitempty"`
-		// HeldShare is the part of the limit that the proxy holds by itself, PerSecond the
-		// rate of requests there; Admitted and Refused count them since the account was
+		// HeldShare is the share of the limit that the proxy itself holds, PerSecond the rate of
+		// requests at the proxy. Admitted and Refused count these requests since the account was
 		// last idle.
 		HeldShare float64 `json:"held-share"`
 		PerSecond float64 `json:"per-second"`
@@ -112,7 +116,7 @@
 		Refused   uint64  `json:"refused"`
 	}
 
-	// Event is one decision of one proxy.
+	// Event is a decision of a proxy.
 	Event struct {
 		At      time.Time `json:"at"`
 		VM      string    `json:"vm"`
@@ -125,13 +129,13 @@
 		Service              string `json:"service,omitempty"`
 		Server               string `json:"server,omitempty"`
 		Object               string `json:"object,omitempty"`
-		// Fingerprint names what the request asks a server to do; requests with the same one
-		// have the same path, client account and body.
+		// Fingerprint identifies the work that the request asks for. Requests with the same
+		// fingerprint have the same path, client account and body.
 		Fingerprint string `json:"work,omitempty"`
 		Domain      string `json:"failure-domain,omitempty"`
 		Region      string `json:"region,omitempty"`
-		// CallersElsewhere tells of a region without proxies that its callers count
-		// with other regions.
+		// CallersElsewhere is set for a region without proxies whose callers are counted in other
+		// regions.
 		CallersElsewhere bool    `json:"elsewhere,omitempty"`
 		Attempt          int     `json:"attempt,omitempty"`
 		Result           string  `json:"result,omitempty"`
@@ -146,19 +150,19 @@
 		RetryAfter       string  `json:"come-back,omitempty"`
 		Pressure         float64 `json:"pressure,omitempty"`
 		Error            string  `json:"error,omitempty"`
-		// Limit is what a server takes from all proxies together.
+		// Limit is the rate limit that a server advertises for all proxies together.
 		Limit string `json:"limit,omitempty"`
-		// ExpectedWait is the part of Expected until a slot is free.
+		// ExpectedWait is the part of Expected that is spent waiting for a slot.
 		ExpectedWait string `json:"wait,omitempty"`
-		// ServerState is how the server stood when the request was sent there last.
+		// ServerState is the state of the server when the request was last sent to it.
 		ServerState string `json:"server-state,omitempty"`
-		// Cause says where the time of a late request went, Target is the route's.
+		// Cause is the main cause of a late request's latency, Target the route's target latency.
 		Cause  string `json:"cause,omitempty"`
 		Target string `json:"target,omitempty"`
 	}
 )
 
-// NewEvent is a kernel's event as operators see it.
+// NewEvent returns the API's form of an event of the kernel.
 func NewEvent(vm string, e steering.Event) Event {
 	out := Event{
 		At: e.At, VM: vm, Kind: string(e.Kind), Request: e.Request, Route: e.Route, Account: e.Account, ConfigurationVersion: e.Version,
@@ -189,7 +193,8 @@
 	return d.Round(10 * time.Microsecond).String()
 }
 
-// ServerState names a server's state, the most telling first.
+// ServerState describes a server's state. If several conditions hold, it returns the most
+// significant one, in the order of the cases.
 func ServerState(s steering.ServerStatus) string {
 	switch {
 	case s.Draining:
--- a/internal/adapter/steeringhttp/client.go
+++ b/internal/adapter/steeringhttp/client.go
@@ -18,23 +18,23 @@
 )
 
 type (
-	// Client asks proxies.
+	// Client queries proxies.
 	Client struct {
 		HTTPClient *http.Client
 	}
 )
 
-// NewClient makes a client.
+// NewClient returns a client with a request timeout.
 func NewClient() *Client { return &Client{HTTPClient: &http.Client{Timeout: clientTimeout}} }
 
-// Status asks one proxy for its view.
+// Status returns the status of a proxy.
 func (c *Client) Status(ctx context.Context, proxy netip.AddrPort) (Status, error) {
 	var s Status
 	err := c.get(ctx, "http://"+proxy.String()+PathStatus, &s)
 	return s, err
 }
 
-// Events asks one proxy for its decisions, of one request or all.
+// Events returns the decisions of a proxy about a request, or all if request is empty.
 func (c *Client) Events(ctx context.Context, proxy netip.AddrPort, request string) ([]Event, error) {
 	var list []Event
 	query := url.Values{}
@@ -48,15 +48,15 @@
 func (c *Client) get(ctx context.Context, target string, out any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "create request")
 	}
 	response, err := c.HTTPClient.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "ask proxy")
+		return errors.Wrap(err, "send request to proxy")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("proxy answered with status %d", response.StatusCode)
+		return errors.Errorf("proxy responded with status %d", response.StatusCode)
 	}
-	return errs.Wrap(json.NewDecoder(response.Body).Decode(out), "proxy's answer")
+	return errs.Wrap(json.NewDecoder(response.Body).Decode(out), "decode response")
 }
--- a/internal/adapter/steeringhttp/server.go
+++ b/internal/adapter/steeringhttp/server.go
@@ -17,8 +17,8 @@
 )
 
 type (
-	// Server answers operators. Nothing here needs a login: it shows no
-	// secret and changes nothing.
+	// Server serves the API for operators. It requires no authentication, because it exposes no
+	// secrets and changes nothing.
 	Server struct {
 		Status  func() Status
 		Events  func(request string) []Event
@@ -26,7 +26,7 @@
 	}
 )
 
-// HTTPServer wraps the server with time-outs.
+// HTTPServer returns an HTTP server for the API, with timeouts.
 func (s *Server) HTTPServer() *http.Server {
 	router := mux.NewRouter()
 	router.HandleFunc(PathStatus, func(w http.ResponseWriter, _ *http.Request) {
@@ -47,6 +47,6 @@
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		klog.V(1).InfoS("answer to an operator not written", "error", err.Error())
+		klog.V(1).InfoS("failed to write response to operator", "error", err.Error())
 	}
 }
--- a/internal/kernel/errs/errs.go
+++ b/internal/kernel/errs/errs.go
@@ -1,13 +1,13 @@
-// Package errs holds what the errors library leaves to its users.
+// Package errs complements the go-faster/errors library.
 package errs
 
 import (
 	"github.com/go-faster/errors"
 )
 
-// Wrap adds a message to an error and leaves nil alone. The library's own Wrap
-// makes an error of nil, which turns a success into a failure wherever a
-// result is wrapped without a look at it first.
+// Wrap annotates an error with a message and returns nil if err is nil. The library's Wrap returns
+// an error for a nil err as well, so that callers which wrap a result without checking it first
+// would report a success as a failure.
 func Wrap(err error, message string) error {
 	if err == nil {
 		return nil
--- a/internal/kernel/kv/assignment.go
+++ b/internal/kernel/kv/assignment.go
@@ -1,6 +1,6 @@
-// Package kv holds what the system keeps in the platform's key-value
-// service and how a proxy reads it: the assignment of quota slots, the list
-// of VMs, and the rules that make a lost or stale answer harmless.
+// Package kv defines the values that the system stores in the platform's key-value service, such as
+// the assignment of quota slots, and the platform's list of VMs. It also implements the operations
+// on them, so that lost or stale responses do no harm.
 package kv
 
 import (
@@ -13,88 +13,89 @@
 )
 
 const (
-	// KeyBundle holds the envelope of the bundle in force.
+	// KeyBundle is the key of the current bundle's envelope.
 	KeyBundle Key = "gypsumquay/bundle"
-	// KeyAssignment holds who owns which quota slot.
+	// KeyAssignment is the key of the assignment of quota slots to proxies.
 	KeyAssignment Key = "gypsumquay/assignment"
-	// ProposalKeyPrefix is the prefix of proposed bundles, by digest.
+	// ProposalKeyPrefix is the key prefix of proposed bundles; the rest of the key is the digest.
 	ProposalKeyPrefix Key = "gypsumquay/proposals/"
 )
 
 const (
-	// ownSlotsWeight to otherSlotsWeight is how a region's capacity is divided between its
-	// own slots and all others. What others hold is there at once when a region
-	// fails over; beyond it, quota is borrowed.
+	// ownSlotsWeight and otherSlotsWeight divide a region's capacity between its own slots and all
+	// other slots. The part of the others is available immediately when a region fails over to this
+	// one; quota beyond it has to be borrowed.
 	ownSlotsWeight   = 7
 	otherSlotsWeight = 1
 )
 
 const (
-	// MachineLive VMs run.
+	// MachineLive is the state of a running VM.
 	MachineLive MachineState = "live"
-	// MachineLeaving VMs are about to be taken away.
+	// MachineLeaving is the state of a VM that is about to be removed.
 	MachineLeaving MachineState = "leaving"
 )
 
 type (
-	// Key names a value in the key-value service.
+	// Key is the key of a value in the key-value service.
 	Key string
 
-	// Revision is the service's own version of a value. Zero means absent.
+	// Revision is the version that the service gives a value. Zero means that there is no value.
 	Revision uint64
 
 	// MachineState is a VM's state in the platform's list.
 	MachineState string
 
-	// Machine is one line of the platform's list of VMs. The list lags.
+	// Machine is an entry of the platform's list of VMs, which lags behind their actual state.
 	Machine struct {
 		Name  string       `json:"name"`
 		State MachineState `json:"state"`
 	}
 
-	// MachineList is one version of the list.
+	// MachineList is a version of the platform's list of VMs.
 	MachineList struct {
 		Version  uint64    `json:"version"`
 		Machines []Machine `json:"machines"`
 	}
 
-	// SlotHolder is the process that owns a quota slot. The zero value means that
-	// nobody does.
+	// SlotHolder identifies the process that owns a quota slot. The zero value means that the slot
+	// is free.
 	SlotHolder struct {
 		Name        string `json:"name,omitempty"`
 		Incarnation uint64 `json:"incarnation,omitempty"`
-		// MayHaveLoans marks a slot whose loans may still be in use, because its
-		// holder died or left in haste. The next holder waits before use.
+		// MayHaveLoans is set if quota lent from the slot may still be in use because its previous
+		// holder died, or left before its loans expired. The next holder waits before using the
+		// slot.
 		MayHaveLoans bool `json:"seized,omitempty"`
 	}
 
-	// Assignment says who owns which quota slot. Settled is the newest bundle
-	// version that all holders are known to use; shares are the lower of what
-	// that one and the holder's own bundle give, so that a change of capacity
-	// or of the number of slots never sums to more than either allows.
+	// Assignment maps quota slots to the processes that own them. BaseVersion is the newest bundle
+	// version that all holders are known to use. A share is the lower of the values computed from
+	// that version and from the holder's own bundle, so that while the capacity or the number of
+	// slots changes, the shares never sum to more than either bundle allows.
 	Assignment struct {
 		Version     uint64 `json:"version"`
 		BaseVersion uint64 `json:"settled-bundle"`
-		// BaseCapacities is the content of the settled bundle that shares depend on.
+		// BaseCapacities holds the capacities of the bundle of BaseVersion.
 		BaseCapacities Capacities   `json:"base"`
 		Slots          []SlotHolder `json:"slots"`
 	}
 
-	// Capacities are the figures of a bundle that quotas are computed from.
+	// Capacities holds the values of a bundle that quotas are computed from.
 	Capacities struct {
 		Regions []RegionCapacity `json:"regions"`
 		Links   []LinkCapacity   `json:"links,omitempty"`
 	}
 
-	// RegionCapacity is a region's capacity in requests per second, and how
-	// many quota slots belong to it. Slots are numbered in region order.
+	// RegionCapacity is the capacity of a region in requests per second, with the number of its
+	// quota slots. Slots are numbered consecutively in the order of the regions.
 	RegionCapacity struct {
 		Name     string `json:"name"`
 		Capacity int    `json:"capacity"`
 		Slots    int    `json:"slots"`
 	}
 
-	// LinkCapacity is a link's limit in requests per second.
+	// LinkCapacity is the limit of a link between regions, in requests per second.
 	LinkCapacity struct {
 		From  string `json:"from"`
 		To    string `json:"to"`
@@ -102,7 +103,7 @@
 	}
 )
 
-// CapacitiesOf extracts the figures from a bundle.
+// CapacitiesOf returns the capacities that a bundle configures.
 func CapacitiesOf(b *operator.Bundle) Capacities {
 	var c Capacities
 	for _, r := range b.Regions {
@@ -114,12 +115,12 @@
 	return c
 }
 
-// Equal compares the figures.
+// Equal reports whether c and other configure the same capacities, in the same order.
 func (c Capacities) Equal(other Capacities) bool {
 	return slices.Equal(c.Regions, other.Regions) && slices.Equal(c.Links, other.Links)
 }
 
-// slots counts all quota slots.
+// slots returns the number of quota slots over all regions.
 func (c *Capacities) slots() int {
 	total := 0
 	for _, r := range c.Regions {
@@ -128,7 +129,7 @@
 	return total
 }
 
-// SlotRegion names the region that a slot belongs to.
+// SlotRegion returns the name of the region that a slot belongs to, or "" if there is no such slot.
 func (c *Capacities) SlotRegion(slot int) string {
 	end := 0
 	for _, r := range c.Regions {
@@ -140,10 +141,10 @@
 	return ""
 }
 
-// RegionShare is one slot's share of a region's capacity. The region's own
-// slots hold ownSlotsWeight of it to otherSlotsWeight of all others, however many there
-// are of either, because its own proxies carry most of its traffic. The shares
-// of all slots sum to the capacity.
+// RegionShare returns a slot's share of a region's capacity. The region's own slots and all other
+// slots divide the capacity in the ratio of ownSlotsWeight to otherSlotsWeight, regardless of their
+// numbers, because a region's own proxies carry most of its traffic. The shares of all slots sum to
+// the capacity.
 func (c *Capacities) RegionShare(region string, slot int) int {
 	ownSlots, capacity := 0, 0
 	for _, r := range c.Regions {
@@ -175,8 +176,8 @@
 	return proportionalShare(capacity, weightBefore, slotWeight, totalWeight)
 }
 
-// LinkShare is one slot's share of a link's limit, which only slots of the
-// region that it leads from have. It reports false when there is no limit.
+// LinkShare returns a slot's share of the limit of a link. Only slots of the link's source region
+// have a share. The result is false if the link has no limit.
 func (c *Capacities) LinkShare(from, to string, slot int) (int, bool) {
 	firstSlot := 0
 	slots := 0
@@ -199,8 +200,9 @@
 	return 0, false
 }
 
-// proportionalShare is what falls to own units after before units, of total, such that all
-// parts sum to the whole.
+// proportionalShare returns the part of amount that belongs to a weight which follows weightBefore
+// in a sequence of weights that sums to totalWeight. Rounding is cumulative, so that the parts of
+// the whole sequence sum to amount.
 func proportionalShare(amount, weightBefore, weight, totalWeight int) int {
 	if totalWeight == 0 {
 		return 0
@@ -208,40 +210,40 @@
 	return amount*(weightBefore+weight)/totalWeight - amount*weightBefore/totalWeight
 }
 
-// ParseAssignment decodes an assignment.
+// ParseAssignment decodes an assignment from JSON.
 func ParseAssignment(data []byte) (*Assignment, error) {
 	var a Assignment
 	if err := operator.DecodeStrict(data, &a); err != nil {
-		return nil, errors.Wrap(err, "assignment")
+		return nil, errors.Wrap(err, "decode assignment")
 	}
 	return &a, nil
 }
 
-// Encode writes the assignment as stored and sent.
+// Encode returns the assignment as JSON.
 func (a *Assignment) Encode() []byte { return mustEncode(a) }
 
-// ParseMachineList decodes a list of VMs.
+// ParseMachineList decodes a list of VMs from JSON.
 func ParseMachineList(data []byte) (*MachineList, error) {
 	var m MachineList
 	if err := json.Unmarshal(data, &m); err != nil {
-		return nil, errors.Wrap(err, "list of VMs")
+		return nil, errors.Wrap(err, "decode list of VMs")
 	}
 	return &m, nil
 }
 
-// Encode writes the list as sent.
+// Encode returns the list as JSON.
 func (l *MachineList) Encode() []byte { return mustEncode(l) }
 
 func mustEncode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic("platform: value does not encode: " + err.Error())
+		panic("kv: cannot encode value: " + err.Error())
 	}
 	return data
 }
 
-// WithState is the next version of the list with one VM's state changed. An empty
-// state takes the VM out.
+// WithState returns the next version of the list, in which a VM has the given state. An empty state
+// removes the VM.
 func (l *MachineList) WithState(name string, state MachineState) MachineList {
 	next := MachineList{Version: l.Version + 1}
 	for _, machine := range l.Machines {
@@ -255,7 +257,7 @@
 	return next
 }
 
-// State finds a VM in the list; false means that the list does not show it.
+// State returns the state of a VM. The result is false if the VM is not in the list.
 func (l *MachineList) State(name string) (MachineState, bool) {
 	if l == nil {
 		return "", false
@@ -268,7 +270,7 @@
 	return "", false
 }
 
-// SlotsOf lists the slots of a holder.
+// SlotsOf returns the numbers of the slots that a holder owns.
 func (a *Assignment) SlotsOf(h SlotHolder) []int {
 	if a == nil {
 		return nil
@@ -282,7 +284,8 @@
 	return slots
 }
 
-// nextVersion copies the assignment under the following version.
+// nextVersion returns a copy of the assignment with the version incremented and at least the given
+// number of slots.
 func (a *Assignment) nextVersion(slots int) *Assignment {
 	next := &Assignment{Version: 1}
 	if a != nil {
--- a/internal/kernel/kv/assignment_test.go
+++ b/internal/kernel/kv/assignment_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestSharesSumToCapacity: were the sum larger by one, a region could pass
-// its capacity by one; at every size and however slots are spread.
+// TestSharesSumToCapacity guards against rounding errors in the shares: if their sum exceeded the
+// capacity of a region, the region could admit more requests than that. It covers several fleet
+// sizes and distributions of slots over regions.
 func TestSharesSumToCapacity(t *testing.T) {
 	for _, slots := range [][]int{{4, 3, 3}, {1, 0, 0}, {0, 2, 5}, {59, 59, 60, 58, 59, 59}, {10}} {
 		c := Capacities{}
--- a/internal/kernel/kv/next_assignment.go
+++ b/internal/kernel/kv/next_assignment.go
@@ -5,35 +5,35 @@
 )
 
 type (
-	// ProxyView is what a proxy knows when it looks for a useful change.
+	// ProxyView is the state that a proxy derives the next assignment from.
 	ProxyView struct {
 		Self       SlotHolder
 		Region     string
 		Bundle     *operator.Bundle
 		Assignment *Assignment
 		Machines   *MachineList
-		// CapacityBundle is the bundle whose capacities a holder is known to go by, zero
-		// when nothing is known of it.
+		// CapacityBundle returns the version of the bundle whose capacities a holder is known to
+		// use, or zero if it is not known.
 		CapacityBundle func(SlotHolder) uint64
-		// HasPeerWithoutSlots reports whether a live proxy without a slot is known.
+		// HasPeerWithoutSlots is set if a live proxy without a slot is known.
 		HasPeerWithoutSlots bool
-		// MayClaimMoreSlots permits a second slot. A proxy waits with that, because
-		// at a cold start the others may only be a little later.
+		// MayClaimMoreSlots allows the proxy to claim a second slot. A proxy delays this because at
+		// a cold start the other proxies may start slightly later.
 		MayClaimMoreSlots bool
-		// MayClaimOtherRegions permits a slot of another region, after its own proxies
-		// had time to take it.
+		// MayClaimOtherRegions allows the proxy to claim a slot of another region, once that
+		// region's own proxies have had time to claim it.
 		MayClaimOtherRegions bool
-		// HasLentQuota means that loans from the own slots may still be in use.
+		// HasLentQuota is set if quota lent from the proxy's own slots may still be in use.
 		HasLentQuota bool
-		// Leaving means that this proxy is about to stop and idle.
+		// Leaving is set if the proxy is about to stop and has no requests in progress.
 		Leaving bool
 	}
 )
 
-// NextAssignment returns the next assignment that this proxy should try to store, or
-// nil. A proxy only ever takes slots for itself or gives its own away; that
-// and the store's compare-and-swap keep two holders off one slot. Steps are
-// taken in order of urgency: give back, settle a bundle, take one slot.
+// NextAssignment returns the next assignment that the proxy should try to store, or nil if none is
+// needed. A proxy only claims slots for itself or releases its own. Together with the store's
+// compare-and-swap this ensures that no two processes hold the same slot. The changes are tried in
+// order of urgency: release slots, adopt the bundle's capacities, claim a slot.
 func NextAssignment(v ProxyView) *Assignment {
 	if v.Bundle == nil {
 		return nil
@@ -50,6 +50,8 @@
 	return claimSlot(v)
 }
 
+// releaseSlots releases all slots of a leaving proxy, or one if another proxy has none and no slot
+// is free.
 func releaseSlots(v ProxyView) *Assignment {
 	owned := v.Assignment.SlotsOf(v.Self)
 	count := 0
@@ -69,9 +71,9 @@
 	return next
 }
 
-// adoptCapacities takes a bundle's capacities over once every holder is known to go by
-// them. Until then all use the lower of two shares. Bundles that change none
-// need nothing of this.
+// adoptCapacities makes the bundle's capacities the base capacities once every holder is known to
+// use them. Until then each holder uses the lower of its two shares. Nothing is stored for a bundle
+// that leaves the capacities unchanged.
 func adoptCapacities(v ProxyView) *Assignment {
 	a := v.Assignment
 	if a == nil {
@@ -92,8 +94,8 @@
 	next := a.nextVersion(slots)
 	for i := slots; i < len(next.Slots); i++ {
 		if h := next.Slots[i]; h.Name != "" && (h.Name != v.Self.Name || h.Incarnation != v.Self.Incarnation) {
-			// A slot beyond the new number is still owned: its holder gives
-			// it back first, or loses it when the list says it is dead.
+			// The slot is beyond the new number of slots but still owned. Its holder releases it
+			// first, or loses it when the list of VMs shows that the holder is dead.
 			continue
 		}
 		next.Slots[i] = SlotHolder{}
@@ -103,9 +105,9 @@
 	return next
 }
 
-// claimSlot claims a slot that nobody holds, or whose holder is dead by the
-// platform's word: its VM has left the list, or runs a later incarnation,
-// which is this very process.
+// claimSlot claims a slot that is free or whose holder is known to be dead: the holder's VM is no
+// longer in the platform's list, or is this VM and now runs this process, which is a later
+// incarnation.
 func claimSlot(v ProxyView) *Assignment {
 	a := v.Assignment
 	ownedCount := len(a.SlotsOf(v.Self))
@@ -122,8 +124,8 @@
 	return next
 }
 
-// bestFreeSlot finds a free slot, one of the own region if there is one: it holds
-// most of the capacity that the own callers need.
+// bestFreeSlot returns a free slot, or -1. It prefers slots of the proxy's own region, which hold
+// most of the capacity that the region's callers need.
 func (v ProxyView) bestFreeSlot() int {
 	otherRegionSlot := -1
 	for i := range v.Assignment.Slots[:min(len(v.Assignment.Slots), v.usableSlots())] {
@@ -161,8 +163,7 @@
 		return true
 	}
 	if h.Name == v.Self.Name {
-		// The process listens on the VM's own address, so the earlier one
-		// that did has ended.
+		// This process listens on the VM's address, so the earlier process that did has exited.
 		return h.Incarnation < v.Self.Incarnation
 	}
 	if v.Machines == nil {
--- a/internal/kernel/kv/rollout.go
+++ b/internal/kernel/kv/rollout.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// RolloutAccepted means that the bundle is the one in force.
+	// RolloutAccepted means that the bundle is now the current one.
 	RolloutAccepted RolloutResult = "accepted"
-	// RolloutLostRace means that another bundle took the version.
+	// RolloutLostRace means that another bundle with this version, or a later one, was rolled out
+	// first.
 	RolloutLostRace RolloutResult = "lost-race"
-	// RolloutUndecided means that the platform does not say; asking again with the
-	// same operation is harmless and settles it.
+	// RolloutUndecided means that the outcome could not be read from the platform. Retrying with
+	// the same operation ID is safe and tells the outcome.
 	RolloutUndecided RolloutResult = "undecided"
-	// RolloutWrongVersion means that the bundle does not follow the one in force.
+	// RolloutWrongVersion means that the version is not the successor of the current one.
 	RolloutWrongVersion RolloutResult = "wrong-version"
 )
 
@@ -29,25 +30,25 @@
 
 var (
 	// ErrNotFound means that a key has no value.
-	ErrNotFound = errors.New("no such value")
-	// ErrConflict means that a value has changed meanwhile.
-	ErrConflict = errors.New("the value has changed meanwhile")
-	// ErrUnavailable means that the platform did not answer. A write may have
-	// taken effect all the same.
-	ErrUnavailable = errors.New("the platform does not answer")
+	ErrNotFound = errors.New("key not found")
+	// ErrConflict means that a value is no longer at the expected revision.
+	ErrConflict = errors.New("value has been changed concurrently")
+	// ErrUnavailable means that the platform did not respond successfully. A write may have taken
+	// effect nevertheless.
+	ErrUnavailable = errors.New("platform is unavailable")
 )
 
 type (
-	// RolloutResult is what became of a roll-out.
+	// RolloutResult is the outcome of a rollout.
 	RolloutResult string
 
-	// Value is one value at one revision.
+	// Value is a stored value with its revision.
 	Value struct {
 		Revision Revision `json:"revision"`
 		Data     []byte   `json:"data"`
 	}
 
-	// Store is the key-value service, as function fields.
+	// Store is the interface to the key-value service that rollouts use.
 	Store struct {
 		Get            func(ctx context.Context, key Key) (Value, error)
 		CompareAndSwap func(ctx context.Context, key Key, expect Revision, data []byte) (Revision, error)
@@ -55,9 +56,9 @@
 	}
 )
 
-// Rollout brings a signed bundle into force by one compare-and-swap from the
-// version before. When the answer is lost, the value is read back: it carries
-// the operation's id if this very roll-out took effect.
+// Rollout makes a signed bundle the current one, by a compare-and-swap from the preceding version.
+// It returns the outcome and the current version. If the response to the write is lost, it reads
+// the value back, which carries the operation ID if this rollout took effect.
 func Rollout(ctx context.Context, s Store, b *operator.Bundle, e *operator.Envelope) (RolloutResult, uint64) {
 	verdict, current := RolloutUndecided, uint64(0)
 	for range maxRolloutAttempts {
@@ -94,12 +95,13 @@
 	if err == nil {
 		return RolloutAccepted, b.Version
 	}
-	// A conflict or a lost answer: read back who won.
+	// After a conflict or a lost response, the next attempt reads the value to learn the outcome.
 	return RolloutUndecided, current
 }
 
-// storedVersion reads the stored version and whether it is this operation's. It does
-// not judge the rest: a bundle that this client cannot read is in force too.
+// storedVersion returns the version of the stored bundle and reports whether the operation of e
+// stored it. It does not validate the bundle, because one that this client cannot decode is current
+// as well.
 func storedVersion(data []byte, e *operator.Envelope) (uint64, bool) {
 	stored, err := operator.ParseEnvelope(data)
 	if err != nil {
--- a/internal/kernel/kv/rollout_test.go
+++ b/internal/kernel/kv/rollout_test.go
@@ -11,23 +11,22 @@
 )
 
 type (
-	// rolloutScenario is one roll-out against a platform that misbehaves, from a
-	// data file.
+	// rolloutScenario is a rollout against a faulty platform, read from testdata/rollouts.json.
 	rolloutScenario struct {
 		Name        string   `json:"name"`
 		Description []string `json:"story"`
-		// StoredVersion is the version in force before, under operation "earlier".
+		// StoredVersion is the current version before the rollout, stored by operation "earlier".
 		StoredVersion uint64 `json:"stored"`
-		// Version and Operation are what is rolled out.
+		// Version and Operation identify the bundle that is rolled out.
 		Version   uint64 `json:"version"`
 		Operation string `json:"operation"`
-		// Writes says what each write does: ok, lost (takes effect, no answer),
-		// down, or rival (another operator's bundle gets in first).
+		// Writes holds the outcome of each write: ok, lost (takes effect without a response), down,
+		// or rival (another operator's bundle is written first).
 		Writes []string `json:"swaps"`
-		// FailedReads is how many reads fail after the first write.
+		// FailedReads is the number of reads that fail after the first write.
 		FailedReads int           `json:"down-reads"`
 		Want        RolloutResult `json:"want"`
-		// WantOperation is what is in force in the end.
+		// WantOperation is the operation whose bundle is current at the end.
 		WantOperation string `json:"want-operation"`
 	}
 
@@ -82,9 +81,9 @@
 	return m.value.Revision, nil
 }
 
-// TestRolloutScenarios plays testdata/rollouts.json: two operators race, answers
-// are lost after the write took effect, the platform goes away. The verdict is
-// true in each, and a repeat is harmless.
+// TestRolloutScenarios checks that the reported outcome is correct and that a retry is safe when
+// two operators race, responses are lost after the write took effect, or the platform is
+// unavailable.
 func TestRolloutScenarios(t *testing.T) {
 	data, err := os.ReadFile("testdata/rollouts.json")
 	if err != nil {
@@ -111,13 +110,13 @@
 	b, e := newEnvelope(s.Version, s.Operation)
 	got, _ := Rollout(context.Background(), m.store(), b, e)
 	if got != s.Want {
-		t.Errorf("got verdict %q, want %q", got, s.Want)
+		t.Errorf("got result %q, want %q", got, s.Want)
 	}
 	stored, err := operator.ParseEnvelope(m.value.Data)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, want := stored.OperationID, s.WantOperation; got != want {
-		t.Errorf("got operation %q in force, want %q", got, want)
+		t.Errorf("got current operation %q, want %q", got, want)
 	}
 }
--- a/internal/kernel/operator/bundle.go
+++ b/internal/kernel/operator/bundle.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// MaxBundleBytes bounds an encoded bundle. The platform's values end at
-	// 1 MB; the rest is room for signatures and the JSON text around them.
+	// MaxBundleBytes is the maximum size of an encoded bundle. The platform limits values to 1 MB;
+	// the difference leaves room for the signatures and the JSON of the envelope.
 	MaxBundleBytes = 900 << 10
 )
 
 const (
-	// DrainServer takes one backend server out of service.
+	// DrainServer takes a backend server out of service.
 	DrainServer DrainKind = "backend-server"
-	// DrainProxy takes one proxy VM out of service.
+	// DrainProxy takes a proxy VM out of service.
 	DrainProxy DrainKind = "proxy"
-	// DrainRegion moves the traffic of a whole region away at the pace of
-	// the bundle's shift limits.
+	// DrainRegion shifts the traffic of a region to others, no faster than the bundle's shift
+	// limits allow.
 	DrainRegion DrainKind = "region"
 )
 
 type (
-	// Digest is the SHA-256 of a bundle's canonical JSON, as lower-case hex.
+	// Digest is the SHA-256 hash of a bundle's canonical JSON in lower-case hexadecimal.
 	Digest string
 
-	// DrainKind says what a drain empties.
+	// DrainKind is the kind of target that a drain applies to.
 	DrainKind string
 
-	// Bundle is one version of the whole configuration. Its JSON names are in
-	// kebab case; docs/BUNDLE.md lists every field with unit and bounds.
+	// Bundle is a version of the complete configuration. Its JSON names are in kebab case;
+	// docs/BUNDLE.md lists every field with its unit and bounds.
 	Bundle struct {
 		Version  uint64         `json:"version"`
 		Comment  string         `json:"comment,omitempty"`
@@ -50,9 +50,8 @@
 		Drains   []Drain        `json:"drains,omitempty"`
 	}
 
-	// Region is one data centre with its failure domains. Capacity counts
-	// requests per second over all services; Proxies is how many quota slots
-	// the region's proxies hold between them.
+	// Region is a data centre with its failure domains. Capacity is in requests per second over all
+	// services; QuotaSlots is the number of quota slots of the region.
 	Region struct {
 		Name           string         `json:"name"`
 		Domains        []string       `json:"failure-domains"`
@@ -61,16 +60,16 @@
 		ClientPrefixes []netip.Prefix `json:"client-prefixes,omitempty"`
 	}
 
-	// Link limits requests per second from the proxies of one region to the
-	// backend servers of another.
+	// Link limits the requests per second from the proxies of one region to the backend servers of
+	// another.
 	Link struct {
 		From  string `json:"from"`
 		To    string `json:"to"`
 		Limit int    `json:"limit-per-second"`
 	}
 
-	// Service is one application. Requests whose method is in Idempotent may
-	// be retried; Routes override that by path prefix.
+	// Service is an application. Requests whose method is in IdempotentMethods may be retried;
+	// Routes overrides that by path prefix.
 	Service struct {
 		Name              string   `json:"name"`
 		IdempotentMethods []string `json:"idempotent-methods"`
@@ -80,14 +79,14 @@
 		Servers           []Server `json:"backend-servers"`
 	}
 
-	// Route overrides idempotence for paths that begin with Prefix.
+	// Route overrides the idempotence of requests for paths that begin with Prefix.
 	Route struct {
 		Prefix     string `json:"path-prefix"`
 		Idempotent bool   `json:"idempotent"`
 	}
 
-	// Server is one backend server. Slots is how many requests it runs at
-	// once, Connections how many it accepts over all proxies.
+	// Server is a backend server. Slots is the number of requests that it runs concurrently,
+	// MaxConnections the number of connections that it accepts from all proxies together.
 	Server struct {
 		Name           string         `json:"name"`
 		Address        netip.AddrPort `json:"address"`
@@ -97,17 +96,17 @@
 		MaxConnections int            `json:"connections"`
 	}
 
-	// SteeringRule sends a share of one region's callers to another region.
-	// Permille is in thousandths of the traffic whose home is From.
+	// SteeringRule sends a share of one region's callers to another region. Permille is in
+	// thousandths of the traffic whose home region is From.
 	SteeringRule struct {
 		From     string `json:"from"`
 		To       string `json:"to"`
 		Permille int    `json:"permille"`
 	}
 
-	// ShiftConfig limits how fast traffic moves: within any window of Interval at
-	// most CapPermille of a home region's traffic changes its destination.
-	// Away from a lost region the failover figures hold instead.
+	// ShiftConfig limits how fast traffic shifts between regions: within any window of Interval, at
+	// most CapPermille of a home region's traffic changes its destination. For traffic that leaves
+	// a failed region, the failover values apply instead.
 	ShiftConfig struct {
 		Planner             string   `json:"planner"`
 		CapPermille         int      `json:"cap-permille"`
@@ -116,27 +115,29 @@
 		FailoverInterval    Duration `json:"failover-interval"`
 	}
 
-	// LookupConfig tells callers how long an answer may be cached.
+	// LookupConfig configures the responses to lookups: TTL is how long callers may cache a
+	// response, MaxProxies how many proxies it lists.
 	LookupConfig struct {
 		TTL        Duration `json:"lifetime"`
 		MaxProxies int      `json:"answers"`
 	}
 
-	// RetryConfig bounds retries to a share of recent requests, in thousandths.
+	// RetryConfig limits retries to BudgetPermille thousandths of recent requests, and requests to
+	// MaxAttempts attempts each.
 	RetryConfig struct {
 		BudgetPermille int `json:"budget-permille"`
 		MaxAttempts    int `json:"attempts"`
 	}
 
-	// TokenConfig bounds idempotency tokens: Lifetime is how long after minting one
-	// may be used, Retention how long after that its outcome is kept.
+	// TokenConfig configures idempotency tokens: TTL is how long a token may be used after it was
+	// minted, Retention how long its outcome is retained after that.
 	TokenConfig struct {
 		TTL       Duration `json:"lifetime"`
 		Retention Duration `json:"retention"`
 	}
 
-	// Drain empties one target from Start on. An End of zero means that the
-	// drain lasts until a later bundle lifts it.
+	// Drain drains a target from Start on. A zero End means that the drain lasts until a later
+	// bundle removes it.
 	Drain struct {
 		Name   string    `json:"name"`
 		Kind   DrainKind `json:"kind"`
@@ -146,11 +147,11 @@
 	}
 )
 
-// ParseBundle decodes and checks one bundle. An unknown field is an error: it
-// is a typing mistake whose effect an operator would miss otherwise.
+// ParseBundle decodes and validates a bundle. An unknown field is an error, because it is usually a
+// typo that an operator would otherwise not notice.
 func ParseBundle(data []byte) (*Bundle, error) {
 	if len(data) > MaxBundleBytes {
-		return nil, errors.Errorf("bundle: %d bytes, at most %d are allowed", len(data), MaxBundleBytes)
+		return nil, errors.Errorf("bundle: size of %d bytes exceeds the maximum of %d", len(data), MaxBundleBytes)
 	}
 	var b Bundle
 	if err := DecodeStrict(data, &b); err != nil {
@@ -162,23 +163,23 @@
 	return &b, nil
 }
 
-// Encode writes the canonical JSON that Digest and the signatures cover.
+// Encode returns the canonical JSON, which Digest and the signatures cover.
 func (b *Bundle) Encode() []byte {
 	data, err := json.Marshal(b)
 	if err != nil {
-		// Every field is a plain value; only a programming error gets here.
-		panic("operator: bundle does not encode: " + err.Error())
+		// All fields are plain values, so that only a programming error leads here.
+		panic("operator: cannot encode bundle: " + err.Error())
 	}
 	return data
 }
 
-// Digest identifies the bundle's content.
+// Digest returns the hash of the bundle's content.
 func (b *Bundle) Digest() Digest {
 	sum := sha256.Sum256(b.Encode())
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// Service finds a service by name.
+// Service returns the service of that name.
 func (b *Bundle) Service(name string) (*Service, bool) {
 	for i := range b.Services {
 		if b.Services[i].Name == name {
@@ -188,7 +189,7 @@
 	return nil, false
 }
 
-// Region finds a region by name.
+// Region returns the region of that name.
 func (b *Bundle) Region(name string) (*Region, bool) {
 	for i := range b.Regions {
 		if b.Regions[i].Name == name {
@@ -198,7 +199,7 @@
 	return nil, false
 }
 
-// QuotaSlots is the number of quota slots over all regions.
+// QuotaSlots returns the number of quota slots over all regions.
 func (b *Bundle) QuotaSlots() int {
 	total := 0
 	for _, r := range b.Regions {
@@ -207,8 +208,8 @@
 	return total
 }
 
-// IsIdempotent reports whether a request may be repeated. The longest route
-// that matches the path decides; without one the method does.
+// IsIdempotent reports whether a request may be retried. The route with the longest matching path
+// prefix decides; if no route matches, the method does.
 func (s *Service) IsIdempotent(method, path string) bool {
 	longestPrefix := -1
 	idempotent := false
@@ -229,7 +230,7 @@
 	return false
 }
 
-// Active reports whether the drain holds at now.
+// Active reports whether the drain is in effect at now.
 func (d *Drain) Active(now time.Time) bool {
 	if now.Before(d.Start) {
 		return false
@@ -237,7 +238,7 @@
 	return d.End.IsZero() || now.Before(d.End)
 }
 
-// IsDrained reports whether a drain of this kind and target holds at now.
+// IsDrained reports whether a drain of this kind and target is in effect at now.
 func (b *Bundle) IsDrained(kind DrainKind, target string, now time.Time) bool {
 	for i := range b.Drains {
 		d := &b.Drains[i]
--- a/internal/kernel/operator/bundle_test.go
+++ b/internal/kernel/operator/bundle_test.go
@@ -14,8 +14,8 @@
 )
 
 type (
-	// invalidBundleCase is one wrong bundle: a value set at a path, and the field that
-	// the error must name.
+	// invalidBundleCase is an edit that makes the example bundle invalid, and a text that the error
+	// must contain.
 	invalidBundleCase struct {
 		Name  string `json:"name"`
 		Path  []any  `json:"path"`
@@ -33,7 +33,7 @@
 	return data
 }
 
-// setAt puts a value at a path of object names and list indices.
+// setAt sets the value at a path of object keys and list indices.
 func setAt(node any, path []any, value any) {
 	switch step := path[0].(type) {
 	case string:
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestInvalidBundles reads edits from a data file; each must give an error that
-// names the field.
+// TestInvalidBundles applies each edit of testdata/wrong-bundles.json to a valid bundle. Parsing
+// must fail with an error that names the field.
 func TestInvalidBundles(t *testing.T) {
 	data, err := os.ReadFile("testdata/wrong-bundles.json")
 	if err != nil {
@@ -123,10 +123,9 @@
 	return e
 }
 
-// TestSignatures: somebody without two trusted people's keys tries to bring a
-// bundle into force: unsigned, signed once, twice by one person, by a
-// stranger, with a signature of another role, or with the content changed
-// after signing. Every way must be refused at each proxy.
+// TestSignatures guards against rolling out a bundle without the consent of two trusted people.
+// Verify must reject an envelope that lacks a signature, is signed twice by one person, by an
+// untrusted person or for another role, or whose content was changed after signing.
 func TestSignatures(t *testing.T) {
 	anna, bruno, stranger := newKeyPair(t, "anna"), newKeyPair(t, "bruno"), newKeyPair(t, "mallory")
 	secondAnnaKey := newKeyPair(t, "anna")
@@ -177,8 +176,8 @@
 	}
 }
 
-// FuzzParseBundle: whatever bytes arrive, parsing ends with a bundle that
-// checks, or with an error, and a bundle encodes to itself.
+// FuzzParseBundle checks that any input gives an error or a valid bundle whose encoding parses to
+// the same bundle.
 func FuzzParseBundle(f *testing.F) {
 	f.Add([]byte(`{"version":1}`))
 	f.Add([]byte(`{"version":1,"regions":[{"name":"a"}]} x`))
@@ -192,7 +191,7 @@
 			t.Fatalf("got error %v for the bundle's own encoding, want none", err)
 		}
 		if got, want := reparsed.Digest(), b.Digest(); got != want {
-			t.Errorf("got digest %s after one round, want %s", got, want)
+			t.Errorf("got digest %s after encoding and parsing, want %s", got, want)
 		}
 	})
 }
@@ -224,7 +223,7 @@
 	// version 1 -> 2
 }
 
-// TestReferencePageListsEveryField keeps docs/BUNDLE.md true.
+// TestReferencePageListsEveryField checks that docs/BUNDLE.md documents every field of a bundle.
 func TestReferencePageListsEveryField(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "BUNDLE.md"))
 	if err != nil {
@@ -241,7 +240,7 @@
 		for field := range typ.Fields() {
 			name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 			if !strings.Contains(string(page), name+"`") && !strings.Contains(string(page), "`"+name+".") {
-				t.Errorf("got a page without field %q of %s, want it listed", name, typ.Name())
+				t.Errorf("docs/BUNDLE.md does not list field %q of %s", name, typ.Name())
 			}
 			check(field.Type)
 		}
@@ -249,12 +248,13 @@
 	check(reflect.TypeFor[Bundle]())
 }
 
-// Two operators sign a bundle in which a field stands twice. One reader takes
-// the first value, another the last, and they would not have signed the same.
+// TestAmbiguousTextIsRejected guards against signing a bundle that readers interpret differently.
+// Of a duplicate field, one reader uses the first value and another the last, so that two operators
+// could sign different configurations.
 func TestAmbiguousTextIsRejected(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{`{"version": 3, "version": 1}`, "version: is given twice"},
-		{`{"regions": [{"name": "a", "name": "b"}]}`, "regions[0].name: is given twice"},
+		{`{"version": 3, "version": 1}`, "version: duplicate field"},
+		{`{"regions": [{"name": "a", "name": "b"}]}`, "regions[0].name: duplicate field"},
 		{`{"version": NaN}`, "version: "},
 		{`{"shift": {"capp": 1}}`, `shift.capp: unknown field "capp"`},
 		{`{"version": 3} {}`, "after the end"},
--- a/internal/kernel/operator/check.go
+++ b/internal/kernel/operator/check.go
@@ -25,8 +25,8 @@
 )
 
 type (
-	// FieldError names the field of a bundle or settings file that is wrong
-	// and says what it should be.
+	// FieldError describes an invalid field of a bundle or settings file: its path, the expected
+	// value and the actual one.
 	FieldError struct {
 		Field string
 		Want  string
@@ -39,13 +39,13 @@
 	}
 )
 
-// Error implements error.
+// Error returns a message with the field, the expected value and the actual one.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: must be %s, got %s", e.Field, e.Want, e.Got)
 }
 
-// Validate reports every wrong field at once, each as a FieldError, so that an
-// operator mends a bundle in one go.
+// Validate checks all fields and returns one FieldError for each invalid one, so that an operator
+// can correct a bundle in a single pass.
 func (b *Bundle) Validate() error {
 	c := &validator{regionOfDomain: make(map[string]string)}
 	c.atLeast("version", int64(b.Version), 1)
@@ -80,15 +80,15 @@
 	}
 }
 
-// uniqueName checks one identifier and that no other in seen is alike.
+// uniqueName checks the syntax of a name and that it isn't in seen yet, and adds it there.
 func (c *validator) uniqueName(field, got string, seen map[string]bool) {
 	switch {
 	case got == "" || len(got) > maxNameLength:
-		c.addError(field, fmt.Sprintf("1 to %d letters", maxNameLength), fmt.Sprintf("%q", got))
+		c.addError(field, fmt.Sprintf("1 to %d characters", maxNameLength), fmt.Sprintf("%q", got))
 	case strings.Trim(got, "abcdefghijklmnopqrstuvwxyz0123456789-") != "":
 		c.addError(field, "lower-case letters, digits and hyphens", fmt.Sprintf("%q", got))
 	case seen[got]:
-		c.addError(field, "used once", fmt.Sprintf("%q again", got))
+		c.addError(field, "unique", fmt.Sprintf("%q again", got))
 	}
 	seen[got] = true
 }
@@ -108,13 +108,13 @@
 		for k, d := range r.Domains {
 			c.uniqueName(fmt.Sprintf("%s.failure-domains[%d]", field, k), d, seen)
 			if other, taken := c.regionOfDomain[d]; taken {
-				c.addError(field+".failure-domains", "in one region only", d+" of "+other)
+				c.addError(field+".failure-domains", "unique over all regions", d+", also in "+other)
 			}
 			c.regionOfDomain[d] = r.Name
 		}
 	}
 	if b.QuotaSlots() == 0 {
-		c.addError("regions[].proxies", "at least 1 over all regions", 0)
+		c.addError("regions[].proxies", "at least 1 in total over all regions", 0)
 	}
 }
 
@@ -131,7 +131,7 @@
 		c.existingRegion(b, field+".to", l.To)
 		c.inRange(field+".limit-per-second", l.Limit, 1, maxRateLimit)
 		if l.From == l.To {
-			c.addError(field+".to", "between two regions", l.To+" itself")
+			c.addError(field+".to", "a region other than from", l.To+" itself")
 		}
 	}
 }
@@ -148,7 +148,7 @@
 		c.durationInRange(field+".slow-start", s.SlowStart, 0, maxDuration)
 		for k, m := range s.IdempotentMethods {
 			if !isKnownMethod(m) {
-				c.addError(fmt.Sprintf("%s.idempotent-methods[%d]", field, k), "an HTTP method in capitals", fmt.Sprintf("%q", m))
+				c.addError(fmt.Sprintf("%s.idempotent-methods[%d]", field, k), "an HTTP method in upper case", fmt.Sprintf("%q", m))
 			}
 		}
 		for k, r := range s.Routes {
@@ -183,11 +183,11 @@
 		c.existingRegion(b, field+".to", s.To)
 		c.inRange(field+".permille", s.Permille, 0, fullPermille)
 		if s.From == s.To {
-			c.addError(field+".to", "another region than from", fmt.Sprintf("%q", s.To))
+			c.addError(field+".to", "a region other than from", fmt.Sprintf("%q", s.To))
 		}
 		totalPermille[s.From] += s.Permille
 		if totalPermille[s.From] > fullPermille {
-			c.addError(field+".permille", "at most 1000 in sum for "+s.From, totalPermille[s.From])
+			c.addError(field+".permille", "at most 1000 in total for "+s.From, totalPermille[s.From])
 		}
 	}
 }
@@ -201,9 +201,8 @@
 		c.addError("shift.planner", "the name of a planner", `""`)
 	}
 	c.durationInRange("lookup.lifetime", b.Lookup.TTL, minDuration, maxDuration)
-	// Callers follow a cached answer for its lifetime. Were the interval
-	// shorter, answers of two steps would run out within one window and the
-	// callers would see two steps at once.
+	// Callers use a cached lookup response for its TTL. If the interval were shorter, the responses
+	// of two shifts could expire within one window, and callers would make both shifts at once.
 	if b.Shift.Interval < b.Lookup.TTL {
 		c.addError("shift.interval", "at least lookup.lifetime ("+b.Lookup.TTL.Std().String()+")", b.Shift.Interval.Std())
 	}
--- a/internal/kernel/operator/decode.go
+++ b/internal/kernel/operator/decode.go
@@ -21,8 +21,8 @@
 	jsonUnmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 )
 
-// DecodeStrict decodes one JSON value, refusing unknown fields, fields given
-// twice and trailing text. An error names the field by its path.
+// DecodeStrict decodes a JSON value. It rejects unknown fields, duplicate fields and trailing data.
+// An error names the field by its path.
 func DecodeStrict(data []byte, out any) error {
 	if err := CheckSyntax(data); err != nil {
 		return err
@@ -36,13 +36,13 @@
 		return errors.Wrap(err, "decode")
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("text after the end of the JSON value")
+		return errors.New("trailing data after the end of the JSON value")
 	}
 	return nil
 }
 
-// CheckSyntax refuses text that is no JSON and fields given twice: two readers
-// of a signed bundle might take the first and the last.
+// CheckSyntax rejects invalid JSON and duplicate fields. Of a signed bundle with a duplicate field,
+// one reader could use the first value and another the last.
 func CheckSyntax(data []byte) error {
 	decoder := jsontext.NewDecoder(bytes.NewReader(data))
 	_, err := decoder.ReadValue()
@@ -55,7 +55,7 @@
 	}
 	cause := syntax.Err.Error()
 	if errors.Is(err, jsontext.ErrDuplicateName) {
-		cause = "is given twice"
+		cause = "duplicate field"
 	}
 	path := fieldPath(syntax.JSONPointer)
 	if path == "" {
@@ -64,7 +64,7 @@
 	return errors.Errorf("%s: %s", path, cause)
 }
 
-// fieldPath writes a pointer such as "/regions/0/name" as regions[0].name.
+// fieldPath converts a JSON pointer such as "/regions/0/name" to the form regions[0].name.
 func fieldPath(pointer jsontext.Pointer) string {
 	path := ""
 	for token := range pointer.Tokens() {
@@ -77,9 +77,9 @@
 	return path
 }
 
-// findDecodeError finds the first field whose value does not decode. The decoder tells
-// the field for numbers and lists, but not for addresses, times and spans,
-// which are what an operator most often gets wrong.
+// findDecodeError returns the path of the first field whose value cannot be decoded, with the
+// error. The decoder's own errors name the field for numbers and lists, but not for addresses,
+// times and durations, which are the values that operators most often get wrong.
 func findDecodeError(raw json.RawMessage, typ reflect.Type, path string) (string, error) {
 	hasUnmarshaler := reflect.PointerTo(typ).Implements(textUnmarshalerType) || reflect.PointerTo(typ).Implements(jsonUnmarshalerType)
 	switch {
--- a/internal/kernel/operator/diff.go
+++ b/internal/kernel/operator/diff.go
@@ -7,8 +7,8 @@
 )
 
 type (
-	// Change is one field that differs between two bundles. An empty side
-	// means that the field is absent there.
+	// Change is a field that differs between two bundles. An empty Old or New means that the field
+	// is absent from that bundle.
 	Change struct {
 		Field string `json:"field"`
 		Old   string `json:"old,omitempty"`
@@ -16,9 +16,9 @@
 	}
 )
 
-// Diff lists what differs from one bundle to the next, by field path. List
-// items that carry a name are matched by it, so that inserting one does not
-// show all the following ones as changed.
+// Diff returns the fields that differ between two bundles, sorted by path. List items that have a
+// name are matched by it, so that an inserted item does not make all following ones appear as
+// changed.
 func Diff(from, to *Bundle) []Change {
 	before := flatten(from)
 	after := flatten(to)
@@ -44,7 +44,7 @@
 	}
 	var tree any
 	if err := json.Unmarshal(b.Encode(), &tree); err != nil {
-		panic("operator: canonical bundle does not decode: " + err.Error())
+		panic("operator: cannot decode canonical bundle: " + err.Error())
 	}
 	flattenInto(fields, "", tree)
 	return fields
--- a/internal/kernel/operator/sign.go
+++ b/internal/kernel/operator/sign.go
@@ -16,42 +16,43 @@
 )
 
 var (
-	// ErrMissingSignature means that a needed signature is missing.
+	// ErrMissingSignature means that a required signature is missing.
 	ErrMissingSignature = errors.New("signature missing")
-	// ErrUntrustedKey means that a signature's key is not a trusted one.
+	// ErrUntrustedKey means that the signing operator has no trusted key.
 	ErrUntrustedKey = errors.New("key is not trusted")
-	// ErrInvalidSignature means that a signature does not fit the bundle.
-	ErrInvalidSignature = errors.New("signature does not fit the bundle")
-	// ErrSameOperator means that author and approver are one person.
-	ErrSameOperator = errors.New("author and approver must be two people")
+	// ErrInvalidSignature means that a signature, or the digest, does not match the bundle.
+	ErrInvalidSignature = errors.New("signature does not match the bundle")
+	// ErrSameOperator means that the author and the approver are the same person.
+	ErrSameOperator = errors.New("author and approver must be different people")
 )
 
 type (
-	// PublicKey is an operator's ed25519 verification key in base64.
+	// PublicKey is an operator's Ed25519 public key in base64.
 	PublicKey string
 
-	// KeyPair is an operator's key file. Seed never leaves the operator.
+	// KeyPair is the content of an operator's key file. Seed is the private key and must stay with
+	// the operator.
 	KeyPair struct {
 		Operator  string    `json:"operator"`
 		PublicKey PublicKey `json:"public-key"`
 		Seed      string    `json:"seed"`
 	}
 
-	// TrustedKey binds a person to a verification key. Two keys with one
-	// operator name count as one person.
+	// TrustedKey associates an operator with a public key. All keys with the same operator name
+	// belong to one person.
 	TrustedKey struct {
 		Operator  string    `json:"operator"`
 		PublicKey PublicKey `json:"public-key"`
 	}
 
-	// Signature is one person's consent to a digest.
+	// Signature is an operator's signature of a bundle's digest.
 	Signature struct {
 		Operator string `json:"operator"`
 		Value    string `json:"value"`
 	}
 
-	// Envelope is a bundle with its signatures. Operation identifies one
-	// roll-out, so that a lost answer can be settled by reading back.
+	// Envelope is a bundle with its signatures. OperationID identifies a rollout, so that its
+	// outcome can be determined by reading the value back if the response is lost.
 	Envelope struct {
 		Bundle      json.RawMessage `json:"bundle"`
 		Digest      Digest          `json:"digest"`
@@ -60,18 +61,18 @@
 		OperationID string          `json:"operation,omitempty"`
 	}
 
-	// TrustedKeys is the set of keys that a node believes.
+	// TrustedKeys is the set of keys that a node trusts.
 	TrustedKeys []TrustedKey
 )
 
-// NewKeyPair makes a key for one operator.
+// NewKeyPair generates a key pair for an operator.
 func NewKeyPair(operator string) (*KeyPair, error) {
 	if operator == "" {
-		return nil, errors.New("operator: must be a name, got none")
+		return nil, errors.New("operator: name must not be empty")
 	}
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make key")
+		return nil, errors.Wrap(err, "generate key")
 	}
 	return &KeyPair{
 		Operator:  operator,
@@ -80,12 +81,12 @@
 	}, nil
 }
 
-// TrustedKey is the public half.
+// TrustedKey returns the operator's name and public key.
 func (k *KeyPair) TrustedKey() TrustedKey {
 	return TrustedKey{Operator: k.Operator, PublicKey: k.PublicKey}
 }
 
-// Propose signs a bundle as its author.
+// Propose returns an envelope with the bundle and the author's signature.
 func (k *KeyPair) Propose(b *Bundle) (*Envelope, error) {
 	digest := b.Digest()
 	signature, err := k.sign(roleAuthor, digest)
@@ -95,7 +96,7 @@
 	return &Envelope{Bundle: b.Encode(), Digest: digest, Author: signature}, nil
 }
 
-// Approve adds the second person's signature.
+// Approve adds the approver's signature, which must be of another person than the author's.
 func (k *KeyPair) Approve(e *Envelope) error {
 	if e.Author.Operator == k.Operator {
 		return ErrSameOperator
@@ -117,13 +118,13 @@
 	return Signature{Operator: k.Operator, Value: base64.StdEncoding.EncodeToString(value)}, nil
 }
 
-// signedMessage names the role, so that an author's signature cannot be replayed
-// as the approver's.
+// signedMessage returns the bytes that are signed. They include the role, so that an author's
+// signature cannot be replayed as an approver's.
 func signedMessage(role string, d Digest) []byte {
 	return fmt.Appendf(nil, "gypsumquay bundle %s %s", role, d)
 }
 
-// VerifyProposal checks the bundle, its digest and the author's signature.
+// VerifyProposal validates the bundle and verifies its digest and the author's signature.
 func (t TrustedKeys) VerifyProposal(e *Envelope) (*Bundle, error) {
 	b, err := ParseBundle(e.Bundle)
 	if err != nil {
@@ -138,7 +139,8 @@
 	return b, nil
 }
 
-// Verify checks a bundle that is to come into force: two trusted people.
+// Verify validates a bundle that is to be rolled out. It requires valid signatures of two different
+// trusted people.
 func (t TrustedKeys) Verify(e *Envelope) (*Bundle, error) {
 	b, err := t.VerifyProposal(e)
 	if err != nil {
@@ -178,7 +180,7 @@
 	return ErrInvalidSignature
 }
 
-// ParseEnvelope decodes an envelope without judging its signatures.
+// ParseEnvelope decodes an envelope without verifying its signatures.
 func ParseEnvelope(data []byte) (*Envelope, error) {
 	var e Envelope
 	if err := DecodeStrict(data, &e); err != nil {
@@ -187,11 +189,11 @@
 	return &e, nil
 }
 
-// Encode writes the envelope as stored and sent.
+// Encode returns the envelope as JSON.
 func (e *Envelope) Encode() []byte {
 	data, err := json.Marshal(e)
 	if err != nil {
-		panic("operator: envelope does not encode: " + err.Error())
+		panic("operator: cannot encode envelope: " + err.Error())
 	}
 	return data
 }
