--- a/internal/adapter/kvhttp/client.go
+++ b/internal/adapter/kvhttp/client.go
@@ -1,9 +1,8 @@
-// Package kvhttp speaks to the platform's key-value service and list of
-// VMs over HTTP.
+// Package kvhttp is an HTTP client for the platform's key-value service and list of VMs.
 //
-// The dialect is that of the project's stand-in: GET with a revision to wait
-// for, PUT with the expected revision, and the new revision in a header. A
-// deployment on another service replaces this package only.
+// The protocol is that of the project's fake platform: GET with a revision to wait for, PUT with
+// the expected revision, and the new revision in a response header. A deployment on another service
+// only has to replace this package.
 package kvhttp
 
 import (
@@ -26,100 +25,102 @@
 )
 
 const (
-	// HeaderRevision carries a value's revision.
+	// HeaderRevision is the response header with a value's revision.
 	HeaderRevision = "Revision"
-	// HeaderExpect carries the revision that a write expects.
-	HeaderExpect = "Expect-Revision"
-	// MaxValueBytes is the largest value that the service takes.
+	// HeaderExpectedRevision is the request header with the revision that a write expects.
+	HeaderExpectedRevision = "Expect-Revision"
+	// MaxValueBytes is the maximum size of a value that the service accepts.
 	MaxValueBytes = 1 << 20
 
 	readTimeout  = 2 * time.Second
 	writeTimeout = 2 * time.Second
-	// WatchWait is how long the service holds a watch without news.
-	WatchWait   = 30 * time.Second
-	watchMargin = 5 * time.Second
+	// WatchTimeout is how long the service keeps a watch request open without a change.
+	WatchTimeout       = 30 * time.Second
+	watchTimeoutMargin = 5 * time.Second
 )
 
 type (
-	// Client calls the platform, trying its addresses in turn.
+	// Client sends requests to the platform, to each of its addresses in turn.
 	Client struct {
-		addresses []netip.AddrPort
-		http      *http.Client
-		pick      atomic.Uint64
-		// Called counts calls by operation, for metrics; nil for none.
-		Called func(operation string)
+		addresses   []netip.AddrPort
+		http        *http.Client
+		nextAddress atomic.Uint64
+		// OnCall is called with the operation's name for each request, for metrics. It may be nil.
+		OnCall func(operation string)
 	}
 )
 
-// NewClient makes a client of the platform at these addresses.
+// NewClient returns a client of the platform at these addresses.
 func NewClient(addresses []netip.AddrPort) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute}
 	return &Client{addresses: addresses, http: &http.Client{Transport: transport}}
 }
 
-// Get reads a value. ErrAbsent means that there is none.
+// Get returns the value of a key, or kv.ErrNotFound.
 func (c *Client) Get(ctx context.Context, key kv.Key) (kv.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return c.read(ctx, "get", "/v1/keys/"+url.PathEscape(string(key)), nil)
 }
 
-// Watch waits until the value is past a revision. It returns ErrAbsent or the
-// same revision when nothing came in time.
+// Watch waits until the value has a later revision than after and returns it. At the timeout it
+// returns kv.ErrNotFound or the value at the unchanged revision.
 func (c *Client) Watch(ctx context.Context, key kv.Key, after kv.Revision) (kv.Value, error) {
-	ctx, cancel := context.WithTimeout(ctx, WatchWait+watchMargin)
+	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+watchTimeoutMargin)
 	defer cancel()
-	query := url.Values{"after": {fmt.Sprint(after)}, "wait": {WatchWait.String()}}
+	query := url.Values{"after": {fmt.Sprint(after)}, "wait": {WatchTimeout.String()}}
 	return c.read(ctx, "watch", "/v1/keys/"+url.PathEscape(string(key)), query)
 }
 
-// Machines waits until the list of VMs is past a version.
-func (c *Client) Machines(ctx context.Context, after uint64) (*kv.Machines, error) {
-	ctx, cancel := context.WithTimeout(ctx, WatchWait+watchMargin)
+// WatchMachines waits until the list of VMs has a later version than after, or the timeout, and
+// returns it.
+func (c *Client) WatchMachines(ctx context.Context, after uint64) (*kv.MachineList, error) {
+	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+watchTimeoutMargin)
 	defer cancel()
-	query := url.Values{"after": {fmt.Sprint(after)}, "wait": {WatchWait.String()}}
+	query := url.Values{"after": {fmt.Sprint(after)}, "wait": {WatchTimeout.String()}}
 	value, err := c.read(ctx, "machines", "/v1/machines", query)
 	if err != nil {
 		return nil, err
 	}
-	return kv.ParseMachines(value.Data)
+	return kv.ParseMachineList(value.Data)
 }
 
-// Swap writes a value if it is still at the expected revision; zero expects
-// none. ErrUnavailable leaves open whether the write took effect: read back.
-func (c *Client) Swap(ctx context.Context, key kv.Key, expect kv.Revision, data []byte) (kv.Revision, error) {
+// CompareAndSwap writes a value if it is still at the expected revision; zero means that there is
+// no value yet. After kv.ErrUnavailable it is unknown whether the write took effect, so that the
+// caller has to read the value back.
+func (c *Client) CompareAndSwap(ctx context.Context, key kv.Key, expect kv.Revision, data []byte) (kv.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	request, err := c.request(ctx, http.MethodPut, "/v1/keys/"+url.PathEscape(string(key)), nil, data)
+	request, err := c.newRequest(ctx, http.MethodPut, "/v1/keys/"+url.PathEscape(string(key)), nil, data)
 	if err != nil {
 		return 0, err
 	}
-	request.Header.Set(HeaderExpect, fmt.Sprint(expect))
+	request.Header.Set(HeaderExpectedRevision, fmt.Sprint(expect))
 	value, err := c.do("swap", request)
 	return value.Revision, err
 }
 
 func (c *Client) read(ctx context.Context, operation, path string, query url.Values) (kv.Value, error) {
-	request, err := c.request(ctx, http.MethodGet, path, query, nil)
+	request, err := c.newRequest(ctx, http.MethodGet, path, query, nil)
 	if err != nil {
 		return kv.Value{}, err
 	}
 	return c.do(operation, request)
 }
 
-func (c *Client) request(ctx context.Context, method, path string, query url.Values, data []byte) (*http.Request, error) {
-	address := c.addresses[c.pick.Add(1)%uint64(len(c.addresses))]
+func (c *Client) newRequest(ctx context.Context, method, path string, query url.Values, data []byte) (*http.Request, error) {
+	address := c.addresses[c.nextAddress.Add(1)%uint64(len(c.addresses))]
 	target := "http://" + address.String() + path
 	if len(query) > 0 {
 		target += "?" + query.Encode()
 	}
 	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(data))
-	return request, errs.Wrap(err, "platform request")
+	return request, errs.Wrap(err, "create platform request")
 }
 
 func (c *Client) do(operation string, request *http.Request) (kv.Value, error) {
-	if c.Called != nil {
-		c.Called(operation)
+	if c.OnCall != nil {
+		c.OnCall(operation)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -131,19 +132,19 @@
 		return kv.Value{}, errors.Wrap(kv.ErrUnavailable, err.Error())
 	}
 	revision, _ := strconv.ParseUint(response.Header.Get(HeaderRevision), 10, 64)
-	value := kv.Value{Revision: kv.Revision(revision), Data: data}
+	result := kv.Value{Revision: kv.Revision(revision), Data: data}
 	switch response.StatusCode {
 	case http.StatusOK:
-		return value, nil
+		return result, nil
 	case http.StatusNotFound:
-		return value, kv.ErrAbsent
+		return result, kv.ErrNotFound
 	case http.StatusConflict:
-		return value, kv.ErrConflict
+		return result, kv.ErrConflict
 	}
-	return value, errors.Wrapf(kv.ErrUnavailable, "status %d", response.StatusCode)
+	return result, errors.Wrapf(kv.ErrUnavailable, "status %d", response.StatusCode)
 }
 
-// List reads all values whose keys begin with a prefix.
+// List returns all values whose keys begin with a prefix.
 func (c *Client) List(ctx context.Context, prefix kv.Key) (map[kv.Key]kv.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -153,17 +154,17 @@
 	}
 	var items map[kv.Key]kv.Value
 	if err := json.Unmarshal(value.Data, &items); err != nil {
-		return nil, errors.Wrap(err, "list of values")
+		return nil, errors.Wrap(err, "decode list of values")
 	}
 	return items, nil
 }
 
-// Store gives the client as the kernel's seam.
+// Store returns the client as the interface that package kv uses.
 func (c *Client) Store() kv.Store {
-	return kv.Store{Get: c.Get, Swap: c.Swap, Pause: pause}
+	return kv.Store{Get: c.Get, CompareAndSwap: c.CompareAndSwap, Sleep: sleep}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/adapter/operatorhttp/client.go
+++ b/internal/adapter/operatorhttp/client.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	clientTimeout = 15 * time.Second
-	maxReply      = 32 << 20
+	clientTimeout    = 15 * time.Second
+	maxResponseBytes = 32 << 20
 )
 
 var (
-	// ErrRefused means that a proxy understood the request and refused it.
-	ErrRefused = errors.New("refused")
-	// ErrNoProxy means that no proxy answered.
-	ErrNoProxy = errors.New("no proxy answers")
+	// ErrRejected means that a proxy understood the request and rejected it.
+	ErrRejected = errors.New("request rejected")
+	// ErrNoProxy means that no proxy responded.
+	ErrNoProxy = errors.New("no proxy responded")
 )
 
 type (
-	// Client asks proxies on behalf of an operator.
+	// Client sends an operator's requests to proxies.
 	Client struct {
 		addresses []netip.AddrPort
 		scheme    string
@@ -38,8 +38,8 @@
 	}
 )
 
-// NewClient makes a client of the proxies at these operator addresses. With a
-// TLS configuration it speaks HTTPS.
+// NewClient returns a client of the proxies at these operator addresses. It uses HTTPS if config
+// isn't nil.
 func NewClient(addresses []netip.AddrPort, config *tls.Config) *Client {
 	c := &Client{addresses: addresses, scheme: "http", http: &http.Client{Timeout: clientTimeout}}
 	if config != nil {
@@ -49,103 +49,105 @@
 	return c
 }
 
-// any asks one proxy after the other until one answers.
-func (c *Client) any(ctx context.Context, method, path string, in, out any) error {
-	var last error
+// callAny sends the request to one proxy after another until one accepts or rejects it.
+func (c *Client) callAny(ctx context.Context, method, path string, requestBody, responseBody any) error {
+	var lastErr error
 	for _, address := range c.addresses {
-		err := c.one(ctx, address, method, path, in, out)
-		if err == nil || errors.Is(err, ErrRefused) {
+		err := c.call(ctx, address, method, path, requestBody, responseBody)
+		if err == nil || errors.Is(err, ErrRejected) {
 			return err
 		}
-		last = err
+		lastErr = err
 	}
-	return errors.Wrapf(ErrNoProxy, "%v", last)
+	return errors.Wrapf(ErrNoProxy, "%v", lastErr)
 }
 
-func (c *Client) one(ctx context.Context, address netip.AddrPort, method, path string, in, out any) error {
+func (c *Client) call(ctx context.Context, address netip.AddrPort, method, path string, requestBody, responseBody any) error {
 	var body []byte
-	if in != nil {
-		data, err := json.Marshal(in)
+	if requestBody != nil {
+		data, err := json.Marshal(requestBody)
 		if err != nil {
-			return errors.Wrap(err, "encode")
+			return errors.Wrap(err, "encode request")
 		}
 		body = data
 	}
 	request, err := http.NewRequestWithContext(ctx, method, c.scheme+"://"+address.String()+path, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "create request")
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "ask proxy")
+		return errors.Wrap(err, "send request to proxy")
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxReply))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return errors.Wrap(err, "read answer")
+		return errors.Wrap(err, "read response")
 	}
 	if response.StatusCode != http.StatusOK {
-		return refusalOf(response.StatusCode, data)
+		return responseError(response.StatusCode, data)
 	}
-	return errs.Wrap(json.Unmarshal(data, out), "decode answer")
+	return errs.Wrap(json.Unmarshal(data, responseBody), "decode response")
 }
 
-func refusalOf(status int, data []byte) error {
-	var f Failure
+// responseError returns the error of an unsuccessful response. Server errors don't count as
+// rejections, so that callAny tries the next proxy.
+func responseError(status int, data []byte) error {
+	var f ErrorResponse
 	if err := json.Unmarshal(data, &f); err != nil || f.Error == "" {
 		f.Error = http.StatusText(status)
 	}
 	if status >= http.StatusInternalServerError {
 		return errors.New(f.Error)
 	}
-	return errors.Wrap(ErrRefused, f.Error)
+	return errors.Wrap(ErrRejected, f.Error)
 }
 
-// Status asks one proxy for its status.
+// Status returns the status of a proxy.
 func (c *Client) Status(ctx context.Context, address netip.AddrPort) (core.Status, error) {
 	var s core.Status
-	err := c.one(ctx, address, http.MethodGet, PathStatus, nil, &s)
+	err := c.call(ctx, address, http.MethodGet, PathStatus, nil, &s)
 	return s, err
 }
 
-// Events asks one proxy for its event log.
+// Events returns the event log of a proxy.
 func (c *Client) Events(ctx context.Context, address netip.AddrPort) ([]core.Event, error) {
-	var e Events
-	err := c.one(ctx, address, http.MethodGet, PathEvents, nil, &e)
+	var e EventsResponse
+	err := c.call(ctx, address, http.MethodGet, PathEvents, nil, &e)
 	return e.Events, err
 }
 
-// Members asks any proxy for all that it knows.
-func (c *Client) Members(ctx context.Context) (Members, error) {
-	var m Members
-	err := c.any(ctx, http.MethodGet, PathMembers, nil, &m)
+// Members returns the proxies that any one proxy knows.
+func (c *Client) Members(ctx context.Context) (MembersResponse, error) {
+	var m MembersResponse
+	err := c.callAny(ctx, http.MethodGet, PathMembers, nil, &m)
 	return m, err
 }
 
-// Bundle asks any proxy for the bundle in force.
+// Bundle returns the envelope of the current bundle from any proxy.
 func (c *Client) Bundle(ctx context.Context) (*operator.Envelope, error) {
 	var e operator.Envelope
-	err := c.any(ctx, http.MethodGet, PathBundle, nil, &e)
+	err := c.callAny(ctx, http.MethodGet, PathBundle, nil, &e)
 	return &e, err
 }
 
-// Proposals lists proposed bundles.
+// Proposals returns the proposed bundles.
 func (c *Client) Proposals(ctx context.Context) ([]operator.Envelope, error) {
-	var p Proposals
-	err := c.any(ctx, http.MethodGet, PathProposals, nil, &p)
+	var p ProposalsResponse
+	err := c.callAny(ctx, http.MethodGet, PathProposals, nil, &p)
 	return p.Envelopes, err
 }
 
-// Propose stores a proposal, or its approval.
+// Propose stores a proposal or its approval.
 func (c *Client) Propose(ctx context.Context, e *operator.Envelope) error {
-	var out operator.Envelope
-	return c.any(ctx, http.MethodPost, PathProposals, e, &out)
+	var stored operator.Envelope
+	return c.callAny(ctx, http.MethodPost, PathProposals, e, &stored)
 }
 
-// Rollout brings a signed bundle into force. Through whichever proxy it goes,
-// and however often, the operation takes effect once.
-func (c *Client) Rollout(ctx context.Context, e *operator.Envelope) (Rollout, error) {
-	var out Rollout
-	err := c.any(ctx, http.MethodPost, PathRollout, e, &out)
-	return out, err
+// Rollout rolls out a signed bundle. The operation takes effect once, even if it is retried or sent
+// through several proxies.
+func (c *Client) Rollout(ctx context.Context, e *operator.Envelope) (RolloutResponse, error) {
+	var response RolloutResponse
+	err := c.callAny(ctx, http.MethodPost, PathRollout, e, &response)
+	return response, err
 }
--- a/internal/adapter/steeringhttp/api.go
+++ b/internal/adapter/steeringhttp/api.go
@@ -1,6 +1,6 @@
-// Package steeringhttp is the operators' view of a proxy that forwards
-// requests on the platform: what it believes, and why a request ended as it
-// did. It changes nothing.
+// Package steeringhttp implements the read-only HTTP API for operators of a proxy that forwards
+// requests on the platform. It shows the state of the proxy and the decisions that led to a
+// request's outcome.
 package steeringhttp
 
 import (
@@ -11,71 +11,74 @@
 )
 
 const (
-	// PathStatus describes one proxy.
+	// PathStatus returns the status of the proxy.
 	PathStatus = "/v1/steering"
-	// PathEvents lists one proxy's decisions; ?request= picks one request's.
+	// PathEvents lists the decisions of the proxy; the query parameter request selects those about
+	// one request.
 	PathEvents = "/v1/steering/events"
 )
 
 type (
-	// Status is one proxy's view.
+	// Status is the state of a proxy and of the system as the proxy sees it.
 	Status struct {
-		VM            string   `json:"vm"`
-		Configuration uint64   `json:"configuration-version"`
-		CopyRevision  uint64   `json:"copy-revision"`
-		CopyAge       string   `json:"copy-age"`
-		InFlight      int      `json:"in-flight"`
-		Stopping      bool     `json:"stopping"`
-		Evacuated     []string `json:"evacuated-failure-domains,omitempty"`
-		// Stranded regions have no proxies; their callers ask those of others.
-		Stranded []string `json:"regions-without-proxies,omitempty"`
-		// Off lists the mechanisms that are not used.
-		Off []steering.Mechanism `json:"mechanisms-off,omitempty"`
-		// Holding lists services whose servers slow down when full.
-		Holding []steering.ServiceLimit `json:"holding-back,omitempty"`
-		// Condemned is work that is refused because servers ended with it.
-		Condemned []CondemnedWork `json:"condemned-work,omitempty"`
-		// Accounts are the client accounts; limits are divided among Holders proxies, and
-		// Pool is the proxy that this one gives its part to.
-		Accounts []Account       `json:"client-accounts,omitempty"`
-		Holders  int             `json:"limits-divided-among,omitempty"`
-		Pool     string          `json:"pool-of-limits,omitempty"`
-		Proxies  []Proxy         `json:"proxies"`
-		Servers  []BackendServer `json:"backend-servers"`
-		Routes   []Route         `json:"routes"`
-		At       time.Time       `json:"at"`
+		VM                   string   `json:"vm"`
+		ConfigurationVersion uint64   `json:"configuration-version"`
+		ReplicaRevision      uint64   `json:"copy-revision"`
+		ReplicaAge           string   `json:"copy-age"`
+		InFlight             int      `json:"in-flight"`
+		Stopping             bool     `json:"stopping"`
+		EvacuatedDomains     []string `json:"evacuated-failure-domains,omitempty"`
+		// RegionsWithoutProxies lists regions without proxies, whose callers use proxies of other
+		// regions.
+		RegionsWithoutProxies []string `json:"regions-without-proxies,omitempty"`
+		// MechanismsOff lists the mechanisms that are disabled.
+		MechanismsOff []steering.Mechanism `json:"mechanisms-off,omitempty"`
+		// ConcurrencyLimits lists the services whose concurrency is limited because their servers
+		// slow down when all slots are in use.
+		ConcurrencyLimits []steering.ServiceLimit `json:"holding-back,omitempty"`
+		// QuarantinedWork lists work that is rejected because it crashed servers.
+		QuarantinedWork []QuarantinedWork `json:"condemned-work,omitempty"`
+		// Accounts lists the client accounts. Their limits are divided among QuotaProxies proxies;
+		// QuotaPool is the proxy to which this one gives its share.
+		Accounts     []Account       `json:"client-accounts,omitempty"`
+		QuotaProxies int             `json:"limits-divided-among,omitempty"`
+		QuotaPool    string          `json:"pool-of-limits,omitempty"`
+		Proxies      []Proxy         `json:"proxies"`
+		Servers      []BackendServer `json:"backend-servers"`
+		Routes       []Route         `json:"routes"`
+		At           time.Time       `json:"at"`
 	}
 
-	// Proxy is a proxy that the asked one knows.
+	// Proxy is a proxy that the responding proxy knows.
 	Proxy struct {
-		Name      string         `json:"name"`
-		Domain    string         `json:"failure-domain"`
-		Region    string         `json:"region"`
-		Operators netip.AddrPort `json:"operators"`
-		Leaving   bool           `json:"leaving,omitempty"`
+		Name            string         `json:"name"`
+		Domain          string         `json:"failure-domain"`
+		Region          string         `json:"region"`
+		OperatorAddress netip.AddrPort `json:"operators"`
+		Leaving         bool           `json:"leaving,omitempty"`
 	}
 
-	// BackendServer is one backend server as the asked proxy sees it.
+	// BackendServer is a backend server as the responding proxy sees it.
 	BackendServer struct {
-		ID       string  `json:"id"`
-		Service  string  `json:"service"`
-		Domain   string  `json:"failure-domain"`
-		State    string  `json:"state"`
-		InFlight int     `json:"in-flight"`
-		Slots    int     `json:"slots"`
-		Load     float64 `json:"load"`
-		Speed    float64 `json:"speed"`
-		Failed   float64 `json:"failed-share"`
-		// Limit is how many requests a second it takes from all proxies together, nil if it
-		// names no limit.
+		ID           string  `json:"id"`
+		Service      string  `json:"service"`
+		Domain       string  `json:"failure-domain"`
+		State        string  `json:"state"`
+		InFlight     int     `json:"in-flight"`
+		Slots        int     `json:"slots"`
+		Load         float64 `json:"load"`
+		Slowdown     float64 `json:"speed"`
+		FailureShare float64 `json:"failed-share"`
+		// Limit is the number of requests per second that the server accepts from all proxies
+		// together, or nil if it advertises no limit.
 		Limit *float64 `json:"limit-per-second,omitempty"`
-		// PausedFor is for how long it wants nothing from the asked proxy.
+		// PausedFor is how much longer the server accepts no requests from the responding proxy.
 		PausedFor string `json:"paused-for,omitempty"`
-		// Leaves is set if it leaves by its own word.
-		Leaves bool `json:"leaves,omitempty"`
+		// ReportsDraining is set if the server itself has reported that it is draining.
+		ReportsDraining bool `json:"leaves,omitempty"`
 	}
 
-	// Route is one route in force.
+	// Route is a route of the current configuration.
 	Route struct {
 		Name       string   `json:"name"`
 		Host       string   `json:"host"`
@@ -85,26 +88,27 @@
 		Timeout    string   `json:"timeout"`
 	}
 
-	// CondemnedWork is refused because servers ended with it.
-	CondemnedWork struct {
-		Work string `json:"work"`
-		// Ends counts the servers, For is how much longer it is refused.
-		Ends int    `json:"ends"`
-		For  string `json:"for"`
+	// QuarantinedWork is work that is rejected because it crashed servers.
+	QuarantinedWork struct {
+		Fingerprint string `json:"work"`
+		// Crashes is the number of servers that it crashed, QuarantinedFor how much longer it is
+		// rejected.
+		Crashes        int    `json:"ends"`
+		QuarantinedFor string `json:"for"`
 	}
 
-	// Account is a client account as the asked proxy sees it.
+	// Account is a client account as the responding proxy sees it.
 	Account struct {
 		Name string `json:"name"`
-		// Keys are fingerprints, which tell keys apart and nothing of them.
+		// Keys holds fingerprints, which distinguish the keys but don't reveal them.
 		Keys     []string `json:"key-fingerprints"`
 		Regions  []string `json:"regions,omitempty"`
 		Priority *int     `json:"priority,omitempty"`
-		// LimitPerSecond and Burst are the limit over all proxies, zero for none.
+		// LimitPerSecond and Burst are the rate limit over all proxies; zero means no limit.
 		LimitPerSecond float64 `json:"limit-per-second,omitempty"`
 		Burst          float64 `json:"burst,omitempty"`
-		// HeldShare is the part of the limit that the proxy holds by itself, PerSecond the
-		// rate of requests there; Admitted and Refused count them since the account was
+		// HeldShare is the share of the limit that the proxy itself holds, PerSecond the rate of
+		// requests at the proxy. Admitted and Refused count these requests since the account was
 		// last idle.
 		HeldShare float64 `json:"held-share"`
 		PerSecond float64 `json:"per-second"`
@@ -112,7 +116,7 @@
 		Refused   uint64  `json:"refused"`
 	}
 
-	// Event is one decision of one proxy.
+	// Event is a decision of a proxy.
 	Event struct {
 		At      time.Time `json:"at"`
 		VM      string    `json:"vm"`
@@ -120,52 +124,52 @@
 		Request string    `json:"request,omitempty"`
 		Route   string    `json:"route,omitempty"`
 		// Account is the client account.
-		Account       string `json:"account,omitempty"`
-		Configuration uint64 `json:"configuration,omitempty"`
-		Service       string `json:"service,omitempty"`
-		Server        string `json:"server,omitempty"`
-		Object        string `json:"object,omitempty"`
-		// Work names what the request asks a server to do; requests with the same one
-		// have the same path, client account and body.
-		Work   string `json:"work,omitempty"`
-		Domain string `json:"failure-domain,omitempty"`
-		Region string `json:"region,omitempty"`
-		// Elsewhere tells of a region without proxies that its callers count
-		// with other regions.
-		Elsewhere bool    `json:"elsewhere,omitempty"`
-		Attempt   int     `json:"attempt,omitempty"`
-		Result    string  `json:"result,omitempty"`
-		Outcome   string  `json:"outcome,omitempty"`
-		Reason    string  `json:"reason,omitempty"`
-		Expected  string  `json:"expected,omitempty"`
-		Load      float64 `json:"load,omitempty"`
-		LoadAge   string  `json:"load-age,omitempty"`
-		Warm      bool    `json:"warm,omitempty"`
-		Draining  bool    `json:"draining,omitempty"`
-		Took      string  `json:"took,omitempty"`
-		ComeBack  string  `json:"come-back,omitempty"`
-		Pressure  float64 `json:"pressure,omitempty"`
-		Error     string  `json:"error,omitempty"`
-		// Limit is what a server takes from all proxies together.
+		Account              string `json:"account,omitempty"`
+		ConfigurationVersion uint64 `json:"configuration,omitempty"`
+		Service              string `json:"service,omitempty"`
+		Server               string `json:"server,omitempty"`
+		Object               string `json:"object,omitempty"`
+		// Fingerprint identifies the work that the request asks for. Requests with the same
+		// fingerprint have the same path, client account and body.
+		Fingerprint string `json:"work,omitempty"`
+		Domain      string `json:"failure-domain,omitempty"`
+		Region      string `json:"region,omitempty"`
+		// CallersElsewhere is set for a region without proxies whose callers are counted in other
+		// regions.
+		CallersElsewhere bool    `json:"elsewhere,omitempty"`
+		Attempt          int     `json:"attempt,omitempty"`
+		Result           string  `json:"result,omitempty"`
+		Outcome          string  `json:"outcome,omitempty"`
+		Reason           string  `json:"reason,omitempty"`
+		Expected         string  `json:"expected,omitempty"`
+		Load             float64 `json:"load,omitempty"`
+		LoadAge          string  `json:"load-age,omitempty"`
+		Warm             bool    `json:"warm,omitempty"`
+		Draining         bool    `json:"draining,omitempty"`
+		Duration         string  `json:"took,omitempty"`
+		RetryAfter       string  `json:"come-back,omitempty"`
+		Pressure         float64 `json:"pressure,omitempty"`
+		Error            string  `json:"error,omitempty"`
+		// Limit is the rate limit that a server advertises for all proxies together.
 		Limit string `json:"limit,omitempty"`
-		// Wait is the part of Expected until a slot is free.
-		Wait string `json:"wait,omitempty"`
-		// State is how the server stood when the request was sent there last.
-		State string `json:"server-state,omitempty"`
-		// Cause says where the time of a late request went, Target is the route's.
+		// ExpectedWait is the part of Expected that is spent waiting for a slot.
+		ExpectedWait string `json:"wait,omitempty"`
+		// ServerState is the state of the server when the request was last sent to it.
+		ServerState string `json:"server-state,omitempty"`
+		// Cause is the main cause of a late request's latency, Target the route's target latency.
 		Cause  string `json:"cause,omitempty"`
 		Target string `json:"target,omitempty"`
 	}
 )
 
-// EventOf is a kernel's event as operators see it.
-func EventOf(vm string, e steering.Event) Event {
+// NewEvent returns the API's form of an event of the kernel.
+func NewEvent(vm string, e steering.Event) Event {
 	out := Event{
-		At: e.At, VM: vm, Kind: string(e.Kind), Request: e.Request, Route: e.Route, Account: e.Account, Configuration: e.Version,
-		Service: e.Service, Server: e.Server, Object: e.Object, Work: e.Fingerprint.String(), Domain: e.Domain, Region: e.Region, Elsewhere: e.CallersElsewhere, Attempt: e.Attempt,
+		At: e.At, VM: vm, Kind: string(e.Kind), Request: e.Request, Route: e.Route, Account: e.Account, ConfigurationVersion: e.Version,
+		Service: e.Service, Server: e.Server, Object: e.Object, Fingerprint: e.Fingerprint.String(), Domain: e.Domain, Region: e.Region, CallersElsewhere: e.CallersElsewhere, Attempt: e.Attempt,
 		Reason: string(e.Reason), Load: e.Load, Warm: e.Warm, Draining: e.Draining,
-		Expected: span(e.Expected), Took: span(e.Duration), ComeBack: span(e.RetryAfter), Pressure: e.Pressure,
-		Wait: span(e.ExpectedWait), State: string(e.State), Cause: string(e.Cause), Target: span(e.Target), Limit: e.Limit.String(),
+		Expected: formatDuration(e.Expected), Duration: formatDuration(e.Duration), RetryAfter: formatDuration(e.RetryAfter), Pressure: e.Pressure,
+		ExpectedWait: formatDuration(e.ExpectedWait), ServerState: string(e.State), Cause: string(e.Cause), Target: formatDuration(e.Target), Limit: e.Limit.String(),
 	}
 	if e.Result != 0 {
 		out.Result = e.Result.String()
@@ -174,7 +178,7 @@
 		out.Outcome = e.Outcome.String()
 	}
 	if e.Kind == steering.EventRequestSent {
-		out.LoadAge = span(e.LoadAge)
+		out.LoadAge = formatDuration(e.LoadAge)
 	}
 	if e.Err != nil {
 		out.Error = e.Err.Error()
@@ -182,15 +186,16 @@
 	return out
 }
 
-func span(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
 	return d.Round(10 * time.Microsecond).String()
 }
 
-// StateOf names a server's state, the most telling first.
-func StateOf(s steering.ServerStatus) string {
+// ServerState describes a server's state. If several conditions hold, it returns the most
+// significant one, in the order of the cases.
+func ServerState(s steering.ServerStatus) string {
 	switch {
 	case s.Draining:
 		return "draining"
--- a/internal/kernel/core/backpressure.go
+++ b/internal/kernel/core/backpressure.go
@@ -72,15 +72,15 @@
 	rank, localRank := backpressure.ProxyRank{}, -1
 	for _, r := range k.regions {
 		if r.Name == serverRegion {
-			rank.InRegion = r.Proxies
+			rank.InRegion = r.QuotaSlots
 		}
 		if r.Name == self.Region {
 			localRank = k.rankInRegion()
-			if localRank >= r.Proxies {
+			if localRank >= r.QuotaSlots {
 				localRank = -1
 			}
 		}
-		rank.Total += r.Proxies
+		rank.Total += r.QuotaSlots
 	}
 	if localRank < 0 {
 		return backpressure.ProxyRank{Position: rank.Total, InRegion: rank.InRegion, Total: rank.Total}
@@ -95,7 +95,7 @@
 			break
 		}
 		if r.Name != serverRegion {
-			rank.Position += r.Proxies
+			rank.Position += r.QuotaSlots
 		}
 	}
 	return rank
--- a/internal/kernel/core/lookup.go
+++ b/internal/kernel/core/lookup.go
@@ -44,14 +44,14 @@
 	answer := LookupAnswer{
 		Service:    service,
 		HomeRegion: k.regions[home].Name,
-		TTL:        k.bundle.Lookup.Lifetime.Std(),
+		TTL:        k.bundle.Lookup.TTL.Std(),
 	}
 	key := xxhash.Sum64(client.AsSlice())
 	candidates := k.candidates(now)
-	answer.Proxies = appendHighestRanked(nil, candidates[answer.HomeRegion], key, k.bundle.Lookup.Answers)
+	answer.Proxies = appendHighestRanked(nil, candidates[answer.HomeRegion], key, k.bundle.Lookup.MaxProxies)
 	for _, r := range k.regions {
-		if r.Name != answer.HomeRegion && len(answer.Proxies) < k.bundle.Lookup.Answers {
-			answer.Proxies = appendHighestRanked(answer.Proxies, candidates[r.Name], key, k.bundle.Lookup.Answers)
+		if r.Name != answer.HomeRegion && len(answer.Proxies) < k.bundle.Lookup.MaxProxies {
+			answer.Proxies = appendHighestRanked(answer.Proxies, candidates[r.Name], key, k.bundle.Lookup.MaxProxies)
 		}
 	}
 	return answer, len(answer.Proxies) > 0
@@ -137,5 +137,5 @@
 	if listed && state != kv.MachineLive {
 		return true
 	}
-	return k.bundle.Drained(operator.DrainProxy, name, now)
+	return k.bundle.IsDrained(operator.DrainProxy, name, now)
 }
--- a/internal/kernel/kv/assignment_test.go
+++ b/internal/kernel/kv/assignment_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// TestSharesSumToTheCapacity: were the sum larger by one, a region could pass
-// its capacity by one; at every size and however slots are spread.
-func TestSharesSumToTheCapacity(t *testing.T) {
+// TestSharesSumToCapacity guards against rounding errors in the shares: if their sum exceeded the
+// capacity of a region, the region could admit more requests than that. It covers several fleet
+// sizes and distributions of slots over regions.
+func TestSharesSumToCapacity(t *testing.T) {
 	for _, slots := range [][]int{{4, 3, 3}, {1, 0, 0}, {0, 2, 5}, {59, 59, 60, 58, 59, 59}, {10}} {
 		c := Capacities{}
 		for i, n := range slots {
@@ -15,17 +16,17 @@
 			c.Links = append(c.Links, LinkCapacity{From: fmt.Sprint("r", i), To: "r0", Limit: 601})
 		}
 		for _, r := range c.Regions {
-			sum, link := 0, 0
+			regionSum, linkSum := 0, 0
 			for slot := range c.slots() {
-				sum += c.RegionShare(r.Name, slot)
+				regionSum += c.RegionShare(r.Name, slot)
 				share, _ := c.LinkShare(r.Name, "r0", slot)
-				link += share
+				linkSum += share
 			}
-			if got, want := sum, r.Capacity; got != want {
+			if got, want := regionSum, r.Capacity; got != want {
 				t.Errorf("slots %v, region %s: got shares of %d, want %d", slots, r.Name, got, want)
 			}
-			if want := min(601, 601*r.Slots); link != want {
-				t.Errorf("slots %v, link from %s: got shares of %d, want %d", slots, r.Name, link, want)
+			if want := min(601, 601*r.Slots); linkSum != want {
+				t.Errorf("slots %v, link from %s: got shares of %d, want %d", slots, r.Name, linkSum, want)
 			}
 		}
 	}
--- a/internal/kernel/operator/bundle_test.go
+++ b/internal/kernel/operator/bundle_test.go
@@ -14,9 +14,9 @@
 )
 
 type (
-	// editCase is one wrong bundle: a value set at a path, and the field that
-	// the error must name.
-	editCase struct {
+	// invalidBundleCase is an edit that makes the example bundle invalid, and a text that the error
+	// must contain.
+	invalidBundleCase struct {
 		Name  string `json:"name"`
 		Path  []any  `json:"path"`
 		Value any    `json:"value"`
@@ -33,27 +33,27 @@
 	return data
 }
 
-// set puts a value at a path of object names and list indices.
-func set(node any, path []any, value any) {
-	switch at := path[0].(type) {
+// setAt sets the value at a path of object keys and list indices.
+func setAt(node any, path []any, value any) {
+	switch step := path[0].(type) {
 	case string:
 		object := node.(map[string]any)
 		if len(path) == 1 {
-			object[at] = value
+			object[step] = value
 			return
 		}
-		set(object[at], path[1:], value)
+		setAt(object[step], path[1:], value)
 	case float64:
 		list := node.([]any)
 		if len(path) == 1 {
-			list[int(at)] = value
+			list[int(step)] = value
 			return
 		}
-		set(list[int(at)], path[1:], value)
+		setAt(list[int(step)], path[1:], value)
 	}
 }
 
-func TestExamplesAreInOrder(t *testing.T) {
+func TestExampleBundlesAreValid(t *testing.T) {
 	for _, name := range []string{"trinacria", "hokkaido"} {
 		b, err := ParseBundle(exampleBundle(t, name))
 		if err != nil {
@@ -65,14 +65,14 @@
 	}
 }
 
-// TestWrongBundles reads edits from a data file; each must give an error that
-// names the field.
-func TestWrongBundles(t *testing.T) {
+// TestInvalidBundles applies each edit of testdata/wrong-bundles.json to a valid bundle. Parsing
+// must fail with an error that names the field.
+func TestInvalidBundles(t *testing.T) {
 	data, err := os.ReadFile("testdata/wrong-bundles.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var cases []editCase
+	var cases []invalidBundleCase
 	if err := json.Unmarshal(data, &cases); err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 			if err := json.Unmarshal(exampleBundle(t, "trinacria"), &tree); err != nil {
 				t.Fatal(err)
 			}
-			set(tree, c.Path, c.Value)
+			setAt(tree, c.Path, c.Value)
 			edited, err := json.Marshal(tree)
 			if err != nil {
 				t.Fatal(err)
@@ -98,7 +98,7 @@
 	}
 }
 
-func keyPair(t *testing.T, operator string) *KeyPair {
+func newKeyPair(t *testing.T, operator string) *KeyPair {
 	t.Helper()
 	k, err := NewKeyPair(operator)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return k
 }
 
-func signed(t *testing.T, author, second *KeyPair) *Envelope {
+func signedEnvelope(t *testing.T, author, second *KeyPair) *Envelope {
 	t.Helper()
 	b, err := ParseBundle(exampleBundle(t, "trinacria"))
 	if err != nil {
@@ -123,36 +123,35 @@
 	return e
 }
 
-// TestSignatures: somebody without two trusted people's keys tries to bring a
-// bundle into force: unsigned, signed once, twice by one person, by a
-// stranger, with a signature of another role, or with the content changed
-// after signing. Every way must be refused at each proxy.
+// TestSignatures guards against rolling out a bundle without the consent of two trusted people.
+// Verify must reject an envelope that lacks a signature, is signed twice by one person, by an
+// untrusted person or for another role, or whose content was changed after signing.
 func TestSignatures(t *testing.T) {
-	anna, bruno, stranger := keyPair(t, "anna"), keyPair(t, "bruno"), keyPair(t, "mallory")
-	annaToo := keyPair(t, "anna")
-	trust := Trust{anna.Trusted(), annaToo.Trusted(), bruno.Trusted()}
+	anna, bruno, stranger := newKeyPair(t, "anna"), newKeyPair(t, "bruno"), newKeyPair(t, "mallory")
+	secondAnnaKey := newKeyPair(t, "anna")
+	trust := TrustedKeys{anna.TrustedKey(), secondAnnaKey.TrustedKey(), bruno.TrustedKey()}
 	cases := []struct {
 		name string
 		edit func(*Envelope)
 		want error
 	}{
 		{"two people", func(*Envelope) {}, nil},
-		{"no approver", func(e *Envelope) { e.Approver = Signature{} }, ErrUnsigned},
-		{"no author", func(e *Envelope) { e.Author = Signature{} }, ErrUnsigned},
-		{"a stranger approves", func(e *Envelope) { e.Approver, _ = stranger.sign(roleApprover, e.Digest) }, ErrUntrusted},
-		{"one person with two keys", func(e *Envelope) { e.Approver, _ = annaToo.sign(roleApprover, e.Digest) }, ErrSamePerson},
-		{"author's signature as approver's", func(e *Envelope) { e.Approver, _ = bruno.sign(roleAuthor, e.Digest) }, ErrBadSignature},
+		{"no approver", func(e *Envelope) { e.Approver = Signature{} }, ErrMissingSignature},
+		{"no author", func(e *Envelope) { e.Author = Signature{} }, ErrMissingSignature},
+		{"a stranger approves", func(e *Envelope) { e.Approver, _ = stranger.sign(roleApprover, e.Digest) }, ErrUntrustedKey},
+		{"one person with two keys", func(e *Envelope) { e.Approver, _ = secondAnnaKey.sign(roleApprover, e.Digest) }, ErrSameOperator},
+		{"author's signature as approver's", func(e *Envelope) { e.Approver, _ = bruno.sign(roleAuthor, e.Digest) }, ErrInvalidSignature},
 		{"a stranger under a trusted name", func(e *Envelope) {
 			e.Approver, _ = stranger.sign(roleApprover, e.Digest)
 			e.Approver.Operator = "bruno"
-		}, ErrBadSignature},
+		}, ErrInvalidSignature},
 		{"content changed", func(e *Envelope) {
 			e.Bundle = json.RawMessage(strings.Replace(string(e.Bundle), `"capacity-per-second":2800`, `"capacity-per-second":2801`, 1))
-		}, ErrBadSignature},
+		}, ErrInvalidSignature},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			e := signed(t, anna, bruno)
+			e := signedEnvelope(t, anna, bruno)
 			c.edit(e)
 			_, err := trust.Verify(e)
 			if !errors.Is(err, c.want) {
@@ -162,8 +161,8 @@
 	}
 }
 
-func TestApproverMustBeAnother(t *testing.T) {
-	anna := keyPair(t, "anna")
+func TestAuthorCannotApprove(t *testing.T) {
+	anna := newKeyPair(t, "anna")
 	b, err := ParseBundle(exampleBundle(t, "trinacria"))
 	if err != nil {
 		t.Fatal(err)
@@ -172,13 +171,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := anna.Approve(e); !errors.Is(got, ErrSamePerson) {
-		t.Errorf("got error %v, want %v", got, ErrSamePerson)
+	if got := anna.Approve(e); !errors.Is(got, ErrSameOperator) {
+		t.Errorf("got error %v, want %v", got, ErrSameOperator)
 	}
 }
 
-// FuzzParseBundle: whatever bytes arrive, parsing ends with a bundle that
-// checks, or with an error, and a bundle encodes to itself.
+// FuzzParseBundle checks that any input gives an error or a valid bundle whose encoding parses to
+// the same bundle.
 func FuzzParseBundle(f *testing.F) {
 	f.Add([]byte(`{"version":1}`))
 	f.Add([]byte(`{"version":1,"regions":[{"name":"a"}]} x`))
@@ -187,20 +186,20 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseBundle(b.Encode())
+		reparsed, err := ParseBundle(b.Encode())
 		if err != nil {
 			t.Fatalf("got error %v for the bundle's own encoding, want none", err)
 		}
-		if got, want := again.Digest(), b.Digest(); got != want {
-			t.Errorf("got digest %s after one round, want %s", got, want)
+		if got, want := reparsed.Digest(), b.Digest(); got != want {
+			t.Errorf("got digest %s after encoding and parsing, want %s", got, want)
 		}
 	})
 }
 
 func ExampleService_IsIdempotent() {
 	s := Service{
-		Idempotent: []string{"GET"},
-		Routes:     []Route{{Prefix: "/search", Idempotent: true}},
+		IdempotentMethods: []string{"GET"},
+		Routes:            []Route{{Prefix: "/search", Idempotent: true}},
 	}
 	fmt.Println(s.IsIdempotent("GET", "/bids/7"), s.IsIdempotent("POST", "/bids"), s.IsIdempotent("POST", "/search/all"))
 	// Output: true false true
@@ -224,24 +223,24 @@
 	// version 1 -> 2
 }
 
-// TestReferencePageNamesEveryField keeps docs/BUNDLE.md true.
-func TestReferencePageNamesEveryField(t *testing.T) {
+// TestReferencePageListsEveryField checks that docs/BUNDLE.md documents every field of a bundle.
+func TestReferencePageListsEveryField(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "BUNDLE.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var check func(reflect.Type)
-	check = func(kind reflect.Type) {
-		for kind.Kind() == reflect.Slice {
-			kind = kind.Elem()
+	check = func(typ reflect.Type) {
+		for typ.Kind() == reflect.Slice {
+			typ = typ.Elem()
 		}
-		if kind.Kind() != reflect.Struct || kind.PkgPath() != reflect.TypeFor[Bundle]().PkgPath() {
+		if typ.Kind() != reflect.Struct || typ.PkgPath() != reflect.TypeFor[Bundle]().PkgPath() {
 			return
 		}
-		for field := range kind.Fields() {
+		for field := range typ.Fields() {
 			name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 			if !strings.Contains(string(page), name+"`") && !strings.Contains(string(page), "`"+name+".") {
-				t.Errorf("got a page without field %q of %s, want it listed", name, kind.Name())
+				t.Errorf("docs/BUNDLE.md does not list field %q of %s", name, typ.Name())
 			}
 			check(field.Type)
 		}
@@ -249,12 +248,13 @@
 	check(reflect.TypeFor[Bundle]())
 }
 
-// Two operators sign a bundle in which a field stands twice. One reader takes
-// the first value, another the last, and they would not have signed the same.
-func TestAmbiguousTextIsRefused(t *testing.T) {
+// TestAmbiguousTextIsRejected guards against signing a bundle that readers interpret differently.
+// Of a duplicate field, one reader uses the first value and another the last, so that two operators
+// could sign different configurations.
+func TestAmbiguousTextIsRejected(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{`{"version": 3, "version": 1}`, "version: is given twice"},
-		{`{"regions": [{"name": "a", "name": "b"}]}`, "regions[0].name: is given twice"},
+		{`{"version": 3, "version": 1}`, "version: duplicate field"},
+		{`{"regions": [{"name": "a", "name": "b"}]}`, "regions[0].name: duplicate field"},
 		{`{"version": NaN}`, "version: "},
 		{`{"shift": {"capp": 1}}`, `shift.capp: unknown field "capp"`},
 		{`{"version": 3} {}`, "after the end"},
--- a/internal/kernel/operator/decode.go
+++ b/internal/kernel/operator/decode.go
@@ -17,32 +17,32 @@
 )
 
 var (
-	textType = reflect.TypeFor[encoding.TextUnmarshaler]()
-	jsonType = reflect.TypeFor[json.Unmarshaler]()
+	textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
+	jsonUnmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 )
 
-// DecodeStrict decodes one JSON value, refusing unknown fields, fields given
-// twice and trailing text. An error names the field by its path.
-func DecodeStrict(data []byte, into any) error {
+// DecodeStrict decodes a JSON value. It rejects unknown fields, duplicate fields and trailing data.
+// An error names the field by its path.
+func DecodeStrict(data []byte, out any) error {
 	if err := CheckSyntax(data); err != nil {
 		return err
 	}
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
-		if path, cause := locate(data, reflect.TypeOf(into).Elem(), ""); cause != nil {
+	if err := decoder.Decode(out); err != nil {
+		if path, cause := findDecodeError(data, reflect.TypeOf(out).Elem(), ""); cause != nil {
 			return errors.Wrap(cause, path)
 		}
 		return errors.Wrap(err, "decode")
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("text after the end of the JSON value")
+		return errors.New("trailing data after the end of the JSON value")
 	}
 	return nil
 }
 
-// CheckSyntax refuses text that is no JSON and fields given twice: two readers
-// of a signed bundle might take the first and the last.
+// CheckSyntax rejects invalid JSON and duplicate fields. Of a signed bundle with a duplicate field,
+// one reader could use the first value and another the last.
 func CheckSyntax(data []byte) error {
 	decoder := jsontext.NewDecoder(bytes.NewReader(data))
 	_, err := decoder.ReadValue()
@@ -55,17 +55,17 @@
 	}
 	cause := syntax.Err.Error()
 	if errors.Is(err, jsontext.ErrDuplicateName) {
-		cause = "is given twice"
+		cause = "duplicate field"
 	}
-	path := pathOf(syntax.JSONPointer)
+	path := fieldPath(syntax.JSONPointer)
 	if path == "" {
 		return errors.Errorf("byte %d: %s", syntax.ByteOffset, cause)
 	}
 	return errors.Errorf("%s: %s", path, cause)
 }
 
-// pathOf writes a pointer such as "/regions/0/name" as regions[0].name.
-func pathOf(pointer jsontext.Pointer) string {
+// fieldPath converts a JSON pointer such as "/regions/0/name" to the form regions[0].name.
+func fieldPath(pointer jsontext.Pointer) string {
 	path := ""
 	for token := range pointer.Tokens() {
 		if _, err := strconv.Atoi(token); err == nil {
@@ -77,45 +77,45 @@
 	return path
 }
 
-// locate finds the first field whose value does not decode. The decoder tells
-// the field for numbers and lists, but not for addresses, times and spans,
-// which are what an operator most often gets wrong.
-func locate(raw json.RawMessage, kind reflect.Type, path string) (string, error) {
-	decodesItself := reflect.PointerTo(kind).Implements(textType) || reflect.PointerTo(kind).Implements(jsonType)
+// findDecodeError returns the path of the first field whose value cannot be decoded, with the
+// error. The decoder's own errors name the field for numbers and lists, but not for addresses,
+// times and durations, which are the values that operators most often get wrong.
+func findDecodeError(raw json.RawMessage, typ reflect.Type, path string) (string, error) {
+	hasUnmarshaler := reflect.PointerTo(typ).Implements(textUnmarshalerType) || reflect.PointerTo(typ).Implements(jsonUnmarshalerType)
 	switch {
-	case decodesItself:
-	case kind.Kind() == reflect.Struct:
-		return locateInObject(raw, kind, path)
-	case kind.Kind() == reflect.Slice && kind.Elem().Kind() != reflect.Uint8:
+	case hasUnmarshaler:
+	case typ.Kind() == reflect.Struct:
+		return findDecodeErrorInObject(raw, typ, path)
+	case typ.Kind() == reflect.Slice && typ.Elem().Kind() != reflect.Uint8:
 		var items []json.RawMessage
 		if err := json.Unmarshal(raw, &items); err != nil {
 			return path, errors.New("must be a list")
 		}
 		for i, item := range items {
-			if at, err := locate(item, kind.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
-				return at, err
+			if errPath, err := findDecodeError(item, typ.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
+				return errPath, err
 			}
 		}
 		return "", nil
 	}
-	return path, json.Unmarshal(raw, reflect.New(kind).Interface())
+	return path, json.Unmarshal(raw, reflect.New(typ).Interface())
 }
 
-func locateInObject(raw json.RawMessage, kind reflect.Type, path string) (string, error) {
+func findDecodeErrorInObject(raw json.RawMessage, typ reflect.Type, path string) (string, error) {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &object); err != nil {
 		return path, errors.New("must be an object")
 	}
 	known := make(map[string]bool)
-	for field := range kind.Fields() {
+	for field := range typ.Fields() {
 		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 		known[name] = true
-		value, given := object[name]
-		if !given {
+		value, present := object[name]
+		if !present {
 			continue
 		}
-		if at, err := locate(value, field.Type, joinPath(path, name)); err != nil {
-			return at, err
+		if errPath, err := findDecodeError(value, field.Type, joinPath(path, name)); err != nil {
+			return errPath, err
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(object)) {
--- a/internal/proxy/forward/daemon.go
+++ b/internal/proxy/forward/daemon.go
@@ -86,7 +86,7 @@
 	d.decisionLog = newDecisionLog(s.Name, d.now, d.metrics)
 	config.Observe, config.Record = d.handleEvent, deps.Record
 	d.kernel = steering.New(config)
-	d.operatorServer = (&steeringhttp.Server{Status: d.status, Events: d.decisionLog.events, Metrics: d.metrics.set}).HTTP()
+	d.operatorServer = (&steeringhttp.Server{Status: d.status, Events: d.decisionLog.events, Metrics: d.metrics.set}).HTTPServer()
 	deps.Store = instrumentStore(deps.Store, d.metrics.recordStoreCall)
 	d.replica = newStoreReplica(d)
 	d.quarantine = newQuarantineStore(d, deps.Store)
--- a/internal/proxy/forward/decisionlog.go
+++ b/internal/proxy/forward/decisionlog.go
@@ -181,7 +181,7 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.ring.Add(steeringhttp.EventOf(j.vm, e))
+	j.ring.Add(steeringhttp.NewEvent(j.vm, e))
 }
 
 // events lists the kept events of one request, or all if request is empty.
--- a/internal/proxy/forward/handlers.go
+++ b/internal/proxy/forward/handlers.go
@@ -69,17 +69,17 @@
 	var table *routing.Table
 	d.withKernel(func(k *steering.Kernel, now time.Time) { status, table = k.Status(now), k.Table() })
 	s := steeringhttp.Status{
-		VM: d.settings.Name, Configuration: status.Version, CopyRevision: d.replica.revision(),
-		CopyAge: d.replica.age().Round(time.Millisecond).String(), InFlight: status.InFlight, Stopping: d.isStopping(),
-		Evacuated: status.Evacuated, Stranded: status.RegionsWithoutProxies, Off: status.MechanismsOff, Holding: status.ConcurrencyLimits, Proxies: d.replica.proxies(), At: time.Now(),
+		VM: d.settings.Name, ConfigurationVersion: status.Version, ReplicaRevision: d.replica.revision(),
+		ReplicaAge: d.replica.age().Round(time.Millisecond).String(), InFlight: status.InFlight, Stopping: d.isStopping(),
+		EvacuatedDomains: status.Evacuated, RegionsWithoutProxies: status.RegionsWithoutProxies, MechanismsOff: status.MechanismsOff, ConcurrencyLimits: status.ConcurrencyLimits, Proxies: d.replica.proxies(), At: time.Now(),
 	}
 	for _, b := range status.Servers {
 		s.Servers = append(s.Servers, serverStatus(b))
 	}
 	for _, c := range status.QuarantinedWork {
-		s.Condemned = append(s.Condemned, steeringhttp.CondemnedWork{Work: c.Fingerprint.String(), Ends: c.UnclearedCrashes(), For: c.QuarantinedFor.Round(time.Second).String()})
+		s.QuarantinedWork = append(s.QuarantinedWork, steeringhttp.QuarantinedWork{Fingerprint: c.Fingerprint.String(), Crashes: c.UnclearedCrashes(), QuarantinedFor: c.QuarantinedFor.Round(time.Second).String()})
 	}
-	s.Holders, s.Pool = status.QuotaProxies, status.QuotaPool
+	s.QuotaProxies, s.QuotaPool = status.QuotaProxies, status.QuotaPool
 	for _, a := range status.Accounts {
 		s.Accounts = append(s.Accounts, accountStatus(a))
 	}
@@ -100,8 +100,8 @@
 // serverStatus describes a backend server for the operators' API.
 func serverStatus(b steering.ServerStatus) steeringhttp.BackendServer {
 	out := steeringhttp.BackendServer{
-		ID: b.ID, Service: b.Service, Domain: b.Domain, State: steeringhttp.StateOf(b), InFlight: b.InFlight,
-		Slots: b.Slots, Load: b.Load, Speed: b.Slowdown, Failed: b.FailureShare, Leaves: b.ReportsDraining,
+		ID: b.ID, Service: b.Service, Domain: b.Domain, State: steeringhttp.ServerState(b), InFlight: b.InFlight,
+		Slots: b.Slots, Load: b.Load, Slowdown: b.Slowdown, FailureShare: b.FailureShare, ReportsDraining: b.ReportsDraining,
 	}
 	if b.Limit.Set {
 		out.Limit = &b.Limit.PerSecond
