--- a/internal/kernel/steering/authorization_test.go
+++ b/internal/kernel/steering/authorization_test.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	secret = "a-key-that-nobody-may-see"
+	testAccountKey = "a-key-that-nobody-may-see"
 )
 
-// accountsKernel is a proxy alone in its fleet, with one account and one server, that has
+// kernelWithAccount is a proxy alone in its fleet, with one account and one server, that has
 // run for a while.
-func accountsKernel(t *testing.T, a account.Account, config Config) (*Kernel, time.Time) {
+func kernelWithAccount(t *testing.T, a account.Account, config Config) (*Kernel, time.Time) {
 	t.Helper()
 	now := time.Unix(1_000_000, 0)
 	config.Name, config.Domain, config.Region, config.RegionOf = "proxy", "north-a", "north", regionOf
 	config.Joined = now.Add(-time.Minute)
 	k := New(config)
-	a.Name, a.Keys = "anna", []account.Key{keyOf(t, secret)}
+	a.Name, a.Keys = "anna", []account.Key{accountKey(t, testAccountKey)}
 	accounts, _ := account.NewTable([]*account.Account{&a})
 	k.SetTable(routing.NewTable(1, []*routing.Route{{
 		Name: "route", Host: "host", Prefix: "/", Idempotent: true, Attempts: 2, Timeout: 2 * time.Second, Target: time.Second, Priority: 2,
@@ -36,20 +36,20 @@
 	return k, now.Add(10 * time.Second)
 }
 
-func ask(t *testing.T, k *Kernel, now time.Time) (*ActiveRequest, Decision) {
+func beginWithKey(t *testing.T, k *Kernel, now time.Time) (*ActiveRequest, Decision) {
 	t.Helper()
-	return k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Credential: account.Credential{State: account.Present, Key: keyOf(t, secret)}})
+	return k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Credential: account.Credential{State: account.Present, Key: accountKey(t, testAccountKey)}})
 }
 
 // Guards against an account that sends more than its limit, and against one that is
 // refused below it.
-func TestAccountIsHeldToItsLimit(t *testing.T) {
+func TestAccountRateLimitIsEnforced(t *testing.T) {
 	const rate, seconds = 100, 10
-	k, now := accountsKernel(t, account.Account{Limit: ratelimit.Limit{PerSecond: rate, Burst: rate}}, Config{})
+	k, now := kernelWithAccount(t, account.Account{Limit: ratelimit.Limit{PerSecond: rate, Burst: rate}}, Config{})
 	admitted, refused := 0, 0
 	for range 3 * rate * seconds {
 		now = now.Add(time.Second / (3 * rate))
-		f, d := ask(t, k, now)
+		f, d := beginWithKey(t, k, now)
 		switch {
 		case d.Server != nil:
 			admitted++
@@ -66,46 +66,46 @@
 }
 
 // Guards against tokens that are lost to requests that were refused unsent.
-func TestRequestsThatAreNotSentDoNotCount(t *testing.T) {
-	k, now := accountsKernel(t, account.Account{Limit: ratelimit.Limit{PerSecond: 1, Burst: 2}}, Config{})
+func TestUnsentRequestsUseNoTokens(t *testing.T) {
+	k, now := kernelWithAccount(t, account.Account{Limit: ratelimit.Limit{PerSecond: 1, Burst: 2}}, Config{})
 	k.RemoveServer(now, "s")
 	for range 20 {
 		now = now.Add(10 * time.Millisecond)
-		if _, d := ask(t, k, now); d.Reason != ReasonNoServer {
+		if _, d := beginWithKey(t, k, now); d.Reason != ReasonNoServer {
 			t.Fatalf("refused for %q, want %q", d.Reason, ReasonNoServer)
 		}
 	}
 }
 
 // Guards against keys in recordings and events, which operators hand around.
-func TestKeysAreNeitherRecordedNorTold(t *testing.T) {
+func TestAccountKeysAreNotInRecordingsOrEvents(t *testing.T) {
 	var told bytes.Buffer
 	out := json.NewEncoder(&told)
 	config := Config{
 		Record:  func(c Call) { _ = out.Encode(c) },
 		Observe: func(e Event) { _ = out.Encode(e) },
 	}
-	k, now := accountsKernel(t, account.Account{}, config)
-	f, _ := ask(t, k, now)
+	k, now := kernelWithAccount(t, account.Account{}, config)
+	f, _ := beginWithKey(t, k, now)
 	k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
-	if text := told.String(); strings.Contains(text, secret) || !strings.Contains(text, keyOf(t, secret).Fingerprint()) {
+	if text := told.String(); strings.Contains(text, testAccountKey) || !strings.Contains(text, accountKey(t, testAccountKey).Fingerprint()) {
 		t.Errorf("what is told has the key, or lacks its fingerprint: %s", text)
 	}
 }
 
 // Guards against requests of an urgent account that are refused like all others.
-func TestPriorityOfTheAccountGoesFirst(t *testing.T) {
+func TestAccountPriorityOverridesRoutePriority(t *testing.T) {
 	urgent := 0
-	k, now := accountsKernel(t, account.Account{Priority: &urgent}, Config{})
-	f, _ := ask(t, k, now)
+	k, now := kernelWithAccount(t, account.Account{Priority: &urgent}, Config{})
+	f, _ := beginWithKey(t, k, now)
 	if got := f.priority(); got != urgent {
 		t.Errorf("priority is %d, want the account's %d", got, urgent)
 	}
 	if got := k.lowestPriority["service"]; got != urgent {
 		t.Errorf("the least urgent requests have priority %d, want %d: all are of the account", got, urgent)
 	}
-	k, now = accountsKernel(t, account.Account{}, Config{})
-	f, _ = ask(t, k, now)
+	k, now = kernelWithAccount(t, account.Account{}, Config{})
+	f, _ = beginWithKey(t, k, now)
 	if got, want := f.priority(), 2; got != want {
 		t.Errorf("priority is %d, want the route's %d", got, want)
 	}
--- a/internal/kernel/steering/bench_test.go
+++ b/internal/kernel/steering/bench_test.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// largeServers, largeProxies and largeObjects are a deployment a quarter
+	// largeServersPerService, largeProxies and largeObjects are a deployment a quarter
 	// of the target size: servers in each of four services, proxies, objects.
-	largeServers = 750
-	largeProxies = 300
-	largeObjects = 1200
+	largeServersPerService = 750
+	largeProxies           = 300
+	largeObjects           = 1200
 )
 
 // largeKernel is a proxy's kernel in a large deployment.
@@ -35,7 +35,7 @@
 			Parts: []routing.Part{{Service: name, Weight: 1}},
 		})
 		services = append(services, &routing.Service{Name: name, ColdStart: 3 * time.Second, ColdPerSecond: 3.1})
-		for i := range largeServers {
+		for i := range largeServersPerService {
 			k.RegisterServer(now, routing.Server{
 				ID: fmt.Sprintf("i-%d-%d", s, i), Service: name, Domain: domains[i%len(domains)], Slots: 4, ColdFor: coldFor,
 			})
@@ -45,8 +45,8 @@
 	return k
 }
 
-// request sends one request for an object of service 0 and takes its answer in.
-func request(k *Kernel, now time.Time, n int) {
+// sendRequest sends one request for an object of service 0 and takes its answer in.
+func sendRequest(k *Kernel, now time.Time, n int) {
 	f, d := k.BeginRequest(now, Request{Host: "host", Path: "/0/x", Object: fmt.Sprintf("%x", n%largeObjects), Deadline: now.Add(time.Second)})
 	if d.Server != nil {
 		k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
@@ -64,14 +64,14 @@
 		b.Run(c.name, func(b *testing.B) {
 			k := largeKernel(now, 0)
 			for n := range largeObjects {
-				request(k, now, n)
+				sendRequest(k, now, n)
 			}
 			drains := false
 			for b.Loop() {
 				drains = !drains
 				k.RegisterServer(now, routing.Server{ID: "i-" + c.service + "-7", Service: c.service, Domain: "north-b", Slots: 4, Draining: drains})
 				for n := 0; n < largeObjects; n += 12 {
-					request(k, now, n)
+					sendRequest(k, now, n)
 				}
 			}
 		})
@@ -87,12 +87,12 @@
 		b.Run(name, func(b *testing.B) {
 			k := largeKernel(now, coldFor)
 			for n := range largeObjects {
-				request(k, now, n)
+				sendRequest(k, now, n)
 			}
 			n := 0
 			for b.Loop() {
 				n++
-				request(k, now.Add(time.Duration(n)*time.Millisecond), n)
+				sendRequest(k, now.Add(time.Duration(n)*time.Millisecond), n)
 			}
 		})
 	}
--- a/internal/kernel/steering/cause_test.go
+++ b/internal/kernel/steering/cause_test.go
@@ -9,7 +9,7 @@
 
 // An engineer asks why requests were late. Each line says where most of the time of
 // its request went, so that a count by cause needs no other line.
-func TestCauseOfALateRequest(t *testing.T) {
+func TestLatencyCause(t *testing.T) {
 	const (
 		ms     = time.Millisecond
 		target = 600 * ms
--- a/internal/kernel/steering/coldstart_test.go
+++ b/internal/kernel/steering/coldstart_test.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	shareProxies = 10
+	fleetSize = 10
 )
 
-// shareFleet makes proxies that know each other and a server that stays cold.
-func shareFleet(now time.Time) (fleet []*Kernel, list []Proxy) { return joinFleet(now, time.Time{}) }
+// coldServerFleet makes proxies that know each other and a server that stays cold.
+func coldServerFleet(now time.Time) (fleet []*Kernel, list []Proxy) {
+	return coldServerFleetJoinedAt(now, time.Time{})
+}
 
-// joinFleet is the same with proxies that have started at a moment.
-func joinFleet(now, joined time.Time) (fleet []*Kernel, list []Proxy) {
-	return fleetOf(now, joined, shareProxies, []string{"north-a"})
+// coldServerFleetJoinedAt is the same with proxies that have started at a moment.
+func coldServerFleetJoinedAt(now, joined time.Time) (fleet []*Kernel, list []Proxy) {
+	return newFleet(now, joined, fleetSize, []string{"north-a"})
 }
 
-// fleetOf makes a number of proxies, dealt out over failure domains in turn.
-func fleetOf(now, joined time.Time, proxies int, domains []string) (fleet []*Kernel, list []Proxy) {
+// newFleet makes a number of proxies, dealt out over failure domains in turn.
+func newFleet(now, joined time.Time, proxies int, domains []string) (fleet []*Kernel, list []Proxy) {
 	for i := range proxies {
 		domain := domains[i%len(domains)]
 		list = append(list, Proxy{Name: fmt.Sprintf("proxy-%d", i), Domain: domain, Region: regionOf[domain]})
@@ -46,9 +48,9 @@
 	return fleet, list
 }
 
-// inOneSecond lets all proxies have callers for a second and counts what they
+// sendForOneSecond lets all proxies have callers for a second and counts what they
 // send to the cold server.
-func inOneSecond(fleet []*Kernel, now time.Time) (sent int) {
+func sendForOneSecond(fleet []*Kernel, now time.Time) (sent int) {
 	for end := now.Add(time.Second); now.Before(end); now = now.Add(10 * time.Millisecond) {
 		for _, k := range fleet {
 			k.Tick(now)
@@ -65,11 +67,11 @@
 // The store takes the entries of all proxies away, or is away itself until they
 // run out, and all go on serving. If each then took itself for the only one, a
 // server that comes back cold would get ten times what it bears, and crash.
-func TestProxiesThatLoseTheirEntriesStillShareColdServers(t *testing.T) {
+func TestProxiesWithoutEntriesStillShareColdServers(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	const bears = 3.1*1.5 + 5
-	fleet, list := shareFleet(now)
-	if got := inOneSecond(fleet, now); got == 0 || float64(got) > bears {
+	fleet, list := coldServerFleet(now)
+	if got := sendForOneSecond(fleet, now); got == 0 || float64(got) > bears {
 		t.Fatalf("%d requests reach the cold server while all are listed, want 1 to %.1f", got, bears)
 	}
 	now = now.Add(5 * time.Second)
@@ -77,7 +79,7 @@
 		k.SetProxies(now, list[i:i+1])
 	}
 	for _, after := range []time.Duration{0, 10 * time.Second, 20 * time.Second} {
-		if got := inOneSecond(fleet, now.Add(after)); float64(got) > bears {
+		if got := sendForOneSecond(fleet, now.Add(after)); float64(got) > bears {
 			t.Errorf("%s after the entries went, %d requests reach the cold server in a second, want at most %.1f", after, got, bears)
 		}
 	}
@@ -85,14 +87,14 @@
 
 // Half of the proxies are cut off from the store. They cannot hear of the others
 // and go by the old list, while the others see theirs run out.
-func TestProxiesThatAreCutOffStillShareColdServers(t *testing.T) {
+func TestPartitionedProxiesStillShareColdServers(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	const bears = 3.1*1.5 + 5
-	fleet, list := shareFleet(now)
-	for _, k := range fleet[:shareProxies/2] {
-		k.SetProxies(now, list[:shareProxies/2])
+	fleet, list := coldServerFleet(now)
+	for _, k := range fleet[:fleetSize/2] {
+		k.SetProxies(now, list[:fleetSize/2])
 	}
-	if got := inOneSecond(fleet, now.Add(time.Second)); float64(got) > bears {
+	if got := sendForOneSecond(fleet, now.Add(time.Second)); float64(got) > bears {
 		t.Errorf("%d requests reach the cold server in a second, want at most %.1f", got, bears)
 	}
 }
@@ -100,11 +102,11 @@
 // Requests over new connections reach a cold server later than those over kept ones,
 // by a round trip. Those sent in one second can so arrive closer together than they
 // were sent, and at the edge of a second more arrived than the server bears.
-func TestColdServersBearRequestsThatArriveUnevenly(t *testing.T) {
+func TestColdServerRateHoldsForUnevenArrivals(t *testing.T) {
 	const bears, late = 3.1*1.5 + 5, 100 * time.Millisecond
 	for seed := range uint64(20) {
 		now, random := time.Unix(1_000_000, 0), rand.New(rand.NewPCG(seed, 1))
-		fleet, _ := shareFleet(now)
+		fleet, _ := coldServerFleet(now)
 		fleet = fleet[:3]
 		for _, k := range fleet {
 			k.limitSharers = k.limitSharers[:3]
@@ -135,40 +137,40 @@
 
 // VMs are taken away for good. Their part of what cold servers bear must not be
 // lost for ever, or servers would warm more and more slowly.
-func TestSharesOfProxiesThatAreGoneComeBack(t *testing.T) {
+func TestSharesOfLostProxiesAreRedistributed(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	fleet, list := shareFleet(now)
+	fleet, list := coldServerFleet(now)
 	left := fleet[:2]
-	all := inOneSecond(fleet, now)
+	all := sendForOneSecond(fleet, now)
 	for _, k := range left {
 		k.SetProxies(now, list[:2])
 	}
-	if got := inOneSecond(left, now.Add(time.Second)); got >= all {
+	if got := sendForOneSecond(left, now.Add(time.Second)); got >= all {
 		t.Errorf("%d requests reach the cold server just after eight of ten are gone, want fewer than %d", got, all)
 	}
-	if got := inOneSecond(left, now.Add(time.Minute)); got != all {
+	if got := sendForOneSecond(left, now.Add(time.Minute)); got != all {
 		t.Errorf("%d requests reach the cold server a minute later, want %d", got, all)
 	}
 }
 
 // All proxies lose power for longer than their leases last and come back together.
 // Each reads the store before the others' entries are in it.
-func TestProxiesThatStartAloneOnTheListSpareColdServers(t *testing.T) {
+func TestProxiesStartingTogetherDoNotOverloadColdServers(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	const bears = 3.1*1.5 + 5
-	fleet, list := joinFleet(now, now)
+	fleet, list := coldServerFleetJoinedAt(now, now)
 	for i, k := range fleet {
 		k.limitSharers = nil
 		k.SetProxies(now, list[i:i+1])
 	}
-	if got := inOneSecond(fleet, now); float64(got) > bears {
+	if got := sendForOneSecond(fleet, now); float64(got) > bears {
 		t.Errorf("%d requests reach the cold server in the first second, want at most %.1f", got, bears)
 	}
 	now = now.Add(startupGrace)
 	for _, k := range fleet {
 		k.SetProxies(now, list)
 	}
-	if got := inOneSecond(fleet, now); got == 0 || float64(got) > bears {
+	if got := sendForOneSecond(fleet, now); got == 0 || float64(got) > bears {
 		t.Errorf("%d requests reach the cold server once the others are known, want 1 to %.1f", got, bears)
 	}
 }
--- a/internal/kernel/steering/concurrencylimit_test.go
+++ b/internal/kernel/steering/concurrencylimit_test.go
@@ -9,9 +9,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// holdFleet makes two proxies of one region that hold back before one server of
+// limitedFleet makes two proxies of one region that hold back before one server of
 // three slots, of which two should be used.
-func holdFleet(now time.Time) (fleet []*Kernel) {
+func limitedFleet(now time.Time) (fleet []*Kernel) {
 	list := []Proxy{{Name: "proxy-0", Domain: "north-a", Region: "north"}, {Name: "proxy-1", Domain: "north-a", Region: "north"}}
 	for _, p := range list {
 		k := New(Config{Name: p.Name, Domain: p.Domain, Region: p.Region, RegionOf: regionOf, Bounds: Bounds{Retry: RetryBudget{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}}})
@@ -28,7 +28,7 @@
 	return fleet
 }
 
-func begin(t *testing.T, k *Kernel, now time.Time, id, path string) (*ActiveRequest, SlotRequest) {
+func beginWithSlotRequest(t *testing.T, k *Kernel, now time.Time, id, path string) (*ActiveRequest, SlotRequest) {
 	t.Helper()
 	f, d := k.BeginRequest(now, Request{ID: id, Host: "host", Path: path, Object: id, Deadline: now.Add(4 * time.Second)})
 	if d.Server == nil || d.SlotRequest == nil {
@@ -39,14 +39,14 @@
 
 // Servers of three slots slow down when the third is used. Requests of two proxies
 // come at once; all ask the same gate, and no more than two run.
-func TestProxiesTogetherStayWithinTheLimit(t *testing.T) {
+func TestProxiesShareTheConcurrencyLimit(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	fleet := holdFleet(now)
+	fleet := limitedFleet(now)
 	owner := fleet[0]
 	granted, flights := 0, make(map[uint64]*ActiveRequest)
 	for i := range 6 {
 		k := fleet[i%2]
-		f, a := begin(t, k, now, fmt.Sprint("r", i), "/a/x")
+		f, a := beginWithSlotRequest(t, k, now, fmt.Sprint("r", i), "/a/x")
 		if a.Owner.Name != fleet[0].Name() {
 			owner = fleet[1]
 		}
@@ -73,10 +73,10 @@
 
 // The owner of a gate is gone or cut off. Its answer must not be waited for twice,
 // and the request goes out as it would without a gate.
-func TestGateThatDoesNotAnswerHoldsNobodyUp(t *testing.T) {
+func TestUnansweredSlotRequestDoesNotBlockRequests(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	k := holdFleet(now)[0]
-	f, _ := begin(t, k, now, "r", "/a/x")
+	k := limitedFleet(now)[0]
+	f, _ := beginWithSlotRequest(t, k, now, "r", "/a/x")
 	if d := k.HandleSlotReply(now, f, SlotReply{}, false); d.Server == nil || d.SlotRequest != nil {
 		t.Errorf("no answer, and then %+v; want it sent", d)
 	}
@@ -91,10 +91,10 @@
 
 // A gate denies a place that would come too late. The request has not run, its caller
 // learns when to come back, and the place, should there be one, is given back.
-func TestDeniedRequestHasNotRun(t *testing.T) {
+func TestRequestDeniedASlotHasNotRun(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	k := holdFleet(now)[0]
-	f, a := begin(t, k, now, "r", "/a/x")
+	k := limitedFleet(now)[0]
+	f, a := beginWithSlotRequest(t, k, now, "r", "/a/x")
 	d := k.HandleSlotReply(now, f, SlotReply{Grant: admission.Grant{Ticket: a.Ticket, Verdict: admission.Denied}}, true)
 	if d.Server != nil || !d.NotRun || d.RetryAfter <= 0 || d.SlotRelease == nil || d.Reason != ReasonQueuesTooLong {
 		t.Errorf("denied, and then %+v; want it refused as not run", d)
@@ -105,10 +105,10 @@
 }
 
 // The caller leaves while its request waits for a place: the place is given back.
-func TestLeavingCallerGivesItsPlaceBack(t *testing.T) {
+func TestSlotIsReleasedWhenTheCallerLeaves(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	k := holdFleet(now)[0]
-	f, _ := begin(t, k, now, "r", "/a/x")
+	k := limitedFleet(now)[0]
+	f, _ := beginWithSlotRequest(t, k, now, "r", "/a/x")
 	if d := k.EndAttempt(now, f, Attempt{Result: ResultCallerGone}); d.SlotRelease == nil || d.Reason != ReasonCallerGone {
 		t.Errorf("left, and then %+v; want the place given back", d)
 	}
@@ -117,10 +117,10 @@
 // A route that is new has a time-out that is shorter than its target, and nothing is
 // known of its work. Denied by what its work might be, it never got a place, so it
 // never became known, and the new route was out of service for good.
-func TestNothingIsDeniedByAGuess(t *testing.T) {
+func TestSlotIsNotDeniedForUnknownWork(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	fleet := holdFleet(now)
-	f, a := begin(t, fleet[0], now, "r", "/short/x")
+	fleet := limitedFleet(now)
+	f, a := beginWithSlotRequest(t, fleet[0], now, "r", "/short/x")
 	owner := fleet[0]
 	if a.Owner.Name != owner.Name() {
 		owner = fleet[1]
@@ -133,7 +133,7 @@
 
 // A server falls silent with requests in it. They time out, which says nothing of how
 // servers work when they are full, and nobody must be held back for it.
-func TestSilentServersAreNotSlow(t *testing.T) {
+func TestUnresponsiveServersAreNotLimited(t *testing.T) {
 	for silent, want := range map[bool]bool{true: false, false: true} {
 		now := time.Unix(1_000_000, 0)
 		k := New(Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf})
@@ -173,7 +173,7 @@
 // emptied, or it starts again and is cold. Sent when the place comes, it would reach a
 // leaving server too late, or a cold one beyond what it bears. It goes elsewhere, and
 // the place is given back.
-func TestWaitingRequestDoesNotGoToAServerThatLeaves(t *testing.T) {
+func TestWaitingRequestAvoidsAServerThatBecameUnsuitable(t *testing.T) {
 	for name, change := range map[string]func(*Kernel, time.Time){
 		"draining": func(k *Kernel, now time.Time) {
 			k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3, Draining: true})
@@ -185,8 +185,8 @@
 		},
 	} {
 		now := time.Unix(1_000_000, 0)
-		k := holdFleet(now)[0]
-		f, a := begin(t, k, now, "r", "/a/x")
+		k := limitedFleet(now)[0]
+		f, a := beginWithSlotRequest(t, k, now, "r", "/a/x")
 		k.RegisterServer(now, routing.Server{ID: "other", Service: "service", Domain: "north-b", Slots: 3})
 		change(k, now)
 		d := k.HandleSlotReply(now.Add(time.Second), f, SlotReply{Grant: admission.Grant{Ticket: a.Ticket, Verdict: admission.Granted, Rank: 1}}, true)
@@ -198,9 +198,9 @@
 
 // A cold server bears a few requests a second, counted as they are sent. One that
 // waited would be counted in one second and sent in the next.
-func TestNobodyWaitsForAColdServer(t *testing.T) {
+func TestNoSlotIsRequestedAtAColdServer(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	k := holdFleet(now)[0]
+	k := limitedFleet(now)[0]
 	k.SetTable(routing.NewTable(2, []*routing.Route{{
 		Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 2, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}},
 	}}, []*routing.Service{{Name: "service", ColdStart: time.Minute, ColdPerSecond: 10}}, routing.Limits{}))
@@ -214,14 +214,14 @@
 
 // The servers of a service have unlike slots. What those of three should run at once
 // must not be the limit of those of thirty.
-func TestLimitsAreOfServersWithAsManySlots(t *testing.T) {
+func TestConcurrencyLimitsAreKeptPerSlotCount(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	fleet := holdFleet(now)
+	fleet := limitedFleet(now)
 	for _, k := range fleet {
 		k.RemoveServer(now, "s")
 		k.RegisterServer(now, routing.Server{ID: "wide", Service: "service", Domain: "north-a", Slots: 30})
 	}
-	_, a := begin(t, fleet[0], now, "r", "/a/x")
+	_, a := beginWithSlotRequest(t, fleet[0], now, "r", "/a/x")
 	owner := fleet[0]
 	if a.Owner.Name != owner.Name() {
 		owner = fleet[1]
@@ -234,7 +234,7 @@
 // Operators have switched holding back off. A proxy that went on suspecting servers
 // told its log and its peers that it held requests back, and wrote its entry in the
 // store anew, though nobody asked for a place.
-func TestNothingIsSuspectedIfHoldingBackIsOff(t *testing.T) {
+func TestNoSlowdownIsDetectedWithConcurrencyLimitsOff(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		now := time.Unix(1_000_000, 0)
 		told := 0
--- a/internal/kernel/steering/connections_test.go
+++ b/internal/kernel/steering/connections_test.go
@@ -11,10 +11,10 @@
 // there until their time-outs end, each over connections of its own. Past what it
 // accepts the server resets connections, also those with health checks or with
 // requests of others.
-func TestProxiesStayWithinAServersConnections(t *testing.T) {
+func TestProxiesShareTheConnectionsOfAServer(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for _, c := range []struct{ connections, each int }{{0, 50}, {50, 4}, {20, 1}, {2, 1}} {
-		fleet, _ := shareFleet(now)
+		fleet, _ := coldServerFleet(now)
 		for i, k := range fleet {
 			table := *k.table
 			table.Services = map[string]*routing.Service{"service": {Name: "service", Connections: c.connections}}
@@ -40,9 +40,9 @@
 // All connections that this proxy may hold to an object's home are in use. While the
 // home answers it is busy, and a request that ran cold elsewhere would make things
 // worse; once it answers nothing it hangs, and its objects need another server.
-func TestRequestsLeaveAHomeWithoutFreeConnectionsOnlyIfItHangs(t *testing.T) {
+func TestObjectLeavesAFullHomeOnlyIfItHangs(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	k := threeRegions(now, 200*time.Millisecond)
+	k := threeRegionKernel(now, 200*time.Millisecond)
 	table := *k.table
 	table.Services = map[string]*routing.Service{"service": {Name: "service", Connections: 3}}
 	k.table = &table
--- a/internal/kernel/steering/ejection_test.go
+++ b/internal/kernel/steering/ejection_test.go
@@ -8,12 +8,12 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// refusals lets requests for one object go, 20 ms apart for ten seconds, to two
+// sendToRefusingHome lets requests for one object go, 20 ms apart for ten seconds, to two
 // servers, of which the object's home refuses a share. It counts the requests
 // that were refused and those that the home was sent.
-func refusals(share float64, loaded bool) (refused, atHome int) {
+func sendToRefusingHome(share float64, loaded bool) (refused, atHome int) {
 	now := time.Unix(1_000_000, 0)
-	fleet, _ := shareFleet(now)
+	fleet, _ := coldServerFleet(now)
 	k := fleet[0]
 	k.RemoveServer(now, "cold")
 	for _, id := range []string{"a", "b"} {
@@ -48,13 +48,13 @@
 // without what it needs, or does not say that it leaves. It looks idle, so it
 // drew the requests of its objects for good, and each was refused or cost a
 // repeat. One that refuses by chance still knows its objects and must keep them.
-func TestServerThatRefusesEverythingIsTakenOut(t *testing.T) {
+func TestServerThatRefusesEverythingIsEjected(t *testing.T) {
 	for _, loaded := range []bool{true, false} {
-		if refused, atHome := refusals(1, loaded); refused > 20 || atHome > 40 {
+		if refused, atHome := sendToRefusingHome(1, loaded); refused > 20 || atHome > 40 {
 			t.Errorf("all refused, load told %t: %d of 500 requests refused, %d sent there; want at most 20 and 40", loaded, refused, atHome)
 		}
 	}
-	if refused, atHome := refusals(0.45, true); atHome < 450 {
+	if refused, atHome := sendToRefusingHome(0.45, true); atHome < 450 {
 		t.Errorf("refused by chance: %d of 500 requests refused, %d sent there; want 450 sent there at least", refused, atHome)
 	}
 }
--- a/internal/kernel/steering/failover_test.go
+++ b/internal/kernel/steering/failover_test.go
@@ -8,9 +8,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// threeRegions is a proxy in the north that knows four servers in each of three
+// threeRegionKernel is a proxy in the north that knows four servers in each of three
 // regions, and a route that may be bound to some of them.
-func threeRegions(now time.Time, target time.Duration, regions ...string) *Kernel {
+func threeRegionKernel(now time.Time, target time.Duration, regions ...string) *Kernel {
 	domains := map[string]string{"north-a": "north", "south-a": "south", "west-a": "west"}
 	k := New(Config{Name: "proxy-north", Domain: "north-a", Region: "north", RegionOf: domains})
 	k.SetTable(stickyTable(target, regions...))
@@ -32,16 +32,16 @@
 	return routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{})
 }
 
-// lose finds some servers of the north to be out, as failed connections do.
-func lose(k *Kernel, now time.Time, ids ...string) {
+// ejectServers finds some servers of the north to be out, as failed connections do.
+func ejectServers(k *Kernel, now time.Time, ids ...string) {
 	for _, id := range ids {
 		k.servers[id].recordFailure(now, true)
 	}
 }
 
-// placed counts by region where 96 objects' requests go, and how many of those
+// countByRegion counts by region where 96 objects' requests go, and how many of those
 // with a home that is sound do not go there.
-func placed(k *Kernel, now time.Time) (regions map[string]int, moved int) {
+func countByRegion(k *Kernel, now time.Time) (regions map[string]int, moved int) {
 	regions = make(map[string]int)
 	for n := range 96 {
 		object := fmt.Sprintf("%x", n)
@@ -60,10 +60,10 @@
 // servers would have twice their share while other regions have room.
 func TestObjectsOfLostServersFailOverToRegionsWithRoom(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	k := threeRegions(now, 200*time.Millisecond)
-	before, _ := placed(k, now)
-	lose(k, now, "north-a-0", "north-a-1")
-	after, moved := placed(k, now)
+	k := threeRegionKernel(now, 200*time.Millisecond)
+	before, _ := countByRegion(k, now)
+	ejectServers(k, now, "north-a-0", "north-a-1")
+	after, moved := countByRegion(k, now)
 	if moved > 0 {
 		t.Errorf("%d objects with sound homes moved, want none", moved)
 	}
@@ -74,28 +74,28 @@
 
 // The other regions' queues are long too. Objects that went there would run cold
 // and make them longer.
-func TestObjectsDoNotFailOverIntoAnOverload(t *testing.T) {
+func TestObjectsDoNotFailOverToOverloadedRegions(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	k := threeRegions(now, 200*time.Millisecond)
-	before, _ := placed(k, now)
-	lose(k, now, "north-a-0", "north-a-1")
+	k := threeRegionKernel(now, 200*time.Millisecond)
+	before, _ := countByRegion(k, now)
+	ejectServers(k, now, "north-a-0", "north-a-1")
 	for _, id := range []string{"south-a-0", "west-a-0"} {
 		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: "1"})
 		for range 10 {
 			k.recordQueue(now, f, k.servers[id], 12)
 		}
 	}
-	if after, _ := placed(k, now); after["north"] < before["north"] {
+	if after, _ := countByRegion(k, now); after["north"] < before["north"] {
 		t.Errorf("%d of %d objects stay, want all", after["north"], before["north"])
 	}
 }
 
 // A server is out, and the time has come to see whether it is back. If all its
 // objects went elsewhere, nobody would find out.
-func TestServerThatIsDueIsTriedByItsOwnObjects(t *testing.T) {
+func TestServerDueForTrialGetsItsOwnObjects(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	k := threeRegions(now, 200*time.Millisecond)
-	lose(k, now, "north-a-0", "north-a-1", "north-a-2", "north-a-3")
+	k := threeRegionKernel(now, 200*time.Millisecond)
+	ejectServers(k, now, "north-a-0", "north-a-1", "north-a-2", "north-a-3")
 	now = now.Add(ejectionBase)
 	tried := make(map[string]bool)
 	for n := range 96 {
@@ -111,17 +111,17 @@
 
 // A route may be served in some regions only, and another's round trip may take
 // most of the time for a good answer. Neither may change when servers are lost.
-func TestFailoverKeepsToTheRegionsOfTheRoute(t *testing.T) {
+func TestFailoverUsesOnlySuitableRegions(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for name, c := range map[string]struct {
 		k     *Kernel
 		never []string
 	}{
-		"bound to two regions": {threeRegions(now, 200*time.Millisecond, "north", "south"), []string{"west"}},
-		"too far":              {threeRegions(now, 60*time.Millisecond), []string{"south", "west"}},
+		"bound to two regions": {threeRegionKernel(now, 200*time.Millisecond, "north", "south"), []string{"west"}},
+		"too far":              {threeRegionKernel(now, 60*time.Millisecond), []string{"south", "west"}},
 	} {
-		lose(c.k, now, "north-a-0", "north-a-1")
-		after, _ := placed(c.k, now)
+		ejectServers(c.k, now, "north-a-0", "north-a-1")
+		after, _ := countByRegion(c.k, now)
 		for _, region := range c.never {
 			if after[region] > 0 {
 				t.Errorf("%s: %d objects go to %s, want none", name, after[region], region)
@@ -134,8 +134,8 @@
 // over for a moment. It is sound: its objects must not leave the region for that.
 func TestObjectsOfABusyServerStayInTheRegion(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	k := threeRegions(now, 200*time.Millisecond)
-	lose(k, now, "north-a-0")
+	k := threeRegionKernel(now, 200*time.Millisecond)
+	ejectServers(k, now, "north-a-0")
 	for _, id := range []string{"north-a-1", "north-a-2", "north-a-3"} {
 		k.servers[id].recordRefusal(now, Attempt{Result: ResultRefused, Loaded: true, Running: 4, Waiting: 12})
 	}
--- a/internal/kernel/steering/lookup_test.go
+++ b/internal/kernel/steering/lookup_test.go
@@ -10,9 +10,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// lookupNames makes proxies at addresses that tell them apart and lists which of
+// lookupProxies makes proxies at addresses that tell them apart and lists which of
 // them a caller in a failure domain is named.
-func lookupNames(region, domain, host string, proxies ...Proxy) []string {
+func lookupProxies(region, domain, host string, proxies ...Proxy) []string {
 	k := New(Config{Name: "self", Domain: "elsewhere", Region: "elsewhere"})
 	at := make(map[netip.AddrPort]string)
 	for i := range proxies {
@@ -54,7 +54,7 @@
 		"no other may":              {"bound", []Proxy{north(1, "north-a"), west}, []string{"north-1"}},
 		"only those that may not":   {"bound", []Proxy{west}, []string{"west-1"}},
 	} {
-		if got := lookupNames("north", "north-a", c.host, c.proxies...); !slices.Equal(got, c.want) {
+		if got := lookupProxies("north", "north-a", c.host, c.proxies...); !slices.Equal(got, c.want) {
 			t.Errorf("%s: got %v, want %v", name, got, c.want)
 		}
 	}
@@ -62,14 +62,14 @@
 
 // All proxies of a region but one are gone. If all others were named beside it,
 // eight of nine callers would take the way to another region and back.
-func TestARegionsOnlyProxyKeepsHalfOfItsCallers(t *testing.T) {
+func TestOnlyProxyOfARegionKeepsHalfOfItsCallers(t *testing.T) {
 	proxies := []Proxy{{Name: "north-1", Domain: "north-a", Region: "north"}}
 	for i := range 8 {
 		proxies = append(proxies, Proxy{Name: fmt.Sprintf("south-%d", i), Domain: "south-a", Region: "south"})
 	}
 	others := make(map[string]bool)
 	for i := range 20 {
-		got := lookupNames("north", fmt.Sprintf("north-%d", i), "free", proxies...)
+		got := lookupProxies("north", fmt.Sprintf("north-%d", i), "free", proxies...)
 		if len(got) != minLookupProxies || got[0] != "north-1" {
 			t.Fatalf("got %v, want north-1 and one other", got)
 		}
--- a/internal/kernel/steering/mechanism_test.go
+++ b/internal/kernel/steering/mechanism_test.go
@@ -10,7 +10,7 @@
 
 // An operator misspells a mechanism on a bad night: the complaint lists those that
 // there are.
-func TestUnknownMechanismIsNamed(t *testing.T) {
+func TestUnknownMechanismErrorListsMechanisms(t *testing.T) {
 	var m Mechanism
 	err := m.UnmarshalText([]byte("mixin"))
 	if err == nil || !strings.Contains(err.Error(), `"mixin"`) || !strings.Contains(err.Error(), string(MechanismFailover)) {
@@ -26,7 +26,7 @@
 // Operators switch homes off. Requests went to the idlest server of all regions then,
 // and a burst of one region's callers moved more of them to other regions at once than
 // is allowed. The region must be drawn by the same parts as objects are dealt out.
-func TestRegionsKeepTheirPartsWithoutHomes(t *testing.T) {
+func TestRegionsKeepTheirSharesWithoutHomes(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := New(Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf, Off: []Mechanism{MechanismHomes}})
 	k.SetTable(routing.NewTable(1, []*routing.Route{{
--- a/internal/kernel/steering/quarantine_test.go
+++ b/internal/kernel/steering/quarantine_test.go
@@ -9,7 +9,7 @@
 )
 
 var (
-	deadlyWork = quarantine.NewFingerprint("GET", "host", "/a/deadly", "", nil)
+	poisonFingerprint = quarantine.NewFingerprint("GET", "host", "/a/deadly", "", nil)
 )
 
 // quarantineKernel knows six servers, one route with three attempts, and nothing else.
@@ -29,14 +29,14 @@
 	return k
 }
 
-func beginDeadly(k *Kernel, now time.Time) (*ActiveRequest, Decision) {
-	return k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/deadly", Object: "o", Work: deadlyWork, Deadline: now.Add(4 * time.Second)})
+func beginPoison(k *Kernel, now time.Time) (*ActiveRequest, Decision) {
+	return k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/deadly", Object: "o", Work: poisonFingerprint, Deadline: now.Add(4 * time.Second)})
 }
 
-// runDeadly sends the work once and has the server end under it.
-func runDeadly(t *testing.T, k *Kernel, now time.Time) Decision {
+// crashServer sends the work once and has the server end under it.
+func crashServer(t *testing.T, k *Kernel, now time.Time) Decision {
 	t.Helper()
-	f, d := beginDeadly(k, now)
+	f, d := beginPoison(k, now)
 	if d.Server == nil {
 		t.Fatalf("not sent: %+v", d)
 	}
@@ -49,10 +49,10 @@
 
 // A request breaks at one server and again at the next. Whether they have ended is not
 // known yet; a third attempt, which the route allows, might cost one server more.
-func TestRequestThatBrokeTwiceIsNotSentAgain(t *testing.T) {
+func TestRequestThatLostTwoConnectionsIsNotRetried(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, true)
-	f, _ := beginDeadly(k, now)
+	f, _ := beginPoison(k, now)
 	d := k.EndAttempt(now, f, Attempt{Result: ResultConnectionLost})
 	if d.Server == nil {
 		t.Fatalf("after one break: %+v, want it sent again", d)
@@ -64,22 +64,22 @@
 
 // Work that may end servers comes at twice the pace at which servers are found to have
 // ended. It runs once at a time; the other callers hear at once that it has not run.
-func TestSuspectedWorkRunsOnceAtATime(t *testing.T) {
+func TestSuspectedFingerprintRunsOneRequestAtATime(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, false)
-	runDeadly(t, k, now)
-	runDeadly(t, k, now)
-	f, d := beginDeadly(k, now)
+	crashServer(t, k, now)
+	crashServer(t, k, now)
+	f, d := beginPoison(k, now)
 	if d.Server == nil {
 		t.Fatalf("third run: %+v, want it sent", d)
 	}
-	if _, d := beginDeadly(k, now); d.Server != nil || !d.NotRun || d.Reason != ReasonMayCrashServers || d.RetryAfter <= 0 || d.RetryAfter > maxRetryAfter {
+	if _, d := beginPoison(k, now); d.Server != nil || !d.NotRun || d.Reason != ReasonMayCrashServers || d.RetryAfter <= 0 || d.RetryAfter > maxRetryAfter {
 		t.Errorf("beside it: %+v, want it refused for a moment", d)
 	}
 	if d := k.EndAttempt(now, f, Attempt{Result: ResultAnswered}); !d.ReturnResponse {
 		t.Errorf("answered: %+v, want the answer passed on", d)
 	}
-	if _, d := beginDeadly(k, now); d.Server == nil {
+	if _, d := beginPoison(k, now); d.Server == nil {
 		t.Errorf("after a good run: %+v, want it sent", d)
 	}
 }
@@ -87,24 +87,24 @@
 // Work that has ended three servers is refused with the truth: it has not run, and may
 // come again when it is tried, first after two seconds, since it may be sound; after a trial that ended
 // a server, in minutes. A request that broke before it was condemned may have run.
-func TestCondemnedWorkIsRefusedWithTheTruth(t *testing.T) {
+func TestQuarantinedFingerprintIsRefusedAsNotRun(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, true)
 	k.SetTable(routing.NewTable(2, []*routing.Route{{
 		Name: "route", Host: "host", Prefix: "/a/", Attempts: 1, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}},
 	}}, nil, routing.Limits{}))
 	for range quarantine.DefaultThreshold {
-		if d := runDeadly(t, k, now); d.NotRun {
+		if d := crashServer(t, k, now); d.NotRun {
 			t.Errorf("a request whose server ended: %+v, want no word that it has not run", d)
 		}
 	}
-	_, d := beginDeadly(k, now)
+	_, d := beginPoison(k, now)
 	if !d.NotRun || d.Reason != ReasonCrashesServers || d.RetryAfter != 2*time.Second {
 		t.Errorf("condemned: %+v, want it refused for 2s", d)
 	}
 	now = now.Add(5 * time.Second)
-	runDeadly(t, k, now)
-	_, d = beginDeadly(k, now)
+	crashServer(t, k, now)
+	_, d = beginPoison(k, now)
 	if !d.NotRun || d.Reason != ReasonCrashesServers || d.RetryAfter != quarantine.MaxRetryAfter {
 		t.Errorf("condemned after a trial: %+v, want it refused for %s", d, quarantine.MaxRetryAfter)
 	}
@@ -116,7 +116,7 @@
 
 // Servers leave as planned and cut what takes too long; connections are reset and answers
 // break off while the servers go on. Neither counts against the requests.
-func TestBreaksWithoutAnEndCondemnNothing(t *testing.T) {
+func TestLostConnectionsWithoutCrashDoNotQuarantine(t *testing.T) {
 	for name, between := range map[string]func(k *Kernel, now time.Time, id string){
 		"planned stop": func(k *Kernel, now time.Time, id string) {
 			k.RegisterServer(now, routing.Server{ID: id, Service: "service", Domain: "north-a", Slots: 4, Draining: true, Started: time.Unix(1_000_000, 0)})
@@ -126,7 +126,7 @@
 		now := time.Unix(1_000_000, 0)
 		k := quarantineKernel(now, false)
 		for range quarantine.DefaultThreshold + 1 {
-			f, d := beginDeadly(k, now)
+			f, d := beginPoison(k, now)
 			if d.Server == nil {
 				t.Fatalf("%s: refused: %+v", name, d)
 			}
@@ -138,7 +138,7 @@
 				k.RemoveServer(now, id)
 			}
 		}
-		if _, d := beginDeadly(k, now); d.Reason == ReasonCrashesServers {
+		if _, d := beginPoison(k, now); d.Reason == ReasonCrashesServers {
 			t.Errorf("%s: got the work condemned", name)
 		}
 	}
@@ -146,11 +146,11 @@
 
 // A server ends under a request and is back under its id before anybody dials it. Only
 // its registration tells that it has started anew.
-func TestRestartUnderAnIDIsAnEnd(t *testing.T) {
+func TestRestartUnderTheSameIDCountsAsCrash(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, false)
 	for range quarantine.DefaultThreshold {
-		f, d := beginDeadly(k, now)
+		f, d := beginPoison(k, now)
 		if d.Server == nil {
 			t.Fatalf("refused too soon: %+v", d)
 		}
@@ -160,7 +160,7 @@
 		again.Started = now
 		k.RegisterServer(now, again)
 	}
-	if _, d := beginDeadly(k, now); d.Reason != ReasonCrashesServers {
+	if _, d := beginPoison(k, now); d.Reason != ReasonCrashesServers {
 		t.Errorf("after three starts anew: %+v, want the work condemned", d)
 	}
 }
@@ -168,7 +168,7 @@
 // Between two ends a server that fails by chance, or does not like the caller, answers
 // the work with a failure of its own. It has not come to what ends servers, and the ends
 // before must go on counting.
-func TestFailureIsNoGoodRun(t *testing.T) {
+func TestFailedRequestsDoNotCountAsSuccess(t *testing.T) {
 	for name, answer := range map[string]Attempt{
 		"failed":   {Result: ResultServerError, Rejected: true},
 		"rejected": {Result: ResultAnswered, Rejected: true},
@@ -177,7 +177,7 @@
 		now := time.Unix(1_000_000, 0)
 		k := quarantineKernel(now, false)
 		for range quarantine.DefaultThreshold {
-			f, d := beginDeadly(k, now)
+			f, d := beginPoison(k, now)
 			if d.Server == nil {
 				t.Fatalf("%s: refused too soon: %+v", name, d)
 			}
@@ -185,9 +185,9 @@
 				d = k.EndAttempt(now, f, answer)
 			}
 			now = now.Add(100 * time.Millisecond)
-			runDeadly(t, k, now)
+			crashServer(t, k, now)
 		}
-		if _, d := beginDeadly(k, now); d.Reason != ReasonCrashesServers {
+		if _, d := beginPoison(k, now); d.Reason != ReasonCrashesServers {
 			t.Errorf("%s: %+v, want the work condemned", name, d)
 		}
 	}
--- a/internal/kernel/steering/regiondraw_test.go
+++ b/internal/kernel/steering/regiondraw_test.go
@@ -13,10 +13,10 @@
 // have five times what they run at once. Where each request went to the idlest server
 // of all regions, a third of them ran in another region within two seconds, and
 // operators allow 0.15 to shift.
-func TestBurstOnAPlainRouteDoesNotShiftRegions(t *testing.T) {
+func TestBurstOnANonStickyRouteDoesNotShiftRegions(t *testing.T) {
 	const requests, allowed = 80, 0.15
 	now := time.Unix(1_000_000, 0)
-	k := threeRegions(now, 200*time.Millisecond)
+	k := threeRegionKernel(now, 200*time.Millisecond)
 	plain := *k.table.Match("host", "/")
 	plain.Sticky = false
 	k.SetTable(routing.NewTable(2, []*routing.Route{&plain}, nil, routing.Limits{}))
@@ -44,13 +44,13 @@
 
 // A region's servers are all out. Its callers' requests must go to another rather
 // than be refused.
-func TestPlainRequestsLeaveARegionWithoutServers(t *testing.T) {
+func TestNonStickyRequestsLeaveARegionWithoutServers(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	k := threeRegions(now, 200*time.Millisecond)
+	k := threeRegionKernel(now, 200*time.Millisecond)
 	plain := *k.table.Match("host", "/")
 	plain.Sticky = false
 	k.SetTable(routing.NewTable(2, []*routing.Route{&plain}, nil, routing.Limits{}))
-	lose(k, now, "north-a-0", "north-a-1", "north-a-2", "north-a-3")
+	ejectServers(k, now, "north-a-0", "north-a-1", "north-a-2", "north-a-3")
 	for n := range 50 {
 		if _, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x"}); d.Server == nil || d.Server.Domain == "north-a" {
 			t.Fatalf("request %d got %+v, want a server of another region", n, d)
--- a/internal/kernel/steering/replicas_test.go
+++ b/internal/kernel/steering/replicas_test.go
@@ -8,9 +8,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// hotKernel is a proxy, one of three of its region, that has seen one object asked for
+// replicaKernel is a proxy, one of three of its region, that has seen one object asked for
 // so often that its home can't answer all.
-func hotKernel(now time.Time, name string, off ...Mechanism) *Kernel {
+func replicaKernel(now time.Time, name string, off ...Mechanism) *Kernel {
 	domains := map[string]string{"north-a": "north", "south-a": "south"}
 	k := New(Config{Name: name, Domain: "north-a", Region: "north", RegionOf: domains, Off: off})
 	var proxies []Proxy
@@ -28,9 +28,9 @@
 	return k
 }
 
-// sendsTo counts by server where requests for an object go that come evenly in ten
+// countByServer counts by server where requests for an object go that come evenly in ten
 // seconds, each answered at once.
-func sendsTo(k *Kernel, now time.Time, object string, requests int) map[*server]int {
+func countByServer(k *Kernel, now time.Time, object string, requests int) map[*server]int {
 	counts := make(map[*server]int)
 	for i := range requests {
 		f, d := k.BeginRequest(now.Add(time.Duration(i)*10*time.Second/time.Duration(requests)), Request{ID: "r", Host: "host", Path: "/x", Object: object})
@@ -46,11 +46,11 @@
 // its home: they waited there while seven servers of the region idled. It is spread over
 // several servers of the home's region, the same ones at all proxies. An object that is
 // asked for now and then keeps its home.
-func TestAnObjectAskedForOftenHasReplicasInItsRegion(t *testing.T) {
+func TestHotObjectHasReplicasInItsRegion(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	one, two := hotKernel(now, "one"), hotKernel(now, "two")
+	one, two := replicaKernel(now, "one"), replicaKernel(now, "two")
 	// Each of three proxies sees a third of forty requests a second.
-	a, b := sendsTo(one, now, "1", 133), sendsTo(two, now, "1", 133)
+	a, b := countByServer(one, now, "1", 133), countByServer(two, now, "1", 133)
 	if len(a) < 3 {
 		t.Errorf("the requests go to %d servers, want three at least", len(a))
 	}
@@ -68,7 +68,7 @@
 	if same < min(len(a), len(b))-1 {
 		t.Errorf("two proxies use %d and %d servers, %d of them in common, want nearly all", len(a), len(b), same)
 	}
-	if rare := sendsTo(one, now.Add(time.Minute), "2", 20); len(rare) != 1 {
+	if rare := countByServer(one, now.Add(time.Minute), "2", 20); len(rare) != 1 {
 		t.Errorf("an object asked for twice a second goes to %d servers, want its home alone", len(rare))
 	}
 	for id := range two.servers {
@@ -76,10 +76,10 @@
 			two.servers[id].recordFailure(now.Add(10*time.Second), true)
 		}
 	}
-	if c := sendsTo(two, now.Add(10*time.Second), "1", 10); len(c) != 1 {
+	if c := countByServer(two, now.Add(10*time.Second), "1", 10); len(c) != 1 {
 		t.Errorf("with all replicas out the requests go to %d servers, want the sound home alone", len(c))
 	}
-	if off := sendsTo(hotKernel(now, "one", MechanismReplicas), now, "1", 133); len(off) != 1 {
+	if off := countByServer(replicaKernel(now, "one", MechanismReplicas), now, "1", 133); len(off) != 1 {
 		t.Errorf("switched off, the requests go to %d servers, want the home alone", len(off))
 	}
 }
--- a/internal/kernel/steering/restart_test.go
+++ b/internal/kernel/steering/restart_test.go
@@ -10,9 +10,9 @@
 // A server is lost behind a cut and starts again under its id. A request that the
 // earlier start had ends with the word that another server has the address. That
 // must not take the new start away.
-func TestRequestOfAnEarlierStartDoesNotRemoveTheNewOne(t *testing.T) {
+func TestResultFromBeforeARestartDoesNotRemoveTheServer(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	fleet, _ := shareFleet(now)
+	fleet, _ := coldServerFleet(now)
 	k := fleet[0]
 	first := routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4, Started: time.UnixMilli(1000)}
 	k.RemoveServer(now, "cold")
@@ -32,7 +32,7 @@
 
 // A server that knew an object starts again under its id. It knows nothing, and a
 // request for the object must be reckoned as a first run.
-func TestNewStartKnowsNoObjects(t *testing.T) {
+func TestRestartedServerIsNotWarm(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := New(Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf})
 	route := &routing.Route{
--- a/internal/kernel/steering/scenario_test.go
+++ b/internal/kernel/steering/scenario_test.go
@@ -15,20 +15,20 @@
 )
 
 type (
-	// story is a scripted test: what happens in which order, and what the
+	// scenario is a scripted test: what happens in which order, and what the
 	// kernel must decide at each step.
-	story struct {
-		Story   []string      `json:"story"`
-		Proxy   string        `json:"proxy-domain"`
-		Proxies int           `json:"proxies"`
-		Route   storyRoute    `json:"route"`
-		Servers []storyServer `json:"servers"`
+	scenario struct {
+		Description []string         `json:"story"`
+		ProxyDomain string           `json:"proxy-domain"`
+		ProxyCount  int              `json:"proxies"`
+		Route       scenarioRoute    `json:"route"`
+		Servers     []scenarioServer `json:"servers"`
 		// Accounts are in force with the first table.
-		Accounts []storyAccount `json:"accounts"`
-		Steps    []storyStep    `json:"steps"`
+		Accounts []scenarioAccount `json:"accounts"`
+		Steps    []scenarioStep    `json:"steps"`
 	}
 
-	storyAccount struct {
+	scenarioAccount struct {
 		Name    string   `json:"name"`
 		Keys    []string `json:"keys"`
 		Regions []string `json:"regions"`
@@ -37,7 +37,7 @@
 		Burst     float64 `json:"burst"`
 	}
 
-	storyRoute struct {
+	scenarioRoute struct {
 		Idempotent bool     `json:"idempotent"`
 		Attempts   int      `json:"attempts"`
 		Timeout    string   `json:"timeout"`
@@ -45,97 +45,97 @@
 		Public     bool     `json:"public"`
 	}
 
-	storyServer struct {
-		ID     string `json:"id"`
-		Domain string `json:"domain"`
-		Slots  int    `json:"slots"`
-		Cold   string `json:"cold"`
-		Drains bool   `json:"drains"`
+	scenarioServer struct {
+		ID       string `json:"id"`
+		Domain   string `json:"domain"`
+		Slots    int    `json:"slots"`
+		ColdFor  string `json:"cold"`
+		Draining bool   `json:"drains"`
 		// Started tells starts under one id apart, in milliseconds.
 		Started int64 `json:"started"`
 	}
 
-	storyStep struct {
-		At    string `json:"at"`
-		Table uint64 `json:"table"`
+	scenarioStep struct {
+		At           string `json:"at"`
+		TableVersion uint64 `json:"table"`
 		// Accounts replace those before, together with a table.
-		Accounts []storyAccount `json:"accounts"`
-		Key      string         `json:"key"`
-		Refused  bool           `json:"refused"`
-		Server   *storyServer   `json:"server"`
-		Remove   string         `json:"remove"`
-		Absent   string         `json:"absent"`
-		Garbled  string         `json:"unreadable"`
-		For      string         `json:"for"`
-		Empty    string         `json:"evacuate"`
-		Fill     string         `json:"take-back"`
-		Request  string         `json:"request"`
-		Object   string         `json:"object"`
-		Path     string         `json:"path"`
-		End      string         `json:"end"`
-		Result   string         `json:"result"`
-		Load     []int          `json:"load"`
-		Leaving  bool           `json:"leaving"`
-		Repeat   int            `json:"repeat"`
+		Accounts      []scenarioAccount `json:"accounts"`
+		Key           string            `json:"key"`
+		Refused       bool              `json:"refused"`
+		Server        *scenarioServer   `json:"server"`
+		Remove        string            `json:"remove"`
+		Absent        string            `json:"absent"`
+		Unreadable    string            `json:"unreadable"`
+		AbsentFor     string            `json:"for"`
+		Evacuate      string            `json:"evacuate"`
+		EndEvacuation string            `json:"take-back"`
+		Request       string            `json:"request"`
+		Object        string            `json:"object"`
+		Path          string            `json:"path"`
+		End           string            `json:"end"`
+		Result        string            `json:"result"`
+		Load          []int             `json:"load"`
+		Draining      bool              `json:"leaving"`
+		Repeat        int               `json:"repeat"`
 		// Want is a server's id, "any", "not ID", "answer", "not-run REASON"
 		// or "may-have-run REASON".
 		Want string `json:"want"`
 	}
 
-	storyRun struct {
-		t       *testing.T
-		story   story
-		kernel  *Kernel
-		now     time.Time
-		flights map[string]*ActiveRequest
-		sent    map[string]string
+	scenarioRun struct {
+		t          *testing.T
+		scenario   scenario
+		kernel     *Kernel
+		now        time.Time
+		requests   map[string]*ActiveRequest
+		lastServer map[string]string
 	}
 )
 
 var (
-	results = map[string]Result{
+	resultsByName = map[string]Result{
 		"answered": ResultAnswered, "failed": ResultServerError, "refused": ResultRefused, "mistaken": ResultWrongServer,
 		"unreachable": ResultUnreachable, "broken": ResultConnectionLost, "late": ResultTimeout, "left": ResultCallerGone, "withheld": ResultNotSent,
 	}
 )
 
-func TestStories(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "*.json"))
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no stories: %v", err)
 	}
 	for _, file := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(file), ".json"), func(t *testing.T) { playStory(t, file) })
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".json"), func(t *testing.T) { runScenario(t, file) })
 	}
 }
 
-func playStory(t *testing.T, file string) {
+func runScenario(t *testing.T, file string) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &storyRun{t: t, now: time.Unix(1_000_000, 0), flights: make(map[string]*ActiveRequest), sent: make(map[string]string)}
+	r := &scenarioRun{t: t, now: time.Unix(1_000_000, 0), requests: make(map[string]*ActiveRequest), lastServer: make(map[string]string)}
 	decoder := json.NewDecoder(strings.NewReader(string(data)))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&r.story); err != nil {
+	if err := decoder.Decode(&r.scenario); err != nil {
 		t.Fatal(err)
 	}
-	if n := len(r.story.Story); n < 1 || n > 5 {
+	if n := len(r.scenario.Description); n < 1 || n > 5 {
 		t.Errorf("the story has %d lines, want one to five", n)
 	}
-	r.begin()
+	r.setUp()
 	start := r.now
-	for i, s := range r.story.Steps {
-		if at := span(t, s.At); at > 0 {
+	for i, s := range r.scenario.Steps {
+		if at := parseDuration(t, s.At); at > 0 {
 			r.now = start.Add(at)
 		}
 		for range max(1, s.Repeat) {
-			r.step(i, s)
+			r.runStep(i, s)
 		}
 	}
 }
 
-func span(t *testing.T, text string) time.Duration {
+func parseDuration(t *testing.T, text string) time.Duration {
 	t.Helper()
 	if text == "" {
 		return 0
@@ -147,8 +147,8 @@
 	return d
 }
 
-func (r *storyRun) begin() {
-	domain := r.story.Proxy
+func (r *scenarioRun) setUp() {
+	domain := r.scenario.ProxyDomain
 	if domain == "" {
 		domain = "north-a"
 	}
@@ -157,11 +157,11 @@
 		Bounds: Bounds{Retry: RetryBudget{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}, ColdFactor: 1.5, ColdSlack: 5},
 	})
 	var proxies []Proxy
-	for i := 1; i < r.story.Proxies; i++ {
+	for i := 1; i < r.scenario.ProxyCount; i++ {
 		proxies = append(proxies, Proxy{Name: "proxy-" + string(rune('0'+i)), Domain: domain, Region: regionOf[domain]})
 	}
 	r.kernel.SetProxies(r.now, proxies)
-	for _, s := range r.story.Servers {
+	for _, s := range r.scenario.Servers {
 		r.register(s)
 	}
 }
@@ -170,13 +170,13 @@
 	regionOf = map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"}
 )
 
-func (r *storyRun) register(s storyServer) {
+func (r *scenarioRun) register(s scenarioServer) {
 	slots := s.Slots
 	if slots == 0 {
 		slots = 4
 	}
 	server := routing.Server{
-		ID: s.ID, Service: "service", Domain: s.Domain, Slots: slots, Draining: s.Drains, ColdFor: span(r.t, s.Cold),
+		ID: s.ID, Service: "service", Domain: s.Domain, Slots: slots, Draining: s.Draining, ColdFor: parseDuration(r.t, s.ColdFor),
 	}
 	if s.Started > 0 {
 		server.Started = time.UnixMilli(s.Started)
@@ -184,29 +184,29 @@
 	r.kernel.RegisterServer(r.now, server)
 }
 
-func (r *storyRun) table(version uint64) bool {
+func (r *scenarioRun) setTable(version uint64) bool {
 	route := &routing.Route{
-		Name: "route", Host: "host", Prefix: "/a/", Idempotent: r.story.Route.Idempotent, Sticky: true,
-		Attempts: max(1, r.story.Route.Attempts), Timeout: span(r.t, r.story.Route.Timeout), Target: 500 * time.Millisecond,
-		Regions: r.story.Route.Regions, Public: r.story.Route.Public, Parts: []routing.Part{{Service: "service", Weight: 1}},
+		Name: "route", Host: "host", Prefix: "/a/", Idempotent: r.scenario.Route.Idempotent, Sticky: true,
+		Attempts: max(1, r.scenario.Route.Attempts), Timeout: parseDuration(r.t, r.scenario.Route.Timeout), Target: 500 * time.Millisecond,
+		Regions: r.scenario.Route.Regions, Public: r.scenario.Route.Public, Parts: []routing.Part{{Service: "service", Weight: 1}},
 	}
 	if route.Timeout == 0 {
 		route.Timeout = 2 * time.Second
 	}
 	service := &routing.Service{Name: "service", ColdStart: 3 * time.Second, ColdPerSecond: 3.1}
 	table := routing.NewTable(version, []*routing.Route{route}, []*routing.Service{service}, routing.Limits{})
-	if len(r.story.Accounts) > 0 {
-		table.WithAccounts(r.accounts())
+	if len(r.scenario.Accounts) > 0 {
+		table.WithAccounts(r.accountTable())
 	}
 	return r.kernel.SetTable(table)
 }
 
-func (r *storyRun) accounts() *account.Table {
+func (r *scenarioRun) accountTable() *account.Table {
 	var list []*account.Account
-	for _, s := range r.story.Accounts {
+	for _, s := range r.scenario.Accounts {
 		a := &account.Account{Name: s.Name, Regions: s.Regions, Limit: ratelimit.Limit{PerSecond: s.PerSecond, Burst: s.Burst}}
 		for _, text := range s.Keys {
-			a.Keys = append(a.Keys, keyOf(r.t, text))
+			a.Keys = append(a.Keys, accountKey(r.t, text))
 		}
 		list = append(list, a)
 	}
@@ -214,7 +214,7 @@
 	return table
 }
 
-func keyOf(t *testing.T, text string) account.Key {
+func accountKey(t *testing.T, text string) account.Key {
 	t.Helper()
 	key, ok := account.KeyOf(text)
 	if !ok {
@@ -224,34 +224,34 @@
 }
 
 // credential is what a request carries; without a key in the step it carries none.
-func (r *storyRun) credential(s storyStep) account.Credential {
+func (r *scenarioRun) credential(s scenarioStep) account.Credential {
 	if s.Key == "" {
 		return account.Credential{}
 	}
-	return account.Credential{State: account.Present, Key: keyOf(r.t, s.Key)}
+	return account.Credential{State: account.Present, Key: accountKey(r.t, s.Key)}
 }
 
-func (r *storyRun) step(i int, s storyStep) {
+func (r *scenarioRun) runStep(i int, s scenarioStep) {
 	switch {
-	case s.Table > 0:
+	case s.TableVersion > 0:
 		if s.Accounts != nil {
-			r.story.Accounts = s.Accounts
+			r.scenario.Accounts = s.Accounts
 		}
-		if got := r.table(s.Table); got == s.Refused {
-			r.t.Errorf("step %d: version %d in force is %t", i, s.Table, got)
+		if got := r.setTable(s.TableVersion); got == s.Refused {
+			r.t.Errorf("step %d: version %d in force is %t", i, s.TableVersion, got)
 		}
 	case s.Server != nil:
 		r.register(*s.Server)
 	case s.Remove != "":
 		r.kernel.RemoveServer(r.now, s.Remove)
 	case s.Absent != "":
-		r.kernel.MarkServerAbsent(s.Absent, r.now.Add(span(r.t, s.For)))
-	case s.Garbled != "":
-		r.kernel.MarkServerUnreadable(s.Garbled)
-	case s.Empty != "":
-		r.kernel.SetDomainEvacuated(r.now, s.Empty, true)
-	case s.Fill != "":
-		r.kernel.SetDomainEvacuated(r.now, s.Fill, false)
+		r.kernel.MarkServerAbsent(s.Absent, r.now.Add(parseDuration(r.t, s.AbsentFor)))
+	case s.Unreadable != "":
+		r.kernel.MarkServerUnreadable(s.Unreadable)
+	case s.Evacuate != "":
+		r.kernel.SetDomainEvacuated(r.now, s.Evacuate, true)
+	case s.EndEvacuation != "":
+		r.kernel.SetDomainEvacuated(r.now, s.EndEvacuation, false)
 	case s.Request != "":
 		r.kernel.Tick(r.now)
 		path := s.Path
@@ -259,25 +259,25 @@
 			path = "/a/x"
 		}
 		f, d := r.kernel.BeginRequest(r.now, Request{ID: s.Request, Host: "host", Path: path, Object: s.Object, Credential: r.credential(s), Deadline: r.now.Add(4 * time.Second)})
-		r.flights[s.Request] = f
-		r.check(i, s.Request, s.Want, d)
+		r.requests[s.Request] = f
+		r.checkDecision(i, s.Request, s.Want, d)
 	case s.End != "":
-		a := Attempt{Result: results[s.Result], Signal: backpressure.Signal{Draining: s.Leaving}}
+		a := Attempt{Result: resultsByName[s.Result], Signal: backpressure.Signal{Draining: s.Draining}}
 		if len(s.Load) == 2 {
 			a.Loaded, a.Running, a.Waiting = true, s.Load[0], s.Load[1]
 		}
-		r.check(i, s.End, s.Want, r.kernel.EndAttempt(r.now, r.flights[s.End], a))
+		r.checkDecision(i, s.End, s.Want, r.kernel.EndAttempt(r.now, r.requests[s.End], a))
 	}
 }
 
-func (r *storyRun) check(i int, id, want string, d Decision) {
+func (r *scenarioRun) checkDecision(i int, id, want string, d Decision) {
 	r.t.Helper()
-	got := describe(d)
+	got := describeDecision(d)
 	not, negated := strings.CutPrefix(want, "not ")
 	switch {
 	case want == "any" && d.Server != nil:
-	case want == "same" && d.Server != nil && d.Server.ID == r.sent[id]:
-	case want == "other" && d.Server != nil && d.Server.ID != r.sent[id]:
+	case want == "same" && d.Server != nil && d.Server.ID == r.lastServer[id]:
+	case want == "other" && d.Server != nil && d.Server.ID != r.lastServer[id]:
 	case negated && d.Server != nil && d.Server.ID != not:
 	case got == want:
 	default:
@@ -287,11 +287,11 @@
 		r.t.Errorf("step %d, request %s: refused without a time to come back", i, id)
 	}
 	if d.Server != nil {
-		r.sent[id] = d.Server.ID
+		r.lastServer[id] = d.Server.ID
 	}
 }
 
-func describe(d Decision) string {
+func describeDecision(d Decision) string {
 	switch {
 	case d.Server != nil:
 		return d.Server.ID
--- a/internal/kernel/steering/shed_test.go
+++ b/internal/kernel/steering/shed_test.go
@@ -26,8 +26,8 @@
 	return k
 }
 
-// askMany sends requests that meet a queue, and counts those that are refused.
-func (k *Kernel) askMany(t *testing.T, now time.Time, path string, waiting int) (refused int) {
+// sendMany sends requests that meet a queue, and counts those that are refused.
+func (k *Kernel) sendMany(t *testing.T, now time.Time, path string, waiting int) (refused int) {
 	t.Helper()
 	const n = 400
 	for i := range n {
@@ -47,18 +47,18 @@
 // The servers stand at queues in which every answer comes late. Some callers are
 // refused, so that the others are answered in time; of two kinds of requests the
 // less urgent gives way.
-func TestOverloadRefusesTheLessUrgentFirst(t *testing.T) {
+func TestOverloadRefusesLessUrgentRequestsFirst(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := shedKernel(now)
-	if got := k.askMany(t, now, "/plain/x", 0); got != 0 {
+	if got := k.sendMany(t, now, "/plain/x", 0); got != 0 {
 		t.Errorf("%d are refused though nobody waits, want none", got)
 	}
 	now = now.Add(time.Second)
-	plain := k.askMany(t, now, "/plain/x", 8)
+	plain := k.sendMany(t, now, "/plain/x", 8)
 	if plain == 0 {
 		t.Error("none of the less urgent are refused though twice as many wait as can be answered in time")
 	}
-	if got := k.askMany(t, now, "/urgent/x", 8); got >= plain {
+	if got := k.sendMany(t, now, "/urgent/x", 8); got >= plain {
 		t.Errorf("%d of the urgent are refused and %d of the others, want fewer", got, plain)
 	}
 }
@@ -66,7 +66,7 @@
 // A few are too many. A caller that is refused comes back while it can still be
 // answered within the target; one second later any answer would be late. Where
 // most are refused it had better wait for the overload to end.
-func TestRefusedCallersComeBackWithinTheTarget(t *testing.T) {
+func TestRefusedCallersRetryWithinTheTarget(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for _, c := range []struct {
 		waiting int
--- a/internal/kernel/steering/workestimate_test.go
+++ b/internal/kernel/steering/workestimate_test.go
@@ -12,7 +12,7 @@
 // going to a server that does not know the object seemed to cost nothing, so objects
 // ran cold at one server after the other, and each server that had done a first run
 // was taken for twenty times too slow.
-func TestWorkIsLearnedByRoute(t *testing.T) {
+func TestWorkEstimateIsKeptPerRoute(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var sent Event
 	k := New(Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf, Observe: func(e Event) {
@@ -53,7 +53,7 @@
 
 // Routes come and go with each configuration. What was learned of a route that is
 // gone must not be kept for good.
-func TestWorkOfRoutesThatAreGoneIsForgotten(t *testing.T) {
+func TestWorkEstimatesOfRemovedRoutesAreDropped(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := New(Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf})
 	table := func(version uint64, name string) {
