--- a/internal/kernel/steering/authorization_test.go
+++ b/internal/kernel/steering/authorization_test.go
@@ -16,16 +16,16 @@
 	testAccountKey = "a-key-that-nobody-may-see"
 )
 
-// kernelWithAccount is a proxy alone in its fleet, with one account and one server, that has
-// run for a while.
-func kernelWithAccount(t *testing.T, a account.Account, config Config) (*Kernel, time.Time) {
+// kernelWithAccount returns the kernel of the only proxy of a fleet, with one client account and
+// one server, and a time at which its startup grace period is over.
+func kernelWithAccount(t *testing.T, acct account.Account, config Config) (*Kernel, time.Time) {
 	t.Helper()
 	now := time.Unix(1_000_000, 0)
 	config.Name, config.Domain, config.Region, config.RegionOf = "proxy", "north-a", "north", regionOf
 	config.Joined = now.Add(-time.Minute)
 	k := New(config)
-	a.Name, a.Keys = "anna", []account.Key{accountKey(t, testAccountKey)}
-	accounts, _ := account.NewTable([]*account.Account{&a})
+	acct.Name, acct.Keys = "anna", []account.Key{accountKey(t, testAccountKey)}
+	accounts, _ := account.NewTable([]*account.Account{&acct})
 	k.SetTable(routing.NewTable(1, []*routing.Route{{
 		Name: "route", Host: "host", Prefix: "/", Idempotent: true, Attempts: 2, Timeout: 2 * time.Second, Target: time.Second, Priority: 2,
 		Parts: []routing.Part{{Service: "service", Weight: 1}},
@@ -41,31 +41,31 @@
 	return k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Credential: account.Credential{State: account.Present, Key: accountKey(t, testAccountKey)}})
 }
 
-// Guards against an account that sends more than its limit, and against one that is
-// refused below it.
+// Guards against a client account that exceeds its rate limit and against one that is refused below
+// it.
 func TestAccountRateLimitIsEnforced(t *testing.T) {
 	const rate, seconds = 100, 10
 	k, now := kernelWithAccount(t, account.Account{Limit: ratelimit.Limit{PerSecond: rate, Burst: rate}}, Config{})
 	admitted, refused := 0, 0
 	for range 3 * rate * seconds {
 		now = now.Add(time.Second / (3 * rate))
-		f, d := beginWithKey(t, k, now)
+		req, d := beginWithKey(t, k, now)
 		switch {
 		case d.Server != nil:
 			admitted++
-			k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
+			k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
 		case d.Reason == ReasonRateLimit && d.NotRun && d.RetryAfter > 0:
 			refused++
 		default:
-			t.Fatalf("decision is %+v, want a server or a refusal by the limit", d)
+			t.Fatalf("decision is %+v, want a server or a refusal by the rate limit", d)
 		}
 	}
-	if least, most := rate*seconds*95/100, rate*(seconds+1); admitted < least || admitted > most {
-		t.Errorf("%d of %d admitted in %d s, want %d to %d", admitted, admitted+refused, seconds, least, most)
+	if minAdmitted, maxAdmitted := rate*seconds*95/100, rate*(seconds+1); admitted < minAdmitted || admitted > maxAdmitted {
+		t.Errorf("%d of %d admitted in %d s, want %d to %d", admitted, admitted+refused, seconds, minAdmitted, maxAdmitted)
 	}
 }
 
-// Guards against tokens that are lost to requests that were refused unsent.
+// Guards against rate limit tokens used up by requests that were refused without being sent.
 func TestUnsentRequestsUseNoTokens(t *testing.T) {
 	k, now := kernelWithAccount(t, account.Account{Limit: ratelimit.Limit{PerSecond: 1, Burst: 2}}, Config{})
 	k.RemoveServer(now, "s")
@@ -77,36 +77,37 @@
 	}
 }
 
-// Guards against keys in recordings and events, which operators hand around.
+// Guards against account keys in recordings and events, which operators pass on to others.
 func TestAccountKeysAreNotInRecordingsOrEvents(t *testing.T) {
-	var told bytes.Buffer
-	out := json.NewEncoder(&told)
+	var output bytes.Buffer
+	encoder := json.NewEncoder(&output)
 	config := Config{
-		Record:  func(c Call) { _ = out.Encode(c) },
-		Observe: func(e Event) { _ = out.Encode(e) },
+		Record:  func(c Call) { _ = encoder.Encode(c) },
+		Observe: func(e Event) { _ = encoder.Encode(e) },
 	}
 	k, now := kernelWithAccount(t, account.Account{}, config)
-	f, _ := beginWithKey(t, k, now)
-	k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
-	if text := told.String(); strings.Contains(text, testAccountKey) || !strings.Contains(text, accountKey(t, testAccountKey).Fingerprint()) {
-		t.Errorf("what is told has the key, or lacks its fingerprint: %s", text)
+	req, _ := beginWithKey(t, k, now)
+	k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
+	if text := output.String(); strings.Contains(text, testAccountKey) || !strings.Contains(text, accountKey(t, testAccountKey).Fingerprint()) {
+		t.Errorf("recorded calls and events contain the key or lack its fingerprint: %s", text)
 	}
 }
 
-// Guards against requests of an urgent account that are refused like all others.
+// Guards against refusing the requests of a client account with an urgent priority as often as all
+// others.
 func TestAccountPriorityOverridesRoutePriority(t *testing.T) {
 	urgent := 0
 	k, now := kernelWithAccount(t, account.Account{Priority: &urgent}, Config{})
-	f, _ := beginWithKey(t, k, now)
-	if got := f.priority(); got != urgent {
+	req, _ := beginWithKey(t, k, now)
+	if got := req.priority(); got != urgent {
 		t.Errorf("priority is %d, want the account's %d", got, urgent)
 	}
 	if got := k.lowestPriority["service"]; got != urgent {
-		t.Errorf("the least urgent requests have priority %d, want %d: all are of the account", got, urgent)
+		t.Errorf("the least urgent requests have priority %d, want %d: all belong to the account", got, urgent)
 	}
 	k, now = kernelWithAccount(t, account.Account{}, Config{})
-	f, _ = beginWithKey(t, k, now)
-	if got, want := f.priority(), 2; got != want {
+	req, _ = beginWithKey(t, k, now)
+	if got, want := req.priority(), 2; got != want {
 		t.Errorf("priority is %d, want the route's %d", got, want)
 	}
 }
--- a/internal/kernel/steering/bench_test.go
+++ b/internal/kernel/steering/bench_test.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// largeServersPerService, largeProxies and largeObjects are a deployment a quarter
-	// of the target size: servers in each of four services, proxies, objects.
+	// The size of a large deployment, a quarter of the target size: the servers of each of four
+	// services, the proxies and the objects.
 	largeServersPerService = 750
 	largeProxies           = 300
 	largeObjects           = 1200
 )
 
-// largeKernel is a proxy's kernel in a large deployment.
+// largeKernel returns the kernel of one proxy of a large deployment.
 func largeKernel(now time.Time, coldFor time.Duration) *Kernel {
 	k := New(Config{Name: "proxy-0", Domain: "north-a", Region: "north", RegionOf: regionOf, Bounds: Bounds{ColdFactor: 1.5, ColdSlack: 8}})
 	domains := []string{"north-a", "north-b", "south-a"}
@@ -45,19 +45,20 @@
 	return k
 }
 
-// sendRequest sends one request for an object of service 0 and takes its answer in.
+// sendRequest sends one request for an object of service 0 and ends it as answered.
 func sendRequest(k *Kernel, now time.Time, n int) {
-	f, d := k.BeginRequest(now, Request{Host: "host", Path: "/0/x", Object: fmt.Sprintf("%x", n%largeObjects), Deadline: now.Add(time.Second)})
+	req, d := k.BeginRequest(now, Request{Host: "host", Path: "/0/x", Object: fmt.Sprintf("%x", n%largeObjects), Deadline: now.Add(time.Second)})
 	if d.Server != nil {
-		k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
+		k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
 	}
 }
 
-// BenchmarkServerChange is what one registration costs a proxy that serves:
-// objects are asked for, a server of another service leaves, and they are asked
-// for again. Dealt out anew over all pairs for any service it took 193 and
-// 187 ms; for the one service and over the nearest servers 64 and 6.2 ms (eight
-// processors, one run each; a VM of 0.16 cores takes six times as long).
+// BenchmarkServerChange measures what one registration costs a proxy under traffic: a server of the
+// same or of another service starts or stops draining, and the objects are requested again. When
+// any change assigned the objects of all services anew, over all pairs of object and server, this
+// took 193 and 187 ms (same and other service); with only the changed service, over the nearest
+// servers, 64 and 6.2 ms (eight processors, one run each; a VM of 0.16 cores takes six times as
+// long).
 func BenchmarkServerChange(b *testing.B) {
 	now := time.Unix(1_000_000, 0)
 	for _, c := range []struct{ name, service string }{{"same-service", "0"}, {"other-service", "1"}} {
@@ -66,10 +67,10 @@
 			for n := range largeObjects {
 				sendRequest(k, now, n)
 			}
-			drains := false
+			draining := false
 			for b.Loop() {
-				drains = !drains
-				k.RegisterServer(now, routing.Server{ID: "i-" + c.service + "-7", Service: c.service, Domain: "north-b", Slots: 4, Draining: drains})
+				draining = !draining
+				k.RegisterServer(now, routing.Server{ID: "i-" + c.service + "-7", Service: c.service, Domain: "north-b", Slots: 4, Draining: draining})
 				for n := 0; n < largeObjects; n += 12 {
 					sendRequest(k, now, n)
 				}
@@ -78,9 +79,9 @@
 	}
 }
 
-// BenchmarkColdChoice is one request while all servers of its service are cold.
-// With the proxies sorted for each server it took 72 ms, 1,300 times as long as
-// with warm servers; with the own rank kept 0.079 ms, 1.5 times as long.
+// BenchmarkColdChoice measures one request while all servers of its service are cold. When the
+// proxies were sorted for each server, it took 72 ms, 1,300 times as long as with warm servers;
+// with the proxy's own rank cached, 0.079 ms, 1.5 times as long.
 func BenchmarkColdChoice(b *testing.B) {
 	now := time.Unix(1_000_000, 0)
 	for name, coldFor := range map[string]time.Duration{"warm": 0, "cold": time.Hour} {
@@ -98,10 +99,10 @@
 	}
 }
 
-// BenchmarkRegistrations takes in the registrations of a large fleet, as a
-// proxy does that has just started. Grouped anew at each, 3,000 took 871 ms,
-// 1,300 times as long as 100; grouped when next needed they take 2.1 ms, 27
-// times as long as 100 (eight processors, one run of five each).
+// BenchmarkRegistrations measures registering the servers of a large fleet, as a proxy does after
+// it has started. When the servers were grouped again after each registration, 3,000 took 871 ms,
+// 1,300 times as long as 100; grouped when next needed, they take 2.1 ms, 27 times as long as 100
+// (eight processors, one run of five each).
 func BenchmarkRegistrations(b *testing.B) {
 	for _, n := range []int{100, 1000, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/kernel/steering/cause_test.go
+++ b/internal/kernel/steering/cause_test.go
@@ -7,8 +7,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// An engineer asks why requests were late. Each line says where most of the time of
-// its request went, so that a count by cause needs no other line.
+// Each log line of a late request names the cause that took most of its time, so that late requests
+// can be counted by cause from these lines alone.
 func TestLatencyCause(t *testing.T) {
 	const (
 		ms     = time.Millisecond
@@ -27,7 +27,7 @@
 		"first run":                {[]Event{sent(0, 0, 880*ms, false, StateInUse)}, 900 * ms, CauseFirstRun},
 		"queue":                    {[]Event{sent(0, 700*ms, 900*ms, true, StateFull)}, 900 * ms, CauseQueue},
 		"cold server":              {[]Event{sent(0, 0, 600*ms, true, StateCold)}, 900 * ms, CauseColdServer},
-		"longer than reckoned":     {[]Event{sent(0, 0, 300*ms, true, StateInUse)}, 900 * ms, CauseSlowServer},
+		"longer than estimated":    {[]Event{sent(0, 0, 300*ms, true, StateInUse)}, 900 * ms, CauseSlowServer},
 		"work itself":              {[]Event{sent(0, 0, 800*ms, true, StateInUse)}, 900 * ms, CauseWork},
 		"second attempt came late": {[]Event{sent(0, 0, 300*ms, true, StateInUse), sent(600*ms, 0, 300*ms, true, StateInUse)}, 900 * ms, CauseFailedAttempts},
 	} {
--- a/internal/kernel/steering/concurrencylimit_test.go
+++ b/internal/kernel/steering/concurrencylimit_test.go
@@ -9,17 +9,17 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// limitedFleet makes two proxies of one region that hold back before one server of
-// three slots, of which two should be used.
+// limitedFleet returns the kernels of two proxies of one region that limit the concurrency of one
+// server to two of its three slots.
 func limitedFleet(now time.Time) (fleet []*Kernel) {
-	list := []Proxy{{Name: "proxy-0", Domain: "north-a", Region: "north"}, {Name: "proxy-1", Domain: "north-a", Region: "north"}}
-	for _, p := range list {
+	proxies := []Proxy{{Name: "proxy-0", Domain: "north-a", Region: "north"}, {Name: "proxy-1", Domain: "north-a", Region: "north"}}
+	for _, p := range proxies {
 		k := New(Config{Name: p.Name, Domain: p.Domain, Region: p.Region, RegionOf: regionOf, Bounds: Bounds{Retry: RetryBudget{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}}})
 		k.SetTable(routing.NewTable(1, []*routing.Route{
 			{Name: "route", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 2, Timeout: 2 * time.Second, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}}},
 			{Name: "short", Host: "host", Prefix: "/short/", Attempts: 1, Timeout: 300 * time.Millisecond, Target: time.Second, Parts: []routing.Part{{Service: "service", Weight: 1}}},
 		}, nil, routing.Limits{}))
-		k.SetProxies(now, list)
+		k.SetProxies(now, proxies)
 		k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3})
 		k.RecordRoundTrip("north-a", time.Millisecond)
 		k.ApplyConcurrencyLimits(now, []ServiceLimit{{Service: "service", Limit: admission.Limit{Slots: 3, Max: 2, Samples: 100}}})
@@ -30,36 +30,36 @@
 
 func beginWithSlotRequest(t *testing.T, k *Kernel, now time.Time, id, path string) (*ActiveRequest, SlotRequest) {
 	t.Helper()
-	f, d := k.BeginRequest(now, Request{ID: id, Host: "host", Path: path, Object: id, Deadline: now.Add(4 * time.Second)})
+	req, d := k.BeginRequest(now, Request{ID: id, Host: "host", Path: path, Object: id, Deadline: now.Add(4 * time.Second)})
 	if d.Server == nil || d.SlotRequest == nil {
-		t.Fatalf("request %s: %+v, want a question for a place", id, d)
+		t.Fatalf("request %s: %+v, want a slot request", id, d)
 	}
-	return f, *d.SlotRequest
+	return req, *d.SlotRequest
 }
 
-// Servers of three slots slow down when the third is used. Requests of two proxies
-// come at once; all ask the same gate, and no more than two run.
+// A server with three slots slows down when the third is used. Requests reach two proxies at the
+// same time. Both must use the same limiter, and no more than two requests may run.
 func TestProxiesShareTheConcurrencyLimit(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	fleet := limitedFleet(now)
 	owner := fleet[0]
-	granted, flights := 0, make(map[uint64]*ActiveRequest)
+	granted, grantedRequests := 0, make(map[uint64]*ActiveRequest)
 	for i := range 6 {
 		k := fleet[i%2]
-		f, a := beginWithSlotRequest(t, k, now, fmt.Sprint("r", i), "/a/x")
-		if a.Owner.Name != fleet[0].Name() {
+		req, slotRequest := beginWithSlotRequest(t, k, now, fmt.Sprint("r", i), "/a/x")
+		if slotRequest.Owner.Name != fleet[0].Name() {
 			owner = fleet[1]
 		}
-		reply := owner.HandleSlotRequest(now, a)
+		reply := owner.HandleSlotRequest(now, slotRequest)
 		if reply.Verdict == admission.Granted {
 			granted++
-			flights[a.ID] = f
-			if d := k.HandleSlotReply(now, f, reply, true); d.Server == nil || d.SlotRequest != nil {
-				t.Errorf("granted, and then %+v; want it sent", d)
+			grantedRequests[slotRequest.ID] = req
+			if d := k.HandleSlotReply(now, req, reply, true); d.Server == nil || d.SlotRequest != nil {
+				t.Errorf("granted: got %+v, want the request sent", d)
 			}
-			d := k.EndAttempt(now.Add(300*time.Millisecond), f, Attempt{Result: ResultAnswered, Loaded: true, Running: 1})
+			d := k.EndAttempt(now.Add(300*time.Millisecond), req, Attempt{Result: ResultAnswered, Loaded: true, Running: 1})
 			if d.SlotRelease == nil || d.SlotRelease.Server != "s" {
-				t.Fatalf("the place is not given back: %+v", d)
+				t.Fatalf("the slot is not released: %+v", d)
 			}
 			if i == 5 {
 				continue
@@ -67,74 +67,74 @@
 		}
 	}
 	if granted != 2 {
-		t.Errorf("%d of six were granted, want 2", granted)
+		t.Errorf("%d of six slot requests were granted, want 2", granted)
 	}
 }
 
-// The owner of a gate is gone or cut off. Its answer must not be waited for twice,
-// and the request goes out as it would without a gate.
+// The owner of a limiter is gone or partitioned. A request that got no answer from it must be sent as
+// without a limiter, and the next requests must not wait for an answer.
 func TestUnansweredSlotRequestDoesNotBlockRequests(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := limitedFleet(now)[0]
-	f, _ := beginWithSlotRequest(t, k, now, "r", "/a/x")
-	if d := k.HandleSlotReply(now, f, SlotReply{}, false); d.Server == nil || d.SlotRequest != nil {
-		t.Errorf("no answer, and then %+v; want it sent", d)
+	req, _ := beginWithSlotRequest(t, k, now, "r", "/a/x")
+	if d := k.HandleSlotReply(now, req, SlotReply{}, false); d.Server == nil || d.SlotRequest != nil {
+		t.Errorf("no answer: got %+v, want the request sent", d)
 	}
 	_, d := k.BeginRequest(now, Request{ID: "q", Host: "host", Path: "/a/x", Object: "q"})
 	if d.Server == nil || d.SlotRequest != nil {
-		t.Errorf("the next request: %+v, want it sent without a question", d)
+		t.Errorf("the next request: got %+v, want it sent without a slot request", d)
 	}
 	if _, d := k.BeginRequest(now.Add(2*time.Second), Request{ID: "p", Host: "host", Path: "/a/x", Object: "p"}); d.SlotRequest == nil {
-		t.Error("the owner is not asked again after a while")
+		t.Error("no slot is requested from the owner 2 s later")
 	}
 }
 
-// A gate denies a place that would come too late. The request has not run, its caller
-// learns when to come back, and the place, should there be one, is given back.
+// A limiter denies a slot that would become free too late. The request is refused as not run, with
+// a retry delay, and the slot, if there is one, is released.
 func TestRequestDeniedASlotHasNotRun(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := limitedFleet(now)[0]
-	f, a := beginWithSlotRequest(t, k, now, "r", "/a/x")
-	d := k.HandleSlotReply(now, f, SlotReply{Grant: admission.Grant{Ticket: a.Ticket, Verdict: admission.Denied}}, true)
+	req, slotRequest := beginWithSlotRequest(t, k, now, "r", "/a/x")
+	d := k.HandleSlotReply(now, req, SlotReply{Grant: admission.Grant{Ticket: slotRequest.Ticket, Verdict: admission.Denied}}, true)
 	if d.Server != nil || !d.NotRun || d.RetryAfter <= 0 || d.SlotRelease == nil || d.Reason != ReasonQueuesTooLong {
-		t.Errorf("denied, and then %+v; want it refused as not run", d)
+		t.Errorf("denied: got %+v, want it refused as not run", d)
 	}
 	if got := k.Status(now).InFlight; got != 0 {
 		t.Errorf("%d requests count as in flight, want none", got)
 	}
 }
 
-// The caller leaves while its request waits for a place: the place is given back.
+// A caller disconnects while its request waits for a slot: the slot must be released.
 func TestSlotIsReleasedWhenTheCallerLeaves(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := limitedFleet(now)[0]
-	f, _ := beginWithSlotRequest(t, k, now, "r", "/a/x")
-	if d := k.EndAttempt(now, f, Attempt{Result: ResultCallerGone}); d.SlotRelease == nil || d.Reason != ReasonCallerGone {
-		t.Errorf("left, and then %+v; want the place given back", d)
+	req, _ := beginWithSlotRequest(t, k, now, "r", "/a/x")
+	if d := k.EndAttempt(now, req, Attempt{Result: ResultCallerGone}); d.SlotRelease == nil || d.Reason != ReasonCallerGone {
+		t.Errorf("caller gone: got %+v, want the slot released", d)
 	}
 }
 
-// A route that is new has a time-out that is shorter than its target, and nothing is
-// known of its work. Denied by what its work might be, it never got a place, so it
-// never became known, and the new route was out of service for good.
+// A new route has a timeout shorter than its target, and the duration of its work is unknown. When
+// slots were denied by an estimate of it, no request of the route ever ran, so the duration was
+// never learned and the route stayed unavailable for good.
 func TestSlotIsNotDeniedForUnknownWork(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	fleet := limitedFleet(now)
-	f, a := beginWithSlotRequest(t, fleet[0], now, "r", "/short/x")
+	req, slotRequest := beginWithSlotRequest(t, fleet[0], now, "r", "/short/x")
 	owner := fleet[0]
-	if a.Owner.Name != owner.Name() {
+	if slotRequest.Owner.Name != owner.Name() {
 		owner = fleet[1]
 	}
-	reply := owner.HandleSlotRequest(now, a)
-	if d := fleet[0].HandleSlotReply(now, f, reply, true); reply.Verdict != admission.Granted || d.Server == nil {
-		t.Errorf("verdict %d and then %+v, want it granted and sent", reply.Verdict, d)
+	reply := owner.HandleSlotRequest(now, slotRequest)
+	if d := fleet[0].HandleSlotReply(now, req, reply, true); reply.Verdict != admission.Granted || d.Server == nil {
+		t.Errorf("verdict %d, decision %+v, want the slot granted and the request sent", reply.Verdict, d)
 	}
 }
 
-// A server falls silent with requests in it. They time out, which says nothing of how
-// servers work when they are full, and nobody must be held back for it.
+// A server stops responding with requests in flight. Their timeouts do not show that servers slow
+// down when full, and must not lead to concurrency limits.
 func TestUnresponsiveServersAreNotLimited(t *testing.T) {
-	for silent, want := range map[bool]bool{true: false, false: true} {
+	for unresponsive, want := range map[bool]bool{true: false, false: true} {
 		now := time.Unix(1_000_000, 0)
 		k := New(Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf})
 		k.SetTable(routing.NewTable(1, []*routing.Route{{
@@ -145,12 +145,12 @@
 		}
 		for n := range 120 {
 			object := fmt.Sprint("o", n%12)
-			f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: object})
+			req, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: object})
 			now = now.Add(50 * time.Millisecond)
 			if d.Server == nil {
 				continue
 			}
-			if !silent || n < 24 {
+			if !unresponsive || n < 24 {
 				k.servers[d.Server.ID].answeredAt = now
 			}
 			result := ResultAnswered
@@ -161,18 +161,18 @@
 					s.ejections, s.ejectedUntil = 0, time.Time{}
 				}
 			}
-			k.EndAttempt(now, f, Attempt{Result: result, Loaded: result == ResultAnswered, Running: 1})
+			k.EndAttempt(now, req, Attempt{Result: result, Loaded: result == ResultAnswered, Running: 1})
 		}
 		if got := len(k.ConcurrencyLimits(now)) > 0; got != want {
-			t.Errorf("servers silent %t: held back %t, want %t", silent, got, want)
+			t.Errorf("servers unresponsive %t: limited %t, want %t", unresponsive, got, want)
 		}
 	}
 }
 
-// A request waits for a place, and its server begins to drain, or its failure domain is
-// emptied, or it starts again and is cold. Sent when the place comes, it would reach a
-// leaving server too late, or a cold one beyond what it bears. It goes elsewhere, and
-// the place is given back.
+// While a request waits for a slot, its server starts to drain, is removed, has its failure domain
+// evacuated, or restarts and is cold. Sent once the slot is granted, the request would reach a
+// draining server too late, or exceed the request rate of a cold one. It must go to another server,
+// and the slot must be released.
 func TestWaitingRequestAvoidsAServerThatBecameUnsuitable(t *testing.T) {
 	for name, change := range map[string]func(*Kernel, time.Time){
 		"draining": func(k *Kernel, now time.Time) {
@@ -186,18 +186,18 @@
 	} {
 		now := time.Unix(1_000_000, 0)
 		k := limitedFleet(now)[0]
-		f, a := beginWithSlotRequest(t, k, now, "r", "/a/x")
+		req, slotRequest := beginWithSlotRequest(t, k, now, "r", "/a/x")
 		k.RegisterServer(now, routing.Server{ID: "other", Service: "service", Domain: "north-b", Slots: 3})
 		change(k, now)
-		d := k.HandleSlotReply(now.Add(time.Second), f, SlotReply{Grant: admission.Grant{Ticket: a.Ticket, Verdict: admission.Granted, Rank: 1}}, true)
+		d := k.HandleSlotReply(now.Add(time.Second), req, SlotReply{Grant: admission.Grant{Ticket: slotRequest.Ticket, Verdict: admission.Granted, Rank: 1}}, true)
 		if d.Server == nil || d.Server.ID != "other" || d.SlotRelease == nil || d.SlotRelease.Server != "s" {
-			t.Errorf("%s: %+v, want it at the other server and the place given back", name, d)
+			t.Errorf("%s: %+v, want the other server and the slot released", name, d)
 		}
 	}
 }
 
-// A cold server bears a few requests a second, counted as they are sent. One that
-// waited would be counted in one second and sent in the next.
+// A cold server can handle a few requests per second, counted when they are sent. A request that
+// waited for a slot would be counted in one second and sent in the next.
 func TestNoSlotIsRequestedAtAColdServer(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := limitedFleet(now)[0]
@@ -208,12 +208,12 @@
 	k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 3, ColdFor: time.Minute})
 	_, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(4 * time.Second)})
 	if d.Server == nil || d.SlotRequest != nil {
-		t.Errorf("at a cold server: %+v, want it sent without a question", d)
+		t.Errorf("at a cold server: %+v, want it sent without a slot request", d)
 	}
 }
 
-// The servers of a service have unlike slots. What those of three should run at once
-// must not be the limit of those of thirty.
+// The servers of a service have different numbers of slots. The limit of servers with three slots
+// must not apply to those with thirty.
 func TestConcurrencyLimitsAreKeptPerSlotCount(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	fleet := limitedFleet(now)
@@ -221,41 +221,41 @@
 		k.RemoveServer(now, "s")
 		k.RegisterServer(now, routing.Server{ID: "wide", Service: "service", Domain: "north-a", Slots: 30})
 	}
-	_, a := beginWithSlotRequest(t, fleet[0], now, "r", "/a/x")
+	_, slotRequest := beginWithSlotRequest(t, fleet[0], now, "r", "/a/x")
 	owner := fleet[0]
-	if a.Owner.Name != owner.Name() {
+	if slotRequest.Owner.Name != owner.Name() {
 		owner = fleet[1]
 	}
-	if got := owner.HandleSlotRequest(now, a).Limit; got.Slots != 30 || got.Max != 30 {
-		t.Errorf("a server of 30 slots is limited to %+v", got)
+	if got := owner.HandleSlotRequest(now, slotRequest).Limit; got.Slots != 30 || got.Max != 30 {
+		t.Errorf("a server with 30 slots has the limit %+v", got)
 	}
 }
 
-// Operators have switched holding back off. A proxy that went on suspecting servers
-// told its log and its peers that it held requests back, and wrote its entry in the
-// store anew, though nobody asked for a place.
+// Operators have switched concurrency limits off. A proxy that kept detecting slowdowns reported to
+// its log and its peers that it limited a service, and rewrote its entry in the store, although no
+// slots were requested.
 func TestNoSlowdownIsDetectedWithConcurrencyLimitsOff(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		now := time.Unix(1_000_000, 0)
-		told := 0
-		c := Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf, Observe: func(e Event) {
+		events := 0
+		config := Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf, Observe: func(e Event) {
 			if e.Kind == EventConcurrencyLimited {
-				told++
+				events++
 			}
 		}}
 		if off {
-			c.Off = []Mechanism{MechanismConcurrencyLimit}
+			config.Off = []Mechanism{MechanismConcurrencyLimit}
 		}
-		k := New(c)
+		k := New(config)
 		k.ApplyConcurrencyLimits(now, []ServiceLimit{{Service: "service", Limit: admission.Limit{Slots: 3, Max: 2, Samples: 100}}})
-		svc := k.service("suspected")
-		req := &ActiveRequest{Route: &routing.Route{Name: "route", Sticky: true, Target: 100 * time.Millisecond}, Service: "suspected", warm: true}
+		svc := k.service("slow")
+		req := &ActiveRequest{Route: &routing.Route{Name: "route", Sticky: true, Target: 100 * time.Millisecond}, Service: "slow", warm: true}
 		for n := range 40 {
 			s := &server{id: fmt.Sprint(n % 4), Server: routing.Server{Slots: 3}, rtt: &rttEstimate{}}
 			k.detectSlowdown(now, req, s, svc, Attempt{Result: ResultAnswered, Loaded: true, Running: 3}, time.Second)
 		}
-		if got := told > 0 || len(k.ConcurrencyLimits(now)) > 0; got == off {
-			t.Errorf("holding back off %t: told of %d services, tells peers %v", off, told, k.ConcurrencyLimits(now))
+		if got := events > 0 || len(k.ConcurrencyLimits(now)) > 0; got == off {
+			t.Errorf("concurrency limits off %t: %d events, limits sent to peers: %v", off, events, k.ConcurrencyLimits(now))
 		}
 	}
 }
--- a/internal/kernel/steering/connections_test.go
+++ b/internal/kernel/steering/connections_test.go
@@ -7,13 +7,12 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// A server hangs: it takes requests and answers none. All proxies go on sending
-// there until their time-outs end, each over connections of its own. Past what it
-// accepts the server resets connections, also those with health checks or with
-// requests of others.
+// A server hangs: it accepts requests and never responds. All proxies keep sending to it until
+// their timeouts expire, each over its own connections. Beyond its connection limit the server
+// resets connections, including those of health checks and of other requests.
 func TestProxiesShareTheConnectionsOfAServer(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	for _, c := range []struct{ connections, each int }{{0, 50}, {50, 4}, {20, 1}, {2, 1}} {
+	for _, c := range []struct{ connections, perProxy int }{{0, 50}, {50, 4}, {20, 1}, {2, 1}} {
 		fleet, _ := coldServerFleet(now)
 		for i, k := range fleet {
 			table := *k.table
@@ -27,40 +26,40 @@
 				if d.Server != nil {
 					sent++
 				} else if !d.NotRun || d.RetryAfter <= 0 {
-					t.Errorf("refused with not run: %t, come back after %s, want a time and that it has not run", d.NotRun, d.RetryAfter)
+					t.Errorf("refused with NotRun %t and RetryAfter %s, want it not run and a retry delay", d.NotRun, d.RetryAfter)
 				}
 			}
-			if sent != c.each {
-				t.Errorf("server accepts %d: proxy %d of %d sends %d at a time, want %d", c.connections, i, len(fleet), sent, c.each)
+			if sent != c.perProxy {
+				t.Errorf("server accepts %d connections: proxy %d of %d has %d requests in flight, want %d", c.connections, i, len(fleet), sent, c.perProxy)
 			}
 		}
 	}
 }
 
-// All connections that this proxy may hold to an object's home are in use. While the
-// home answers it is busy, and a request that ran cold elsewhere would make things
-// worse; once it answers nothing it hangs, and its objects need another server.
+// All connections that this proxy may open to an object's home are in use. While the home responds,
+// it is only busy, and running the request cold on another server would add to the load. Once it no
+// longer responds, it hangs, and its objects need another server.
 func TestObjectLeavesAFullHomeOnlyIfItHangs(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := threeRegionKernel(now, 200*time.Millisecond)
 	table := *k.table
 	table.Services = map[string]*routing.Service{"service": {Name: "service", Connections: 3}}
 	k.table = &table
-	ask := func(at time.Time) (*ActiveRequest, Decision) {
+	beginAt := func(at time.Time) (*ActiveRequest, Decision) {
 		return k.BeginRequest(at, Request{ID: "r", Host: "host", Path: "/x", Object: "1"})
 	}
-	first, d := ask(now)
+	first, d := beginAt(now)
 	home := d.Server.ID
 	k.EndAttempt(now, first, Attempt{Result: ResultAnswered})
 	for range k.maxConnections(k.eligibleService("service")) {
-		if _, d = ask(now); d.Server == nil || d.Server.ID != home {
-			t.Fatalf("a request with a free connection gets %+v, want server %s", d, home)
+		if _, d = beginAt(now); d.Server == nil || d.Server.ID != home {
+			t.Fatalf("with a free connection: got %+v, want server %s", d, home)
 		}
 	}
-	if _, d = ask(now); d.Server != nil || !d.NotRun || d.Reason != ReasonOverload || d.RetryAfter <= 0 {
-		t.Errorf("while the home is busy: got %+v, want it refused with a time to come back", d)
+	if _, d = beginAt(now); d.Server != nil || !d.NotRun || d.Reason != ReasonOverload || d.RetryAfter <= 0 {
+		t.Errorf("while the home is busy: got %+v, want it refused with a retry delay", d)
 	}
-	if _, d = ask(now.Add(busyTargets * 200 * time.Millisecond)); d.Server == nil || d.Server.ID == home {
+	if _, d = beginAt(now.Add(busyTargets * 200 * time.Millisecond)); d.Server == nil || d.Server.ID == home {
 		t.Errorf("once the home hangs: got %+v, want another server", d)
 	}
 }
--- a/internal/kernel/steering/ejection_test.go
+++ b/internal/kernel/steering/ejection_test.go
@@ -8,9 +8,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// sendToRefusingHome lets requests for one object go, 20 ms apart for ten seconds, to two
-// servers, of which the object's home refuses a share. It counts the requests
-// that were refused and those that the home was sent.
+// sendToRefusingHome sends requests for one object, 20 ms apart for ten seconds, to two servers, of
+// which the object's home refuses a share. It counts the refused requests and the attempts at the
+// home.
 func sendToRefusingHome(share float64, loaded bool) (refused, atHome int) {
 	now := time.Unix(1_000_000, 0)
 	fleet, _ := coldServerFleet(now)
@@ -23,7 +23,7 @@
 	home := ""
 	for range 500 {
 		now = now.Add(20 * time.Millisecond)
-		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
+		req, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
 		if d.Server != nil && home == "" {
 			home = d.Server.ID
 		}
@@ -35,7 +35,7 @@
 					a.Result = ResultRefused
 				}
 			}
-			d = k.EndAttempt(now, f, a)
+			d = k.EndAttempt(now, req, a)
 		}
 		if !d.ReturnResponse {
 			refused++
@@ -44,17 +44,17 @@
 	return refused, atHome
 }
 
-// A server refuses all that it gets though it has slots to spare: it was started
-// without what it needs, or does not say that it leaves. It looks idle, so it
-// drew the requests of its objects for good, and each was refused or cost a
-// repeat. One that refuses by chance still knows its objects and must keep them.
+// A server refuses all requests although it has free slots: it was started without a dependency, or
+// drains without reporting it. Because it looked idle, it kept getting the requests of its objects,
+// and each was refused or needed a retry. A server that refuses some requests at random is still
+// warm for its objects and must keep them.
 func TestServerThatRefusesEverythingIsEjected(t *testing.T) {
 	for _, loaded := range []bool{true, false} {
 		if refused, atHome := sendToRefusingHome(1, loaded); refused > 20 || atHome > 40 {
-			t.Errorf("all refused, load told %t: %d of 500 requests refused, %d sent there; want at most 20 and 40", loaded, refused, atHome)
+			t.Errorf("all refused, load reported %t: %d of 500 requests refused, %d sent to the home; want at most 20 and 40", loaded, refused, atHome)
 		}
 	}
 	if refused, atHome := sendToRefusingHome(0.45, true); atHome < 450 {
-		t.Errorf("refused by chance: %d of 500 requests refused, %d sent there; want 450 sent there at least", refused, atHome)
+		t.Errorf("some refused: %d of 500 requests refused, %d sent to the home; want at least 450 sent to it", refused, atHome)
 	}
 }
--- a/internal/kernel/steering/failover_test.go
+++ b/internal/kernel/steering/failover_test.go
@@ -8,8 +8,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// threeRegionKernel is a proxy in the north that knows four servers in each of three
-// regions, and a route that may be bound to some of them.
+// threeRegionKernel returns the kernel of a proxy in the north with four servers in each of three
+// regions and one route, which may be restricted to some of them.
 func threeRegionKernel(now time.Time, target time.Duration, regions ...string) *Kernel {
 	domains := map[string]string{"north-a": "north", "south-a": "south", "west-a": "west"}
 	k := New(Config{Name: "proxy-north", Domain: "north-a", Region: "north", RegionOf: domains})
@@ -23,7 +23,8 @@
 	return k
 }
 
-// stickyTable has one sticky route to one service, which may be bound to some regions.
+// stickyTable returns a table with one sticky route to one service, which may be restricted to some
+// regions.
 func stickyTable(target time.Duration, regions ...string) *routing.Table {
 	route := &routing.Route{
 		Name: "route", Host: "host", Prefix: "/", Idempotent: true, Sticky: true, Attempts: 2, Timeout: time.Second, Target: target, Regions: regions,
@@ -32,32 +33,32 @@
 	return routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{})
 }
 
-// ejectServers finds some servers of the north to be out, as failed connections do.
+// ejectServers ejects servers, as failed connections do.
 func ejectServers(k *Kernel, now time.Time, ids ...string) {
 	for _, id := range ids {
 		k.servers[id].recordFailure(now, true)
 	}
 }
 
-// countByRegion counts by region where 96 objects' requests go, and how many of those
-// with a home that is sound do not go there.
-func countByRegion(k *Kernel, now time.Time) (regions map[string]int, moved int) {
-	regions = make(map[string]int)
+// countByRegion counts by region where requests for 96 objects are sent, and how many objects with
+// a healthy home are sent elsewhere.
+func countByRegion(k *Kernel, now time.Time) (byRegion map[string]int, moved int) {
+	byRegion = make(map[string]int)
 	for n := range 96 {
 		object := fmt.Sprintf("%x", n)
-		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: object})
-		if home := k.servers[k.homes(f, k.eligibleService("service"))[0]]; home.ejections == 0 && home.id != d.Server.ID {
+		req, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: object})
+		if home := k.servers[k.homes(req, k.eligibleService("service"))[0]]; home.ejections == 0 && home.id != d.Server.ID {
 			moved++
 		}
-		regions[f.server.region]++
-		f.server.inFlight--
+		byRegion[req.server.region]++
+		req.server.inFlight--
 	}
-	return regions, moved
+	return byRegion, moved
 }
 
-// Half of a region's servers are lost with their failure domain and stay
-// registered for seconds. If all their objects went to the other half, these
-// servers would have twice their share while other regions have room.
+// Half of a region's servers are lost with their failure domain and stay registered for seconds. If
+// all their objects went to the other half, these servers would get twice their share while other
+// regions have room.
 func TestObjectsOfLostServersFailOverToRegionsWithRoom(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := threeRegionKernel(now, 200*time.Millisecond)
@@ -65,33 +66,33 @@
 	ejectServers(k, now, "north-a-0", "north-a-1")
 	after, moved := countByRegion(k, now)
 	if moved > 0 {
-		t.Errorf("%d objects with sound homes moved, want none", moved)
+		t.Errorf("%d objects with healthy homes moved, want none", moved)
 	}
 	if left := after["north"]; left < before["north"]/2+8 || left > before["north"]*8/10 {
 		t.Errorf("%d of %d objects stay in the region that lost half of its servers, want about 0.69 of them", left, before["north"])
 	}
 }
 
-// The other regions' queues are long too. Objects that went there would run cold
-// and make them longer.
+// The queues of the other regions are long, too. Objects that failed over to them would run cold
+// and make the queues longer.
 func TestObjectsDoNotFailOverToOverloadedRegions(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := threeRegionKernel(now, 200*time.Millisecond)
 	before, _ := countByRegion(k, now)
 	ejectServers(k, now, "north-a-0", "north-a-1")
 	for _, id := range []string{"south-a-0", "west-a-0"} {
-		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: "1"})
+		req, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: "1"})
 		for range 10 {
-			k.recordQueue(now, f, k.servers[id], 12)
+			k.recordQueue(now, req, k.servers[id], 12)
 		}
 	}
 	if after, _ := countByRegion(k, now); after["north"] < before["north"] {
-		t.Errorf("%d of %d objects stay, want all", after["north"], before["north"])
+		t.Errorf("%d of %d objects stay in the region, want all", after["north"], before["north"])
 	}
 }
 
-// A server is out, and the time has come to see whether it is back. If all its
-// objects went elsewhere, nobody would find out.
+// An ejected server is due for a trial. If all its objects failed over, no request would show that
+// it has recovered.
 func TestServerDueForTrialGetsItsOwnObjects(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := threeRegionKernel(now, 200*time.Millisecond)
@@ -99,30 +100,30 @@
 	now = now.Add(ejectionBase)
 	tried := make(map[string]bool)
 	for n := range 96 {
-		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
-		if f.server.region == "north" {
+		req, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
+		if req.server.region == "north" {
 			tried[d.Server.ID] = true
 		}
 	}
 	if len(tried) != 4 {
-		t.Errorf("%d of 4 servers that are due are tried, want all", len(tried))
+		t.Errorf("%d of 4 servers due for a trial get a request, want all", len(tried))
 	}
 }
 
-// A route may be served in some regions only, and another's round trip may take
-// most of the time for a good answer. Neither may change when servers are lost.
+// A route may be restricted to some regions, and the round trip to a region may take most of the
+// route's target. Lost servers must not send requests to the regions excluded by either.
 func TestFailoverUsesOnlySuitableRegions(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for name, c := range map[string]struct {
-		k     *Kernel
-		never []string
+		k        *Kernel
+		excluded []string
 	}{
-		"bound to two regions": {threeRegionKernel(now, 200*time.Millisecond, "north", "south"), []string{"west"}},
-		"too far":              {threeRegionKernel(now, 60*time.Millisecond), []string{"south", "west"}},
+		"restricted to two regions": {threeRegionKernel(now, 200*time.Millisecond, "north", "south"), []string{"west"}},
+		"too far":                   {threeRegionKernel(now, 60*time.Millisecond), []string{"south", "west"}},
 	} {
 		ejectServers(c.k, now, "north-a-0", "north-a-1")
 		after, _ := countByRegion(c.k, now)
-		for _, region := range c.never {
+		for _, region := range c.excluded {
 			if after[region] > 0 {
 				t.Errorf("%s: %d objects go to %s, want none", name, after[region], region)
 			}
@@ -130,8 +131,8 @@
 	}
 }
 
-// One server of a region is out, and another has all its slots busy and is passed
-// over for a moment. It is sound: its objects must not leave the region for that.
+// One server of a region is ejected. The others have all slots busy and are skipped for a moment.
+// They are healthy, so their objects must not leave the region.
 func TestObjectsOfABusyServerStayInTheRegion(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := threeRegionKernel(now, 200*time.Millisecond)
@@ -140,10 +141,10 @@
 		k.servers[id].recordRefusal(now, Attempt{Result: ResultRefused, Loaded: true, Running: 4, Waiting: 12})
 	}
 	for n := range 96 {
-		f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
-		homes := k.homes(f, k.eligibleService("service"))
-		if got := k.failover(now, f, k.eligibleService("service"), homes); homes[0] != "north-a-0" && got[0] != homes[0] {
-			t.Fatalf("object %x of %s gets %s first (%+v), want its home to stay first", n, homes[0], got[0], d)
+		req, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
+		homes := k.homes(req, k.eligibleService("service"))
+		if got := k.failover(now, req, k.eligibleService("service"), homes); homes[0] != "north-a-0" && got[0] != homes[0] {
+			t.Fatalf("object %x with home %s gets %s first (%+v), want its home to stay first", n, homes[0], got[0], d)
 		}
 	}
 }
--- a/internal/kernel/steering/replicas_test.go
+++ b/internal/kernel/steering/replicas_test.go
@@ -8,8 +8,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// replicaKernel is a proxy, one of three of its region, that has seen one object asked for
-// so often that its home can't answer all.
+// replicaKernel returns the kernel of one of three proxies of a region, with eight servers in each
+// of two regions.
 func replicaKernel(now time.Time, name string, off ...Mechanism) *Kernel {
 	domains := map[string]string{"north-a": "north", "south-a": "south"}
 	k := New(Config{Name: name, Domain: "north-a", Region: "north", RegionOf: domains, Off: off})
@@ -28,48 +28,48 @@
 	return k
 }
 
-// countByServer counts by server where requests for an object go that come evenly in ten
-// seconds, each answered at once.
+// countByServer sends requests for an object, evenly spaced over ten seconds and each ended at
+// once, and counts them by server.
 func countByServer(k *Kernel, now time.Time, object string, requests int) map[*server]int {
 	counts := make(map[*server]int)
 	for i := range requests {
-		f, d := k.BeginRequest(now.Add(time.Duration(i)*10*time.Second/time.Duration(requests)), Request{ID: "r", Host: "host", Path: "/x", Object: object})
+		req, d := k.BeginRequest(now.Add(time.Duration(i)*10*time.Second/time.Duration(requests)), Request{ID: "r", Host: "host", Path: "/x", Object: object})
 		if d.Server != nil {
-			counts[f.server]++
-			f.server.inFlight--
+			counts[req.server]++
+			req.server.inFlight--
 		}
 	}
 	return counts
 }
 
-// Callers ask for one object forty times a second, which takes three times the slots of
-// its home: they waited there while seven servers of the region idled. It is spread over
-// several servers of the home's region, the same ones at all proxies. An object that is
-// asked for now and then keeps its home.
+// One object is requested forty times a second, which needs three times the slots of its home. The
+// requests queued there while seven other servers of the region were idle. A hot object must be
+// replicated to several servers of its home's region, the same ones at all proxies. An object that
+// is requested now and then stays at its home.
 func TestHotObjectHasReplicasInItsRegion(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	one, two := replicaKernel(now, "one"), replicaKernel(now, "two")
 	// Each of three proxies sees a third of forty requests a second.
 	a, b := countByServer(one, now, "1", 133), countByServer(two, now, "1", 133)
 	if len(a) < 3 {
-		t.Errorf("the requests go to %d servers, want three at least", len(a))
+		t.Errorf("the requests go to %d servers, want at least three", len(a))
 	}
 	regions := make(map[string]bool)
-	same := 0
+	common := 0
 	for s := range a {
 		regions[s.region] = true
 		if two.servers[s.id] != nil && b[two.servers[s.id]] > 0 {
-			same++
+			common++
 		}
 	}
 	if len(regions) != 1 {
-		t.Errorf("the replicas stand in %d regions, want the home's alone", len(regions))
+		t.Errorf("the replicas are in %d regions, want only that of the home", len(regions))
 	}
-	if same < min(len(a), len(b))-1 {
-		t.Errorf("two proxies use %d and %d servers, %d of them in common, want nearly all", len(a), len(b), same)
+	if common < min(len(a), len(b))-1 {
+		t.Errorf("two proxies use %d and %d servers, %d of them in common, want nearly all", len(a), len(b), common)
 	}
 	if rare := countByServer(one, now.Add(time.Minute), "2", 20); len(rare) != 1 {
-		t.Errorf("an object asked for twice a second goes to %d servers, want its home alone", len(rare))
+		t.Errorf("an object requested twice a second goes to %d servers, want only its home", len(rare))
 	}
 	for id := range two.servers {
 		if home := two.homes(&ActiveRequest{Request: Request{Object: "1"}, Route: two.table.Routes["route"], allowedRegions: allRegions}, two.eligibleService("service"))[0]; id != home {
@@ -77,9 +77,9 @@
 		}
 	}
 	if c := countByServer(two, now.Add(10*time.Second), "1", 10); len(c) != 1 {
-		t.Errorf("with all replicas out the requests go to %d servers, want the sound home alone", len(c))
+		t.Errorf("with all replicas ejected, the requests go to %d servers, want only the healthy home", len(c))
 	}
 	if off := countByServer(replicaKernel(now, "one", MechanismReplicas), now, "1", 133); len(off) != 1 {
-		t.Errorf("switched off, the requests go to %d servers, want the home alone", len(off))
+		t.Errorf("with replicas off, the requests go to %d servers, want only the home", len(off))
 	}
 }
--- a/internal/kernel/steering/restart_test.go
+++ b/internal/kernel/steering/restart_test.go
@@ -7,9 +7,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// A server is lost behind a cut and starts again under its id. A request that the
-// earlier start had ends with the word that another server has the address. That
-// must not take the new start away.
+// A server is lost behind a partition and restarts under its ID. A request sent to it before the
+// restart ends with the result that another server has its address. This must not remove the
+// restarted server.
 func TestResultFromBeforeARestartDoesNotRemoveTheServer(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	fleet, _ := coldServerFleet(now)
@@ -17,21 +17,21 @@
 	first := routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4, Started: time.UnixMilli(1000)}
 	k.RemoveServer(now, "cold")
 	k.RegisterServer(now, first)
-	f, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)})
+	req, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)})
 	if d.Server == nil {
 		t.Fatalf("not sent: %+v", d)
 	}
-	again := first
-	again.Started = time.UnixMilli(2000)
-	k.RegisterServer(now, again)
-	k.EndAttempt(now, f, Attempt{Result: ResultWrongServer})
+	restarted := first
+	restarted.Started = time.UnixMilli(2000)
+	k.RegisterServer(now, restarted)
+	k.EndAttempt(now, req, Attempt{Result: ResultWrongServer})
 	if _, d := k.BeginRequest(now, Request{ID: "q", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)}); d.Server == nil {
-		t.Errorf("the new start gets nothing: %+v", d)
+		t.Errorf("the restarted server gets no request: %+v", d)
 	}
 }
 
-// A server that knew an object starts again under its id. It knows nothing, and a
-// request for the object must be reckoned as a first run.
+// A server that was warm for an object restarts under its ID. It is no longer warm, and a request
+// for the object must be estimated as a cold run.
 func TestRestartedServerIsNotWarm(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := New(Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf})
@@ -40,20 +40,20 @@
 		Parts: []routing.Part{{Service: "service", Weight: 1}},
 	}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
-	ask := func() (warm bool) {
+	wasWarm := func() (warm bool) {
 		k.observeCandidate = func(w Candidate) { warm = w.Warm }
-		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
-		k.EndAttempt(now, f, Attempt{Result: ResultAnswered})
+		req, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
+		k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
 		return warm
 	}
 	s := routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4, Started: time.UnixMilli(1000)}
 	k.RegisterServer(now, s)
-	if first, second := ask(), ask(); first || !second {
-		t.Fatalf("taken to know the object: %t and then %t, want only after the first request", first, second)
+	if first, second := wasWarm(), wasWarm(); first || !second {
+		t.Fatalf("warm for the object: %t and then %t, want only after the first request", first, second)
 	}
 	s.Started = time.UnixMilli(2000)
 	k.RegisterServer(now, s)
-	if ask() {
-		t.Error("a server that has just started is taken to know the object")
+	if wasWarm() {
+		t.Error("a server that has just restarted counts as warm for the object")
 	}
 }
--- a/internal/kernel/steering/scenario_test.go
+++ b/internal/kernel/steering/scenario_test.go
@@ -15,15 +15,15 @@
 )
 
 type (
-	// scenario is a scripted test: what happens in which order, and what the
-	// kernel must decide at each step.
+	// scenario is a scripted test: a sequence of events and the expected decision of the kernel at
+	// each.
 	scenario struct {
 		Description []string         `json:"story"`
 		ProxyDomain string           `json:"proxy-domain"`
 		ProxyCount  int              `json:"proxies"`
 		Route       scenarioRoute    `json:"route"`
 		Servers     []scenarioServer `json:"servers"`
-		// Accounts are in force with the first table.
+		// Accounts are the client accounts of the first table.
 		Accounts []scenarioAccount `json:"accounts"`
 		Steps    []scenarioStep    `json:"steps"`
 	}
@@ -32,7 +32,7 @@
 		Name    string   `json:"name"`
 		Keys    []string `json:"keys"`
 		Regions []string `json:"regions"`
-		// PerSecond and Burst are its limit.
+		// PerSecond and Burst are the rate limit of the account.
 		PerSecond float64 `json:"per-second"`
 		Burst     float64 `json:"burst"`
 	}
@@ -51,14 +51,14 @@
 		Slots    int    `json:"slots"`
 		ColdFor  string `json:"cold"`
 		Draining bool   `json:"drains"`
-		// Started tells starts under one id apart, in milliseconds.
+		// Started is the start time in milliseconds, which distinguishes restarts under one ID.
 		Started int64 `json:"started"`
 	}
 
 	scenarioStep struct {
 		At           string `json:"at"`
 		TableVersion uint64 `json:"table"`
-		// Accounts replace those before, together with a table.
+		// Accounts replace the previous ones. They take effect with a table of the same step.
 		Accounts      []scenarioAccount `json:"accounts"`
 		Key           string            `json:"key"`
 		Refused       bool              `json:"refused"`
@@ -77,8 +77,8 @@
 		Load          []int             `json:"load"`
 		Draining      bool              `json:"leaving"`
 		Repeat        int               `json:"repeat"`
-		// Want is a server's id, "any", "not ID", "answer", "not-run REASON"
-		// or "may-have-run REASON".
+		// Want is a server ID, "any", "same" or "other" (than in the previous attempt), "not ID",
+		// "answer", "not-run REASON" or "may-have-run REASON".
 		Want string `json:"want"`
 	}
 
@@ -102,7 +102,7 @@
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "*.json"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no stories: %v", err)
+		t.Fatalf("no scenarios: %v", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".json"), func(t *testing.T) { runScenario(t, file) })
@@ -121,7 +121,7 @@
 		t.Fatal(err)
 	}
 	if n := len(r.scenario.Description); n < 1 || n > 5 {
-		t.Errorf("the story has %d lines, want one to five", n)
+		t.Errorf("the description has %d lines, want one to five", n)
 	}
 	r.setUp()
 	start := r.now
@@ -218,12 +218,12 @@
 	t.Helper()
 	key, ok := account.KeyOf(text)
 	if !ok {
-		t.Fatalf("%q is no key", text)
+		t.Fatalf("%q is not a valid key", text)
 	}
 	return key
 }
 
-// credential is what a request carries; without a key in the step it carries none.
+// credential returns the credential of a step's request, which is empty if the step has no key.
 func (r *scenarioRun) credential(s scenarioStep) account.Credential {
 	if s.Key == "" {
 		return account.Credential{}
@@ -238,7 +238,7 @@
 			r.scenario.Accounts = s.Accounts
 		}
 		if got := r.setTable(s.TableVersion); got == s.Refused {
-			r.t.Errorf("step %d: version %d in force is %t", i, s.TableVersion, got)
+			r.t.Errorf("step %d: version %d accepted: %t", i, s.TableVersion, got)
 		}
 	case s.Server != nil:
 		r.register(*s.Server)
@@ -258,8 +258,8 @@
 		if path == "" {
 			path = "/a/x"
 		}
-		f, d := r.kernel.BeginRequest(r.now, Request{ID: s.Request, Host: "host", Path: path, Object: s.Object, Credential: r.credential(s), Deadline: r.now.Add(4 * time.Second)})
-		r.requests[s.Request] = f
+		req, d := r.kernel.BeginRequest(r.now, Request{ID: s.Request, Host: "host", Path: path, Object: s.Object, Credential: r.credential(s), Deadline: r.now.Add(4 * time.Second)})
+		r.requests[s.Request] = req
 		r.checkDecision(i, s.Request, s.Want, d)
 	case s.End != "":
 		a := Attempt{Result: resultsByName[s.Result], Signal: backpressure.Signal{Draining: s.Draining}}
@@ -273,18 +273,18 @@
 func (r *scenarioRun) checkDecision(i int, id, want string, d Decision) {
 	r.t.Helper()
 	got := describeDecision(d)
-	not, negated := strings.CutPrefix(want, "not ")
+	excluded, negated := strings.CutPrefix(want, "not ")
 	switch {
 	case want == "any" && d.Server != nil:
 	case want == "same" && d.Server != nil && d.Server.ID == r.lastServer[id]:
 	case want == "other" && d.Server != nil && d.Server.ID != r.lastServer[id]:
-	case negated && d.Server != nil && d.Server.ID != not:
+	case negated && d.Server != nil && d.Server.ID != excluded:
 	case got == want:
 	default:
 		r.t.Errorf("step %d, request %s: got %q, want %q", i, id, got, want)
 	}
 	if d.NotRun && d.Reason != ReasonNoRoute && d.Reason != ReasonNoAccount && d.RetryAfter <= 0 {
-		r.t.Errorf("step %d, request %s: refused without a time to come back", i, id)
+		r.t.Errorf("step %d, request %s: refused without a retry delay", i, id)
 	}
 	if d.Server != nil {
 		r.lastServer[id] = d.Server.ID
--- a/internal/kernel/steering/shed_test.go
+++ b/internal/kernel/steering/shed_test.go
@@ -7,8 +7,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// shedKernel makes a proxy with one service, a route that is urgent and one that
-// is not.
+// shedKernel returns the kernel of a proxy with one service, an urgent route and a less urgent one.
 func shedKernel(now time.Time) *Kernel {
 	k := New(Config{
 		Name: "p", Domain: "north-a", Region: "north", RegionOf: regionOf,
@@ -26,66 +25,66 @@
 	return k
 }
 
-// sendMany sends requests that meet a queue, and counts those that are refused.
+// sendMany sends requests to a server with the given number of waiting requests and counts the
+// refused ones.
 func (k *Kernel) sendMany(t *testing.T, now time.Time, path string, waiting int) (refused int) {
 	t.Helper()
 	const n = 400
 	for i := range n {
-		f, d := k.BeginRequest(now.Add(time.Duration(i)*time.Millisecond), Request{Host: "host", Path: path})
+		req, d := k.BeginRequest(now.Add(time.Duration(i)*time.Millisecond), Request{Host: "host", Path: path})
 		if d.Server == nil {
 			refused++
 			if !d.NotRun || d.RetryAfter <= 0 || d.Reason != ReasonQueuesTooLong {
-				t.Fatalf("refused with %+v, want not run, with a time to come back", d)
+				t.Fatalf("refused with %+v, want it not run, with a retry delay", d)
 			}
 			continue
 		}
-		k.EndAttempt(now.Add(time.Duration(i)*time.Millisecond), f, Attempt{Result: ResultAnswered, Loaded: true, Running: 4, Waiting: waiting})
+		k.EndAttempt(now.Add(time.Duration(i)*time.Millisecond), req, Attempt{Result: ResultAnswered, Loaded: true, Running: 4, Waiting: waiting})
 	}
 	return refused
 }
 
-// The servers stand at queues in which every answer comes late. Some callers are
-// refused, so that the others are answered in time; of two kinds of requests the
-// less urgent gives way.
+// The queues of the servers are so long that every response would be late. Some requests must be
+// refused so that the others get a response in time, the less urgent ones first.
 func TestOverloadRefusesLessUrgentRequestsFirst(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := shedKernel(now)
 	if got := k.sendMany(t, now, "/plain/x", 0); got != 0 {
-		t.Errorf("%d are refused though nobody waits, want none", got)
+		t.Errorf("%d are refused without a queue, want none", got)
 	}
 	now = now.Add(time.Second)
 	plain := k.sendMany(t, now, "/plain/x", 8)
 	if plain == 0 {
-		t.Error("none of the less urgent are refused though twice as many wait as can be answered in time")
+		t.Error("no less urgent request is refused although twice as many wait as can be answered in time")
 	}
 	if got := k.sendMany(t, now, "/urgent/x", 8); got >= plain {
-		t.Errorf("%d of the urgent are refused and %d of the others, want fewer", got, plain)
+		t.Errorf("%d urgent requests are refused and %d less urgent ones, want fewer urgent ones", got, plain)
 	}
 }
 
-// A few are too many. A caller that is refused comes back while it can still be
-// answered within the target; one second later any answer would be late. Where
-// most are refused it had better wait for the overload to end.
+// In a slight overload, a refused caller must retry while it can still get a response within the
+// target; a second later any response would be late. When most requests are refused, it must wait
+// longer, until the overload has ended.
 func TestRefusedCallersRetryWithinTheTarget(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for _, c := range []struct {
-		waiting int
-		within  time.Duration
-		late    bool
+		waiting    int
+		maxRetry   time.Duration
+		overloaded bool
 	}{{8, 300 * time.Millisecond, false}, {40, maxRetryAfter, true}} {
 		k := shedKernel(now)
-		longest := time.Duration(0)
+		longestRetry := time.Duration(0)
 		for i := range 400 {
 			at := now.Add(time.Duration(i) * time.Millisecond)
-			f, d := k.BeginRequest(at, Request{Host: "host", Path: "/plain/x"})
+			req, d := k.BeginRequest(at, Request{Host: "host", Path: "/plain/x"})
 			if d.Server == nil {
-				longest = max(longest, d.RetryAfter)
+				longestRetry = max(longestRetry, d.RetryAfter)
 				continue
 			}
-			k.EndAttempt(at, f, Attempt{Result: ResultAnswered, Loaded: true, Running: 4, Waiting: c.waiting})
+			k.EndAttempt(at, req, Attempt{Result: ResultAnswered, Loaded: true, Running: 4, Waiting: c.waiting})
 		}
-		if longest == 0 || longest > c.within || (longest > maxRetryAfter/2) != c.late {
-			t.Errorf("%d waiting: told to come back after %s at most, want up to %s", c.waiting, longest, c.within)
+		if longestRetry == 0 || longestRetry > c.maxRetry || (longestRetry > maxRetryAfter/2) != c.overloaded {
+			t.Errorf("%d waiting: longest retry delay is %s, want at most %s", c.waiting, longestRetry, c.maxRetry)
 		}
 	}
 }
--- a/internal/kernel/steering/workestimate_test.go
+++ b/internal/kernel/steering/workestimate_test.go
@@ -7,11 +7,10 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// An operator tries a new route of a service with requests of a millisecond just
-// before callers come, whose first runs take 880 ms. These were reckoned at 1.4 ms:
-// going to a server that does not know the object seemed to cost nothing, so objects
-// ran cold at one server after the other, and each server that had done a first run
-// was taken for twenty times too slow.
+// An operator tests a new route of a service with requests of about a millisecond just before
+// callers send requests whose cold runs take 880 ms. These were estimated at 1.4 ms. Using a server
+// that is not warm for an object seemed to cost nothing, so objects ran cold at one server after
+// the other, and each server with a cold run was considered twenty times too slow.
 func TestWorkEstimateIsKeptPerRoute(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var sent Event
@@ -28,17 +27,17 @@
 		{Name: "browse", Host: "host", Prefix: "/a/", Sticky: true, Attempts: 1, Timeout: 2 * time.Second, Target: 600 * time.Millisecond, Parts: parts},
 	}, nil, routing.Limits{}))
 	k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4})
-	run := func(path, object string, took time.Duration) {
-		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: path, Object: object})
-		now = now.Add(took)
-		k.EndAttempt(now, f, Attempt{Result: ResultAnswered, Loaded: true})
+	run := func(path, object string, duration time.Duration) {
+		req, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: path, Object: object})
+		now = now.Add(duration)
+		k.EndAttempt(now, req, Attempt{Result: ResultAnswered, Loaded: true})
 	}
 	for range 5 {
 		run("/new/x", "", 1400*time.Microsecond)
 	}
 	run("/a/x", "o-1", 880*time.Millisecond)
 	if want := 500 * time.Millisecond; sent.Expected < want {
-		t.Errorf("a first run is reckoned at %v, want %v at least", sent.Expected, want)
+		t.Errorf("a cold run is estimated at %v, want at least %v", sent.Expected, want)
 	}
 	if got := k.Status(now).Servers[0].Slowdown; got > 1.2 {
 		t.Errorf("the server counts as %.1f times as slow as others, want 1.2 at most", got)
@@ -47,12 +46,11 @@
 		run("/a/x", "first-"+string(rune('a'+n)), 880*time.Millisecond)
 	}
 	if sent.Expected < 820*time.Millisecond || sent.Expected > 920*time.Millisecond {
-		t.Errorf("after twenty first runs of 880 ms one is reckoned at %v", sent.Expected)
+		t.Errorf("after twenty cold runs of 880 ms, one is estimated at %v, want 820 to 920 ms", sent.Expected)
 	}
 }
 
-// Routes come and go with each configuration. What was learned of a route that is
-// gone must not be kept for good.
+// Routes may change with each configuration. The estimates of removed routes must not be kept.
 func TestWorkEstimatesOfRemovedRoutesAreDropped(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := New(Config{Name: "proxy", Domain: "north-a", Region: "north", RegionOf: regionOf})
@@ -65,10 +63,10 @@
 	k.RegisterServer(now, routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4})
 	for version, name := range []string{"first", "second"} {
 		table(uint64(version+1), name)
-		f, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x"})
-		k.EndAttempt(now.Add(time.Millisecond), f, Attempt{Result: ResultAnswered})
+		req, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x"})
+		k.EndAttempt(now.Add(time.Millisecond), req, Attempt{Result: ResultAnswered})
 	}
 	if work := k.service("service").workByRoute; len(work) != 1 || work["second"] == nil {
-		t.Errorf("work is known of %d routes, want the second alone", len(work))
+		t.Errorf("there are estimates for %d routes, want only the second", len(work))
 	}
 }
