--- a/internal/adapter/backendhttp/client.go
+++ b/internal/adapter/backendhttp/client.go
@@ -22,21 +22,21 @@
 )
 
 const (
-	// BufferedBytes of an answer are held back before the first byte goes to
+	// ResponseBufferSize of an answer are held back before the first byte goes to
 	// the caller. An answer that breaks within them can be tried elsewhere.
-	BufferedBytes = 256 << 10
-
-	dialTimeout    = time.Second
-	idleTimeout    = 30 * time.Second
-	maxHeaderBytes = 64 << 10
-	probeTimeout   = 400 * time.Millisecond
-	probePath      = "/health"
-	keyHeader      = "Idempotency-Key"
-	keyHeaderLower = "idempotency-key"
+	ResponseBufferSize = 256 << 10
+
+	dialTimeout            = time.Second
+	idleTimeout            = 30 * time.Second
+	maxHeaderBytes         = 64 << 10
+	probeTimeout           = 400 * time.Millisecond
+	probePath              = "/health"
+	idempotencyHeader      = "Idempotency-Key"
+	idempotencyHeaderLower = "idempotency-key"
 )
 
 var (
-	signalHeaders = serverhttp.Headers{Limit: caller.HeaderLimit}
+	backpressureHeaders = serverhttp.Headers{Limit: caller.HeaderLimit}
 )
 
 type (
@@ -64,13 +64,13 @@
 		Result backend.Result
 		Answer *caller.Answer
 		Report *backend.Report
-		// Refusing is set if nothing listens at the server's address.
-		Refusing bool
-		Rest     io.ReadCloser
-		Err      error
+		// ConnectionRefused is set if nothing listens at the server's address.
+		ConnectionRefused bool
+		Remainder         io.ReadCloser
+		Err               error
 	}
 
-	rest struct {
+	remainderReader struct {
 		io.Reader
 		io.Closer
 	}
@@ -101,21 +101,21 @@
 func (c *Client) Send(ctx context.Context, r Request) Response {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	request, err := c.build(httptrace.WithClientTrace(ctx, trace), r)
+	request, err := c.newRequest(httptrace.WithClientTrace(ctx, trace), r)
 	if err != nil {
 		return Response{Result: backend.Unreachable, Err: err}
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return Response{Result: failure(ctx, connected.Load()), Refusing: serverhttp.Refusing(err), Err: err}
+		return Response{Result: classifyFailure(ctx, connected.Load()), ConnectionRefused: serverhttp.IsConnectionRefused(err), Err: err}
 	}
-	return c.receive(ctx, response, r.Address.String())
+	return c.readResponse(ctx, response, r.Address.String())
 }
 
-// failure classifies an exchange without an answer. Without a connection no
+// classifyFailure classifies an exchange without an answer. Without a connection no
 // byte can have reached the server. With one, the request may have run, even
 // if the write failed: what the kernel took before the error is not known.
-func failure(ctx context.Context, connected bool) backend.Result {
+func classifyFailure(ctx context.Context, connected bool) backend.Result {
 	switch {
 	case !connected:
 		return backend.Unreachable
@@ -125,7 +125,7 @@
 	return backend.Interrupted
 }
 
-func (c *Client) build(ctx context.Context, r Request) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, r Request) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+r.Address.String()+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
@@ -133,7 +133,7 @@
 	// Without this function the transport cannot send the body twice.
 	request.GetBody = nil
 	serverhttp.CopyHeader(request.Header, r.Header)
-	hideKey(request.Header)
+	hideIdempotencyKey(request.Header)
 	request.Header.Del(caller.HeaderToken)
 	request.Header.Set(caller.HeaderRequest, r.ID)
 	request.Header.Set(caller.HeaderAttempt, r.Attempt)
@@ -141,29 +141,29 @@
 	return request, nil
 }
 
-// hideKey keeps net/http from repeating a request on its own. The transport
+// hideIdempotencyKey keeps net/http from repeating a request on its own. The transport
 // takes an Idempotency-Key header for leave to send a POST without a body
 // again when a kept connection breaks; the server may have run the first one.
 // It looks for the canonical spelling only, and header names have no case on
 // the wire, so the lower-case form reaches the server and not the transport.
-func hideKey(h http.Header) {
-	if values, ok := h[keyHeader]; ok {
-		delete(h, keyHeader)
-		h[keyHeaderLower] = values
+func hideIdempotencyKey(h http.Header) {
+	if values, ok := h[idempotencyHeader]; ok {
+		delete(h, idempotencyHeader)
+		h[idempotencyHeaderLower] = values
 	}
 }
 
-func (c *Client) receive(ctx context.Context, response *http.Response, server string) Response {
-	report := c.report(response, server)
+func (c *Client) readResponse(ctx context.Context, response *http.Response, server string) Response {
+	report := c.parseReport(response, server)
 	if response.Header.Get(caller.HeaderOutcome) == caller.NotRun.String() {
-		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, BufferedBytes))
+		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, ResponseBufferSize))
 		_ = response.Body.Close()
 		return Response{Result: backend.Rejected, Report: report}
 	}
-	head, err := io.ReadAll(io.LimitReader(response.Body, BufferedBytes))
+	head, err := io.ReadAll(io.LimitReader(response.Body, ResponseBufferSize))
 	if err != nil {
 		_ = response.Body.Close()
-		return Response{Result: failure(ctx, true), Report: report, Err: err}
+		return Response{Result: classifyFailure(ctx, true), Report: report, Err: err}
 	}
 	header := make(http.Header)
 	serverhttp.CopyHeader(header, response.Header)
@@ -172,18 +172,18 @@
 	}
 	answer := &caller.Answer{Status: response.StatusCode, Header: header, Body: head}
 	out := Response{Result: backend.Answered, Answer: answer, Report: report}
-	if len(head) < BufferedBytes {
+	if len(head) < ResponseBufferSize {
 		_ = response.Body.Close()
 		return out
 	}
-	out.Rest = rest{Reader: response.Body, Closer: response.Body}
+	out.Remainder = remainderReader{Reader: response.Body, Closer: response.Body}
 	return out
 }
 
-func (c *Client) report(r *http.Response, server string) *backend.Report {
+func (c *Client) parseReport(r *http.Response, server string) *backend.Report {
 	running, err := strconv.Atoi(r.Header.Get(caller.HeaderLoad))
 	leaving := r.Header.Get(caller.HeaderLeaving) == "true"
-	signal := serverhttp.SignalOf(r, signalHeaders, server)
+	signal := serverhttp.ParseSignal(r, backpressureHeaders, server)
 	if err != nil && !leaving && signal.IsEmpty() {
 		return nil
 	}
@@ -200,9 +200,9 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return backend.Health{ConnectionRefused: serverhttp.Refusing(err)}
+		return backend.Health{ConnectionRefused: serverhttp.IsConnectionRefused(err)}
 	}
 	defer func() { _ = response.Body.Close() }()
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxHeaderBytes))
-	return backend.Health{OK: response.StatusCode < http.StatusInternalServerError, Report: c.report(response, address.String())}
+	return backend.Health{OK: response.StatusCode < http.StatusInternalServerError, Report: c.parseReport(response, address.String())}
 }
--- a/internal/adapter/backendhttp/client_test.go
+++ b/internal/adapter/backendhttp/client_test.go
@@ -155,17 +155,17 @@
 // TestLongAnswerIsStreamed: an answer beyond the buffer comes as a stream, and
 // one that breaks off there ends in an error and not in a short success.
 func TestLongAnswerIsStreamed(t *testing.T) {
-	body := strings.Repeat("x", BufferedBytes+1000)
+	body := strings.Repeat("x", ResponseBufferSize+1000)
 	s := startRaw(t, func(_ int, c net.Conn) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+body)
 		return false
 	})
 	r := send(t, s.address, http.MethodGet, time.Second)
-	if r.Rest == nil {
+	if r.Remainder == nil {
 		t.Fatal("got no stream, want one")
 	}
-	n, err := io.Copy(io.Discard, r.Rest)
-	_ = r.Rest.Close()
+	n, err := io.Copy(io.Discard, r.Remainder)
+	_ = r.Remainder.Close()
 	if err == nil {
 		t.Errorf("got a clean end after %d bytes, want an error", int(n)+len(r.Answer.Body))
 	}
--- a/internal/adapter/bearer/bearer.go
+++ b/internal/adapter/bearer/bearer.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// Field is the header field that carries a key.
-	Field = "Authorization"
+	// Header is the header field that carries a key.
+	Header = "Authorization"
 	// Scheme is the authentication scheme, in any case.
 	Scheme = "Bearer"
 )
 
-// CredentialOf reads the key that a request carries. Several fields, or one of another
+// ParseCredential reads the key that a request carries. Several fields, or one of another
 // form, are no key: two readers might take different parts of it.
-func CredentialOf(h http.Header) account.Credential {
-	fields := h[Field]
+func ParseCredential(h http.Header) account.Credential {
+	fields := h[Header]
 	if len(fields) == 0 {
 		return account.Credential{State: account.Absent}
 	}
@@ -44,8 +44,8 @@
 	return text != ""
 }
 
-// Same reports whether two names of header fields may be taken for the same one: some
+// SameHeader reports whether two names of header fields may be taken for the same one: some
 // servers read a low line as a hyphen.
-func Same(a, b string) bool {
+func SameHeader(a, b string) bool {
 	return strings.EqualFold(strings.ReplaceAll(a, "_", "-"), strings.ReplaceAll(b, "_", "-"))
 }
--- a/internal/adapter/bearer/bearer_test.go
+++ b/internal/adapter/bearer/bearer_test.go
@@ -8,7 +8,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/account"
 )
 
-func TestCredentialOf(t *testing.T) {
+func TestParseCredential(t *testing.T) {
 	for _, c := range []struct {
 		fields []string
 		want   account.CredentialState
@@ -28,7 +28,7 @@
 		{[]string{"Bearer abc", "Bearer abc"}, account.Malformed},
 		{[]string{"Bearer " + strings.Repeat("x", 10_000)}, account.Malformed},
 	} {
-		got := CredentialOf(http.Header{Field: c.fields})
+		got := ParseCredential(http.Header{Header: c.fields})
 		if got.State != c.want {
 			t.Errorf("%q: state is %d, want %d", c.fields, got.State, c.want)
 		}
@@ -38,17 +38,17 @@
 	}
 }
 
-// FuzzCredentialOf looks for texts that pass for a key that the caller did not write as one
+// FuzzParseCredential looks for texts that pass for a key that the caller did not write as one
 // word.
-func FuzzCredentialOf(f *testing.F) {
+func FuzzParseCredential(f *testing.F) {
 	f.Add("Bearer abc", "")
 	f.Add("Bearer  abc", "Bearer def")
 	f.Fuzz(func(t *testing.T, one, two string) {
-		h := http.Header{Field: {one}}
+		h := http.Header{Header: {one}}
 		if two != "" {
-			h.Add(Field, two)
+			h.Add(Header, two)
 		}
-		got := CredentialOf(h)
+		got := ParseCredential(h)
 		words := strings.Fields(one)
 		proper := two == "" && len(words) == 2 && strings.EqualFold(words[0], Scheme)
 		if got.State == account.Present && !proper {
@@ -60,9 +60,9 @@
 	})
 }
 
-func TestSame(t *testing.T) {
+func TestSameHeader(t *testing.T) {
 	for name, want := range map[string]bool{"X-Account": true, "x-account": true, "X_Account": true, "x_ACCOUNT": true, "X-Accounts": false, "XAccount": false} {
-		if got := Same("X-Account", name); got != want {
+		if got := SameHeader("X-Account", name); got != want {
 			t.Errorf("%s is the same: %t, want %t", name, got, want)
 		}
 	}
--- a/internal/adapter/bodies/bodies.go
+++ b/internal/adapter/bodies/bodies.go
@@ -14,49 +14,51 @@
 )
 
 const (
-	// step is how much room is taken for a body that does not tell its length,
+	// initialReservation is how much room is taken for a body that does not tell its length,
 	// until it turns out to need more.
-	step = 64 << 10
+	initialReservation = 64 << 10
 )
 
 var (
 	// ErrTooLarge means that a body is over its limit.
 	ErrTooLarge = errors.New("body too large")
-	// ErrNoMemory means that too much is held already.
-	ErrNoMemory = errors.New("too many bodies at once")
+	// ErrMemoryExhausted means that too much is held already.
+	ErrMemoryExhausted = errors.New("too many bodies at once")
 )
 
 type (
-	// Memory is what all bodies together may take, in bytes.
-	Memory struct {
-		left *semaphore.Weighted
+	// MemoryBudget is what all bodies together may take, in bytes.
+	MemoryBudget struct {
+		available *semaphore.Weighted
 	}
 
 	// Body is one that is held. Release gives its memory back; the bytes must not
 	// be used after.
 	Body struct {
-		Bytes  []byte
-		memory *Memory
-		room   int64
+		Bytes    []byte
+		budget   *MemoryBudget
+		reserved int64
 	}
 )
 
-// NewMemory makes room for a number of bytes.
-func NewMemory(most int64) *Memory { return &Memory{left: semaphore.NewWeighted(most)} }
+// NewMemoryBudget makes room for a number of bytes.
+func NewMemoryBudget(most int64) *MemoryBudget {
+	return &MemoryBudget{available: semaphore.NewWeighted(most)}
+}
 
 // Release gives the body's memory back. Doing so again does nothing.
 func (b *Body) Release() {
-	if b == nil || b.room == 0 {
+	if b == nil || b.reserved == 0 {
 		return
 	}
-	b.memory.left.Release(b.room)
-	b.room = 0
+	b.budget.available.Release(b.reserved)
+	b.reserved = 0
 }
 
 // Read reads a body of the length that is told, or of any up to limit if that is
 // negative. Without an error the caller must release the body.
-func (m *Memory) Read(r io.Reader, told, limit int64) (*Body, error) {
-	b := &Body{memory: m}
+func (m *MemoryBudget) Read(r io.Reader, told, limit int64) (*Body, error) {
+	b := &Body{budget: m}
 	if told == 0 {
 		return b, nil
 	}
@@ -65,9 +67,9 @@
 	}
 	var err error
 	if told > 0 {
-		err = b.fillKnown(r, told)
+		err = b.readSized(r, told)
 	} else {
-		err = b.fillUpTo(r, limit)
+		err = b.readUnsized(r, limit)
 	}
 	if err != nil {
 		b.Release()
@@ -76,13 +78,13 @@
 	return b, nil
 }
 
-// fillKnown reads a body whose length is told, into memory taken at once: 64 KB
+// readSized reads a body whose length is told, into memory taken at once: 64 KB
 // take a third of the time and of the memory that they take in growing steps.
-func (b *Body) fillKnown(r io.Reader, told int64) error {
-	if !b.memory.left.TryAcquire(told) {
-		return ErrNoMemory
+func (b *Body) readSized(r io.Reader, told int64) error {
+	if !b.budget.available.TryAcquire(told) {
+		return ErrMemoryExhausted
 	}
-	b.room = told
+	b.reserved = told
 	var held bytes.Buffer
 	held.Grow(int(told) + bytes.MinRead)
 	if _, err := held.ReadFrom(io.LimitReader(r, told)); err != nil {
@@ -92,14 +94,14 @@
 	return nil
 }
 
-// fillUpTo reads a body that does not tell its length.
-func (b *Body) fillUpTo(r io.Reader, limit int64) error {
-	room := min(step, limit)
+// readUnsized reads a body that does not tell its length.
+func (b *Body) readUnsized(r io.Reader, limit int64) error {
+	room := min(initialReservation, limit)
 	for {
-		if !b.memory.left.TryAcquire(room - b.room) {
-			return ErrNoMemory
+		if !b.budget.available.TryAcquire(room - b.reserved) {
+			return ErrMemoryExhausted
 		}
-		b.room = room
+		b.reserved = room
 		more, err := io.ReadAll(io.LimitReader(r, room-int64(len(b.Bytes))))
 		b.Bytes = append(b.Bytes, more...)
 		if err != nil {
@@ -109,14 +111,14 @@
 			return nil
 		}
 		if room == limit {
-			return overLimit(r)
+			return expectEOF(r)
 		}
 		room = min(2*room, limit)
 	}
 }
 
-// overLimit reports whether a body that has reached its limit goes on.
-func overLimit(r io.Reader) error {
+// expectEOF reports whether a body that has reached its limit goes on.
+func expectEOF(r io.Reader) error {
 	if n, err := io.ReadFull(r, make([]byte, 1)); n > 0 {
 		return ErrTooLarge
 	} else if !errors.Is(err, io.EOF) {
@@ -128,9 +130,9 @@
 // ReadRequest reads the body of a caller's request, which must be there within a
 // time: callers that send none of what they announced would hold memory and
 // connections for good.
-func (m *Memory) ReadRequest(w http.ResponseWriter, r *http.Request, limit int64, within time.Duration) (*Body, error) {
+func (m *MemoryBudget) ReadRequest(w http.ResponseWriter, r *http.Request, limit int64, within time.Duration) (*Body, error) {
 	if r.ContentLength == 0 || r.Body == nil {
-		return &Body{memory: m}, nil
+		return &Body{budget: m}, nil
 	}
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(time.Now().Add(within)); err != nil && !errors.Is(err, http.ErrNotSupported) {
--- a/internal/adapter/bodies/bodies_test.go
+++ b/internal/adapter/bodies/bodies_test.go
@@ -28,11 +28,11 @@
 		{11, 11, 10, ErrTooLarge},
 		{10, -1, 10, nil},
 		{11, -1, 10, ErrTooLarge},
-		{3 * step, -1, 3 * step, nil},
-		{3*step + 1, -1, 3 * step, ErrTooLarge},
-		{3*step - 1, -1, 10 * step, nil},
+		{3 * initialReservation, -1, 3 * initialReservation, nil},
+		{3*initialReservation + 1, -1, 3 * initialReservation, ErrTooLarge},
+		{3*initialReservation - 1, -1, 10 * initialReservation, nil},
 	} {
-		m := NewMemory(20 * step)
+		m := NewMemoryBudget(20 * initialReservation)
 		b, err := m.Read(iotest.HalfReader(body(c.size)), c.told, c.limit)
 		if !errors.Is(err, c.want) {
 			t.Errorf("%d bytes, told %d, limit %d: got error %v, want %v", c.size, c.told, c.limit, err, c.want)
@@ -42,7 +42,7 @@
 			t.Errorf("%d bytes, told %d, limit %d: got %d", c.size, c.told, c.limit, len(b.Bytes))
 		}
 		b.Release()
-		if !m.left.TryAcquire(20 * step) {
+		if !m.available.TryAcquire(20 * initialReservation) {
 			t.Errorf("%d bytes, told %d, limit %d: memory is not given back", c.size, c.told, c.limit)
 		}
 	}
@@ -51,14 +51,14 @@
 // Callers send bodies together that would not fit in the VM's memory. Some are
 // refused, which can come back, instead of all being lost with the process.
 func TestBodiesTogetherStayWithinMemory(t *testing.T) {
-	m := NewMemory(150)
+	m := NewMemoryBudget(150)
 	first, err := m.Read(body(100), 100, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, told := range []int64{60, -1} {
-		if _, err := m.Read(body(60), told, 100); !errors.Is(err, ErrNoMemory) {
-			t.Errorf("60 bytes beside 100, told %d: got error %v, want %v", told, err, ErrNoMemory)
+		if _, err := m.Read(body(60), told, 100); !errors.Is(err, ErrMemoryExhausted) {
+			t.Errorf("60 bytes beside 100, told %d: got error %v, want %v", told, err, ErrMemoryExhausted)
 		}
 	}
 	first.Release()
@@ -71,7 +71,7 @@
 // A caller announces a body and sends nothing. Its connection and the memory for
 // the body were held until it went away.
 func TestBodyThatNeverComesIsGivenUp(t *testing.T) {
-	m, failed := NewMemory(100), make(chan error, 1)
+	m, failed := NewMemoryBudget(100), make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, err := m.ReadRequest(w, r, 100, 10*time.Millisecond)
 		failed <- err
@@ -88,7 +88,7 @@
 	if err := <-failed; !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("got error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
-	if !m.left.TryAcquire(100) {
+	if !m.available.TryAcquire(100) {
 		t.Error("memory is not given back")
 	}
 }
@@ -96,7 +96,7 @@
 // A caller keeps its connection and is slow between requests: the bound on a body
 // must not end what comes after.
 func TestBoundOnABodyEndsWithIt(t *testing.T) {
-	m, within := NewMemory(100), 500*time.Millisecond
+	m, within := NewMemoryBudget(100), 500*time.Millisecond
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if b, err := m.ReadRequest(w, r, 100, within); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
@@ -163,12 +163,12 @@
 }
 
 func TestBrokenBodyIsAnError(t *testing.T) {
-	m := NewMemory(100)
+	m := NewMemoryBudget(100)
 	broken := errors.New("broken")
 	if _, err := m.Read(io.MultiReader(body(5), iotest.ErrReader(broken)), 10, 100); !errors.Is(err, broken) {
 		t.Errorf("got error %v, want %v", err, broken)
 	}
-	if !m.left.TryAcquire(100) {
+	if !m.available.TryAcquire(100) {
 		t.Error("memory is not given back")
 	}
 }
@@ -177,7 +177,7 @@
 // and copied once more it took three times as long and as much memory.
 func BenchmarkRead(b *testing.B) {
 	const size = 64 << 10
-	m, data := NewMemory(size), make([]byte, size)
+	m, data := NewMemoryBudget(size), make([]byte, size)
 	b.ReportAllocs()
 	for b.Loop() {
 		body, err := m.Read(io.LimitReader(bytes.NewReader(data), size), size, size)
--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -53,8 +53,8 @@
 type (
 	// Limits bounds what callers may take of this proxy's memory, in bytes.
 	Limits struct {
-		Body  int64
-		Total int64
+		MaxBodyBytes  int64
+		MaxTotalBytes int64
 	}
 
 	// Request is one caller's request with its body.
@@ -76,54 +76,54 @@
 
 	// Server answers callers.
 	Server struct {
-		kernel   core.Executor
-		run      func(context.Context, Request) Reply
-		limits   Limits
-		memory   *bodies.Memory
-		observed func(service string, r caller.Result, took time.Duration)
-		now      func() time.Time
+		withKernel core.Executor
+		run        func(context.Context, Request) Reply
+		limits     Limits
+		bodyMemory *bodies.MemoryBudget
+		onResult   func(service string, r caller.Result, took time.Duration)
+		now        func() time.Time
 	}
 
-	lookupReply struct {
-		Service  string       `json:"service"`
-		Home     string       `json:"home-region"`
-		Proxies  []proxyReply `json:"proxies"`
-		Lifetime string       `json:"lifetime"`
-		Why      []string     `json:"why,omitempty"`
+	lookupResponse struct {
+		Service     string       `json:"service"`
+		HomeRegion  string       `json:"home-region"`
+		Proxies     []proxyEntry `json:"proxies"`
+		TTL         string       `json:"lifetime"`
+		Explanation []string     `json:"why,omitempty"`
 	}
 
-	proxyReply struct {
+	proxyEntry struct {
 		Name    string         `json:"name"`
 		Address netip.AddrPort `json:"address"`
 		Region  string         `json:"region"`
 	}
 
-	tokenReply struct {
-		Token    string `json:"token"`
-		Lifetime string `json:"lifetime"`
+	tokenResponse struct {
+		Token string `json:"token"`
+		TTL   string `json:"lifetime"`
 	}
 
-	refusal struct {
+	errorResponse struct {
 		Outcome string        `json:"outcome"`
 		Reason  caller.Reason `json:"reason"`
-		Text    string        `json:"text,omitempty"`
+		Message string        `json:"text,omitempty"`
 	}
 )
 
 // NewServer makes a server. run takes a request to its final result; observed is told of each final result.
 func NewServer(k core.Executor, run func(context.Context, Request) Reply, l Limits, now func() time.Time, observed func(string, caller.Result, time.Duration)) *Server {
 	return &Server{
-		kernel: k, run: run, limits: l, memory: bodies.NewMemory(l.Total),
-		observed: observed, now: now,
+		withKernel: k, run: run, limits: l, bodyMemory: bodies.NewMemoryBudget(l.MaxTotalBytes),
+		onResult: observed, now: now,
 	}
 }
 
-// HTTP wraps the server with time-outs and limits.
-func (s *Server) HTTP() *http.Server {
+// HTTPServer wraps the server with time-outs and limits.
+func (s *Server) HTTPServer() *http.Server {
 	router := mux.NewRouter().UseEncodedPath()
-	router.HandleFunc("/v1/lookup", s.lookup).Methods(http.MethodGet)
-	router.HandleFunc("/v1/tokens", s.token).Methods(http.MethodPost)
-	router.PathPrefix(servicePrefix + "{service}").HandlerFunc(s.request)
+	router.HandleFunc("/v1/lookup", s.handleLookup).Methods(http.MethodGet)
+	router.HandleFunc("/v1/tokens", s.handleToken).Methods(http.MethodPost)
+	router.PathPrefix(servicePrefix + "{service}").HandlerFunc(s.handleRequest)
 	return &http.Server{
 		Handler:           router,
 		ReadHeaderTimeout: headerTimeout,
@@ -134,14 +134,14 @@
 	}
 }
 
-// lookup names the proxies to use. Operators may ask on behalf of a client
+// handleLookup names the proxies to use. Operators may ask on behalf of a client
 // with ?client=.
-func (s *Server) lookup(w http.ResponseWriter, r *http.Request) {
-	client := clientOf(r)
+func (s *Server) handleLookup(w http.ResponseWriter, r *http.Request) {
+	client := clientAddress(r)
 	if text := r.URL.Query().Get("client"); text != "" {
 		address, err := netip.ParseAddr(text)
 		if err != nil {
-			writeJSON(w, http.StatusBadRequest, refusal{Text: "client: must be an IP address"})
+			writeJSON(w, http.StatusBadRequest, errorResponse{Message: "client: must be an IP address"})
 			return
 		}
 		client = address
@@ -149,37 +149,37 @@
 	var answer core.LookupAnswer
 	var found bool
 	var why []string
-	s.kernel(func(k *core.Kernel, now time.Time) {
+	s.withKernel(func(k *core.Kernel, now time.Time) {
 		answer, found = k.Lookup(now, r.URL.Query().Get("service"), client)
 		if r.URL.Query().Has("explain") {
 			why = k.ExplainRouting(client)
 		}
 	})
 	if !found {
-		writeJSON(w, http.StatusNotFound, refusal{Text: "service: must be the name of a service that has a live proxy"})
+		writeJSON(w, http.StatusNotFound, errorResponse{Message: "service: must be the name of a service that has a live proxy"})
 		return
 	}
 	w.Header().Set("Cache-Control", "private, max-age="+strconv.Itoa(int(answer.TTL.Seconds())))
-	reply := lookupReply{
-		Service: answer.Service, Home: answer.HomeRegion,
-		Lifetime: answer.TTL.String(), Why: why, Proxies: proxies(answer.Proxies),
+	reply := lookupResponse{
+		Service: answer.Service, HomeRegion: answer.HomeRegion,
+		TTL: answer.TTL.String(), Explanation: why, Proxies: proxyEntries(answer.Proxies),
 	}
 	writeJSON(w, http.StatusOK, reply)
 }
 
-func proxies(members []peer.Member) []proxyReply {
-	list := make([]proxyReply, 0, len(members))
+func proxyEntries(members []peer.Member) []proxyEntry {
+	list := make([]proxyEntry, 0, len(members))
 	for _, m := range members {
-		list = append(list, proxyReply{Name: m.Name, Address: m.Address, Region: m.Region})
+		list = append(list, proxyEntry{Name: m.Name, Address: m.Address, Region: m.Region})
 	}
 	return list
 }
 
-func (s *Server) token(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleToken(w http.ResponseWriter, r *http.Request) {
 	var text string
 	var ok bool
 	var lifetime time.Duration
-	s.kernel(func(k *core.Kernel, now time.Time) {
+	s.withKernel(func(k *core.Kernel, now time.Time) {
 		text, ok = k.Mint(now, r.URL.Query().Get("service"))
 		if b := k.Bundle(); b != nil {
 			lifetime = b.Token.Lifetime.Std()
@@ -187,18 +187,18 @@
 	})
 	if !ok {
 		w.Header().Set("Retry-After", "1")
-		writeJSON(w, http.StatusServiceUnavailable, refusal{Text: "no token: unknown service, or this proxy stops or is full"})
+		writeJSON(w, http.StatusServiceUnavailable, errorResponse{Message: "no token: unknown service, or this proxy stops or is full"})
 		return
 	}
-	writeJSON(w, http.StatusOK, tokenReply{Token: text, Lifetime: lifetime.String()})
+	writeJSON(w, http.StatusOK, tokenResponse{Token: text, TTL: lifetime.String()})
 }
 
-func (s *Server) request(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleRequest(w http.ResponseWriter, r *http.Request) {
 	began := s.now()
 	service := mux.Vars(r)["service"]
-	body, err := s.memory.ReadRequest(w, r, s.limits.Body, readTimeout)
+	body, err := s.bodyMemory.ReadRequest(w, r, s.limits.MaxBodyBytes, readTimeout)
 	if err != nil {
-		s.refuse(w, service, began, err)
+		s.rejectBody(w, service, began, err)
 		return
 	}
 	defer body.Release()
@@ -206,9 +206,9 @@
 		Request: core.Request{
 			Service: service,
 			Method:  r.Method,
-			Path:    pathWithin(r, service),
-			Client:  clientOf(r),
-			Work:    WorkOf(service, r.Method, pathWithin(r, service), r.Header, body.Bytes),
+			Path:    backendPath(r, service),
+			Client:  clientAddress(r),
+			Work:    WorkFingerprint(service, r.Method, backendPath(r, service), r.Header, body.Bytes),
 			Token:   r.Header.Get(caller.HeaderToken),
 		},
 		Header: r.Header,
@@ -217,18 +217,18 @@
 	if text := r.Header.Get(caller.HeaderTimeout); text != "" {
 		timeout, err := time.ParseDuration(text)
 		if err != nil || timeout <= 0 {
-			writeJSON(w, http.StatusBadRequest, refusal{Text: caller.HeaderTimeout + `: must be a time span such as "800ms"`})
+			writeJSON(w, http.StatusBadRequest, errorResponse{Message: caller.HeaderTimeout + `: must be a time span such as "800ms"`})
 			return
 		}
 		q.Deadline = began.Add(timeout)
 	}
 	reply := s.run(r.Context(), q)
-	s.write(w, reply)
-	s.observed(service, reply.Result, s.now().Sub(began))
+	s.writeReply(w, reply)
+	s.onResult(service, reply.Result, s.now().Sub(began))
 }
 
-// pathWithin is the path and query that the backend server sees.
-func pathWithin(r *http.Request, service string) string {
+// backendPath is the path and query that the backend server sees.
+func backendPath(r *http.Request, service string) string {
 	path := r.URL.EscapedPath()[len(servicePrefix)+len(service):]
 	if path == "" {
 		path = "/"
@@ -239,19 +239,19 @@
 	return path
 }
 
-func (s *Server) refuse(w http.ResponseWriter, service string, began time.Time, err error) {
+func (s *Server) rejectBody(w http.ResponseWriter, service string, began time.Time, err error) {
 	result := caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonBusy, RetryAfter: time.Second}
 	switch {
 	case errors.Is(err, bodies.ErrTooLarge):
-		writeOutcome(w, result)
-		writeJSON(w, http.StatusRequestEntityTooLarge, refusal{Outcome: caller.NotRun.String(), Text: err.Error()})
+		setOutcomeHeaders(w, result)
+		writeJSON(w, http.StatusRequestEntityTooLarge, errorResponse{Outcome: caller.NotRun.String(), Message: err.Error()})
 	default:
-		s.write(w, Reply{Result: result})
+		s.writeReply(w, Reply{Result: result})
 	}
-	s.observed(service, result, s.now().Sub(began))
+	s.onResult(service, result, s.now().Sub(began))
 }
 
-func writeOutcome(w http.ResponseWriter, r caller.Result) {
+func setOutcomeHeaders(w http.ResponseWriter, r caller.Result) {
 	w.Header().Set(caller.HeaderOutcome, r.Outcome.String())
 	if r.Reason != caller.ReasonNone {
 		w.Header().Set(caller.HeaderReason, string(r.Reason))
@@ -261,10 +261,10 @@
 	}
 }
 
-// write gives the caller the final result.
-func (s *Server) write(w http.ResponseWriter, reply Reply) {
+// writeReply gives the caller the final result.
+func (s *Server) writeReply(w http.ResponseWriter, reply Reply) {
 	result := reply.Result
-	writeOutcome(w, result)
+	setOutcomeHeaders(w, result)
 	if reply.ID != "" {
 		w.Header().Set(caller.HeaderRequest, reply.ID)
 	}
@@ -276,7 +276,7 @@
 		if !ok {
 			status = http.StatusServiceUnavailable
 		}
-		writeJSON(w, status, refusal{Outcome: result.Outcome.String(), Reason: result.Reason})
+		writeJSON(w, status, errorResponse{Outcome: result.Outcome.String(), Reason: result.Reason})
 		return
 	}
 	for name, values := range result.Answer.Header {
@@ -303,9 +303,9 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// clientOf is the caller's address. No header is believed for it: there is no
+// clientAddress is the caller's address. No header is believed for it: there is no
 // balancer before the proxies, so the connection's far end is the caller.
-func clientOf(r *http.Request) netip.Addr {
+func clientAddress(r *http.Request) netip.Addr {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return netip.Addr{}
@@ -314,8 +314,8 @@
 	return address.Unmap()
 }
 
-// WorkOf names what a request asks a service to do. Its token is no part of it: a caller
+// WorkFingerprint names what a request asks a service to do. Its token is no part of it: a caller
 // that comes again may have a new one.
-func WorkOf(service, method, path string, h http.Header, body []byte) quarantine.Fingerprint {
-	return quarantine.NewFingerprint(method, service, path, h.Get(bearer.Field), body)
+func WorkFingerprint(service, method, path string, h http.Header, body []byte) quarantine.Fingerprint {
+	return quarantine.NewFingerprint(method, service, path, h.Get(bearer.Header), body)
 }
--- a/internal/adapter/callerhttp/server_test.go
+++ b/internal/adapter/callerhttp/server_test.go
@@ -21,7 +21,7 @@
 
 func testServer(t *testing.T) *Server {
 	t.Helper()
-	return NewServer(nil, nil, Limits{Body: 100, Total: 150}, time.Now, func(string, caller.Result, time.Duration) {})
+	return NewServer(nil, nil, Limits{MaxBodyBytes: 100, MaxTotalBytes: 150}, time.Now, func(string, caller.Result, time.Duration) {})
 }
 
 // TestBrokenStreamIsSeen: a long answer breaks off after its first part has
@@ -30,7 +30,7 @@
 func TestBrokenStreamIsSeen(t *testing.T) {
 	s := testServer(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		s.write(w, Reply{
+		s.writeReply(w, Reply{
 			Result: caller.Result{Outcome: caller.Done, Answer: &caller.Answer{Status: http.StatusOK}},
 			Stream: func(w io.Writer) error {
 				_, _ = io.WriteString(w, strings.Repeat("x", 10_000))
@@ -59,7 +59,7 @@
 	s := testServer(t)
 	read := func(size int) (*bodies.Body, error) {
 		r := httptest.NewRequest(http.MethodPost, "/services/x/y", strings.NewReader(strings.Repeat("b", size)))
-		return s.memory.ReadRequest(httptest.NewRecorder(), r, s.limits.Body, readTimeout)
+		return s.bodyMemory.ReadRequest(httptest.NewRecorder(), r, s.limits.MaxBodyBytes, readTimeout)
 	}
 	if _, err := read(101); !errors.Is(err, bodies.ErrTooLarge) {
 		t.Errorf("101 bytes: got error %v, want %v", err, bodies.ErrTooLarge)
@@ -68,8 +68,8 @@
 	if err != nil {
 		t.Fatalf("100 bytes: got error %v, want none", err)
 	}
-	if _, err := read(60); !errors.Is(err, bodies.ErrNoMemory) {
-		t.Errorf("60 bytes beside 100: got error %v, want %v", err, bodies.ErrNoMemory)
+	if _, err := read(60); !errors.Is(err, bodies.ErrMemoryExhausted) {
+		t.Errorf("60 bytes beside 100: got error %v, want %v", err, bodies.ErrMemoryExhausted)
 	}
 	held.Release()
 	if _, err := read(60); err != nil {
@@ -81,7 +81,7 @@
 // HTTP client can read.
 func TestRefusalTellsWhenToComeBack(t *testing.T) {
 	w := httptest.NewRecorder()
-	testServer(t).write(w, Reply{
+	testServer(t).writeReply(w, Reply{
 		Result:   caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonCapacity, RetryAfter: 1200 * time.Millisecond},
 		NewToken: "t",
 	})
--- a/internal/adapter/forwardhttp/account_test.go
+++ b/internal/adapter/forwardhttp/account_test.go
@@ -45,12 +45,12 @@
 
 func TestStatusOfKeys(t *testing.T) {
 	var seen serverhttp.Request
-	f := newFront(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
+	f := newFront(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		seen = r
-		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
-	if got := askWith(t, f.URL+"/a/x", "any"); got.status != http.StatusOK || seen.Keyed {
-		t.Errorf("without accounts: status is %d, keyed %t, want 200 and no key taken", got.status, seen.Keyed)
+	if got := askWith(t, f.URL+"/a/x", "any"); got.status != http.StatusOK || seen.HasAccounts {
+		t.Errorf("without accounts: status is %d, keyed %t, want 200 and no key taken", got.status, seen.HasAccounts)
 	}
 	f.withAccount(t, ratelimit.Limit{})
 	for key, want := range map[string]int{"good": http.StatusOK, "bad": http.StatusUnauthorized, "": http.StatusUnauthorized} {
@@ -62,8 +62,8 @@
 			t.Errorf("key %q: the answer does not say what is wanted", key)
 		}
 	}
-	if !seen.Keyed || seen.Account != "anna" {
-		t.Errorf("the server sees account %q, keyed %t; want anna and true", seen.Account, seen.Keyed)
+	if !seen.HasAccounts || seen.Account != "anna" {
+		t.Errorf("the server sees account %q, keyed %t; want anna and true", seen.Account, seen.HasAccounts)
 	}
 	if got := askWith(t, f.URL+"/none", "bad"); got.status != http.StatusNotFound {
 		t.Errorf("no route: status is %d, want 404", got.status)
--- a/internal/adapter/forwardhttp/idle.go
+++ b/internal/adapter/forwardhttp/idle.go
@@ -10,49 +10,49 @@
 )
 
 const (
-	// silentLeast is how long a new connection may take to bring its first byte when its
+	// newConnGracePeriod is how long a new connection may take to bring its first byte when its
 	// process stops.
-	silentLeast = 500 * time.Millisecond
+	newConnGracePeriod = 500 * time.Millisecond
 )
 
-// Note takes in the state of a connection, as its server tells it.
-func (l *Listener) Note(c net.Conn, state http.ConnState) {
-	held, ok := c.(*countedConn)
+// RecordState takes in the state of a connection, as its server tells it.
+func (l *Listener) RecordState(c net.Conn, state http.ConnState) {
+	held, ok := c.(*trackedConn)
 	if !ok {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held.state, held.since = state, time.Now()
+	held.state, held.stateSince = state, time.Now()
 }
 
-// CloseIdle closes the connections on which nothing happens, and tells how many are left.
+// CloseIdleConnections closes the connections on which nothing happens, and tells how many are left.
 // The library's server does not do: once it shuts down it drops requests that it had not
 // read, and on a busy VM these may have come long before.
-func (l *Listener) CloseIdle() (left int) {
-	for _, c := range l.idle() {
-		if !hasUnread(c.Conn) {
+func (l *Listener) CloseIdleConnections() (left int) {
+	for _, c := range l.idleConnections() {
+		if !hasUnreadData(c.Conn) {
 			_ = c.Close()
 		}
 	}
-	return l.Open()
+	return l.OpenConnections()
 }
 
-// idle lists the connections that wait for a request.
-func (l *Listener) idle() []*countedConn {
+// idleConnections lists the connections that wait for a request.
+func (l *Listener) idleConnections() []*trackedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var list []*countedConn
+	var list []*trackedConn
 	for c := range l.connections {
-		if c.state == http.StateIdle || c.state == http.StateNew && time.Since(c.since) > silentLeast {
+		if c.state == http.StateIdle || c.state == http.StateNew && time.Since(c.stateSince) > newConnGracePeriod {
 			list = append(list, c)
 		}
 	}
 	return list
 }
 
-// hasUnread reports whether bytes have come that nobody has read.
-func hasUnread(c net.Conn) bool {
+// hasUnreadData reports whether bytes have come that nobody has read.
+func hasUnreadData(c net.Conn) bool {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/adapter/forwardhttp/listener.go
+++ b/internal/adapter/forwardhttp/listener.go
@@ -19,27 +19,27 @@
 	// still hands over those that had been opened by then.
 	Listener struct {
 		net.Listener
-		most    int64
-		open    atomic.Int64
-		refused func()
+		maxOpen   int64
+		openCount atomic.Int64
+		onReject  func()
 
 		mu sync.Mutex
 		// connections are those that are open.
-		connections map[*countedConn]bool
-		// waiting were opened and not accepted when the listener was closed.
-		waiting []net.Conn
+		connections map[*trackedConn]bool
+		// backlog were opened and not accepted when the listener was closed.
+		backlog []net.Conn
 		closed  bool
 	}
 
-	// countedConn is one of them.
-	countedConn struct {
+	// trackedConn is one of them.
+	trackedConn struct {
 		net.Conn
 		listener *Listener
 		once     sync.Once
 		// state is what its server last said of it, and since when; with the listener's
 		// lock.
-		state http.ConnState
-		since time.Time
+		state      http.ConnState
+		stateSince time.Time
 	}
 )
 
@@ -48,7 +48,7 @@
 // and accepted they would take the open files that the proxy needs to reach servers
 // and the store. refused is told of each.
 func LimitConnections(l net.Listener, most int, refused func()) *Listener {
-	return &Listener{Listener: l, most: int64(most), refused: refused, connections: make(map[*countedConn]bool)}
+	return &Listener{Listener: l, maxOpen: int64(most), onReject: refused, connections: make(map[*trackedConn]bool)}
 }
 
 // Accept implements net.Listener.
@@ -56,15 +56,15 @@
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
-			if c = l.next(); c == nil {
+			if c = l.nextFromBacklog(); c == nil {
 				return nil, err
 			}
 		}
-		if l.open.Add(1) <= l.most {
-			return l.hold(c), nil
+		if l.openCount.Add(1) <= l.maxOpen {
+			return l.track(c), nil
 		}
-		l.open.Add(-1)
-		l.refused()
+		l.openCount.Add(-1)
+		l.onReject()
 		if tcp, ok := c.(*net.TCPConn); ok {
 			// A reset tells the caller at once; it has sent nothing yet.
 			_ = tcp.SetLinger(0)
@@ -80,49 +80,49 @@
 	defer l.mu.Unlock()
 	if !l.closed {
 		l.closed = true
-		l.waiting = takeWaiting(l.Listener)
+		l.backlog = acceptBacklog(l.Listener)
 	}
 	return l.Listener.Close()
 }
 
-// Open counts the connections that are open, those that wait to be accepted after the
+// OpenConnections counts the connections that are open, those that wait to be accepted after the
 // listener was closed included.
-func (l *Listener) Open() int {
+func (l *Listener) OpenConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return int(l.open.Load()) + len(l.waiting)
+	return int(l.openCount.Load()) + len(l.backlog)
 }
 
-// hold notes an open connection.
-func (l *Listener) hold(c net.Conn) *countedConn {
+// track notes an open connection.
+func (l *Listener) track(c net.Conn) *trackedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := &countedConn{Conn: c, listener: l, since: time.Now()}
+	held := &trackedConn{Conn: c, listener: l, stateSince: time.Now()}
 	l.connections[held] = true
 	return held
 }
 
-func (l *Listener) drop(c *countedConn) {
+func (l *Listener) untrack(c *trackedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open.Add(-1)
+	l.openCount.Add(-1)
 	delete(l.connections, c)
 }
 
-// next is a connection that waited when the listener was closed, nil for none.
-func (l *Listener) next() net.Conn {
+// nextFromBacklog is a connection that waited when the listener was closed, nil for none.
+func (l *Listener) nextFromBacklog() net.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.waiting) == 0 {
+	if len(l.backlog) == 0 {
 		return nil
 	}
-	c := l.waiting[0]
-	l.waiting = l.waiting[1:]
+	c := l.backlog[0]
+	l.backlog = l.backlog[1:]
 	return c
 }
 
-// takeWaiting accepts the connections that wait, without waiting for more.
-func takeWaiting(l net.Listener) []net.Conn {
+// acceptBacklog accepts the connections that wait, without waiting for more.
+func acceptBacklog(l net.Listener) []net.Conn {
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
 		return nil
@@ -141,7 +141,7 @@
 			if err != nil {
 				return
 			}
-			if c := connOf(accepted); c != nil {
+			if c := connFromSocket(accepted); c != nil {
 				list = append(list, c)
 			}
 		}
@@ -152,8 +152,8 @@
 	return list
 }
 
-// connOf makes a connection of a socket, nil if that fails; the socket is then closed.
-func connOf(socket int) net.Conn {
+// connFromSocket makes a connection of a socket, nil if that fails; the socket is then closed.
+func connFromSocket(socket int) net.Conn {
 	file := os.NewFile(uintptr(socket), "caller")
 	defer func() { _ = file.Close() }()
 	c, err := net.FileConn(file)
@@ -165,7 +165,7 @@
 }
 
 // Close implements net.Conn.
-func (c *countedConn) Close() error {
-	c.once.Do(func() { c.listener.drop(c) })
+func (c *trackedConn) Close() error {
+	c.once.Do(func() { c.listener.untrack(c) })
 	return c.Conn.Close()
 }
--- a/internal/adapter/forwardhttp/listener_test.go
+++ b/internal/adapter/forwardhttp/listener_test.go
@@ -85,22 +85,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Note(accepted, http.StateIdle)
+	l.RecordState(accepted, http.StateIdle)
 	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); !hasUnread(accepted.(*countedConn).Conn); {
+	for end := time.Now().Add(10 * time.Second); !hasUnreadData(accepted.(*trackedConn).Conn); {
 		if time.Now().After(end) {
 			t.Fatal("the bytes never come")
 		}
 	}
-	if left := l.CloseIdle(); left != 1 {
+	if left := l.CloseIdleConnections(); left != 1 {
 		t.Errorf("%d connections are left, want the one with an unread request", left)
 	}
 	if _, err := accepted.Read(make([]byte, 64)); err != nil {
 		t.Fatal(err)
 	}
-	if left := l.CloseIdle(); left != 0 {
+	if left := l.CloseIdleConnections(); left != 0 {
 		t.Errorf("%d connections are left, want none: it is idle and all is read", left)
 	}
 }
@@ -123,7 +123,7 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := l.Open(); got != 1 {
+	if got := l.OpenConnections(); got != 1 {
 		t.Errorf("%d connections are open, want the one that waits", got)
 	}
 	server := &http.Server{Handler: http.NotFoundHandler(), ReadHeaderTimeout: time.Minute}
--- a/internal/adapter/forwardhttp/server.go
+++ b/internal/adapter/forwardhttp/server.go
@@ -32,68 +32,68 @@
 	// bodyTimeout is how long a body may take to arrive unless the configuration
 	// gives callers longer.
 	bodyTimeout = 10 * time.Second
-	// answerTimeout is how long a caller may take to read an answer: 4.5 Mbit/s for
+	// responseTimeout is how long a caller may take to read an answer: 4.5 Mbit/s for
 	// the largest.
-	answerTimeout = 30 * time.Second
-	// noMemoryPause is when a caller may come back for whose body no memory was
+	responseTimeout = 30 * time.Second
+	// noMemoryRetryAfter is when a caller may come back for whose body no memory was
 	// left: bodies are held for as long as their requests last, mostly under a
 	// second.
-	noMemoryPause = 500 * time.Millisecond
-	// startWait is how long after the start a request waits for the first
+	noMemoryRetryAfter = 500 * time.Millisecond
+	// configurationTimeout is how long after the start a request waits for the first
 	// configuration, which comes within that time if there is a store or a peer.
 	// Refused callers would come back later, and those of a fleet that has lost
 	// power all at once.
-	startWait = 300 * time.Millisecond
-	// bodyDefault bounds bodies while no configuration says more.
-	bodyDefault = 1 << 20
-	// dialBase and dialRoundTrips bound the opening of a connection: a dead
+	configurationTimeout = 300 * time.Millisecond
+	// defaultMaxBodyBytes bounds bodies while no configuration says more.
+	defaultMaxBodyBytes = 1 << 20
+	// dialBaseTimeout and dialRoundTrips bound the opening of a connection: a dead
 	// server must not hold a request long, a far one needs its round trips.
-	dialBase       = 250 * time.Millisecond
-	dialRoundTrips = 2
-	// deadlineMost is the longest wait of a caller that is believed.
-	deadlineMost = 10 * time.Minute
+	dialBaseTimeout = 250 * time.Millisecond
+	dialRoundTrips  = 2
+	// maxCallerTimeout is the longest wait of a caller that is believed.
+	maxCallerTimeout = 10 * time.Minute
 )
 
 type (
 	// Headers names the header fields that callers send.
 	Headers struct {
-		// Attempt names one attempt of a caller.
-		Attempt string
+		// AttemptID names one attempt of a caller.
+		AttemptID string
 		// Deadline is how many milliseconds the caller waits.
 		Deadline string
 		// ObjectCookie is the cookie that names the request's object.
 		ObjectCookie string
 	}
 
-	// Kernel runs a function with the kernel and the time.
-	Kernel func(func(*steering.Kernel, time.Time))
+	// Executor runs a function with the kernel and the time.
+	Executor func(func(*steering.Kernel, time.Time))
 
 	// Server answers callers.
 	Server struct {
-		Headers Headers
-		Kernel  Kernel
-		// Memory is what bodies may take together.
-		Memory *bodies.Memory
-		Send   func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer)
-		Now    func() time.Time
-		// Ask waits for a place at a server; it reports false if there is no answer.
-		// GiveBack gives one back.
-		Ask      func(context.Context, steering.SlotRequest) (steering.SlotReply, bool)
-		GiveBack func(steering.SlotRelease)
-		// AskPool asks a proxy for one request of an account's limit; it reports false if
+		Headers    Headers
+		WithKernel Executor
+		// BodyMemory is what bodies may take together.
+		BodyMemory *bodies.MemoryBudget
+		Send       func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response)
+		Now        func() time.Time
+		// RequestSlot waits for a place at a server; it reports false if there is no answer.
+		// ReleaseSlot gives one back.
+		RequestSlot func(context.Context, steering.SlotRequest) (steering.SlotReply, bool)
+		ReleaseSlot func(steering.SlotRelease)
+		// RequestPoolToken asks a proxy for one request of an account's limit; it reports false if
 		// there is no answer.
-		AskPool func(ctx context.Context, pool, account string) (ratelimit.TokenReply, bool)
-		// Stopping reports whether callers should go elsewhere.
-		Stopping func() bool
+		RequestPoolToken func(ctx context.Context, pool, account string) (ratelimit.TokenReply, bool)
+		// IsStopping reports whether callers should go elsewhere.
+		IsStopping func() bool
 		// Configured is closed once the first configuration is known.
 		Configured <-chan struct{}
-		// Started is when the process began to listen.
-		Started time.Time
+		// StartedAt is when the process began to listen.
+		StartedAt time.Time
 	}
 )
 
-// HTTP wraps the server with time-outs and limits.
-func (s *Server) HTTP() *http.Server {
+// HTTPServer wraps the server with time-outs and limits.
+func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           http.HandlerFunc(s.serve),
 		ReadHeaderTimeout: headerTimeout,
@@ -107,75 +107,75 @@
 	s.awaitConfiguration(r.Context())
 	body, err := s.readBody(w, r)
 	if err != nil {
-		s.refuseBody(w, r, err)
+		s.rejectBody(w, r, err)
 		return
 	}
 	defer body.Release()
 	request := steering.Request{
-		ID: r.Header.Get(s.Headers.Attempt), Host: hostOf(r.Host), Path: r.URL.Path, Credential: bearer.CredentialOf(r.Header),
+		ID: r.Header.Get(s.Headers.AttemptID), Host: hostWithoutPort(r.Host), Path: r.URL.Path, Credential: bearer.ParseCredential(r.Header),
 	}
 	if c, err := r.Cookie(s.Headers.ObjectCookie); err == nil {
 		request.Object = c.Value
 	}
-	request.Work = quarantine.NewFingerprint(r.Method, request.Host, r.RequestURI, r.Header.Get(bearer.Field), body.Bytes)
-	if left, ok := parseLeft(r.Header.Get(s.Headers.Deadline)); ok {
+	request.Work = quarantine.NewFingerprint(r.Method, request.Host, r.RequestURI, r.Header.Get(bearer.Header), body.Bytes)
+	if left, ok := parseTimeout(r.Header.Get(s.Headers.Deadline)); ok {
 		request.Deadline = began.Add(left)
 	}
 	var flight *steering.ActiveRequest
 	var decision steering.Decision
-	s.Kernel(func(k *steering.Kernel, now time.Time) { flight, decision = k.BeginRequest(now, request) })
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { flight, decision = k.BeginRequest(now, request) })
 	for decision.QuotaPool != "" {
-		decision = s.token(r.Context(), flight, decision.QuotaPool)
+		decision = s.acquireToken(r.Context(), flight, decision.QuotaPool)
 	}
-	var answer *serverhttp.Answer
+	var answer *serverhttp.Response
 	for decision.Server != nil {
 		if decision.SlotRequest != nil {
-			decision = s.place(r.Context(), flight, *decision.SlotRequest)
+			decision = s.acquireSlot(r.Context(), flight, *decision.SlotRequest)
 			continue
 		}
 		var attempt steering.Attempt
 		answer.Release()
-		attempt, answer = s.Send(r.Context(), s.attempt(r, body.Bytes, request, flight, decision.Server))
-		decision = s.ended(flight, attempt)
+		attempt, answer = s.Send(r.Context(), s.newServerRequest(r, body.Bytes, request, flight, decision.Server))
+		decision = s.endAttempt(flight, attempt)
 	}
-	s.reply(w, r, decision, answer)
+	s.writeResponse(w, r, decision, answer)
 	answer.Release()
 }
 
-// token asks a pool whether the request is within its account's limit.
-func (s *Server) token(ctx context.Context, f *steering.ActiveRequest, pool string) (d steering.Decision) {
-	token, answered := s.AskPool(ctx, pool, f.Account.Name)
-	s.Kernel(func(k *steering.Kernel, now time.Time) { d = k.ApplyPoolToken(now, f, token, answered) })
+// acquireToken asks a pool whether the request is within its account's limit.
+func (s *Server) acquireToken(ctx context.Context, f *steering.ActiveRequest, pool string) (d steering.Decision) {
+	token, answered := s.RequestPoolToken(ctx, pool, f.Account.Name)
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.ApplyPoolToken(now, f, token, answered) })
 	return d
 }
 
-// place waits for a place at the server that the request should go to.
-func (s *Server) place(ctx context.Context, f *steering.ActiveRequest, a steering.SlotRequest) (d steering.Decision) {
-	reply, answered := s.Ask(ctx, a)
+// acquireSlot waits for a place at the server that the request should go to.
+func (s *Server) acquireSlot(ctx context.Context, f *steering.ActiveRequest, a steering.SlotRequest) (d steering.Decision) {
+	reply, answered := s.RequestSlot(ctx, a)
 	if ctx.Err() != nil {
-		return s.ended(f, steering.Attempt{Result: steering.ResultCallerGone, Err: ctx.Err()})
+		return s.endAttempt(f, steering.Attempt{Result: steering.ResultCallerGone, Err: ctx.Err()})
 	}
-	s.Kernel(func(k *steering.Kernel, now time.Time) { d = k.HandleSlotReply(now, f, reply, answered) })
-	s.giveBack(d)
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.HandleSlotReply(now, f, reply, answered) })
+	s.releaseSlot(d)
 	return d
 }
 
-// ended tells how an attempt ended and gives the request's place back.
-func (s *Server) ended(f *steering.ActiveRequest, a steering.Attempt) (d steering.Decision) {
-	s.Kernel(func(k *steering.Kernel, now time.Time) { d = k.EndAttempt(now, f, a) })
-	s.giveBack(d)
+// endAttempt tells how an attempt ended and gives the request's place back.
+func (s *Server) endAttempt(f *steering.ActiveRequest, a steering.Attempt) (d steering.Decision) {
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.EndAttempt(now, f, a) })
+	s.releaseSlot(d)
 	return d
 }
 
-func (s *Server) giveBack(d steering.Decision) {
+func (s *Server) releaseSlot(d steering.Decision) {
 	if d.SlotRelease != nil {
-		s.GiveBack(*d.SlotRelease)
+		s.ReleaseSlot(*d.SlotRelease)
 	}
 }
 
 // awaitConfiguration waits for the first configuration just after the start.
 func (s *Server) awaitConfiguration(ctx context.Context) {
-	left := startWait - s.Now().Sub(s.Started)
+	left := configurationTimeout - s.Now().Sub(s.StartedAt)
 	if left <= 0 {
 		return
 	}
@@ -186,23 +186,23 @@
 	}
 }
 
-func (s *Server) attempt(r *http.Request, body []byte, q steering.Request, f *steering.ActiveRequest, t *steering.Target) serverhttp.Request {
+func (s *Server) newServerRequest(r *http.Request, body []byte, q steering.Request, f *steering.ActiveRequest, t *steering.Target) serverhttp.Request {
 	account := ""
 	if f.Account != nil {
 		account = f.Account.Name
 	}
 	return serverhttp.Request{
-		Keyed: f.HasAccounts, Account: account,
-		Address: t.Address, Instance: t.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI,
-		Header: r.Header, Body: body, Attempt: q.ID, Deadline: f.ExpiresAt,
-		DialLimit:   min(dialBase+dialRoundTrips*t.RoundTrip, f.ExpiresAt.Sub(s.Now())),
-		Connections: t.MaxConnections, Withheld: func() bool { return s.withheld(f) },
+		HasAccounts: f.HasAccounts, Account: account,
+		Address: t.Address, InstanceID: t.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI,
+		Header: r.Header, Body: body, AttemptID: q.ID, Deadline: f.ExpiresAt,
+		DialTimeout:    min(dialBaseTimeout+dialRoundTrips*t.RoundTrip, f.ExpiresAt.Sub(s.Now())),
+		MaxConnections: t.MaxConnections, StoppedAccepting: func() bool { return s.serverStoppedAccepting(f) },
 	}
 }
 
-// withheld reports whether the server of an attempt has asked for no more meanwhile.
-func (s *Server) withheld(f *steering.ActiveRequest) (withheld bool) {
-	s.Kernel(func(k *steering.Kernel, now time.Time) { withheld = !k.ServerStillAccepts(now, f) })
+// serverStoppedAccepting reports whether the server of an attempt has asked for no more meanwhile.
+func (s *Server) serverStoppedAccepting(f *steering.ActiveRequest) (withheld bool) {
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { withheld = !k.ServerStillAccepts(now, f) })
 	return withheld
 }
 
@@ -210,8 +210,8 @@
 // again, and a caller that breaks off half way must not leave half a request
 // with a server.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) (*bodies.Body, error) {
-	limit, within := int64(bodyDefault), bodyTimeout
-	s.Kernel(func(k *steering.Kernel, _ time.Time) {
+	limit, within := int64(defaultMaxBodyBytes), bodyTimeout
+	s.WithKernel(func(k *steering.Kernel, _ time.Time) {
 		t := k.Table()
 		if t == nil {
 			return
@@ -221,18 +221,18 @@
 		}
 		within = max(within, t.Limits.HeaderTimeout)
 	})
-	return s.Memory.ReadRequest(w, r, limit, within)
+	return s.BodyMemory.ReadRequest(w, r, limit, within)
 }
 
-// refuseBody answers a request whose body is not there; nothing was sent on.
-func (s *Server) refuseBody(w http.ResponseWriter, r *http.Request, err error) {
-	klog.InfoS("body refused", "request", r.Header.Get(s.Headers.Attempt), "length", r.ContentLength, "error", err.Error())
+// rejectBody answers a request whose body is not there; nothing was sent on.
+func (s *Server) rejectBody(w http.ResponseWriter, r *http.Request, err error) {
+	klog.InfoS("body refused", "request", r.Header.Get(s.Headers.AttemptID), "length", r.ContentLength, "error", err.Error())
 	w.Header().Set("Connection", "close")
 	switch {
 	case errors.Is(err, bodies.ErrTooLarge):
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
-	case errors.Is(err, bodies.ErrNoMemory):
-		s.refuse(w, r, steering.Decision{NotRun: true, RetryAfter: noMemoryPause})
+	case errors.Is(err, bodies.ErrMemoryExhausted):
+		s.writeError(w, r, steering.Decision{NotRun: true, RetryAfter: noMemoryRetryAfter})
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		w.WriteHeader(http.StatusRequestTimeout)
 	default:
@@ -241,13 +241,13 @@
 	}
 }
 
-// reply gives the caller the final answer.
-func (s *Server) reply(w http.ResponseWriter, r *http.Request, d steering.Decision, answer *serverhttp.Answer) {
-	if s.Stopping() || d.TryOtherProxy {
+// writeResponse gives the caller the final answer.
+func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, d steering.Decision, answer *serverhttp.Response) {
+	if s.IsStopping() || d.TryOtherProxy {
 		w.Header().Set("Connection", "close")
 	}
 	if !d.ReturnResponse || answer == nil {
-		s.refuse(w, r, d)
+		s.writeError(w, r, d)
 		return
 	}
 	header := w.Header()
@@ -258,8 +258,8 @@
 		header.Set("Content-Length", strconv.Itoa(len(answer.Body.Bytes)))
 	}
 	w.WriteHeader(answer.Status)
-	if err := bodies.Write(w, answer.Body.Bytes, answerTimeout); err != nil {
-		klog.V(1).InfoS("answer not delivered", "request", r.Header.Get(s.Headers.Attempt), "error", err.Error())
+	if err := bodies.Write(w, answer.Body.Bytes, responseTimeout); err != nil {
+		klog.V(1).InfoS("answer not delivered", "request", r.Header.Get(s.Headers.AttemptID), "error", err.Error())
 	}
 }
 
@@ -267,9 +267,9 @@
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// refuse tells the caller that there is no answer: 503 only if the request has
+// writeError tells the caller that there is no answer: 503 only if the request has
 // not run and never will.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, d steering.Decision) {
+func (s *Server) writeError(w http.ResponseWriter, r *http.Request, d steering.Decision) {
 	status := http.StatusBadGateway
 	switch {
 	case d.Reason == steering.ReasonNoRoute:
@@ -286,23 +286,23 @@
 	case d.Reason == steering.ReasonTimeout:
 		status = http.StatusGatewayTimeout
 	}
-	if id := r.Header.Get(s.Headers.Attempt); id != "" {
-		w.Header().Set(s.Headers.Attempt, id)
+	if id := r.Header.Get(s.Headers.AttemptID); id != "" {
+		w.Header().Set(s.Headers.AttemptID, id)
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 }
 
-func parseLeft(text string) (time.Duration, bool) {
+func parseTimeout(text string) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || ms < 0 || ms > deadlineMost.Milliseconds() {
+	if err != nil || ms < 0 || ms > maxCallerTimeout.Milliseconds() {
 		return 0, false
 	}
 	return time.Duration(ms) * time.Millisecond, true
 }
 
-// hostOf is the host without a port.
-func hostOf(host string) string {
+// hostWithoutPort is the host without a port.
+func hostWithoutPort(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		return name
 	}
--- a/internal/adapter/forwardhttp/server_test.go
+++ b/internal/adapter/forwardhttp/server_test.go
@@ -33,7 +33,7 @@
 		stopping bool
 	}
 
-	sender func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer)
+	sender func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response)
 )
 
 func newFront(t *testing.T, configured bool, send sender) *front {
@@ -47,19 +47,19 @@
 	t.Helper()
 	f := &front{kernel: steering.New(steering.Config{Name: "p", Domain: "a", Region: "r", RegionOf: map[string]string{"a": "r"}})}
 	s := &Server{
-		Headers: Headers{Attempt: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
-		Kernel: func(do func(*steering.Kernel, time.Time)) {
+		Headers: Headers{AttemptID: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
+		WithKernel: func(do func(*steering.Kernel, time.Time)) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			do(f.kernel, time.Now())
 		},
-		Memory: bodies.NewMemory(testMemory), Send: send, Now: time.Now, Stopping: func() bool { return f.stopping },
-		Configured: begun, Started: started,
+		BodyMemory: bodies.NewMemoryBudget(testMemory), Send: send, Now: time.Now, IsStopping: func() bool { return f.stopping },
+		Configured: begun, StartedAt: started,
 	}
 	if configured {
 		f.configure()
 	}
-	f.Server = httptest.NewServer(s.HTTP().Handler)
+	f.Server = httptest.NewServer(s.HTTPServer().Handler)
 	t.Cleanup(f.Close)
 	return f
 }
@@ -106,8 +106,8 @@
 }
 
 func answers(result steering.Result, status int, body string) sender {
-	return func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
-		return steering.Attempt{Result: result}, &serverhttp.Answer{Status: status, Header: http.Header{"Seal": {"s"}}, Body: &bodies.Body{Bytes: []byte(body)}}
+	return func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+		return steering.Attempt{Result: result}, &serverhttp.Response{Status: status, Header: http.Header{"Seal": {"s"}}, Body: &bodies.Body{Bytes: []byte(body)}}
 	}
 }
 
@@ -149,7 +149,7 @@
 		"late":        {steering.ResultTimeout, http.StatusGatewayTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFront(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
+			f := newFront(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 				return steering.Attempt{Result: c.result}, nil
 			})
 			got := get(t, http.MethodPost, f.URL+"/a/x", "data")
@@ -184,10 +184,10 @@
 // before, the process was killed with all its requests.
 func TestBodiesBeyondMemoryAreRefusedAsNotRun(t *testing.T) {
 	entered, leave := make(chan bool, 1), make(chan bool)
-	f := newFront(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
+	f := newFront(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		entered <- true
 		<-leave
-		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
 	body := strings.Repeat("x", 100)
 	first := make(chan reply, 1)
@@ -211,12 +211,12 @@
 // would come back later together, and late.
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
 	configured := make(chan struct{})
-	f := startFront(t, false, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
-		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
+	f := startFront(t, false, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	}, time.Now(), configured)
 	answered := make(chan int, 1)
 	go func() { answered <- get(t, http.MethodGet, f.URL+"/a/x", "").status }()
-	time.Sleep(startWait / 10)
+	time.Sleep(configurationTimeout / 10)
 	f.configure()
 	close(configured)
 	if got := <-answered; got != http.StatusOK {
@@ -240,9 +240,9 @@
 // The deadline handed on is the sooner of the caller's and the route's.
 func TestDeadlineHandedOn(t *testing.T) {
 	var left time.Duration
-	f := newFront(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
+	f := newFront(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		left = time.Until(r.Deadline)
-		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
 	get(t, http.MethodGet, f.URL+"/a/x", "")
 	if left <= 0 || left > 700*time.Millisecond {
@@ -253,7 +253,7 @@
 // A caller gives up while its request runs. The server must hear of it soon.
 func TestLeavingCallerEndsTheAttempt(t *testing.T) {
 	ended := make(chan time.Duration, 1)
-	f := newFront(t, true, func(ctx context.Context, _ serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
+	f := newFront(t, true, func(ctx context.Context, _ serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		began := time.Now()
 		<-ctx.Done()
 		ended <- time.Since(began)
--- a/internal/adapter/serverhttp/account_test.go
+++ b/internal/adapter/serverhttp/account_test.go
@@ -18,8 +18,8 @@
 		"Connection": {name},
 	}
 	for want, keyed := range map[string]bool{"anna": true, "": true, "unkeyed": false} {
-		r := Request{Header: given.Clone(), Keyed: keyed, Account: want, Host: "example", Target: "/"}
-		got := c.message(r).Header
+		r := Request{Header: given.Clone(), HasAccounts: keyed, Account: want, Host: "example", Target: "/"}
+		got := c.newMessage(r).Header
 		if !keyed {
 			if got.Get("Authorization") == "" {
 				t.Error("without client accounts the field is not the system's, and is passed on")
--- a/internal/adapter/serverhttp/client.go
+++ b/internal/adapter/serverhttp/client.go
@@ -30,25 +30,25 @@
 )
 
 const (
-	// answerMost bounds an answer, which is held whole before it is passed
+	// maxResponseBytes bounds an answer, which is held whole before it is passed
 	// on: a part must never look like the whole.
-	answerMost = 16 << 20
-	// inlineBody is the largest body that is written before the answer is
+	maxResponseBytes = 16 << 20
+	// maxInlineBodyBytes is the largest body that is written before the answer is
 	// read. A server may answer before it has read a longer one, and neither
 	// side would go on if both only wrote.
-	inlineBody = 16 << 10
-	// strayMost is how many answers to earlier requests are skipped.
-	strayMost  = 2
-	bufferSize = 4 << 10
+	maxInlineBodyBytes = 16 << 10
+	// maxStrayResponses is how many answers to earlier requests are skipped.
+	maxStrayResponses = 2
+	bufferSize        = 4 << 10
 )
 
 var (
-	errStray     = errors.New("answers to other requests only")
-	errUnsigned  = errors.New("success without the server's seal")
-	errUnclaimed = errors.New("answer on a kept connection does not name its request")
+	errOnlyStrayResponses = errors.New("answers to other requests only")
+	errMissingSeal        = errors.New("success without the server's seal")
+	errMissingAttemptID   = errors.New("answer on a kept connection does not name its request")
 
-	// hopHeaders concern one connection only and are never passed on.
-	hopHeaders = []string{
+	// hopByHopHeaders concern one connection only and are never passed on.
+	hopByHopHeaders = []string{
 		"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 		"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	}
@@ -57,12 +57,12 @@
 type (
 	// Headers names the header fields that servers and proxies exchange.
 	Headers struct {
-		// Attempt names one attempt of a caller; servers echo it.
-		Attempt string
+		// AttemptID names one attempt of a caller; servers echo it.
+		AttemptID string
 		// Deadline is the time left in milliseconds.
 		Deadline string
-		// Instance is the id of the server that is meant.
-		Instance string
+		// InstanceID is the id of the server that is meant.
+		InstanceID string
 		// Load tells running and waiting requests and slots.
 		Load string
 		// NotRun marks an answer to a request that the server did not run.
@@ -73,45 +73,45 @@
 		Account string
 		// Limit is the rate of requests that a server takes from all proxies together.
 		Limit string
-		// Leaving is set to LeavingValue by a server that takes no new requests any more.
-		Leaving, LeavingValue string
+		// Draining is set to DrainingValue by a server that takes no new requests any more.
+		Draining, DrainingValue string
 	}
 
 	// Client exchanges requests with servers.
 	Client struct {
 		headers Headers
 		pool    *pool
-		memory  *bodies.Memory
+		memory  *bodies.MemoryBudget
 		now     func() time.Time
 	}
 
 	// Request is one attempt.
 	Request struct {
-		Address  netip.AddrPort
-		Instance string
-		Method   string
-		Host     string
+		Address    netip.AddrPort
+		InstanceID string
+		Method     string
+		Host       string
 		// Target is the path and query as the caller wrote them.
-		Target   string
-		Header   http.Header
-		Body     []byte
-		Attempt  string
-		Deadline time.Time
-		// DialLimit bounds the opening of a connection.
-		DialLimit time.Duration
-		// Withheld reports whether the server has asked for no more requests since this one
+		Target    string
+		Header    http.Header
+		Body      []byte
+		AttemptID string
+		Deadline  time.Time
+		// DialTimeout bounds the opening of a connection.
+		DialTimeout time.Duration
+		// StoppedAccepting reports whether the server has asked for no more requests since this one
 		// was meant for it; nil for never.
-		Withheld func() bool
-		// Connections bounds the connections to the server; zero for no bound.
-		Connections int
-		// Keyed is set if requests carry keys of client accounts, which servers must not
+		StoppedAccepting func() bool
+		// MaxConnections bounds the connections to the server; zero for no bound.
+		MaxConnections int
+		// HasAccounts is set if requests carry keys of client accounts, which servers must not
 		// see; Account is that of the request, empty for none.
-		Keyed   bool
-		Account string
+		HasAccounts bool
+		Account     string
 	}
 
-	// Answer is a server's whole answer. Its body must be released.
-	Answer struct {
+	// Response is a server's whole answer. Its body must be released.
+	Response struct {
 		Status int
 		Header http.Header
 		Body   *bodies.Body
@@ -129,7 +129,7 @@
 )
 
 // Release gives the memory of an answer's body back; there may be no answer.
-func (a *Answer) Release() {
+func (a *Response) Release() {
 	if a != nil {
 		a.Body.Release()
 	}
@@ -137,25 +137,25 @@
 
 // NewClient makes a client that holds answers in memory. opened is told of each
 // new connection.
-func NewClient(h Headers, m *bodies.Memory, now func() time.Time, opened func()) *Client {
+func NewClient(h Headers, m *bodies.MemoryBudget, now func() time.Time, opened func()) *Client {
 	return &Client{headers: h, memory: m, now: now, pool: newPool(now, opened)}
 }
 
 // Send makes one attempt. The answer is nil unless a whole one arrived.
-func (c *Client) Send(ctx context.Context, r Request) (steering.Attempt, *Answer) {
-	connection, roundTrip, err := c.pool.get(ctx, r.Address, r.DialLimit)
+func (c *Client) Send(ctx context.Context, r Request) (steering.Attempt, *Response) {
+	connection, roundTrip, err := c.pool.get(ctx, r.Address, r.DialTimeout)
 	if err != nil {
 		if ctx.Err() != nil {
 			return steering.Attempt{Result: steering.ResultCallerGone, Err: ctx.Err()}, nil
 		}
-		return steering.Attempt{Result: steering.ResultUnreachable, Refusing: Refusing(err), Err: err}, nil
+		return steering.Attempt{Result: steering.ResultUnreachable, Refusing: IsConnectionRefused(err), Err: err}, nil
 	}
-	if connection.fresh() && r.Withheld != nil && r.Withheld() {
+	if connection.isFirstUse() && r.StoppedAccepting != nil && r.StoppedAccepting() {
 		connection.uses = 0
-		c.pool.put(connection, true, r.Connections)
+		c.pool.put(connection, true, r.MaxConnections)
 		return steering.Attempt{Result: steering.ResultNotSent, RoundTrip: roundTrip}, nil
 	}
-	e := &exchange{client: c, conn: connection, request: r, message: c.message(r)}
+	e := &exchange{client: c, conn: connection, request: r, message: c.newMessage(r)}
 	stop := context.AfterFunc(ctx, connection.abort)
 	answer, reusable, err := e.run()
 	if !stop() {
@@ -163,14 +163,14 @@
 		answer.Release()
 		return steering.Attempt{Result: steering.ResultCallerGone, Err: context.Cause(ctx), Signal: e.signal}, nil
 	}
-	c.pool.put(connection, reusable, r.Connections)
-	attempt := c.judge(r, answer, err)
+	c.pool.put(connection, reusable, r.MaxConnections)
+	attempt := c.classify(r, answer, err)
 	attempt.RoundTrip, attempt.Signal = roundTrip, e.signal
 	return attempt, answer
 }
 
-// Measure opens a connection to learn the round trip and keeps it for later.
-func (c *Client) Measure(ctx context.Context, address netip.AddrPort, limit time.Duration) (time.Duration, error) {
+// MeasureRoundTrip opens a connection to learn the round trip and keeps it for later.
+func (c *Client) MeasureRoundTrip(ctx context.Context, address netip.AddrPort, limit time.Duration) (time.Duration, error) {
 	connection, roundTrip, err := c.pool.get(ctx, address, limit)
 	if err != nil {
 		return 0, err
@@ -180,15 +180,15 @@
 	return roundTrip, nil
 }
 
-// Refusing reports whether a connection failed because nothing listens there: the server
+// IsConnectionRefused reports whether a connection failed because nothing listens there: the server
 // has ended. One that is cut off or overloaded does not answer at all.
-func Refusing(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Forget closes the idle connections to a server that has started again.
-func (c *Client) Forget(address netip.AddrPort) { c.pool.forget(address) }
+// CloseIdleConnections closes the idle connections to a server that has started again.
+func (c *Client) CloseIdleConnections(address netip.AddrPort) { c.pool.closeIdle(address) }
 
-// message is the request as the server sees it.
-func (c *Client) message(r Request) *http.Request {
+// newMessage is the request as the server sees it.
+func (c *Client) newMessage(r Request) *http.Request {
 	header := make(http.Header, len(r.Header)+4)
 	CopyHeader(header, r.Header)
 	if _, given := header["User-Agent"]; !given {
@@ -197,8 +197,8 @@
 	}
 	left := max(1, r.Deadline.Sub(c.now()).Milliseconds())
 	header.Set(c.headers.Deadline, strconv.FormatInt(left, 10))
-	header.Set(c.headers.Instance, r.Instance)
-	if r.Keyed {
+	header.Set(c.headers.InstanceID, r.InstanceID)
+	if r.HasAccounts {
 		c.setAccount(header, r.Account)
 	}
 	m := &http.Request{
@@ -223,9 +223,9 @@
 // setAccount puts the name of the client account in the place of its key. What the caller
 // has sent there, in any spelling, goes.
 func (c *Client) setAccount(header http.Header, account string) {
-	header.Del(bearer.Field)
+	header.Del(bearer.Header)
 	for name := range header {
-		if bearer.Same(name, c.headers.Account) {
+		if bearer.SameHeader(name, c.headers.Account) {
 			delete(header, name)
 		}
 	}
@@ -234,8 +234,8 @@
 	}
 }
 
-// judge says what an exchange means for the request.
-func (c *Client) judge(r Request, answer *Answer, err error) steering.Attempt {
+// classify says what an exchange means for the request.
+func (c *Client) classify(r Request, answer *Response, err error) steering.Attempt {
 	a := steering.Attempt{Err: err}
 	if answer == nil {
 		a.Result = steering.ResultConnectionLost
@@ -275,12 +275,12 @@
 
 // run writes the request and reads the answer to it. reusable is set if the
 // connection may serve another request.
-func (e *exchange) run() (answer *Answer, reusable bool, err error) {
+func (e *exchange) run() (answer *Response, reusable bool, err error) {
 	if err := e.conn.SetDeadline(e.request.Deadline); err != nil {
 		return nil, false, errors.Wrap(err, "deadline")
 	}
 	written := make(chan error, 1)
-	if len(e.request.Body) <= inlineBody {
+	if len(e.request.Body) <= maxInlineBodyBytes {
 		if err := e.write(); err != nil {
 			return nil, false, err
 		}
@@ -313,63 +313,63 @@
 // read takes in answers until the one that belongs to the request. A server
 // may send a second answer to an earlier request where this one's is due; the
 // attempt's id tells them apart.
-func (e *exchange) read() (*Answer, bool, error) {
+func (e *exchange) read() (*Response, bool, error) {
 	strayed := false
-	for range strayMost + 1 {
+	for range maxStrayResponses + 1 {
 		answer, closes, err := e.readOne()
 		if err != nil {
 			return nil, true, err
 		}
-		switch id := answer.Header.Get(e.client.headers.Attempt); {
-		case id == e.request.Attempt:
-			return e.checked(answer, closes || strayed)
-		case id == "" && e.conn.fresh():
+		switch id := answer.Header.Get(e.client.headers.AttemptID); {
+		case id == e.request.AttemptID:
+			return e.checkSeal(answer, closes || strayed)
+		case id == "" && e.conn.isFirstUse():
 			// Nothing was sent on this connection before, so there is no
 			// other request that the answer could belong to.
-			return e.checked(answer, closes)
+			return e.checkSeal(answer, closes)
 		case id == "":
 			answer.Release()
-			return nil, true, errUnclaimed
+			return nil, true, errMissingAttemptID
 		}
 		answer.Release()
 		strayed = true
 	}
-	return nil, true, errStray
+	return nil, true, errOnlyStrayResponses
 }
 
-func (e *exchange) checked(answer *Answer, closes bool) (*Answer, bool, error) {
+func (e *exchange) checkSeal(answer *Response, closes bool) (*Response, bool, error) {
 	success := answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices
 	if success && answer.Header.Get(e.client.headers.Seal) == "" {
 		answer.Release()
-		return nil, true, errUnsigned
+		return nil, true, errMissingSeal
 	}
 	return answer, closes, nil
 }
 
-func (e *exchange) readOne() (*Answer, bool, error) {
-	response, err := e.response()
+func (e *exchange) readOne() (*Response, bool, error) {
+	response, err := e.nextFinalResponse()
 	if err != nil {
 		return nil, true, errors.Wrap(err, "read answer")
 	}
 	defer func() { _ = response.Body.Close() }()
-	e.hearSignal(response)
+	e.recordSignal(response)
 	told := response.ContentLength
 	if e.request.Method == http.MethodHead {
 		// The length is that of the answer to a GET; nothing follows.
 		told = 0
 	}
-	body, err := e.client.memory.Read(response.Body, told, answerMost)
+	body, err := e.client.memory.Read(response.Body, told, maxResponseBytes)
 	if err != nil {
 		return nil, true, errors.Wrap(err, "hold answer")
 	}
-	e.conn.keepFor(response.Header.Get("Keep-Alive"))
+	e.conn.applyKeepAlive(response.Header.Get("Keep-Alive"))
 	header := make(http.Header, len(response.Header))
 	CopyHeader(header, response.Header)
-	return &Answer{Status: response.StatusCode, Header: header, Body: body}, response.Close, nil
+	return &Response{Status: response.StatusCode, Header: header, Body: body}, response.Close, nil
 }
 
-// response reads the next final response; interim ones are skipped.
-func (e *exchange) response() (*http.Response, error) {
+// nextFinalResponse reads the next final response; interim ones are skipped.
+func (e *exchange) nextFinalResponse() (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(e.conn.reader, e.message)
 		if err != nil {
@@ -392,7 +392,7 @@
 			into.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		into.Del(name)
 	}
 }
--- a/internal/adapter/serverhttp/client_test.go
+++ b/internal/adapter/serverhttp/client_test.go
@@ -26,7 +26,7 @@
 
 var (
 	headers = Headers{
-		Attempt: "Attempt", Deadline: "Time-Left", Instance: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal",
+		AttemptID: "Attempt", Deadline: "Time-Left", InstanceID: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal",
 	}
 )
 
@@ -86,22 +86,22 @@
 }
 
 func newTestClient() *Client {
-	return NewClient(headers, bodies.NewMemory(64<<20), time.Now, func() {})
+	return NewClient(headers, bodies.NewMemoryBudget(64<<20), time.Now, func() {})
 }
 
-func send(c *Client, s *rawServer, attempt string) (steering.Attempt, *Answer) {
+func send(c *Client, s *rawServer, attempt string) (steering.Attempt, *Response) {
 	return c.Send(context.Background(), request(s, attempt))
 }
 
 func request(s *rawServer, attempt string) Request {
 	return Request{
-		Address: s.address(), Instance: "i-1", Method: http.MethodGet, Host: "example", Target: "/a?b=c",
-		Header: http.Header{"Attempt": {attempt}}, Attempt: attempt,
-		Deadline: time.Now().Add(5 * time.Second), DialLimit: time.Second,
+		Address: s.address(), InstanceID: "i-1", Method: http.MethodGet, Host: "example", Target: "/a?b=c",
+		Header: http.Header{"Attempt": {attempt}}, AttemptID: attempt,
+		Deadline: time.Now().Add(5 * time.Second), DialTimeout: time.Second,
 	}
 }
 
-func expect(t *testing.T, a steering.Attempt, answer *Answer, result steering.Result, body string) {
+func expect(t *testing.T, a steering.Attempt, answer *Response, result steering.Result, body string) {
 	t.Helper()
 	if a.Result != result {
 		t.Fatalf("result is %s (%v), want %s", a.Result, a.Err, result)
@@ -391,7 +391,7 @@
 	c := newTestClient()
 	for i, want := range []string{"1", "1", "2"} {
 		if i == 2 {
-			c.Forget(s.address())
+			c.CloseIdleConnections(s.address())
 		}
 		a, answer := send(c, s, fmt.Sprint("a", i))
 		expect(t, a, answer, steering.ResultAnswered, want)
@@ -424,8 +424,8 @@
 	for range together {
 		clients.Go(func() {
 			c.Send(context.Background(), Request{
-				Address: s.address(), Method: http.MethodGet, Host: "h", Target: "/", Attempt: "a",
-				Deadline: time.Now().Add(patience), DialLimit: patience, Connections: most,
+				Address: s.address(), Method: http.MethodGet, Host: "h", Target: "/", AttemptID: "a",
+				Deadline: time.Now().Add(patience), DialTimeout: patience, MaxConnections: most,
 			})
 		})
 	}
@@ -440,12 +440,12 @@
 
 func TestServersWordOnIdleConnections(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"": keepDefault, "timeout=5": 4 * time.Second, "max=3, timeout=2": time.Second, "timeout=0": 0, "timeout=x": keepDefault,
+		"": defaultKeepAlive, "timeout=5": 4 * time.Second, "max=3, timeout=2": time.Second, "timeout=0": 0, "timeout=x": defaultKeepAlive,
 	} {
-		c := &conn{keep: keepDefault}
-		c.keepFor(text)
-		if c.keep != want {
-			t.Errorf("%q: kept for %s, want %s", text, c.keep, want)
+		c := &conn{keepAlive: defaultKeepAlive}
+		c.applyKeepAlive(text)
+		if c.keepAlive != want {
+			t.Errorf("%q: kept for %s, want %s", text, c.keepAlive, want)
 		}
 	}
 }
--- a/internal/adapter/serverhttp/pool.go
+++ b/internal/adapter/serverhttp/pool.go
@@ -16,54 +16,54 @@
 )
 
 const (
-	// keepDefault is how long an idle connection is used if the server names
+	// defaultKeepAlive is how long an idle connection is used if the server names
 	// no time of its own. Servers commonly close idle ones after ten seconds.
-	keepDefault = 8 * time.Second
-	// keepMargin is taken off the time a server names: a request that crosses
+	defaultKeepAlive = 8 * time.Second
+	// keepAliveMargin is taken off the time a server names: a request that crosses
 	// the server's close may have run.
-	keepMargin = time.Second
-	// idleMost bounds the idle connections to one server.
-	idleMost = 8
-	// sweepEvery is how often idle connections that ran out are closed.
-	sweepEvery = 2 * time.Second
-	// unackedMost is how long sent bytes may stay without an acknowledgement.
+	keepAliveMargin = time.Second
+	// maxIdleConnections bounds the idle connections to one server.
+	maxIdleConnections = 8
+	// sweepInterval is how often idle connections that ran out are closed.
+	sweepInterval = 2 * time.Second
+	// tcpUserTimeout is how long sent bytes may stay without an acknowledgement.
 	// A connection that has gone silent shows no other sign.
-	unackedMost = 700 * time.Millisecond
+	tcpUserTimeout = 700 * time.Millisecond
 )
 
 type (
 	pool struct {
-		mu     sync.Mutex
-		idle   map[netip.AddrPort][]*conn
-		now    func() time.Time
-		opened func()
-		dialer net.Dialer
-		swept  time.Time
+		mu      sync.Mutex
+		idle    map[netip.AddrPort][]*conn
+		now     func() time.Time
+		onOpen  func()
+		dialer  net.Dialer
+		sweptAt time.Time
 	}
 
 	// conn is a connection to a server, used by one request at a time.
 	conn struct {
 		net.Conn
-		reader  *bufio.Reader
-		address netip.AddrPort
-		uses    int
-		expires time.Time
-		keep    time.Duration
+		reader    *bufio.Reader
+		address   netip.AddrPort
+		uses      int
+		expires   time.Time
+		keepAlive time.Duration
 	}
 )
 
 func newPool(now func() time.Time, opened func()) *pool {
 	return &pool{
-		idle: make(map[netip.AddrPort][]*conn), now: now, opened: opened,
-		dialer: net.Dialer{Control: boundUnacked, KeepAlive: -1},
+		idle: make(map[netip.AddrPort][]*conn), now: now, onOpen: opened,
+		dialer: net.Dialer{Control: setTCPUserTimeout, KeepAlive: -1},
 	}
 }
 
-// boundUnacked makes the system report a peer that has fallen silent.
-func boundUnacked(_, _ string, raw syscall.RawConn) error {
+// setTCPUserTimeout makes the system report a peer that has fallen silent.
+func setTCPUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedMost.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -75,11 +75,11 @@
 // is returned with a new one.
 func (p *pool) get(ctx context.Context, address netip.AddrPort, limit time.Duration) (*conn, time.Duration, error) {
 	for {
-		c := p.take(address)
+		c := p.popIdle(address)
 		if c == nil {
 			break
 		}
-		if p.now().Before(c.expires) && c.quiet() {
+		if p.now().Before(c.expires) && c.isReusable() {
 			c.uses++
 			return c, 0, nil
 		}
@@ -92,13 +92,13 @@
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "connect")
 	}
-	p.opened()
-	c := &conn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferSize), address: address, uses: 1, keep: keepDefault}
+	p.onOpen()
+	c := &conn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferSize), address: address, uses: 1, keepAlive: defaultKeepAlive}
 	return c, p.now().Sub(began), nil
 }
 
-// take removes the idle connection that was used last.
-func (p *pool) take(address netip.AddrPort) *conn {
+// popIdle removes the idle connection that was used last.
+func (p *pool) popIdle(address netip.AddrPort) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -118,24 +118,24 @@
 		return
 	}
 	now := p.now()
-	c.expires = now.Add(c.keep)
+	c.expires = now.Add(c.keepAlive)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep(now)
 	if most <= 0 {
-		most = idleMost
+		most = maxIdleConnections
 	}
 	list := p.idle[c.address]
-	for len(list) >= min(most, idleMost) {
+	for len(list) >= min(most, maxIdleConnections) {
 		_ = list[0].Close()
 		list = list[1:]
 	}
 	p.idle[c.address] = append(list, c)
 }
 
-// forget closes the idle connections to a server. One that has started again knows
+// closeIdle closes the idle connections to a server. One that has started again knows
 // nothing of them, and a cut may hide that for as long as it lasts.
-func (p *pool) forget(address netip.AddrPort) {
+func (p *pool) closeIdle(address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
@@ -147,10 +147,10 @@
 // sweep closes the connections that have been idle for too long, also those
 // to servers that are gone. The lock is held.
 func (p *pool) sweep(now time.Time) {
-	if now.Sub(p.swept) < sweepEvery {
+	if now.Sub(p.sweptAt) < sweepInterval {
 		return
 	}
-	p.swept = now
+	p.sweptAt = now
 	for address, list := range p.idle {
 		for len(list) > 0 && !now.Before(list[0].expires) {
 			_ = list[0].Close()
@@ -163,14 +163,14 @@
 	}
 }
 
-func (c *conn) fresh() bool { return c.uses == 1 }
+func (c *conn) isFirstUse() bool { return c.uses == 1 }
 
 func (c *conn) abort() { _ = c.Close() }
 
-// quiet reports whether nothing waits to be read. An idle connection has no
+// isReusable reports whether nothing waits to be read. An idle connection has no
 // answer due: bytes are a stray answer, and an end means that the server has
 // closed.
-func (c *conn) quiet() bool {
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -191,15 +191,15 @@
 	return err == nil && quiet
 }
 
-// keepFor takes in the server's own word on how long it keeps the connection.
-func (c *conn) keepFor(header string) {
+// applyKeepAlive takes in the server's own word on how long it keeps the connection.
+func (c *conn) applyKeepAlive(header string) {
 	for _, part := range strings.Split(header, ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !found {
 			continue
 		}
 		if seconds, err := strconv.Atoi(text); err == nil {
-			c.keep = max(0, time.Duration(seconds)*time.Second-keepMargin)
+			c.keepAlive = max(0, time.Duration(seconds)*time.Second-keepAliveMargin)
 		}
 	}
 }
--- a/internal/adapter/serverhttp/signal.go
+++ b/internal/adapter/serverhttp/signal.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// retryAfter is the standard field for when to come back.
-	retryAfter = "Retry-After"
+	// retryAfterHeader is the standard field for when to come back.
+	retryAfterHeader = "Retry-After"
 )
 
-// hearSignal takes in what a server's answer asks of its senders. An answer from another
+// recordSignal takes in what a server's answer asks of its senders. An answer from another
 // server at the address asks nothing of the one that was meant.
-func (e *exchange) hearSignal(r *http.Response) {
+func (e *exchange) recordSignal(r *http.Response) {
 	if r.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
-	e.signal = e.signal.Merge(SignalOf(r, e.client.headers, e.request.Instance))
+	e.signal = e.signal.Merge(ParseSignal(r, e.client.headers, e.request.InstanceID))
 }
 
-// SignalOf reads what an answer of a server asks. What can't be read is logged and asks
+// ParseSignal reads what an answer of a server asks. What can't be read is logged and asks
 // nothing.
-func SignalOf(r *http.Response, names Headers, server string) (s backpressure.Signal) {
+func ParseSignal(r *http.Response, names Headers, server string) (s backpressure.Signal) {
 	var err error
 	if s.Limit, err = backpressure.ParseLimit(r.Header.Values(names.Limit)); err != nil {
-		ignore(server, names.Limit, err)
+		logIgnoredSignal(server, names.Limit, err)
 	}
-	s.Draining = names.Leaving != "" && slices.Contains(r.Header.Values(names.Leaving), names.LeavingValue)
-	pauses := r.Header.Values(retryAfter)
+	s.Draining = names.Draining != "" && slices.Contains(r.Header.Values(names.Draining), names.DrainingValue)
+	pauses := r.Header.Values(retryAfterHeader)
 	if r.StatusCode != http.StatusServiceUnavailable || len(pauses) == 0 {
 		return s
 	}
@@ -41,11 +41,11 @@
 		made = time.Now()
 	}
 	if s.Pause, err = backpressure.ParsePause(pauses, made); err != nil {
-		ignore(server, retryAfter, err)
+		logIgnoredSignal(server, retryAfterHeader, err)
 	}
 	return s
 }
 
-func ignore(server, field string, err error) {
+func logIgnoredSignal(server, field string, err error) {
 	klog.V(1).InfoS("signal of a server ignored", "server", server, "field", field, "error", err.Error())
 }
--- a/internal/adapter/serverhttp/signal_test.go
+++ b/internal/adapter/serverhttp/signal_test.go
@@ -14,7 +14,7 @@
 // Guards against signals that are lost with the answers that carry them.
 func TestSignalsOfAllAnswersAreHeard(t *testing.T) {
 	h := headers
-	h.Limit, h.Leaving, h.LeavingValue = "Limit", "Leaving", "1"
+	h.Limit, h.Draining, h.DrainingValue = "Limit", "Leaving", "1"
 	whole := "HTTP/1.1 200 OK\r\nAttempt: a\r\nSeal: s\r\nLimit: 6.5\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		answer string
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -78,8 +78,8 @@
 	})
 	backends = backendhttp.NewClient(connectionsPerServer, d.driver.Now)
 	d.runner = &runner.Runner{Name: s.Name, Kernel: d.driver.Do, Send: backends.Send, Forward: d.peers.Forward}
-	limits := callerhttp.Limits{Body: s.Limits.Body, Total: s.Limits.AllBodies}
-	d.callers = callerhttp.NewServer(d.driver.Do, d.runner.Run, limits, d.driver.Now, d.meters.request).HTTP()
+	limits := callerhttp.Limits{MaxBodyBytes: s.Limits.Body, MaxTotalBytes: s.Limits.AllBodies}
+	d.callers = callerhttp.NewServer(d.driver.Do, d.runner.Run, limits, d.driver.Now, d.meters.request).HTTPServer()
 	d.operators = (&operatorhttp.Server{
 		Kernel:   d.driver.Do,
 		Trust:    config.Trust,
--- a/internal/proxy/forward/bench_test.go
+++ b/internal/proxy/forward/bench_test.go
@@ -45,8 +45,8 @@
 	}))
 	defer backend.Close()
 	names := WireNames{
-		CallerHeaders: forwardhttp.Headers{Attempt: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
-		ServerHeaders: serverhttp.Headers{Attempt: "Attempt", Deadline: "Left", Instance: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal"},
+		CallerHeaders: forwardhttp.Headers{AttemptID: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
+		ServerHeaders: serverhttp.Headers{AttemptID: "Attempt", Deadline: "Left", InstanceID: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal"},
 	}
 	d, err := New(&Settings{Name: "p", Domain: "a", Region: "north", RegionOf: map[string]string{"a": "north"}}, Dependencies{Names: names, DroppedLogLines: func() uint64 { return 0 }})
 	if err != nil {
--- a/internal/proxy/forward/crashalerts.go
+++ b/internal/proxy/forward/crashalerts.go
@@ -69,8 +69,8 @@
 }
 
 func (d *Daemon) probeSuspect(ctx context.Context, s routing.Server) {
-	_, err := d.serverClient.Measure(ctx, s.Address, rttProbeTimeout)
-	if !serverhttp.Refusing(err) {
+	_, err := d.serverClient.MeasureRoundTrip(ctx, s.Address, rttProbeTimeout)
+	if !serverhttp.IsConnectionRefused(err) {
 		klog.V(1).InfoS("probe found no crash of server with broken exchanges", "server", s.ID, "error", errorText(err))
 		return
 	}
--- a/internal/proxy/forward/daemon.go
+++ b/internal/proxy/forward/daemon.go
@@ -98,13 +98,13 @@
 	d.gossip = &gossip{replica: d.replica, send: d.peerClient.Sync}
 	d.storeWatcher = &storeWatcher{replica: d.replica, store: deps.Store}
 	d.registrar = &registrar{replica: d.replica, store: deps.Store}
-	memory := bodies.NewMemory(bodyMemoryLimit(s.MemoryBytes))
+	memory := bodies.NewMemoryBudget(bodyMemoryLimit(s.MemoryBytes))
 	d.serverClient = serverhttp.NewClient(deps.Names.ServerHeaders, memory, d.now, d.metrics.serverConnectionsOpened.Inc)
 	d.callerServer = (&forwardhttp.Server{
-		Headers: deps.Names.CallerHeaders, Kernel: d.withKernel, Memory: memory, Send: d.serverClient.Send, Now: d.now,
-		Ask: d.slots.acquire, GiveBack: d.slots.release, AskPool: d.quotas.takeToken,
-		Stopping: d.isStopping, Configured: d.replica.loaded, Started: d.start,
-	}).HTTP()
+		Headers: deps.Names.CallerHeaders, WithKernel: d.withKernel, BodyMemory: memory, Send: d.serverClient.Send, Now: d.now,
+		RequestSlot: d.slots.acquire, ReleaseSlot: d.slots.release, RequestPoolToken: d.quotas.takeToken,
+		IsStopping: d.isStopping, Configured: d.replica.loaded, StartedAt: d.start,
+	}).HTTPServer()
 	d.readinessServer = &http.Server{Handler: d.readinessHandler(), ReadHeaderTimeout: time.Second, IdleTimeout: httpIdleTimeout}
 	d.directoryServer = &http.Server{Handler: d.directoryHandler(), ReadHeaderTimeout: time.Second, IdleTimeout: httpIdleTimeout}
 	return d, nil
@@ -114,7 +114,7 @@
 func (d *Daemon) handleEvent(e steering.Event) {
 	d.decisionLog.handleEvent(e)
 	if e.Kind == steering.EventServerRestarted {
-		d.serverClient.Forget(e.Address)
+		d.serverClient.CloseIdleConnections(e.Address)
 	}
 }
 
@@ -187,7 +187,7 @@
 		if l.share > 0 {
 			limited := forwardhttp.LimitConnections(listener, int(l.share*openFileLimit()), d.metrics.callerConnectionsRefused.Inc)
 			if l.server == d.callerServer {
-				d.callerListener, d.callerServer.ConnState = limited, limited.Note
+				d.callerListener, d.callerServer.ConnState = limited, limited.RecordState
 			}
 			listener = limited
 		}
@@ -271,7 +271,7 @@
 		var list []routing.Server
 		d.withKernel(func(k *steering.Kernel, _ time.Time) { list = k.UnmeasuredServers() })
 		for _, s := range list {
-			roundTrip, err := d.serverClient.Measure(ctx, s.Address, rttProbeTimeout)
+			roundTrip, err := d.serverClient.MeasureRoundTrip(ctx, s.Address, rttProbeTimeout)
 			if err != nil {
 				klog.V(1).InfoS("latency probe failed", "server", s.ID, "error", err.Error())
 				continue
--- a/internal/proxy/forward/fleet_test.go
+++ b/internal/proxy/forward/fleet_test.go
@@ -285,8 +285,8 @@
 	}
 	d, err := New(s, Dependencies{
 		Names: WireNames{
-			CallerHeaders: forwardhttp.Headers{Attempt: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
-			ServerHeaders: serverhttp.Headers{Attempt: "Attempt", Deadline: "Left", Instance: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal"},
+			CallerHeaders: forwardhttp.Headers{AttemptID: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
+			ServerHeaders: serverhttp.Headers{AttemptID: "Attempt", Deadline: "Left", InstanceID: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal"},
 			LookupPath:    "/lookup", LookupHost: "host", LookupRegion: "region", LookupDomain: "domain", ReadinessPath: "/ready",
 			ConfigurationKey: "config", EvacuationPrefix: "evacuate/", ServerPrefix: "servers/",
 		},
--- a/internal/proxy/forward/shutdown.go
+++ b/internal/proxy/forward/shutdown.go
@@ -55,7 +55,7 @@
 	if err := d.callerListener.Close(); err != nil {
 		klog.InfoS("closing the listener for callers failed", "error", err.Error())
 	}
-	for d.callerListener.CloseIdle() > 0 {
+	for d.callerListener.CloseIdleConnections() > 0 {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
--- a/internal/proxy/runner/runner.go
+++ b/internal/proxy/runner/runner.go
@@ -49,7 +49,7 @@
 		if !ended {
 			return r.overdue(d)
 		}
-		if a.response.Rest != nil {
+		if a.response.Remainder != nil {
 			return r.stream(a)
 		}
 		d = r.end(a, false)
@@ -98,8 +98,8 @@
 func (r *Runner) settleLate(done <-chan attempt) {
 	select {
 	case a := <-done:
-		if a.response.Rest != nil {
-			_ = a.response.Rest.Close()
+		if a.response.Remainder != nil {
+			_ = a.response.Remainder.Close()
 			a.response.Answer.NotKept = true
 		}
 		r.end(a, true)
@@ -119,11 +119,11 @@
 		Attempt:  r.Name + "-" + strconv.FormatUint(d.Attempt.Serial(), 36),
 		Deadline: d.Deadline,
 	})
-	if response.Rest == nil {
+	if response.Remainder == nil {
 		cancel()
 		return response
 	}
-	response.Rest = &cancelling{ReadCloser: response.Rest, cancel: cancel}
+	response.Remainder = &cancelling{ReadCloser: response.Remainder, cancel: cancel}
 	return response
 }
 
@@ -137,7 +137,7 @@
 			Report:  a.response.Report,
 			NoRetry: final,
 
-			ConnectionRefused: a.response.Refusing,
+			ConnectionRefused: a.response.ConnectionRefused,
 		})
 	})
 	return next
@@ -153,10 +153,10 @@
 func (r *Runner) stream(a attempt) callerhttp.Reply {
 	result := caller.Result{Outcome: caller.Done, Answer: a.response.Answer}
 	return callerhttp.Reply{Result: result, ID: a.decision.ID, Stream: func(w io.Writer) error {
-		defer func() { _ = a.response.Rest.Close() }()
+		defer func() { _ = a.response.Remainder.Close() }()
 		_, err := w.Write(a.response.Answer.Body)
 		if err == nil {
-			_, err = io.Copy(w, a.response.Rest)
+			_, err = io.Copy(w, a.response.Remainder)
 		}
 		if err != nil {
 			a.response.Result = backend.Interrupted
@@ -202,7 +202,7 @@
 		Request: core.Request{
 			Service: f.Service, Method: f.Method, Path: f.Path, Client: client,
 			Token: f.Token, Deadline: f.Deadline, Forwarded: true,
-			Work: callerhttp.WorkOf(f.Service, f.Method, f.Path, f.Header, f.Body),
+			Work: callerhttp.WorkFingerprint(f.Service, f.Method, f.Path, f.Header, f.Body),
 		},
 		Header: f.Header,
 		Body:   f.Body,
