--- a/internal/adapter/backendhttp/client.go
+++ b/internal/adapter/backendhttp/client.go
@@ -160,24 +160,24 @@
 		_ = response.Body.Close()
 		return Response{Result: backend.Rejected, Report: report}
 	}
-	head, err := io.ReadAll(io.LimitReader(response.Body, ResponseBufferSize))
+	buffered, err := io.ReadAll(io.LimitReader(response.Body, ResponseBufferSize))
 	if err != nil {
 		_ = response.Body.Close()
 		return Response{Result: classifyFailure(ctx, true), Report: report, Err: err}
 	}
 	header := make(http.Header)
 	serverhttp.CopyHeader(header, response.Header)
-	for _, own := range []string{caller.HeaderLoad, caller.HeaderLeaving, caller.HeaderLimit} {
-		header.Del(own)
+	for _, name := range []string{caller.HeaderLoad, caller.HeaderLeaving, caller.HeaderLimit} {
+		header.Del(name)
 	}
-	answer := &caller.Answer{Status: response.StatusCode, Header: header, Body: head}
-	out := Response{Result: backend.Answered, Answer: answer, Report: report}
-	if len(head) < ResponseBufferSize {
+	answer := &caller.Answer{Status: response.StatusCode, Header: header, Body: buffered}
+	result := Response{Result: backend.Answered, Answer: answer, Report: report}
+	if len(buffered) < ResponseBufferSize {
 		_ = response.Body.Close()
-		return out
+		return result
 	}
-	out.Remainder = remainderReader{Reader: response.Body, Closer: response.Body}
-	return out
+	result.Remainder = remainderReader{Reader: response.Body, Closer: response.Body}
+	return result
 }
 
 func (c *Client) parseReport(r *http.Response, server string) *backend.Report {
--- a/internal/adapter/backendhttp/client_test.go
+++ b/internal/adapter/backendhttp/client_test.go
@@ -19,13 +19,13 @@
 	// rawServer answers each request on a connection by a script of its own,
 	// and counts the requests that it has read whole.
 	rawServer struct {
-		address netip.AddrPort
-		mu      sync.Mutex
-		read    int
+		address  netip.AddrPort
+		mu       sync.Mutex
+		received int
 	}
 )
 
-func startRaw(t *testing.T, answer func(n int, c net.Conn) (keep bool)) *rawServer {
+func startRawServer(t *testing.T, respond func(n int, c net.Conn) (keep bool)) *rawServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,13 +39,13 @@
 			if err != nil {
 				return
 			}
-			go s.serve(c, answer)
+			go s.serve(c, respond)
 		}
 	}()
 	return s
 }
 
-func (s *rawServer) serve(c net.Conn, answer func(int, net.Conn) bool) {
+func (s *rawServer) serve(c net.Conn, respond func(int, net.Conn) bool) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
 	for {
@@ -55,10 +55,10 @@
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
 		s.mu.Lock()
-		s.read++
-		n := s.read
+		s.received++
+		n := s.received
 		s.mu.Unlock()
-		if !answer(n, c) {
+		if !respond(n, c) {
 			return
 		}
 	}
@@ -67,7 +67,7 @@
 func (s *rawServer) requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.read
+	return s.received
 }
 
 func send(t *testing.T, address netip.AddrPort, method string, timeout time.Duration) Response {
@@ -84,38 +84,38 @@
 	})
 }
 
-func write(text string) func(int, net.Conn) bool {
+func writeAndClose(text string) func(int, net.Conn) bool {
 	return func(_ int, c net.Conn) bool {
 		_, _ = io.WriteString(c, text)
 		return false
 	}
 }
 
-// TestHowAttemptsEnd: what an exchange with a backend server means for the
+// TestAttemptResults: what an exchange with a backend server means for the
 // question whether the request ran.
-func TestHowAttemptsEnd(t *testing.T) {
-	closed := startRaw(t, write(""))
+func TestAttemptResults(t *testing.T) {
+	closed := startRawServer(t, writeAndClose(""))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := netip.MustParseAddrPort(l.Addr().String())
+	unused := netip.MustParseAddrPort(l.Addr().String())
 	_ = l.Close()
 	cases := []struct {
 		name    string
 		address netip.AddrPort
 		want    backend.Result
 	}{
-		{"nobody listens", nobody, backend.Unreachable},
+		{"nobody listens", unused, backend.Unreachable},
 		{"closed after reading", closed.address, backend.Interrupted},
-		{"whole answer", startRaw(t, write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")).address, backend.Answered},
-		{"answer cut in the body", startRaw(t, write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")).address, backend.Interrupted},
-		{"answer cut in a chunk", startRaw(t, write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")).address, backend.Interrupted},
-		{"answer cut in the header", startRaw(t, write("HTTP/1.1 200 OK\r\nContent-Le")).address, backend.Interrupted},
-		{"garbage", startRaw(t, write("SSH-2.0-x\r\n")).address, backend.Interrupted},
-		{"shed", startRaw(t, write("HTTP/1.1 503 X\r\nGypsumquay-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")).address, backend.Rejected},
-		{"plain 503", startRaw(t, write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")).address, backend.Answered},
-		{"silence", startRaw(t, func(int, net.Conn) bool { time.Sleep(time.Second); return false }).address, backend.Abandoned},
+		{"whole answer", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")).address, backend.Answered},
+		{"answer cut in the body", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")).address, backend.Interrupted},
+		{"answer cut in a chunk", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")).address, backend.Interrupted},
+		{"answer cut in the header", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Le")).address, backend.Interrupted},
+		{"garbage", startRawServer(t, writeAndClose("SSH-2.0-x\r\n")).address, backend.Interrupted},
+		{"shed", startRawServer(t, writeAndClose("HTTP/1.1 503 X\r\nGypsumquay-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")).address, backend.Rejected},
+		{"plain 503", startRawServer(t, writeAndClose("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")).address, backend.Answered},
+		{"silence", startRawServer(t, func(int, net.Conn) bool { time.Sleep(time.Second); return false }).address, backend.Abandoned},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -126,12 +126,12 @@
 	}
 }
 
-// TestNoHiddenRepeat: a caller books with an Idempotency-Key of its own and an
+// TestTransportDoesNotRetry: a caller books with an Idempotency-Key of its own and an
 // empty body. The backend server runs it and its connection, kept from before,
 // breaks before the answer. net/http takes the header for leave to send the
 // request again by itself; the booking would run twice.
-func TestNoHiddenRepeat(t *testing.T) {
-	s := startRaw(t, func(n int, c net.Conn) bool {
+func TestTransportDoesNotRetry(t *testing.T) {
+	s := startRawServer(t, func(n int, c net.Conn) bool {
 		if n == 2 {
 			return false
 		}
@@ -152,11 +152,11 @@
 	}
 }
 
-// TestLongAnswerIsStreamed: an answer beyond the buffer comes as a stream, and
+// TestLongResponseIsStreamed: an answer beyond the buffer comes as a stream, and
 // one that breaks off there ends in an error and not in a short success.
-func TestLongAnswerIsStreamed(t *testing.T) {
+func TestLongResponseIsStreamed(t *testing.T) {
 	body := strings.Repeat("x", ResponseBufferSize+1000)
-	s := startRaw(t, func(_ int, c net.Conn) bool {
+	s := startRawServer(t, func(_ int, c net.Conn) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+body)
 		return false
 	})
--- a/internal/adapter/backendhttp/signal_test.go
+++ b/internal/adapter/backendhttp/signal_test.go
@@ -10,8 +10,8 @@
 )
 
 // Guards against signals of backend servers that are lost, or that callers see.
-func TestSignalsAreReportedAndNotPassedOn(t *testing.T) {
-	s := startRaw(t, write("HTTP/1.1 200 OK\r\nGypsumquay-Limit: 2.5\r\nContent-Length: 0\r\n\r\n"))
+func TestSignalsAreReportedAndNotForwarded(t *testing.T) {
+	s := startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nGypsumquay-Limit: 2.5\r\nContent-Length: 0\r\n\r\n"))
 	response := send(t, s.address, http.MethodGet, time.Second)
 	want := backpressure.Signal{Limit: backpressure.Limit{Set: true, PerSecond: 2.5}}
 	if response.Report == nil || response.Report.Signal != want {
@@ -20,7 +20,7 @@
 	if got := response.Answer.Header.Get(caller.HeaderLimit); got != "" {
 		t.Errorf("the caller sees a limit of %s", got)
 	}
-	s = startRaw(t, write("HTTP/1.1 503 No\r\nGypsumquay-Outcome: not-run\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n"))
+	s = startRawServer(t, writeAndClose("HTTP/1.1 503 No\r\nGypsumquay-Outcome: not-run\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n"))
 	response = send(t, s.address, http.MethodGet, time.Second)
 	want = backpressure.Signal{Pause: 2 * time.Second}
 	if response.Report == nil || response.Report.Signal != want {
--- a/internal/adapter/bodies/bodies.go
+++ b/internal/adapter/bodies/bodies.go
@@ -42,8 +42,8 @@
 )
 
 // NewMemoryBudget makes room for a number of bytes.
-func NewMemoryBudget(most int64) *MemoryBudget {
-	return &MemoryBudget{available: semaphore.NewWeighted(most)}
+func NewMemoryBudget(maxBytes int64) *MemoryBudget {
+	return &MemoryBudget{available: semaphore.NewWeighted(maxBytes)}
 }
 
 // Release gives the body's memory back. Doing so again does nothing.
@@ -57,17 +57,17 @@
 
 // Read reads a body of the length that is told, or of any up to limit if that is
 // negative. Without an error the caller must release the body.
-func (m *MemoryBudget) Read(r io.Reader, told, limit int64) (*Body, error) {
+func (m *MemoryBudget) Read(r io.Reader, contentLength, limit int64) (*Body, error) {
 	b := &Body{budget: m}
-	if told == 0 {
+	if contentLength == 0 {
 		return b, nil
 	}
-	if told > limit {
+	if contentLength > limit {
 		return nil, ErrTooLarge
 	}
 	var err error
-	if told > 0 {
-		err = b.readSized(r, told)
+	if contentLength > 0 {
+		err = b.readSized(r, contentLength)
 	} else {
 		err = b.readUnsized(r, limit)
 	}
@@ -80,40 +80,40 @@
 
 // readSized reads a body whose length is told, into memory taken at once: 64 KB
 // take a third of the time and of the memory that they take in growing steps.
-func (b *Body) readSized(r io.Reader, told int64) error {
-	if !b.budget.available.TryAcquire(told) {
+func (b *Body) readSized(r io.Reader, contentLength int64) error {
+	if !b.budget.available.TryAcquire(contentLength) {
 		return ErrMemoryExhausted
 	}
-	b.reserved = told
-	var held bytes.Buffer
-	held.Grow(int(told) + bytes.MinRead)
-	if _, err := held.ReadFrom(io.LimitReader(r, told)); err != nil {
+	b.reserved = contentLength
+	var buffer bytes.Buffer
+	buffer.Grow(int(contentLength) + bytes.MinRead)
+	if _, err := buffer.ReadFrom(io.LimitReader(r, contentLength)); err != nil {
 		return errors.Wrap(err, "read body")
 	}
-	b.Bytes = held.Bytes()
+	b.Bytes = buffer.Bytes()
 	return nil
 }
 
 // readUnsized reads a body that does not tell its length.
 func (b *Body) readUnsized(r io.Reader, limit int64) error {
-	room := min(initialReservation, limit)
+	reservation := min(initialReservation, limit)
 	for {
-		if !b.budget.available.TryAcquire(room - b.reserved) {
+		if !b.budget.available.TryAcquire(reservation - b.reserved) {
 			return ErrMemoryExhausted
 		}
-		b.reserved = room
-		more, err := io.ReadAll(io.LimitReader(r, room-int64(len(b.Bytes))))
-		b.Bytes = append(b.Bytes, more...)
+		b.reserved = reservation
+		chunk, err := io.ReadAll(io.LimitReader(r, reservation-int64(len(b.Bytes))))
+		b.Bytes = append(b.Bytes, chunk...)
 		if err != nil {
 			return errors.Wrap(err, "read body")
 		}
-		if int64(len(b.Bytes)) < room {
+		if int64(len(b.Bytes)) < reservation {
 			return nil
 		}
-		if room == limit {
+		if reservation == limit {
 			return expectEOF(r)
 		}
-		room = min(2*room, limit)
+		reservation = min(2*reservation, limit)
 	}
 }
 
@@ -130,19 +130,19 @@
 // ReadRequest reads the body of a caller's request, which must be there within a
 // time: callers that send none of what they announced would hold memory and
 // connections for good.
-func (m *MemoryBudget) ReadRequest(w http.ResponseWriter, r *http.Request, limit int64, within time.Duration) (*Body, error) {
+func (m *MemoryBudget) ReadRequest(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration) (*Body, error) {
 	if r.ContentLength == 0 || r.Body == nil {
 		return &Body{budget: m}, nil
 	}
-	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(time.Now().Add(within)); err != nil && !errors.Is(err, http.ErrNotSupported) {
+	controller := http.NewResponseController(w)
+	if err := controller.SetReadDeadline(time.Now().Add(timeout)); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return nil, errors.Wrap(err, "bound reading")
 	}
 	b, err := m.Read(r.Body, r.ContentLength, limit)
 	if err != nil {
 		return nil, err
 	}
-	if err := control.SetReadDeadline(time.Time{}); err != nil && !errors.Is(err, http.ErrNotSupported) {
+	if err := controller.SetReadDeadline(time.Time{}); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		b.Release()
 		return nil, errors.Wrap(err, "end the bound on reading")
 	}
@@ -152,8 +152,8 @@
 // Write writes an answer's body to a caller, which must have read it within a time:
 // one that reads nothing would hold its memory for good. The bound stays, for what
 // is still buffered is written once the handler has returned.
-func Write(w http.ResponseWriter, body []byte, within time.Duration) error {
-	err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(within))
+func Write(w http.ResponseWriter, body []byte, timeout time.Duration) error {
+	err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout))
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return errors.Wrap(err, "bound writing")
 	}
--- a/internal/adapter/bodies/bodies_test.go
+++ b/internal/adapter/bodies/bodies_test.go
@@ -17,7 +17,7 @@
 
 func body(n int) io.Reader { return strings.NewReader(strings.Repeat("b", n)) }
 
-func TestReadKeepsToTheLimit(t *testing.T) {
+func TestReadEnforcesLimit(t *testing.T) {
 	for _, c := range []struct {
 		size        int
 		told, limit int64
@@ -50,7 +50,7 @@
 
 // Callers send bodies together that would not fit in the VM's memory. Some are
 // refused, which can come back, instead of all being lost with the process.
-func TestBodiesTogetherStayWithinMemory(t *testing.T) {
+func TestBodiesStayWithinMemoryBudget(t *testing.T) {
 	m := NewMemoryBudget(150)
 	first, err := m.Read(body(100), 100, 100)
 	if err != nil {
@@ -70,7 +70,7 @@
 
 // A caller announces a body and sends nothing. Its connection and the memory for
 // the body were held until it went away.
-func TestBodyThatNeverComesIsGivenUp(t *testing.T) {
+func TestIncompleteBodyTimesOut(t *testing.T) {
 	m, failed := NewMemoryBudget(100), make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, err := m.ReadRequest(w, r, 100, 10*time.Millisecond)
@@ -95,13 +95,13 @@
 
 // A caller keeps its connection and is slow between requests: the bound on a body
 // must not end what comes after.
-func TestBoundOnABodyEndsWithIt(t *testing.T) {
-	m, within := NewMemoryBudget(100), 500*time.Millisecond
+func TestReadDeadlineIsClearedAfterBody(t *testing.T) {
+	m, timeout := NewMemoryBudget(100), 500*time.Millisecond
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if b, err := m.ReadRequest(w, r, 100, within); err != nil {
+		if b, err := m.ReadRequest(w, r, 100, timeout); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 		} else {
-			time.Sleep(2 * within)
+			time.Sleep(2 * timeout)
 			b.Release()
 		}
 	}))
@@ -120,7 +120,7 @@
 
 // A caller asks for much and reads nothing. The answer was held, and its memory
 // taken, until the caller went away.
-func TestAnswerThatNobodyReadsIsGivenUp(t *testing.T) {
+func TestUnreadResponseTimesOut(t *testing.T) {
 	failed := make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		failed <- Write(w, make([]byte, 64<<20), 20*time.Millisecond)
@@ -140,11 +140,11 @@
 }
 
 // A caller keeps its connection for longer than one answer may take.
-func TestBoundOnAnAnswerDoesNotReachTheNext(t *testing.T) {
-	const within = 500 * time.Millisecond
+func TestWriteDeadlineIsPerResponse(t *testing.T) {
+	const timeout = 500 * time.Millisecond
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		time.Sleep(within)
-		if err := Write(w, []byte("answer"), within); err != nil {
+		time.Sleep(timeout)
+		if err := Write(w, []byte("answer"), timeout); err != nil {
 			t.Errorf("write: %v", err)
 		}
 	}))
@@ -162,11 +162,11 @@
 	}
 }
 
-func TestBrokenBodyIsAnError(t *testing.T) {
+func TestReadErrorIsReturned(t *testing.T) {
 	m := NewMemoryBudget(100)
-	broken := errors.New("broken")
-	if _, err := m.Read(io.MultiReader(body(5), iotest.ErrReader(broken)), 10, 100); !errors.Is(err, broken) {
-		t.Errorf("got error %v, want %v", err, broken)
+	errRead := errors.New("broken")
+	if _, err := m.Read(io.MultiReader(body(5), iotest.ErrReader(errRead)), 10, 100); !errors.Is(err, errRead) {
+		t.Errorf("got error %v, want %v", err, errRead)
 	}
 	if !m.available.TryAcquire(100) {
 		t.Error("memory is not given back")
--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -111,10 +111,10 @@
 )
 
 // NewServer makes a server. run takes a request to its final result; observed is told of each final result.
-func NewServer(k core.Executor, run func(context.Context, Request) Reply, l Limits, now func() time.Time, observed func(string, caller.Result, time.Duration)) *Server {
+func NewServer(k core.Executor, run func(context.Context, Request) Reply, l Limits, now func() time.Time, onResult func(string, caller.Result, time.Duration)) *Server {
 	return &Server{
 		withKernel: k, run: run, limits: l, bodyMemory: bodies.NewMemoryBudget(l.MaxTotalBytes),
-		onResult: observed, now: now,
+		onResult: onResult, now: now,
 	}
 }
 
@@ -148,11 +148,11 @@
 	}
 	var answer core.LookupAnswer
 	var found bool
-	var why []string
+	var explanation []string
 	s.withKernel(func(k *core.Kernel, now time.Time) {
 		answer, found = k.Lookup(now, r.URL.Query().Get("service"), client)
 		if r.URL.Query().Has("explain") {
-			why = k.ExplainRouting(client)
+			explanation = k.ExplainRouting(client)
 		}
 	})
 	if !found {
@@ -160,11 +160,11 @@
 		return
 	}
 	w.Header().Set("Cache-Control", "private, max-age="+strconv.Itoa(int(answer.TTL.Seconds())))
-	reply := lookupResponse{
+	response := lookupResponse{
 		Service: answer.Service, HomeRegion: answer.HomeRegion,
-		TTL: answer.TTL.String(), Explanation: why, Proxies: proxyEntries(answer.Proxies),
+		TTL: answer.TTL.String(), Explanation: explanation, Proxies: proxyEntries(answer.Proxies),
 	}
-	writeJSON(w, http.StatusOK, reply)
+	writeJSON(w, http.StatusOK, response)
 }
 
 func proxyEntries(members []peer.Member) []proxyEntry {
@@ -178,11 +178,11 @@
 func (s *Server) handleToken(w http.ResponseWriter, r *http.Request) {
 	var text string
 	var ok bool
-	var lifetime time.Duration
+	var ttl time.Duration
 	s.withKernel(func(k *core.Kernel, now time.Time) {
 		text, ok = k.Mint(now, r.URL.Query().Get("service"))
 		if b := k.Bundle(); b != nil {
-			lifetime = b.Token.Lifetime.Std()
+			ttl = b.Token.Lifetime.Std()
 		}
 	})
 	if !ok {
@@ -190,15 +190,15 @@
 		writeJSON(w, http.StatusServiceUnavailable, errorResponse{Message: "no token: unknown service, or this proxy stops or is full"})
 		return
 	}
-	writeJSON(w, http.StatusOK, tokenResponse{Token: text, TTL: lifetime.String()})
+	writeJSON(w, http.StatusOK, tokenResponse{Token: text, TTL: ttl.String()})
 }
 
 func (s *Server) handleRequest(w http.ResponseWriter, r *http.Request) {
-	began := s.now()
+	receivedAt := s.now()
 	service := mux.Vars(r)["service"]
 	body, err := s.bodyMemory.ReadRequest(w, r, s.limits.MaxBodyBytes, readTimeout)
 	if err != nil {
-		s.rejectBody(w, service, began, err)
+		s.rejectBody(w, service, receivedAt, err)
 		return
 	}
 	defer body.Release()
@@ -220,11 +220,11 @@
 			writeJSON(w, http.StatusBadRequest, errorResponse{Message: caller.HeaderTimeout + `: must be a time span such as "800ms"`})
 			return
 		}
-		q.Deadline = began.Add(timeout)
+		q.Deadline = receivedAt.Add(timeout)
 	}
 	reply := s.run(r.Context(), q)
 	s.writeReply(w, reply)
-	s.onResult(service, reply.Result, s.now().Sub(began))
+	s.onResult(service, reply.Result, s.now().Sub(receivedAt))
 }
 
 // backendPath is the path and query that the backend server sees.
@@ -239,7 +239,7 @@
 	return path
 }
 
-func (s *Server) rejectBody(w http.ResponseWriter, service string, began time.Time, err error) {
+func (s *Server) rejectBody(w http.ResponseWriter, service string, receivedAt time.Time, err error) {
 	result := caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonBusy, RetryAfter: time.Second}
 	switch {
 	case errors.Is(err, bodies.ErrTooLarge):
@@ -248,7 +248,7 @@
 	default:
 		s.writeReply(w, Reply{Result: result})
 	}
-	s.onResult(service, result, s.now().Sub(began))
+	s.onResult(service, result, s.now().Sub(receivedAt))
 }
 
 func setOutcomeHeaders(w http.ResponseWriter, r caller.Result) {
--- a/internal/adapter/callerhttp/server_test.go
+++ b/internal/adapter/callerhttp/server_test.go
@@ -16,25 +16,25 @@
 )
 
 var (
-	errBroke = errors.New("connection to the backend server broke")
+	errInterrupted = errors.New("connection to the backend server broke")
 )
 
-func testServer(t *testing.T) *Server {
+func newTestServer(t *testing.T) *Server {
 	t.Helper()
 	return NewServer(nil, nil, Limits{MaxBodyBytes: 100, MaxTotalBytes: 150}, time.Now, func(string, caller.Result, time.Duration) {})
 }
 
-// TestBrokenStreamIsSeen: a long answer breaks off after its first part has
+// TestInterruptedStreamIsAnError: a long answer breaks off after its first part has
 // gone to the caller. Ended normally the part would look whole; the caller must
 // see an error instead.
-func TestBrokenStreamIsSeen(t *testing.T) {
-	s := testServer(t)
+func TestInterruptedStreamIsAnError(t *testing.T) {
+	s := newTestServer(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		s.writeReply(w, Reply{
 			Result: caller.Result{Outcome: caller.Done, Answer: &caller.Answer{Status: http.StatusOK}},
 			Stream: func(w io.Writer) error {
 				_, _ = io.WriteString(w, strings.Repeat("x", 10_000))
-				return errBroke
+				return errInterrupted
 			},
 		})
 	}))
@@ -56,7 +56,7 @@
 // TestBodyLimits: a caller sends more than it may, or many send much at once.
 // The request is refused before anything runs and the room is given back.
 func TestBodyLimits(t *testing.T) {
-	s := testServer(t)
+	s := newTestServer(t)
 	read := func(size int) (*bodies.Body, error) {
 		r := httptest.NewRequest(http.MethodPost, "/services/x/y", strings.NewReader(strings.Repeat("b", size)))
 		return s.bodyMemory.ReadRequest(httptest.NewRecorder(), r, s.limits.MaxBodyBytes, readTimeout)
@@ -77,11 +77,11 @@
 	}
 }
 
-// TestRefusalTellsWhenToComeBack: outcome, reason and time are headers that any
+// TestRejectionHeaders: outcome, reason and time are headers that any
 // HTTP client can read.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRejectionHeaders(t *testing.T) {
 	w := httptest.NewRecorder()
-	testServer(t).writeReply(w, Reply{
+	newTestServer(t).writeReply(w, Reply{
 		Result:   caller.Result{Outcome: caller.NotRun, Reason: caller.ReasonCapacity, RetryAfter: 1200 * time.Millisecond},
 		NewToken: "t",
 	})
--- a/internal/adapter/forwardhttp/account_test.go
+++ b/internal/adapter/forwardhttp/account_test.go
@@ -14,8 +14,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// askWith asks with a key, or without if it is empty.
-func askWith(t *testing.T, url, key string) reply {
+// getWithKey asks with a key, or without if it is empty.
+func getWithKey(t *testing.T, url, key string) fullResponse {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
@@ -29,11 +29,11 @@
 		t.Fatal(err)
 	}
 	_ = response.Body.Close()
-	return reply{status: response.StatusCode, header: response.Header, close: response.Close}
+	return fullResponse{status: response.StatusCode, header: response.Header, close: response.Close}
 }
 
-// withAccount brings a configuration into force in which one account holds the key "good".
-func (f *front) withAccount(t *testing.T, l ratelimit.Limit) {
+// addAccount brings a configuration into force in which one account holds the key "good".
+func (f *testProxy) addAccount(t *testing.T, l ratelimit.Limit) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -43,18 +43,18 @@
 	f.kernel.SetTable(routing.NewTable(old.Version+1, []*routing.Route{old.Routes["route"]}, nil, routing.Limits{}).WithAccounts(accounts))
 }
 
-func TestStatusOfKeys(t *testing.T) {
+func TestStatusForCredentials(t *testing.T) {
 	var seen serverhttp.Request
-	f := newFront(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+	f := newTestProxy(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		seen = r
 		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
-	if got := askWith(t, f.URL+"/a/x", "any"); got.status != http.StatusOK || seen.HasAccounts {
+	if got := getWithKey(t, f.URL+"/a/x", "any"); got.status != http.StatusOK || seen.HasAccounts {
 		t.Errorf("without accounts: status is %d, keyed %t, want 200 and no key taken", got.status, seen.HasAccounts)
 	}
-	f.withAccount(t, ratelimit.Limit{})
+	f.addAccount(t, ratelimit.Limit{})
 	for key, want := range map[string]int{"good": http.StatusOK, "bad": http.StatusUnauthorized, "": http.StatusUnauthorized} {
-		got := askWith(t, f.URL+"/a/x", key)
+		got := getWithKey(t, f.URL+"/a/x", key)
 		if got.status != want {
 			t.Errorf("key %q: status is %d, want %d", key, got.status, want)
 		}
@@ -65,26 +65,26 @@
 	if !seen.HasAccounts || seen.Account != "anna" {
 		t.Errorf("the server sees account %q, keyed %t; want anna and true", seen.Account, seen.HasAccounts)
 	}
-	if got := askWith(t, f.URL+"/none", "bad"); got.status != http.StatusNotFound {
+	if got := getWithKey(t, f.URL+"/none", "bad"); got.status != http.StatusNotFound {
 		t.Errorf("no route: status is %d, want 404", got.status)
 	}
 }
 
 // Guards against a proxy that has just started and says for good that a key is unknown.
-func TestKeysAreNotJudgedWithoutConfiguration(t *testing.T) {
-	f := newFront(t, false, nil)
-	if got := askWith(t, f.URL+"/a/x", "good"); got.status != http.StatusServiceUnavailable {
+func TestNoUnauthorizedWithoutConfiguration(t *testing.T) {
+	f := newTestProxy(t, false, nil)
+	if got := getWithKey(t, f.URL+"/a/x", "good"); got.status != http.StatusServiceUnavailable {
 		t.Errorf("status is %d, want 503", got.status)
 	}
 }
 
 // Guards against a request beyond the limit that waits, or whose caller is not told when to
 // come back, or stays at a proxy that has no share of the limit.
-func TestRequestsBeyondTheLimitAreRefusedAtOnce(t *testing.T) {
-	f := newFront(t, true, nil)
-	f.withAccount(t, ratelimit.Limit{PerSecond: 1})
+func TestRequestsOverLimitAreRejectedImmediately(t *testing.T) {
+	f := newTestProxy(t, true, nil)
+	f.addAccount(t, ratelimit.Limit{PerSecond: 1})
 	began := time.Now()
-	got := askWith(t, f.URL+"/a/x", "good")
+	got := getWithKey(t, f.URL+"/a/x", "good")
 	if got.status != http.StatusTooManyRequests || got.header.Get("Retry-After") == "" {
 		t.Errorf("status is %d, come back after %q, want 429 and a time", got.status, got.header.Get("Retry-After"))
 	}
--- a/internal/adapter/forwardhttp/idle.go
+++ b/internal/adapter/forwardhttp/idle.go
@@ -17,19 +17,19 @@
 
 // RecordState takes in the state of a connection, as its server tells it.
 func (l *Listener) RecordState(c net.Conn, state http.ConnState) {
-	held, ok := c.(*trackedConn)
+	tracked, ok := c.(*trackedConn)
 	if !ok {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held.state, held.stateSince = state, time.Now()
+	tracked.state, tracked.stateSince = state, time.Now()
 }
 
 // CloseIdleConnections closes the connections on which nothing happens, and tells how many are left.
 // The library's server does not do: once it shuts down it drops requests that it had not
 // read, and on a busy VM these may have come long before.
-func (l *Listener) CloseIdleConnections() (left int) {
+func (l *Listener) CloseIdleConnections() (remaining int) {
 	for _, c := range l.idleConnections() {
 		if !hasUnreadData(c.Conn) {
 			_ = c.Close()
--- a/internal/adapter/forwardhttp/listener.go
+++ b/internal/adapter/forwardhttp/listener.go
@@ -47,8 +47,8 @@
 // closed at once, so that their callers go elsewhere: left waiting they would hang,
 // and accepted they would take the open files that the proxy needs to reach servers
 // and the store. refused is told of each.
-func LimitConnections(l net.Listener, most int, refused func()) *Listener {
-	return &Listener{Listener: l, maxOpen: int64(most), onReject: refused, connections: make(map[*trackedConn]bool)}
+func LimitConnections(l net.Listener, maxOpen int, onReject func()) *Listener {
+	return &Listener{Listener: l, maxOpen: int64(maxOpen), onReject: onReject, connections: make(map[*trackedConn]bool)}
 }
 
 // Accept implements net.Listener.
@@ -97,9 +97,9 @@
 func (l *Listener) track(c net.Conn) *trackedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := &trackedConn{Conn: c, listener: l, stateSince: time.Now()}
-	l.connections[held] = true
-	return held
+	tracked := &trackedConn{Conn: c, listener: l, stateSince: time.Now()}
+	l.connections[tracked] = true
+	return tracked
 }
 
 func (l *Listener) untrack(c *trackedConn) {
--- a/internal/adapter/forwardhttp/listener_test.go
+++ b/internal/adapter/forwardhttp/listener_test.go
@@ -14,17 +14,17 @@
 // More callers connect than the proxy has files for. Those beyond the bound must be
 // told at once, those connected be served on, and a place that is given up must
 // serve the next caller.
-func TestCallersBeyondTheBoundAreTurnedAwayAtOnce(t *testing.T) {
-	const most = 3
+func TestConnectionsOverLimitAreRejected(t *testing.T) {
+	const maxOpen = 3
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var refused atomic.Int32
+	var rejected atomic.Int32
 	server := &http.Server{Handler: http.NotFoundHandler(), ReadHeaderTimeout: time.Minute}
-	go func() { _ = server.Serve(LimitConnections(inner, most, func() { refused.Add(1) })) }()
+	go func() { _ = server.Serve(LimitConnections(inner, maxOpen, func() { rejected.Add(1) })) }()
 	defer func() { _ = server.Close() }()
-	served := func(c net.Conn) bool {
+	isServed := func(c net.Conn) bool {
 		_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		_, err := c.Read(make([]byte, 1))
 		return err == nil
@@ -36,9 +36,9 @@
 		}
 		return c
 	}
-	// turnedAway asks over a new connection. The refusal is a reset, which may
+	// isRejected asks over a new connection. The refusal is a reset, which may
 	// arrive while the connection is still being opened.
-	turnedAway := func() bool {
+	isRejected := func() bool {
 		c, err := net.Dial("tcp", inner.Addr().String())
 		if errors.Is(err, syscall.ECONNRESET) {
 			return true
@@ -46,24 +46,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return !served(c)
+		return !isServed(c)
 	}
 	var open []net.Conn
-	for range most {
+	for range maxOpen {
 		c := connect()
 		open = append(open, c)
-		if !served(c) {
+		if !isServed(c) {
 			t.Error("a caller within the bound is not served")
 		}
 	}
-	if !turnedAway() {
+	if !isRejected() {
 		t.Error("a caller beyond the bound is served")
 	}
-	if got := refused.Load(); got != 1 {
+	if got := rejected.Load(); got != 1 {
 		t.Errorf("%d connections refused, want 1", got)
 	}
 	_ = open[0].Close()
-	for end := time.Now().Add(10 * time.Second); turnedAway(); {
+	for end := time.Now().Add(10 * time.Second); isRejected(); {
 		if time.Now().After(end) {
 			t.Fatal("a place that was given up serves nobody")
 		}
@@ -71,7 +71,7 @@
 }
 
 // Guards against a request that came while its process began to stop, and was not read yet.
-func TestUnreadRequestsAreAnsweredAfterTheEnd(t *testing.T) {
+func TestConnectionWithUnreadRequestIsNotClosed(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 
 // Guards against requests of callers whose connections wait to be accepted when a process
 // stops: the system would reset them.
-func TestConnectionsThatWaitAreServedAfterTheEnd(t *testing.T) {
+func TestBacklogIsServedAfterClose(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/forwardhttp/server.go
+++ b/internal/adapter/forwardhttp/server.go
@@ -103,7 +103,7 @@
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	began := s.Now()
+	receivedAt := s.Now()
 	s.awaitConfiguration(r.Context())
 	body, err := s.readBody(w, r)
 	if err != nil {
@@ -118,51 +118,51 @@
 		request.Object = c.Value
 	}
 	request.Work = quarantine.NewFingerprint(r.Method, request.Host, r.RequestURI, r.Header.Get(bearer.Header), body.Bytes)
-	if left, ok := parseTimeout(r.Header.Get(s.Headers.Deadline)); ok {
-		request.Deadline = began.Add(left)
+	if timeout, ok := parseTimeout(r.Header.Get(s.Headers.Deadline)); ok {
+		request.Deadline = receivedAt.Add(timeout)
 	}
-	var flight *steering.ActiveRequest
+	var active *steering.ActiveRequest
 	var decision steering.Decision
-	s.WithKernel(func(k *steering.Kernel, now time.Time) { flight, decision = k.BeginRequest(now, request) })
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { active, decision = k.BeginRequest(now, request) })
 	for decision.QuotaPool != "" {
-		decision = s.acquireToken(r.Context(), flight, decision.QuotaPool)
+		decision = s.acquireToken(r.Context(), active, decision.QuotaPool)
 	}
-	var answer *serverhttp.Response
+	var response *serverhttp.Response
 	for decision.Server != nil {
 		if decision.SlotRequest != nil {
-			decision = s.acquireSlot(r.Context(), flight, *decision.SlotRequest)
+			decision = s.acquireSlot(r.Context(), active, *decision.SlotRequest)
 			continue
 		}
 		var attempt steering.Attempt
-		answer.Release()
-		attempt, answer = s.Send(r.Context(), s.newServerRequest(r, body.Bytes, request, flight, decision.Server))
-		decision = s.endAttempt(flight, attempt)
+		response.Release()
+		attempt, response = s.Send(r.Context(), s.newServerRequest(r, body.Bytes, request, active, decision.Server))
+		decision = s.endAttempt(active, attempt)
 	}
-	s.writeResponse(w, r, decision, answer)
-	answer.Release()
+	s.writeResponse(w, r, decision, response)
+	response.Release()
 }
 
 // acquireToken asks a pool whether the request is within its account's limit.
-func (s *Server) acquireToken(ctx context.Context, f *steering.ActiveRequest, pool string) (d steering.Decision) {
-	token, answered := s.RequestPoolToken(ctx, pool, f.Account.Name)
-	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.ApplyPoolToken(now, f, token, answered) })
+func (s *Server) acquireToken(ctx context.Context, active *steering.ActiveRequest, pool string) (d steering.Decision) {
+	reply, answered := s.RequestPoolToken(ctx, pool, active.Account.Name)
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.ApplyPoolToken(now, active, reply, answered) })
 	return d
 }
 
 // acquireSlot waits for a place at the server that the request should go to.
-func (s *Server) acquireSlot(ctx context.Context, f *steering.ActiveRequest, a steering.SlotRequest) (d steering.Decision) {
-	reply, answered := s.RequestSlot(ctx, a)
+func (s *Server) acquireSlot(ctx context.Context, active *steering.ActiveRequest, request steering.SlotRequest) (d steering.Decision) {
+	reply, answered := s.RequestSlot(ctx, request)
 	if ctx.Err() != nil {
-		return s.endAttempt(f, steering.Attempt{Result: steering.ResultCallerGone, Err: ctx.Err()})
+		return s.endAttempt(active, steering.Attempt{Result: steering.ResultCallerGone, Err: ctx.Err()})
 	}
-	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.HandleSlotReply(now, f, reply, answered) })
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.HandleSlotReply(now, active, reply, answered) })
 	s.releaseSlot(d)
 	return d
 }
 
 // endAttempt tells how an attempt ended and gives the request's place back.
-func (s *Server) endAttempt(f *steering.ActiveRequest, a steering.Attempt) (d steering.Decision) {
-	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.EndAttempt(now, f, a) })
+func (s *Server) endAttempt(active *steering.ActiveRequest, a steering.Attempt) (d steering.Decision) {
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.EndAttempt(now, active, a) })
 	s.releaseSlot(d)
 	return d
 }
@@ -175,42 +175,42 @@
 
 // awaitConfiguration waits for the first configuration just after the start.
 func (s *Server) awaitConfiguration(ctx context.Context) {
-	left := configurationTimeout - s.Now().Sub(s.StartedAt)
-	if left <= 0 {
+	remaining := configurationTimeout - s.Now().Sub(s.StartedAt)
+	if remaining <= 0 {
 		return
 	}
 	select {
 	case <-s.Configured:
 	case <-ctx.Done():
-	case <-time.After(left):
+	case <-time.After(remaining):
 	}
 }
 
-func (s *Server) newServerRequest(r *http.Request, body []byte, q steering.Request, f *steering.ActiveRequest, t *steering.Target) serverhttp.Request {
+func (s *Server) newServerRequest(r *http.Request, body []byte, request steering.Request, active *steering.ActiveRequest, target *steering.Target) serverhttp.Request {
 	account := ""
-	if f.Account != nil {
-		account = f.Account.Name
+	if active.Account != nil {
+		account = active.Account.Name
 	}
 	return serverhttp.Request{
-		HasAccounts: f.HasAccounts, Account: account,
-		Address: t.Address, InstanceID: t.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI,
-		Header: r.Header, Body: body, AttemptID: q.ID, Deadline: f.ExpiresAt,
-		DialTimeout:    min(dialBaseTimeout+dialRoundTrips*t.RoundTrip, f.ExpiresAt.Sub(s.Now())),
-		MaxConnections: t.MaxConnections, StoppedAccepting: func() bool { return s.serverStoppedAccepting(f) },
+		HasAccounts: active.HasAccounts, Account: account,
+		Address: target.Address, InstanceID: target.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI,
+		Header: r.Header, Body: body, AttemptID: request.ID, Deadline: active.ExpiresAt,
+		DialTimeout:    min(dialBaseTimeout+dialRoundTrips*target.RoundTrip, active.ExpiresAt.Sub(s.Now())),
+		MaxConnections: target.MaxConnections, StoppedAccepting: func() bool { return s.serverStoppedAccepting(active) },
 	}
 }
 
 // serverStoppedAccepting reports whether the server of an attempt has asked for no more meanwhile.
-func (s *Server) serverStoppedAccepting(f *steering.ActiveRequest) (withheld bool) {
-	s.WithKernel(func(k *steering.Kernel, now time.Time) { withheld = !k.ServerStillAccepts(now, f) })
-	return withheld
+func (s *Server) serverStoppedAccepting(active *steering.ActiveRequest) (stopped bool) {
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { stopped = !k.ServerStillAccepts(now, active) })
+	return stopped
 }
 
 // readBody takes the whole body in before any decision: a repeat needs it
 // again, and a caller that breaks off half way must not leave half a request
 // with a server.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) (*bodies.Body, error) {
-	limit, within := int64(defaultMaxBodyBytes), bodyTimeout
+	limit, timeout := int64(defaultMaxBodyBytes), bodyTimeout
 	s.WithKernel(func(k *steering.Kernel, _ time.Time) {
 		t := k.Table()
 		if t == nil {
@@ -219,9 +219,9 @@
 		if t.Limits.BodyBytes > 0 {
 			limit = t.Limits.BodyBytes
 		}
-		within = max(within, t.Limits.HeaderTimeout)
+		timeout = max(timeout, t.Limits.HeaderTimeout)
 	})
-	return s.BodyMemory.ReadRequest(w, r, limit, within)
+	return s.BodyMemory.ReadRequest(w, r, limit, timeout)
 }
 
 // rejectBody answers a request whose body is not there; nothing was sent on.
@@ -242,23 +242,23 @@
 }
 
 // writeResponse gives the caller the final answer.
-func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, d steering.Decision, answer *serverhttp.Response) {
+func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, d steering.Decision, response *serverhttp.Response) {
 	if s.IsStopping() || d.TryOtherProxy {
 		w.Header().Set("Connection", "close")
 	}
-	if !d.ReturnResponse || answer == nil {
+	if !d.ReturnResponse || response == nil {
 		s.writeError(w, r, d)
 		return
 	}
 	header := w.Header()
-	for name, values := range answer.Header {
+	for name, values := range response.Header {
 		header[name] = values
 	}
-	if r.Method != http.MethodHead && bodyAllowed(answer.Status) {
-		header.Set("Content-Length", strconv.Itoa(len(answer.Body.Bytes)))
+	if r.Method != http.MethodHead && bodyAllowed(response.Status) {
+		header.Set("Content-Length", strconv.Itoa(len(response.Body.Bytes)))
 	}
-	w.WriteHeader(answer.Status)
-	if err := bodies.Write(w, answer.Body.Bytes, responseTimeout); err != nil {
+	w.WriteHeader(response.Status)
+	if err := bodies.Write(w, response.Body.Bytes, responseTimeout); err != nil {
 		klog.V(1).InfoS("answer not delivered", "request", r.Header.Get(s.Headers.AttemptID), "error", err.Error())
 	}
 }
--- a/internal/adapter/forwardhttp/server_test.go
+++ b/internal/adapter/forwardhttp/server_test.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// testMemory is less than two bodies of the largest size.
-	testMemory = 150
+	// testBodyMemory is less than two bodies of the largest size.
+	testBodyMemory = 150
 )
 
 type (
-	// front is a server over a kernel with one backend server that a function
+	// testProxy is a server over a kernel with one backend server that a function
 	// stands in for.
-	front struct {
+	testProxy struct {
 		*httptest.Server
 		mu       sync.Mutex
 		kernel   *steering.Kernel
@@ -36,16 +36,16 @@
 	sender func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response)
 )
 
-func newFront(t *testing.T, configured bool, send sender) *front {
+func newTestProxy(t *testing.T, configured bool, send sender) *testProxy {
 	t.Helper()
-	return startFront(t, configured, send, time.Time{}, nil)
+	return startTestProxy(t, configured, send, time.Time{}, nil)
 }
 
-// startFront makes a front of a process that started at a moment and tells on a
+// startTestProxy makes a front of a process that started at a moment and tells on a
 // channel when its configuration is known.
-func startFront(t *testing.T, configured bool, send sender, started time.Time, begun <-chan struct{}) *front {
+func startTestProxy(t *testing.T, configured bool, send sender, started time.Time, configuredCh <-chan struct{}) *testProxy {
 	t.Helper()
-	f := &front{kernel: steering.New(steering.Config{Name: "p", Domain: "a", Region: "r", RegionOf: map[string]string{"a": "r"}})}
+	f := &testProxy{kernel: steering.New(steering.Config{Name: "p", Domain: "a", Region: "r", RegionOf: map[string]string{"a": "r"}})}
 	s := &Server{
 		Headers: Headers{AttemptID: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
 		WithKernel: func(do func(*steering.Kernel, time.Time)) {
@@ -53,8 +53,8 @@
 			defer f.mu.Unlock()
 			do(f.kernel, time.Now())
 		},
-		BodyMemory: bodies.NewMemoryBudget(testMemory), Send: send, Now: time.Now, IsStopping: func() bool { return f.stopping },
-		Configured: begun, StartedAt: started,
+		BodyMemory: bodies.NewMemoryBudget(testBodyMemory), Send: send, Now: time.Now, IsStopping: func() bool { return f.stopping },
+		Configured: configuredCh, StartedAt: started,
 	}
 	if configured {
 		f.configure()
@@ -64,7 +64,7 @@
 	return f
 }
 
-func (f *front) configure() {
+func (f *testProxy) configure() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	route := &routing.Route{
@@ -77,15 +77,15 @@
 	})
 }
 
-// reply is a response that was read to its end.
-type reply struct {
+// fullResponse is a response that was read to its end.
+type fullResponse struct {
 	status int
 	header http.Header
 	close  bool
 	body   string
 }
 
-func get(t *testing.T, method, url, body string) reply {
+func sendRequest(t *testing.T, method, url, body string) fullResponse {
 	t.Helper()
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -102,34 +102,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return reply{response.StatusCode, response.Header, response.Close, string(data)}
+	return fullResponse{response.StatusCode, response.Header, response.Close, string(data)}
 }
 
-func answers(result steering.Result, status int, body string) sender {
+func respondWith(result steering.Result, status int, body string) sender {
 	return func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		return steering.Attempt{Result: result}, &serverhttp.Response{Status: status, Header: http.Header{"Seal": {"s"}}, Body: &bodies.Body{Bytes: []byte(body)}}
 	}
 }
 
-func TestAnswerIsPassedOnWhole(t *testing.T) {
-	f := newFront(t, true, answers(steering.ResultAnswered, http.StatusCreated, "booked"))
-	got := get(t, http.MethodPost, f.URL+"/a/x", "data")
+func TestResponseIsForwarded(t *testing.T) {
+	f := newTestProxy(t, true, respondWith(steering.ResultAnswered, http.StatusCreated, "booked"))
+	got := sendRequest(t, http.MethodPost, f.URL+"/a/x", "data")
 	if got.status != http.StatusCreated || got.body != "booked" || got.header.Get("Seal") != "s" {
 		t.Errorf("got %d %q with seal %q, want 201, the body and the seal", got.status, got.body, got.header.Get("Seal"))
 	}
 }
 
 // A proxy has just started. "Not found" would make callers give up for good.
-func TestUnconfiguredProxySaysNotNow(t *testing.T) {
-	f := newFront(t, false, nil)
-	got := get(t, http.MethodGet, f.URL+"/a/x", "")
+func TestUnconfiguredProxyReturns503(t *testing.T) {
+	f := newTestProxy(t, false, nil)
+	got := sendRequest(t, http.MethodGet, f.URL+"/a/x", "")
 	if got.status != http.StatusServiceUnavailable {
 		t.Errorf("status is %d, want 503", got.status)
 	}
-	expectComeBack(t, got)
+	expectRetryAfter(t, got)
 }
 
-func expectComeBack(t *testing.T, got reply) {
+func expectRetryAfter(t *testing.T, got fullResponse) {
 	t.Helper()
 	seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	if err != nil || seconds <= 0 || seconds > 0.7/3 {
@@ -138,7 +138,7 @@
 }
 
 // What the status promises must be true: 503 only if nothing ran.
-func TestStatusTellsWhetherTheRequestMayHaveRun(t *testing.T) {
+func TestStatusTellsWhetherRequestMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		result steering.Result
 		want   int
@@ -149,31 +149,31 @@
 		"late":        {steering.ResultTimeout, http.StatusGatewayTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFront(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+			f := newTestProxy(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 				return steering.Attempt{Result: c.result}, nil
 			})
-			got := get(t, http.MethodPost, f.URL+"/a/x", "data")
+			got := sendRequest(t, http.MethodPost, f.URL+"/a/x", "data")
 			if got.status != c.want {
 				t.Errorf("status is %d, want %d", got.status, c.want)
 			}
 			if c.want == http.StatusServiceUnavailable {
-				expectComeBack(t, got)
+				expectRetryAfter(t, got)
 			}
 		})
 	}
 }
 
 func TestUnknownPathIsNotFound(t *testing.T) {
-	f := newFront(t, true, nil)
-	if got := get(t, http.MethodGet, f.URL+"/b/x", ""); got.status != http.StatusNotFound {
+	f := newTestProxy(t, true, nil)
+	if got := sendRequest(t, http.MethodGet, f.URL+"/b/x", ""); got.status != http.StatusNotFound {
 		t.Errorf("status is %d, want 404", got.status)
 	}
 }
 
-func TestBodyOverTheLimitIsRefusedBeforeAnythingIsSent(t *testing.T) {
-	f := newFront(t, true, nil)
+func TestBodyOverLimitIsRejected(t *testing.T) {
+	f := newTestProxy(t, true, nil)
 	for _, length := range []int{101, 100_000} {
-		if got := get(t, http.MethodPost, f.URL+"/a/x", strings.Repeat("x", length)); got.status != http.StatusRequestEntityTooLarge {
+		if got := sendRequest(t, http.MethodPost, f.URL+"/a/x", strings.Repeat("x", length)); got.status != http.StatusRequestEntityTooLarge {
 			t.Errorf("%d bytes: status is %d, want 413", length, got.status)
 		}
 	}
@@ -182,18 +182,18 @@
 // Callers send bodies that are allowed each but together more than the proxy has
 // memory for. Those in excess are told that nothing ran and when to come back;
 // before, the process was killed with all its requests.
-func TestBodiesBeyondMemoryAreRefusedAsNotRun(t *testing.T) {
+func TestBodiesBeyondMemoryAreRejectedAsNotRun(t *testing.T) {
 	entered, leave := make(chan bool, 1), make(chan bool)
-	f := newFront(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+	f := newTestProxy(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		entered <- true
 		<-leave
 		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
 	body := strings.Repeat("x", 100)
-	first := make(chan reply, 1)
-	go func() { first <- get(t, http.MethodPost, f.URL+"/a/x", body) }()
+	first := make(chan fullResponse, 1)
+	go func() { first <- sendRequest(t, http.MethodPost, f.URL+"/a/x", body) }()
 	<-entered
-	if got := get(t, http.MethodPost, f.URL+"/a/x", body); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
+	if got := sendRequest(t, http.MethodPost, f.URL+"/a/x", body); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 		t.Errorf("second body: status is %d, come back after %q, want 503 and a time", got.status, got.header.Get("Retry-After"))
 	}
 	leave <- true
@@ -201,7 +201,7 @@
 		t.Errorf("first body: status is %d, want 200", got.status)
 	}
 	go func() { <-entered; leave <- true }()
-	if got := get(t, http.MethodPost, f.URL+"/a/x", body); got.status != http.StatusOK {
+	if got := sendRequest(t, http.MethodPost, f.URL+"/a/x", body); got.status != http.StatusOK {
 		t.Errorf("body after the first is released: status is %d, want 200", got.status)
 	}
 }
@@ -211,11 +211,11 @@
 // would come back later together, and late.
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
 	configured := make(chan struct{})
-	f := startFront(t, false, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+	f := startTestProxy(t, false, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	}, time.Now(), configured)
 	answered := make(chan int, 1)
-	go func() { answered <- get(t, http.MethodGet, f.URL+"/a/x", "").status }()
+	go func() { answered <- sendRequest(t, http.MethodGet, f.URL+"/a/x", "").status }()
 	time.Sleep(configurationTimeout / 10)
 	f.configure()
 	close(configured)
@@ -226,34 +226,34 @@
 
 // Neither the store nor a peer answers. Requests that come just after the start
 // wait for a configuration no longer than is of use, later ones not at all.
-func TestNoConfigurationIsNotWaitedForLong(t *testing.T) {
-	f := startFront(t, false, nil, time.Now(), make(chan struct{}))
+func TestWaitForConfigurationTimesOut(t *testing.T) {
+	f := startTestProxy(t, false, nil, time.Now(), make(chan struct{}))
 	for range 2 {
-		got := get(t, http.MethodGet, f.URL+"/a/x", "")
+		got := sendRequest(t, http.MethodGet, f.URL+"/a/x", "")
 		if got.status != http.StatusServiceUnavailable {
 			t.Errorf("status is %d, want 503", got.status)
 		}
-		expectComeBack(t, got)
+		expectRetryAfter(t, got)
 	}
 }
 
 // The deadline handed on is the sooner of the caller's and the route's.
-func TestDeadlineHandedOn(t *testing.T) {
+func TestDeadlineIsForwarded(t *testing.T) {
 	var left time.Duration
-	f := newFront(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+	f := newTestProxy(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		left = time.Until(r.Deadline)
 		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
-	get(t, http.MethodGet, f.URL+"/a/x", "")
+	sendRequest(t, http.MethodGet, f.URL+"/a/x", "")
 	if left <= 0 || left > 700*time.Millisecond {
 		t.Errorf("the server has %s, want at most the caller's 700 ms", left)
 	}
 }
 
 // A caller gives up while its request runs. The server must hear of it soon.
-func TestLeavingCallerEndsTheAttempt(t *testing.T) {
+func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	ended := make(chan time.Duration, 1)
-	f := newFront(t, true, func(ctx context.Context, _ serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+	f := newTestProxy(t, true, func(ctx context.Context, _ serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		began := time.Now()
 		<-ctx.Done()
 		ended <- time.Since(began)
@@ -276,10 +276,10 @@
 	}
 }
 
-func TestStoppingProxySendsCallersElsewhere(t *testing.T) {
-	f := newFront(t, true, answers(steering.ResultAnswered, http.StatusOK, "fine"))
+func TestStoppingProxyClosesConnections(t *testing.T) {
+	f := newTestProxy(t, true, respondWith(steering.ResultAnswered, http.StatusOK, "fine"))
 	f.stopping = true
-	if got := get(t, http.MethodGet, f.URL+"/a/x", ""); !got.close || got.body != "fine" {
+	if got := sendRequest(t, http.MethodGet, f.URL+"/a/x", ""); !got.close || got.body != "fine" {
 		t.Errorf("connection closes: %t, body %q; want the answer and a close", got.close, got.body)
 	}
 }
--- a/internal/adapter/serverhttp/account_test.go
+++ b/internal/adapter/serverhttp/account_test.go
@@ -8,9 +8,9 @@
 
 // Guards against keys that reach servers, and against names of accounts that callers wrote
 // themselves.
-func TestServersSeeTheAccountAndNotItsKey(t *testing.T) {
+func TestServersSeeAccountNameAndNotKey(t *testing.T) {
 	const name = "X-Account-Of-Caller"
-	h := headers
+	h := testHeaders
 	h.Account = name
 	c := &Client{headers: h, now: time.Now}
 	given := http.Header{
--- a/internal/adapter/serverhttp/client.go
+++ b/internal/adapter/serverhttp/client.go
@@ -137,8 +137,8 @@
 
 // NewClient makes a client that holds answers in memory. opened is told of each
 // new connection.
-func NewClient(h Headers, m *bodies.MemoryBudget, now func() time.Time, opened func()) *Client {
-	return &Client{headers: h, memory: m, now: now, pool: newPool(now, opened)}
+func NewClient(h Headers, m *bodies.MemoryBudget, now func() time.Time, onOpen func()) *Client {
+	return &Client{headers: h, memory: m, now: now, pool: newPool(now, onOpen)}
 }
 
 // Send makes one attempt. The answer is nil unless a whole one arrived.
@@ -157,21 +157,21 @@
 	}
 	e := &exchange{client: c, conn: connection, request: r, message: c.newMessage(r)}
 	stop := context.AfterFunc(ctx, connection.abort)
-	answer, reusable, err := e.run()
+	response, reusable, err := e.run()
 	if !stop() {
 		// The caller left, and the connection was closed to tell the server.
-		answer.Release()
+		response.Release()
 		return steering.Attempt{Result: steering.ResultCallerGone, Err: context.Cause(ctx), Signal: e.signal}, nil
 	}
 	c.pool.put(connection, reusable, r.MaxConnections)
-	attempt := c.classify(r, answer, err)
+	attempt := c.classify(r, response, err)
 	attempt.RoundTrip, attempt.Signal = roundTrip, e.signal
-	return attempt, answer
+	return attempt, response
 }
 
 // MeasureRoundTrip opens a connection to learn the round trip and keeps it for later.
-func (c *Client) MeasureRoundTrip(ctx context.Context, address netip.AddrPort, limit time.Duration) (time.Duration, error) {
-	connection, roundTrip, err := c.pool.get(ctx, address, limit)
+func (c *Client) MeasureRoundTrip(ctx context.Context, address netip.AddrPort, timeout time.Duration) (time.Duration, error) {
+	connection, roundTrip, err := c.pool.get(ctx, address, timeout)
 	if err != nil {
 		return 0, err
 	}
@@ -191,12 +191,12 @@
 func (c *Client) newMessage(r Request) *http.Request {
 	header := make(http.Header, len(r.Header)+4)
 	CopyHeader(header, r.Header)
-	if _, given := header["User-Agent"]; !given {
+	if _, present := header["User-Agent"]; !present {
 		// An empty value keeps the library from adding its own name.
 		header["User-Agent"] = []string{""}
 	}
-	left := max(1, r.Deadline.Sub(c.now()).Milliseconds())
-	header.Set(c.headers.Deadline, strconv.FormatInt(left, 10))
+	timeLeft := max(1, r.Deadline.Sub(c.now()).Milliseconds())
+	header.Set(c.headers.Deadline, strconv.FormatInt(timeLeft, 10))
 	header.Set(c.headers.InstanceID, r.InstanceID)
 	if r.HasAccounts {
 		c.setAccount(header, r.Account)
@@ -209,8 +209,8 @@
 		// Opaque text that begins so would be taken for a host.
 		path, query, _ := strings.Cut(r.Target, "?")
 		m.URL = &url.URL{Scheme: "http", Host: r.Host, RawQuery: query}
-		if plain, err := url.PathUnescape(path); err == nil {
-			m.URL.Path, m.URL.RawPath = plain, path
+		if unescaped, err := url.PathUnescape(path); err == nil {
+			m.URL.Path, m.URL.RawPath = unescaped, path
 		}
 	}
 	if len(r.Body) > 0 {
@@ -235,28 +235,28 @@
 }
 
 // classify says what an exchange means for the request.
-func (c *Client) classify(r Request, answer *Response, err error) steering.Attempt {
+func (c *Client) classify(r Request, response *Response, err error) steering.Attempt {
 	a := steering.Attempt{Err: err}
-	if answer == nil {
+	if response == nil {
 		a.Result = steering.ResultConnectionLost
 		if !c.now().Before(r.Deadline) {
 			a.Result = steering.ResultTimeout
 		}
 		return a
 	}
-	a.Running, a.Waiting, a.Loaded = parseLoad(answer.Header.Get(c.headers.Load))
+	a.Running, a.Waiting, a.Loaded = parseLoad(response.Header.Get(c.headers.Load))
 	switch {
-	case answer.Status == http.StatusMisdirectedRequest:
+	case response.Status == http.StatusMisdirectedRequest:
 		a.Result = steering.ResultWrongServer
-	case answer.Header.Get(c.headers.NotRun) != "":
+	case response.Header.Get(c.headers.NotRun) != "":
 		a.Result = steering.ResultRefused
-	case answer.Status >= http.StatusInternalServerError:
+	case response.Status >= http.StatusInternalServerError:
 		a.Result = steering.ResultServerError
 	default:
 		a.Result = steering.ResultAnswered
 	}
-	a.Rejected = answer.Status >= http.StatusBadRequest
-	answer.Header.Del(c.headers.Load)
+	a.Rejected = response.Status >= http.StatusBadRequest
+	response.Header.Del(c.headers.Load)
 	return a
 }
 
@@ -275,7 +275,7 @@
 
 // run writes the request and reads the answer to it. reusable is set if the
 // connection may serve another request.
-func (e *exchange) run() (answer *Response, reusable bool, err error) {
+func (e *exchange) run() (response *Response, reusable bool, err error) {
 	if err := e.conn.SetDeadline(e.request.Deadline); err != nil {
 		return nil, false, errors.Wrap(err, "deadline")
 	}
@@ -288,7 +288,7 @@
 	} else {
 		go func() { written <- e.write() }()
 	}
-	answer, closes, err := e.read()
+	response, closes, err := e.read()
 	if err != nil {
 		return nil, false, err
 	}
@@ -299,7 +299,7 @@
 		// The server answered before it read the whole body. What is still
 		// due belongs to this request, so the connection cannot serve another.
 	}
-	return answer, reusable, nil
+	return response, reusable, nil
 }
 
 func (e *exchange) write() error {
@@ -314,36 +314,36 @@
 // may send a second answer to an earlier request where this one's is due; the
 // attempt's id tells them apart.
 func (e *exchange) read() (*Response, bool, error) {
-	strayed := false
+	sawStray := false
 	for range maxStrayResponses + 1 {
-		answer, closes, err := e.readOne()
+		response, closes, err := e.readOne()
 		if err != nil {
 			return nil, true, err
 		}
-		switch id := answer.Header.Get(e.client.headers.AttemptID); {
+		switch id := response.Header.Get(e.client.headers.AttemptID); {
 		case id == e.request.AttemptID:
-			return e.checkSeal(answer, closes || strayed)
+			return e.checkSeal(response, closes || sawStray)
 		case id == "" && e.conn.isFirstUse():
 			// Nothing was sent on this connection before, so there is no
 			// other request that the answer could belong to.
-			return e.checkSeal(answer, closes)
+			return e.checkSeal(response, closes)
 		case id == "":
-			answer.Release()
+			response.Release()
 			return nil, true, errMissingAttemptID
 		}
-		answer.Release()
-		strayed = true
+		response.Release()
+		sawStray = true
 	}
 	return nil, true, errOnlyStrayResponses
 }
 
-func (e *exchange) checkSeal(answer *Response, closes bool) (*Response, bool, error) {
-	success := answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices
-	if success && answer.Header.Get(e.client.headers.Seal) == "" {
-		answer.Release()
+func (e *exchange) checkSeal(response *Response, closes bool) (*Response, bool, error) {
+	success := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
+	if success && response.Header.Get(e.client.headers.Seal) == "" {
+		response.Release()
 		return nil, true, errMissingSeal
 	}
-	return answer, closes, nil
+	return response, closes, nil
 }
 
 func (e *exchange) readOne() (*Response, bool, error) {
@@ -353,12 +353,12 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	e.recordSignal(response)
-	told := response.ContentLength
+	contentLength := response.ContentLength
 	if e.request.Method == http.MethodHead {
 		// The length is that of the answer to a GET; nothing follows.
-		told = 0
+		contentLength = 0
 	}
-	body, err := e.client.memory.Read(response.Body, told, maxResponseBytes)
+	body, err := e.client.memory.Read(response.Body, contentLength, maxResponseBytes)
 	if err != nil {
 		return nil, true, errors.Wrap(err, "hold answer")
 	}
@@ -383,16 +383,16 @@
 }
 
 // CopyHeader copies the fields that concern the message, not the connection.
-func CopyHeader(into, from http.Header) {
-	for name, values := range from {
-		into[name] = append([]string(nil), values...)
+func CopyHeader(dst, src http.Header) {
+	for name, values := range src {
+		dst[name] = append([]string(nil), values...)
 	}
-	for _, listed := range from["Connection"] {
-		for _, name := range strings.Split(listed, ",") {
-			into.Del(strings.TrimSpace(name))
+	for _, value := range src["Connection"] {
+		for _, name := range strings.Split(value, ",") {
+			dst.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range hopByHopHeaders {
-		into.Del(name)
+		dst.Del(name)
 	}
 }
--- a/internal/adapter/serverhttp/client_test.go
+++ b/internal/adapter/serverhttp/client_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// patience bounds waits for what must happen soon; only a failure waits
+	// testTimeout bounds waits for what must happen soon; only a failure waits
 	// so long.
-	patience = 10 * time.Second
+	testTimeout = 10 * time.Second
 )
 
 var (
-	headers = Headers{
+	testHeaders = Headers{
 		AttemptID: "Attempt", Deadline: "Time-Left", InstanceID: "Instance", Load: "Load", NotRun: "Not-Run", Seal: "Seal",
 	}
 )
@@ -34,15 +34,15 @@
 	// rawServer answers each request that it reads with the bytes that a
 	// function gives; the connection ends when the function says so.
 	rawServer struct {
-		listener net.Listener
-		opened   atomic.Int32
-		requests atomic.Int32
+		listener    net.Listener
+		connections atomic.Int32
+		requests    atomic.Int32
 	}
 )
 
-// serveRaw starts a server. answer gets the number of the connection and of
+// startRawServer starts a server. answer gets the number of the connection and of
 // the request on it, both from 1.
-func serveRaw(t *testing.T, answer func(conn, request int, r *http.Request, w net.Conn) (more bool)) *rawServer {
+func startRawServer(t *testing.T, respond func(conn, request int, r *http.Request, w net.Conn) (more bool)) *rawServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,13 +56,13 @@
 			if err != nil {
 				return
 			}
-			go s.serve(c, int(s.opened.Add(1)), answer)
+			go s.serve(c, int(s.connections.Add(1)), respond)
 		}
 	}()
 	return s
 }
 
-func (s *rawServer) serve(c net.Conn, number int, answer func(int, int, *http.Request, net.Conn) bool) {
+func (s *rawServer) serve(c net.Conn, number int, respond func(int, int, *http.Request, net.Conn) bool) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
 	for n := 1; ; n++ {
@@ -71,7 +71,7 @@
 			return
 		}
 		s.requests.Add(1)
-		if !answer(number, n, r, c) {
+		if !respond(number, n, r, c) {
 			return
 		}
 	}
@@ -81,19 +81,19 @@
 	return netip.MustParseAddrPort(s.listener.Addr().String())
 }
 
-func ok(attempt, body string) string {
+func okResponse(attempt, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt: %s\r\nSeal: s\r\nContent-Length: %d\r\n\r\n%s", attempt, len(body), body)
 }
 
 func newTestClient() *Client {
-	return NewClient(headers, bodies.NewMemoryBudget(64<<20), time.Now, func() {})
+	return NewClient(testHeaders, bodies.NewMemoryBudget(64<<20), time.Now, func() {})
 }
 
 func send(c *Client, s *rawServer, attempt string) (steering.Attempt, *Response) {
-	return c.Send(context.Background(), request(s, attempt))
+	return c.Send(context.Background(), newRequest(s, attempt))
 }
 
-func request(s *rawServer, attempt string) Request {
+func newRequest(s *rawServer, attempt string) Request {
 	return Request{
 		Address: s.address(), InstanceID: "i-1", Method: http.MethodGet, Host: "example", Target: "/a?b=c",
 		Header: http.Header{"Attempt": {attempt}}, AttemptID: attempt,
@@ -101,61 +101,61 @@
 	}
 }
 
-func expect(t *testing.T, a steering.Attempt, answer *Response, result steering.Result, body string) {
+func expectResult(t *testing.T, a steering.Attempt, response *Response, result steering.Result, body string) {
 	t.Helper()
 	if a.Result != result {
 		t.Fatalf("result is %s (%v), want %s", a.Result, a.Err, result)
 	}
-	if result == steering.ResultAnswered && string(answer.Body.Bytes) != body {
-		t.Errorf("body is %q, want %q", answer.Body.Bytes, body)
+	if result == steering.ResultAnswered && string(response.Body.Bytes) != body {
+		t.Errorf("body is %q, want %q", response.Body.Bytes, body)
 	}
 }
 
 // A server answers a request twice. The second answer is already there when
 // the connection is used again, and the next caller would get it.
-func TestSecondAnswerIsNotTakenForTheNext(t *testing.T) {
-	s := serveRaw(t, func(_, _ int, r *http.Request, w net.Conn) bool {
+func TestDuplicateResponseIsDiscarded(t *testing.T) {
+	s := startRawServer(t, func(_, _ int, r *http.Request, w net.Conn) bool {
 		id := r.Header.Get("Attempt")
-		_, _ = io.WriteString(w, ok(id, "to "+id)+ok(id, "again to "+id))
+		_, _ = io.WriteString(w, okResponse(id, "to "+id)+okResponse(id, "again to "+id))
 		return true
 	})
 	c := newTestClient()
 	for _, id := range []string{"one", "two", "three"} {
 		a, answer := send(c, s, id)
-		expect(t, a, answer, steering.ResultAnswered, "to "+id)
+		expectResult(t, a, answer, steering.ResultAnswered, "to "+id)
 	}
 }
 
 // The second answer arrives late: after the next request was sent on the
 // connection, before its own answer. Its id tells that it belongs to another.
-func TestLateSecondAnswerIsSkipped(t *testing.T) {
-	s := serveRaw(t, func(_, n int, r *http.Request, w net.Conn) bool {
+func TestLateDuplicateResponseIsSkipped(t *testing.T) {
+	s := startRawServer(t, func(_, n int, r *http.Request, w net.Conn) bool {
 		id := r.Header.Get("Attempt")
 		if n == 2 {
-			_, _ = io.WriteString(w, ok("one", "again to one"))
+			_, _ = io.WriteString(w, okResponse("one", "again to one"))
 		}
-		_, _ = io.WriteString(w, ok(id, "to "+id))
+		_, _ = io.WriteString(w, okResponse(id, "to "+id))
 		return true
 	})
 	c := newTestClient()
 	for _, id := range []string{"one", "two"} {
 		a, answer := send(c, s, id)
-		expect(t, a, answer, steering.ResultAnswered, "to "+id)
+		expectResult(t, a, answer, steering.ResultAnswered, "to "+id)
 	}
 	if a, answer := send(c, s, "three"); answer == nil || string(answer.Body.Bytes) != "to three" {
 		t.Errorf("result after a stray answer is %s, want the answer on a new connection", a.Result)
 	}
-	if got := s.opened.Load(); got != 2 {
+	if got := s.connections.Load(); got != 2 {
 		t.Errorf("%d connections were opened, want 2: the one with a stray answer is not used again", got)
 	}
 }
 
 // A refusal without an id arrives where the answer of another request is due.
 // Believing it would say "not run" of a request that runs.
-func TestRefusalWithoutIDOnAKeptConnectionIsNotBelieved(t *testing.T) {
-	s := serveRaw(t, func(_, n int, r *http.Request, w net.Conn) bool {
+func TestNotRunWithoutIDOnReusedConnectionIsIgnored(t *testing.T) {
+	s := startRawServer(t, func(_, n int, r *http.Request, w net.Conn) bool {
 		if n == 1 {
-			_, _ = io.WriteString(w, ok(r.Header.Get("Attempt"), "fine"))
+			_, _ = io.WriteString(w, okResponse(r.Header.Get("Attempt"), "fine"))
 			return true
 		}
 		_, _ = io.WriteString(w, "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
@@ -164,23 +164,23 @@
 	c := newTestClient()
 	send(c, s, "one")
 	a, answer := send(c, s, "two")
-	expect(t, a, answer, steering.ResultConnectionLost, "")
+	expectResult(t, a, answer, steering.ResultConnectionLost, "")
 }
 
 // A kept connection breaks just as a request is sent on it. The server may
 // have run the request, so it must not be sent again by itself.
-func TestBrokenKeptConnectionIsNotRepeated(t *testing.T) {
-	s := serveRaw(t, func(_, n int, r *http.Request, w net.Conn) bool {
+func TestNoRetryOnBrokenReusedConnection(t *testing.T) {
+	s := startRawServer(t, func(_, n int, r *http.Request, w net.Conn) bool {
 		if n > 1 {
 			return false
 		}
-		_, _ = io.WriteString(w, ok(r.Header.Get("Attempt"), "fine"))
+		_, _ = io.WriteString(w, okResponse(r.Header.Get("Attempt"), "fine"))
 		return true
 	})
 	c := newTestClient()
 	send(c, s, "one")
 	a, answer := send(c, s, "two")
-	expect(t, a, answer, steering.ResultConnectionLost, "")
+	expectResult(t, a, answer, steering.ResultConnectionLost, "")
 	if got := s.requests.Load(); got != 2 {
 		t.Errorf("the server read %d requests, want 2", got)
 	}
@@ -188,7 +188,7 @@
 
 // A server breaks off in the middle of an answer. The part must not pass for
 // the whole, with or without a stated length.
-func TestPartOfAnAnswerIsBroken(t *testing.T) {
+func TestPartialResponseIsConnectionLost(t *testing.T) {
 	for name, text := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nAttempt: one\r\nSeal: s\r\nContent-Length: 100\r\n\r\npart",
 		"chunked": "HTTP/1.1 200 OK\r\nAttempt: one\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
@@ -197,41 +197,41 @@
 		"nothing": "",
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serveRaw(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
+			s := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 				_, _ = io.WriteString(w, text)
 				return false
 			})
 			a, answer := send(newTestClient(), s, "one")
-			expect(t, a, answer, steering.ResultConnectionLost, "")
+			expectResult(t, a, answer, steering.ResultConnectionLost, "")
 		})
 	}
 }
 
 // An answer without a length ends with its connection: whole if the server
 // closed it, not if it was reset.
-func TestAnswerWithoutLength(t *testing.T) {
+func TestResponseWithoutLength(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\nAttempt: one\r\nSeal: s\r\n\r\nall of it"
-	closed := serveRaw(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
+	closed := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 		_, _ = io.WriteString(w, text)
 		return false
 	})
 	a, answer := send(newTestClient(), closed, "one")
-	expect(t, a, answer, steering.ResultAnswered, "all of it")
-	reset := serveRaw(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
+	expectResult(t, a, answer, steering.ResultAnswered, "all of it")
+	reset := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 		_, _ = io.WriteString(w, text)
 		time.Sleep(50 * time.Millisecond)
 		_ = w.(*net.TCPConn).SetLinger(0)
 		return false
 	})
 	a, answer = send(newTestClient(), reset, "one")
-	expect(t, a, answer, steering.ResultConnectionLost, "")
+	expectResult(t, a, answer, steering.ResultConnectionLost, "")
 }
 
 // A server rejects a long request before it has read it all and keeps the
 // connection. Another request sent there would be read as the rest of the
 // first one's body.
-func TestEarlyAnswerToALongBodyEndsTheConnection(t *testing.T) {
-	s := serveRaw(t, func(_, _ int, r *http.Request, w net.Conn) bool {
+func TestEarlyResponseToLongBodyClosesConnection(t *testing.T) {
+	s := startRawServer(t, func(_, _ int, r *http.Request, w net.Conn) bool {
 		id := r.Header.Get("Attempt")
 		_, _ = io.WriteString(w, "HTTP/1.1 413 Too Large\r\nAttempt: "+id+"\r\nSeal: s\r\nContent-Length: 0\r\n\r\n")
 		time.Sleep(100 * time.Millisecond)
@@ -239,31 +239,31 @@
 		return true
 	})
 	c := newTestClient()
-	long := request(s, "one")
+	long := newRequest(s, "one")
 	long.Method, long.Body = http.MethodPost, []byte(strings.Repeat("x", 32<<20))
 	a, answer := c.Send(context.Background(), long)
 	if a.Result != steering.ResultAnswered || answer.Status != http.StatusRequestEntityTooLarge {
 		t.Fatalf("result is %s (%v), want the server's answer", a.Result, a.Err)
 	}
 	send(c, s, "two")
-	if got := s.opened.Load(); got != 2 {
+	if got := s.connections.Load(); got != 2 {
 		t.Errorf("%d connections were opened, want 2", got)
 	}
 }
 
 // The caller leaves. The server goes on working for nobody until it sees the
 // connection close.
-func TestLeavingCallerClosesTheConnection(t *testing.T) {
+func TestCallerDisconnectClosesConnection(t *testing.T) {
 	closed := make(chan time.Time, 1)
-	s := serveRaw(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
+	s := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 		_, _ = w.Read(make([]byte, 1))
 		closed <- time.Now()
 		return false
 	})
 	ctx, leave := context.WithCancel(context.Background())
 	time.AfterFunc(50*time.Millisecond, leave)
-	a, answer := newTestClient().Send(ctx, request(s, "one"))
-	expect(t, a, answer, steering.ResultCallerGone, "")
+	a, answer := newTestClient().Send(ctx, newRequest(s, "one"))
+	expectResult(t, a, answer, steering.ResultCallerGone, "")
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
@@ -272,7 +272,7 @@
 }
 
 // A request that reached no server must be told from one that may have run.
-func TestNoConnection(t *testing.T) {
+func TestConnectionRefusedIsUnreachable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -280,32 +280,32 @@
 	s := &rawServer{listener: l}
 	_ = l.Close()
 	a, answer := send(newTestClient(), s, "one")
-	expect(t, a, answer, steering.ResultUnreachable, "")
+	expectResult(t, a, answer, steering.ResultUnreachable, "")
 }
 
-func TestNoAnswerInTimeIsLate(t *testing.T) {
-	s := serveRaw(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
+func TestNoResponseInTimeIsTimeout(t *testing.T) {
+	s := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 		_, _ = w.Read(make([]byte, 1))
 		return false
 	})
-	r := request(s, "one")
+	r := newRequest(s, "one")
 	r.Deadline = time.Now().Add(50 * time.Millisecond)
 	a, answer := newTestClient().Send(context.Background(), r)
-	expect(t, a, answer, steering.ResultTimeout, "")
+	expectResult(t, a, answer, steering.ResultTimeout, "")
 }
 
 // Something else listens at the address and says 200. Without the server's
 // seal it is no answer to pass on.
-func TestSuccessWithoutSealIsBroken(t *testing.T) {
-	s := serveRaw(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
+func TestSuccessWithoutSealIsConnectionLost(t *testing.T) {
+	s := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nAttempt: one\r\nContent-Length: 2\r\n\r\nhi")
 		return true
 	})
 	a, answer := send(newTestClient(), s, "one")
-	expect(t, a, answer, steering.ResultConnectionLost, "")
+	expectResult(t, a, answer, steering.ResultConnectionLost, "")
 }
 
-func TestOutcomes(t *testing.T) {
+func TestResultsByStatus(t *testing.T) {
 	for _, c := range []struct {
 		head string
 		want steering.Result
@@ -315,12 +315,12 @@
 		{"HTTP/1.1 500 Failed\r\nSeal: s", steering.ResultServerError},
 		{"HTTP/1.1 404 None\r\nSeal: s", steering.ResultAnswered},
 	} {
-		s := serveRaw(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
+		s := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 			_, _ = io.WriteString(w, c.head+"\r\nAttempt: one\r\nLoad: 3,2,4\r\nContent-Length: 0\r\n\r\n")
 			return true
 		})
 		a, answer := send(newTestClient(), s, "one")
-		expect(t, a, answer, c.want, "")
+		expectResult(t, a, answer, c.want, "")
 		if !a.Loaded || a.Running != 3 || a.Waiting != 2 {
 			t.Errorf("load is %t %d %d, want 3 running and 2 waiting", a.Loaded, a.Running, a.Waiting)
 		}
@@ -329,16 +329,16 @@
 
 // Requests are passed on as they came but for what concerns one connection,
 // and with the time that is left.
-func TestRequestIsPassedOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	for _, target := range []string{"/a%2Fb/?q=%20x", "//double/slash?x=1", "/plain"} {
 		seen := make(chan *http.Request, 1)
-		s := serveRaw(t, func(_, _ int, r *http.Request, w net.Conn) bool {
+		s := startRawServer(t, func(_, _ int, r *http.Request, w net.Conn) bool {
 			_, _ = io.Copy(io.Discard, r.Body)
 			seen <- r
-			_, _ = io.WriteString(w, ok("one", ""))
+			_, _ = io.WriteString(w, okResponse("one", ""))
 			return true
 		})
-		r := request(s, "one")
+		r := newRequest(s, "one")
 		r.Target = target
 		r.Header.Set("Connection", "X-Hop")
 		r.Header.Set("X-Hop", "1")
@@ -367,15 +367,15 @@
 
 // A connection that the server has closed while idle is found before a request
 // is sent on it: afterwards nobody could say whether the request ran.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	s := serveRaw(t, func(_, _ int, r *http.Request, w net.Conn) bool {
-		_, _ = io.WriteString(w, ok(r.Header.Get("Attempt"), "fine"))
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	s := startRawServer(t, func(_, _ int, r *http.Request, w net.Conn) bool {
+		_, _ = io.WriteString(w, okResponse(r.Header.Get("Attempt"), "fine"))
 		return false
 	})
 	c := newTestClient()
 	for _, id := range []string{"one", "two", "three"} {
 		a, answer := send(c, s, id)
-		expect(t, a, answer, steering.ResultAnswered, "fine")
+		expectResult(t, a, answer, steering.ResultAnswered, "fine")
 		time.Sleep(50 * time.Millisecond)
 	}
 }
@@ -383,9 +383,9 @@
 // A server starts again behind a cut that hides the end of its connections. A kept
 // one looks idle and sound, and the next request on it would be lost. Once the
 // start is known, no kept connection of before is used.
-func TestConnectionsToAnEarlierStartAreNotUsed(t *testing.T) {
-	s := serveRaw(t, func(conn, _ int, r *http.Request, w net.Conn) bool {
-		_, _ = io.WriteString(w, ok(r.Header.Get("Attempt"), fmt.Sprint(conn)))
+func TestConnectionsToRestartedServerAreNotReused(t *testing.T) {
+	s := startRawServer(t, func(conn, _ int, r *http.Request, w net.Conn) bool {
+		_, _ = io.WriteString(w, okResponse(r.Header.Get("Attempt"), fmt.Sprint(conn)))
 		return true
 	})
 	c := newTestClient()
@@ -394,51 +394,51 @@
 			c.CloseIdleConnections(s.address())
 		}
 		a, answer := send(c, s, fmt.Sprint("a", i))
-		expect(t, a, answer, steering.ResultAnswered, want)
+		expectResult(t, a, answer, steering.ResultAnswered, want)
 	}
 }
 
 // Six requests at a time go to a server that accepts few connections from each
 // proxy. Kept idle, all six would stand in the way of other proxies' connections.
-func TestIdleConnectionsStayWithinTheirBound(t *testing.T) {
-	const most, together = 2, 6
+func TestIdleConnectionLimit(t *testing.T) {
+	const maxIdle, concurrent = 2, 6
 	var arrived sync.WaitGroup
-	arrived.Add(together)
-	var ended atomic.Int32
-	s := serveRaw(t, func(_, n int, r *http.Request, w net.Conn) bool {
+	arrived.Add(concurrent)
+	var closed atomic.Int32
+	s := startRawServer(t, func(_, n int, r *http.Request, w net.Conn) bool {
 		if n == 1 {
 			arrived.Done()
 			arrived.Wait()
 		}
-		_, err := io.WriteString(w, ok(r.Header.Get("Attempt"), "x"))
+		_, err := io.WriteString(w, okResponse(r.Header.Get("Attempt"), "x"))
 		if err == nil {
 			_, err = w.Read(make([]byte, 1))
 		}
 		if err != nil {
-			ended.Add(1)
+			closed.Add(1)
 		}
 		return err == nil
 	})
 	c := newTestClient()
 	var clients sync.WaitGroup
-	for range together {
+	for range concurrent {
 		clients.Go(func() {
 			c.Send(context.Background(), Request{
 				Address: s.address(), Method: http.MethodGet, Host: "h", Target: "/", AttemptID: "a",
-				Deadline: time.Now().Add(patience), DialTimeout: patience, MaxConnections: most,
+				Deadline: time.Now().Add(testTimeout), DialTimeout: testTimeout, MaxConnections: maxIdle,
 			})
 		})
 	}
 	clients.Wait()
-	for end := time.Now().Add(patience); ended.Load() < together-most && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); closed.Load() < concurrent-maxIdle && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if got := ended.Load(); got != together-most {
-		t.Errorf("%d connections were closed, want %d", got, together-most)
+	if got := closed.Load(); got != concurrent-maxIdle {
+		t.Errorf("%d connections were closed, want %d", got, concurrent-maxIdle)
 	}
 }
 
-func TestServersWordOnIdleConnections(t *testing.T) {
+func TestApplyKeepAlive(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"": defaultKeepAlive, "timeout=5": 4 * time.Second, "max=3, timeout=2": time.Second, "timeout=0": 0, "timeout=x": defaultKeepAlive,
 	} {
--- a/internal/adapter/serverhttp/pool.go
+++ b/internal/adapter/serverhttp/pool.go
@@ -52,28 +52,28 @@
 	}
 )
 
-func newPool(now func() time.Time, opened func()) *pool {
+func newPool(now func() time.Time, onOpen func()) *pool {
 	return &pool{
-		idle: make(map[netip.AddrPort][]*conn), now: now, onOpen: opened,
+		idle: make(map[netip.AddrPort][]*conn), now: now, onOpen: onOpen,
 		dialer: net.Dialer{Control: setTCPUserTimeout, KeepAlive: -1},
 	}
 }
 
 // setTCPUserTimeout makes the system report a peer that has fallen silent.
 func setTCPUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
 // get takes an idle connection or opens one. The time that the opening took
 // is returned with a new one.
-func (p *pool) get(ctx context.Context, address netip.AddrPort, limit time.Duration) (*conn, time.Duration, error) {
+func (p *pool) get(ctx context.Context, address netip.AddrPort, timeout time.Duration) (*conn, time.Duration, error) {
 	for {
 		c := p.popIdle(address)
 		if c == nil {
@@ -85,16 +85,16 @@
 		}
 		_ = c.Close()
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	began := p.now()
+	startedAt := p.now()
 	raw, err := p.dialer.DialContext(ctx, "tcp", address.String())
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "connect")
 	}
 	p.onOpen()
 	c := &conn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferSize), address: address, uses: 1, keepAlive: defaultKeepAlive}
-	return c, p.now().Sub(began), nil
+	return c, p.now().Sub(startedAt), nil
 }
 
 // popIdle removes the idle connection that was used last.
@@ -112,7 +112,7 @@
 
 // put takes a connection back. most bounds the idle ones to the server, if it is
 // not zero.
-func (p *pool) put(c *conn, reusable bool, most int) {
+func (p *pool) put(c *conn, reusable bool, maxIdle int) {
 	if !reusable {
 		_ = c.Close()
 		return
@@ -122,11 +122,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep(now)
-	if most <= 0 {
-		most = maxIdleConnections
+	if maxIdle <= 0 {
+		maxIdle = maxIdleConnections
 	}
 	list := p.idle[c.address]
-	for len(list) >= min(most, maxIdleConnections) {
+	for len(list) >= min(maxIdle, maxIdleConnections) {
 		_ = list[0].Close()
 		list = list[1:]
 	}
@@ -182,13 +182,13 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = control.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, failed := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(failed, unix.EAGAIN)
+		var buf [1]byte
+		_, _, recvErr := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		reusable = errors.Is(recvErr, unix.EAGAIN)
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
 // applyKeepAlive takes in the server's own word on how long it keeps the connection.
--- a/internal/adapter/serverhttp/signal.go
+++ b/internal/adapter/serverhttp/signal.go
@@ -26,21 +26,21 @@
 
 // ParseSignal reads what an answer of a server asks. What can't be read is logged and asks
 // nothing.
-func ParseSignal(r *http.Response, names Headers, server string) (s backpressure.Signal) {
+func ParseSignal(r *http.Response, headers Headers, server string) (s backpressure.Signal) {
 	var err error
-	if s.Limit, err = backpressure.ParseLimit(r.Header.Values(names.Limit)); err != nil {
-		logIgnoredSignal(server, names.Limit, err)
+	if s.Limit, err = backpressure.ParseLimit(r.Header.Values(headers.Limit)); err != nil {
+		logIgnoredSignal(server, headers.Limit, err)
 	}
-	s.Draining = names.Draining != "" && slices.Contains(r.Header.Values(names.Draining), names.DrainingValue)
-	pauses := r.Header.Values(retryAfterHeader)
-	if r.StatusCode != http.StatusServiceUnavailable || len(pauses) == 0 {
+	s.Draining = headers.Draining != "" && slices.Contains(r.Header.Values(headers.Draining), headers.DrainingValue)
+	retryAfter := r.Header.Values(retryAfterHeader)
+	if r.StatusCode != http.StatusServiceUnavailable || len(retryAfter) == 0 {
 		return s
 	}
-	made, err := http.ParseTime(r.Header.Get("Date"))
+	sentAt, err := http.ParseTime(r.Header.Get("Date"))
 	if err != nil {
-		made = time.Now()
+		sentAt = time.Now()
 	}
-	if s.Pause, err = backpressure.ParsePause(pauses, made); err != nil {
+	if s.Pause, err = backpressure.ParsePause(retryAfter, sentAt); err != nil {
 		logIgnoredSignal(server, retryAfterHeader, err)
 	}
 	return s
--- a/internal/adapter/serverhttp/signal_test.go
+++ b/internal/adapter/serverhttp/signal_test.go
@@ -12,20 +12,20 @@
 )
 
 // Guards against signals that are lost with the answers that carry them.
-func TestSignalsOfAllAnswersAreHeard(t *testing.T) {
-	h := headers
+func TestSignalsOfAllResponsesAreRecorded(t *testing.T) {
+	h := testHeaders
 	h.Limit, h.Draining, h.DrainingValue = "Limit", "Leaving", "1"
-	whole := "HTTP/1.1 200 OK\r\nAttempt: a\r\nSeal: s\r\nLimit: 6.5\r\nContent-Length: 0\r\n\r\n"
+	valid := "HTTP/1.1 200 OK\r\nAttempt: a\r\nSeal: s\r\nLimit: 6.5\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		answer string
 		want   float64
 	}{
-		"good":                      {whole, 6.5},
+		"good":                      {valid, 6.5},
 		"failed":                    {"HTTP/1.1 500 No\r\nAttempt: a\r\nLimit: 4\r\nContent-Length: 0\r\n\r\n", 4},
 		"refused":                   {"HTTP/1.1 503 No\r\nAttempt: a\r\nNot-Run: 1\r\nLimit: 3\r\nContent-Length: 0\r\n\r\n", 3},
 		"without a seal":            {"HTTP/1.1 200 OK\r\nAttempt: a\r\nLimit: 2\r\nContent-Length: 0\r\n\r\n", 2},
 		"cut short":                 {"HTTP/1.1 200 OK\r\nAttempt: a\r\nLimit: 1\r\nContent-Length: 9\r\n\r\n", 1},
-		"behind one to another":     {"HTTP/1.1 200 OK\r\nAttempt: b\r\nLimit: 5\r\nContent-Length: 0\r\n\r\n" + whole, 5},
+		"behind one to another":     {"HTTP/1.1 200 OK\r\nAttempt: b\r\nLimit: 5\r\nContent-Length: 0\r\n\r\n" + valid, 5},
 		"of another server, a 421":  {"HTTP/1.1 421 No\r\nAttempt: a\r\nLimit: 7\r\nContent-Length: 0\r\n\r\n", 0},
 		"that leaves":               {"HTTP/1.1 500 No\r\nAttempt: a\r\nLeaving: 1\r\nContent-Length: 0\r\n\r\n", 0},
 		"that stays":                {"HTTP/1.1 500 No\r\nAttempt: a\r\nLeaving: 0\r\nContent-Length: 0\r\n\r\n", 0},
@@ -35,7 +35,7 @@
 		"twice, of which one reads": {"HTTP/1.1 200 OK\r\nAttempt: a\r\nSeal: s\r\nLimit: 8\r\nLimit: x\r\nContent-Length: 0\r\n\r\n", 8},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serveRaw(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
+			s := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 				_, _ = fmt.Fprint(w, c.answer)
 				return false
 			})
