--- a/internal/adapter/backendhttp/client.go
+++ b/internal/adapter/backendhttp/client.go
@@ -1,5 +1,5 @@
-// Package backendhttp sends requests to backend servers over HTTP and reports
-// how each attempt ended, without deciding what follows from it.
+// Package backendhttp sends requests to backend servers over HTTP and reports the result of each
+// attempt. It makes no retry decisions.
 package backendhttp
 
 import (
@@ -22,8 +22,9 @@
 )
 
 const (
-	// ResponseBufferSize of an answer are held back before the first byte goes to
-	// the caller. An answer that breaks within them can be tried elsewhere.
+	// ResponseBufferSize is how much of a response, in bytes, is buffered before the first byte is
+	// sent to the caller. If the response is interrupted within the buffer, the request can be
+	// retried on another server.
 	ResponseBufferSize = 256 << 10
 
 	dialTimeout            = time.Second
@@ -46,7 +47,7 @@
 		now  func() time.Time
 	}
 
-	// Request is one attempt.
+	// Request is one attempt to send a caller's request to a backend server.
 	Request struct {
 		Address  netip.AddrPort
 		Method   string
@@ -58,13 +59,13 @@
 		Deadline time.Time
 	}
 
-	// Response is how the attempt ended. Rest holds what follows the buffered
-	// part of a long answer; the reader must close it.
+	// Response is the result of an attempt. Remainder streams what follows the buffered part of a
+	// long response; the reader must close it.
 	Response struct {
 		Result backend.Result
 		Answer *caller.Answer
 		Report *backend.Report
-		// ConnectionRefused is set if nothing listens at the server's address.
+		// ConnectionRefused is set if no process listens on the server's address.
 		ConnectionRefused bool
 		Remainder         io.ReadCloser
 		Err               error
@@ -76,7 +77,8 @@
 	}
 )
 
-// NewClient makes a client; now stamps load reports.
+// NewClient returns a client with up to connections connections per server. now provides the
+// timestamps of load reports.
 func NewClient(connections int, now func() time.Time) *Client {
 	transport := &http.Transport{
 		DialContext:            (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -97,7 +99,7 @@
 	}
 }
 
-// Send makes one attempt.
+// Send sends the request once and returns the result.
 func (c *Client) Send(ctx context.Context, r Request) Response {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -112,9 +114,9 @@
 	return c.readResponse(ctx, response, r.Address.String())
 }
 
-// classifyFailure classifies an exchange without an answer. Without a connection no
-// byte can have reached the server. With one, the request may have run, even
-// if the write failed: what the kernel took before the error is not known.
+// classifyFailure returns the result of an exchange that has no complete response. Without a
+// connection, no byte can have reached the server. With one, the request may have run even if the
+// write failed: it is unknown how much the operating system accepted before the error.
 func classifyFailure(ctx context.Context, connected bool) backend.Result {
 	switch {
 	case !connected:
@@ -130,7 +132,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
 	}
-	// Without this function the transport cannot send the body twice.
+	// Without GetBody the transport cannot send the body again.
 	request.GetBody = nil
 	serverhttp.CopyHeader(request.Header, r.Header)
 	hideIdempotencyKey(request.Header)
@@ -141,11 +143,10 @@
 	return request, nil
 }
 
-// hideIdempotencyKey keeps net/http from repeating a request on its own. The transport
-// takes an Idempotency-Key header for leave to send a POST without a body
-// again when a kept connection breaks; the server may have run the first one.
-// It looks for the canonical spelling only, and header names have no case on
-// the wire, so the lower-case form reaches the server and not the transport.
+// hideIdempotencyKey prevents automatic retries by net/http. If a request has an Idempotency-Key
+// header, the transport retries a POST without a body when a reused connection breaks, although the
+// server may have run the first one. The transport checks the canonical spelling only. Header names
+// are case-insensitive on the wire, so the server still receives the lower-case form.
 func hideIdempotencyKey(h http.Header) {
 	if values, ok := h[idempotencyHeader]; ok {
 		delete(h, idempotencyHeader)
@@ -190,7 +191,7 @@
 	return &backend.Report{Running: max(0, running), Leaving: leaving, Signal: signal, At: c.now()}
 }
 
-// Probe asks a server for its health.
+// Probe sends a health check to a server.
 func (c *Client) Probe(ctx context.Context, address netip.AddrPort) backend.Health {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/adapter/backendhttp/client_test.go
+++ b/internal/adapter/backendhttp/client_test.go
@@ -16,8 +16,8 @@
 )
 
 type (
-	// rawServer answers each request on a connection by a script of its own,
-	// and counts the requests that it has read whole.
+	// rawServer lets a function write the response to each request on a connection, and counts the
+	// requests that were read completely.
 	rawServer struct {
 		address  netip.AddrPort
 		mu       sync.Mutex
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestAttemptResults: what an exchange with a backend server means for the
-// question whether the request ran.
+// Checks which result each kind of response or failure has: it must not say that a request did not
+// run if it may have run.
 func TestAttemptResults(t *testing.T) {
 	closed := startRawServer(t, writeAndClose(""))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -106,16 +106,16 @@
 		address netip.AddrPort
 		want    backend.Result
 	}{
-		{"nobody listens", unused, backend.Unreachable},
+		{"connection refused", unused, backend.Unreachable},
 		{"closed after reading", closed.address, backend.Interrupted},
-		{"whole answer", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")).address, backend.Answered},
-		{"answer cut in the body", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")).address, backend.Interrupted},
-		{"answer cut in a chunk", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")).address, backend.Interrupted},
-		{"answer cut in the header", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Le")).address, backend.Interrupted},
+		{"complete response", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")).address, backend.Answered},
+		{"truncated body", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")).address, backend.Interrupted},
+		{"truncated chunked body", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")).address, backend.Interrupted},
+		{"truncated header", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Le")).address, backend.Interrupted},
 		{"garbage", startRawServer(t, writeAndClose("SSH-2.0-x\r\n")).address, backend.Interrupted},
-		{"shed", startRawServer(t, writeAndClose("HTTP/1.1 503 X\r\nGypsumquay-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")).address, backend.Rejected},
+		{"not-run response", startRawServer(t, writeAndClose("HTTP/1.1 503 X\r\nGypsumquay-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")).address, backend.Rejected},
 		{"plain 503", startRawServer(t, writeAndClose("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")).address, backend.Answered},
-		{"silence", startRawServer(t, func(int, net.Conn) bool { time.Sleep(time.Second); return false }).address, backend.Abandoned},
+		{"no response", startRawServer(t, func(int, net.Conn) bool { time.Sleep(time.Second); return false }).address, backend.Abandoned},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -126,10 +126,9 @@
 	}
 }
 
-// TestTransportDoesNotRetry: a caller books with an Idempotency-Key of its own and an
-// empty body. The backend server runs it and its connection, kept from before,
-// breaks before the answer. net/http takes the header for leave to send the
-// request again by itself; the booking would run twice.
+// Guards against automatic retries by net/http: a POST with an Idempotency-Key and no body runs on
+// the backend server, and the reused connection breaks before the response. The transport would send
+// the request again because of the header, and it would run twice.
 func TestTransportDoesNotRetry(t *testing.T) {
 	s := startRawServer(t, func(n int, c net.Conn) bool {
 		if n == 2 {
@@ -152,8 +151,8 @@
 	}
 }
 
-// TestLongResponseIsStreamed: an answer beyond the buffer comes as a stream, and
-// one that breaks off there ends in an error and not in a short success.
+// Checks that a response larger than the buffer is streamed, and that one which is interrupted after
+// the buffered part ends in an error instead of a truncated success.
 func TestLongResponseIsStreamed(t *testing.T) {
 	body := strings.Repeat("x", ResponseBufferSize+1000)
 	s := startRawServer(t, func(_ int, c net.Conn) bool {
@@ -167,6 +166,6 @@
 	n, err := io.Copy(io.Discard, r.Remainder)
 	_ = r.Remainder.Close()
 	if err == nil {
-		t.Errorf("got a clean end after %d bytes, want an error", int(n)+len(r.Answer.Body))
+		t.Errorf("got EOF after %d bytes, want an error", int(n)+len(r.Answer.Body))
 	}
 }
--- a/internal/adapter/backendhttp/signal_test.go
+++ b/internal/adapter/backendhttp/signal_test.go
@@ -9,7 +9,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/caller"
 )
 
-// Guards against signals of backend servers that are lost, or that callers see.
+// Guards against backpressure signals of backend servers that are lost or forwarded to callers.
 func TestSignalsAreReportedAndNotForwarded(t *testing.T) {
 	s := startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nGypsumquay-Limit: 2.5\r\nContent-Length: 0\r\n\r\n"))
 	response := send(t, s.address, http.MethodGet, time.Second)
@@ -18,7 +18,7 @@
 		t.Errorf("got %+v, want %+v", response.Report, want)
 	}
 	if got := response.Answer.Header.Get(caller.HeaderLimit); got != "" {
-		t.Errorf("the caller sees a limit of %s", got)
+		t.Errorf("the caller receives a limit of %s", got)
 	}
 	s = startRawServer(t, writeAndClose("HTTP/1.1 503 No\r\nGypsumquay-Outcome: not-run\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n"))
 	response = send(t, s.address, http.MethodGet, time.Second)
--- a/internal/adapter/bearer/bearer.go
+++ b/internal/adapter/bearer/bearer.go
@@ -1,4 +1,4 @@
-// Package bearer reads API keys from header fields, as RFC 6750 has them.
+// Package bearer reads API keys from the Authorization header as bearer tokens (RFC 6750).
 package bearer
 
 import (
@@ -9,14 +9,14 @@
 )
 
 const (
-	// Header is the header field that carries a key.
+	// Header is the header field that contains the key.
 	Header = "Authorization"
-	// Scheme is the authentication scheme, in any case.
+	// Scheme is the authentication scheme; it is case-insensitive.
 	Scheme = "Bearer"
 )
 
-// ParseCredential reads the key that a request carries. Several fields, or one of another
-// form, are no key: two readers might take different parts of it.
+// ParseCredential returns the key of a request. Several header fields, or a field in another format,
+// are malformed: two parsers might read different keys from them.
 func ParseCredential(h http.Header) account.Credential {
 	fields := h[Header]
 	if len(fields) == 0 {
@@ -34,7 +34,7 @@
 	return account.Credential{State: account.Present, Key: key}
 }
 
-// isToken reports whether a text is one word of visible characters.
+// isToken reports whether text is a single word of printable ASCII characters.
 func isToken(text string) bool {
 	for i := range len(text) {
 		if text[i] <= ' ' || text[i] > '~' {
@@ -44,8 +44,8 @@
 	return text != ""
 }
 
-// SameHeader reports whether two names of header fields may be taken for the same one: some
-// servers read a low line as a hyphen.
+// SameHeader reports whether two names may denote the same header field: some servers treat an
+// underscore as a hyphen.
 func SameHeader(a, b string) bool {
 	return strings.EqualFold(strings.ReplaceAll(a, "_", "-"), strings.ReplaceAll(b, "_", "-"))
 }
--- a/internal/adapter/bearer/bearer_test.go
+++ b/internal/adapter/bearer/bearer_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// FuzzParseCredential looks for texts that pass for a key that the caller did not write as one
-// word.
+// FuzzParseCredential looks for header values that are accepted as a key although they are not the
+// scheme and a single word.
 func FuzzParseCredential(f *testing.F) {
 	f.Add("Bearer abc", "")
 	f.Add("Bearer  abc", "Bearer def")
@@ -52,7 +52,7 @@
 		words := strings.Fields(one)
 		proper := two == "" && len(words) == 2 && strings.EqualFold(words[0], Scheme)
 		if got.State == account.Present && !proper {
-			t.Errorf("%q and %q are taken for a key", one, two)
+			t.Errorf("%q and %q are accepted as a key", one, two)
 		}
 		if got.State != account.Present && got.Key != (account.Key{}) {
 			t.Errorf("%q and %q: state %d with a key", one, two, got.State)
@@ -63,7 +63,7 @@
 func TestSameHeader(t *testing.T) {
 	for name, want := range map[string]bool{"X-Account": true, "x-account": true, "X_Account": true, "x_ACCOUNT": true, "X-Accounts": false, "XAccount": false} {
 		if got := SameHeader("X-Account", name); got != want {
-			t.Errorf("%s is the same: %t, want %t", name, got, want)
+			t.Errorf("X-Account and %s are the same header: %t, want %t", name, got, want)
 		}
 	}
 }
--- a/internal/adapter/bodies/bodies.go
+++ b/internal/adapter/bodies/bodies.go
@@ -1,6 +1,6 @@
-// Package bodies reads the bodies of requests and answers into memory, whole,
-// and bounds what all of them take together. A body is held because a repeat
-// needs it again and because a part of an answer must never look like the whole.
+// Package bodies reads complete request and response bodies into memory and limits their total
+// size. Request bodies are buffered because a retry needs them again, response bodies because a
+// truncated response must never look complete.
 package bodies
 
 import (
@@ -14,26 +14,24 @@
 )
 
 const (
-	// initialReservation is how much room is taken for a body that does not tell its length,
-	// until it turns out to need more.
+	// initialReservation is how much memory is reserved at first for a body of unknown length.
 	initialReservation = 64 << 10
 )
 
 var (
-	// ErrTooLarge means that a body is over its limit.
+	// ErrTooLarge means that a body exceeds its size limit.
 	ErrTooLarge = errors.New("body too large")
-	// ErrMemoryExhausted means that too much is held already.
-	ErrMemoryExhausted = errors.New("too many bodies at once")
+	// ErrMemoryExhausted means that the memory budget for bodies is used up.
+	ErrMemoryExhausted = errors.New("memory budget for bodies exhausted")
 )
 
 type (
-	// MemoryBudget is what all bodies together may take, in bytes.
+	// MemoryBudget limits the memory of all buffered bodies together.
 	MemoryBudget struct {
 		available *semaphore.Weighted
 	}
 
-	// Body is one that is held. Release gives its memory back; the bytes must not
-	// be used after.
+	// Body is a buffered body. Its bytes must not be used after Release.
 	Body struct {
 		Bytes    []byte
 		budget   *MemoryBudget
@@ -41,12 +39,12 @@
 	}
 )
 
-// NewMemoryBudget makes room for a number of bytes.
+// NewMemoryBudget returns a budget of maxBytes bytes.
 func NewMemoryBudget(maxBytes int64) *MemoryBudget {
 	return &MemoryBudget{available: semaphore.NewWeighted(maxBytes)}
 }
 
-// Release gives the body's memory back. Doing so again does nothing.
+// Release returns the body's memory to the budget. Further calls have no effect.
 func (b *Body) Release() {
 	if b == nil || b.reserved == 0 {
 		return
@@ -55,8 +53,8 @@
 	b.reserved = 0
 }
 
-// Read reads a body of the length that is told, or of any up to limit if that is
-// negative. Without an error the caller must release the body.
+// Read reads a body of the given content length, or of any length up to limit if contentLength is
+// negative. Unless it returns an error, the body must be released.
 func (m *MemoryBudget) Read(r io.Reader, contentLength, limit int64) (*Body, error) {
 	b := &Body{budget: m}
 	if contentLength == 0 {
@@ -78,8 +76,8 @@
 	return b, nil
 }
 
-// readSized reads a body whose length is told, into memory taken at once: 64 KB
-// take a third of the time and of the memory that they take in growing steps.
+// readSized reads a body of known length into a buffer that is allocated once: for 64 KB this takes a
+// third of the time and memory of a growing buffer.
 func (b *Body) readSized(r io.Reader, contentLength int64) error {
 	if !b.budget.available.TryAcquire(contentLength) {
 		return ErrMemoryExhausted
@@ -94,7 +92,7 @@
 	return nil
 }
 
-// readUnsized reads a body that does not tell its length.
+// readUnsized reads a body of unknown length.
 func (b *Body) readUnsized(r io.Reader, limit int64) error {
 	reservation := min(initialReservation, limit)
 	for {
@@ -117,7 +115,7 @@
 	}
 }
 
-// expectEOF reports whether a body that has reached its limit goes on.
+// expectEOF returns an error if a body that has reached its limit continues.
 func expectEOF(r io.Reader) error {
 	if n, err := io.ReadFull(r, make([]byte, 1)); n > 0 {
 		return ErrTooLarge
@@ -127,16 +125,15 @@
 	return nil
 }
 
-// ReadRequest reads the body of a caller's request, which must be there within a
-// time: callers that send none of what they announced would hold memory and
-// connections for good.
+// ReadRequest reads the body of a caller's request, which must arrive within timeout: callers that
+// announce a body and do not send it would occupy memory and connections indefinitely.
 func (m *MemoryBudget) ReadRequest(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration) (*Body, error) {
 	if r.ContentLength == 0 || r.Body == nil {
 		return &Body{budget: m}, nil
 	}
 	controller := http.NewResponseController(w)
 	if err := controller.SetReadDeadline(time.Now().Add(timeout)); err != nil && !errors.Is(err, http.ErrNotSupported) {
-		return nil, errors.Wrap(err, "bound reading")
+		return nil, errors.Wrap(err, "set read deadline")
 	}
 	b, err := m.Read(r.Body, r.ContentLength, limit)
 	if err != nil {
@@ -144,18 +141,18 @@
 	}
 	if err := controller.SetReadDeadline(time.Time{}); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		b.Release()
-		return nil, errors.Wrap(err, "end the bound on reading")
+		return nil, errors.Wrap(err, "clear read deadline")
 	}
 	return b, nil
 }
 
-// Write writes an answer's body to a caller, which must have read it within a time:
-// one that reads nothing would hold its memory for good. The bound stays, for what
-// is still buffered is written once the handler has returned.
+// Write writes a response body to a caller, which must read it within timeout: a caller that does
+// not read would occupy the memory indefinitely. The deadline is not cleared, because buffered data
+// is flushed after the handler has returned.
 func Write(w http.ResponseWriter, body []byte, timeout time.Duration) error {
 	err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout))
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
-		return errors.Wrap(err, "bound writing")
+		return errors.Wrap(err, "set write deadline")
 	}
 	if _, err := w.Write(body); err != nil {
 		return errors.Wrap(err, "write body")
--- a/internal/adapter/bodies/bodies_test.go
+++ b/internal/adapter/bodies/bodies_test.go
@@ -19,9 +19,9 @@
 
 func TestReadEnforcesLimit(t *testing.T) {
 	for _, c := range []struct {
-		size        int
-		told, limit int64
-		want        error
+		size                 int
+		contentLength, limit int64
+		want                 error
 	}{
 		{0, 0, 10, nil},
 		{10, 10, 10, nil},
@@ -33,32 +33,32 @@
 		{3*initialReservation - 1, -1, 10 * initialReservation, nil},
 	} {
 		m := NewMemoryBudget(20 * initialReservation)
-		b, err := m.Read(iotest.HalfReader(body(c.size)), c.told, c.limit)
+		b, err := m.Read(iotest.HalfReader(body(c.size)), c.contentLength, c.limit)
 		if !errors.Is(err, c.want) {
-			t.Errorf("%d bytes, told %d, limit %d: got error %v, want %v", c.size, c.told, c.limit, err, c.want)
+			t.Errorf("%d bytes, content length %d, limit %d: got error %v, want %v", c.size, c.contentLength, c.limit, err, c.want)
 			continue
 		}
 		if err == nil && len(b.Bytes) != c.size {
-			t.Errorf("%d bytes, told %d, limit %d: got %d", c.size, c.told, c.limit, len(b.Bytes))
+			t.Errorf("%d bytes, content length %d, limit %d: read %d bytes", c.size, c.contentLength, c.limit, len(b.Bytes))
 		}
 		b.Release()
 		if !m.available.TryAcquire(20 * initialReservation) {
-			t.Errorf("%d bytes, told %d, limit %d: memory is not given back", c.size, c.told, c.limit)
+			t.Errorf("%d bytes, content length %d, limit %d: memory is not released", c.size, c.contentLength, c.limit)
 		}
 	}
 }
 
-// Callers send bodies together that would not fit in the VM's memory. Some are
-// refused, which can come back, instead of all being lost with the process.
+// Guards against concurrent bodies that exceed the memory of the VM. Some must be rejected, which
+// can be retried, instead of the process being killed with all its requests.
 func TestBodiesStayWithinMemoryBudget(t *testing.T) {
 	m := NewMemoryBudget(150)
 	first, err := m.Read(body(100), 100, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, told := range []int64{60, -1} {
-		if _, err := m.Read(body(60), told, 100); !errors.Is(err, ErrMemoryExhausted) {
-			t.Errorf("60 bytes beside 100, told %d: got error %v, want %v", told, err, ErrMemoryExhausted)
+	for _, contentLength := range []int64{60, -1} {
+		if _, err := m.Read(body(60), contentLength, 100); !errors.Is(err, ErrMemoryExhausted) {
+			t.Errorf("60 bytes in addition to 100, content length %d: got error %v, want %v", contentLength, err, ErrMemoryExhausted)
 		}
 	}
 	first.Release()
@@ -68,8 +68,8 @@
 	}
 }
 
-// A caller announces a body and sends nothing. Its connection and the memory for
-// the body were held until it went away.
+// Guards against a caller that announces a body and does not send it: its connection and the memory
+// for the body were occupied until the caller disconnected.
 func TestIncompleteBodyTimesOut(t *testing.T) {
 	m, failed := NewMemoryBudget(100), make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -89,12 +89,12 @@
 		t.Errorf("got error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 	if !m.available.TryAcquire(100) {
-		t.Error("memory is not given back")
+		t.Error("memory is not released")
 	}
 }
 
-// A caller keeps its connection and is slow between requests: the bound on a body
-// must not end what comes after.
+// Guards against a read deadline that outlives its body and fails later requests on the same
+// connection.
 func TestReadDeadlineIsClearedAfterBody(t *testing.T) {
 	m, timeout := NewMemoryBudget(100), 500*time.Millisecond
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -118,8 +118,8 @@
 	}
 }
 
-// A caller asks for much and reads nothing. The answer was held, and its memory
-// taken, until the caller went away.
+// Guards against a caller that requests a large response and does not read it: the memory of the
+// response was occupied until the caller disconnected.
 func TestUnreadResponseTimesOut(t *testing.T) {
 	failed := make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -139,7 +139,7 @@
 	}
 }
 
-// A caller keeps its connection for longer than one answer may take.
+// Guards against a write deadline that fails later responses on the same connection.
 func TestWriteDeadlineIsPerResponse(t *testing.T) {
 	const timeout = 500 * time.Millisecond
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -157,24 +157,24 @@
 		got, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		if err != nil || string(got) != "answer" {
-			t.Errorf("got %q, error %v; want the whole answer", got, err)
+			t.Errorf("got %q, error %v; want the complete response", got, err)
 		}
 	}
 }
 
 func TestReadErrorIsReturned(t *testing.T) {
 	m := NewMemoryBudget(100)
-	errRead := errors.New("broken")
+	errRead := errors.New("read failed")
 	if _, err := m.Read(io.MultiReader(body(5), iotest.ErrReader(errRead)), 10, 100); !errors.Is(err, errRead) {
 		t.Errorf("got error %v, want %v", err, errRead)
 	}
 	if !m.available.TryAcquire(100) {
-		t.Error("memory is not given back")
+		t.Error("memory is not released")
 	}
 }
 
-// BenchmarkRead reads a body of 64 KB whose length is told. Read in growing steps
-// and copied once more it took three times as long and as much memory.
+// BenchmarkRead reads a body of 64 KB whose length is known. With a growing buffer and another copy
+// it took three times as long and as much memory.
 func BenchmarkRead(b *testing.B) {
 	const size = 64 << 10
 	m, data := NewMemoryBudget(size), make([]byte, size)
