--- a/internal/adapter/backendhttp/client_test.go
+++ b/internal/adapter/backendhttp/client_test.go
@@ -127,8 +127,8 @@
 }
 
 // Guards against automatic retries by net/http: a POST with an Idempotency-Key and no body runs on
-// the backend server, and the reused connection breaks before the response. The transport would send
-// the request again because of the header, and it would run twice.
+// the backend server, and the reused connection breaks before the response. The transport would
+// send the request again because of the header, and it would run twice.
 func TestTransportDoesNotRetry(t *testing.T) {
 	s := startRawServer(t, func(n int, c net.Conn) bool {
 		if n == 2 {
@@ -151,8 +151,8 @@
 	}
 }
 
-// Checks that a response larger than the buffer is streamed, and that one which is interrupted after
-// the buffered part ends in an error instead of a truncated success.
+// Checks that a response larger than the buffer is streamed, and that one which is interrupted
+// after the buffered part ends in an error instead of a truncated success.
 func TestLongResponseIsStreamed(t *testing.T) {
 	body := strings.Repeat("x", ResponseBufferSize+1000)
 	s := startRawServer(t, func(_ int, c net.Conn) bool {
--- a/internal/adapter/bearer/bearer.go
+++ b/internal/adapter/bearer/bearer.go
@@ -15,8 +15,8 @@
 	Scheme = "Bearer"
 )
 
-// ParseCredential returns the key of a request. Several header fields, or a field in another format,
-// are malformed: two parsers might read different keys from them.
+// ParseCredential returns the key of a request. Several header fields, or a field in another
+// format, are malformed: two parsers might read different keys from them.
 func ParseCredential(h http.Header) account.Credential {
 	fields := h[Header]
 	if len(fields) == 0 {
--- a/internal/adapter/bodies/bodies.go
+++ b/internal/adapter/bodies/bodies.go
@@ -76,8 +76,8 @@
 	return b, nil
 }
 
-// readSized reads a body of known length into a buffer that is allocated once: for 64 KB this takes a
-// third of the time and memory of a growing buffer.
+// readSized reads a body of known length into a buffer that is allocated once: for 64 KB this takes
+// a third of the time and memory of a growing buffer.
 func (b *Body) readSized(r io.Reader, contentLength int64) error {
 	if !b.budget.available.TryAcquire(contentLength) {
 		return ErrMemoryExhausted
--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -1,5 +1,5 @@
-// Package callerhttp is the system's face to callers: look-ups, idempotency
-// tokens and the requests themselves, over HTTP.
+// Package callerhttp is the HTTP API for callers: proxy lookup, idempotency tokens and requests to
+// services.
 package callerhttp
 
 import (
@@ -51,22 +51,22 @@
 )
 
 type (
-	// Limits bounds what callers may take of this proxy's memory, in bytes.
+	// Limits bounds the memory for request bodies, in bytes: of one request and of all together.
 	Limits struct {
 		MaxBodyBytes  int64
 		MaxTotalBytes int64
 	}
 
-	// Request is one caller's request with its body.
+	// Request is a caller's request to a service.
 	Request struct {
 		core.Request
 		Header http.Header
 		Body   []byte
 	}
 
-	// Reply is the final result. Stream, if set, must be called to pass the
-	// answer on, for its body is still arriving; it returns an error when the
-	// answer broke off after bytes had gone out.
+	// Reply is the final result of a request. If Stream is set, the body is still arriving, and
+	// Stream must be called to write it; it returns an error if the response was interrupted after
+	// the first bytes were sent.
 	Reply struct {
 		Result   caller.Result
 		ID       string
@@ -74,7 +74,7 @@
 		Stream   func(io.Writer) error
 	}
 
-	// Server answers callers.
+	// Server serves the requests of callers.
 	Server struct {
 		withKernel core.Executor
 		run        func(context.Context, Request) Reply
@@ -110,7 +110,8 @@
 	}
 )
 
-// NewServer makes a server. run takes a request to its final result; observed is told of each final result.
+// NewServer returns a server. run processes a request until its final result; onResult is called
+// with each final result.
 func NewServer(k core.Executor, run func(context.Context, Request) Reply, l Limits, now func() time.Time, onResult func(string, caller.Result, time.Duration)) *Server {
 	return &Server{
 		withKernel: k, run: run, limits: l, bodyMemory: bodies.NewMemoryBudget(l.MaxTotalBytes),
@@ -118,7 +119,7 @@
 	}
 }
 
-// HTTPServer wraps the server with time-outs and limits.
+// HTTPServer returns an HTTP server with timeouts and limits.
 func (s *Server) HTTPServer() *http.Server {
 	router := mux.NewRouter().UseEncodedPath()
 	router.HandleFunc("/v1/lookup", s.handleLookup).Methods(http.MethodGet)
@@ -134,7 +135,7 @@
 	}
 }
 
-// handleLookup names the proxies to use. Operators may ask on behalf of a client
+// handleLookup returns the proxies that a client should use. Operators can look up another client
 // with ?client=.
 func (s *Server) handleLookup(w http.ResponseWriter, r *http.Request) {
 	client := clientAddress(r)
@@ -227,7 +228,7 @@
 	s.onResult(service, reply.Result, s.now().Sub(receivedAt))
 }
 
-// backendPath is the path and query that the backend server sees.
+// backendPath returns the path and query for the backend server.
 func backendPath(r *http.Request, service string) string {
 	path := r.URL.EscapedPath()[len(servicePrefix)+len(service):]
 	if path == "" {
@@ -261,7 +262,7 @@
 	}
 }
 
-// writeReply gives the caller the final result.
+// writeReply writes the final result to the caller.
 func (s *Server) writeReply(w http.ResponseWriter, reply Reply) {
 	result := reply.Result
 	setOutcomeHeaders(w, result)
@@ -290,9 +291,9 @@
 	}
 	w.WriteHeader(result.Answer.Status)
 	if err := reply.Stream(w); err != nil {
-		// The answer broke off after its first bytes went out. Ending the
-		// response normally would pass a part off as the whole; breaking the
-		// connection is the one sign that every HTTP client understands.
+		// The response was interrupted after its first bytes were sent. Ended normally, it would
+		// look complete; an aborted connection is the one signal that every HTTP client
+		// understands.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -303,8 +304,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// clientAddress is the caller's address. No header is believed for it: there is no
-// balancer before the proxies, so the connection's far end is the caller.
+// clientAddress returns the caller's address. Headers such as X-Forwarded-For are not trusted:
+// there is no load balancer in front of the proxies, so the peer of the connection is the caller.
 func clientAddress(r *http.Request) netip.Addr {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -314,8 +315,8 @@
 	return address.Unmap()
 }
 
-// WorkFingerprint names what a request asks a service to do. Its token is no part of it: a caller
-// that comes again may have a new one.
+// WorkFingerprint identifies the work that a request asks a service to do. It excludes the
+// idempotency token, which may differ when a caller retries.
 func WorkFingerprint(service, method, path string, h http.Header, body []byte) quarantine.Fingerprint {
 	return quarantine.NewFingerprint(method, service, path, h.Get(bearer.Header), body)
 }
--- a/internal/adapter/callerhttp/server_test.go
+++ b/internal/adapter/callerhttp/server_test.go
@@ -16,7 +16,7 @@
 )
 
 var (
-	errInterrupted = errors.New("connection to the backend server broke")
+	errInterrupted = errors.New("connection to the backend server lost")
 )
 
 func newTestServer(t *testing.T) *Server {
@@ -24,9 +24,8 @@
 	return NewServer(nil, nil, Limits{MaxBodyBytes: 100, MaxTotalBytes: 150}, time.Now, func(string, caller.Result, time.Duration) {})
 }
 
-// TestInterruptedStreamIsAnError: a long answer breaks off after its first part has
-// gone to the caller. Ended normally the part would look whole; the caller must
-// see an error instead.
+// Guards against a long response that is interrupted after its first part was sent to the caller,
+// and then looks complete: the caller must get an error.
 func TestInterruptedStreamIsAnError(t *testing.T) {
 	s := newTestServer(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -49,12 +48,12 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if n, err := io.Copy(io.Discard, response.Body); err == nil {
-		t.Errorf("got a clean end after %d bytes, want an error", n)
+		t.Errorf("got EOF after %d bytes, want an error", n)
 	}
 }
 
-// TestBodyLimits: a caller sends more than it may, or many send much at once.
-// The request is refused before anything runs and the room is given back.
+// Checks that a body over the limit, or one that exceeds the memory for all bodies together, is
+// rejected before anything runs, and that the memory is released.
 func TestBodyLimits(t *testing.T) {
 	s := newTestServer(t)
 	read := func(size int) (*bodies.Body, error) {
@@ -69,7 +68,7 @@
 		t.Fatalf("100 bytes: got error %v, want none", err)
 	}
 	if _, err := read(60); !errors.Is(err, bodies.ErrMemoryExhausted) {
-		t.Errorf("60 bytes beside 100: got error %v, want %v", err, bodies.ErrMemoryExhausted)
+		t.Errorf("60 bytes in addition to 100: got error %v, want %v", err, bodies.ErrMemoryExhausted)
 	}
 	held.Release()
 	if _, err := read(60); err != nil {
@@ -77,8 +76,8 @@
 	}
 }
 
-// TestRejectionHeaders: outcome, reason and time are headers that any
-// HTTP client can read.
+// Checks that the outcome, the reason and the retry delay are sent as headers, which any HTTP
+// client can read.
 func TestRejectionHeaders(t *testing.T) {
 	w := httptest.NewRecorder()
 	newTestServer(t).writeReply(w, Reply{
--- a/internal/adapter/forwardhttp/account_test.go
+++ b/internal/adapter/forwardhttp/account_test.go
@@ -14,7 +14,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// getWithKey asks with a key, or without if it is empty.
+// getWithKey sends a GET request with a key, or without one if key is empty.
 func getWithKey(t *testing.T, url, key string) fullResponse {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, url, nil)
@@ -32,7 +32,7 @@
 	return fullResponse{status: response.StatusCode, header: response.Header, close: response.Close}
 }
 
-// addAccount brings a configuration into force in which one account holds the key "good".
+// addAccount applies a configuration with one account, whose key is "good".
 func (f *testProxy) addAccount(t *testing.T, l ratelimit.Limit) {
 	t.Helper()
 	f.mu.Lock()
@@ -50,7 +50,7 @@
 		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
 	if got := getWithKey(t, f.URL+"/a/x", "any"); got.status != http.StatusOK || seen.HasAccounts {
-		t.Errorf("without accounts: status is %d, keyed %t, want 200 and no key taken", got.status, seen.HasAccounts)
+		t.Errorf("without accounts: status is %d, has accounts %t, want 200 and false", got.status, seen.HasAccounts)
 	}
 	f.addAccount(t, ratelimit.Limit{})
 	for key, want := range map[string]int{"good": http.StatusOK, "bad": http.StatusUnauthorized, "": http.StatusUnauthorized} {
@@ -59,18 +59,19 @@
 			t.Errorf("key %q: status is %d, want %d", key, got.status, want)
 		}
 		if want == http.StatusUnauthorized && got.header.Get("WWW-Authenticate") != "Bearer" {
-			t.Errorf("key %q: the answer does not say what is wanted", key)
+			t.Errorf("key %q: the response has no WWW-Authenticate: Bearer", key)
 		}
 	}
 	if !seen.HasAccounts || seen.Account != "anna" {
-		t.Errorf("the server sees account %q, keyed %t; want anna and true", seen.Account, seen.HasAccounts)
+		t.Errorf("the server receives account %q, has accounts %t; want anna and true", seen.Account, seen.HasAccounts)
 	}
 	if got := getWithKey(t, f.URL+"/none", "bad"); got.status != http.StatusNotFound {
 		t.Errorf("no route: status is %d, want 404", got.status)
 	}
 }
 
-// Guards against a proxy that has just started and says for good that a key is unknown.
+// Guards against a proxy that has just started and rejects a valid key with 401, which callers do
+// not retry.
 func TestNoUnauthorizedWithoutConfiguration(t *testing.T) {
 	f := newTestProxy(t, false, nil)
 	if got := getWithKey(t, f.URL+"/a/x", "good"); got.status != http.StatusServiceUnavailable {
@@ -78,20 +79,20 @@
 	}
 }
 
-// Guards against a request beyond the limit that waits, or whose caller is not told when to
-// come back, or stays at a proxy that has no share of the limit.
+// Guards against a request over the rate limit that waits, is rejected without Retry-After, or
+// whose caller keeps its connection to a proxy that has no share of the limit.
 func TestRequestsOverLimitAreRejectedImmediately(t *testing.T) {
 	f := newTestProxy(t, true, nil)
 	f.addAccount(t, ratelimit.Limit{PerSecond: 1})
 	began := time.Now()
 	got := getWithKey(t, f.URL+"/a/x", "good")
 	if got.status != http.StatusTooManyRequests || got.header.Get("Retry-After") == "" {
-		t.Errorf("status is %d, come back after %q, want 429 and a time", got.status, got.header.Get("Retry-After"))
+		t.Errorf("status is %d, Retry-After is %q, want 429 and a time", got.status, got.header.Get("Retry-After"))
 	}
 	if !got.close {
-		t.Error("the connection stays open at a proxy that reaches no pool of limits, want it closed")
+		t.Error("the connection to a proxy that reaches no pool stays open, want it closed")
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("refused after %s, want at once", took)
+		t.Errorf("rejected after %s, want immediately", took)
 	}
 }
--- a/internal/adapter/forwardhttp/idle.go
+++ b/internal/adapter/forwardhttp/idle.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// newConnGracePeriod is how long a new connection may take to bring its first byte when its
-	// process stops.
+	// newConnGracePeriod is how long a new connection may take to send its first byte while the
+	// process shuts down.
 	newConnGracePeriod = 500 * time.Millisecond
 )
 
-// RecordState takes in the state of a connection, as its server tells it.
+// RecordState records the state of a connection; it is the ConnState hook of the HTTP server.
 func (l *Listener) RecordState(c net.Conn, state http.ConnState) {
 	tracked, ok := c.(*trackedConn)
 	if !ok {
@@ -26,9 +26,9 @@
 	tracked.state, tracked.stateSince = state, time.Now()
 }
 
-// CloseIdleConnections closes the connections on which nothing happens, and tells how many are left.
-// The library's server does not do: once it shuts down it drops requests that it had not
-// read, and on a busy VM these may have come long before.
+// CloseIdleConnections closes the connections that are idle and have no unread data, and returns
+// how many are left. Shutdown of net/http is unsuitable: it drops requests that it has not read
+// yet, and on a busy VM these may have arrived long before.
 func (l *Listener) CloseIdleConnections() (remaining int) {
 	for _, c := range l.idleConnections() {
 		if !hasUnreadData(c.Conn) {
@@ -38,7 +38,7 @@
 	return l.OpenConnections()
 }
 
-// idleConnections lists the connections that wait for a request.
+// idleConnections lists the connections that are waiting for a request.
 func (l *Listener) idleConnections() []*trackedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,7 +51,7 @@
 	return list
 }
 
-// hasUnreadData reports whether bytes have come that nobody has read.
+// hasUnreadData reports whether the socket has received data that was not read.
 func hasUnreadData(c net.Conn) bool {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/adapter/forwardhttp/listener.go
+++ b/internal/adapter/forwardhttp/listener.go
@@ -15,8 +15,8 @@
 )
 
 type (
-	// Listener accepts a bounded number of connections at a time. Once it is closed it
-	// still hands over those that had been opened by then.
+	// Listener limits the number of open connections. After Close, Accept still returns the
+	// connections that were established before.
 	Listener struct {
 		net.Listener
 		maxOpen   int64
@@ -24,29 +24,30 @@
 		onReject  func()
 
 		mu sync.Mutex
-		// connections are those that are open.
+		// connections are the open connections.
 		connections map[*trackedConn]bool
-		// backlog were opened and not accepted when the listener was closed.
+		// backlog holds the connections that were established but not accepted when the listener
+		// was closed.
 		backlog []net.Conn
 		closed  bool
 	}
 
-	// trackedConn is one of them.
+	// trackedConn is an open connection of a Listener.
 	trackedConn struct {
 		net.Conn
 		listener *Listener
 		once     sync.Once
-		// state is what its server last said of it, and since when; with the listener's
-		// lock.
+		// state is the last state that the HTTP server has reported, at stateSince. Both are
+		// guarded by the listener's mutex.
 		state      http.ConnState
 		stateSince time.Time
 	}
 )
 
-// LimitConnections bounds the connections of callers at one time. Those beyond are
-// closed at once, so that their callers go elsewhere: left waiting they would hang,
-// and accepted they would take the open files that the proxy needs to reach servers
-// and the store. refused is told of each.
+// LimitConnections limits the number of open connections of callers. Further connections are closed
+// immediately, so that their callers use another proxy: in the backlog they would hang, and
+// accepted they would use up the file descriptors that the proxy needs to connect to servers and
+// the store. onReject is called for each.
 func LimitConnections(l net.Listener, maxOpen int, onReject func()) *Listener {
 	return &Listener{Listener: l, maxOpen: int64(maxOpen), onReject: onReject, connections: make(map[*trackedConn]bool)}
 }
@@ -66,15 +67,15 @@
 		l.openCount.Add(-1)
 		l.onReject()
 		if tcp, ok := c.(*net.TCPConn); ok {
-			// A reset tells the caller at once; it has sent nothing yet.
+			// Close with a reset, which the caller notices immediately. It has sent nothing yet.
 			_ = tcp.SetLinger(0)
 		}
 		_ = c.Close()
 	}
 }
 
-// Close implements net.Listener. Callers whose connections wait to be accepted may have
-// sent their requests; the system would reset them.
+// Close implements net.Listener. It first accepts the connections in the backlog: their callers may
+// have sent requests already, and the operating system would reset them.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,15 +86,15 @@
 	return l.Listener.Close()
 }
 
-// OpenConnections counts the connections that are open, those that wait to be accepted after the
-// listener was closed included.
+// OpenConnections returns the number of open connections, including those that are still to be
+// returned by Accept after Close.
 func (l *Listener) OpenConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return int(l.openCount.Load()) + len(l.backlog)
 }
 
-// track notes an open connection.
+// track adds an open connection.
 func (l *Listener) track(c net.Conn) *trackedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,7 +110,7 @@
 	delete(l.connections, c)
 }
 
-// nextFromBacklog is a connection that waited when the listener was closed, nil for none.
+// nextFromBacklog removes and returns a connection that was in the backlog at Close, or nil.
 func (l *Listener) nextFromBacklog() net.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +122,7 @@
 	return c
 }
 
-// acceptBacklog accepts the connections that wait, without waiting for more.
+// acceptBacklog accepts all connections in the backlog of the socket without blocking.
 func acceptBacklog(l net.Listener) []net.Conn {
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
@@ -147,18 +148,19 @@
 		}
 	})
 	if err != nil {
-		klog.InfoS("connections that waited to be accepted are reset", "error", err.Error())
+		klog.InfoS("can't accept the backlog of the listener; its connections are reset", "error", err.Error())
 	}
 	return list
 }
 
-// connFromSocket makes a connection of a socket, nil if that fails; the socket is then closed.
+// connFromSocket returns a connection for a socket. If that fails it closes the socket and returns
+// nil.
 func connFromSocket(socket int) net.Conn {
 	file := os.NewFile(uintptr(socket), "caller")
 	defer func() { _ = file.Close() }()
 	c, err := net.FileConn(file)
 	if err != nil {
-		klog.InfoS("connection that waited to be accepted is closed", "error", err.Error())
+		klog.InfoS("can't use a connection of the backlog; it is closed", "error", err.Error())
 		return nil
 	}
 	return c
--- a/internal/adapter/forwardhttp/listener_test.go
+++ b/internal/adapter/forwardhttp/listener_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// More callers connect than the proxy has files for. Those beyond the bound must be
-// told at once, those connected be served on, and a place that is given up must
-// serve the next caller.
+// Guards against more connections of callers than the proxy has file descriptors for. Connections
+// over the limit must be rejected immediately, open ones must still be served, and a closed one
+// must make room for the next.
 func TestConnectionsOverLimitAreRejected(t *testing.T) {
 	const maxOpen = 3
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,8 +36,8 @@
 		}
 		return c
 	}
-	// isRejected asks over a new connection. The refusal is a reset, which may
-	// arrive while the connection is still being opened.
+	// isRejected sends a request over a new connection. Rejection is a reset, which may arrive
+	// while the connection is still being opened.
 	isRejected := func() bool {
 		c, err := net.Dial("tcp", inner.Addr().String())
 		if errors.Is(err, syscall.ECONNRESET) {
@@ -53,24 +53,25 @@
 		c := connect()
 		open = append(open, c)
 		if !isServed(c) {
-			t.Error("a caller within the bound is not served")
+			t.Error("a connection within the limit is not served")
 		}
 	}
 	if !isRejected() {
-		t.Error("a caller beyond the bound is served")
+		t.Error("a connection over the limit is served")
 	}
 	if got := rejected.Load(); got != 1 {
-		t.Errorf("%d connections refused, want 1", got)
+		t.Errorf("%d connections rejected, want 1", got)
 	}
 	_ = open[0].Close()
 	for end := time.Now().Add(10 * time.Second); isRejected(); {
 		if time.Now().After(end) {
-			t.Fatal("a place that was given up serves nobody")
+			t.Fatal("no connection is accepted after another was closed")
 		}
 	}
 }
 
-// Guards against a request that came while its process began to stop, and was not read yet.
+// Guards against closing a connection, while the process shuts down, whose request has arrived but
+// was not read yet.
 func TestConnectionWithUnreadRequestIsNotClosed(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,7 +92,7 @@
 	}
 	for end := time.Now().Add(10 * time.Second); !hasUnreadData(accepted.(*trackedConn).Conn); {
 		if time.Now().After(end) {
-			t.Fatal("the bytes never come")
+			t.Fatal("the data never arrives")
 		}
 	}
 	if left := l.CloseIdleConnections(); left != 1 {
@@ -101,12 +102,12 @@
 		t.Fatal(err)
 	}
 	if left := l.CloseIdleConnections(); left != 0 {
-		t.Errorf("%d connections are left, want none: it is idle and all is read", left)
+		t.Errorf("%d connections are left, want none: it is idle and has no unread data", left)
 	}
 }
 
-// Guards against requests of callers whose connections wait to be accepted when a process
-// stops: the system would reset them.
+// Guards against requests that are lost because their connections are in the backlog when the
+// process shuts down: the operating system would reset them.
 func TestBacklogIsServedAfterClose(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -124,7 +125,7 @@
 		t.Fatal(err)
 	}
 	if got := l.OpenConnections(); got != 1 {
-		t.Errorf("%d connections are open, want the one that waits", got)
+		t.Errorf("%d connections are open, want the one in the backlog", got)
 	}
 	server := &http.Server{Handler: http.NotFoundHandler(), ReadHeaderTimeout: time.Minute}
 	go func() { _ = server.Serve(l) }()
@@ -133,6 +134,6 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); err != nil {
-		t.Errorf("a request that was sent before the end gets no answer: %v", err)
+		t.Errorf("a request that was sent before Close gets no response: %v", err)
 	}
 }
--- a/internal/adapter/forwardhttp/server.go
+++ b/internal/adapter/forwardhttp/server.go
@@ -1,6 +1,5 @@
-// Package forwardhttp takes requests in from callers and passes them to
-// backend servers unchanged. Which server, whether again and when to refuse is
-// the steering kernel's decision.
+// Package forwardhttp receives requests from callers and forwards them to backend servers
+// unchanged. The steering kernel decides on the server, on retries and on rejection.
 package forwardhttp
 
 import (
@@ -25,74 +24,73 @@
 
 const (
 	headerTimeout = 10 * time.Second
-	// idleTimeout is longer than callers keep idle connections, so that they
-	// and not this side close: a request then never crosses a close.
+	// idleTimeout exceeds the idle timeout of callers, so that callers close idle connections and
+	// not the proxy: a request then never races with a close.
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
-	// bodyTimeout is how long a body may take to arrive unless the configuration
-	// gives callers longer.
+	// bodyTimeout is how long a body may take to arrive, unless the configuration allows more.
 	bodyTimeout = 10 * time.Second
-	// responseTimeout is how long a caller may take to read an answer: 4.5 Mbit/s for
-	// the largest.
+	// responseTimeout is how long a caller may take to read a response: 4.5 Mbit/s for the largest.
 	responseTimeout = 30 * time.Second
-	// noMemoryRetryAfter is when a caller may come back for whose body no memory was
-	// left: bodies are held for as long as their requests last, mostly under a
-	// second.
+	// noMemoryRetryAfter is the Retry-After of a request that is rejected because the memory for
+	// bodies is used up. Bodies are buffered for the duration of their requests, usually less than
+	// a second.
 	noMemoryRetryAfter = 500 * time.Millisecond
-	// configurationTimeout is how long after the start a request waits for the first
-	// configuration, which comes within that time if there is a store or a peer.
-	// Refused callers would come back later, and those of a fleet that has lost
-	// power all at once.
+	// configurationTimeout is how long after the process start requests wait for the first
+	// configuration, which arrives within that time if the store or a peer is reachable. Rejected
+	// callers would retry later, and after a power loss of the whole fleet all at the same time.
 	configurationTimeout = 300 * time.Millisecond
-	// defaultMaxBodyBytes bounds bodies while no configuration says more.
+	// defaultMaxBodyBytes is the body limit if the configuration has none.
 	defaultMaxBodyBytes = 1 << 20
-	// dialBaseTimeout and dialRoundTrips bound the opening of a connection: a dead
-	// server must not hold a request long, a far one needs its round trips.
+	// dialBaseTimeout plus dialRoundTrips round trips is the dial timeout: a dead server must not
+	// delay a request for long, and a distant one needs the round trips.
 	dialBaseTimeout = 250 * time.Millisecond
 	dialRoundTrips  = 2
-	// maxCallerTimeout is the longest wait of a caller that is believed.
+	// maxCallerTimeout is the longest timeout that is accepted from callers; longer ones are
+	// ignored.
 	maxCallerTimeout = 10 * time.Minute
 )
 
 type (
-	// Headers names the header fields that callers send.
+	// Headers contains the names of the header fields and the cookie that callers send.
 	Headers struct {
-		// AttemptID names one attempt of a caller.
+		// AttemptID is the header with the ID of the caller's attempt.
 		AttemptID string
-		// Deadline is how many milliseconds the caller waits.
+		// Deadline is the header with the caller's timeout in milliseconds.
 		Deadline string
-		// ObjectCookie is the cookie that names the request's object.
+		// ObjectCookie is the cookie with the name of the request's object.
 		ObjectCookie string
 	}
 
-	// Executor runs a function with the kernel and the time.
+	// Executor runs a function with exclusive access to the kernel, and the current time.
 	Executor func(func(*steering.Kernel, time.Time))
 
-	// Server answers callers.
+	// Server serves the requests of callers.
 	Server struct {
 		Headers    Headers
 		WithKernel Executor
-		// BodyMemory is what bodies may take together.
+		// BodyMemory limits the memory of all request bodies and responses together.
 		BodyMemory *bodies.MemoryBudget
 		Send       func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response)
 		Now        func() time.Time
-		// RequestSlot waits for a place at a server; it reports false if there is no answer.
-		// ReleaseSlot gives one back.
+		// RequestSlot waits for a slot of a server; it reports false if there is no answer.
+		// ReleaseSlot returns a slot.
 		RequestSlot func(context.Context, steering.SlotRequest) (steering.SlotReply, bool)
 		ReleaseSlot func(steering.SlotRelease)
-		// RequestPoolToken asks a proxy for one request of an account's limit; it reports false if
-		// there is no answer.
+		// RequestPoolToken asks the proxy that runs a pool for one token of an account's rate
+		// limit; it reports false if there is no answer.
 		RequestPoolToken func(ctx context.Context, pool, account string) (ratelimit.TokenReply, bool)
-		// IsStopping reports whether callers should go elsewhere.
+		// IsStopping reports whether the process is shutting down and callers should use another
+		// proxy.
 		IsStopping func() bool
-		// Configured is closed once the first configuration is known.
+		// Configured is closed once the first configuration has arrived.
 		Configured <-chan struct{}
-		// StartedAt is when the process began to listen.
+		// StartedAt is when the process started to listen.
 		StartedAt time.Time
 	}
 )
 
-// HTTPServer wraps the server with time-outs and limits.
+// HTTPServer returns an HTTP server with timeouts and limits.
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           http.HandlerFunc(s.serve),
@@ -142,14 +140,14 @@
 	response.Release()
 }
 
-// acquireToken asks a pool whether the request is within its account's limit.
+// acquireToken asks a pool whether the request is within the rate limit of its account.
 func (s *Server) acquireToken(ctx context.Context, active *steering.ActiveRequest, pool string) (d steering.Decision) {
 	reply, answered := s.RequestPoolToken(ctx, pool, active.Account.Name)
 	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.ApplyPoolToken(now, active, reply, answered) })
 	return d
 }
 
-// acquireSlot waits for a place at the server that the request should go to.
+// acquireSlot waits for a slot of the server that the kernel has chosen.
 func (s *Server) acquireSlot(ctx context.Context, active *steering.ActiveRequest, request steering.SlotRequest) (d steering.Decision) {
 	reply, answered := s.RequestSlot(ctx, request)
 	if ctx.Err() != nil {
@@ -160,7 +158,7 @@
 	return d
 }
 
-// endAttempt tells how an attempt ended and gives the request's place back.
+// endAttempt reports the result of an attempt to the kernel and releases the slot.
 func (s *Server) endAttempt(active *steering.ActiveRequest, a steering.Attempt) (d steering.Decision) {
 	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.EndAttempt(now, active, a) })
 	s.releaseSlot(d)
@@ -173,7 +171,7 @@
 	}
 }
 
-// awaitConfiguration waits for the first configuration just after the start.
+// awaitConfiguration waits for the first configuration for a short time after the process start.
 func (s *Server) awaitConfiguration(ctx context.Context) {
 	remaining := configurationTimeout - s.Now().Sub(s.StartedAt)
 	if remaining <= 0 {
@@ -200,15 +198,15 @@
 	}
 }
 
-// serverStoppedAccepting reports whether the server of an attempt has asked for no more meanwhile.
+// serverStoppedAccepting reports whether the server of an attempt has stopped accepting requests
+// since it was chosen.
 func (s *Server) serverStoppedAccepting(active *steering.ActiveRequest) (stopped bool) {
 	s.WithKernel(func(k *steering.Kernel, now time.Time) { stopped = !k.ServerStillAccepts(now, active) })
 	return stopped
 }
 
-// readBody takes the whole body in before any decision: a repeat needs it
-// again, and a caller that breaks off half way must not leave half a request
-// with a server.
+// readBody reads the complete body before any decision: a retry needs it again, and a caller that
+// aborts must not leave a partial request on a server.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) (*bodies.Body, error) {
 	limit, timeout := int64(defaultMaxBodyBytes), bodyTimeout
 	s.WithKernel(func(k *steering.Kernel, _ time.Time) {
@@ -224,9 +222,9 @@
 	return s.BodyMemory.ReadRequest(w, r, limit, timeout)
 }
 
-// rejectBody answers a request whose body is not there; nothing was sent on.
+// rejectBody responds to a request whose body could not be read; nothing was forwarded.
 func (s *Server) rejectBody(w http.ResponseWriter, r *http.Request, err error) {
-	klog.InfoS("body refused", "request", r.Header.Get(s.Headers.AttemptID), "length", r.ContentLength, "error", err.Error())
+	klog.InfoS("request body rejected", "request", r.Header.Get(s.Headers.AttemptID), "length", r.ContentLength, "error", err.Error())
 	w.Header().Set("Connection", "close")
 	switch {
 	case errors.Is(err, bodies.ErrTooLarge):
@@ -236,12 +234,12 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		w.WriteHeader(http.StatusRequestTimeout)
 	default:
-		// The caller broke off in its body; nobody reads an answer.
+		// The caller aborted the body and won't read a response.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// writeResponse gives the caller the final answer.
+// writeResponse writes the final response to the caller.
 func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, d steering.Decision, response *serverhttp.Response) {
 	if s.IsStopping() || d.TryOtherProxy {
 		w.Header().Set("Connection", "close")
@@ -259,7 +257,7 @@
 	}
 	w.WriteHeader(response.Status)
 	if err := bodies.Write(w, response.Body.Bytes, responseTimeout); err != nil {
-		klog.V(1).InfoS("answer not delivered", "request", r.Header.Get(s.Headers.AttemptID), "error", err.Error())
+		klog.V(1).InfoS("can't write the response to the caller", "request", r.Header.Get(s.Headers.AttemptID), "error", err.Error())
 	}
 }
 
@@ -267,8 +265,7 @@
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// writeError tells the caller that there is no answer: 503 only if the request has
-// not run and never will.
+// writeError writes an error response. 503 guarantees that the request has not run and never will.
 func (s *Server) writeError(w http.ResponseWriter, r *http.Request, d steering.Decision) {
 	status := http.StatusBadGateway
 	switch {
@@ -301,7 +298,7 @@
 	return time.Duration(ms) * time.Millisecond, true
 }
 
-// hostWithoutPort is the host without a port.
+// hostWithoutPort returns the host without its port.
 func hostWithoutPort(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		return name
--- a/internal/adapter/forwardhttp/server_test.go
+++ b/internal/adapter/forwardhttp/server_test.go
@@ -19,13 +19,12 @@
 )
 
 const (
-	// testBodyMemory is less than two bodies of the largest size.
+	// testBodyMemory is less than two bodies of the maximum size.
 	testBodyMemory = 150
 )
 
 type (
-	// testProxy is a server over a kernel with one backend server that a function
-	// stands in for.
+	// testProxy is a server with a kernel and one backend server, which a function simulates.
 	testProxy struct {
 		*httptest.Server
 		mu       sync.Mutex
@@ -41,8 +40,8 @@
 	return startTestProxy(t, configured, send, time.Time{}, nil)
 }
 
-// startTestProxy makes a front of a process that started at a moment and tells on a
-// channel when its configuration is known.
+// startTestProxy starts a testProxy whose process started at the given time, and whose channel is
+// closed when the configuration has arrived.
 func startTestProxy(t *testing.T, configured bool, send sender, started time.Time, configuredCh <-chan struct{}) *testProxy {
 	t.Helper()
 	f := &testProxy{kernel: steering.New(steering.Config{Name: "p", Domain: "a", Region: "r", RegionOf: map[string]string{"a": "r"}})}
@@ -77,7 +76,7 @@
 	})
 }
 
-// fullResponse is a response that was read to its end.
+// fullResponse is a response whose body was read completely.
 type fullResponse struct {
 	status int
 	header http.Header
@@ -119,7 +118,7 @@
 	}
 }
 
-// A proxy has just started. "Not found" would make callers give up for good.
+// Guards against a proxy that has just started and responds with 404, which callers do not retry.
 func TestUnconfiguredProxyReturns503(t *testing.T) {
 	f := newTestProxy(t, false, nil)
 	got := sendRequest(t, http.MethodGet, f.URL+"/a/x", "")
@@ -137,16 +136,16 @@
 	}
 }
 
-// What the status promises must be true: 503 only if nothing ran.
+// Guards against a status that is wrong about execution: 503 must mean that nothing ran.
 func TestStatusTellsWhetherRequestMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		result steering.Result
 		want   int
 	}{
-		"refused":     {steering.ResultRefused, http.StatusServiceUnavailable},
-		"unreachable": {steering.ResultUnreachable, http.StatusServiceUnavailable},
-		"broken":      {steering.ResultConnectionLost, http.StatusBadGateway},
-		"late":        {steering.ResultTimeout, http.StatusGatewayTimeout},
+		"refused":         {steering.ResultRefused, http.StatusServiceUnavailable},
+		"unreachable":     {steering.ResultUnreachable, http.StatusServiceUnavailable},
+		"connection lost": {steering.ResultConnectionLost, http.StatusBadGateway},
+		"timeout":         {steering.ResultTimeout, http.StatusGatewayTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newTestProxy(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
@@ -179,9 +178,9 @@
 	}
 }
 
-// Callers send bodies that are allowed each but together more than the proxy has
-// memory for. Those in excess are told that nothing ran and when to come back;
-// before, the process was killed with all its requests.
+// Guards against bodies that are each within the limit but together exceed the memory of the proxy.
+// The excess must be rejected as not run and with Retry-After; before, the process was killed with
+// all its requests.
 func TestBodiesBeyondMemoryAreRejectedAsNotRun(t *testing.T) {
 	entered, leave := make(chan bool, 1), make(chan bool)
 	f := newTestProxy(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
@@ -194,7 +193,7 @@
 	go func() { first <- sendRequest(t, http.MethodPost, f.URL+"/a/x", body) }()
 	<-entered
 	if got := sendRequest(t, http.MethodPost, f.URL+"/a/x", body); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("second body: status is %d, come back after %q, want 503 and a time", got.status, got.header.Get("Retry-After"))
+		t.Errorf("second body: status is %d, Retry-After is %q, want 503 and a time", got.status, got.header.Get("Retry-After"))
 	}
 	leave <- true
 	if got := <-first; got.status != http.StatusOK {
@@ -206,9 +205,9 @@
 	}
 }
 
-// All VMs lost power and are back, and callers come before the first read of the
-// store has ended, some milliseconds later. They must be served then: refused, all
-// would come back later together, and late.
+// Guards against rejecting requests that arrive some milliseconds before the first read of the
+// store has completed, as after a power loss of all VMs: the callers would all retry later, at the
+// same time.
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
 	configured := make(chan struct{})
 	f := startTestProxy(t, false, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
@@ -224,8 +223,8 @@
 	}
 }
 
-// Neither the store nor a peer answers. Requests that come just after the start
-// wait for a configuration no longer than is of use, later ones not at all.
+// Checks that without a store or a peer, requests just after the start wait for a configuration
+// only briefly, and later ones not at all.
 func TestWaitForConfigurationTimesOut(t *testing.T) {
 	f := startTestProxy(t, false, nil, time.Now(), make(chan struct{}))
 	for range 2 {
@@ -237,7 +236,7 @@
 	}
 }
 
-// The deadline handed on is the sooner of the caller's and the route's.
+// Checks that the forwarded deadline is the earlier of those of the caller and of the route.
 func TestDeadlineIsForwarded(t *testing.T) {
 	var left time.Duration
 	f := newTestProxy(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
@@ -250,7 +249,7 @@
 	}
 }
 
-// A caller gives up while its request runs. The server must hear of it soon.
+// Guards against a request that keeps running on the server after its caller has disconnected.
 func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	ended := make(chan time.Duration, 1)
 	f := newTestProxy(t, true, func(ctx context.Context, _ serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
@@ -267,12 +266,12 @@
 	}
 	if response, err := http.DefaultClient.Do(r); err == nil {
 		_ = response.Body.Close()
-		t.Error("the caller got an answer, want none")
+		t.Error("the caller got a response, want none")
 	}
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("the attempt goes on after the caller has left")
+		t.Error("the attempt continues after the caller has disconnected")
 	}
 }
 
@@ -280,6 +279,6 @@
 	f := newTestProxy(t, true, respondWith(steering.ResultAnswered, http.StatusOK, "fine"))
 	f.stopping = true
 	if got := sendRequest(t, http.MethodGet, f.URL+"/a/x", ""); !got.close || got.body != "fine" {
-		t.Errorf("connection closes: %t, body %q; want the answer and a close", got.close, got.body)
+		t.Errorf("connection closes: %t, body %q; want the response and a close", got.close, got.body)
 	}
 }
--- a/internal/adapter/serverhttp/account_test.go
+++ b/internal/adapter/serverhttp/account_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Guards against keys that reach servers, and against names of accounts that callers wrote
+// Guards against keys that are forwarded to servers, and against account names that callers set
 // themselves.
 func TestServersSeeAccountNameAndNotKey(t *testing.T) {
 	const name = "X-Account-Of-Caller"
@@ -22,12 +22,12 @@
 		got := c.newMessage(r).Header
 		if !keyed {
 			if got.Get("Authorization") == "" {
-				t.Error("without client accounts the field is not the system's, and is passed on")
+				t.Error("the Authorization header is not forwarded although there are no client accounts")
 			}
 			continue
 		}
 		if got.Get("Authorization") != "" {
-			t.Error("the key is passed on")
+			t.Error("the key is forwarded")
 		}
 		names := 0
 		for field, values := range got {
@@ -36,7 +36,7 @@
 			}
 		}
 		if got.Get(name) != want || names > 1 || names == 1 && want == "" {
-			t.Errorf("servers see %q in %d fields, want %q", got.Get(name), names, want)
+			t.Errorf("servers receive %q in %d fields, want %q", got.Get(name), names, want)
 		}
 	}
 }
--- a/internal/adapter/serverhttp/client.go
+++ b/internal/adapter/serverhttp/client.go
@@ -1,10 +1,8 @@
-// Package serverhttp exchanges requests with backend servers over HTTP/1.1
-// connections that it keeps itself. It reports how each attempt ended and
-// decides nothing.
+// Package serverhttp sends requests to backend servers over its own pool of HTTP/1.1 connections.
+// It reports the result of each attempt and makes no decisions.
 //
-// The standard library's client is not used for the exchange because it sends
-// a request again by itself when a kept connection breaks, and because it
-// cannot tell an answer to an earlier request from the one that is due.
+// It does not use the client of net/http, which retries a request by itself when a reused
+// connection breaks, and cannot distinguish a response to an earlier request from the expected one.
 package serverhttp
 
 import (
@@ -30,24 +28,24 @@
 )
 
 const (
-	// maxResponseBytes bounds an answer, which is held whole before it is passed
-	// on: a part must never look like the whole.
+	// maxResponseBytes limits a response, which is buffered completely before it is forwarded: a
+	// truncated response must never look complete.
 	maxResponseBytes = 16 << 20
-	// maxInlineBodyBytes is the largest body that is written before the answer is
-	// read. A server may answer before it has read a longer one, and neither
-	// side would go on if both only wrote.
+	// maxInlineBodyBytes is the largest body that is written before the response is read. A server
+	// may respond before it has read a longer one, and if both sides only wrote they would
+	// deadlock.
 	maxInlineBodyBytes = 16 << 10
-	// maxStrayResponses is how many answers to earlier requests are skipped.
+	// maxStrayResponses is how many responses to earlier requests are skipped.
 	maxStrayResponses = 2
 	bufferSize        = 4 << 10
 )
 
 var (
-	errOnlyStrayResponses = errors.New("answers to other requests only")
-	errMissingSeal        = errors.New("success without the server's seal")
-	errMissingAttemptID   = errors.New("answer on a kept connection does not name its request")
+	errOnlyStrayResponses = errors.New("received only responses to other requests")
+	errMissingSeal        = errors.New("successful response has no seal")
+	errMissingAttemptID   = errors.New("response on a reused connection has no attempt ID")
 
-	// hopByHopHeaders concern one connection only and are never passed on.
+	// hopByHopHeaders apply to a single connection and are never forwarded.
 	hopByHopHeaders = []string{
 		"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 		"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
@@ -55,29 +53,29 @@
 )
 
 type (
-	// Headers names the header fields that servers and proxies exchange.
+	// Headers contains the names of the header fields between proxies and servers.
 	Headers struct {
-		// AttemptID names one attempt of a caller; servers echo it.
+		// AttemptID is the ID of the caller's attempt; servers echo it.
 		AttemptID string
-		// Deadline is the time left in milliseconds.
+		// Deadline is the remaining time in milliseconds.
 		Deadline string
-		// InstanceID is the id of the server that is meant.
+		// InstanceID is the ID of the intended server.
 		InstanceID string
-		// Load tells running and waiting requests and slots.
+		// Load is the server's number of running requests, of waiting requests and of slots.
 		Load string
-		// NotRun marks an answer to a request that the server did not run.
+		// NotRun marks a response to a request that the server did not run.
 		NotRun string
-		// Seal marks an answer as the server's own.
+		// Seal marks a response that was produced by the server.
 		Seal string
-		// Account names the client account of a request.
+		// Account is the name of the request's client account.
 		Account string
-		// Limit is the rate of requests that a server takes from all proxies together.
+		// Limit is the rate of requests that a server accepts from all proxies together.
 		Limit string
-		// Draining is set to DrainingValue by a server that takes no new requests any more.
+		// Draining is set to DrainingValue by a server that accepts no new requests.
 		Draining, DrainingValue string
 	}
 
-	// Client exchanges requests with servers.
+	// Client sends requests to servers.
 	Client struct {
 		headers Headers
 		pool    *pool
@@ -85,32 +83,32 @@
 		now     func() time.Time
 	}
 
-	// Request is one attempt.
+	// Request is one attempt to send a caller's request to a server.
 	Request struct {
 		Address    netip.AddrPort
 		InstanceID string
 		Method     string
 		Host       string
-		// Target is the path and query as the caller wrote them.
+		// Target is the path and query, unmodified, as sent by the caller.
 		Target    string
 		Header    http.Header
 		Body      []byte
 		AttemptID string
 		Deadline  time.Time
-		// DialTimeout bounds the opening of a connection.
+		// DialTimeout is the timeout for opening a connection.
 		DialTimeout time.Duration
-		// StoppedAccepting reports whether the server has asked for no more requests since this one
-		// was meant for it; nil for never.
+		// StoppedAccepting reports whether the server has stopped accepting requests since it was
+		// chosen for this one. It may be nil.
 		StoppedAccepting func() bool
-		// MaxConnections bounds the connections to the server; zero for no bound.
+		// MaxConnections limits the idle connections to the server; zero means the default limit.
 		MaxConnections int
-		// HasAccounts is set if requests carry keys of client accounts, which servers must not
-		// see; Account is that of the request, empty for none.
+		// HasAccounts is set if requests carry keys of client accounts, which must not be forwarded
+		// to servers. Account is the client account of the request, or empty.
 		HasAccounts bool
 		Account     string
 	}
 
-	// Response is a server's whole answer. Its body must be released.
+	// Response is a complete response of a server. Its body must be released.
 	Response struct {
 		Status int
 		Header http.Header
@@ -122,26 +120,26 @@
 		conn    *conn
 		request Request
 		message *http.Request
-		// signal is what all answers of the exchange ask together, those to other
-		// requests included.
+		// signal merges the backpressure signals of all responses of the exchange, including those
+		// to other requests.
 		signal backpressure.Signal
 	}
 )
 
-// Release gives the memory of an answer's body back; there may be no answer.
+// Release releases the memory of the response's body. The response may be nil.
 func (a *Response) Release() {
 	if a != nil {
 		a.Body.Release()
 	}
 }
 
-// NewClient makes a client that holds answers in memory. opened is told of each
+// NewClient returns a client that buffers responses within the budget m. onOpen is called for each
 // new connection.
 func NewClient(h Headers, m *bodies.MemoryBudget, now func() time.Time, onOpen func()) *Client {
 	return &Client{headers: h, memory: m, now: now, pool: newPool(now, onOpen)}
 }
 
-// Send makes one attempt. The answer is nil unless a whole one arrived.
+// Send sends the request once. The response is nil unless a complete one arrived.
 func (c *Client) Send(ctx context.Context, r Request) (steering.Attempt, *Response) {
 	connection, roundTrip, err := c.pool.get(ctx, r.Address, r.DialTimeout)
 	if err != nil {
@@ -159,7 +157,8 @@
 	stop := context.AfterFunc(ctx, connection.abort)
 	response, reusable, err := e.run()
 	if !stop() {
-		// The caller left, and the connection was closed to tell the server.
+		// The caller disconnected, and the connection was closed to cancel the request on the
+		// server.
 		response.Release()
 		return steering.Attempt{Result: steering.ResultCallerGone, Err: context.Cause(ctx), Signal: e.signal}, nil
 	}
@@ -169,7 +168,8 @@
 	return attempt, response
 }
 
-// MeasureRoundTrip opens a connection to learn the round trip and keeps it for later.
+// MeasureRoundTrip measures the round-trip time by opening a connection, which it returns to the
+// pool.
 func (c *Client) MeasureRoundTrip(ctx context.Context, address netip.AddrPort, timeout time.Duration) (time.Duration, error) {
 	connection, roundTrip, err := c.pool.get(ctx, address, timeout)
 	if err != nil {
@@ -180,19 +180,20 @@
 	return roundTrip, nil
 }
 
-// IsConnectionRefused reports whether a connection failed because nothing listens there: the server
-// has ended. One that is cut off or overloaded does not answer at all.
+// IsConnectionRefused reports whether a connection failed because no process listens on the
+// address, so the server has exited. A server that is unreachable or overloaded does not respond at
+// all.
 func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// CloseIdleConnections closes the idle connections to a server that has started again.
+// CloseIdleConnections closes the idle connections to a server that has restarted.
 func (c *Client) CloseIdleConnections(address netip.AddrPort) { c.pool.closeIdle(address) }
 
-// newMessage is the request as the server sees it.
+// newMessage returns the HTTP request for the server.
 func (c *Client) newMessage(r Request) *http.Request {
 	header := make(http.Header, len(r.Header)+4)
 	CopyHeader(header, r.Header)
 	if _, present := header["User-Agent"]; !present {
-		// An empty value keeps the library from adding its own name.
+		// An empty value prevents net/http from adding its default User-Agent.
 		header["User-Agent"] = []string{""}
 	}
 	timeLeft := max(1, r.Deadline.Sub(c.now()).Milliseconds())
@@ -206,7 +207,7 @@
 		URL: &url.URL{Scheme: "http", Host: r.Host, Opaque: r.Target},
 	}
 	if strings.HasPrefix(r.Target, "//") {
-		// Opaque text that begins so would be taken for a host.
+		// An opaque part that begins with // would be parsed as a host.
 		path, query, _ := strings.Cut(r.Target, "?")
 		m.URL = &url.URL{Scheme: "http", Host: r.Host, RawQuery: query}
 		if unescaped, err := url.PathUnescape(path); err == nil {
@@ -220,8 +221,8 @@
 	return m
 }
 
-// setAccount puts the name of the client account in the place of its key. What the caller
-// has sent there, in any spelling, goes.
+// setAccount replaces the key by the name of the client account. It removes the header from the
+// caller's request in any equivalent spelling.
 func (c *Client) setAccount(header http.Header, account string) {
 	header.Del(bearer.Header)
 	for name := range header {
@@ -234,7 +235,7 @@
 	}
 }
 
-// classify says what an exchange means for the request.
+// classify returns the result of an exchange.
 func (c *Client) classify(r Request, response *Response, err error) steering.Attempt {
 	a := steering.Attempt{Err: err}
 	if response == nil {
@@ -273,11 +274,11 @@
 	return max(0, running), max(0, waiting), err == nil
 }
 
-// run writes the request and reads the answer to it. reusable is set if the
-// connection may serve another request.
+// run writes the request and reads its response. reusable is set if the connection can be used for
+// another request.
 func (e *exchange) run() (response *Response, reusable bool, err error) {
 	if err := e.conn.SetDeadline(e.request.Deadline); err != nil {
-		return nil, false, errors.Wrap(err, "deadline")
+		return nil, false, errors.Wrap(err, "set deadline")
 	}
 	written := make(chan error, 1)
 	if len(e.request.Body) <= maxInlineBodyBytes {
@@ -296,8 +297,8 @@
 	case err := <-written:
 		reusable = err == nil && !closes && e.conn.reader.Buffered() == 0
 	default:
-		// The server answered before it read the whole body. What is still
-		// due belongs to this request, so the connection cannot serve another.
+		// The server responded before it had read the whole body. The rest of the body belongs to
+		// this request, so the connection cannot be reused.
 	}
 	return response, reusable, nil
 }
@@ -310,9 +311,8 @@
 	return errs.Wrap(w.Flush(), "write request")
 }
 
-// read takes in answers until the one that belongs to the request. A server
-// may send a second answer to an earlier request where this one's is due; the
-// attempt's id tells them apart.
+// read reads responses until the one to this request. A server may send a duplicate response to an
+// earlier request first; the attempt ID distinguishes them.
 func (e *exchange) read() (*Response, bool, error) {
 	sawStray := false
 	for range maxStrayResponses + 1 {
@@ -324,8 +324,7 @@
 		case id == e.request.AttemptID:
 			return e.checkSeal(response, closes || sawStray)
 		case id == "" && e.conn.isFirstUse():
-			// Nothing was sent on this connection before, so there is no
-			// other request that the answer could belong to.
+			// This is the first request on the connection, so the response can't belong to another.
 			return e.checkSeal(response, closes)
 		case id == "":
 			response.Release()
@@ -349,18 +348,18 @@
 func (e *exchange) readOne() (*Response, bool, error) {
 	response, err := e.nextFinalResponse()
 	if err != nil {
-		return nil, true, errors.Wrap(err, "read answer")
+		return nil, true, errors.Wrap(err, "read response")
 	}
 	defer func() { _ = response.Body.Close() }()
 	e.recordSignal(response)
 	contentLength := response.ContentLength
 	if e.request.Method == http.MethodHead {
-		// The length is that of the answer to a GET; nothing follows.
+		// Content-Length is that of the response to a GET; there is no body.
 		contentLength = 0
 	}
 	body, err := e.client.memory.Read(response.Body, contentLength, maxResponseBytes)
 	if err != nil {
-		return nil, true, errors.Wrap(err, "hold answer")
+		return nil, true, errors.Wrap(err, "read response body")
 	}
 	e.conn.applyKeepAlive(response.Header.Get("Keep-Alive"))
 	header := make(http.Header, len(response.Header))
@@ -368,7 +367,7 @@
 	return &Response{Status: response.StatusCode, Header: header, Body: body}, response.Close, nil
 }
 
-// nextFinalResponse reads the next final response; interim ones are skipped.
+// nextFinalResponse reads the next final response and skips interim (1xx) ones.
 func (e *exchange) nextFinalResponse() (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(e.conn.reader, e.message)
@@ -382,7 +381,7 @@
 	}
 }
 
-// CopyHeader copies the fields that concern the message, not the connection.
+// CopyHeader copies the end-to-end header fields and omits the hop-by-hop ones.
 func CopyHeader(dst, src http.Header) {
 	for name, values := range src {
 		dst[name] = append([]string(nil), values...)
--- a/internal/adapter/serverhttp/client_test.go
+++ b/internal/adapter/serverhttp/client_test.go
@@ -19,8 +19,7 @@
 )
 
 const (
-	// testTimeout bounds waits for what must happen soon; only a failure waits
-	// so long.
+	// testTimeout limits waiting for an event; only a failing test waits this long.
 	testTimeout = 10 * time.Second
 )
 
@@ -31,8 +30,8 @@
 )
 
 type (
-	// rawServer answers each request that it reads with the bytes that a
-	// function gives; the connection ends when the function says so.
+	// rawServer lets a function write the response to each request. The function returns whether
+	// the connection stays open.
 	rawServer struct {
 		listener    net.Listener
 		connections atomic.Int32
@@ -40,8 +39,8 @@
 	}
 )
 
-// startRawServer starts a server. answer gets the number of the connection and of
-// the request on it, both from 1.
+// startRawServer starts a server. respond receives the number of the connection and of the request
+// on it, both starting with 1.
 func startRawServer(t *testing.T, respond func(conn, request int, r *http.Request, w net.Conn) (more bool)) *rawServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,8 +110,8 @@
 	}
 }
 
-// A server answers a request twice. The second answer is already there when
-// the connection is used again, and the next caller would get it.
+// Guards against a duplicate response that is returned to the next request: a server responds
+// twice, and the second response has arrived when the connection is reused.
 func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	s := startRawServer(t, func(_, _ int, r *http.Request, w net.Conn) bool {
 		id := r.Header.Get("Attempt")
@@ -126,8 +125,8 @@
 	}
 }
 
-// The second answer arrives late: after the next request was sent on the
-// connection, before its own answer. Its id tells that it belongs to another.
+// Guards against a duplicate response that arrives late: after the next request was sent on the
+// connection and before its response. The attempt ID shows that it belongs to another request.
 func TestLateDuplicateResponseIsSkipped(t *testing.T) {
 	s := startRawServer(t, func(_, n int, r *http.Request, w net.Conn) bool {
 		id := r.Header.Get("Attempt")
@@ -143,15 +142,15 @@
 		expectResult(t, a, answer, steering.ResultAnswered, "to "+id)
 	}
 	if a, answer := send(c, s, "three"); answer == nil || string(answer.Body.Bytes) != "to three" {
-		t.Errorf("result after a stray answer is %s, want the answer on a new connection", a.Result)
+		t.Errorf("result after a stray response is %s, want the response on a new connection", a.Result)
 	}
 	if got := s.connections.Load(); got != 2 {
-		t.Errorf("%d connections were opened, want 2: the one with a stray answer is not used again", got)
+		t.Errorf("%d connections were opened, want 2: the one with a stray response is not reused", got)
 	}
 }
 
-// A refusal without an id arrives where the answer of another request is due.
-// Believing it would say "not run" of a request that runs.
+// Guards against trusting a not-run response without an attempt ID on a reused connection: it may
+// belong to another request, and this one may be running.
 func TestNotRunWithoutIDOnReusedConnectionIsIgnored(t *testing.T) {
 	s := startRawServer(t, func(_, n int, r *http.Request, w net.Conn) bool {
 		if n == 1 {
@@ -167,8 +166,8 @@
 	expectResult(t, a, answer, steering.ResultConnectionLost, "")
 }
 
-// A kept connection breaks just as a request is sent on it. The server may
-// have run the request, so it must not be sent again by itself.
+// Guards against automatic retries when a reused connection breaks as a request is sent: the server
+// may have run the request.
 func TestNoRetryOnBrokenReusedConnection(t *testing.T) {
 	s := startRawServer(t, func(_, n int, r *http.Request, w net.Conn) bool {
 		if n > 1 {
@@ -186,8 +185,8 @@
 	}
 }
 
-// A server breaks off in the middle of an answer. The part must not pass for
-// the whole, with or without a stated length.
+// Guards against a truncated response that is taken for a complete one, with or without
+// Content-Length.
 func TestPartialResponseIsConnectionLost(t *testing.T) {
 	for name, text := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nAttempt: one\r\nSeal: s\r\nContent-Length: 100\r\n\r\npart",
@@ -207,8 +206,8 @@
 	}
 }
 
-// An answer without a length ends with its connection: whole if the server
-// closed it, not if it was reset.
+// Checks that a response without a length is complete if the server closed the connection, but not
+// if the connection was reset.
 func TestResponseWithoutLength(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\nAttempt: one\r\nSeal: s\r\n\r\nall of it"
 	closed := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
@@ -227,9 +226,8 @@
 	expectResult(t, a, answer, steering.ResultConnectionLost, "")
 }
 
-// A server rejects a long request before it has read it all and keeps the
-// connection. Another request sent there would be read as the rest of the
-// first one's body.
+// Guards against reusing a connection on which the server responded before it had read the whole
+// body: it would read the next request as the rest of that body.
 func TestEarlyResponseToLongBodyClosesConnection(t *testing.T) {
 	s := startRawServer(t, func(_, _ int, r *http.Request, w net.Conn) bool {
 		id := r.Header.Get("Attempt")
@@ -243,7 +241,7 @@
 	long.Method, long.Body = http.MethodPost, []byte(strings.Repeat("x", 32<<20))
 	a, answer := c.Send(context.Background(), long)
 	if a.Result != steering.ResultAnswered || answer.Status != http.StatusRequestEntityTooLarge {
-		t.Fatalf("result is %s (%v), want the server's answer", a.Result, a.Err)
+		t.Fatalf("result is %s (%v), want the server's response", a.Result, a.Err)
 	}
 	send(c, s, "two")
 	if got := s.connections.Load(); got != 2 {
@@ -251,8 +249,8 @@
 	}
 }
 
-// The caller leaves. The server goes on working for nobody until it sees the
-// connection close.
+// Guards against a server that keeps working after the caller has disconnected: only the close of
+// its connection tells it.
 func TestCallerDisconnectClosesConnection(t *testing.T) {
 	closed := make(chan time.Time, 1)
 	s := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
@@ -271,7 +269,7 @@
 	}
 }
 
-// A request that reached no server must be told from one that may have run.
+// Checks that a request that reached no server is distinguished from one that may have run.
 func TestConnectionRefusedIsUnreachable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -294,8 +292,7 @@
 	expectResult(t, a, answer, steering.ResultTimeout, "")
 }
 
-// Something else listens at the address and says 200. Without the server's
-// seal it is no answer to pass on.
+// Guards against forwarding a 200 of another process at the server's address: it has no seal.
 func TestSuccessWithoutSealIsConnectionLost(t *testing.T) {
 	s := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nAttempt: one\r\nContent-Length: 2\r\n\r\nhi")
@@ -327,8 +324,8 @@
 	}
 }
 
-// Requests are passed on as they came but for what concerns one connection,
-// and with the time that is left.
+// Checks that requests are forwarded unchanged except for hop-by-hop headers, and with the
+// remaining time.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	for _, target := range []string{"/a%2Fb/?q=%20x", "//double/slash?x=1", "/plain"} {
 		seen := make(chan *http.Request, 1)
@@ -356,7 +353,7 @@
 		}
 		for _, gone := range []string{"X-Hop", "User-Agent"} {
 			if got.Header.Get(gone) != "" {
-				t.Errorf("%s was passed on or added", gone)
+				t.Errorf("%s was forwarded or added", gone)
 			}
 		}
 		if left := got.Header.Get("Time-Left"); len(left) != 4 {
@@ -365,8 +362,8 @@
 	}
 }
 
-// A connection that the server has closed while idle is found before a request
-// is sent on it: afterwards nobody could say whether the request ran.
+// Guards against sending a request on an idle connection that the server has closed: it would be
+// unknown whether the request ran.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	s := startRawServer(t, func(_, _ int, r *http.Request, w net.Conn) bool {
 		_, _ = io.WriteString(w, okResponse(r.Header.Get("Attempt"), "fine"))
@@ -380,9 +377,9 @@
 	}
 }
 
-// A server starts again behind a cut that hides the end of its connections. A kept
-// one looks idle and sound, and the next request on it would be lost. Once the
-// start is known, no kept connection of before is used.
+// Guards against reusing connections to a restarted server. If a network partition hides their end,
+// they look healthy, and the next request on them would be lost. They must be closed once the
+// restart is known.
 func TestConnectionsToRestartedServerAreNotReused(t *testing.T) {
 	s := startRawServer(t, func(conn, _ int, r *http.Request, w net.Conn) bool {
 		_, _ = io.WriteString(w, okResponse(r.Header.Get("Attempt"), fmt.Sprint(conn)))
@@ -398,8 +395,8 @@
 	}
 }
 
-// Six requests at a time go to a server that accepts few connections from each
-// proxy. Kept idle, all six would stand in the way of other proxies' connections.
+// Guards against idle connections that exceed the limit of a server: after six concurrent requests,
+// six idle connections would use up the connections of other proxies.
 func TestIdleConnectionLimit(t *testing.T) {
 	const maxIdle, concurrent = 2, 6
 	var arrived sync.WaitGroup
@@ -445,7 +442,7 @@
 		c := &conn{keepAlive: defaultKeepAlive}
 		c.applyKeepAlive(text)
 		if c.keepAlive != want {
-			t.Errorf("%q: kept for %s, want %s", text, c.keepAlive, want)
+			t.Errorf("%q: keep-alive is %s, want %s", text, c.keepAlive, want)
 		}
 	}
 }
--- a/internal/adapter/serverhttp/pool.go
+++ b/internal/adapter/serverhttp/pool.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// defaultKeepAlive is how long an idle connection is used if the server names
-	// no time of its own. Servers commonly close idle ones after ten seconds.
+	// defaultKeepAlive is how long an idle connection is kept if the server sends no Keep-Alive
+	// timeout. Servers commonly close idle connections after ten seconds.
 	defaultKeepAlive = 8 * time.Second
-	// keepAliveMargin is taken off the time a server names: a request that crosses
-	// the server's close may have run.
+	// keepAliveMargin is subtracted from the server's Keep-Alive timeout: if a request races with
+	// the close by the server, it is unknown whether the request ran.
 	keepAliveMargin = time.Second
-	// maxIdleConnections bounds the idle connections to one server.
+	// maxIdleConnections limits the idle connections to one server.
 	maxIdleConnections = 8
-	// sweepInterval is how often idle connections that ran out are closed.
+	// sweepInterval is the interval at which expired idle connections are closed.
 	sweepInterval = 2 * time.Second
-	// tcpUserTimeout is how long sent bytes may stay without an acknowledgement.
-	// A connection that has gone silent shows no other sign.
+	// tcpUserTimeout is how long sent data may remain unacknowledged. There is no other sign of a
+	// peer that silently became unreachable.
 	tcpUserTimeout = 700 * time.Millisecond
 )
 
@@ -41,7 +41,7 @@
 		sweptAt time.Time
 	}
 
-	// conn is a connection to a server, used by one request at a time.
+	// conn is a connection to a server. It carries one request at a time.
 	conn struct {
 		net.Conn
 		reader    *bufio.Reader
@@ -59,7 +59,7 @@
 	}
 }
 
-// setTCPUserTimeout makes the system report a peer that has fallen silent.
+// setTCPUserTimeout makes the operating system close connections to unresponsive peers.
 func setTCPUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var sockErr error
 	err := raw.Control(func(fd uintptr) {
@@ -71,8 +71,7 @@
 	return sockErr
 }
 
-// get takes an idle connection or opens one. The time that the opening took
-// is returned with a new one.
+// get returns an idle connection, or opens a new one and returns the time that this took.
 func (p *pool) get(ctx context.Context, address netip.AddrPort, timeout time.Duration) (*conn, time.Duration, error) {
 	for {
 		c := p.popIdle(address)
@@ -97,7 +96,7 @@
 	return c, p.now().Sub(startedAt), nil
 }
 
-// popIdle removes the idle connection that was used last.
+// popIdle removes and returns the most recently used idle connection.
 func (p *pool) popIdle(address netip.AddrPort) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,8 +109,8 @@
 	return c
 }
 
-// put takes a connection back. most bounds the idle ones to the server, if it is
-// not zero.
+// put returns a connection to the pool. A positive maxIdle limits the idle connections to the
+// server.
 func (p *pool) put(c *conn, reusable bool, maxIdle int) {
 	if !reusable {
 		_ = c.Close()
@@ -133,8 +132,8 @@
 	p.idle[c.address] = append(list, c)
 }
 
-// closeIdle closes the idle connections to a server. One that has started again knows
-// nothing of them, and a cut may hide that for as long as it lasts.
+// closeIdle closes the idle connections to a server. A restarted server does not know them, and a
+// network partition may hide that for as long as it lasts.
 func (p *pool) closeIdle(address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,8 +143,8 @@
 	delete(p.idle, address)
 }
 
-// sweep closes the connections that have been idle for too long, also those
-// to servers that are gone. The lock is held.
+// sweep closes expired idle connections, including those to servers that are gone. p.mu must be
+// held.
 func (p *pool) sweep(now time.Time) {
 	if now.Sub(p.sweptAt) < sweepInterval {
 		return
@@ -167,9 +166,8 @@
 
 func (c *conn) abort() { _ = c.Close() }
 
-// isReusable reports whether nothing waits to be read. An idle connection has no
-// answer due: bytes are a stray answer, and an end means that the server has
-// closed.
+// isReusable reports whether an idle connection is open and has no unread data. No response is
+// expected on it: data would be a stray response, and EOF means that the server has closed it.
 func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -191,7 +189,7 @@
 	return err == nil && reusable
 }
 
-// applyKeepAlive takes in the server's own word on how long it keeps the connection.
+// applyKeepAlive applies the timeout of the server's Keep-Alive header.
 func (c *conn) applyKeepAlive(header string) {
 	for _, part := range strings.Split(header, ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/internal/adapter/serverhttp/signal.go
+++ b/internal/adapter/serverhttp/signal.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// retryAfterHeader is the standard field for when to come back.
+	// retryAfterHeader is the standard header with the time of the next retry.
 	retryAfterHeader = "Retry-After"
 )
 
-// recordSignal takes in what a server's answer asks of its senders. An answer from another
-// server at the address asks nothing of the one that was meant.
+// recordSignal merges the backpressure signal of a response. A response of another server at the
+// same address (421) is ignored, because it says nothing about the intended server.
 func (e *exchange) recordSignal(r *http.Response) {
 	if r.StatusCode == http.StatusMisdirectedRequest {
 		return
@@ -24,8 +24,8 @@
 	e.signal = e.signal.Merge(ParseSignal(r, e.client.headers, e.request.InstanceID))
 }
 
-// ParseSignal reads what an answer of a server asks. What can't be read is logged and asks
-// nothing.
+// ParseSignal returns the backpressure signal of a response. Invalid header values are logged and
+// ignored.
 func ParseSignal(r *http.Response, headers Headers, server string) (s backpressure.Signal) {
 	var err error
 	if s.Limit, err = backpressure.ParseLimit(r.Header.Values(headers.Limit)); err != nil {
@@ -47,5 +47,5 @@
 }
 
 func logIgnoredSignal(server, field string, err error) {
-	klog.V(1).InfoS("signal of a server ignored", "server", server, "field", field, "error", err.Error())
+	klog.V(1).InfoS("invalid backpressure signal of a server ignored", "server", server, "field", field, "error", err.Error())
 }
