--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -147,11 +147,11 @@
 		}
 		client = address
 	}
-	var answer core.LookupAnswer
+	var result core.LookupAnswer
 	var found bool
 	var explanation []string
 	s.withKernel(func(k *core.Kernel, now time.Time) {
-		answer, found = k.Lookup(now, r.URL.Query().Get("service"), client)
+		result, found = k.Lookup(now, r.URL.Query().Get("service"), client)
 		if r.URL.Query().Has("explain") {
 			explanation = k.ExplainRouting(client)
 		}
@@ -160,10 +160,10 @@
 		writeJSON(w, http.StatusNotFound, errorResponse{Message: "service: must be the name of a service that has a live proxy"})
 		return
 	}
-	w.Header().Set("Cache-Control", "private, max-age="+strconv.Itoa(int(answer.TTL.Seconds())))
+	w.Header().Set("Cache-Control", "private, max-age="+strconv.Itoa(int(result.TTL.Seconds())))
 	response := lookupResponse{
-		Service: answer.Service, HomeRegion: answer.HomeRegion,
-		TTL: answer.TTL.String(), Explanation: explanation, Proxies: proxyEntries(answer.Proxies),
+		Service: result.Service, HomeRegion: result.HomeRegion,
+		TTL: result.TTL.String(), Explanation: explanation, Proxies: proxyEntries(result.Proxies),
 	}
 	writeJSON(w, http.StatusOK, response)
 }
--- a/internal/adapter/callerhttp/server_test.go
+++ b/internal/adapter/callerhttp/server_test.go
@@ -63,14 +63,14 @@
 	if _, err := read(101); !errors.Is(err, bodies.ErrTooLarge) {
 		t.Errorf("101 bytes: got error %v, want %v", err, bodies.ErrTooLarge)
 	}
-	held, err := read(100)
+	first, err := read(100)
 	if err != nil {
 		t.Fatalf("100 bytes: got error %v, want none", err)
 	}
 	if _, err := read(60); !errors.Is(err, bodies.ErrMemoryExhausted) {
 		t.Errorf("60 bytes in addition to 100: got error %v, want %v", err, bodies.ErrMemoryExhausted)
 	}
-	held.Release()
+	first.Release()
 	if _, err := read(60); err != nil {
 		t.Errorf("60 bytes after the release: got error %v, want none", err)
 	}
--- a/internal/adapter/forwardhttp/account_test.go
+++ b/internal/adapter/forwardhttp/account_test.go
@@ -33,28 +33,28 @@
 }
 
 // addAccount applies a configuration with one account, whose key is "good".
-func (f *testProxy) addAccount(t *testing.T, l ratelimit.Limit) {
+func (p *testProxy) addAccount(t *testing.T, l ratelimit.Limit) {
 	t.Helper()
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	key, _ := account.KeyOf("good")
 	accounts, _ := account.NewTable([]*account.Account{{Name: "anna", Keys: []account.Key{key}, Limit: l}})
-	old := f.kernel.Table()
-	f.kernel.SetTable(routing.NewTable(old.Version+1, []*routing.Route{old.Routes["route"]}, nil, routing.Limits{}).WithAccounts(accounts))
+	old := p.kernel.Table()
+	p.kernel.SetTable(routing.NewTable(old.Version+1, []*routing.Route{old.Routes["route"]}, nil, routing.Limits{}).WithAccounts(accounts))
 }
 
 func TestStatusForCredentials(t *testing.T) {
 	var seen serverhttp.Request
-	f := newTestProxy(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+	p := newTestProxy(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		seen = r
 		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
-	if got := getWithKey(t, f.URL+"/a/x", "any"); got.status != http.StatusOK || seen.HasAccounts {
+	if got := getWithKey(t, p.URL+"/a/x", "any"); got.status != http.StatusOK || seen.HasAccounts {
 		t.Errorf("without accounts: status is %d, has accounts %t, want 200 and false", got.status, seen.HasAccounts)
 	}
-	f.addAccount(t, ratelimit.Limit{})
+	p.addAccount(t, ratelimit.Limit{})
 	for key, want := range map[string]int{"good": http.StatusOK, "bad": http.StatusUnauthorized, "": http.StatusUnauthorized} {
-		got := getWithKey(t, f.URL+"/a/x", key)
+		got := getWithKey(t, p.URL+"/a/x", key)
 		if got.status != want {
 			t.Errorf("key %q: status is %d, want %d", key, got.status, want)
 		}
@@ -65,7 +65,7 @@
 	if !seen.HasAccounts || seen.Account != "anna" {
 		t.Errorf("the server receives account %q, has accounts %t; want anna and true", seen.Account, seen.HasAccounts)
 	}
-	if got := getWithKey(t, f.URL+"/none", "bad"); got.status != http.StatusNotFound {
+	if got := getWithKey(t, p.URL+"/none", "bad"); got.status != http.StatusNotFound {
 		t.Errorf("no route: status is %d, want 404", got.status)
 	}
 }
@@ -73,8 +73,8 @@
 // Guards against a proxy that has just started and rejects a valid key with 401, which callers do
 // not retry.
 func TestNoUnauthorizedWithoutConfiguration(t *testing.T) {
-	f := newTestProxy(t, false, nil)
-	if got := getWithKey(t, f.URL+"/a/x", "good"); got.status != http.StatusServiceUnavailable {
+	p := newTestProxy(t, false, nil)
+	if got := getWithKey(t, p.URL+"/a/x", "good"); got.status != http.StatusServiceUnavailable {
 		t.Errorf("status is %d, want 503", got.status)
 	}
 }
@@ -82,10 +82,10 @@
 // Guards against a request over the rate limit that waits, is rejected without Retry-After, or
 // whose caller keeps its connection to a proxy that has no share of the limit.
 func TestRequestsOverLimitAreRejectedImmediately(t *testing.T) {
-	f := newTestProxy(t, true, nil)
-	f.addAccount(t, ratelimit.Limit{PerSecond: 1})
+	p := newTestProxy(t, true, nil)
+	p.addAccount(t, ratelimit.Limit{PerSecond: 1})
 	began := time.Now()
-	got := getWithKey(t, f.URL+"/a/x", "good")
+	got := getWithKey(t, p.URL+"/a/x", "good")
 	if got.status != http.StatusTooManyRequests || got.header.Get("Retry-After") == "" {
 		t.Errorf("status is %d, Retry-After is %q, want 429 and a time", got.status, got.header.Get("Retry-After"))
 	}
--- a/internal/adapter/forwardhttp/listener_test.go
+++ b/internal/adapter/forwardhttp/listener_test.go
@@ -95,14 +95,14 @@
 			t.Fatal("the data never arrives")
 		}
 	}
-	if left := l.CloseIdleConnections(); left != 1 {
-		t.Errorf("%d connections are left, want the one with an unread request", left)
+	if remaining := l.CloseIdleConnections(); remaining != 1 {
+		t.Errorf("%d connections are left, want the one with an unread request", remaining)
 	}
 	if _, err := accepted.Read(make([]byte, 64)); err != nil {
 		t.Fatal(err)
 	}
-	if left := l.CloseIdleConnections(); left != 0 {
-		t.Errorf("%d connections are left, want none: it is idle and has no unread data", left)
+	if remaining := l.CloseIdleConnections(); remaining != 0 {
+		t.Errorf("%d connections are left, want none: it is idle and has no unread data", remaining)
 	}
 }
 
--- a/internal/adapter/forwardhttp/server.go
+++ b/internal/adapter/forwardhttp/server.go
@@ -193,8 +193,8 @@
 		HasAccounts: active.HasAccounts, Account: account,
 		Address: target.Address, InstanceID: target.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI,
 		Header: r.Header, Body: body, AttemptID: request.ID, Deadline: active.ExpiresAt,
-		DialTimeout:    min(dialBaseTimeout+dialRoundTrips*target.RoundTrip, active.ExpiresAt.Sub(s.Now())),
-		MaxConnections: target.MaxConnections, StoppedAccepting: func() bool { return s.serverStoppedAccepting(active) },
+		DialTimeout:        min(dialBaseTimeout+dialRoundTrips*target.RoundTrip, active.ExpiresAt.Sub(s.Now())),
+		MaxIdleConnections: target.MaxConnections, StoppedAccepting: func() bool { return s.serverStoppedAccepting(active) },
 	}
 }
 
--- a/internal/adapter/forwardhttp/server_test.go
+++ b/internal/adapter/forwardhttp/server_test.go
@@ -42,36 +42,36 @@
 
 // startTestProxy starts a testProxy whose process started at the given time, and whose channel is
 // closed when the configuration has arrived.
-func startTestProxy(t *testing.T, configured bool, send sender, started time.Time, configuredCh <-chan struct{}) *testProxy {
+func startTestProxy(t *testing.T, configured bool, send sender, started time.Time, configurationLoaded <-chan struct{}) *testProxy {
 	t.Helper()
-	f := &testProxy{kernel: steering.New(steering.Config{Name: "p", Domain: "a", Region: "r", RegionOf: map[string]string{"a": "r"}})}
+	p := &testProxy{kernel: steering.New(steering.Config{Name: "p", Domain: "a", Region: "r", RegionOf: map[string]string{"a": "r"}})}
 	s := &Server{
 		Headers: Headers{AttemptID: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
 		WithKernel: func(do func(*steering.Kernel, time.Time)) {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			do(f.kernel, time.Now())
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			do(p.kernel, time.Now())
 		},
-		BodyMemory: bodies.NewMemoryBudget(testBodyMemory), Send: send, Now: time.Now, IsStopping: func() bool { return f.stopping },
-		Configured: configuredCh, StartedAt: started,
+		BodyMemory: bodies.NewMemoryBudget(testBodyMemory), Send: send, Now: time.Now, IsStopping: func() bool { return p.stopping },
+		Configured: configurationLoaded, StartedAt: started,
 	}
 	if configured {
-		f.configure()
+		p.configure()
 	}
-	f.Server = httptest.NewServer(s.HTTPServer().Handler)
-	t.Cleanup(f.Close)
-	return f
+	p.Server = httptest.NewServer(s.HTTPServer().Handler)
+	t.Cleanup(p.Close)
+	return p
 }
 
-func (f *testProxy) configure() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (p *testProxy) configure() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	route := &routing.Route{
 		Name: "route", Host: "127.0.0.1", Prefix: "/a/", Attempts: 2, Timeout: time.Second, Target: time.Second,
 		Parts: []routing.Part{{Service: "service", Weight: 1}},
 	}
-	f.kernel.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{BodyBytes: 100}))
-	f.kernel.RegisterServer(time.Now(), routing.Server{
+	p.kernel.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{BodyBytes: 100}))
+	p.kernel.RegisterServer(time.Now(), routing.Server{
 		ID: "s1", Service: "service", Domain: "a", Slots: 4, Address: netip.MustParseAddrPort("127.0.0.1:1"),
 	})
 }
@@ -111,8 +111,8 @@
 }
 
 func TestResponseIsForwarded(t *testing.T) {
-	f := newTestProxy(t, true, respondWith(steering.ResultAnswered, http.StatusCreated, "booked"))
-	got := sendRequest(t, http.MethodPost, f.URL+"/a/x", "data")
+	p := newTestProxy(t, true, respondWith(steering.ResultAnswered, http.StatusCreated, "booked"))
+	got := sendRequest(t, http.MethodPost, p.URL+"/a/x", "data")
 	if got.status != http.StatusCreated || got.body != "booked" || got.header.Get("Seal") != "s" {
 		t.Errorf("got %d %q with seal %q, want 201, the body and the seal", got.status, got.body, got.header.Get("Seal"))
 	}
@@ -120,8 +120,8 @@
 
 // Guards against a proxy that has just started and responds with 404, which callers do not retry.
 func TestUnconfiguredProxyReturns503(t *testing.T) {
-	f := newTestProxy(t, false, nil)
-	got := sendRequest(t, http.MethodGet, f.URL+"/a/x", "")
+	p := newTestProxy(t, false, nil)
+	got := sendRequest(t, http.MethodGet, p.URL+"/a/x", "")
 	if got.status != http.StatusServiceUnavailable {
 		t.Errorf("status is %d, want 503", got.status)
 	}
@@ -148,10 +148,10 @@
 		"timeout":         {steering.ResultTimeout, http.StatusGatewayTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newTestProxy(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+			p := newTestProxy(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 				return steering.Attempt{Result: c.result}, nil
 			})
-			got := sendRequest(t, http.MethodPost, f.URL+"/a/x", "data")
+			got := sendRequest(t, http.MethodPost, p.URL+"/a/x", "data")
 			if got.status != c.want {
 				t.Errorf("status is %d, want %d", got.status, c.want)
 			}
@@ -163,16 +163,16 @@
 }
 
 func TestUnknownPathIsNotFound(t *testing.T) {
-	f := newTestProxy(t, true, nil)
-	if got := sendRequest(t, http.MethodGet, f.URL+"/b/x", ""); got.status != http.StatusNotFound {
+	p := newTestProxy(t, true, nil)
+	if got := sendRequest(t, http.MethodGet, p.URL+"/b/x", ""); got.status != http.StatusNotFound {
 		t.Errorf("status is %d, want 404", got.status)
 	}
 }
 
 func TestBodyOverLimitIsRejected(t *testing.T) {
-	f := newTestProxy(t, true, nil)
+	p := newTestProxy(t, true, nil)
 	for _, length := range []int{101, 100_000} {
-		if got := sendRequest(t, http.MethodPost, f.URL+"/a/x", strings.Repeat("x", length)); got.status != http.StatusRequestEntityTooLarge {
+		if got := sendRequest(t, http.MethodPost, p.URL+"/a/x", strings.Repeat("x", length)); got.status != http.StatusRequestEntityTooLarge {
 			t.Errorf("%d bytes: status is %d, want 413", length, got.status)
 		}
 	}
@@ -183,16 +183,16 @@
 // all its requests.
 func TestBodiesBeyondMemoryAreRejectedAsNotRun(t *testing.T) {
 	entered, leave := make(chan bool, 1), make(chan bool)
-	f := newTestProxy(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+	p := newTestProxy(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		entered <- true
 		<-leave
 		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
 	body := strings.Repeat("x", 100)
 	first := make(chan fullResponse, 1)
-	go func() { first <- sendRequest(t, http.MethodPost, f.URL+"/a/x", body) }()
+	go func() { first <- sendRequest(t, http.MethodPost, p.URL+"/a/x", body) }()
 	<-entered
-	if got := sendRequest(t, http.MethodPost, f.URL+"/a/x", body); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
+	if got := sendRequest(t, http.MethodPost, p.URL+"/a/x", body); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 		t.Errorf("second body: status is %d, Retry-After is %q, want 503 and a time", got.status, got.header.Get("Retry-After"))
 	}
 	leave <- true
@@ -200,7 +200,7 @@
 		t.Errorf("first body: status is %d, want 200", got.status)
 	}
 	go func() { <-entered; leave <- true }()
-	if got := sendRequest(t, http.MethodPost, f.URL+"/a/x", body); got.status != http.StatusOK {
+	if got := sendRequest(t, http.MethodPost, p.URL+"/a/x", body); got.status != http.StatusOK {
 		t.Errorf("body after the first is released: status is %d, want 200", got.status)
 	}
 }
@@ -210,13 +210,13 @@
 // same time.
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
 	configured := make(chan struct{})
-	f := startTestProxy(t, false, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+	p := startTestProxy(t, false, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	}, time.Now(), configured)
 	answered := make(chan int, 1)
-	go func() { answered <- sendRequest(t, http.MethodGet, f.URL+"/a/x", "").status }()
+	go func() { answered <- sendRequest(t, http.MethodGet, p.URL+"/a/x", "").status }()
 	time.Sleep(configurationTimeout / 10)
-	f.configure()
+	p.configure()
 	close(configured)
 	if got := <-answered; got != http.StatusOK {
 		t.Errorf("status is %d, want 200", got)
@@ -226,9 +226,9 @@
 // Checks that without a store or a peer, requests just after the start wait for a configuration
 // only briefly, and later ones not at all.
 func TestWaitForConfigurationTimesOut(t *testing.T) {
-	f := startTestProxy(t, false, nil, time.Now(), make(chan struct{}))
+	p := startTestProxy(t, false, nil, time.Now(), make(chan struct{}))
 	for range 2 {
-		got := sendRequest(t, http.MethodGet, f.URL+"/a/x", "")
+		got := sendRequest(t, http.MethodGet, p.URL+"/a/x", "")
 		if got.status != http.StatusServiceUnavailable {
 			t.Errorf("status is %d, want 503", got.status)
 		}
@@ -239,11 +239,11 @@
 // Checks that the forwarded deadline is the earlier of those of the caller and of the route.
 func TestDeadlineIsForwarded(t *testing.T) {
 	var left time.Duration
-	f := newTestProxy(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+	p := newTestProxy(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		left = time.Until(r.Deadline)
 		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
-	sendRequest(t, http.MethodGet, f.URL+"/a/x", "")
+	sendRequest(t, http.MethodGet, p.URL+"/a/x", "")
 	if left <= 0 || left > 700*time.Millisecond {
 		t.Errorf("the server has %s, want at most the caller's 700 ms", left)
 	}
@@ -252,7 +252,7 @@
 // Guards against a request that keeps running on the server after its caller has disconnected.
 func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	ended := make(chan time.Duration, 1)
-	f := newTestProxy(t, true, func(ctx context.Context, _ serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+	p := newTestProxy(t, true, func(ctx context.Context, _ serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		began := time.Now()
 		<-ctx.Done()
 		ended <- time.Since(began)
@@ -260,7 +260,7 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.URL+"/a/x", nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, p.URL+"/a/x", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -276,9 +276,9 @@
 }
 
 func TestStoppingProxyClosesConnections(t *testing.T) {
-	f := newTestProxy(t, true, respondWith(steering.ResultAnswered, http.StatusOK, "fine"))
-	f.stopping = true
-	if got := sendRequest(t, http.MethodGet, f.URL+"/a/x", ""); !got.close || got.body != "fine" {
+	p := newTestProxy(t, true, respondWith(steering.ResultAnswered, http.StatusOK, "fine"))
+	p.stopping = true
+	if got := sendRequest(t, http.MethodGet, p.URL+"/a/x", ""); !got.close || got.body != "fine" {
 		t.Errorf("connection closes: %t, body %q; want the response and a close", got.close, got.body)
 	}
 }
--- a/internal/adapter/serverhttp/client.go
+++ b/internal/adapter/serverhttp/client.go
@@ -100,8 +100,8 @@
 		// StoppedAccepting reports whether the server has stopped accepting requests since it was
 		// chosen for this one. It may be nil.
 		StoppedAccepting func() bool
-		// MaxConnections limits the idle connections to the server; zero means the default limit.
-		MaxConnections int
+		// MaxIdleConnections limits the idle connections to the server; zero means the default limit.
+		MaxIdleConnections int
 		// HasAccounts is set if requests carry keys of client accounts, which must not be forwarded
 		// to servers. Account is the client account of the request, or empty.
 		HasAccounts bool
@@ -150,7 +150,7 @@
 	}
 	if connection.isFirstUse() && r.StoppedAccepting != nil && r.StoppedAccepting() {
 		connection.uses = 0
-		c.pool.put(connection, true, r.MaxConnections)
+		c.pool.put(connection, true, r.MaxIdleConnections)
 		return steering.Attempt{Result: steering.ResultNotSent, RoundTrip: roundTrip}, nil
 	}
 	e := &exchange{client: c, conn: connection, request: r, message: c.newMessage(r)}
@@ -162,7 +162,7 @@
 		response.Release()
 		return steering.Attempt{Result: steering.ResultCallerGone, Err: context.Cause(ctx), Signal: e.signal}, nil
 	}
-	c.pool.put(connection, reusable, r.MaxConnections)
+	c.pool.put(connection, reusable, r.MaxIdleConnections)
 	attempt := c.classify(r, response, err)
 	attempt.RoundTrip, attempt.Signal = roundTrip, e.signal
 	return attempt, response
--- a/internal/adapter/serverhttp/client_test.go
+++ b/internal/adapter/serverhttp/client_test.go
@@ -120,8 +120,8 @@
 	})
 	c := newTestClient()
 	for _, id := range []string{"one", "two", "three"} {
-		a, answer := send(c, s, id)
-		expectResult(t, a, answer, steering.ResultAnswered, "to "+id)
+		a, response := send(c, s, id)
+		expectResult(t, a, response, steering.ResultAnswered, "to "+id)
 	}
 }
 
@@ -138,10 +138,10 @@
 	})
 	c := newTestClient()
 	for _, id := range []string{"one", "two"} {
-		a, answer := send(c, s, id)
-		expectResult(t, a, answer, steering.ResultAnswered, "to "+id)
+		a, response := send(c, s, id)
+		expectResult(t, a, response, steering.ResultAnswered, "to "+id)
 	}
-	if a, answer := send(c, s, "three"); answer == nil || string(answer.Body.Bytes) != "to three" {
+	if a, response := send(c, s, "three"); response == nil || string(response.Body.Bytes) != "to three" {
 		t.Errorf("result after a stray response is %s, want the response on a new connection", a.Result)
 	}
 	if got := s.connections.Load(); got != 2 {
@@ -162,8 +162,8 @@
 	})
 	c := newTestClient()
 	send(c, s, "one")
-	a, answer := send(c, s, "two")
-	expectResult(t, a, answer, steering.ResultConnectionLost, "")
+	a, response := send(c, s, "two")
+	expectResult(t, a, response, steering.ResultConnectionLost, "")
 }
 
 // Guards against automatic retries when a reused connection breaks as a request is sent: the server
@@ -178,8 +178,8 @@
 	})
 	c := newTestClient()
 	send(c, s, "one")
-	a, answer := send(c, s, "two")
-	expectResult(t, a, answer, steering.ResultConnectionLost, "")
+	a, response := send(c, s, "two")
+	expectResult(t, a, response, steering.ResultConnectionLost, "")
 	if got := s.requests.Load(); got != 2 {
 		t.Errorf("the server read %d requests, want 2", got)
 	}
@@ -200,8 +200,8 @@
 				_, _ = io.WriteString(w, text)
 				return false
 			})
-			a, answer := send(newTestClient(), s, "one")
-			expectResult(t, a, answer, steering.ResultConnectionLost, "")
+			a, response := send(newTestClient(), s, "one")
+			expectResult(t, a, response, steering.ResultConnectionLost, "")
 		})
 	}
 }
@@ -214,16 +214,16 @@
 		_, _ = io.WriteString(w, text)
 		return false
 	})
-	a, answer := send(newTestClient(), closed, "one")
-	expectResult(t, a, answer, steering.ResultAnswered, "all of it")
+	a, response := send(newTestClient(), closed, "one")
+	expectResult(t, a, response, steering.ResultAnswered, "all of it")
 	reset := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 		_, _ = io.WriteString(w, text)
 		time.Sleep(50 * time.Millisecond)
 		_ = w.(*net.TCPConn).SetLinger(0)
 		return false
 	})
-	a, answer = send(newTestClient(), reset, "one")
-	expectResult(t, a, answer, steering.ResultConnectionLost, "")
+	a, response = send(newTestClient(), reset, "one")
+	expectResult(t, a, response, steering.ResultConnectionLost, "")
 }
 
 // Guards against reusing a connection on which the server responded before it had read the whole
@@ -239,8 +239,8 @@
 	c := newTestClient()
 	long := newRequest(s, "one")
 	long.Method, long.Body = http.MethodPost, []byte(strings.Repeat("x", 32<<20))
-	a, answer := c.Send(context.Background(), long)
-	if a.Result != steering.ResultAnswered || answer.Status != http.StatusRequestEntityTooLarge {
+	a, response := c.Send(context.Background(), long)
+	if a.Result != steering.ResultAnswered || response.Status != http.StatusRequestEntityTooLarge {
 		t.Fatalf("result is %s (%v), want the server's response", a.Result, a.Err)
 	}
 	send(c, s, "two")
@@ -260,8 +260,8 @@
 	})
 	ctx, leave := context.WithCancel(context.Background())
 	time.AfterFunc(50*time.Millisecond, leave)
-	a, answer := newTestClient().Send(ctx, newRequest(s, "one"))
-	expectResult(t, a, answer, steering.ResultCallerGone, "")
+	a, response := newTestClient().Send(ctx, newRequest(s, "one"))
+	expectResult(t, a, response, steering.ResultCallerGone, "")
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
@@ -277,8 +277,8 @@
 	}
 	s := &rawServer{listener: l}
 	_ = l.Close()
-	a, answer := send(newTestClient(), s, "one")
-	expectResult(t, a, answer, steering.ResultUnreachable, "")
+	a, response := send(newTestClient(), s, "one")
+	expectResult(t, a, response, steering.ResultUnreachable, "")
 }
 
 func TestNoResponseInTimeIsTimeout(t *testing.T) {
@@ -288,8 +288,8 @@
 	})
 	r := newRequest(s, "one")
 	r.Deadline = time.Now().Add(50 * time.Millisecond)
-	a, answer := newTestClient().Send(context.Background(), r)
-	expectResult(t, a, answer, steering.ResultTimeout, "")
+	a, response := newTestClient().Send(context.Background(), r)
+	expectResult(t, a, response, steering.ResultTimeout, "")
 }
 
 // Guards against forwarding a 200 of another process at the server's address: it has no seal.
@@ -298,8 +298,8 @@
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nAttempt: one\r\nContent-Length: 2\r\n\r\nhi")
 		return true
 	})
-	a, answer := send(newTestClient(), s, "one")
-	expectResult(t, a, answer, steering.ResultConnectionLost, "")
+	a, response := send(newTestClient(), s, "one")
+	expectResult(t, a, response, steering.ResultConnectionLost, "")
 }
 
 func TestResultsByStatus(t *testing.T) {
@@ -316,8 +316,8 @@
 			_, _ = io.WriteString(w, c.head+"\r\nAttempt: one\r\nLoad: 3,2,4\r\nContent-Length: 0\r\n\r\n")
 			return true
 		})
-		a, answer := send(newTestClient(), s, "one")
-		expectResult(t, a, answer, c.want, "")
+		a, response := send(newTestClient(), s, "one")
+		expectResult(t, a, response, c.want, "")
 		if !a.Loaded || a.Running != 3 || a.Waiting != 2 {
 			t.Errorf("load is %t %d %d, want 3 running and 2 waiting", a.Loaded, a.Running, a.Waiting)
 		}
@@ -371,8 +371,8 @@
 	})
 	c := newTestClient()
 	for _, id := range []string{"one", "two", "three"} {
-		a, answer := send(c, s, id)
-		expectResult(t, a, answer, steering.ResultAnswered, "fine")
+		a, response := send(c, s, id)
+		expectResult(t, a, response, steering.ResultAnswered, "fine")
 		time.Sleep(50 * time.Millisecond)
 	}
 }
@@ -390,8 +390,8 @@
 		if i == 2 {
 			c.CloseIdleConnections(s.address())
 		}
-		a, answer := send(c, s, fmt.Sprint("a", i))
-		expectResult(t, a, answer, steering.ResultAnswered, want)
+		a, response := send(c, s, fmt.Sprint("a", i))
+		expectResult(t, a, response, steering.ResultAnswered, want)
 	}
 }
 
@@ -422,7 +422,7 @@
 		clients.Go(func() {
 			c.Send(context.Background(), Request{
 				Address: s.address(), Method: http.MethodGet, Host: "h", Target: "/", AttemptID: "a",
-				Deadline: time.Now().Add(testTimeout), DialTimeout: testTimeout, MaxConnections: maxIdle,
+				Deadline: time.Now().Add(testTimeout), DialTimeout: testTimeout, MaxIdleConnections: maxIdle,
 			})
 		})
 	}
--- a/internal/adapter/serverhttp/signal_test.go
+++ b/internal/adapter/serverhttp/signal_test.go
@@ -41,8 +41,8 @@
 			})
 			client := newTestClient()
 			client.headers = h
-			attempt, answer := send(client, s, "a")
-			answer.Release()
+			attempt, response := send(client, s, "a")
+			response.Release()
 			want := backpressure.Signal{Limit: backpressure.Limit{Set: c.want > 0, PerSecond: c.want}, Draining: strings.Contains(name, "drains")}
 			if strings.Contains(name, "pauses") {
 				want.Pause = 3 * time.Second
