--- a/internal/adapter/backendhttp/client.go
+++ b/internal/adapter/backendhttp/client.go
@@ -1,5 +1,5 @@
-// Package backendhttp sends requests to backend servers over HTTP and reports
-// how each attempt ended, without deciding what follows from it.
+// Package backendhttp sends requests to backend servers over HTTP and reports the result of each
+// attempt. It makes no retry decisions.
 package backendhttp
 
 import (
@@ -22,21 +22,22 @@
 )
 
 const (
-	// BufferedBytes of an answer are held back before the first byte goes to
-	// the caller. An answer that breaks within them can be tried elsewhere.
-	BufferedBytes = 256 << 10
-
-	dialTimeout    = time.Second
-	idleTimeout    = 30 * time.Second
-	maxHeaderBytes = 64 << 10
-	probeTimeout   = 400 * time.Millisecond
-	probePath      = "/health"
-	keyHeader      = "Idempotency-Key"
-	keyHeaderLower = "idempotency-key"
+	// ResponseBufferSize is how much of a response, in bytes, is buffered before the first byte is
+	// sent to the caller. If the response is interrupted within the buffer, the request can be
+	// retried on another server.
+	ResponseBufferSize = 256 << 10
+
+	dialTimeout            = time.Second
+	idleTimeout            = 30 * time.Second
+	maxHeaderBytes         = 64 << 10
+	probeTimeout           = 400 * time.Millisecond
+	probePath              = "/health"
+	idempotencyHeader      = "Idempotency-Key"
+	idempotencyHeaderLower = "idempotency-key"
 )
 
 var (
-	signalHeaders = serverhttp.Headers{Limit: caller.HeaderLimit}
+	backpressureHeaders = serverhttp.Headers{Limit: caller.HeaderLimit}
 )
 
 type (
@@ -46,7 +47,7 @@
 		now  func() time.Time
 	}
 
-	// Request is one attempt.
+	// Request is one attempt to send a caller's request to a backend server.
 	Request struct {
 		Address  netip.AddrPort
 		Method   string
@@ -58,25 +59,26 @@
 		Deadline time.Time
 	}
 
-	// Response is how the attempt ended. Rest holds what follows the buffered
-	// part of a long answer; the reader must close it.
+	// Response is the result of an attempt. Remainder streams what follows the buffered part of a
+	// long response; the reader must close it.
 	Response struct {
 		Result backend.Result
 		Answer *caller.Response
 		Report *backend.Report
-		// Refusing is set if nothing listens at the server's address.
-		Refusing bool
-		Rest     io.ReadCloser
-		Err      error
+		// ConnectionRefused is set if no process listens on the server's address.
+		ConnectionRefused bool
+		Remainder         io.ReadCloser
+		Err               error
 	}
 
-	rest struct {
+	remainderReader struct {
 		io.Reader
 		io.Closer
 	}
 )
 
-// NewClient makes a client; now stamps load reports.
+// NewClient returns a client with up to connections connections per server. now provides the
+// timestamps of load reports.
 func NewClient(connections int, now func() time.Time) *Client {
 	transport := &http.Transport{
 		DialContext:            (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -97,25 +99,25 @@
 	}
 }
 
-// Send makes one attempt.
+// Send sends the request once and returns the result.
 func (c *Client) Send(ctx context.Context, r Request) Response {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	request, err := c.build(httptrace.WithClientTrace(ctx, trace), r)
+	request, err := c.newRequest(httptrace.WithClientTrace(ctx, trace), r)
 	if err != nil {
 		return Response{Result: backend.Unreachable, Err: err}
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return Response{Result: failure(ctx, connected.Load()), Refusing: serverhttp.Refusing(err), Err: err}
+		return Response{Result: classifyFailure(ctx, connected.Load()), ConnectionRefused: serverhttp.IsConnectionRefused(err), Err: err}
 	}
-	return c.receive(ctx, response, r.Address.String())
+	return c.readResponse(ctx, response, r.Address.String())
 }
 
-// failure classifies an exchange without an answer. Without a connection no
-// byte can have reached the server. With one, the request may have run, even
-// if the write failed: what the kernel took before the error is not known.
-func failure(ctx context.Context, connected bool) backend.Result {
+// classifyFailure returns the result of an exchange that has no complete response. Without a
+// connection, no byte can have reached the server. With one, the request may have run even if the
+// write failed: it is unknown how much the operating system accepted before the error.
+func classifyFailure(ctx context.Context, connected bool) backend.Result {
 	switch {
 	case !connected:
 		return backend.Unreachable
@@ -125,15 +127,15 @@
 	return backend.Interrupted
 }
 
-func (c *Client) build(ctx context.Context, r Request) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, r Request) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+r.Address.String()+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
 	}
-	// Without this function the transport cannot send the body twice.
+	// Without GetBody the transport cannot send the body again.
 	request.GetBody = nil
 	serverhttp.CopyHeader(request.Header, r.Header)
-	hideKey(request.Header)
+	hideIdempotencyKey(request.Header)
 	request.Header.Del(caller.HeaderToken)
 	request.Header.Set(caller.HeaderRequest, r.ID)
 	request.Header.Set(caller.HeaderAttempt, r.Attempt)
@@ -141,56 +143,55 @@
 	return request, nil
 }
 
-// hideKey keeps net/http from repeating a request on its own. The transport
-// takes an Idempotency-Key header for leave to send a POST without a body
-// again when a kept connection breaks; the server may have run the first one.
-// It looks for the canonical spelling only, and header names have no case on
-// the wire, so the lower-case form reaches the server and not the transport.
-func hideKey(h http.Header) {
-	if values, ok := h[keyHeader]; ok {
-		delete(h, keyHeader)
-		h[keyHeaderLower] = values
+// hideIdempotencyKey prevents automatic retries by net/http. If a request has an Idempotency-Key
+// header, the transport retries a POST without a body when a reused connection breaks, although the
+// server may have run the first one. The transport checks the canonical spelling only. Header names
+// are case-insensitive on the wire, so the server still receives the lower-case form.
+func hideIdempotencyKey(h http.Header) {
+	if values, ok := h[idempotencyHeader]; ok {
+		delete(h, idempotencyHeader)
+		h[idempotencyHeaderLower] = values
 	}
 }
 
-func (c *Client) receive(ctx context.Context, response *http.Response, server string) Response {
-	report := c.report(response, server)
+func (c *Client) readResponse(ctx context.Context, response *http.Response, server string) Response {
+	report := c.parseReport(response, server)
 	if response.Header.Get(caller.HeaderOutcome) == caller.OutcomeNotRun.String() {
-		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, BufferedBytes))
+		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, ResponseBufferSize))
 		_ = response.Body.Close()
 		return Response{Result: backend.Rejected, Report: report}
 	}
-	head, err := io.ReadAll(io.LimitReader(response.Body, BufferedBytes))
+	buffered, err := io.ReadAll(io.LimitReader(response.Body, ResponseBufferSize))
 	if err != nil {
 		_ = response.Body.Close()
-		return Response{Result: failure(ctx, true), Report: report, Err: err}
+		return Response{Result: classifyFailure(ctx, true), Report: report, Err: err}
 	}
 	header := make(http.Header)
 	serverhttp.CopyHeader(header, response.Header)
-	for _, own := range []string{caller.HeaderLoad, caller.HeaderLeaving, caller.HeaderLimit} {
-		header.Del(own)
+	for _, name := range []string{caller.HeaderLoad, caller.HeaderLeaving, caller.HeaderLimit} {
+		header.Del(name)
 	}
-	answer := &caller.Response{Status: response.StatusCode, Header: header, Body: head}
-	out := Response{Result: backend.Answered, Answer: answer, Report: report}
-	if len(head) < BufferedBytes {
+	answer := &caller.Response{Status: response.StatusCode, Header: header, Body: buffered}
+	result := Response{Result: backend.Answered, Answer: answer, Report: report}
+	if len(buffered) < ResponseBufferSize {
 		_ = response.Body.Close()
-		return out
+		return result
 	}
-	out.Rest = rest{Reader: response.Body, Closer: response.Body}
-	return out
+	result.Remainder = remainderReader{Reader: response.Body, Closer: response.Body}
+	return result
 }
 
-func (c *Client) report(r *http.Response, server string) *backend.Report {
+func (c *Client) parseReport(r *http.Response, server string) *backend.Report {
 	running, err := strconv.Atoi(r.Header.Get(caller.HeaderLoad))
 	leaving := r.Header.Get(caller.HeaderLeaving) == "true"
-	signal := serverhttp.SignalOf(r, signalHeaders, server)
+	signal := serverhttp.ParseSignal(r, backpressureHeaders, server)
 	if err != nil && !leaving && signal.IsEmpty() {
 		return nil
 	}
 	return &backend.Report{Running: max(0, running), Leaving: leaving, Signal: signal, At: c.now()}
 }
 
-// Probe asks a server for its health.
+// Probe sends a health check to a server.
 func (c *Client) Probe(ctx context.Context, address netip.AddrPort) backend.Health {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -200,9 +201,9 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return backend.Health{ConnectionRefused: serverhttp.Refusing(err)}
+		return backend.Health{ConnectionRefused: serverhttp.IsConnectionRefused(err)}
 	}
 	defer func() { _ = response.Body.Close() }()
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxHeaderBytes))
-	return backend.Health{OK: response.StatusCode < http.StatusInternalServerError, Report: c.report(response, address.String())}
+	return backend.Health{OK: response.StatusCode < http.StatusInternalServerError, Report: c.parseReport(response, address.String())}
 }
--- a/internal/adapter/backendhttp/client_test.go
+++ b/internal/adapter/backendhttp/client_test.go
@@ -16,16 +16,16 @@
 )
 
 type (
-	// rawServer answers each request on a connection by a script of its own,
-	// and counts the requests that it has read whole.
+	// rawServer lets a function write the response to each request on a connection, and counts the
+	// requests that were read completely.
 	rawServer struct {
-		address netip.AddrPort
-		mu      sync.Mutex
-		read    int
+		address  netip.AddrPort
+		mu       sync.Mutex
+		received int
 	}
 )
 
-func startRaw(t *testing.T, answer func(n int, c net.Conn) (keep bool)) *rawServer {
+func startRawServer(t *testing.T, respond func(n int, c net.Conn) (keep bool)) *rawServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,13 +39,13 @@
 			if err != nil {
 				return
 			}
-			go s.serve(c, answer)
+			go s.serve(c, respond)
 		}
 	}()
 	return s
 }
 
-func (s *rawServer) serve(c net.Conn, answer func(int, net.Conn) bool) {
+func (s *rawServer) serve(c net.Conn, respond func(int, net.Conn) bool) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
 	for {
@@ -55,10 +55,10 @@
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
 		s.mu.Lock()
-		s.read++
-		n := s.read
+		s.received++
+		n := s.received
 		s.mu.Unlock()
-		if !answer(n, c) {
+		if !respond(n, c) {
 			return
 		}
 	}
@@ -67,7 +67,7 @@
 func (s *rawServer) requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.read
+	return s.received
 }
 
 func send(t *testing.T, address netip.AddrPort, method string, timeout time.Duration) Response {
@@ -84,38 +84,38 @@
 	})
 }
 
-func write(text string) func(int, net.Conn) bool {
+func writeAndClose(text string) func(int, net.Conn) bool {
 	return func(_ int, c net.Conn) bool {
 		_, _ = io.WriteString(c, text)
 		return false
 	}
 }
 
-// TestHowAttemptsEnd: what an exchange with a backend server means for the
-// question whether the request ran.
-func TestHowAttemptsEnd(t *testing.T) {
-	closed := startRaw(t, write(""))
+// Checks which result each kind of response or failure has: it must not say that a request did not
+// run if it may have run.
+func TestAttemptResults(t *testing.T) {
+	closed := startRawServer(t, writeAndClose(""))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := netip.MustParseAddrPort(l.Addr().String())
+	unused := netip.MustParseAddrPort(l.Addr().String())
 	_ = l.Close()
 	cases := []struct {
 		name    string
 		address netip.AddrPort
 		want    backend.Result
 	}{
-		{"nobody listens", nobody, backend.Unreachable},
+		{"connection refused", unused, backend.Unreachable},
 		{"closed after reading", closed.address, backend.Interrupted},
-		{"whole answer", startRaw(t, write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")).address, backend.Answered},
-		{"answer cut in the body", startRaw(t, write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")).address, backend.Interrupted},
-		{"answer cut in a chunk", startRaw(t, write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")).address, backend.Interrupted},
-		{"answer cut in the header", startRaw(t, write("HTTP/1.1 200 OK\r\nContent-Le")).address, backend.Interrupted},
-		{"garbage", startRaw(t, write("SSH-2.0-x\r\n")).address, backend.Interrupted},
-		{"shed", startRaw(t, write("HTTP/1.1 503 X\r\nGypsumquay-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")).address, backend.Rejected},
-		{"plain 503", startRaw(t, write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")).address, backend.Answered},
-		{"silence", startRaw(t, func(int, net.Conn) bool { time.Sleep(time.Second); return false }).address, backend.Abandoned},
+		{"complete response", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")).address, backend.Answered},
+		{"truncated body", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")).address, backend.Interrupted},
+		{"truncated chunked body", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")).address, backend.Interrupted},
+		{"truncated header", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Le")).address, backend.Interrupted},
+		{"garbage", startRawServer(t, writeAndClose("SSH-2.0-x\r\n")).address, backend.Interrupted},
+		{"not-run response", startRawServer(t, writeAndClose("HTTP/1.1 503 X\r\nGypsumquay-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")).address, backend.Rejected},
+		{"plain 503", startRawServer(t, writeAndClose("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")).address, backend.Answered},
+		{"no response", startRawServer(t, func(int, net.Conn) bool { time.Sleep(time.Second); return false }).address, backend.Abandoned},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -126,12 +126,11 @@
 	}
 }
 
-// TestNoHiddenRepeat: a caller books with an Idempotency-Key of its own and an
-// empty body. The backend server runs it and its connection, kept from before,
-// breaks before the answer. net/http takes the header for leave to send the
-// request again by itself; the booking would run twice.
-func TestNoHiddenRepeat(t *testing.T) {
-	s := startRaw(t, func(n int, c net.Conn) bool {
+// Guards against automatic retries by net/http: a POST with an Idempotency-Key and no body runs on
+// the backend server, and the reused connection breaks before the response. The transport would
+// send the request again because of the header, and it would run twice.
+func TestTransportDoesNotRetry(t *testing.T) {
+	s := startRawServer(t, func(n int, c net.Conn) bool {
 		if n == 2 {
 			return false
 		}
@@ -152,21 +151,21 @@
 	}
 }
 
-// TestLongAnswerIsStreamed: an answer beyond the buffer comes as a stream, and
-// one that breaks off there ends in an error and not in a short success.
-func TestLongAnswerIsStreamed(t *testing.T) {
-	body := strings.Repeat("x", BufferedBytes+1000)
-	s := startRaw(t, func(_ int, c net.Conn) bool {
+// Checks that a response larger than the buffer is streamed, and that one which is interrupted
+// after the buffered part ends in an error instead of a truncated success.
+func TestLongResponseIsStreamed(t *testing.T) {
+	body := strings.Repeat("x", ResponseBufferSize+1000)
+	s := startRawServer(t, func(_ int, c net.Conn) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+body)
 		return false
 	})
 	r := send(t, s.address, http.MethodGet, time.Second)
-	if r.Rest == nil {
+	if r.Remainder == nil {
 		t.Fatal("got no stream, want one")
 	}
-	n, err := io.Copy(io.Discard, r.Rest)
-	_ = r.Rest.Close()
+	n, err := io.Copy(io.Discard, r.Remainder)
+	_ = r.Remainder.Close()
 	if err == nil {
-		t.Errorf("got a clean end after %d bytes, want an error", int(n)+len(r.Answer.Body))
+		t.Errorf("got EOF after %d bytes, want an error", int(n)+len(r.Answer.Body))
 	}
 }
--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -1,5 +1,5 @@
-// Package callerhttp is the system's face to callers: look-ups, idempotency
-// tokens and the requests themselves, over HTTP.
+// Package callerhttp is the HTTP API for callers: proxy lookup, idempotency tokens and requests to
+// services.
 package callerhttp
 
 import (
@@ -51,22 +51,22 @@
 )
 
 type (
-	// Limits bounds what callers may take of this proxy's memory, in bytes.
+	// Limits bounds the memory for request bodies, in bytes: of one request and of all together.
 	Limits struct {
-		Body  int64
-		Total int64
+		MaxBodyBytes  int64
+		MaxTotalBytes int64
 	}
 
-	// Request is one caller's request with its body.
+	// Request is a caller's request to a service.
 	Request struct {
 		core.Request
 		Header http.Header
 		Body   []byte
 	}
 
-	// Reply is the final result. Stream, if set, must be called to pass the
-	// answer on, for its body is still arriving; it returns an error when the
-	// answer broke off after bytes had gone out.
+	// Reply is the final result of a request. If Stream is set, the body is still arriving, and
+	// Stream must be called to write it; it returns an error if the response was interrupted after
+	// the first bytes were sent.
 	Reply struct {
 		Result   caller.Result
 		ID       string
@@ -74,56 +74,57 @@
 		Stream   func(io.Writer) error
 	}
 
-	// Server answers callers.
+	// Server serves the requests of callers.
 	Server struct {
-		kernel   core.Executor
-		run      func(context.Context, Request) Reply
-		limits   Limits
-		memory   *bodies.Memory
-		observed func(service string, r caller.Result, took time.Duration)
-		now      func() time.Time
+		withKernel core.Executor
+		run        func(context.Context, Request) Reply
+		limits     Limits
+		bodyMemory *bodies.MemoryBudget
+		onResult   func(service string, r caller.Result, took time.Duration)
+		now        func() time.Time
 	}
 
-	lookupReply struct {
-		Service  string       `json:"service"`
-		Home     string       `json:"home-region"`
-		Proxies  []proxyReply `json:"proxies"`
-		Lifetime string       `json:"lifetime"`
-		Why      []string     `json:"why,omitempty"`
+	lookupResponse struct {
+		Service     string       `json:"service"`
+		HomeRegion  string       `json:"home-region"`
+		Proxies     []proxyEntry `json:"proxies"`
+		TTL         string       `json:"lifetime"`
+		Explanation []string     `json:"why,omitempty"`
 	}
 
-	proxyReply struct {
+	proxyEntry struct {
 		Name    string         `json:"name"`
 		Address netip.AddrPort `json:"address"`
 		Region  string         `json:"region"`
 	}
 
-	tokenReply struct {
-		Token    string `json:"token"`
-		Lifetime string `json:"lifetime"`
+	tokenResponse struct {
+		Token string `json:"token"`
+		TTL   string `json:"lifetime"`
 	}
 
-	refusal struct {
+	errorResponse struct {
 		Outcome string        `json:"outcome"`
 		Reason  caller.Reason `json:"reason"`
-		Text    string        `json:"text,omitempty"`
+		Message string        `json:"text,omitempty"`
 	}
 )
 
-// NewServer makes a server. run takes a request to its final result; observed is told of each final result.
-func NewServer(k core.Executor, run func(context.Context, Request) Reply, l Limits, now func() time.Time, observed func(string, caller.Result, time.Duration)) *Server {
+// NewServer returns a server. run processes a request until its final result; onResult is called
+// with each final result.
+func NewServer(k core.Executor, run func(context.Context, Request) Reply, l Limits, now func() time.Time, onResult func(string, caller.Result, time.Duration)) *Server {
 	return &Server{
-		kernel: k, run: run, limits: l, memory: bodies.NewMemory(l.Total),
-		observed: observed, now: now,
+		withKernel: k, run: run, limits: l, bodyMemory: bodies.NewMemoryBudget(l.MaxTotalBytes),
+		onResult: onResult, now: now,
 	}
 }
 
-// HTTP wraps the server with time-outs and limits.
-func (s *Server) HTTP() *http.Server {
+// HTTPServer returns an HTTP server with timeouts and limits.
+func (s *Server) HTTPServer() *http.Server {
 	router := mux.NewRouter().UseEncodedPath()
-	router.HandleFunc("/v1/lookup", s.lookup).Methods(http.MethodGet)
-	router.HandleFunc("/v1/tokens", s.token).Methods(http.MethodPost)
-	router.PathPrefix(servicePrefix + "{service}").HandlerFunc(s.request)
+	router.HandleFunc("/v1/lookup", s.handleLookup).Methods(http.MethodGet)
+	router.HandleFunc("/v1/tokens", s.handleToken).Methods(http.MethodPost)
+	router.PathPrefix(servicePrefix + "{service}").HandlerFunc(s.handleRequest)
 	return &http.Server{
 		Handler:           router,
 		ReadHeaderTimeout: headerTimeout,
@@ -134,71 +135,71 @@
 	}
 }
 
-// lookup names the proxies to use. Operators may ask on behalf of a client
+// handleLookup returns the proxies that a client should use. Operators can look up another client
 // with ?client=.
-func (s *Server) lookup(w http.ResponseWriter, r *http.Request) {
-	client := clientOf(r)
+func (s *Server) handleLookup(w http.ResponseWriter, r *http.Request) {
+	client := clientAddress(r)
 	if text := r.URL.Query().Get("client"); text != "" {
 		address, err := netip.ParseAddr(text)
 		if err != nil {
-			writeJSON(w, http.StatusBadRequest, refusal{Text: "client: must be an IP address"})
+			writeJSON(w, http.StatusBadRequest, errorResponse{Message: "client: must be an IP address"})
 			return
 		}
 		client = address
 	}
-	var answer core.LookupAnswer
+	var result core.LookupAnswer
 	var found bool
-	var why []string
-	s.kernel(func(k *core.Kernel, now time.Time) {
-		answer, found = k.Lookup(now, r.URL.Query().Get("service"), client)
+	var explanation []string
+	s.withKernel(func(k *core.Kernel, now time.Time) {
+		result, found = k.Lookup(now, r.URL.Query().Get("service"), client)
 		if r.URL.Query().Has("explain") {
-			why = k.ExplainRouting(client)
+			explanation = k.ExplainRouting(client)
 		}
 	})
 	if !found {
-		writeJSON(w, http.StatusNotFound, refusal{Text: "service: must be the name of a service that has a live proxy"})
+		writeJSON(w, http.StatusNotFound, errorResponse{Message: "service: must be the name of a service that has a live proxy"})
 		return
 	}
-	w.Header().Set("Cache-Control", "private, max-age="+strconv.Itoa(int(answer.TTL.Seconds())))
-	reply := lookupReply{
-		Service: answer.Service, Home: answer.HomeRegion,
-		Lifetime: answer.TTL.String(), Why: why, Proxies: proxies(answer.Proxies),
+	w.Header().Set("Cache-Control", "private, max-age="+strconv.Itoa(int(result.TTL.Seconds())))
+	response := lookupResponse{
+		Service: result.Service, HomeRegion: result.HomeRegion,
+		TTL: result.TTL.String(), Explanation: explanation, Proxies: proxyEntries(result.Proxies),
 	}
-	writeJSON(w, http.StatusOK, reply)
+	writeJSON(w, http.StatusOK, response)
 }
 
-func proxies(members []peer.Member) []proxyReply {
-	list := make([]proxyReply, 0, len(members))
+func proxyEntries(members []peer.Member) []proxyEntry {
+	list := make([]proxyEntry, 0, len(members))
 	for _, m := range members {
-		list = append(list, proxyReply{Name: m.Name, Address: m.Address, Region: m.Region})
+		list = append(list, proxyEntry{Name: m.Name, Address: m.Address, Region: m.Region})
 	}
 	return list
 }
 
-func (s *Server) token(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleToken(w http.ResponseWriter, r *http.Request) {
 	var text string
 	var ok bool
-	var lifetime time.Duration
-	s.kernel(func(k *core.Kernel, now time.Time) {
+	var ttl time.Duration
+	s.withKernel(func(k *core.Kernel, now time.Time) {
 		text, ok = k.Mint(now, r.URL.Query().Get("service"))
 		if b := k.Bundle(); b != nil {
-			lifetime = b.Token.TTL.Std()
+			ttl = b.Token.TTL.Std()
 		}
 	})
 	if !ok {
 		w.Header().Set("Retry-After", "1")
-		writeJSON(w, http.StatusServiceUnavailable, refusal{Text: "no token: unknown service, or this proxy stops or is full"})
+		writeJSON(w, http.StatusServiceUnavailable, errorResponse{Message: "no token: unknown service, or this proxy stops or is full"})
 		return
 	}
-	writeJSON(w, http.StatusOK, tokenReply{Token: text, Lifetime: lifetime.String()})
+	writeJSON(w, http.StatusOK, tokenResponse{Token: text, TTL: ttl.String()})
 }
 
-func (s *Server) request(w http.ResponseWriter, r *http.Request) {
-	began := s.now()
+func (s *Server) handleRequest(w http.ResponseWriter, r *http.Request) {
+	receivedAt := s.now()
 	service := mux.Vars(r)["service"]
-	body, err := s.memory.ReadRequest(w, r, s.limits.Body, readTimeout)
+	body, err := s.bodyMemory.ReadRequest(w, r, s.limits.MaxBodyBytes, readTimeout)
 	if err != nil {
-		s.refuse(w, service, began, err)
+		s.rejectBody(w, service, receivedAt, err)
 		return
 	}
 	defer body.Release()
@@ -206,9 +207,9 @@
 		Request: core.Request{
 			Service: service,
 			Method:  r.Method,
-			Path:    pathWithin(r, service),
-			Client:  clientOf(r),
-			Work:    WorkOf(service, r.Method, pathWithin(r, service), r.Header, body.Bytes),
+			Path:    backendPath(r, service),
+			Client:  clientAddress(r),
+			Work:    WorkFingerprint(service, r.Method, backendPath(r, service), r.Header, body.Bytes),
 			Token:   r.Header.Get(caller.HeaderToken),
 		},
 		Header: r.Header,
@@ -217,18 +218,18 @@
 	if text := r.Header.Get(caller.HeaderTimeout); text != "" {
 		timeout, err := time.ParseDuration(text)
 		if err != nil || timeout <= 0 {
-			writeJSON(w, http.StatusBadRequest, refusal{Text: caller.HeaderTimeout + `: must be a time span such as "800ms"`})
+			writeJSON(w, http.StatusBadRequest, errorResponse{Message: caller.HeaderTimeout + `: must be a time span such as "800ms"`})
 			return
 		}
-		q.Deadline = began.Add(timeout)
+		q.Deadline = receivedAt.Add(timeout)
 	}
 	reply := s.run(r.Context(), q)
-	s.write(w, reply)
-	s.observed(service, reply.Result, s.now().Sub(began))
+	s.writeReply(w, reply)
+	s.onResult(service, reply.Result, s.now().Sub(receivedAt))
 }
 
-// pathWithin is the path and query that the backend server sees.
-func pathWithin(r *http.Request, service string) string {
+// backendPath returns the path and query for the backend server.
+func backendPath(r *http.Request, service string) string {
 	path := r.URL.EscapedPath()[len(servicePrefix)+len(service):]
 	if path == "" {
 		path = "/"
@@ -239,19 +240,19 @@
 	return path
 }
 
-func (s *Server) refuse(w http.ResponseWriter, service string, began time.Time, err error) {
+func (s *Server) rejectBody(w http.ResponseWriter, service string, receivedAt time.Time, err error) {
 	result := caller.Result{Outcome: caller.OutcomeNotRun, Reason: caller.ReasonProxyBusy, RetryAfter: time.Second}
 	switch {
 	case errors.Is(err, bodies.ErrTooLarge):
-		writeOutcome(w, result)
-		writeJSON(w, http.StatusRequestEntityTooLarge, refusal{Outcome: caller.OutcomeNotRun.String(), Text: err.Error()})
+		setOutcomeHeaders(w, result)
+		writeJSON(w, http.StatusRequestEntityTooLarge, errorResponse{Outcome: caller.OutcomeNotRun.String(), Message: err.Error()})
 	default:
-		s.write(w, Reply{Result: result})
+		s.writeReply(w, Reply{Result: result})
 	}
-	s.observed(service, result, s.now().Sub(began))
+	s.onResult(service, result, s.now().Sub(receivedAt))
 }
 
-func writeOutcome(w http.ResponseWriter, r caller.Result) {
+func setOutcomeHeaders(w http.ResponseWriter, r caller.Result) {
 	w.Header().Set(caller.HeaderOutcome, r.Outcome.String())
 	if r.Reason != caller.ReasonNone {
 		w.Header().Set(caller.HeaderReason, string(r.Reason))
@@ -261,10 +262,10 @@
 	}
 }
 
-// write gives the caller the final result.
-func (s *Server) write(w http.ResponseWriter, reply Reply) {
+// writeReply writes the final result to the caller.
+func (s *Server) writeReply(w http.ResponseWriter, reply Reply) {
 	result := reply.Result
-	writeOutcome(w, result)
+	setOutcomeHeaders(w, result)
 	if reply.ID != "" {
 		w.Header().Set(caller.HeaderRequest, reply.ID)
 	}
@@ -276,7 +277,7 @@
 		if !ok {
 			status = http.StatusServiceUnavailable
 		}
-		writeJSON(w, status, refusal{Outcome: result.Outcome.String(), Reason: result.Reason})
+		writeJSON(w, status, errorResponse{Outcome: result.Outcome.String(), Reason: result.Reason})
 		return
 	}
 	for name, values := range result.Response.Header {
@@ -290,9 +291,9 @@
 	}
 	w.WriteHeader(result.Response.Status)
 	if err := reply.Stream(w); err != nil {
-		// The answer broke off after its first bytes went out. Ending the
-		// response normally would pass a part off as the whole; breaking the
-		// connection is the one sign that every HTTP client understands.
+		// The response was interrupted after its first bytes were sent. Ended normally, it would
+		// look complete; an aborted connection is the one signal that every HTTP client
+		// understands.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -303,9 +304,9 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// clientOf is the caller's address. No header is believed for it: there is no
-// balancer before the proxies, so the connection's far end is the caller.
-func clientOf(r *http.Request) netip.Addr {
+// clientAddress returns the caller's address. Headers such as X-Forwarded-For are not trusted:
+// there is no load balancer in front of the proxies, so the peer of the connection is the caller.
+func clientAddress(r *http.Request) netip.Addr {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return netip.Addr{}
@@ -314,8 +315,8 @@
 	return address.Unmap()
 }
 
-// WorkOf names what a request asks a service to do. Its token is no part of it: a caller
-// that comes again may have a new one.
-func WorkOf(service, method, path string, h http.Header, body []byte) quarantine.Fingerprint {
-	return quarantine.NewFingerprint(method, service, path, h.Get(bearer.Field), body)
+// WorkFingerprint identifies the work that a request asks a service to do. It excludes the
+// idempotency token, which may differ when a caller retries.
+func WorkFingerprint(service, method, path string, h http.Header, body []byte) quarantine.Fingerprint {
+	return quarantine.NewFingerprint(method, service, path, h.Get(bearer.Header), body)
 }
--- a/internal/adapter/callerhttp/server_test.go
+++ b/internal/adapter/callerhttp/server_test.go
@@ -16,25 +16,24 @@
 )
 
 var (
-	errBroke = errors.New("connection to the backend server broke")
+	errInterrupted = errors.New("connection to the backend server lost")
 )
 
-func testServer(t *testing.T) *Server {
+func newTestServer(t *testing.T) *Server {
 	t.Helper()
-	return NewServer(nil, nil, Limits{Body: 100, Total: 150}, time.Now, func(string, caller.Result, time.Duration) {})
+	return NewServer(nil, nil, Limits{MaxBodyBytes: 100, MaxTotalBytes: 150}, time.Now, func(string, caller.Result, time.Duration) {})
 }
 
-// TestBrokenStreamIsSeen: a long answer breaks off after its first part has
-// gone to the caller. Ended normally the part would look whole; the caller must
-// see an error instead.
-func TestBrokenStreamIsSeen(t *testing.T) {
-	s := testServer(t)
+// Guards against a long response that is interrupted after its first part was sent to the caller,
+// and then looks complete: the caller must get an error.
+func TestInterruptedStreamIsAnError(t *testing.T) {
+	s := newTestServer(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		s.write(w, Reply{
+		s.writeReply(w, Reply{
 			Result: caller.Result{Outcome: caller.OutcomeDone, Response: &caller.Response{Status: http.StatusOK}},
 			Stream: func(w io.Writer) error {
 				_, _ = io.WriteString(w, strings.Repeat("x", 10_000))
-				return errBroke
+				return errInterrupted
 			},
 		})
 	}))
@@ -49,39 +48,39 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if n, err := io.Copy(io.Discard, response.Body); err == nil {
-		t.Errorf("got a clean end after %d bytes, want an error", n)
+		t.Errorf("got EOF after %d bytes, want an error", n)
 	}
 }
 
-// TestBodyLimits: a caller sends more than it may, or many send much at once.
-// The request is refused before anything runs and the room is given back.
+// Checks that a body over the limit, or one that exceeds the memory for all bodies together, is
+// rejected before anything runs, and that the memory is released.
 func TestBodyLimits(t *testing.T) {
-	s := testServer(t)
+	s := newTestServer(t)
 	read := func(size int) (*bodies.Body, error) {
 		r := httptest.NewRequest(http.MethodPost, "/services/x/y", strings.NewReader(strings.Repeat("b", size)))
-		return s.memory.ReadRequest(httptest.NewRecorder(), r, s.limits.Body, readTimeout)
+		return s.bodyMemory.ReadRequest(httptest.NewRecorder(), r, s.limits.MaxBodyBytes, readTimeout)
 	}
 	if _, err := read(101); !errors.Is(err, bodies.ErrTooLarge) {
 		t.Errorf("101 bytes: got error %v, want %v", err, bodies.ErrTooLarge)
 	}
-	held, err := read(100)
+	first, err := read(100)
 	if err != nil {
 		t.Fatalf("100 bytes: got error %v, want none", err)
 	}
-	if _, err := read(60); !errors.Is(err, bodies.ErrNoMemory) {
-		t.Errorf("60 bytes beside 100: got error %v, want %v", err, bodies.ErrNoMemory)
+	if _, err := read(60); !errors.Is(err, bodies.ErrMemoryExhausted) {
+		t.Errorf("60 bytes in addition to 100: got error %v, want %v", err, bodies.ErrMemoryExhausted)
 	}
-	held.Release()
+	first.Release()
 	if _, err := read(60); err != nil {
 		t.Errorf("60 bytes after the release: got error %v, want none", err)
 	}
 }
 
-// TestRefusalTellsWhenToComeBack: outcome, reason and time are headers that any
-// HTTP client can read.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+// Checks that the outcome, the reason and the retry delay are sent as headers, which any HTTP
+// client can read.
+func TestRejectionHeaders(t *testing.T) {
 	w := httptest.NewRecorder()
-	testServer(t).write(w, Reply{
+	newTestServer(t).writeReply(w, Reply{
 		Result:   caller.Result{Outcome: caller.OutcomeNotRun, Reason: caller.ReasonRegionCapacity, RetryAfter: 1200 * time.Millisecond},
 		NewToken: "t",
 	})
--- /dev/null
+++ b/internal/adapter/forwardhttp/idle.go
@@ -0,0 +1,70 @@
+package forwardhttp
+
+import (
+	"net"
+	"net/http"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// newConnGracePeriod is how long a new connection may take to send its first byte while the
+	// process shuts down.
+	newConnGracePeriod = 500 * time.Millisecond
+)
+
+// RecordState records the state of a connection; it is the ConnState hook of the HTTP server.
+func (l *Listener) RecordState(c net.Conn, state http.ConnState) {
+	tracked, ok := c.(*trackedConn)
+	if !ok {
+		return
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	tracked.state, tracked.stateSince = state, time.Now()
+}
+
+// CloseIdleConnections closes the connections that are idle and have no unread data, and returns
+// how many are left. Shutdown of net/http is unsuitable: it drops requests that it has not read
+// yet, and on a busy VM these may have arrived long before.
+func (l *Listener) CloseIdleConnections() (remaining int) {
+	for _, c := range l.idleConnections() {
+		if !hasUnreadData(c.Conn) {
+			_ = c.Close()
+		}
+	}
+	return l.OpenConnections()
+}
+
+// idleConnections lists the connections that are waiting for a request.
+func (l *Listener) idleConnections() []*trackedConn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var list []*trackedConn
+	for c := range l.connections {
+		if c.state == http.StateIdle || c.state == http.StateNew && time.Since(c.stateSince) > newConnGracePeriod {
+			list = append(list, c)
+		}
+	}
+	return list
+}
+
+// hasUnreadData reports whether the socket has received data that was not read.
+func hasUnreadData(c net.Conn) bool {
+	tcp, ok := c.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		return false
+	}
+	unread := false
+	err = raw.Control(func(fd uintptr) {
+		n, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		unread = err == nil && n > 0
+	})
+	return err == nil && unread
+}
--- a/internal/adapter/forwardhttp/listener.go
+++ b/internal/adapter/forwardhttp/listener.go
@@ -15,40 +15,41 @@
 )
 
 type (
-	// Listener accepts a bounded number of connections at a time. Once it is closed it
-	// still hands over those that had been opened by then.
+	// Listener limits the number of open connections. After Close, Accept still returns the
+	// connections that were established before.
 	Listener struct {
 		net.Listener
-		most    int64
-		open    atomic.Int64
-		refused func()
+		maxOpen   int64
+		openCount atomic.Int64
+		onReject  func()
 
 		mu sync.Mutex
-		// connections are those that are open.
-		connections map[*countedConn]bool
-		// waiting were opened and not accepted when the listener was closed.
-		waiting []net.Conn
+		// connections are the open connections.
+		connections map[*trackedConn]bool
+		// backlog holds the connections that were established but not accepted when the listener
+		// was closed.
+		backlog []net.Conn
 		closed  bool
 	}
 
-	// countedConn is one of them.
-	countedConn struct {
+	// trackedConn is an open connection of a Listener.
+	trackedConn struct {
 		net.Conn
 		listener *Listener
 		once     sync.Once
-		// state is what its server last said of it, and since when; with the listener's
-		// lock.
-		state http.ConnState
-		since time.Time
+		// state is the last state that the HTTP server has reported, at stateSince. Both are
+		// guarded by the listener's mutex.
+		state      http.ConnState
+		stateSince time.Time
 	}
 )
 
-// LimitConnections bounds the connections of callers at one time. Those beyond are
-// closed at once, so that their callers go elsewhere: left waiting they would hang,
-// and accepted they would take the open files that the proxy needs to reach servers
-// and the store. refused is told of each.
-func LimitConnections(l net.Listener, most int, refused func()) *Listener {
-	return &Listener{Listener: l, most: int64(most), refused: refused, connections: make(map[*countedConn]bool)}
+// LimitConnections limits the number of open connections of callers. Further connections are closed
+// immediately, so that their callers use another proxy: in the backlog they would hang, and
+// accepted they would use up the file descriptors that the proxy needs to connect to servers and
+// the store. onReject is called for each.
+func LimitConnections(l net.Listener, maxOpen int, onReject func()) *Listener {
+	return &Listener{Listener: l, maxOpen: int64(maxOpen), onReject: onReject, connections: make(map[*trackedConn]bool)}
 }
 
 // Accept implements net.Listener.
@@ -56,73 +57,73 @@
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
-			if c = l.next(); c == nil {
+			if c = l.nextFromBacklog(); c == nil {
 				return nil, err
 			}
 		}
-		if l.open.Add(1) <= l.most {
-			return l.hold(c), nil
+		if l.openCount.Add(1) <= l.maxOpen {
+			return l.track(c), nil
 		}
-		l.open.Add(-1)
-		l.refused()
+		l.openCount.Add(-1)
+		l.onReject()
 		if tcp, ok := c.(*net.TCPConn); ok {
-			// A reset tells the caller at once; it has sent nothing yet.
+			// Close with a reset, which the caller notices immediately. It has sent nothing yet.
 			_ = tcp.SetLinger(0)
 		}
 		_ = c.Close()
 	}
 }
 
-// Close implements net.Listener. Callers whose connections wait to be accepted may have
-// sent their requests; the system would reset them.
+// Close implements net.Listener. It first accepts the connections in the backlog: their callers may
+// have sent requests already, and the operating system would reset them.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.closed {
 		l.closed = true
-		l.waiting = takeWaiting(l.Listener)
+		l.backlog = acceptBacklog(l.Listener)
 	}
 	return l.Listener.Close()
 }
 
-// Open counts the connections that are open, those that wait to be accepted after the
-// listener was closed included.
-func (l *Listener) Open() int {
+// OpenConnections returns the number of open connections, including those that are still to be
+// returned by Accept after Close.
+func (l *Listener) OpenConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return int(l.open.Load()) + len(l.waiting)
+	return int(l.openCount.Load()) + len(l.backlog)
 }
 
-// hold notes an open connection.
-func (l *Listener) hold(c net.Conn) *countedConn {
+// track adds an open connection.
+func (l *Listener) track(c net.Conn) *trackedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := &countedConn{Conn: c, listener: l, since: time.Now()}
-	l.connections[held] = true
-	return held
+	tracked := &trackedConn{Conn: c, listener: l, stateSince: time.Now()}
+	l.connections[tracked] = true
+	return tracked
 }
 
-func (l *Listener) drop(c *countedConn) {
+func (l *Listener) untrack(c *trackedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open.Add(-1)
+	l.openCount.Add(-1)
 	delete(l.connections, c)
 }
 
-// next is a connection that waited when the listener was closed, nil for none.
-func (l *Listener) next() net.Conn {
+// nextFromBacklog removes and returns a connection that was in the backlog at Close, or nil.
+func (l *Listener) nextFromBacklog() net.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.waiting) == 0 {
+	if len(l.backlog) == 0 {
 		return nil
 	}
-	c := l.waiting[0]
-	l.waiting = l.waiting[1:]
+	c := l.backlog[0]
+	l.backlog = l.backlog[1:]
 	return c
 }
 
-// takeWaiting accepts the connections that wait, without waiting for more.
-func takeWaiting(l net.Listener) []net.Conn {
+// acceptBacklog accepts all connections in the backlog of the socket without blocking.
+func acceptBacklog(l net.Listener) []net.Conn {
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
 		return nil
@@ -141,31 +142,32 @@
 			if err != nil {
 				return
 			}
-			if c := connOf(accepted); c != nil {
+			if c := connFromSocket(accepted); c != nil {
 				list = append(list, c)
 			}
 		}
 	})
 	if err != nil {
-		klog.InfoS("connections that waited to be accepted are reset", "error", err.Error())
+		klog.InfoS("can't accept the backlog of the listener; its connections are reset", "error", err.Error())
 	}
 	return list
 }
 
-// connOf makes a connection of a socket, nil if that fails; the socket is then closed.
-func connOf(socket int) net.Conn {
+// connFromSocket returns a connection for a socket. If that fails it closes the socket and returns
+// nil.
+func connFromSocket(socket int) net.Conn {
 	file := os.NewFile(uintptr(socket), "caller")
 	defer func() { _ = file.Close() }()
 	c, err := net.FileConn(file)
 	if err != nil {
-		klog.InfoS("connection that waited to be accepted is closed", "error", err.Error())
+		klog.InfoS("can't use a connection of the backlog; it is closed", "error", err.Error())
 		return nil
 	}
 	return c
 }
 
 // Close implements net.Conn.
-func (c *countedConn) Close() error {
-	c.once.Do(func() { c.listener.drop(c) })
+func (c *trackedConn) Close() error {
+	c.once.Do(func() { c.listener.untrack(c) })
 	return c.Conn.Close()
 }
--- a/internal/adapter/forwardhttp/listener_test.go
+++ b/internal/adapter/forwardhttp/listener_test.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// More callers connect than the proxy has files for. Those beyond the bound must be
-// told at once, those connected be served on, and a place that is given up must
-// serve the next caller.
-func TestCallersBeyondTheBoundAreTurnedAwayAtOnce(t *testing.T) {
-	const most = 3
+// Guards against more connections of callers than the proxy has file descriptors for. Connections
+// over the limit must be rejected immediately, open ones must still be served, and a closed one
+// must make room for the next.
+func TestConnectionsOverLimitAreRejected(t *testing.T) {
+	const maxOpen = 3
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var refused atomic.Int32
+	var rejected atomic.Int32
 	server := &http.Server{Handler: http.NotFoundHandler(), ReadHeaderTimeout: time.Minute}
-	go func() { _ = server.Serve(LimitConnections(inner, most, func() { refused.Add(1) })) }()
+	go func() { _ = server.Serve(LimitConnections(inner, maxOpen, func() { rejected.Add(1) })) }()
 	defer func() { _ = server.Close() }()
-	served := func(c net.Conn) bool {
+	isServed := func(c net.Conn) bool {
 		_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		_, err := c.Read(make([]byte, 1))
 		return err == nil
@@ -36,9 +36,9 @@
 		}
 		return c
 	}
-	// turnedAway asks over a new connection. The refusal is a reset, which may
-	// arrive while the connection is still being opened.
-	turnedAway := func() bool {
+	// isRejected sends a request over a new connection. Rejection is a reset, which may arrive
+	// while the connection is still being opened.
+	isRejected := func() bool {
 		c, err := net.Dial("tcp", inner.Addr().String())
 		if errors.Is(err, syscall.ECONNRESET) {
 			return true
@@ -46,32 +46,33 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return !served(c)
+		return !isServed(c)
 	}
 	var open []net.Conn
-	for range most {
+	for range maxOpen {
 		c := connect()
 		open = append(open, c)
-		if !served(c) {
-			t.Error("a caller within the bound is not served")
+		if !isServed(c) {
+			t.Error("a connection within the limit is not served")
 		}
 	}
-	if !turnedAway() {
-		t.Error("a caller beyond the bound is served")
+	if !isRejected() {
+		t.Error("a connection over the limit is served")
 	}
-	if got := refused.Load(); got != 1 {
-		t.Errorf("%d connections refused, want 1", got)
+	if got := rejected.Load(); got != 1 {
+		t.Errorf("%d connections rejected, want 1", got)
 	}
 	_ = open[0].Close()
-	for end := time.Now().Add(10 * time.Second); turnedAway(); {
+	for end := time.Now().Add(10 * time.Second); isRejected(); {
 		if time.Now().After(end) {
-			t.Fatal("a place that was given up serves nobody")
+			t.Fatal("no connection is accepted after another was closed")
 		}
 	}
 }
 
-// Guards against a request that came while its process began to stop, and was not read yet.
-func TestUnreadRequestsAreAnsweredAfterTheEnd(t *testing.T) {
+// Guards against closing a connection, while the process shuts down, whose request has arrived but
+// was not read yet.
+func TestConnectionWithUnreadRequestIsNotClosed(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -85,29 +86,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Note(accepted, http.StateIdle)
+	l.RecordState(accepted, http.StateIdle)
 	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); !hasUnread(accepted.(*countedConn).Conn); {
+	for end := time.Now().Add(10 * time.Second); !hasUnreadData(accepted.(*trackedConn).Conn); {
 		if time.Now().After(end) {
-			t.Fatal("the bytes never come")
+			t.Fatal("the data never arrives")
 		}
 	}
-	if left := l.CloseIdle(); left != 1 {
-		t.Errorf("%d connections are left, want the one with an unread request", left)
+	if remaining := l.CloseIdleConnections(); remaining != 1 {
+		t.Errorf("%d connections are left, want the one with an unread request", remaining)
 	}
 	if _, err := accepted.Read(make([]byte, 64)); err != nil {
 		t.Fatal(err)
 	}
-	if left := l.CloseIdle(); left != 0 {
-		t.Errorf("%d connections are left, want none: it is idle and all is read", left)
+	if remaining := l.CloseIdleConnections(); remaining != 0 {
+		t.Errorf("%d connections are left, want none: it is idle and has no unread data", remaining)
 	}
 }
 
-// Guards against requests of callers whose connections wait to be accepted when a process
-// stops: the system would reset them.
-func TestConnectionsThatWaitAreServedAfterTheEnd(t *testing.T) {
+// Guards against requests that are lost because their connections are in the backlog when the
+// process shuts down: the operating system would reset them.
+func TestBacklogIsServedAfterClose(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -123,8 +124,8 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := l.Open(); got != 1 {
-		t.Errorf("%d connections are open, want the one that waits", got)
+	if got := l.OpenConnections(); got != 1 {
+		t.Errorf("%d connections are open, want the one in the backlog", got)
 	}
 	server := &http.Server{Handler: http.NotFoundHandler(), ReadHeaderTimeout: time.Minute}
 	go func() { _ = server.Serve(l) }()
@@ -133,6 +134,6 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); err != nil {
-		t.Errorf("a request that was sent before the end gets no answer: %v", err)
+		t.Errorf("a request that was sent before Close gets no response: %v", err)
 	}
 }
--- a/internal/adapter/forwardhttp/server.go
+++ b/internal/adapter/forwardhttp/server.go
@@ -1,6 +1,5 @@
-// Package forwardhttp takes requests in from callers and passes them to
-// backend servers unchanged. Which server, whether again and when to refuse is
-// the steering kernel's decision.
+// Package forwardhttp receives requests from callers and forwards them to backend servers
+// unchanged. The steering kernel decides on the server, on retries and on rejection.
 package forwardhttp
 
 import (
@@ -25,75 +24,74 @@
 
 const (
 	headerTimeout = 10 * time.Second
-	// idleTimeout is longer than callers keep idle connections, so that they
-	// and not this side close: a request then never crosses a close.
+	// idleTimeout exceeds the idle timeout of callers, so that callers close idle connections and
+	// not the proxy: a request then never races with a close.
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
-	// bodyTimeout is how long a body may take to arrive unless the configuration
-	// gives callers longer.
+	// bodyTimeout is how long a body may take to arrive, unless the configuration allows more.
 	bodyTimeout = 10 * time.Second
-	// answerTimeout is how long a caller may take to read an answer: 4.5 Mbit/s for
-	// the largest.
-	answerTimeout = 30 * time.Second
-	// noMemoryPause is when a caller may come back for whose body no memory was
-	// left: bodies are held for as long as their requests last, mostly under a
-	// second.
-	noMemoryPause = 500 * time.Millisecond
-	// startWait is how long after the start a request waits for the first
-	// configuration, which comes within that time if there is a store or a peer.
-	// Refused callers would come back later, and those of a fleet that has lost
-	// power all at once.
-	startWait = 300 * time.Millisecond
-	// bodyDefault bounds bodies while no configuration says more.
-	bodyDefault = 1 << 20
-	// dialBase and dialRoundTrips bound the opening of a connection: a dead
-	// server must not hold a request long, a far one needs its round trips.
-	dialBase       = 250 * time.Millisecond
-	dialRoundTrips = 2
-	// deadlineMost is the longest wait of a caller that is believed.
-	deadlineMost = 10 * time.Minute
+	// responseTimeout is how long a caller may take to read a response: 4.5 Mbit/s for the largest.
+	responseTimeout = 30 * time.Second
+	// noMemoryRetryAfter is the Retry-After of a request that is rejected because the memory for
+	// bodies is used up. Bodies are buffered for the duration of their requests, usually less than
+	// a second.
+	noMemoryRetryAfter = 500 * time.Millisecond
+	// configurationTimeout is how long after the process start requests wait for the first
+	// configuration, which arrives within that time if the store or a peer is reachable. Rejected
+	// callers would retry later, and after a power loss of the whole fleet all at the same time.
+	configurationTimeout = 300 * time.Millisecond
+	// defaultMaxBodyBytes is the body limit if the configuration has none.
+	defaultMaxBodyBytes = 1 << 20
+	// dialBaseTimeout plus dialRoundTrips round trips is the dial timeout: a dead server must not
+	// delay a request for long, and a distant one needs the round trips.
+	dialBaseTimeout = 250 * time.Millisecond
+	dialRoundTrips  = 2
+	// maxCallerTimeout is the longest timeout that is accepted from callers; longer ones are
+	// ignored.
+	maxCallerTimeout = 10 * time.Minute
 )
 
 type (
-	// Headers names the header fields that callers send.
+	// Headers contains the names of the header fields and the cookie that callers send.
 	Headers struct {
-		// Attempt names one attempt of a caller.
-		Attempt string
-		// Deadline is how many milliseconds the caller waits.
+		// AttemptID is the header with the ID of the caller's attempt.
+		AttemptID string
+		// Deadline is the header with the caller's timeout in milliseconds.
 		Deadline string
-		// ObjectCookie is the cookie that names the request's object.
+		// ObjectCookie is the cookie with the name of the request's object.
 		ObjectCookie string
 	}
 
-	// Kernel runs a function with the kernel and the time.
-	Kernel func(func(*steering.Kernel, time.Time))
+	// Executor runs a function with exclusive access to the kernel, and the current time.
+	Executor func(func(*steering.Kernel, time.Time))
 
-	// Server answers callers.
+	// Server serves the requests of callers.
 	Server struct {
-		Headers Headers
-		Kernel  Kernel
-		// Memory is what bodies may take together.
-		Memory *bodies.Memory
-		Send   func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer)
-		Now    func() time.Time
-		// Ask waits for a place at a server; it reports false if there is no answer.
-		// GiveBack gives one back.
-		Ask      func(context.Context, steering.SlotRequest) (steering.SlotReply, bool)
-		GiveBack func(steering.SlotRelease)
-		// AskPool asks a proxy for one request of an account's limit; it reports false if
-		// there is no answer.
-		AskPool func(ctx context.Context, pool, account string) (ratelimit.TokenReply, bool)
-		// Stopping reports whether callers should go elsewhere.
-		Stopping func() bool
-		// Configured is closed once the first configuration is known.
+		Headers    Headers
+		WithKernel Executor
+		// BodyMemory limits the memory of all request bodies and responses together.
+		BodyMemory *bodies.MemoryBudget
+		Send       func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response)
+		Now        func() time.Time
+		// RequestSlot waits for a slot of a server; it reports false if there is no answer.
+		// ReleaseSlot returns a slot.
+		RequestSlot func(context.Context, steering.SlotRequest) (steering.SlotReply, bool)
+		ReleaseSlot func(steering.SlotRelease)
+		// RequestPoolToken asks the proxy that runs a pool for one token of an account's rate
+		// limit; it reports false if there is no answer.
+		RequestPoolToken func(ctx context.Context, pool, account string) (ratelimit.TokenReply, bool)
+		// IsStopping reports whether the process is shutting down and callers should use another
+		// proxy.
+		IsStopping func() bool
+		// Configured is closed once the first configuration has arrived.
 		Configured <-chan struct{}
-		// Started is when the process began to listen.
-		Started time.Time
+		// StartedAt is when the process started to listen.
+		StartedAt time.Time
 	}
 )
 
-// HTTP wraps the server with time-outs and limits.
-func (s *Server) HTTP() *http.Server {
+// HTTPServer returns an HTTP server with timeouts and limits.
+func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           http.HandlerFunc(s.serve),
 		ReadHeaderTimeout: headerTimeout,
@@ -103,115 +101,115 @@
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	began := s.Now()
+	receivedAt := s.Now()
 	s.awaitConfiguration(r.Context())
 	body, err := s.readBody(w, r)
 	if err != nil {
-		s.refuseBody(w, r, err)
+		s.rejectBody(w, r, err)
 		return
 	}
 	defer body.Release()
 	request := steering.Request{
-		ID: r.Header.Get(s.Headers.Attempt), Host: hostOf(r.Host), Path: r.URL.Path, Credential: bearer.CredentialOf(r.Header),
+		ID: r.Header.Get(s.Headers.AttemptID), Host: hostWithoutPort(r.Host), Path: r.URL.Path, Credential: bearer.ParseCredential(r.Header),
 	}
 	if c, err := r.Cookie(s.Headers.ObjectCookie); err == nil {
 		request.Object = c.Value
 	}
-	request.Work = quarantine.NewFingerprint(r.Method, request.Host, r.RequestURI, r.Header.Get(bearer.Field), body.Bytes)
-	if left, ok := parseLeft(r.Header.Get(s.Headers.Deadline)); ok {
-		request.Deadline = began.Add(left)
+	request.Work = quarantine.NewFingerprint(r.Method, request.Host, r.RequestURI, r.Header.Get(bearer.Header), body.Bytes)
+	if timeout, ok := parseTimeout(r.Header.Get(s.Headers.Deadline)); ok {
+		request.Deadline = receivedAt.Add(timeout)
 	}
-	var flight *steering.ActiveRequest
+	var active *steering.ActiveRequest
 	var decision steering.Decision
-	s.Kernel(func(k *steering.Kernel, now time.Time) { flight, decision = k.BeginRequest(now, request) })
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { active, decision = k.BeginRequest(now, request) })
 	for decision.QuotaPool != "" {
-		decision = s.token(r.Context(), flight, decision.QuotaPool)
+		decision = s.acquireToken(r.Context(), active, decision.QuotaPool)
 	}
-	var answer *serverhttp.Answer
+	var response *serverhttp.Response
 	for decision.Server != nil {
 		if decision.SlotRequest != nil {
-			decision = s.place(r.Context(), flight, *decision.SlotRequest)
+			decision = s.acquireSlot(r.Context(), active, *decision.SlotRequest)
 			continue
 		}
 		var attempt steering.Attempt
-		answer.Release()
-		attempt, answer = s.Send(r.Context(), s.attempt(r, body.Bytes, request, flight, decision.Server))
-		decision = s.ended(flight, attempt)
+		response.Release()
+		attempt, response = s.Send(r.Context(), s.newServerRequest(r, body.Bytes, request, active, decision.Server))
+		decision = s.endAttempt(active, attempt)
 	}
-	s.reply(w, r, decision, answer)
-	answer.Release()
+	s.writeResponse(w, r, decision, response)
+	response.Release()
 }
 
-// token asks a pool whether the request is within its account's limit.
-func (s *Server) token(ctx context.Context, f *steering.ActiveRequest, pool string) (d steering.Decision) {
-	token, answered := s.AskPool(ctx, pool, f.Account.Name)
-	s.Kernel(func(k *steering.Kernel, now time.Time) { d = k.ApplyPoolToken(now, f, token, answered) })
+// acquireToken asks a pool whether the request is within the rate limit of its account.
+func (s *Server) acquireToken(ctx context.Context, active *steering.ActiveRequest, pool string) (d steering.Decision) {
+	reply, answered := s.RequestPoolToken(ctx, pool, active.Account.Name)
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.ApplyPoolToken(now, active, reply, answered) })
 	return d
 }
 
-// place waits for a place at the server that the request should go to.
-func (s *Server) place(ctx context.Context, f *steering.ActiveRequest, a steering.SlotRequest) (d steering.Decision) {
-	reply, answered := s.Ask(ctx, a)
+// acquireSlot waits for a slot of the server that the kernel has chosen.
+func (s *Server) acquireSlot(ctx context.Context, active *steering.ActiveRequest, request steering.SlotRequest) (d steering.Decision) {
+	reply, answered := s.RequestSlot(ctx, request)
 	if ctx.Err() != nil {
-		return s.ended(f, steering.Attempt{Result: steering.ResultCallerGone, Err: ctx.Err()})
+		return s.endAttempt(active, steering.Attempt{Result: steering.ResultCallerGone, Err: ctx.Err()})
 	}
-	s.Kernel(func(k *steering.Kernel, now time.Time) { d = k.HandleSlotReply(now, f, reply, answered) })
-	s.giveBack(d)
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.HandleSlotReply(now, active, reply, answered) })
+	s.releaseSlot(d)
 	return d
 }
 
-// ended tells how an attempt ended and gives the request's place back.
-func (s *Server) ended(f *steering.ActiveRequest, a steering.Attempt) (d steering.Decision) {
-	s.Kernel(func(k *steering.Kernel, now time.Time) { d = k.EndAttempt(now, f, a) })
-	s.giveBack(d)
+// endAttempt reports the result of an attempt to the kernel and releases the slot.
+func (s *Server) endAttempt(active *steering.ActiveRequest, a steering.Attempt) (d steering.Decision) {
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.EndAttempt(now, active, a) })
+	s.releaseSlot(d)
 	return d
 }
 
-func (s *Server) giveBack(d steering.Decision) {
+func (s *Server) releaseSlot(d steering.Decision) {
 	if d.SlotRelease != nil {
-		s.GiveBack(*d.SlotRelease)
+		s.ReleaseSlot(*d.SlotRelease)
 	}
 }
 
-// awaitConfiguration waits for the first configuration just after the start.
+// awaitConfiguration waits for the first configuration for a short time after the process start.
 func (s *Server) awaitConfiguration(ctx context.Context) {
-	left := startWait - s.Now().Sub(s.Started)
-	if left <= 0 {
+	remaining := configurationTimeout - s.Now().Sub(s.StartedAt)
+	if remaining <= 0 {
 		return
 	}
 	select {
 	case <-s.Configured:
 	case <-ctx.Done():
-	case <-time.After(left):
+	case <-time.After(remaining):
 	}
 }
 
-func (s *Server) attempt(r *http.Request, body []byte, q steering.Request, f *steering.ActiveRequest, t *steering.Target) serverhttp.Request {
+func (s *Server) newServerRequest(r *http.Request, body []byte, request steering.Request, active *steering.ActiveRequest, target *steering.Target) serverhttp.Request {
 	account := ""
-	if f.Account != nil {
-		account = f.Account.Name
+	if active.Account != nil {
+		account = active.Account.Name
 	}
 	return serverhttp.Request{
-		Keyed: f.HasAccounts, Account: account,
-		Address: t.Address, Instance: t.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI,
-		Header: r.Header, Body: body, Attempt: q.ID, Deadline: f.ExpiresAt,
-		DialLimit:   min(dialBase+dialRoundTrips*t.RoundTrip, f.ExpiresAt.Sub(s.Now())),
-		Connections: t.MaxConnections, Withheld: func() bool { return s.withheld(f) },
+		HasAccounts: active.HasAccounts, Account: account,
+		Address: target.Address, InstanceID: target.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI,
+		Header: r.Header, Body: body, AttemptID: request.ID, Deadline: active.ExpiresAt,
+		DialTimeout:        min(dialBaseTimeout+dialRoundTrips*target.RoundTrip, active.ExpiresAt.Sub(s.Now())),
+		MaxIdleConnections: target.MaxConnections, StoppedAccepting: func() bool { return s.serverStoppedAccepting(active) },
 	}
 }
 
-// withheld reports whether the server of an attempt has asked for no more meanwhile.
-func (s *Server) withheld(f *steering.ActiveRequest) (withheld bool) {
-	s.Kernel(func(k *steering.Kernel, now time.Time) { withheld = !k.ServerStillAccepts(now, f) })
-	return withheld
+// serverStoppedAccepting reports whether the server of an attempt has stopped accepting requests
+// since it was chosen.
+func (s *Server) serverStoppedAccepting(active *steering.ActiveRequest) (stopped bool) {
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { stopped = !k.ServerStillAccepts(now, active) })
+	return stopped
 }
 
-// readBody takes the whole body in before any decision: a repeat needs it
-// again, and a caller that breaks off half way must not leave half a request
-// with a server.
+// readBody reads the complete body before any decision: a retry needs it again, and a caller that
+// aborts must not leave a partial request on a server.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) (*bodies.Body, error) {
-	limit, within := int64(bodyDefault), bodyTimeout
-	s.Kernel(func(k *steering.Kernel, _ time.Time) {
+	limit, timeout := int64(defaultMaxBodyBytes), bodyTimeout
+	s.WithKernel(func(k *steering.Kernel, _ time.Time) {
 		t := k.Table()
 		if t == nil {
 			return
@@ -219,47 +217,47 @@
 		if t.Limits.BodyBytes > 0 {
 			limit = t.Limits.BodyBytes
 		}
-		within = max(within, t.Limits.HeaderTimeout)
+		timeout = max(timeout, t.Limits.HeaderTimeout)
 	})
-	return s.Memory.ReadRequest(w, r, limit, within)
+	return s.BodyMemory.ReadRequest(w, r, limit, timeout)
 }
 
-// refuseBody answers a request whose body is not there; nothing was sent on.
-func (s *Server) refuseBody(w http.ResponseWriter, r *http.Request, err error) {
-	klog.InfoS("body refused", "request", r.Header.Get(s.Headers.Attempt), "length", r.ContentLength, "error", err.Error())
+// rejectBody responds to a request whose body could not be read; nothing was forwarded.
+func (s *Server) rejectBody(w http.ResponseWriter, r *http.Request, err error) {
+	klog.InfoS("request body rejected", "request", r.Header.Get(s.Headers.AttemptID), "length", r.ContentLength, "error", err.Error())
 	w.Header().Set("Connection", "close")
 	switch {
 	case errors.Is(err, bodies.ErrTooLarge):
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
-	case errors.Is(err, bodies.ErrNoMemory):
-		s.refuse(w, r, steering.Decision{NotRun: true, RetryAfter: noMemoryPause})
+	case errors.Is(err, bodies.ErrMemoryExhausted):
+		s.writeError(w, r, steering.Decision{NotRun: true, RetryAfter: noMemoryRetryAfter})
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		w.WriteHeader(http.StatusRequestTimeout)
 	default:
-		// The caller broke off in its body; nobody reads an answer.
+		// The caller aborted the body and won't read a response.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// reply gives the caller the final answer.
-func (s *Server) reply(w http.ResponseWriter, r *http.Request, d steering.Decision, answer *serverhttp.Answer) {
-	if s.Stopping() || d.TryOtherProxy {
+// writeResponse writes the final response to the caller.
+func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, d steering.Decision, response *serverhttp.Response) {
+	if s.IsStopping() || d.TryOtherProxy {
 		w.Header().Set("Connection", "close")
 	}
-	if !d.ReturnResponse || answer == nil {
-		s.refuse(w, r, d)
+	if !d.ReturnResponse || response == nil {
+		s.writeError(w, r, d)
 		return
 	}
 	header := w.Header()
-	for name, values := range answer.Header {
+	for name, values := range response.Header {
 		header[name] = values
 	}
-	if r.Method != http.MethodHead && bodyAllowed(answer.Status) {
-		header.Set("Content-Length", strconv.Itoa(len(answer.Body.Bytes)))
+	if r.Method != http.MethodHead && bodyAllowed(response.Status) {
+		header.Set("Content-Length", strconv.Itoa(len(response.Body.Bytes)))
 	}
-	w.WriteHeader(answer.Status)
-	if err := bodies.Write(w, answer.Body.Bytes, answerTimeout); err != nil {
-		klog.V(1).InfoS("answer not delivered", "request", r.Header.Get(s.Headers.Attempt), "error", err.Error())
+	w.WriteHeader(response.Status)
+	if err := bodies.Write(w, response.Body.Bytes, responseTimeout); err != nil {
+		klog.V(1).InfoS("can't write the response to the caller", "request", r.Header.Get(s.Headers.AttemptID), "error", err.Error())
 	}
 }
 
@@ -267,9 +265,8 @@
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// refuse tells the caller that there is no answer: 503 only if the request has
-// not run and never will.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, d steering.Decision) {
+// writeError writes an error response. 503 guarantees that the request has not run and never will.
+func (s *Server) writeError(w http.ResponseWriter, r *http.Request, d steering.Decision) {
 	status := http.StatusBadGateway
 	switch {
 	case d.Reason == steering.ReasonNoRoute:
@@ -286,23 +283,23 @@
 	case d.Reason == steering.ReasonTimeout:
 		status = http.StatusGatewayTimeout
 	}
-	if id := r.Header.Get(s.Headers.Attempt); id != "" {
-		w.Header().Set(s.Headers.Attempt, id)
+	if id := r.Header.Get(s.Headers.AttemptID); id != "" {
+		w.Header().Set(s.Headers.AttemptID, id)
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 }
 
-func parseLeft(text string) (time.Duration, bool) {
+func parseTimeout(text string) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || ms < 0 || ms > deadlineMost.Milliseconds() {
+	if err != nil || ms < 0 || ms > maxCallerTimeout.Milliseconds() {
 		return 0, false
 	}
 	return time.Duration(ms) * time.Millisecond, true
 }
 
-// hostOf is the host without a port.
-func hostOf(host string) string {
+// hostWithoutPort returns the host without its port.
+func hostWithoutPort(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		return name
 	}
--- a/internal/adapter/forwardhttp/server_test.go
+++ b/internal/adapter/forwardhttp/server_test.go
@@ -19,73 +19,72 @@
 )
 
 const (
-	// testMemory is less than two bodies of the largest size.
-	testMemory = 150
+	// testBodyMemory is less than two bodies of the maximum size.
+	testBodyMemory = 150
 )
 
 type (
-	// front is a server over a kernel with one backend server that a function
-	// stands in for.
-	front struct {
+	// testProxy is a server with a kernel and one backend server, which a function simulates.
+	testProxy struct {
 		*httptest.Server
 		mu       sync.Mutex
 		kernel   *steering.Kernel
 		stopping bool
 	}
 
-	sender func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer)
+	sender func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response)
 )
 
-func newFront(t *testing.T, configured bool, send sender) *front {
+func newTestProxy(t *testing.T, configured bool, send sender) *testProxy {
 	t.Helper()
-	return startFront(t, configured, send, time.Time{}, nil)
+	return startTestProxy(t, configured, send, time.Time{}, nil)
 }
 
-// startFront makes a front of a process that started at a moment and tells on a
-// channel when its configuration is known.
-func startFront(t *testing.T, configured bool, send sender, started time.Time, begun <-chan struct{}) *front {
+// startTestProxy starts a testProxy whose process started at the given time, and whose channel is
+// closed when the configuration has arrived.
+func startTestProxy(t *testing.T, configured bool, send sender, started time.Time, configurationLoaded <-chan struct{}) *testProxy {
 	t.Helper()
-	f := &front{kernel: steering.New(steering.Config{Name: "p", Domain: "a", Region: "r", RegionOf: map[string]string{"a": "r"}})}
+	p := &testProxy{kernel: steering.New(steering.Config{Name: "p", Domain: "a", Region: "r", RegionOf: map[string]string{"a": "r"}})}
 	s := &Server{
-		Headers: Headers{Attempt: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
-		Kernel: func(do func(*steering.Kernel, time.Time)) {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			do(f.kernel, time.Now())
+		Headers: Headers{AttemptID: "Attempt", Deadline: "Wait", ObjectCookie: "Object"},
+		WithKernel: func(do func(*steering.Kernel, time.Time)) {
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			do(p.kernel, time.Now())
 		},
-		Memory: bodies.NewMemory(testMemory), Send: send, Now: time.Now, Stopping: func() bool { return f.stopping },
-		Configured: begun, Started: started,
+		BodyMemory: bodies.NewMemoryBudget(testBodyMemory), Send: send, Now: time.Now, IsStopping: func() bool { return p.stopping },
+		Configured: configurationLoaded, StartedAt: started,
 	}
 	if configured {
-		f.configure()
+		p.configure()
 	}
-	f.Server = httptest.NewServer(s.HTTP().Handler)
-	t.Cleanup(f.Close)
-	return f
+	p.Server = httptest.NewServer(s.HTTPServer().Handler)
+	t.Cleanup(p.Close)
+	return p
 }
 
-func (f *front) configure() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (p *testProxy) configure() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	route := &routing.Route{
 		Name: "route", Host: "127.0.0.1", Prefix: "/a/", Attempts: 2, Timeout: time.Second, Target: time.Second,
 		Parts: []routing.WeightedService{{Service: "service", Weight: 1}},
 	}
-	f.kernel.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{BodyBytes: 100}))
-	f.kernel.RegisterServer(time.Now(), routing.Server{
+	p.kernel.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{BodyBytes: 100}))
+	p.kernel.RegisterServer(time.Now(), routing.Server{
 		ID: "s1", Service: "service", Domain: "a", Slots: 4, Address: netip.MustParseAddrPort("127.0.0.1:1"),
 	})
 }
 
-// reply is a response that was read to its end.
-type reply struct {
+// fullResponse is a response whose body was read completely.
+type fullResponse struct {
 	status int
 	header http.Header
 	close  bool
 	body   string
 }
 
-func get(t *testing.T, method, url, body string) reply {
+func sendRequest(t *testing.T, method, url, body string) fullResponse {
 	t.Helper()
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -102,34 +101,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return reply{response.StatusCode, response.Header, response.Close, string(data)}
+	return fullResponse{response.StatusCode, response.Header, response.Close, string(data)}
 }
 
-func answers(result steering.Result, status int, body string) sender {
-	return func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
-		return steering.Attempt{Result: result}, &serverhttp.Answer{Status: status, Header: http.Header{"Seal": {"s"}}, Body: &bodies.Body{Bytes: []byte(body)}}
+func respondWith(result steering.Result, status int, body string) sender {
+	return func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+		return steering.Attempt{Result: result}, &serverhttp.Response{Status: status, Header: http.Header{"Seal": {"s"}}, Body: &bodies.Body{Bytes: []byte(body)}}
 	}
 }
 
-func TestAnswerIsPassedOnWhole(t *testing.T) {
-	f := newFront(t, true, answers(steering.ResultAnswered, http.StatusCreated, "booked"))
-	got := get(t, http.MethodPost, f.URL+"/a/x", "data")
+func TestResponseIsForwarded(t *testing.T) {
+	p := newTestProxy(t, true, respondWith(steering.ResultAnswered, http.StatusCreated, "booked"))
+	got := sendRequest(t, http.MethodPost, p.URL+"/a/x", "data")
 	if got.status != http.StatusCreated || got.body != "booked" || got.header.Get("Seal") != "s" {
 		t.Errorf("got %d %q with seal %q, want 201, the body and the seal", got.status, got.body, got.header.Get("Seal"))
 	}
 }
 
-// A proxy has just started. "Not found" would make callers give up for good.
-func TestUnconfiguredProxySaysNotNow(t *testing.T) {
-	f := newFront(t, false, nil)
-	got := get(t, http.MethodGet, f.URL+"/a/x", "")
+// Guards against a proxy that has just started and responds with 404, which callers do not retry.
+func TestUnconfiguredProxyReturns503(t *testing.T) {
+	p := newTestProxy(t, false, nil)
+	got := sendRequest(t, http.MethodGet, p.URL+"/a/x", "")
 	if got.status != http.StatusServiceUnavailable {
 		t.Errorf("status is %d, want 503", got.status)
 	}
-	expectComeBack(t, got)
+	expectRetryAfter(t, got)
 }
 
-func expectComeBack(t *testing.T, got reply) {
+func expectRetryAfter(t *testing.T, got fullResponse) {
 	t.Helper()
 	seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	if err != nil || seconds <= 0 || seconds > 0.7/3 {
@@ -137,123 +136,123 @@
 	}
 }
 
-// What the status promises must be true: 503 only if nothing ran.
-func TestStatusTellsWhetherTheRequestMayHaveRun(t *testing.T) {
+// Guards against a status that is wrong about execution: 503 must mean that nothing ran.
+func TestStatusTellsWhetherRequestMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		result steering.Result
 		want   int
 	}{
-		"refused":     {steering.ResultRefused, http.StatusServiceUnavailable},
-		"unreachable": {steering.ResultUnreachable, http.StatusServiceUnavailable},
-		"broken":      {steering.ResultConnectionLost, http.StatusBadGateway},
-		"late":        {steering.ResultTimeout, http.StatusGatewayTimeout},
+		"refused":         {steering.ResultRefused, http.StatusServiceUnavailable},
+		"unreachable":     {steering.ResultUnreachable, http.StatusServiceUnavailable},
+		"connection lost": {steering.ResultConnectionLost, http.StatusBadGateway},
+		"timeout":         {steering.ResultTimeout, http.StatusGatewayTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFront(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
+			p := newTestProxy(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 				return steering.Attempt{Result: c.result}, nil
 			})
-			got := get(t, http.MethodPost, f.URL+"/a/x", "data")
+			got := sendRequest(t, http.MethodPost, p.URL+"/a/x", "data")
 			if got.status != c.want {
 				t.Errorf("status is %d, want %d", got.status, c.want)
 			}
 			if c.want == http.StatusServiceUnavailable {
-				expectComeBack(t, got)
+				expectRetryAfter(t, got)
 			}
 		})
 	}
 }
 
 func TestUnknownPathIsNotFound(t *testing.T) {
-	f := newFront(t, true, nil)
-	if got := get(t, http.MethodGet, f.URL+"/b/x", ""); got.status != http.StatusNotFound {
+	p := newTestProxy(t, true, nil)
+	if got := sendRequest(t, http.MethodGet, p.URL+"/b/x", ""); got.status != http.StatusNotFound {
 		t.Errorf("status is %d, want 404", got.status)
 	}
 }
 
-func TestBodyOverTheLimitIsRefusedBeforeAnythingIsSent(t *testing.T) {
-	f := newFront(t, true, nil)
+func TestBodyOverLimitIsRejected(t *testing.T) {
+	p := newTestProxy(t, true, nil)
 	for _, length := range []int{101, 100_000} {
-		if got := get(t, http.MethodPost, f.URL+"/a/x", strings.Repeat("x", length)); got.status != http.StatusRequestEntityTooLarge {
+		if got := sendRequest(t, http.MethodPost, p.URL+"/a/x", strings.Repeat("x", length)); got.status != http.StatusRequestEntityTooLarge {
 			t.Errorf("%d bytes: status is %d, want 413", length, got.status)
 		}
 	}
 }
 
-// Callers send bodies that are allowed each but together more than the proxy has
-// memory for. Those in excess are told that nothing ran and when to come back;
-// before, the process was killed with all its requests.
-func TestBodiesBeyondMemoryAreRefusedAsNotRun(t *testing.T) {
+// Guards against bodies that are each within the limit but together exceed the memory of the proxy.
+// The excess must be rejected as not run and with Retry-After; before, the process was killed with
+// all its requests.
+func TestBodiesBeyondMemoryAreRejectedAsNotRun(t *testing.T) {
 	entered, leave := make(chan bool, 1), make(chan bool)
-	f := newFront(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
+	p := newTestProxy(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		entered <- true
 		<-leave
-		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
 	body := strings.Repeat("x", 100)
-	first := make(chan reply, 1)
-	go func() { first <- get(t, http.MethodPost, f.URL+"/a/x", body) }()
+	first := make(chan fullResponse, 1)
+	go func() { first <- sendRequest(t, http.MethodPost, p.URL+"/a/x", body) }()
 	<-entered
-	if got := get(t, http.MethodPost, f.URL+"/a/x", body); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("second body: status is %d, come back after %q, want 503 and a time", got.status, got.header.Get("Retry-After"))
+	if got := sendRequest(t, http.MethodPost, p.URL+"/a/x", body); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
+		t.Errorf("second body: status is %d, Retry-After is %q, want 503 and a time", got.status, got.header.Get("Retry-After"))
 	}
 	leave <- true
 	if got := <-first; got.status != http.StatusOK {
 		t.Errorf("first body: status is %d, want 200", got.status)
 	}
 	go func() { <-entered; leave <- true }()
-	if got := get(t, http.MethodPost, f.URL+"/a/x", body); got.status != http.StatusOK {
+	if got := sendRequest(t, http.MethodPost, p.URL+"/a/x", body); got.status != http.StatusOK {
 		t.Errorf("body after the first is released: status is %d, want 200", got.status)
 	}
 }
 
-// All VMs lost power and are back, and callers come before the first read of the
-// store has ended, some milliseconds later. They must be served then: refused, all
-// would come back later together, and late.
+// Guards against rejecting requests that arrive some milliseconds before the first read of the
+// store has completed, as after a power loss of all VMs: the callers would all retry later, at the
+// same time.
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
 	configured := make(chan struct{})
-	f := startFront(t, false, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
-		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
+	p := startTestProxy(t, false, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
+		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	}, time.Now(), configured)
 	answered := make(chan int, 1)
-	go func() { answered <- get(t, http.MethodGet, f.URL+"/a/x", "").status }()
-	time.Sleep(startWait / 10)
-	f.configure()
+	go func() { answered <- sendRequest(t, http.MethodGet, p.URL+"/a/x", "").status }()
+	time.Sleep(configurationTimeout / 10)
+	p.configure()
 	close(configured)
 	if got := <-answered; got != http.StatusOK {
 		t.Errorf("status is %d, want 200", got)
 	}
 }
 
-// Neither the store nor a peer answers. Requests that come just after the start
-// wait for a configuration no longer than is of use, later ones not at all.
-func TestNoConfigurationIsNotWaitedForLong(t *testing.T) {
-	f := startFront(t, false, nil, time.Now(), make(chan struct{}))
+// Checks that without a store or a peer, requests just after the start wait for a configuration
+// only briefly, and later ones not at all.
+func TestWaitForConfigurationTimesOut(t *testing.T) {
+	p := startTestProxy(t, false, nil, time.Now(), make(chan struct{}))
 	for range 2 {
-		got := get(t, http.MethodGet, f.URL+"/a/x", "")
+		got := sendRequest(t, http.MethodGet, p.URL+"/a/x", "")
 		if got.status != http.StatusServiceUnavailable {
 			t.Errorf("status is %d, want 503", got.status)
 		}
-		expectComeBack(t, got)
+		expectRetryAfter(t, got)
 	}
 }
 
-// The deadline handed on is the sooner of the caller's and the route's.
-func TestDeadlineHandedOn(t *testing.T) {
+// Checks that the forwarded deadline is the earlier of those of the caller and of the route.
+func TestDeadlineIsForwarded(t *testing.T) {
 	var left time.Duration
-	f := newFront(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
+	p := newTestProxy(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		left = time.Until(r.Deadline)
-		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Answer{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
-	get(t, http.MethodGet, f.URL+"/a/x", "")
+	sendRequest(t, http.MethodGet, p.URL+"/a/x", "")
 	if left <= 0 || left > 700*time.Millisecond {
 		t.Errorf("the server has %s, want at most the caller's 700 ms", left)
 	}
 }
 
-// A caller gives up while its request runs. The server must hear of it soon.
-func TestLeavingCallerEndsTheAttempt(t *testing.T) {
+// Guards against a request that keeps running on the server after its caller has disconnected.
+func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	ended := make(chan time.Duration, 1)
-	f := newFront(t, true, func(ctx context.Context, _ serverhttp.Request) (steering.Attempt, *serverhttp.Answer) {
+	p := newTestProxy(t, true, func(ctx context.Context, _ serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		began := time.Now()
 		<-ctx.Done()
 		ended <- time.Since(began)
@@ -261,25 +260,25 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.URL+"/a/x", nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, p.URL+"/a/x", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if response, err := http.DefaultClient.Do(r); err == nil {
 		_ = response.Body.Close()
-		t.Error("the caller got an answer, want none")
+		t.Error("the caller got a response, want none")
 	}
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("the attempt goes on after the caller has left")
+		t.Error("the attempt continues after the caller has disconnected")
 	}
 }
 
-func TestStoppingProxySendsCallersElsewhere(t *testing.T) {
-	f := newFront(t, true, answers(steering.ResultAnswered, http.StatusOK, "fine"))
-	f.stopping = true
-	if got := get(t, http.MethodGet, f.URL+"/a/x", ""); !got.close || got.body != "fine" {
-		t.Errorf("connection closes: %t, body %q; want the answer and a close", got.close, got.body)
+func TestStoppingProxyClosesConnections(t *testing.T) {
+	p := newTestProxy(t, true, respondWith(steering.ResultAnswered, http.StatusOK, "fine"))
+	p.stopping = true
+	if got := sendRequest(t, http.MethodGet, p.URL+"/a/x", ""); !got.close || got.body != "fine" {
+		t.Errorf("connection closes: %t, body %q; want the response and a close", got.close, got.body)
 	}
 }
--- a/internal/adapter/serverhttp/client.go
+++ b/internal/adapter/serverhttp/client.go
@@ -1,10 +1,8 @@
-// Package serverhttp exchanges requests with backend servers over HTTP/1.1
-// connections that it keeps itself. It reports how each attempt ended and
-// decides nothing.
+// Package serverhttp sends requests to backend servers over its own pool of HTTP/1.1 connections.
+// It reports the result of each attempt and makes no decisions.
 //
-// The standard library's client is not used for the exchange because it sends
-// a request again by itself when a kept connection breaks, and because it
-// cannot tell an answer to an earlier request from the one that is due.
+// It does not use the client of net/http, which retries a request by itself when a reused
+// connection breaks, and cannot distinguish a response to an earlier request from the expected one.
 package serverhttp
 
 import (
@@ -30,88 +28,88 @@
 )
 
 const (
-	// answerMost bounds an answer, which is held whole before it is passed
-	// on: a part must never look like the whole.
-	answerMost = 16 << 20
-	// inlineBody is the largest body that is written before the answer is
-	// read. A server may answer before it has read a longer one, and neither
-	// side would go on if both only wrote.
-	inlineBody = 16 << 10
-	// strayMost is how many answers to earlier requests are skipped.
-	strayMost  = 2
-	bufferSize = 4 << 10
+	// maxResponseBytes limits a response, which is buffered completely before it is forwarded: a
+	// truncated response must never look complete.
+	maxResponseBytes = 16 << 20
+	// maxInlineBodyBytes is the largest body that is written before the response is read. A server
+	// may respond before it has read a longer one, and if both sides only wrote they would
+	// deadlock.
+	maxInlineBodyBytes = 16 << 10
+	// maxStrayResponses is how many responses to earlier requests are skipped.
+	maxStrayResponses = 2
+	bufferSize        = 4 << 10
 )
 
 var (
-	errStray     = errors.New("answers to other requests only")
-	errUnsigned  = errors.New("success without the server's seal")
-	errUnclaimed = errors.New("answer on a kept connection does not name its request")
+	errOnlyStrayResponses = errors.New("received only responses to other requests")
+	errMissingSeal        = errors.New("successful response has no seal")
+	errMissingAttemptID   = errors.New("response on a reused connection has no attempt ID")
 
-	// hopHeaders concern one connection only and are never passed on.
-	hopHeaders = []string{
+	// hopByHopHeaders apply to a single connection and are never forwarded.
+	hopByHopHeaders = []string{
 		"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 		"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	}
 )
 
 type (
-	// Headers names the header fields that servers and proxies exchange.
+	// Headers contains the names of the header fields between proxies and servers.
 	Headers struct {
-		// Attempt names one attempt of a caller; servers echo it.
-		Attempt string
-		// Deadline is the time left in milliseconds.
+		// AttemptID is the ID of the caller's attempt; servers echo it.
+		AttemptID string
+		// Deadline is the remaining time in milliseconds.
 		Deadline string
-		// Instance is the id of the server that is meant.
-		Instance string
-		// Load tells running and waiting requests and slots.
+		// InstanceID is the ID of the intended server.
+		InstanceID string
+		// Load is the server's number of running requests, of waiting requests and of slots.
 		Load string
-		// NotRun marks an answer to a request that the server did not run.
+		// NotRun marks a response to a request that the server did not run.
 		NotRun string
-		// Seal marks an answer as the server's own.
+		// Seal marks a response that was produced by the server.
 		Seal string
-		// Account names the client account of a request.
+		// Account is the name of the request's client account.
 		Account string
-		// Limit is the rate of requests that a server takes from all proxies together.
+		// Limit is the rate of requests that a server accepts from all proxies together.
 		Limit string
-		// Leaving is set to LeavingValue by a server that takes no new requests any more.
-		Leaving, LeavingValue string
+		// Draining is set to DrainingValue by a server that accepts no new requests.
+		Draining, DrainingValue string
 	}
 
-	// Client exchanges requests with servers.
+	// Client sends requests to servers.
 	Client struct {
 		headers Headers
 		pool    *pool
-		memory  *bodies.Memory
+		memory  *bodies.MemoryBudget
 		now     func() time.Time
 	}
 
-	// Request is one attempt.
+	// Request is one attempt to send a caller's request to a server.
 	Request struct {
-		Address  netip.AddrPort
-		Instance string
-		Method   string
-		Host     string
-		// Target is the path and query as the caller wrote them.
-		Target   string
-		Header   http.Header
-		Body     []byte
-		Attempt  string
-		Deadline time.Time
-		// DialLimit bounds the opening of a connection.
-		DialLimit time.Duration
-		// Withheld reports whether the server has asked for no more requests since this one
-		// was meant for it; nil for never.
-		Withheld func() bool
-		// Connections bounds the connections to the server; zero for no bound.
-		Connections int
-		// Keyed is set if requests carry keys of client accounts, which servers must not
-		// see; Account is that of the request, empty for none.
-		Keyed   bool
-		Account string
+		Address    netip.AddrPort
+		InstanceID string
+		Method     string
+		Host       string
+		// Target is the path and query, unmodified, as sent by the caller.
+		Target    string
+		Header    http.Header
+		Body      []byte
+		AttemptID string
+		Deadline  time.Time
+		// DialTimeout is the timeout for opening a connection.
+		DialTimeout time.Duration
+		// StoppedAccepting reports whether the server has stopped accepting requests since it was
+		// chosen for this one. It may be nil.
+		StoppedAccepting func() bool
+		// MaxIdleConnections limits the idle connections to the server; zero means the default limit.
+		MaxIdleConnections int
+		// HasAccounts is set if requests carry keys of client accounts, which must not be forwarded
+		// to servers. Account is the client account of the request, or empty.
+		HasAccounts bool
+		Account     string
 	}
 
-	// Answer is a server's whole answer. Its body must be released.
-	Answer struct {
+	// Response is a complete response of a server. Its body must be released.
+	Response struct {
 		Status int
 		Header http.Header
 		Body   *bodies.Body
@@ -122,56 +120,58 @@
 		conn    *conn
 		request Request
 		message *http.Request
-		// signal is what all answers of the exchange ask together, those to other
-		// requests included.
+		// signal merges the backpressure signals of all responses of the exchange, including those
+		// to other requests.
 		signal backpressure.Signal
 	}
 )
 
-// Release gives the memory of an answer's body back; there may be no answer.
-func (a *Answer) Release() {
+// Release releases the memory of the response's body. The response may be nil.
+func (a *Response) Release() {
 	if a != nil {
 		a.Body.Release()
 	}
 }
 
-// NewClient makes a client that holds answers in memory. opened is told of each
+// NewClient returns a client that buffers responses within the budget m. onOpen is called for each
 // new connection.
-func NewClient(h Headers, m *bodies.Memory, now func() time.Time, opened func()) *Client {
-	return &Client{headers: h, memory: m, now: now, pool: newPool(now, opened)}
+func NewClient(h Headers, m *bodies.MemoryBudget, now func() time.Time, onOpen func()) *Client {
+	return &Client{headers: h, memory: m, now: now, pool: newPool(now, onOpen)}
 }
 
-// Send makes one attempt. The answer is nil unless a whole one arrived.
-func (c *Client) Send(ctx context.Context, r Request) (steering.Attempt, *Answer) {
-	connection, roundTrip, err := c.pool.get(ctx, r.Address, r.DialLimit)
+// Send sends the request once. The response is nil unless a complete one arrived.
+func (c *Client) Send(ctx context.Context, r Request) (steering.Attempt, *Response) {
+	connection, roundTrip, err := c.pool.get(ctx, r.Address, r.DialTimeout)
 	if err != nil {
 		if ctx.Err() != nil {
 			return steering.Attempt{Result: steering.ResultCallerGone, Err: ctx.Err()}, nil
 		}
-		return steering.Attempt{Result: steering.ResultUnreachable, Refusing: Refusing(err), Err: err}, nil
+		return steering.Attempt{Result: steering.ResultUnreachable, Refusing: IsConnectionRefused(err), Err: err}, nil
 	}
-	if connection.fresh() && r.Withheld != nil && r.Withheld() {
+	if connection.isFirstUse() && r.StoppedAccepting != nil && r.StoppedAccepting() {
 		connection.uses = 0
-		c.pool.put(connection, true, r.Connections)
+		c.pool.put(connection, true, r.MaxIdleConnections)
 		return steering.Attempt{Result: steering.ResultNotSent, RoundTrip: roundTrip}, nil
 	}
-	e := &exchange{client: c, conn: connection, request: r, message: c.message(r)}
+	e := &exchange{client: c, conn: connection, request: r, message: c.newMessage(r)}
 	stop := context.AfterFunc(ctx, connection.abort)
-	answer, reusable, err := e.run()
+	response, reusable, err := e.run()
 	if !stop() {
-		// The caller left, and the connection was closed to tell the server.
-		answer.Release()
+		// The caller disconnected, and the connection was closed to cancel the request on the
+		// server.
+		response.Release()
 		return steering.Attempt{Result: steering.ResultCallerGone, Err: context.Cause(ctx), Signal: e.signal}, nil
 	}
-	c.pool.put(connection, reusable, r.Connections)
-	attempt := c.judge(r, answer, err)
+	c.pool.put(connection, reusable, r.MaxIdleConnections)
+	attempt := c.classify(r, response, err)
 	attempt.RoundTrip, attempt.Signal = roundTrip, e.signal
-	return attempt, answer
+	return attempt, response
 }
 
-// Measure opens a connection to learn the round trip and keeps it for later.
-func (c *Client) Measure(ctx context.Context, address netip.AddrPort, limit time.Duration) (time.Duration, error) {
-	connection, roundTrip, err := c.pool.get(ctx, address, limit)
+// MeasureRoundTrip measures the round-trip time by opening a connection, which it returns to the
+// pool.
+func (c *Client) MeasureRoundTrip(ctx context.Context, address netip.AddrPort, timeout time.Duration) (time.Duration, error) {
+	connection, roundTrip, err := c.pool.get(ctx, address, timeout)
 	if err != nil {
 		return 0, err
 	}
@@ -180,25 +180,26 @@
 	return roundTrip, nil
 }
 
-// Refusing reports whether a connection failed because nothing listens there: the server
-// has ended. One that is cut off or overloaded does not answer at all.
-func Refusing(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// IsConnectionRefused reports whether a connection failed because no process listens on the
+// address, so the server has exited. A server that is unreachable or overloaded does not respond at
+// all.
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Forget closes the idle connections to a server that has started again.
-func (c *Client) Forget(address netip.AddrPort) { c.pool.forget(address) }
+// CloseIdleConnections closes the idle connections to a server that has restarted.
+func (c *Client) CloseIdleConnections(address netip.AddrPort) { c.pool.closeIdle(address) }
 
-// message is the request as the server sees it.
-func (c *Client) message(r Request) *http.Request {
+// newMessage returns the HTTP request for the server.
+func (c *Client) newMessage(r Request) *http.Request {
 	header := make(http.Header, len(r.Header)+4)
 	CopyHeader(header, r.Header)
-	if _, given := header["User-Agent"]; !given {
-		// An empty value keeps the library from adding its own name.
+	if _, present := header["User-Agent"]; !present {
+		// An empty value prevents net/http from adding its default User-Agent.
 		header["User-Agent"] = []string{""}
 	}
-	left := max(1, r.Deadline.Sub(c.now()).Milliseconds())
-	header.Set(c.headers.Deadline, strconv.FormatInt(left, 10))
-	header.Set(c.headers.Instance, r.Instance)
-	if r.Keyed {
+	timeLeft := max(1, r.Deadline.Sub(c.now()).Milliseconds())
+	header.Set(c.headers.Deadline, strconv.FormatInt(timeLeft, 10))
+	header.Set(c.headers.InstanceID, r.InstanceID)
+	if r.HasAccounts {
 		c.setAccount(header, r.Account)
 	}
 	m := &http.Request{
@@ -206,11 +207,11 @@
 		URL: &url.URL{Scheme: "http", Host: r.Host, Opaque: r.Target},
 	}
 	if strings.HasPrefix(r.Target, "//") {
-		// Opaque text that begins so would be taken for a host.
+		// An opaque part that begins with // would be parsed as a host.
 		path, query, _ := strings.Cut(r.Target, "?")
 		m.URL = &url.URL{Scheme: "http", Host: r.Host, RawQuery: query}
-		if plain, err := url.PathUnescape(path); err == nil {
-			m.URL.Path, m.URL.RawPath = plain, path
+		if unescaped, err := url.PathUnescape(path); err == nil {
+			m.URL.Path, m.URL.RawPath = unescaped, path
 		}
 	}
 	if len(r.Body) > 0 {
@@ -220,12 +221,12 @@
 	return m
 }
 
-// setAccount puts the name of the client account in the place of its key. What the caller
-// has sent there, in any spelling, goes.
+// setAccount replaces the key by the name of the client account. It removes the header from the
+// caller's request in any equivalent spelling.
 func (c *Client) setAccount(header http.Header, account string) {
-	header.Del(bearer.Field)
+	header.Del(bearer.Header)
 	for name := range header {
-		if bearer.Same(name, c.headers.Account) {
+		if bearer.SameHeader(name, c.headers.Account) {
 			delete(header, name)
 		}
 	}
@@ -234,29 +235,29 @@
 	}
 }
 
-// judge says what an exchange means for the request.
-func (c *Client) judge(r Request, answer *Answer, err error) steering.Attempt {
+// classify returns the result of an exchange.
+func (c *Client) classify(r Request, response *Response, err error) steering.Attempt {
 	a := steering.Attempt{Err: err}
-	if answer == nil {
+	if response == nil {
 		a.Result = steering.ResultConnectionLost
 		if !c.now().Before(r.Deadline) {
 			a.Result = steering.ResultTimeout
 		}
 		return a
 	}
-	a.Running, a.Waiting, a.Loaded = parseLoad(answer.Header.Get(c.headers.Load))
+	a.Running, a.Waiting, a.Loaded = parseLoad(response.Header.Get(c.headers.Load))
 	switch {
-	case answer.Status == http.StatusMisdirectedRequest:
+	case response.Status == http.StatusMisdirectedRequest:
 		a.Result = steering.ResultWrongServer
-	case answer.Header.Get(c.headers.NotRun) != "":
+	case response.Header.Get(c.headers.NotRun) != "":
 		a.Result = steering.ResultRefused
-	case answer.Status >= http.StatusInternalServerError:
+	case response.Status >= http.StatusInternalServerError:
 		a.Result = steering.ResultServerError
 	default:
 		a.Result = steering.ResultAnswered
 	}
-	a.Rejected = answer.Status >= http.StatusBadRequest
-	answer.Header.Del(c.headers.Load)
+	a.Rejected = response.Status >= http.StatusBadRequest
+	response.Header.Del(c.headers.Load)
 	return a
 }
 
@@ -273,14 +274,14 @@
 	return max(0, running), max(0, waiting), err == nil
 }
 
-// run writes the request and reads the answer to it. reusable is set if the
-// connection may serve another request.
-func (e *exchange) run() (answer *Answer, reusable bool, err error) {
+// run writes the request and reads its response. reusable is set if the connection can be used for
+// another request.
+func (e *exchange) run() (response *Response, reusable bool, err error) {
 	if err := e.conn.SetDeadline(e.request.Deadline); err != nil {
-		return nil, false, errors.Wrap(err, "deadline")
+		return nil, false, errors.Wrap(err, "set deadline")
 	}
 	written := make(chan error, 1)
-	if len(e.request.Body) <= inlineBody {
+	if len(e.request.Body) <= maxInlineBodyBytes {
 		if err := e.write(); err != nil {
 			return nil, false, err
 		}
@@ -288,7 +289,7 @@
 	} else {
 		go func() { written <- e.write() }()
 	}
-	answer, closes, err := e.read()
+	response, closes, err := e.read()
 	if err != nil {
 		return nil, false, err
 	}
@@ -296,10 +297,10 @@
 	case err := <-written:
 		reusable = err == nil && !closes && e.conn.reader.Buffered() == 0
 	default:
-		// The server answered before it read the whole body. What is still
-		// due belongs to this request, so the connection cannot serve another.
+		// The server responded before it had read the whole body. The rest of the body belongs to
+		// this request, so the connection cannot be reused.
 	}
-	return answer, reusable, nil
+	return response, reusable, nil
 }
 
 func (e *exchange) write() error {
@@ -310,66 +311,64 @@
 	return errs.Wrap(w.Flush(), "write request")
 }
 
-// read takes in answers until the one that belongs to the request. A server
-// may send a second answer to an earlier request where this one's is due; the
-// attempt's id tells them apart.
-func (e *exchange) read() (*Answer, bool, error) {
-	strayed := false
-	for range strayMost + 1 {
-		answer, closes, err := e.readOne()
+// read reads responses until the one to this request. A server may send a duplicate response to an
+// earlier request first; the attempt ID distinguishes them.
+func (e *exchange) read() (*Response, bool, error) {
+	sawStray := false
+	for range maxStrayResponses + 1 {
+		response, closes, err := e.readOne()
 		if err != nil {
 			return nil, true, err
 		}
-		switch id := answer.Header.Get(e.client.headers.Attempt); {
-		case id == e.request.Attempt:
-			return e.checked(answer, closes || strayed)
-		case id == "" && e.conn.fresh():
-			// Nothing was sent on this connection before, so there is no
-			// other request that the answer could belong to.
-			return e.checked(answer, closes)
+		switch id := response.Header.Get(e.client.headers.AttemptID); {
+		case id == e.request.AttemptID:
+			return e.checkSeal(response, closes || sawStray)
+		case id == "" && e.conn.isFirstUse():
+			// This is the first request on the connection, so the response can't belong to another.
+			return e.checkSeal(response, closes)
 		case id == "":
-			answer.Release()
-			return nil, true, errUnclaimed
+			response.Release()
+			return nil, true, errMissingAttemptID
 		}
-		answer.Release()
-		strayed = true
+		response.Release()
+		sawStray = true
 	}
-	return nil, true, errStray
+	return nil, true, errOnlyStrayResponses
 }
 
-func (e *exchange) checked(answer *Answer, closes bool) (*Answer, bool, error) {
-	success := answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices
-	if success && answer.Header.Get(e.client.headers.Seal) == "" {
-		answer.Release()
-		return nil, true, errUnsigned
+func (e *exchange) checkSeal(response *Response, closes bool) (*Response, bool, error) {
+	success := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
+	if success && response.Header.Get(e.client.headers.Seal) == "" {
+		response.Release()
+		return nil, true, errMissingSeal
 	}
-	return answer, closes, nil
+	return response, closes, nil
 }
 
-func (e *exchange) readOne() (*Answer, bool, error) {
-	response, err := e.response()
+func (e *exchange) readOne() (*Response, bool, error) {
+	response, err := e.nextFinalResponse()
 	if err != nil {
-		return nil, true, errors.Wrap(err, "read answer")
+		return nil, true, errors.Wrap(err, "read response")
 	}
 	defer func() { _ = response.Body.Close() }()
-	e.hearSignal(response)
-	told := response.ContentLength
+	e.recordSignal(response)
+	contentLength := response.ContentLength
 	if e.request.Method == http.MethodHead {
-		// The length is that of the answer to a GET; nothing follows.
-		told = 0
+		// Content-Length is that of the response to a GET; there is no body.
+		contentLength = 0
 	}
-	body, err := e.client.memory.Read(response.Body, told, answerMost)
+	body, err := e.client.memory.Read(response.Body, contentLength, maxResponseBytes)
 	if err != nil {
-		return nil, true, errors.Wrap(err, "hold answer")
+		return nil, true, errors.Wrap(err, "read response body")
 	}
-	e.conn.keepFor(response.Header.Get("Keep-Alive"))
+	e.conn.applyKeepAlive(response.Header.Get("Keep-Alive"))
 	header := make(http.Header, len(response.Header))
 	CopyHeader(header, response.Header)
-	return &Answer{Status: response.StatusCode, Header: header, Body: body}, response.Close, nil
+	return &Response{Status: response.StatusCode, Header: header, Body: body}, response.Close, nil
 }
 
-// response reads the next final response; interim ones are skipped.
-func (e *exchange) response() (*http.Response, error) {
+// nextFinalResponse reads the next final response and skips interim (1xx) ones.
+func (e *exchange) nextFinalResponse() (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(e.conn.reader, e.message)
 		if err != nil {
@@ -382,17 +381,17 @@
 	}
 }
 
-// CopyHeader copies the fields that concern the message, not the connection.
-func CopyHeader(into, from http.Header) {
-	for name, values := range from {
-		into[name] = append([]string(nil), values...)
-	}
-	for _, listed := range from["Connection"] {
-		for _, name := range strings.Split(listed, ",") {
-			into.Del(strings.TrimSpace(name))
+// CopyHeader copies the end-to-end header fields and omits the hop-by-hop ones.
+func CopyHeader(dst, src http.Header) {
+	for name, values := range src {
+		dst[name] = append([]string(nil), values...)
+	}
+	for _, value := range src["Connection"] {
+		for _, name := range strings.Split(value, ",") {
+			dst.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
-		into.Del(name)
+	for _, name := range hopByHopHeaders {
+		dst.Del(name)
 	}
 }
--- a/internal/adapter/serverhttp/pool.go
+++ b/internal/adapter/serverhttp/pool.go
@@ -16,89 +16,88 @@
 )
 
 const (
-	// keepDefault is how long an idle connection is used if the server names
-	// no time of its own. Servers commonly close idle ones after ten seconds.
-	keepDefault = 8 * time.Second
-	// keepMargin is taken off the time a server names: a request that crosses
-	// the server's close may have run.
-	keepMargin = time.Second
-	// idleMost bounds the idle connections to one server.
-	idleMost = 8
-	// sweepEvery is how often idle connections that ran out are closed.
-	sweepEvery = 2 * time.Second
-	// unackedMost is how long sent bytes may stay without an acknowledgement.
-	// A connection that has gone silent shows no other sign.
-	unackedMost = 700 * time.Millisecond
+	// defaultKeepAlive is how long an idle connection is kept if the server sends no Keep-Alive
+	// timeout. Servers commonly close idle connections after ten seconds.
+	defaultKeepAlive = 8 * time.Second
+	// keepAliveMargin is subtracted from the server's Keep-Alive timeout: if a request races with
+	// the close by the server, it is unknown whether the request ran.
+	keepAliveMargin = time.Second
+	// maxIdleConnections limits the idle connections to one server.
+	maxIdleConnections = 8
+	// sweepInterval is the interval at which expired idle connections are closed.
+	sweepInterval = 2 * time.Second
+	// tcpUserTimeout is how long sent data may remain unacknowledged. There is no other sign of a
+	// peer that silently became unreachable.
+	tcpUserTimeout = 700 * time.Millisecond
 )
 
 type (
 	pool struct {
-		mu     sync.Mutex
-		idle   map[netip.AddrPort][]*conn
-		now    func() time.Time
-		opened func()
-		dialer net.Dialer
-		swept  time.Time
+		mu      sync.Mutex
+		idle    map[netip.AddrPort][]*conn
+		now     func() time.Time
+		onOpen  func()
+		dialer  net.Dialer
+		sweptAt time.Time
 	}
 
-	// conn is a connection to a server, used by one request at a time.
+	// conn is a connection to a server. It carries one request at a time.
 	conn struct {
 		net.Conn
-		reader  *bufio.Reader
-		address netip.AddrPort
-		uses    int
-		expires time.Time
-		keep    time.Duration
+		reader    *bufio.Reader
+		address   netip.AddrPort
+		uses      int
+		expires   time.Time
+		keepAlive time.Duration
 	}
 )
 
-func newPool(now func() time.Time, opened func()) *pool {
+func newPool(now func() time.Time, onOpen func()) *pool {
 	return &pool{
-		idle: make(map[netip.AddrPort][]*conn), now: now, opened: opened,
-		dialer: net.Dialer{Control: boundUnacked, KeepAlive: -1},
+		idle: make(map[netip.AddrPort][]*conn), now: now, onOpen: onOpen,
+		dialer: net.Dialer{Control: setTCPUserTimeout, KeepAlive: -1},
 	}
 }
 
-// boundUnacked makes the system report a peer that has fallen silent.
-func boundUnacked(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setTCPUserTimeout makes the operating system close connections to unresponsive peers.
+func setTCPUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedMost.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
-// get takes an idle connection or opens one. The time that the opening took
-// is returned with a new one.
-func (p *pool) get(ctx context.Context, address netip.AddrPort, limit time.Duration) (*conn, time.Duration, error) {
+// get returns an idle connection, or opens a new one and returns the time that this took.
+func (p *pool) get(ctx context.Context, address netip.AddrPort, timeout time.Duration) (*conn, time.Duration, error) {
 	for {
-		c := p.take(address)
+		c := p.popIdle(address)
 		if c == nil {
 			break
 		}
-		if p.now().Before(c.expires) && c.quiet() {
+		if p.now().Before(c.expires) && c.isReusable() {
 			c.uses++
 			return c, 0, nil
 		}
 		_ = c.Close()
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	began := p.now()
+	startedAt := p.now()
 	raw, err := p.dialer.DialContext(ctx, "tcp", address.String())
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "connect")
 	}
-	p.opened()
-	c := &conn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferSize), address: address, uses: 1, keep: keepDefault}
-	return c, p.now().Sub(began), nil
+	p.onOpen()
+	c := &conn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferSize), address: address, uses: 1, keepAlive: defaultKeepAlive}
+	return c, p.now().Sub(startedAt), nil
 }
 
-// take removes the idle connection that was used last.
-func (p *pool) take(address netip.AddrPort) *conn {
+// popIdle removes and returns the most recently used idle connection.
+func (p *pool) popIdle(address netip.AddrPort) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -110,32 +109,32 @@
 	return c
 }
 
-// put takes a connection back. most bounds the idle ones to the server, if it is
-// not zero.
-func (p *pool) put(c *conn, reusable bool, most int) {
+// put returns a connection to the pool. A positive maxIdle limits the idle connections to the
+// server.
+func (p *pool) put(c *conn, reusable bool, maxIdle int) {
 	if !reusable {
 		_ = c.Close()
 		return
 	}
 	now := p.now()
-	c.expires = now.Add(c.keep)
+	c.expires = now.Add(c.keepAlive)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep(now)
-	if most <= 0 {
-		most = idleMost
+	if maxIdle <= 0 {
+		maxIdle = maxIdleConnections
 	}
 	list := p.idle[c.address]
-	for len(list) >= min(most, idleMost) {
+	for len(list) >= min(maxIdle, maxIdleConnections) {
 		_ = list[0].Close()
 		list = list[1:]
 	}
 	p.idle[c.address] = append(list, c)
 }
 
-// forget closes the idle connections to a server. One that has started again knows
-// nothing of them, and a cut may hide that for as long as it lasts.
-func (p *pool) forget(address netip.AddrPort) {
+// closeIdle closes the idle connections to a server. A restarted server does not know them, and a
+// network partition may hide that for as long as it lasts.
+func (p *pool) closeIdle(address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
@@ -144,13 +143,13 @@
 	delete(p.idle, address)
 }
 
-// sweep closes the connections that have been idle for too long, also those
-// to servers that are gone. The lock is held.
+// sweep closes expired idle connections, including those to servers that are gone. p.mu must be
+// held.
 func (p *pool) sweep(now time.Time) {
-	if now.Sub(p.swept) < sweepEvery {
+	if now.Sub(p.sweptAt) < sweepInterval {
 		return
 	}
-	p.swept = now
+	p.sweptAt = now
 	for address, list := range p.idle {
 		for len(list) > 0 && !now.Before(list[0].expires) {
 			_ = list[0].Close()
@@ -163,14 +162,13 @@
 	}
 }
 
-func (c *conn) fresh() bool { return c.uses == 1 }
+func (c *conn) isFirstUse() bool { return c.uses == 1 }
 
 func (c *conn) abort() { _ = c.Close() }
 
-// quiet reports whether nothing waits to be read. An idle connection has no
-// answer due: bytes are a stray answer, and an end means that the server has
-// closed.
-func (c *conn) quiet() bool {
+// isReusable reports whether an idle connection is open and has no unread data. No response is
+// expected on it: data would be a stray response, and EOF means that the server has closed it.
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -182,24 +180,24 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = control.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, failed := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(failed, unix.EAGAIN)
+		var buf [1]byte
+		_, _, recvErr := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		reusable = errors.Is(recvErr, unix.EAGAIN)
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
-// keepFor takes in the server's own word on how long it keeps the connection.
-func (c *conn) keepFor(header string) {
+// applyKeepAlive applies the timeout of the server's Keep-Alive header.
+func (c *conn) applyKeepAlive(header string) {
 	for _, part := range strings.Split(header, ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !found {
 			continue
 		}
 		if seconds, err := strconv.Atoi(text); err == nil {
-			c.keep = max(0, time.Duration(seconds)*time.Second-keepMargin)
+			c.keepAlive = max(0, time.Duration(seconds)*time.Second-keepAliveMargin)
 		}
 	}
 }
--- a/internal/adapter/serverhttp/signal.go
+++ b/internal/adapter/serverhttp/signal.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	// retryAfter is the standard field for when to come back.
-	retryAfter = "Retry-After"
+	// retryAfterHeader is the standard header with the time of the next retry.
+	retryAfterHeader = "Retry-After"
 )
 
-// hearSignal takes in what a server's answer asks of its senders. An answer from another
-// server at the address asks nothing of the one that was meant.
-func (e *exchange) hearSignal(r *http.Response) {
+// recordSignal merges the backpressure signal of a response. A response of another server at the
+// same address (421) is ignored, because it says nothing about the intended server.
+func (e *exchange) recordSignal(r *http.Response) {
 	if r.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
-	e.signal = e.signal.Merge(SignalOf(r, e.client.headers, e.request.Instance))
+	e.signal = e.signal.Merge(ParseSignal(r, e.client.headers, e.request.InstanceID))
 }
 
-// SignalOf reads what an answer of a server asks. What can't be read is logged and asks
-// nothing.
-func SignalOf(r *http.Response, names Headers, server string) (s backpressure.Signal) {
+// ParseSignal returns the backpressure signal of a response. Invalid header values are logged and
+// ignored.
+func ParseSignal(r *http.Response, headers Headers, server string) (s backpressure.Signal) {
 	var err error
-	if s.Limit, err = backpressure.ParseLimit(r.Header.Values(names.Limit)); err != nil {
-		ignore(server, names.Limit, err)
+	if s.Limit, err = backpressure.ParseLimit(r.Header.Values(headers.Limit)); err != nil {
+		logIgnoredSignal(server, headers.Limit, err)
 	}
-	s.Draining = names.Leaving != "" && slices.Contains(r.Header.Values(names.Leaving), names.LeavingValue)
-	pauses := r.Header.Values(retryAfter)
-	if r.StatusCode != http.StatusServiceUnavailable || len(pauses) == 0 {
+	s.Draining = headers.Draining != "" && slices.Contains(r.Header.Values(headers.Draining), headers.DrainingValue)
+	retryAfter := r.Header.Values(retryAfterHeader)
+	if r.StatusCode != http.StatusServiceUnavailable || len(retryAfter) == 0 {
 		return s
 	}
-	made, err := http.ParseTime(r.Header.Get("Date"))
+	sentAt, err := http.ParseTime(r.Header.Get("Date"))
 	if err != nil {
-		made = time.Now()
+		sentAt = time.Now()
 	}
-	if s.Pause, err = backpressure.ParsePause(pauses, made); err != nil {
-		ignore(server, retryAfter, err)
+	if s.Pause, err = backpressure.ParsePause(retryAfter, sentAt); err != nil {
+		logIgnoredSignal(server, retryAfterHeader, err)
 	}
 	return s
 }
 
-func ignore(server, field string, err error) {
-	klog.V(1).InfoS("signal of a server ignored", "server", server, "field", field, "error", err.Error())
+func logIgnoredSignal(server, field string, err error) {
+	klog.V(1).InfoS("invalid backpressure signal of a server ignored", "server", server, "field", field, "error", err.Error())
 }
