--- a/internal/adapter/operatorhttp/server.go
+++ b/internal/adapter/operatorhttp/server.go
@@ -66,7 +66,7 @@
 
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	if !s.Ready() {
-		writeError(w, http.StatusServiceUnavailable, errors.New("no bundle yet, or proxy is stopping"))
+		writeError(w, http.StatusServiceUnavailable, errors.New("no bundle in force, or stopping"))
 		return
 	}
 	writeJSON(w, http.StatusOK, map[string]string{"ready": "yes"})
@@ -99,7 +99,7 @@
 	var envelope []byte
 	s.WithKernel(func(k *core.Kernel, _ time.Time) { envelope = k.Envelope() })
 	if envelope == nil {
-		writeError(w, http.StatusNotFound, errors.New("the proxy has no bundle yet"))
+		writeError(w, http.StatusNotFound, errors.New("no bundle is in force here"))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -168,7 +168,7 @@
 		return
 	}
 	if e.OperationID == "" {
-		writeError(w, http.StatusBadRequest, errors.New("operation: must be set, because the outcome could not be determined after a lost response"))
+		writeError(w, http.StatusBadRequest, errors.New("operation: must be set, or a lost answer could not be settled"))
 		return
 	}
 	result, current := kv.Rollout(r.Context(), s.Store, b, e)
