--- a/cmd/gypsumquay-bench/ablate.go
+++ b/cmd/gypsumquay-bench/ablate.go
@@ -46,7 +46,7 @@
 	}
 	fmt.Println()
 	for _, path := range loads {
-		load, err := warmnet.ReadLoad(path)
+		load, err := warmnet.ReadScenario(path)
 		if err != nil {
 			return err
 		}
@@ -57,7 +57,7 @@
 
 // row prints one load: the share with all mechanisms on, and for each what switching
 // it off changes, with the standard error of the difference between equal seeds.
-func (a *ablateArguments) row(name string, load warmnet.Load, off []steering.Mechanism) {
+func (a *ablateArguments) row(name string, load warmnet.Scenario, off []steering.Mechanism) {
 	results := make([]shares, len(off)+1)
 	limit := semaphore.NewWeighted(a.Parallel)
 	var group sync.WaitGroup
@@ -65,13 +65,13 @@
 		results[i] = make(shares, a.Seeds)
 		played := load
 		if i > 0 {
-			played.Off = []steering.Mechanism{off[i-1]}
+			played.MechanismsOff = []steering.Mechanism{off[i-1]}
 		}
 		for seed := range a.Seeds {
 			group.Go(func() {
 				_ = limit.Acquire(background, 1)
 				defer limit.Release(1)
-				results[i][seed] = warmnet.Play(played, steering.DefaultPlacer, uint64(seed)+1).Share()
+				results[i][seed] = warmnet.Simulate(played, steering.DefaultPlacer, uint64(seed)+1).ShareWithinTarget()
 			})
 		}
 	}
--- a/cmd/gypsumquay-bench/ends.go
+++ b/cmd/gypsumquay-bench/ends.go
@@ -49,7 +49,7 @@
 	}
 	fmt.Printf("%-14s %8s %14s %16s %14s %10s\n", "LOAD", "ENDS", "SERVERS/WORK", "SOUND CONDEMNED", "SOUND REFUSED", "IN TARGET")
 	for _, file := range files {
-		load, err := warmnet.ReadLoad(file)
+		load, err := warmnet.ReadScenario(file)
 		if err != nil {
 			return err
 		}
@@ -59,7 +59,7 @@
 			rows = append(rows, a.row(load, threshold))
 		}
 		without := load
-		without.Off = append(without.Off, steering.MechanismQuarantine)
+		without.MechanismsOff = append(without.MechanismsOff, steering.MechanismQuarantine)
 		rows = append(rows, a.row(without, 0))
 		for _, r := range rows {
 			fmt.Printf("%-14s %8s %14.1f %16.1f %14.1f %10.3f\n", name, endsName(r.threshold), r.lost, r.condemned, r.refused, r.share)
@@ -80,15 +80,15 @@
 	return fmt.Sprint(threshold)
 }
 
-func (a *endsArguments) row(load warmnet.Load, threshold int) endsRow {
-	load.EndsToCondemn = threshold
+func (a *endsArguments) row(load warmnet.Scenario, threshold int) endsRow {
+	load.QuarantineThreshold = threshold
 	r, n := endsRow{threshold: threshold}, float64(a.Seeds)
 	for seed := range a.Seeds {
-		o := warmnet.Play(load, steering.DefaultPlacer, uint64(seed)+1)
-		r.lost += float64(o.Ends.ByWork) / float64(max(1, len(o.Ends.Deadly))) / n
-		r.condemned += float64(len(o.Ends.Sound)) / n
-		r.refused += float64(o.Ends.Refused) / n
-		r.share += o.Share() / n
+		o := warmnet.Simulate(load, steering.DefaultPlacer, uint64(seed)+1)
+		r.lost += float64(o.Crashes.CausedByRequests) / float64(max(1, len(o.Crashes.ByCrashingRequest))) / n
+		r.condemned += float64(len(o.Crashes.HarmlessQuarantined)) / n
+		r.refused += float64(o.Crashes.HarmlessRefused) / n
+		r.share += o.ShareWithinTarget() / n
 	}
 	return r
 }
--- a/cmd/gypsumquay-bench/experiment.go
+++ b/cmd/gypsumquay-bench/experiment.go
@@ -26,11 +26,11 @@
 	}
 	placers := a.Placers
 	if len(placers) == 0 {
-		placers = append(steering.Placers(), warmnet.AllSeeing)
+		placers = append(steering.Placers(), warmnet.Oracle)
 	}
 	fmt.Printf("%-12s %-16s %9s %12s %9s %9s %9s\n", "LOAD", "PLACER", "IN TARGET", "WORST REGION", "REFUSED", "FIRST", "P99 MS")
 	for _, path := range loads {
-		load, err := warmnet.ReadLoad(path)
+		load, err := warmnet.ReadScenario(path)
 		if err != nil {
 			return err
 		}
@@ -50,17 +50,17 @@
 	return found, errs.Wrap(err, "loads")
 }
 
-func (a *experimentArguments) row(name string, load warmnet.Load, placer string) {
+func (a *experimentArguments) row(name string, load warmnet.Scenario, placer string) {
 	var share, worst, refused, first, p99 float64
 	n := float64(a.Seeds)
 	for seed := range a.Seeds {
-		o := warmnet.Play(load, placer, uint64(seed)+1)
-		share += o.Share() / n
-		worst += o.Worst() / n
-		refused += float64(o.Refused) / float64(max(1, o.Asked)) / n
-		first += float64(o.First) / n
-		if len(o.Times) > 0 {
-			p99 += float64(o.Times[len(o.Times)*99/100].Milliseconds()) / n
+		o := warmnet.Simulate(load, placer, uint64(seed)+1)
+		share += o.ShareWithinTarget() / n
+		worst += o.WorstRegionShare() / n
+		refused += float64(o.Refused) / float64(max(1, o.Requests)) / n
+		first += float64(o.ColdRuns) / n
+		if len(o.Latencies) > 0 {
+			p99 += float64(o.Latencies[len(o.Latencies)*99/100].Milliseconds()) / n
 		}
 	}
 	fmt.Printf("%-12s %-16s %9.3f %12.3f %9.3f %9.0f %9.0f\n", name, placer, share, worst, refused, first, p99)
--- a/cmd/gypsumquay-bench/limits.go
+++ b/cmd/gypsumquay-bench/limits.go
@@ -25,9 +25,9 @@
 
 	// limitsRow is one play.
 	limitsRow struct {
-		fleet   limitnet.Load
-		way     limitnet.Way
-		outcome limitnet.Outcome
+		fleet   limitnet.Scenario
+		way     limitnet.Strategy
+		outcome limitnet.Result
 	}
 )
 
@@ -74,16 +74,16 @@
 }
 
 func (a *limitsArguments) play(proxies, accounts int, skew float64) []limitsRow {
-	l := limitnet.Load{
+	l := limitnet.Scenario{
 		Regions: max(regionsLeast, proxies/proxiesPerRegion), Proxies: proxies, Accounts: accounts, Skew: skew,
 		Rate: float64(ratePerProxy * proxies), Clients: clientsPerProxy * proxies, Headroom: limitHeadroom,
 		For: time.Duration(a.Seconds) * time.Second,
 	}
 	var rows []limitsRow
-	for _, way := range []limitnet.Way{limitnet.Pools, limitnet.Owner, limitnet.Even} {
-		o := limitnet.Play(l, way, 1)
+	for _, way := range []limitnet.Strategy{limitnet.RegionalPools, limitnet.CentralPool, limitnet.EqualShares} {
+		o := limitnet.Simulate(l, way, 1)
 		fmt.Printf("%8d %9d %5.1f %-6s %12.4f %12.4f %8.2f %8.2f %10.1f %7.1f\n", proxies, accounts, skew, way,
-			o.RefusedAtFirstShare(), o.RefusedShare(), o.Excess, o.Broken, o.Reports, o.Asks)
+			o.InitiallyRefusedShare(), o.RefusedShare(), o.MaxExcess, o.MaxViolation, o.ReportRate, o.TokenRequestRate)
 		rows = append(rows, limitsRow{fleet: l, way: way, outcome: o})
 	}
 	return rows
--- a/cmd/gypsumquay-bench/signals.go
+++ b/cmd/gypsumquay-bench/signals.go
@@ -20,7 +20,7 @@
 // run plays fleets of several sizes against servers that name limits: how much of a limit
 // they use, whether they pass it together, and what callers get.
 func (a *signalsArguments) run() error {
-	load, err := warmnet.ReadLoad(a.Load)
+	load, err := warmnet.ReadScenario(a.Load)
 	if err != nil {
 		return err
 	}
@@ -42,22 +42,22 @@
 	return nil
 }
 
-func (a *signalsArguments) row(load warmnet.Load, limit float64, proxies int) {
-	load.Proxies = proxies
-	load.Limited = append([]warmnet.Limited(nil), load.Limited...)
-	for i := range load.Limited {
-		load.Limited[i].PerSecond = limit
+func (a *signalsArguments) row(load warmnet.Scenario, limit float64, proxies int) {
+	load.ProxiesPerRegion = proxies
+	load.RateLimits = append([]warmnet.RateLimit(nil), load.RateLimits...)
+	for i := range load.RateLimits {
+		load.RateLimits[i].PerSecond = limit
 	}
 	var most, use, after, share, refused, reports float64
 	n, all := float64(a.Seeds), float64(proxies*len(load.Regions))
 	for seed := range a.Seeds {
-		o := warmnet.Play(load, steering.DefaultPlacer, uint64(seed)+1)
-		most = max(most, o.Limits.Most)
-		use += o.Limits.Use / n
-		after += o.Limits.After / n
-		share += o.Share() / n
-		refused += float64(o.Refused) / float64(max(1, o.Asked)) / n
-		reports += float64(o.Limits.Reports) / all / load.Span.Std().Seconds() / n
+		o := warmnet.Simulate(load, steering.DefaultPlacer, uint64(seed)+1)
+		most = max(most, o.RateLimits.MaxUtilization)
+		use += o.RateLimits.MeanUtilization / n
+		after += o.RateLimits.RecoveredRate / n
+		share += o.ShareWithinTarget() / n
+		refused += float64(o.Refused) / float64(max(1, o.Requests)) / n
+		reports += float64(o.RateLimits.Reports) / all / load.Duration.Std().Seconds() / n
 	}
 	fmt.Printf("%8.0f %8.1f %12.2f %8.2f %8.2f %10.3f %8.4f %14.2f\n", all, limit, most, use, after, share, refused, reports)
 }
--- a/internal/fake/limitnet/load.go
+++ b/internal/fake/limitnet/load.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// Pools is the way that is in use: shares move through the pool of each region.
-	Pools Way = "pools"
-	// Even leaves each proxy its own part of each limit.
-	Even Way = "even"
-	// Owner has each proxy ask one proxy of the fleet about each request.
-	Owner Way = "owner"
+	// RegionalPools is the way that is in use: shares move through the pool of each region.
+	RegionalPools Strategy = "pools"
+	// EqualShares leaves each proxy its own part of each limit.
+	EqualShares Strategy = "even"
+	// CentralPool has each proxy ask one proxy of the fleet about each request.
+	CentralPool Strategy = "owner"
 )
 
 type (
-	// Way names a way to keep limits.
-	Way string
+	// Strategy names a way to keep limits.
+	Strategy string
 
-	// Load is what is played.
-	Load struct {
+	// Scenario is what is played.
+	Scenario struct {
 		Regions int
 		// Proxies are all proxies, evenly in the regions, two failure domains each.
 		Proxies  int
@@ -51,26 +51,26 @@
 		Lowered float64
 	}
 
-	// Outcome is what came of it.
-	Outcome struct {
-		// Asked counts requests, Owed those within their account's limit.
-		Asked, Owed int
-		// RefusedAtFirst counts the owed ones that were refused at first, Refused those
+	// Result is what came of it.
+	Result struct {
+		// Requests counts requests, Owed those within their account's limit.
+		Requests, Conforming int
+		// InitiallyRefused counts the owed ones that were refused at first, Refused those
 		// that were refused also when they came again.
-		RefusedAtFirst, Refused int
-		// Excess is how many requests beyond the limit that is kept to were let through, at
+		InitiallyRefused, Refused int
+		// MaxExcess is how many requests beyond the limit that is kept to were let through, at
 		// the worst moment; Broken the same beyond what is allowed.
-		Excess, Broken float64
-		// Reports and Asks are those of a proxy in a second.
-		Reports, Asks float64
+		MaxExcess, MaxViolation float64
+		// ReportRate and Asks are those of a proxy in a second.
+		ReportRate, TokenRequestRate float64
 	}
 )
 
-// allowance is what operators allow beyond limits.
-var allowance = ratelimit.Overage{Window: 5 * time.Second, Ratio: 0.1, Requests: 20}
+// overage is what operators allow beyond limits.
+var overage = ratelimit.Overage{Window: 5 * time.Second, Ratio: 0.1, Requests: 20}
 
 // rates are what the accounts send in a second, the largest first.
-func (l Load) rates() []float64 {
+func (l Scenario) rates() []float64 {
 	rates, sum := make([]float64, l.Accounts), 0.0
 	for i := range rates {
 		rates[i] = math.Pow(float64(i+1), -l.Skew)
@@ -83,9 +83,9 @@
 }
 
 // RefusedShare is the part of the owed requests that were refused for good.
-func (o Outcome) RefusedShare() float64 { return float64(o.Refused) / float64(max(1, o.Owed)) }
+func (o Result) RefusedShare() float64 { return float64(o.Refused) / float64(max(1, o.Conforming)) }
 
-// RefusedAtFirstShare is the part of the owed requests that were refused at first.
-func (o Outcome) RefusedAtFirstShare() float64 {
-	return float64(o.RefusedAtFirst) / float64(max(1, o.Owed))
+// InitiallyRefusedShare is the part of the owed requests that were refused at first.
+func (o Result) InitiallyRefusedShare() float64 {
+	return float64(o.InitiallyRefused) / float64(max(1, o.Conforming))
 }
--- a/internal/fake/limitnet/play.go
+++ b/internal/fake/limitnet/play.go
@@ -28,10 +28,10 @@
 )
 
 type (
-	world struct {
+	simulation struct {
 		schedule.Schedule
-		load    Load
-		way     Way
+		load    Scenario
+		way     Strategy
 		random  *rand.Rand
 		proxies []*proxy
 		byName  map[string]*proxy
@@ -42,8 +42,8 @@
 		limits map[string]ratelimit.Limit
 		// owed, kept and allowed are single buckets that see all requests: of the limit, of
 		// what is kept to, and of what is allowed.
-		owed, kept, allowed map[string]*reference
-		out                 Outcome
+		owed, kept, allowed map[string]*referenceBucket
+		out                 Result
 		reports, asks       int
 	}
 
@@ -64,19 +64,19 @@
 		last   *proxy
 	}
 
-	// reference is a token bucket that may be overdrawn.
-	reference struct {
+	// referenceBucket is a token bucket that may be overdrawn.
+	referenceBucket struct {
 		tokens float64
 		at     time.Duration
 	}
 )
 
-// Play plays a load. Equal arguments give equal outcomes.
-func Play(l Load, way Way, seed uint64) Outcome {
-	w := &world{
+// Simulate plays a load. Equal arguments give equal outcomes.
+func Simulate(l Scenario, way Strategy, seed uint64) Result {
+	w := &simulation{
 		byName: make(map[string]*proxy), domains: make(map[int][]*proxy), regions: make(map[int][]*proxy),
 		load: l, way: way, random: rand.New(rand.NewPCG(seed, 1)), limits: make(map[string]ratelimit.Limit),
-		owed: make(map[string]*reference), kept: make(map[string]*reference), allowed: make(map[string]*reference),
+		owed: make(map[string]*referenceBucket), kept: make(map[string]*referenceBucket), allowed: make(map[string]*referenceBucket),
 	}
 	for i := range l.Proxies {
 		p := &proxy{name: "proxy-" + strconv.Itoa(i), region: i % l.Regions, domain: i % (2 * l.Regions)}
@@ -93,29 +93,29 @@
 	for w.Next() && w.Now < lead+l.For {
 	}
 	seconds := (lead + l.For).Seconds() * float64(l.Proxies)
-	w.out.Reports, w.out.Asks = float64(w.reports)/seconds, float64(w.asks)/seconds
+	w.out.ReportRate, w.out.TokenRequestRate = float64(w.reports)/seconds, float64(w.asks)/seconds
 	return w.out
 }
 
-func (w *world) clock() time.Time { return time.Unix(1_000_000, 0).Add(w.Now) }
+func (w *simulation) clock() time.Time { return time.Unix(1_000_000, 0).Add(w.Now) }
 
 // begin starts a proxy's process.
-func (w *world) begin(p *proxy) {
+func (w *simulation) begin(p *proxy) {
 	p.start++
 	p.down, p.silent = false, make(map[string]time.Duration)
 	p.holder = ratelimit.NewLimiter(p.name, w.clock())
 	p.pool = ratelimit.NewPool(uint64(p.start), w.clock())
-	limits := func(account string) ratelimit.Limit { return w.limits[account].WithOverage(allowance) }
+	limits := func(account string) ratelimit.Limit { return w.limits[account].WithOverage(overage) }
 	p.holder.Limits, p.pool.Limits = limits, limits
-	p.pool.StartupBurst = func(account string) float64 { return w.limits[account].StartupBurst(allowance) }
+	p.pool.StartupBurst = func(account string) float64 { return w.limits[account].StartupBurst(overage) }
 	p.holder.SetBaseShare(ratelimit.EqualShare(w.load.Proxies))
-	if w.way != Even {
+	if w.way != EqualShares {
 		w.report(p, p.start)
 	}
 }
 
 // report has a proxy report to its pool for as long as its process runs.
-func (w *world) report(p *proxy, start int) {
+func (w *simulation) report(p *proxy, start int) {
 	if p.start != start || p.down {
 		return
 	}
@@ -127,10 +127,10 @@
 	w.borrow(p, start)
 }
 
-func (w *world) reportOnce(p *proxy, start int, best *proxy) {
+func (w *simulation) reportOnce(p *proxy, start int, best *proxy) {
 	asked := w.clock()
 	to, r := p.holder.NextReport(asked, best.name, w.others(p))
-	if w.way == Owner {
+	if w.way == CentralPool {
 		r.Wants = nil
 	}
 	pool := w.byName[to]
@@ -150,8 +150,8 @@
 	})
 }
 
-func (w *world) borrow(p *proxy, start int) {
-	if w.way != Pools || !p.pool.HasDeposits(w.clock()) {
+func (w *simulation) borrow(p *proxy, start int) {
+	if w.way != RegionalPools || !p.pool.HasDeposits(w.clock()) {
 		return
 	}
 	asked := w.clock()
@@ -167,8 +167,8 @@
 }
 
 // others are the pools of other regions as a proxy sees them.
-func (w *world) others(p *proxy) []string {
-	if w.way == Owner {
+func (w *simulation) others(p *proxy) []string {
+	if w.way == CentralPool {
 		return nil
 	}
 	var list []string
@@ -182,7 +182,7 @@
 }
 
 // call has one proxy ask another; done is told once whether it was answered.
-func (w *world) call(from, to *proxy, most time.Duration, ask func(), done func(answered bool)) {
+func (w *simulation) call(from, to *proxy, most time.Duration, ask func(), done func(answered bool)) {
 	ended := false
 	end := func(answered bool) {
 		if !ended {
@@ -213,7 +213,7 @@
 }
 
 // delay is how long a message takes; some take far longer.
-func (w *world) delay(a, b *proxy) time.Duration {
+func (w *simulation) delay(a, b *proxy) time.Duration {
 	way := otherRegion
 	switch {
 	case a.domain == b.domain:
@@ -228,8 +228,8 @@
 }
 
 // poolOf is the proxy that is a region's pool as another one sees it.
-func (w *world) poolOf(p *proxy, region int) *proxy {
-	if w.way == Owner {
+func (w *simulation) poolOf(p *proxy, region int) *proxy {
+	if w.way == CentralPool {
 		region = 0
 	}
 	for _, other := range w.regions[region] {
@@ -241,10 +241,10 @@
 }
 
 // account makes an account with its clients and has them send.
-func (w *world) account(i int, rate float64) {
+func (w *simulation) account(i int, rate float64) {
 	name := "account-" + strconv.Itoa(i)
 	w.limits[name] = ratelimit.Limit{PerSecond: w.load.Headroom * rate, Burst: w.load.Headroom * rate}
-	w.owed[name], w.kept[name], w.allowed[name] = &reference{tokens: 1e9}, &reference{tokens: 1e9}, &reference{tokens: 1e9}
+	w.owed[name], w.kept[name], w.allowed[name] = &referenceBucket{tokens: 1e9}, &referenceBucket{tokens: 1e9}, &referenceBucket{tokens: 1e9}
 	count := max(1, int(float64(w.load.Clients)*rate/w.load.Rate+w.random.Float64()))
 	clients := make([]*client, 0, count)
 	for range count {
@@ -263,20 +263,20 @@
 }
 
 // request is a request's first try.
-func (w *world) request(account string, c *client) {
+func (w *simulation) request(account string, c *client) {
 	l := w.limits[account]
-	w.out.Asked++
+	w.out.Requests++
 	owed := w.owed[account].take(w.Now, l) >= 0
 	if !owed {
 		w.owed[account].tokens++
 	} else {
-		w.out.Owed++
+		w.out.Conforming++
 	}
 	w.try(account, c, func(r ratelimit.Decision) {
 		if r.Verdict == ratelimit.Admitted || !owed {
 			return
 		}
-		w.out.RefusedAtFirst++
+		w.out.InitiallyRefused++
 		if r.RetryAfter > returnFor {
 			w.out.Refused++
 			return
@@ -293,7 +293,7 @@
 }
 
 // try sends a request to a proxy of the client's failure domain.
-func (w *world) try(account string, c *client, done func(ratelimit.Decision)) {
+func (w *simulation) try(account string, c *client, done func(ratelimit.Decision)) {
 	p := w.proxyFor(c)
 	if p == nil {
 		done(ratelimit.Decision{Verdict: ratelimit.Denied, RetryAfter: returnFor / 2})
@@ -303,7 +303,7 @@
 }
 
 // settle asks pools for a request until one rules on it.
-func (w *world) settle(account string, p *proxy, r ratelimit.Decision, done func(ratelimit.Decision)) {
+func (w *simulation) settle(account string, p *proxy, r ratelimit.Decision, done func(ratelimit.Decision)) {
 	if r.Verdict != ratelimit.AskPool {
 		if r.Verdict == ratelimit.Admitted {
 			w.admitted(account)
@@ -326,7 +326,7 @@
 }
 
 // proxyFor is the proxy that a client sends its next request to.
-func (w *world) proxyFor(c *client) *proxy {
+func (w *simulation) proxyFor(c *client) *proxy {
 	if c.last != nil && !c.last.down && w.random.Float64() < keepConnection {
 		return c.last
 	}
@@ -344,17 +344,17 @@
 }
 
 // admitted checks what all proxies have let through.
-func (w *world) admitted(account string) {
+func (w *simulation) admitted(account string) {
 	l := w.limits[account]
-	w.out.Excess = max(w.out.Excess, -w.kept[account].take(w.Now, l.WithOverage(allowance)))
+	w.out.MaxExcess = max(w.out.MaxExcess, -w.kept[account].take(w.Now, l.WithOverage(overage)))
 	bound := ratelimit.Limit{
-		PerSecond: l.PerSecond * (1 + allowance.Ratio), Burst: l.Burst*(1+allowance.Ratio) + allowance.Requests,
+		PerSecond: l.PerSecond * (1 + overage.Ratio), Burst: l.Burst*(1+overage.Ratio) + overage.Requests,
 	}
-	w.out.Broken = max(w.out.Broken, -w.allowed[account].take(w.Now, bound))
+	w.out.MaxViolation = max(w.out.MaxViolation, -w.allowed[account].take(w.Now, bound))
 }
 
 // take takes a token and tells how many are left, below zero if there was none.
-func (r *reference) take(now time.Duration, l ratelimit.Limit) float64 {
+func (r *referenceBucket) take(now time.Duration, l ratelimit.Limit) float64 {
 	r.tokens = min(l.Burst, r.tokens+(now-r.at).Seconds()*l.PerSecond)
 	r.at = now
 	r.tokens--
@@ -362,7 +362,7 @@
 }
 
 // faults has proxies cut off and killed, and a limit lowered.
-func (w *world) faults() {
+func (w *simulation) faults() {
 	l := w.load
 	struck := func(share float64) []*proxy {
 		order := w.random.Perm(len(w.proxies))
--- a/internal/fake/limitnet/play_test.go
+++ b/internal/fake/limitnet/play_test.go
@@ -21,8 +21,8 @@
 	played struct {
 		Name string `json:"name"`
 		// Guards says which failure the load is there for.
-		Guards string `json:"guards"`
-		Load   Load   `json:"load"`
+		Guards string   `json:"guards"`
+		Load   Scenario `json:"load"`
 		// RefusedMost is the largest part of the owed requests that may be refused for good;
 		// a limit that is lowered binds from then on only.
 		RefusedMost float64 `json:"refused-most"`
@@ -50,12 +50,12 @@
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(seeds) {
-				got := Play(p.Load, Pools, seed)
-				if !p.Lowers && got.Excess > excessMost {
-					t.Errorf("seed %d: %.2f requests beyond the limit that is kept to, want none", seed, got.Excess)
+				got := Simulate(p.Load, RegionalPools, seed)
+				if !p.Lowers && got.MaxExcess > excessMost {
+					t.Errorf("seed %d: %.2f requests beyond the limit that is kept to, want none", seed, got.MaxExcess)
 				}
-				if got.Broken > 0 {
-					t.Errorf("seed %d: %.2f requests beyond what is allowed, want none", seed, got.Broken)
+				if got.MaxViolation > 0 {
+					t.Errorf("seed %d: %.2f requests beyond what is allowed, want none", seed, got.MaxViolation)
 				}
 				if share := got.RefusedShare(); share > p.RefusedMost {
 					t.Errorf("seed %d: %.4f of the owed requests refused, want at most %g", seed, share, p.RefusedMost)
@@ -68,14 +68,14 @@
 // Pools must be worth their messages.
 func TestPoolsRefuseFewerThanEvenParts(t *testing.T) {
 	l := loads(t)[0].Load
-	if pools, even := Play(l, Pools, 1).RefusedShare(), Play(l, Even, 1).RefusedShare(); pools >= even/10 {
+	if pools, even := Simulate(l, RegionalPools, 1).RefusedShare(), Simulate(l, EqualShares, 1).RefusedShare(); pools >= even/10 {
 		t.Errorf("%.4f refused with pools, %.4f with even parts, want less than a tenth", pools, even)
 	}
 }
 
 func Example() {
-	l := Load{Regions: 1, Proxies: 4, Accounts: 1, Rate: 100, Clients: 10, Headroom: 2, For: 5 * time.Second}
-	o := Play(l, Pools, 1)
-	fmt.Println(o.Refused, o.Broken)
+	l := Scenario{Regions: 1, Proxies: 4, Accounts: 1, Rate: 100, Clients: 10, Headroom: 2, For: 5 * time.Second}
+	o := Simulate(l, RegionalPools, 1)
+	fmt.Println(o.Refused, o.MaxViolation)
 	// Output: 0 0
 }
--- a/internal/fake/warmnet/bound_test.go
+++ b/internal/fake/warmnet/bound_test.go
@@ -13,7 +13,7 @@
 	share, worst, _ := mean(l, steering.DefaultPlacer)
 	t.Logf("%.3f of all, %.3f of the worst region", share, worst)
 	free := l
-	free.Bound = 0
+	free.RestrictedShare = 0
 	open, _, _ := mean(free, steering.DefaultPlacer)
 	if worst < 0.85*open {
 		t.Errorf("%.3f of the worst region are answered within the target, want 0.85 at least of the %.3f of all without bound accounts", worst, open)
--- a/internal/fake/warmnet/ends_test.go
+++ b/internal/fake/warmnet/ends_test.go
@@ -13,16 +13,16 @@
 	runsAfter  = 3
 )
 
-func playEndsLoad(t *testing.T, file string, change func(*Load)) Outcome {
+func playEndsLoad(t *testing.T, file string, change func(*Scenario)) Result {
 	t.Helper()
-	l, err := ReadLoad("testdata/" + file)
+	l, err := ReadScenario("testdata/" + file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
 		change(&l)
 	}
-	return Play(l, "homes", 1)
+	return Simulate(l, "homes", 1)
 }
 
 // endsAfter counts the servers that a work ended after it was to be known everywhere.
@@ -42,18 +42,18 @@
 // the service is down to half for as long as that goes on. Each proxy sees an end or two.
 func TestDeadlyWorkEndsFewServers(t *testing.T) {
 	for _, file := range []string{"deadly.json", "deadly-flood.json"} {
-		o := playEndsLoad(t, file, func(l *Load) {
-			if l.Deadly.Works > 1 {
-				l.Proxies, l.Span = 3, l.Span/2
+		o := playEndsLoad(t, file, func(l *Scenario) {
+			if l.CrashingRequests.Count > 1 {
+				l.ProxiesPerRegion, l.Duration = 3, l.Duration/2
 			}
 		})
-		t.Logf("%s: %d servers ended, %d refusals of sound work", file, o.Ends.Servers, o.Ends.Refused)
-		for name, ends := range o.Ends.Deadly {
+		t.Logf("%s: %d servers ended, %d refusals of sound work", file, o.Crashes.Servers, o.Crashes.HarmlessRefused)
+		for name, ends := range o.Crashes.ByCrashingRequest {
 			if n := endsAfter(ends); n > runsAfter {
 				t.Errorf("%s: %s ended %d servers after the bound for news, want %d at most: %v", file, name, n, runsAfter, ends)
 			}
 		}
-		if n := len(o.Ends.Sound); n > 0 {
+		if n := len(o.Crashes.HarmlessQuarantined); n > 0 {
 			t.Errorf("%s: %d sound works were condemned with the deadly ones, want none", file, n)
 		}
 	}
@@ -64,13 +64,13 @@
 // again by callers whose first server has ended. None of them may be refused for it.
 func TestStormOfEndsCondemnsNothing(t *testing.T) {
 	for _, skew := range []float64{0.8, 1.2} {
-		o := playEndsLoad(t, "storm.json", func(l *Load) { l.Skew = skew })
-		without := playEndsLoad(t, "storm.json", func(l *Load) { l.Skew, l.Off = skew, append(l.Off, "quarantine") })
-		t.Logf("skew %.1f: %d servers ended, %d refusals, in target %.3f, without the quarantine %.3f", skew, o.Ends.Servers, o.Ends.Refused, o.Share(), without.Share())
-		if n := len(o.Ends.Sound); n > 0 {
+		o := playEndsLoad(t, "storm.json", func(l *Scenario) { l.Skew = skew })
+		without := playEndsLoad(t, "storm.json", func(l *Scenario) { l.Skew, l.MechanismsOff = skew, append(l.MechanismsOff, "quarantine") })
+		t.Logf("skew %.1f: %d servers ended, %d refusals, in target %.3f, without the quarantine %.3f", skew, o.Crashes.Servers, o.Crashes.HarmlessRefused, o.ShareWithinTarget(), without.ShareWithinTarget())
+		if n := len(o.Crashes.HarmlessQuarantined); n > 0 {
 			t.Errorf("skew %.1f: %d sound works were condemned, want none", skew, n)
 		}
-		if lost := without.Share() - o.Share(); lost > 0.03 {
+		if lost := without.ShareWithinTarget() - o.ShareWithinTarget(); lost > 0.03 {
 			t.Errorf("skew %.1f: %.3f of the requests are no longer answered in time, want 0.03 at most", skew, lost)
 		}
 	}
--- a/internal/fake/warmnet/holds.go
+++ b/internal/fake/warmnet/holds.go
@@ -16,21 +16,21 @@
 )
 
 type (
-	// holds carries the messages between proxies that ask for places at servers and
+	// slotMessages carries the messages between proxies that ask for places at servers and
 	// those that own the gates.
-	holds struct {
+	slotMessages struct {
 		gossip  time.Duration
-		waiting map[ticketKey]*job
+		waiting map[slotRequestKey]*request
 	}
 
-	ticketKey struct {
+	slotRequestKey struct {
 		from string
 		id   uint64
 	}
 )
 
 // kernelOf finds a proxy's kernel and region by its name.
-func (w *world) kernelOf(name string) (*steering.Kernel, string) {
+func (w *simulation) kernelOf(name string) (*steering.Kernel, string) {
 	for _, r := range w.load.Regions {
 		first := slices.IndexFunc(w.listed, func(p steering.Proxy) bool { return p.Region == r.Name })
 		i := slices.IndexFunc(w.listed, func(p steering.Proxy) bool { return p.Name == name })
@@ -42,7 +42,7 @@
 }
 
 // askFor brings a question to the gate's owner and its answer back.
-func (w *world) askFor(j *job, a steering.SlotRequest) {
+func (w *simulation) askFor(j *request, a steering.SlotRequest) {
 	owner, region := w.kernelOf(a.Owner.Name)
 	way := w.roundTrip(j.entry, region) / 2
 	if owner == j.kernel {
@@ -52,9 +52,9 @@
 		reply := owner.HandleSlotRequest(w.clock(), a)
 		if reply.Verdict == admission.Queued {
 			if w.holds.waiting == nil {
-				w.holds.waiting = make(map[ticketKey]*job)
+				w.holds.waiting = make(map[slotRequestKey]*request)
 			}
-			w.holds.waiting[ticketKey{a.From, a.ID}] = j
+			w.holds.waiting[slotRequestKey{a.From, a.ID}] = j
 			return
 		}
 		w.After(way, func() { w.follow(j, j.kernel.HandleSlotReply(w.clock(), j.flight, reply, true)) })
@@ -62,14 +62,14 @@
 }
 
 // release brings a place back and tells those that get it.
-func (w *world) release(entry string, r steering.SlotRelease) {
+func (w *simulation) release(entry string, r steering.SlotRelease) {
 	owner, region := w.kernelOf(r.Owner.Name)
 	w.After(w.roundTrip(entry, region)/2, func() { w.granted(region, owner.HandleSlotRelease(w.clock(), r)) })
 }
 
-func (w *world) granted(region string, grants []steering.SlotReply) {
+func (w *simulation) granted(region string, grants []steering.SlotReply) {
 	for _, g := range grants {
-		key := ticketKey{g.From, g.ID}
+		key := slotRequestKey{g.From, g.ID}
 		j := w.holds.waiting[key]
 		if j == nil {
 			continue
@@ -82,7 +82,7 @@
 }
 
 // gossip has each proxy exchange what it knows with another one.
-func (w *world) gossip(exchange func(k, to *steering.Kernel)) {
+func (w *simulation) gossip(exchange func(k, to *steering.Kernel)) {
 	w.each(func(k *steering.Kernel) {
 		_, region := w.kernelOf(k.Name())
 		others := w.proxies[region]
@@ -94,15 +94,15 @@
 }
 
 // exchange has all proxies tell each other which services they hold back.
-func (w *world) exchange() {
+func (w *simulation) exchange() {
 	if w.Now < w.holds.gossip {
 		return
 	}
 	w.holds.gossip = w.Now + gossipEvery
-	if w.load.hasEnds() {
+	if w.load.hasCrashes() {
 		w.tellSuspicions()
 	}
-	if w.load.asksOfSenders() {
+	if w.load.hasBackpressure() {
 		w.tellSignals()
 	}
 	var all []steering.ServiceLimit
--- a/internal/fake/warmnet/leaving.go
+++ b/internal/fake/warmnet/leaving.go
@@ -14,18 +14,18 @@
 )
 
 type (
-	// Leaving is what became of servers that leave by their own word.
-	Leaving struct {
-		// Requests reached them that callers had sent later than the bound after the
+	// DrainStats is what became of servers that leave by their own word.
+	DrainStats struct {
+		// LateRequests reached them that callers had sent later than the bound after the
 		// proxy heard of it; Told counts the proxies that did.
-		Requests, Told int
+		LateRequests, ProxiesInformed int
 	}
 )
 
-// leaves reports whether a server says that it leaves.
-func (l Load) leaves(s *server, now time.Duration) bool {
-	for _, e := range l.Leaving {
-		if e.strikes(s, now) {
+// isDraining reports whether a server says that it leaves.
+func (l Scenario) isDraining(s *server, now time.Duration) bool {
+	for _, e := range l.Draining {
+		if e.affects(s, now) {
 			return true
 		}
 	}
@@ -33,9 +33,9 @@
 }
 
 // playLeaving has servers leave that tell nobody but those who send them requests.
-func (w *world) playLeaving() {
-	w.leaves = make(news)
-	for _, e := range w.load.Leaving {
+func (w *simulation) playLeaving() {
+	w.leaves = make(firstHeard)
+	for _, e := range w.load.Draining {
 		for i := range e.Servers {
 			s := w.byID[serverID(e.Region, i)]
 			for at := e.From.Std(); at < e.To.Std(); at += heartbeat {
@@ -48,7 +48,7 @@
 }
 
 // lapse has a server's registration run out and come back.
-func (w *world) lapse(s *server) {
+func (w *simulation) lapse(s *server) {
 	w.each(func(k *steering.Kernel) {
 		k.RemoveServer(w.clock(), s.id)
 		k.RegisterServer(w.clock(), w.registration(s))
@@ -56,10 +56,10 @@
 }
 
 // left notes a request that reaches a server which leaves.
-func (w *world) left(j *job) {
-	at, told := w.leaves[newsKey{j.server.id, j.kernel.Name()}]
+func (w *simulation) left(j *request) {
+	at, told := w.leaves[serverProxy{j.server.id, j.kernel.Name()}]
 	if told && j.asked > at+drainWithin {
-		w.out.Leaving.Requests++
+		w.out.Draining.LateRequests++
 	}
-	w.out.Leaving.Told = len(w.leaves)
+	w.out.Draining.ProxiesInformed = len(w.leaves)
 }
--- a/internal/fake/warmnet/limits.go
+++ b/internal/fake/warmnet/limits.go
@@ -21,39 +21,39 @@
 )
 
 type (
-	// Limited is a time in which the first servers of a region name a limit.
-	Limited struct {
+	// RateLimit is a time in which the first servers of a region name a limit.
+	RateLimit struct {
 		Episode
 		PerSecond float64 `json:"per-second"`
 	}
 
-	// Limits is what servers got that named a limit.
-	Limits struct {
-		// Most is the largest part of what is allowed in one window that a server got
+	// RateLimitStats is what servers got that named a limit.
+	RateLimitStats struct {
+		// MaxUtilization is the largest part of what is allowed in one window that a server got
 		// from the proxies that it had told.
-		Most float64
-		// Use is the mean part of their limits that servers got, After their mean rate
+		MaxUtilization float64
+		// MeanUtilization is the mean part of their limits that servers got, After their mean rate
 		// from some time after it, as a part of the rate before it.
-		Use, After float64
+		MeanUtilization, RecoveredRate float64
 		// Reports counts what proxies told each other of servers.
 		Reports int
 	}
 
-	// news are the moments at which proxies first heard something of servers.
-	news map[newsKey]time.Duration
+	// firstHeard are the moments at which proxies first heard something of servers.
+	firstHeard map[serverProxy]time.Duration
 
-	newsKey struct {
+	serverProxy struct {
 		server, proxy string
 	}
 
-	// limits notes what arrives at servers, and which proxies were told.
-	limits struct {
-		arrivals map[string][]limitArrival
-		toldAt   news
+	// rateLimitLog notes what arrives at servers, and which proxies were told.
+	rateLimitLog struct {
+		arrivals map[string][]arrival
+		toldAt   firstHeard
 		reports  int
 	}
 
-	limitArrival struct {
+	arrival struct {
 		at time.Duration
 		// told is set if the proxy knew of the limit.
 		told bool
@@ -61,35 +61,37 @@
 )
 
 // note notes the first time.
-func (n news) note(now time.Duration, server, proxy string) {
-	if _, known := n[newsKey{server, proxy}]; !known {
-		n[newsKey{server, proxy}] = now
+func (n firstHeard) note(now time.Duration, server, proxy string) {
+	if _, known := n[serverProxy{server, proxy}]; !known {
+		n[serverProxy{server, proxy}] = now
 	}
 }
 
-// limit is what a server names now.
-func (l Load) limit(s *server, now time.Duration) backpressure.Limit {
-	for _, e := range l.Limited {
-		if e.strikes(s, now) {
+// advertisedLimit is what a server names now.
+func (l Scenario) advertisedLimit(s *server, now time.Duration) backpressure.Limit {
+	for _, e := range l.RateLimits {
+		if e.affects(s, now) {
 			return backpressure.Limit{Set: true, PerSecond: e.PerSecond}
 		}
 	}
 	return backpressure.Limit{}
 }
 
-// asksOfSenders reports whether servers ask anything of their senders.
-func (l Load) asksOfSenders() bool { return len(l.Limited)+len(l.Leaving)+len(l.Pausing) > 0 }
+// hasBackpressure reports whether servers ask anything of their senders.
+func (l Scenario) hasBackpressure() bool {
+	return len(l.RateLimits)+len(l.Draining)+len(l.BackoffRequests) > 0
+}
 
 // signal is what a server's answer asks.
-func (w *world) signal(s *server, r steering.Result) backpressure.Signal {
+func (w *simulation) signal(s *server, r steering.Result) backpressure.Signal {
 	if r == steering.ResultConnectionLost || r == steering.ResultUnreachable || r == steering.ResultTimeout {
 		return backpressure.Signal{}
 	}
-	return backpressure.Signal{Limit: w.load.limit(s, w.Now), Draining: w.load.leaves(s, w.Now), Pause: w.load.pause(s, w.Now)}
+	return backpressure.Signal{Limit: w.load.advertisedLimit(s, w.Now), Draining: w.load.isDraining(s, w.Now), Pause: w.load.backoffRequest(s, w.Now)}
 }
 
 // told notes what a proxy hears with an answer.
-func (w *world) told(j *job, s backpressure.Signal) {
+func (w *simulation) told(j *request, s backpressure.Signal) {
 	if s.Limit.Set {
 		w.limits.toldAt.note(w.Now, j.server.id, j.kernel.Name())
 	}
@@ -99,7 +101,7 @@
 }
 
 // tellSignals has each proxy tell another one what servers ask, and be told.
-func (w *world) tellSignals() {
+func (w *simulation) tellSignals() {
 	w.gossip(func(k, to *steering.Kernel) {
 		question, answer := k.BackpressureReports(w.clock(), false), to.BackpressureReports(w.clock(), false)
 		to.ApplyBackpressureReports(w.clock(), question)
@@ -108,22 +110,22 @@
 	})
 }
 
-func (l *limits) arrived(now time.Duration, server, proxy string) {
+func (l *rateLimitLog) arrived(now time.Duration, server, proxy string) {
 	if l.arrivals == nil {
-		l.arrivals, l.toldAt = make(map[string][]limitArrival), make(news)
+		l.arrivals, l.toldAt = make(map[string][]arrival), make(firstHeard)
 	}
-	at, told := l.toldAt[newsKey{server, proxy}]
-	l.arrivals[server] = append(l.arrivals[server], limitArrival{at: now, told: told && now-at >= heedWithin})
+	at, told := l.toldAt[serverProxy{server, proxy}]
+	l.arrivals[server] = append(l.arrivals[server], arrival{at: now, told: told && now-at >= heedWithin})
 }
 
 // judge sums up what became of the limits.
-func (l *limits) judge(episodes []Limited) (out Limits) {
+func (l *rateLimitLog) judge(episodes []RateLimit) (out RateLimitStats) {
 	out.Reports = l.reports
 	before, after, use, servers := 0.0, 0.0, 0.0, 0
 	for _, e := range episodes {
 		for i := range e.Servers {
 			list := l.arrivals[serverID(e.Region, i)]
-			out.Most = max(out.Most, e.most(list))
+			out.MaxUtilization = max(out.MaxUtilization, e.maxUtilization(list))
 			from, to := e.From.Std()+newsWithin, e.To.Std()
 			use += rate(list, from, to) / max(e.PerSecond, 1/limitSpan.Seconds())
 			before += rate(list, e.From.Std()-newsWithin, e.From.Std())
@@ -132,14 +134,14 @@
 		}
 	}
 	if servers > 0 {
-		out.Use, out.After = use/float64(servers), after/max(1, before)
+		out.MeanUtilization, out.RecoveredRate = use/float64(servers), after/max(1, before)
 	}
 	return out
 }
 
-// most is the largest part of what is allowed that came from proxies that knew, in any
+// maxUtilization is the largest part of what is allowed that came from proxies that knew, in any
 // window that ends after the time for news.
-func (e Limited) most(list []limitArrival) float64 {
+func (e RateLimit) maxUtilization(list []arrival) float64 {
 	allowed := limitFactor*limitSpan.Seconds()*e.PerSecond + limitSlack
 	most := 0.0
 	for i, last := range list {
@@ -158,7 +160,7 @@
 }
 
 // rate is how many arrived a second between two moments.
-func rate(list []limitArrival, from, to time.Duration) float64 {
+func rate(list []arrival, from, to time.Duration) float64 {
 	n := 0.0
 	for _, a := range list {
 		if a.at >= from && a.at < to {
--- a/internal/fake/warmnet/limits_test.go
+++ b/internal/fake/warmnet/limits_test.go
@@ -23,13 +23,13 @@
 func TestServersThatAskForAPauseGetIt(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
 		l := load(t, "pausing")
-		l.Proxies = proxies
-		o := Play(l, steering.DefaultPlacer, 1)
-		t.Logf("%d proxies a region: at most %d requests in a pause of %d; %.3f in target, %d refused", proxies, o.Pauses.Most, o.Pauses.Asked, o.Share(), o.Refused)
-		if o.Pauses.Asked == 0 || o.Pauses.Most > inPauseMost {
-			t.Errorf("%d proxies a region: %d requests in one of %d pauses, want %d at most", proxies, o.Pauses.Most, o.Pauses.Asked, inPauseMost)
+		l.ProxiesPerRegion = proxies
+		o := Simulate(l, steering.DefaultPlacer, 1)
+		t.Logf("%d proxies a region: at most %d requests in a pause of %d; %.3f in target, %d refused", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, o.ShareWithinTarget(), o.Refused)
+		if o.Backoffs.Count == 0 || o.Backoffs.MaxRequests > inPauseMost {
+			t.Errorf("%d proxies a region: %d requests in one of %d pauses, want %d at most", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, inPauseMost)
 		}
-		if refused := float64(o.Refused) / float64(o.Asked); refused > refusedMost {
+		if refused := float64(o.Refused) / float64(o.Requests); refused > refusedMost {
 			t.Errorf("%d proxies a region: %.3f of the callers are refused, want %.3f at most", proxies, refused, refusedMost)
 		}
 	}
@@ -40,11 +40,11 @@
 func TestServerThatLeavesByItsOwnWordGetsNothingNew(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
 		l := load(t, "leaving")
-		l.Proxies = proxies
-		o := Play(l, steering.DefaultPlacer, 1)
-		t.Logf("%d proxies a region: %d requests after the bound, %d told; %.3f in target", proxies, o.Leaving.Requests, o.Leaving.Told, o.Share())
-		if o.Leaving.Told == 0 || o.Leaving.Requests > 0 {
-			t.Errorf("%d proxies a region: %d requests later than %s after one of %d was told, want none", proxies, o.Leaving.Requests, drainWithin, o.Leaving.Told)
+		l.ProxiesPerRegion = proxies
+		o := Simulate(l, steering.DefaultPlacer, 1)
+		t.Logf("%d proxies a region: %d requests after the bound, %d told; %.3f in target", proxies, o.Draining.LateRequests, o.Draining.ProxiesInformed, o.ShareWithinTarget())
+		if o.Draining.ProxiesInformed == 0 || o.Draining.LateRequests > 0 {
+			t.Errorf("%d proxies a region: %d requests later than %s after one of %d was told, want none", proxies, o.Draining.LateRequests, drainWithin, o.Draining.ProxiesInformed)
 		}
 	}
 }
@@ -53,13 +53,13 @@
 func TestServersGetNoMoreThanTheLimitThatTheyName(t *testing.T) {
 	for _, proxies := range []int{1, 3, 12} {
 		l := load(t, "limited")
-		l.Proxies = proxies
+		l.ProxiesPerRegion = proxies
 		for seed := range uint64(2) {
-			o := Play(l, steering.DefaultPlacer, seed+1)
+			o := Simulate(l, steering.DefaultPlacer, seed+1)
 			t.Logf("%d proxies a region: at most %.2f of what is allowed; %.2f of the limits in use, %.2f of the rate before from 4 s after; %.3f in target",
-				proxies, o.Limits.Most, o.Limits.Use, o.Limits.After, o.Share())
-			if o.Limits.Most > 1 {
-				t.Errorf("%d proxies a region: a server got %.2f times what is allowed in 4 s", proxies, o.Limits.Most)
+				proxies, o.RateLimits.MaxUtilization, o.RateLimits.MeanUtilization, o.RateLimits.RecoveredRate, o.ShareWithinTarget())
+			if o.RateLimits.MaxUtilization > 1 {
+				t.Errorf("%d proxies a region: a server got %.2f times what is allowed in 4 s", proxies, o.RateLimits.MaxUtilization)
 			}
 		}
 	}
@@ -70,7 +70,7 @@
 func TestFullHomesDoNotSpreadTheirLoad(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
 		l := load(t, "limited")
-		l.Proxies = proxies
+		l.ProxiesPerRegion = proxies
 		for i := range l.Regions {
 			l.Regions[i].PerSecond *= crowdedTimes
 		}
@@ -86,12 +86,12 @@
 // a region whose servers are full.
 func TestObjectsOfLimitedServersFailOver(t *testing.T) {
 	l := load(t, "limited")
-	l.Proxies = 12
+	l.ProxiesPerRegion = 12
 	for i := range l.Regions {
 		l.Regions[i].PerSecond *= crowdedTimes
 	}
 	share, worst, _ := mean(l, steering.DefaultPlacer)
-	l.Off = append(l.Off, steering.MechanismFailover)
+	l.MechanismsOff = append(l.MechanismsOff, steering.MechanismFailover)
 	without, worstWithout, _ := mean(l, steering.DefaultPlacer)
 	t.Logf("%.3f in target, %.3f of the worst region; without failover %.3f and %.3f", share, worst, without, worstWithout)
 	if share <= without || worst <= worstWithout {
--- a/internal/fake/warmnet/losses.go
+++ b/internal/fake/warmnet/losses.go
@@ -11,7 +11,7 @@
 const tickEvery = 100 * time.Millisecond
 
 // entry draws the proxy that a region's caller asks.
-func (w *world) entry(region string) (*steering.Kernel, string) {
+func (w *simulation) entry(region string) (*steering.Kernel, string) {
 	if list := w.proxies[region]; len(list) > 0 {
 		return list[w.random.IntN(len(list))], region
 	}
@@ -22,15 +22,15 @@
 }
 
 // strand takes the proxies of the stranded regions away.
-func (w *world) strand() {
-	for _, region := range w.load.Stranded {
+func (w *simulation) strand() {
+	for _, region := range w.load.ProxyLossRegions {
 		delete(w.proxies, region)
 	}
-	w.listed = slices.DeleteFunc(w.listed, func(p steering.Proxy) bool { return slices.Contains(w.load.Stranded, p.Region) })
+	w.listed = slices.DeleteFunc(w.listed, func(p steering.Proxy) bool { return slices.Contains(w.load.ProxyLossRegions, p.Region) })
 	w.each(func(k *steering.Kernel) { k.SetProxies(w.clock(), w.listed) })
 }
 
-func (w *world) tick() {
+func (w *simulation) tick() {
 	w.each(func(k *steering.Kernel) {
 		k.Tick(w.clock())
 		if grants := k.TakeSlotReplies(); len(grants) > 0 {
@@ -39,13 +39,13 @@
 		}
 	})
 	w.exchange()
-	if w.Now < w.load.Span.Std() {
+	if w.Now < w.load.Duration.Std() {
 		w.After(tickEvery, w.tick)
 	}
 }
 
 // each calls do for every live proxy, in order.
-func (w *world) each(do func(*steering.Kernel)) {
+func (w *simulation) each(do func(*steering.Kernel)) {
 	for _, r := range w.load.Regions {
 		for _, k := range w.proxies[r.Name] {
 			do(k)
@@ -54,29 +54,29 @@
 }
 
 // away reports whether a server is down for a while.
-func (w *world) away(s *server) bool {
-	if !w.load.Away.in(s.region, w.Now) {
+func (w *simulation) away(s *server) bool {
+	if !w.load.Outage.activeIn(s.region, w.Now) {
 		return false
 	}
 	first := slices.IndexFunc(w.servers, func(o *server) bool { return o.region == s.region })
-	return slices.Index(w.servers, s) < first+w.load.Away.Servers
+	return slices.Index(w.servers, s) < first+w.load.Outage.Servers
 }
 
 // leave takes the first server of each region away.
-func (w *world) leave() {
+func (w *simulation) leave() {
 	for _, r := range w.load.Regions {
 		w.remove(w.byID[serverID(r.Name, 0)])
 	}
 }
 
-func (w *world) remove(s *server) {
+func (w *simulation) remove(s *server) {
 	s.gone = true
 	w.each(func(k *steering.Kernel) { k.RemoveServer(w.clock(), s.id) })
 }
 
 // replace replaces the n-th server of each region, and then the next.
-func (w *world) replace(n int) {
-	if n >= w.load.Release.Servers {
+func (w *simulation) replace(n int) {
+	if n >= w.load.Rollout.Servers {
 		return
 	}
 	for _, r := range w.load.Regions {
@@ -90,5 +90,5 @@
 		w.byID[s.id] = s
 		w.each(func(k *steering.Kernel) { k.RegisterServer(w.clock(), w.registration(s)) })
 	}
-	w.After(w.load.Release.Gap.Std(), func() { w.replace(n + 1) })
+	w.After(w.load.Rollout.Interval.Std(), func() { w.replace(n + 1) })
 }
--- a/internal/fake/warmnet/pausing.go
+++ b/internal/fake/warmnet/pausing.go
@@ -7,56 +7,56 @@
 )
 
 type (
-	// Pausing is a time in which the first servers of a region refuse all requests and ask
+	// BackoffRequest is a time in which the first servers of a region refuse all requests and ask
 	// each proxy for a pause.
-	Pausing struct {
+	BackoffRequest struct {
 		Episode
-		Pause operator.Duration `json:"pause"`
+		Backoff operator.Duration `json:"pause"`
 	}
 
-	// Pauses is what servers got that had asked for a pause.
-	Pauses struct {
-		// Most is how many requests a proxy sent a server in a pause at most, from some
+	// BackoffStats is what servers got that had asked for a pause.
+	BackoffStats struct {
+		// MaxRequests is how many requests a proxy sent a server in a pause at most, from some
 		// time after it was asked for; Asked counts the pauses.
-		Most, Asked int
+		MaxRequests, Count int
 	}
 
-	// pauses notes what each proxy sends each server, and when the server asked for what.
-	pauses struct {
-		arrivals map[newsKey][]time.Duration
-		spans    map[newsKey][]pauseSpan
+	// backoffLog notes what each proxy sends each server, and when the server asked for what.
+	backoffLog struct {
+		arrivals map[serverProxy][]time.Duration
+		spans    map[serverProxy][]backoffPeriod
 	}
 
-	pauseSpan struct {
+	backoffPeriod struct {
 		from, to time.Duration
 	}
 )
 
-// pause is what a server asks for now, zero for nothing.
-func (l Load) pause(s *server, now time.Duration) time.Duration {
-	for _, p := range l.Pausing {
-		if p.strikes(s, now) {
-			return p.Pause.Std()
+// backoffRequest is what a server asks for now, zero for nothing.
+func (l Scenario) backoffRequest(s *server, now time.Duration) time.Duration {
+	for _, p := range l.BackoffRequests {
+		if p.affects(s, now) {
+			return p.Backoff.Std()
 		}
 	}
 	return 0
 }
 
-func (p *pauses) arrived(now time.Duration, server, proxy string) {
+func (p *backoffLog) arrived(now time.Duration, server, proxy string) {
 	if p.arrivals == nil {
-		p.arrivals, p.spans = make(map[newsKey][]time.Duration), make(map[newsKey][]pauseSpan)
+		p.arrivals, p.spans = make(map[serverProxy][]time.Duration), make(map[serverProxy][]backoffPeriod)
 	}
-	p.arrivals[newsKey{server, proxy}] = append(p.arrivals[newsKey{server, proxy}], now)
+	p.arrivals[serverProxy{server, proxy}] = append(p.arrivals[serverProxy{server, proxy}], now)
 }
 
-func (p *pauses) asked(now, pause time.Duration, server, proxy string) {
-	p.spans[newsKey{server, proxy}] = append(p.spans[newsKey{server, proxy}], pauseSpan{now + heedWithin, now + pause})
+func (p *backoffLog) asked(now, pause time.Duration, server, proxy string) {
+	p.spans[serverProxy{server, proxy}] = append(p.spans[serverProxy{server, proxy}], backoffPeriod{now + heedWithin, now + pause})
 }
 
 // judge sums up what came in pauses.
-func (p *pauses) judge() (out Pauses) {
+func (p *backoffLog) judge() (out BackoffStats) {
 	for key, spans := range p.spans {
-		out.Asked += len(spans)
+		out.Count += len(spans)
 		for _, span := range spans {
 			n := 0
 			for _, at := range p.arrivals[key] {
@@ -64,7 +64,7 @@
 					n++
 				}
 			}
-			out.Most = max(out.Most, n)
+			out.MaxRequests = max(out.MaxRequests, n)
 		}
 	}
 	return out
--- a/internal/fake/warmnet/play.go
+++ b/internal/fake/warmnet/play.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// AllSeeing is a placer of this package: it knows every server's queue and
+	// Oracle is a placer of this package: it knows every server's queue and
 	// memory as they are and takes the server that answers first. It is greedy,
 	// so a plan for the objects may do a little better.
-	AllSeeing = "all-seeing"
+	Oracle = "all-seeing"
 
 	service  = "service"
 	host     = "host"
@@ -30,34 +30,34 @@
 )
 
 type (
-	world struct {
+	simulation struct {
 		schedule.Schedule
-		load    Load
+		load    Scenario
 		random  *rand.Rand
 		servers []*server
 		byID    map[string]*server
 		proxies map[string][]*steering.Kernel
 		// listed are the proxies that know of each other.
 		listed  []steering.Proxy
-		out     Outcome
+		out     Result
 		inRange map[string]int
 		asked   map[string]int
 		oracle  bool
 		// holds passes what proxies tell each other of gates.
-		holds  holds
+		holds  slotMessages
 		record func(steering.Call)
 		// upTo sums how often the objects up to each one are asked for, if they
 		// differ.
 		upTo   []float64
-		shares shares
-		ends   ends
-		limits limits
+		shares regionCounts
+		ends   crashState
+		limits rateLimitLog
 		// leaves are when proxies heard that servers leave.
-		leaves news
-		pauses pauses
+		leaves firstHeard
+		pauses backoffLog
 	}
 
-	job struct {
+	request struct {
 		kernel *steering.Kernel
 		flight *steering.ActiveRequest
 		// region is the caller's, entry that of the proxy that it asks.
@@ -76,17 +76,17 @@
 	}
 )
 
-// Play plays a load with a placer. Equal arguments give equal outcomes.
-func Play(l Load, placer string, seed uint64) Outcome { return play(l, placer, seed, nil) }
+// Simulate plays a load with a placer. Equal arguments give equal outcomes.
+func Simulate(l Scenario, placer string, seed uint64) Result { return simulate(l, placer, seed, nil) }
 
-// play does so and records the calls of the first proxy's kernel.
-func play(l Load, placer string, seed uint64, record func(steering.Call)) Outcome {
-	w := &world{
+// simulate does so and records the calls of the first proxy's kernel.
+func simulate(l Scenario, placer string, seed uint64, record func(steering.Call)) Result {
+	w := &simulation{
 		record: record,
 		load:   l, random: rand.New(rand.NewPCG(seed, 1)), byID: make(map[string]*server),
 		proxies: make(map[string][]*steering.Kernel), inRange: make(map[string]int), asked: make(map[string]int),
-		shares: make(shares),
-		oracle: placer == AllSeeing,
+		shares: make(regionCounts),
+		oracle: placer == Oracle,
 	}
 	if w.oracle {
 		placer = steering.DefaultPlacer
@@ -95,51 +95,51 @@
 	for i, r := range l.Regions {
 		w.arrivals(i, r)
 	}
-	if l.Leave > 0 {
-		w.After(l.Leave.Std(), w.leave)
+	if l.RemoveAt > 0 {
+		w.After(l.RemoveAt.Std(), w.leave)
 	}
-	if l.Release != nil {
-		w.After(l.Release.From.Std(), func() { w.replace(0) })
+	if l.Rollout != nil {
+		w.After(l.Rollout.From.Std(), func() { w.replace(0) })
 	}
-	if len(l.Stranded) > 0 {
-		w.After(l.StrandAt.Std(), w.strand)
+	if len(l.ProxyLossRegions) > 0 {
+		w.After(l.ProxyLossAt.Std(), w.strand)
 	}
-	if l.hasEnds() {
+	if l.hasCrashes() {
 		w.playEnds()
 	}
 	w.playLeaving()
-	if len(l.Stranded) > 0 || l.Knee > 0 || l.hasEnds() || l.asksOfSenders() {
+	if len(l.ProxyLossRegions) > 0 || l.Knee > 0 || l.hasCrashes() || l.hasBackpressure() {
 		w.After(tickEvery, w.tick)
 	}
 	for w.Next() {
 	}
-	w.out.ByRegion = make(map[string]float64)
+	w.out.WithinTargetByRegion = make(map[string]float64)
 	for region, n := range w.asked {
-		w.out.ByRegion[region] = float64(w.inRange[region]) / float64(max(1, n))
+		w.out.WithinTargetByRegion[region] = float64(w.inRange[region]) / float64(max(1, n))
 	}
-	w.out.Shifted = w.shares.shifted()
-	w.out.Limits, w.out.Pauses = w.limits.judge(l.Limited), w.pauses.judge()
-	slices.Sort(w.out.Times)
+	w.out.MaxRegionShift = w.shares.shifted()
+	w.out.RateLimits, w.out.Backoffs = w.limits.judge(l.RateLimits), w.pauses.judge()
+	slices.Sort(w.out.Latencies)
 	return w.out
 }
 
-func (w *world) clock() time.Time { return time.Unix(1_000_000, 0).Add(w.Now) }
+func (w *simulation) clock() time.Time { return time.Unix(1_000_000, 0).Add(w.Now) }
 
-func (w *world) build(placer string, seed uint64) {
+func (w *simulation) build(placer string, seed uint64) {
 	regionOf := make(map[string]string)
 	for _, r := range w.load.Regions {
 		regionOf[r.Name+"-a"] = r.Name
 		for i := range r.Servers {
 			s := &server{id: serverID(r.Name, i), region: r.Name, number: i, slow: 1}
-			if n := len(w.load.Speeds); n > 0 {
-				s.slow = w.load.Speeds[len(w.servers)%n]
+			if n := len(w.load.ServiceTimeFactors); n > 0 {
+				s.slow = w.load.ServiceTimeFactors[len(w.servers)%n]
 			}
 			w.servers = append(w.servers, s)
 			w.byID[s.id] = s
 		}
 	}
 	for _, r := range w.load.Regions {
-		for i := range w.load.Proxies {
+		for i := range w.load.ProxiesPerRegion {
 			w.listed = append(w.listed, steering.Proxy{Name: fmt.Sprintf("%s-proxy-%d", r.Name, i), Domain: r.Name + "-a", Region: r.Name})
 		}
 	}
@@ -150,7 +150,7 @@
 		}
 		k := steering.New(steering.Config{
 			Record: record,
-			Name:   p.Name, Domain: p.Domain, Off: w.load.Off, EndsToCondemn: w.load.EndsToCondemn, Region: p.Region, RegionOf: regionOf, Placer: placer, Seed: [32]byte{byte(i), byte(seed), byte(i >> 8)},
+			Name:   p.Name, Domain: p.Domain, Off: w.load.MechanismsOff, EndsToCondemn: w.load.QuarantineThreshold, Region: p.Region, RegionOf: regionOf, Placer: placer, Seed: [32]byte{byte(i), byte(seed), byte(i >> 8)},
 			Bounds: steering.Bounds{
 				Retry: steering.RetryBudget{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}, ColdFactor: 1.5, ColdSlack: 5,
 			},
@@ -161,12 +161,12 @@
 	}
 }
 
-func (w *world) configure(k *steering.Kernel, region string) {
+func (w *simulation) configure(k *steering.Kernel, region string) {
 	route := &routing.Route{
-		Name: "route", Host: host, Prefix: "/", Idempotent: true, Attempts: 2, Sticky: !w.load.Plain,
-		Timeout: w.load.Timeout.Std(), Target: w.load.Target.Std(), Parts: []routing.WeightedService{{Service: service, Weight: 1}},
+		Name: "route", Host: host, Prefix: "/", Idempotent: true, Attempts: 2, Sticky: !w.load.NotSticky,
+		Timeout: w.load.Timeout.Std(), Target: w.load.LatencyTarget.Std(), Parts: []routing.WeightedService{{Service: service, Weight: 1}},
 	}
-	bounds := &routing.Service{Name: service, Connections: w.load.Connections}
+	bounds := &routing.Service{Name: service, Connections: w.load.MaxConnections}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, []*routing.Service{bounds}, routing.Limits{}).WithAccounts(w.accounts()))
 	for _, s := range w.servers {
 		k.RegisterServer(w.clock(), w.registration(s))
@@ -175,15 +175,15 @@
 }
 
 // accounts are those of the callers, if some are bound to a region.
-func (w *world) accounts() *account.Table {
-	if w.load.Bound == 0 {
+func (w *simulation) accounts() *account.Table {
+	if w.load.RestrictedShare == 0 {
 		return nil
 	}
 	var list []*account.Account
 	for i := range accountsInAll {
 		a := &account.Account{Name: strconv.Itoa(i), Keys: []account.Key{accountKey(i)}}
-		if float64(i) < w.load.Bound*accountsInAll {
-			a.Regions = []string{w.load.BoundTo}
+		if float64(i) < w.load.RestrictedShare*accountsInAll {
+			a.Regions = []string{w.load.RestrictedTo}
 		}
 		list = append(list, a)
 	}
@@ -196,11 +196,11 @@
 	return key
 }
 
-func (w *world) registration(s *server) routing.Server {
-	return routing.Server{ID: s.id, Service: service, Domain: s.region + "-a", Slots: w.load.Slots}
+func (w *simulation) registration(s *server) routing.Server {
+	return routing.Server{ID: s.id, Service: service, Domain: s.region + "-a", Slots: w.load.SlotsPerServer}
 }
 
-func (w *world) roundTrip(a, b string) time.Duration {
+func (w *simulation) roundTrip(a, b string) time.Duration {
 	if a == b {
 		return time.Millisecond
 	}
@@ -208,19 +208,19 @@
 }
 
 // arrivals makes one region's callers ask, at random moments.
-func (w *world) arrivals(i int, r Region) {
-	most := r.PerSecond * (1 + w.load.Swing)
+func (w *simulation) arrivals(i int, r Region) {
+	most := r.PerSecond * (1 + w.load.RateAmplitude)
 	if w.load.Surge != nil {
-		most *= max(1, w.load.Surge.Times)
+		most *= max(1, w.load.Surge.RateFactor)
 	}
 	pause := func() time.Duration { return time.Duration(w.random.ExpFloat64() / most * float64(time.Second)) }
 	var next func()
 	next = func() {
-		if w.Now >= w.load.Span.Std() {
+		if w.Now >= w.load.Duration.Std() {
 			return
 		}
 		// Moments at the highest rate are thinned out to the rate of now.
-		if w.load.even() || w.random.Float64()*most < r.PerSecond*w.wave(i) {
+		if w.load.constantRate() || w.random.Float64()*most < r.PerSecond*w.wave(i) {
 			w.ask(i, r.Name)
 		}
 		w.After(pause(), next)
@@ -229,42 +229,42 @@
 }
 
 // wave is a region's rate now, as a part of its mean.
-func (w *world) wave(i int) float64 {
-	if w.Now < w.load.Calm.Std() {
+func (w *simulation) wave(i int) float64 {
+	if w.Now < w.load.HalfRateUntil.Std() {
 		return calmShare
 	}
-	if w.load.Surge.in(w.load.Regions[i].Name, w.Now) {
-		return w.load.Surge.Times
+	if w.load.Surge.activeIn(w.load.Regions[i].Name, w.Now) {
+		return w.load.Surge.RateFactor
 	}
-	if w.load.Swing == 0 {
+	if w.load.RateAmplitude == 0 {
 		return 1
 	}
-	turns := w.Now.Seconds()/w.load.Period.Std().Seconds() + float64(i)/float64(len(w.load.Regions))
-	return 1 + w.load.Swing*math.Sin(2*math.Pi*turns)
+	turns := w.Now.Seconds()/w.load.RatePeriod.Std().Seconds() + float64(i)/float64(len(w.load.Regions))
+	return 1 + w.load.RateAmplitude*math.Sin(2*math.Pi*turns)
 }
 
-func (w *world) ask(i int, region string) {
-	w.out.Asked++
+func (w *simulation) ask(i int, region string) {
+	w.out.Requests++
 	w.asked[region]++
 	object := ""
-	if !w.load.Anonymous {
-		object = strconv.FormatInt(int64(i*w.load.Objects+w.draw()), 16)
+	if !w.load.NoObjects {
+		object = strconv.FormatInt(int64(i*w.load.ObjectsPerRegion+w.draw()), 16)
 	}
-	j := &job{region: region, began: w.Now, object: object, returns: w.load.Returns}
-	if w.load.Bound > 0 {
+	j := &request{region: region, began: w.Now, object: object, returns: w.load.MaxRetries}
+	if w.load.RestrictedShare > 0 {
 		j.credential = account.Credential{State: account.CredentialPresent, Key: accountKey(w.random.IntN(accountsInAll))}
 	}
 	w.begin(j)
 }
 
 // draw draws an object among those of one region.
-func (w *world) draw() int {
+func (w *simulation) draw() int {
 	if w.load.Skew == 0 {
-		return w.random.IntN(w.load.Objects)
+		return w.random.IntN(w.load.ObjectsPerRegion)
 	}
 	if len(w.upTo) == 0 {
 		sum := 0.0
-		for n := range w.load.Objects {
+		for n := range w.load.ObjectsPerRegion {
 			sum += math.Pow(float64(n+1), -w.load.Skew)
 			w.upTo = append(w.upTo, sum)
 		}
@@ -274,7 +274,7 @@
 }
 
 // begin brings a caller to one of its region's proxies, or to any if it has none.
-func (w *world) begin(j *job) {
+func (w *simulation) begin(j *request) {
 	j.kernel, j.entry = w.entry(j.region)
 	j.asked = w.Now
 	if j.entry == j.region {
@@ -284,13 +284,13 @@
 	w.After(w.roundTrip(j.region, j.entry)/2, func() { w.receive(j) })
 }
 
-func (w *world) receive(j *job) {
-	flight, decision := j.kernel.BeginRequest(w.clock(), steering.Request{ID: strconv.Itoa(w.out.Asked), Host: host, Path: "/", Object: j.object, Work: workOf(j.object), Credential: j.credential})
+func (w *simulation) receive(j *request) {
+	flight, decision := j.kernel.BeginRequest(w.clock(), steering.Request{ID: strconv.Itoa(w.out.Requests), Host: host, Path: "/", Object: j.object, Work: workOf(j.object), Credential: j.credential})
 	j.flight = flight
 	w.follow(j, decision)
 }
 
-func (w *world) follow(j *job, d steering.Decision) {
+func (w *simulation) follow(j *request, d steering.Decision) {
 	if d.SlotRelease != nil {
 		w.release(j.entry, *d.SlotRelease)
 	}
@@ -323,22 +323,22 @@
 }
 
 // best is the all-seeing choice: the server that answers first.
-func (w *world) best(j *job) *server {
+func (w *simulation) best(j *request) *server {
 	var best *server
 	least := time.Duration(math.MaxInt64)
 	for _, s := range w.servers {
 		if s.gone || w.away(s) {
 			continue
 		}
-		work := time.Duration(float64(w.load.Work.Std()) * w.slowness(s))
-		warm := time.Duration(float64(work) * w.load.WarmShare)
+		work := time.Duration(float64(w.load.ServiceTime.Std()) * w.slowness(s))
+		warm := time.Duration(float64(work) * w.load.WarmFactor)
 		if s.knows(j.flight.Object) {
 			work = warm
 		} else {
 			work += warm
 		}
-		busy := max(0, s.running+len(s.waiting)+1-w.load.Slots)
-		took := w.roundTrip(j.entry, s.region) + work + time.Duration(busy)*warm/time.Duration(w.load.Slots)
+		busy := max(0, s.running+len(s.waiting)+1-w.load.SlotsPerServer)
+		took := w.roundTrip(j.entry, s.region) + work + time.Duration(busy)*warm/time.Duration(w.load.SlotsPerServer)
 		if took < least {
 			best, least = s, took
 		}
@@ -346,67 +346,67 @@
 	return best
 }
 
-func (w *world) answered(j *job) {
+func (w *simulation) answered(j *request) {
 	took := w.Now - j.began
-	w.out.Times = append(w.out.Times, took)
-	if took <= w.load.Target.Std() {
-		w.out.InTarget++
+	w.out.Latencies = append(w.out.Latencies, took)
+	if took <= w.load.LatencyTarget.Std() {
+		w.out.WithinTarget++
 		w.inRange[j.region]++
 		return
 	}
 	w.out.Late++
 }
 
-func (w *world) arrive(j *job) {
+func (w *simulation) arrive(j *request) {
 	s := j.server
 	w.limits.arrived(w.Now, s.id, j.kernel.Name())
 	w.left(j)
 	w.pauses.arrived(w.Now, s.id, j.kernel.Name())
-	refuses := w.Now >= w.load.RefuseFrom.Std() && w.Now < w.load.RefuseTo.Std() && w.random.Float64() < w.load.RefuseShare
+	refuses := w.Now >= w.load.RefuseFrom.Std() && w.Now < w.load.RefuseTo.Std() && w.random.Float64() < w.load.RefuseRatio
 	switch {
 	case w.away(s):
 		s.recent = nil
 		w.end(j, steering.ResultUnreachable)
 	case s.ended:
 		w.endWith(j, steering.Attempt{Result: steering.ResultUnreachable, Refusing: true})
-	case w.load.pause(s, w.Now) > 0:
-		w.pauses.asked(w.Now, w.load.pause(s, w.Now), s.id, j.kernel.Name())
+	case w.load.backoffRequest(s, w.Now) > 0:
+		w.pauses.asked(w.Now, w.load.backoffRequest(s, w.Now), s.id, j.kernel.Name())
 		w.end(j, steering.ResultRefused)
-	case s.gone || refuses || s.running >= w.load.Slots && len(s.waiting) >= w.load.Queue:
+	case s.gone || refuses || s.running >= w.load.SlotsPerServer && len(s.waiting) >= w.load.QueueCapacity:
 		w.end(j, steering.ResultRefused)
-	case s.running < w.load.Slots:
+	case s.running < w.load.SlotsPerServer:
 		w.run(j)
 	default:
 		s.waiting = append(s.waiting, j)
 	}
 }
 
-func (w *world) run(j *job) {
+func (w *simulation) run(j *request) {
 	s := j.server
 	s.running++
 	s.now = append(s.now, j)
 	if j.deadly {
-		w.After(w.load.Deadly.After.Std(), func() { w.deadlyRan(j, s) })
+		w.After(w.load.CrashingRequests.Delay.Std(), func() { w.deadlyRan(j, s) })
 		return
 	}
-	work := float64(w.load.Work.Std()) * w.slowness(s) * w.vary()
-	if w.load.Knee > 0 && float64(s.running) > w.load.Knee*float64(w.load.Slots) {
-		work *= w.load.KneeTimes
+	work := float64(w.load.ServiceTime.Std()) * w.slowness(s) * w.vary()
+	if w.load.Knee > 0 && float64(s.running) > w.load.Knee*float64(w.load.SlotsPerServer) {
+		work *= w.load.KneeFactor
 	}
 	if s.knows(j.flight.Object) {
-		work *= w.load.WarmShare
+		work *= w.load.WarmFactor
 	} else {
-		w.out.First++
+		w.out.ColdRuns++
 	}
-	s.remember(j.flight.Object, w.load.Remember)
+	s.remember(j.flight.Object, w.load.CacheCapacity)
 	w.After(time.Duration(work), func() {
 		if s.ended {
 			return
 		}
 		s.running--
-		s.now = slices.DeleteFunc(s.now, func(other *job) bool { return other == j })
+		s.now = slices.DeleteFunc(s.now, func(other *request) bool { return other == j })
 		w.end(j, steering.ResultAnswered)
-		for len(s.waiting) > 0 && s.running < w.load.Slots {
+		for len(s.waiting) > 0 && s.running < w.load.SlotsPerServer {
 			next := s.waiting[0]
 			s.waiting = s.waiting[1:]
 			if w.clock().After(next.flight.ExpiresAt) {
@@ -419,25 +419,25 @@
 }
 
 // slowness is how many times as long a server takes now.
-func (w *world) slowness(s *server) float64 {
+func (w *simulation) slowness(s *server) float64 {
 	if s.number < max(1, w.load.SlowServers) && w.Now >= w.load.SlowFrom.Std() && w.Now < w.load.SlowTo.Std() {
-		return s.slow * w.load.SlowBy
+		return s.slow * w.load.SlowFactor
 	}
 	return s.slow
 }
 
 // vary is one request's work as a part of the mean.
-func (w *world) vary() float64 {
-	if w.load.Spread > 0 {
-		return math.Exp(w.load.Spread*w.random.NormFloat64() - w.load.Spread*w.load.Spread/2)
+func (w *simulation) vary() float64 {
+	if w.load.ServiceTimeSigma > 0 {
+		return math.Exp(w.load.ServiceTimeSigma*w.random.NormFloat64() - w.load.ServiceTimeSigma*w.load.ServiceTimeSigma/2)
 	}
 	return 1 + workVary*(2*w.random.Float64()-1)
 }
 
 // end brings the result back to the proxy.
-func (w *world) end(j *job, result steering.Result) {
+func (w *simulation) end(j *request, result steering.Result) {
 	attempt := steering.Attempt{Result: result}
-	if !w.load.Mute && result != steering.ResultConnectionLost {
+	if !w.load.NoLoadReports && result != steering.ResultConnectionLost {
 		attempt.Loaded, attempt.Running, attempt.Waiting = true, j.server.running, len(j.server.waiting)
 		if result == steering.ResultAnswered {
 			// A server that answers counts the request that it answers.
@@ -448,7 +448,7 @@
 }
 
 // endWith brings an attempt's end back to the proxy.
-func (w *world) endWith(j *job, attempt steering.Attempt) {
+func (w *simulation) endWith(j *request, attempt steering.Attempt) {
 	attempt.Signal = w.signal(j.server, attempt.Result)
 	w.After(w.roundTrip(j.entry, j.server.region)/2, func() {
 		w.told(j, attempt.Signal)
--- a/internal/fake/warmnet/replay_test.go
+++ b/internal/fake/warmnet/replay_test.go
@@ -15,7 +15,7 @@
 	var recording bytes.Buffer
 	var calls []steering.Call
 	encoder := json.NewEncoder(&recording)
-	play(load(t, name), steering.DefaultPlacer, 1, func(c steering.Call) {
+	simulate(load(t, name), steering.DefaultPlacer, 1, func(c steering.Call) {
 		calls = append(calls, c)
 		if err := encoder.Encode(c); err != nil {
 			t.Fatal(err)
--- a/internal/fake/warmnet/server.go
+++ b/internal/fake/warmnet/server.go
@@ -11,9 +11,9 @@
 		// number counts the servers of a region.
 		number  int
 		running int
-		waiting []*job
+		waiting []*request
 		// now are the jobs that it runs.
-		now    []*job
+		now    []*request
 		recent []string
 		gone   bool
 		// ended servers refuse connections; starts counts those that took this one's place.
--- a/internal/fake/warmnet/shares.go
+++ b/internal/fake/warmnet/shares.go
@@ -14,12 +14,12 @@
 )
 
 type (
-	// shares counts where the requests of each region's callers are sent, by window.
-	shares map[string][]map[string]int
+	// regionCounts counts where the requests of each region's callers are sent, by window.
+	regionCounts map[string][]map[string]int
 )
 
 // sent counts a request of a region's caller that is sent to a server's region.
-func (s shares) sent(now time.Duration, from, to string) {
+func (s regionCounts) sent(now time.Duration, from, to string) {
 	n := int(now / shareWindow)
 	for len(s[from]) <= n {
 		s[from] = append(s[from], make(map[string]int))
@@ -29,7 +29,7 @@
 
 // shifted is the largest part of a region's requests that went to another region than
 // in the window before.
-func (s shares) shifted() float64 {
+func (s regionCounts) shifted() float64 {
 	most := 0.0
 	for _, windows := range s {
 		for n := 1; n < len(windows); n++ {
--- a/internal/fake/warmnet/warmnet_test.go
+++ b/internal/fake/warmnet/warmnet_test.go
@@ -8,9 +8,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-func load(t *testing.T, name string) Load {
+func load(t *testing.T, name string) Scenario {
 	t.Helper()
-	l, err := ReadLoad(filepath.Join("testdata", name+".json"))
+	l, err := ReadScenario(filepath.Join("testdata", name+".json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,13 +18,13 @@
 }
 
 // mean plays a load with a few seeds.
-func mean(l Load, placer string) (share, worst, first float64) {
+func mean(l Scenario, placer string) (share, worst, first float64) {
 	const seeds = 3
 	for seed := range uint64(seeds) {
-		o := Play(l, placer, seed+1)
-		share += o.Share() / seeds
-		worst += o.Worst() / seeds
-		first += float64(o.First) / seeds
+		o := Simulate(l, placer, seed+1)
+		share += o.ShareWithinTarget() / seeds
+		worst += o.WorstRegionShare() / seeds
+		first += float64(o.ColdRuns) / seeds
 	}
 	return share, worst, first
 }
@@ -37,9 +37,9 @@
 		t.Run(name, func(t *testing.T) {
 			l := load(t, name)
 			share, worst, first := mean(l, steering.DefaultPlacer)
-			bound, boundWorst, boundFirst := mean(l, AllSeeing)
+			bound, boundWorst, boundFirst := mean(l, Oracle)
 			t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f first runs", "homes", share, worst, first)
-			t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f first runs", AllSeeing, bound, boundWorst, boundFirst)
+			t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f first runs", Oracle, bound, boundWorst, boundFirst)
 			for _, placer := range steering.Placers() {
 				if placer == steering.DefaultPlacer {
 					continue
@@ -62,7 +62,7 @@
 
 func TestPlaysRepeat(t *testing.T) {
 	l := load(t, "heavy")
-	if a, b := Play(l, steering.DefaultPlacer, 7), Play(l, steering.DefaultPlacer, 7); !reflect.DeepEqual(a, b) {
+	if a, b := Simulate(l, steering.DefaultPlacer, 7), Simulate(l, steering.DefaultPlacer, 7); !reflect.DeepEqual(a, b) {
 		t.Error("two plays with the same seed differ")
 	}
 }
@@ -106,8 +106,8 @@
 // The work of single requests differs by a factor of three, and servers don't
 // tell their load. A long answer must not pass for a queue: none need be refused.
 func TestUnevenWorkIsNoOverload(t *testing.T) {
-	if o := Play(load(t, "uneven-mute"), steering.DefaultPlacer, 1); o.Refused > o.Asked/200 {
-		t.Errorf("%d of %d requests refused, want hardly any", o.Refused, o.Asked)
+	if o := Simulate(load(t, "uneven-mute"), steering.DefaultPlacer, 1); o.Refused > o.Requests/200 {
+		t.Errorf("%d of %d requests refused, want hardly any", o.Refused, o.Requests)
 	}
 }
 
@@ -126,7 +126,7 @@
 func TestCallersOfRegionsWithoutProxiesAreServedInTime(t *testing.T) {
 	for name, want := range map[string]float64{"stranded-one": 0.97, "stranded": 0.85} {
 		share, _, _ := mean(load(t, name), steering.DefaultPlacer)
-		bound, _, _ := mean(load(t, name), AllSeeing)
+		bound, _, _ := mean(load(t, name), Oracle)
 		if share < want || share < 0.95*bound {
 			t.Errorf("%s: %.3f within the target, want %.2f and 0.95 of the all-seeing %.3f at least", name, share, want, bound)
 		}
@@ -173,7 +173,7 @@
 	if share < 0.91 || worst < 0.88 {
 		t.Errorf("%.3f within the target, %.3f in the worst region; want 0.91 and 0.88 at least", share, worst)
 	}
-	l.Off = []steering.Mechanism{steering.MechanismReplicas}
+	l.MechanismsOff = []steering.Mechanism{steering.MechanismReplicas}
 	if without, _, _ := mean(l, steering.DefaultPlacer); share < 1.15*without {
 		t.Errorf("%.3f within the target, want 1.15 times the %.3f of one home each", share, without)
 	}
@@ -189,9 +189,9 @@
 			l := load(t, name)
 			// Holding back is not in use where deployed: it denies more of what comes from
 			// far, and moves up to 0.19 where a whole service is slow.
-			l.Off = []steering.Mechanism{steering.MechanismConcurrencyLimit}
-			if o := Play(l, steering.DefaultPlacer, seed+1); o.Shifted > 0.15 {
-				t.Errorf("%s, seed %d: %.2f of a region's requests changed the region within two seconds, want 0.15 at most", name, seed+1, o.Shifted)
+			l.MechanismsOff = []steering.Mechanism{steering.MechanismConcurrencyLimit}
+			if o := Simulate(l, steering.DefaultPlacer, seed+1); o.MaxRegionShift > 0.15 {
+				t.Errorf("%s, seed %d: %.2f of a region's requests changed the region within two seconds, want 0.15 at most", name, seed+1, o.MaxRegionShift)
 			}
 		}
 	}
@@ -217,7 +217,7 @@
 	if share < 0.45 || worst < 0.38 {
 		t.Errorf("%.3f within the target, %.3f in the worst region; want 0.45 and 0.38 at least", share, worst)
 	}
-	l.Off = []steering.Mechanism{steering.MechanismConcurrencyLimit}
+	l.MechanismsOff = []steering.Mechanism{steering.MechanismConcurrencyLimit}
 	if without, _, _ := mean(l, steering.DefaultPlacer); share < 3*without {
 		t.Errorf("%.3f within the target, want three times the %.3f without holding back", share, without)
 	}
