--- a/internal/fake/limitnet/play.go
+++ b/internal/fake/limitnet/play.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	sameDomain  = 100 * time.Microsecond
-	sameRegion  = 900 * time.Microsecond
-	otherRegion = 35 * time.Millisecond
-	// reportLost and tokenLost are when a proxy gives up on an answer.
-	reportLost = 250 * time.Millisecond
-	tokenLost  = 150 * time.Millisecond
-	// keepConnection is the part of its requests that a client sends to the proxy of the
+	sameDomainDelay  = 100 * time.Microsecond
+	sameRegionDelay  = 900 * time.Microsecond
+	crossRegionDelay = 35 * time.Millisecond
+	// reportTimeout and tokenTimeout are when a proxy gives up on an answer.
+	reportTimeout = 250 * time.Millisecond
+	tokenTimeout  = 150 * time.Millisecond
+	// connectionReuse is the part of its requests that a client sends to the proxy of the
 	// one before.
-	keepConnection = 0.8
-	// returnFor is how long a refused caller may be told to stay away and still come back.
-	returnFor = 1500 * time.Millisecond
-	// lead is how long the proxies run before the first request.
-	lead = 5 * time.Second
-	// pauseAfter is how long a pool that did not answer is passed over.
-	pauseAfter = 2 * time.Second
+	connectionReuse = 0.8
+	// maxRetryWait is how long a refused caller may be told to stay away and still come back.
+	maxRetryWait = 1500 * time.Millisecond
+	// warmUp is how long the proxies run before the first request.
+	warmUp = 5 * time.Second
+	// unresponsivePoolBackoff is how long a pool that did not answer is passed over.
+	unresponsivePoolBackoff = 2 * time.Second
 )
 
 type (
 	simulation struct {
 		schedule.Schedule
-		load    Scenario
-		way     Strategy
-		random  *rand.Rand
-		proxies []*proxy
-		byName  map[string]*proxy
+		scenario Scenario
+		strategy Strategy
+		random   *rand.Rand
+		proxies  []*proxy
+		byName   map[string]*proxy
 		// domains are the proxies of each failure domain, regions those of each region.
 		domains map[int][]*proxy
 		regions map[int][]*proxy
@@ -42,26 +42,26 @@
 		limits map[string]ratelimit.Limit
 		// owed, kept and allowed are single buckets that see all requests: of the limit, of
 		// what is kept to, and of what is allowed.
-		owed, kept, allowed map[string]*referenceBucket
-		out                 Result
-		reports, asks       int
+		conforming, enforced, allowed  map[string]*referenceBucket
+		result                         Result
+		reportCount, tokenRequestCount int
 	}
 
 	proxy struct {
-		name   string
-		region int
-		domain int
-		holder *ratelimit.Limiter
-		pool   *ratelimit.Pool
-		cut    bool
-		down   bool
-		start  int
-		silent map[string]time.Duration
+		name              string
+		region            int
+		domain            int
+		limiter           *ratelimit.Limiter
+		pool              *ratelimit.Pool
+		partitioned       bool
+		down              bool
+		incarnation       int
+		unresponsiveUntil map[string]time.Duration
 	}
 
 	client struct {
-		domain int
-		last   *proxy
+		domain    int
+		lastProxy *proxy
 	}
 
 	// referenceBucket is a token bucket that may be overdrawn.
@@ -72,11 +72,11 @@
 )
 
 // Simulate plays a load. Equal arguments give equal outcomes.
-func Simulate(l Scenario, way Strategy, seed uint64) Result {
+func Simulate(l Scenario, strategy Strategy, seed uint64) Result {
 	w := &simulation{
 		byName: make(map[string]*proxy), domains: make(map[int][]*proxy), regions: make(map[int][]*proxy),
-		load: l, way: way, random: rand.New(rand.NewPCG(seed, 1)), limits: make(map[string]ratelimit.Limit),
-		owed: make(map[string]*referenceBucket), kept: make(map[string]*referenceBucket), allowed: make(map[string]*referenceBucket),
+		scenario: l, strategy: strategy, random: rand.New(rand.NewPCG(seed, 1)), limits: make(map[string]ratelimit.Limit),
+		conforming: make(map[string]*referenceBucket), enforced: make(map[string]*referenceBucket), allowed: make(map[string]*referenceBucket),
 	}
 	for i := range l.Proxies {
 		p := &proxy{name: "proxy-" + strconv.Itoa(i), region: i % l.Regions, domain: i % (2 * l.Regions)}
@@ -84,95 +84,95 @@
 		w.byName[p.name] = p
 		w.domains[p.domain] = append(w.domains[p.domain], p)
 		w.regions[p.region] = append(w.regions[p.region], p)
-		w.begin(p)
+		w.startProxy(p)
 	}
 	for i, rate := range l.rates() {
-		w.account(i, rate)
+		w.addAccount(i, rate)
 	}
-	w.faults()
-	for w.Next() && w.Now < lead+l.For {
+	w.scheduleFaults()
+	for w.Next() && w.Now < warmUp+l.For {
 	}
-	seconds := (lead + l.For).Seconds() * float64(l.Proxies)
-	w.out.ReportRate, w.out.TokenRequestRate = float64(w.reports)/seconds, float64(w.asks)/seconds
-	return w.out
+	seconds := (warmUp + l.For).Seconds() * float64(l.Proxies)
+	w.result.ReportRate, w.result.TokenRequestRate = float64(w.reportCount)/seconds, float64(w.tokenRequestCount)/seconds
+	return w.result
 }
 
 func (w *simulation) clock() time.Time { return time.Unix(1_000_000, 0).Add(w.Now) }
 
-// begin starts a proxy's process.
-func (w *simulation) begin(p *proxy) {
-	p.start++
-	p.down, p.silent = false, make(map[string]time.Duration)
-	p.holder = ratelimit.NewLimiter(p.name, w.clock())
-	p.pool = ratelimit.NewPool(uint64(p.start), w.clock())
+// startProxy starts a proxy's process.
+func (w *simulation) startProxy(p *proxy) {
+	p.incarnation++
+	p.down, p.unresponsiveUntil = false, make(map[string]time.Duration)
+	p.limiter = ratelimit.NewLimiter(p.name, w.clock())
+	p.pool = ratelimit.NewPool(uint64(p.incarnation), w.clock())
 	limits := func(account string) ratelimit.Limit { return w.limits[account].WithOverage(overage) }
-	p.holder.Limits, p.pool.Limits = limits, limits
+	p.limiter.Limits, p.pool.Limits = limits, limits
 	p.pool.StartupBurst = func(account string) float64 { return w.limits[account].StartupBurst(overage) }
-	p.holder.SetBaseShare(ratelimit.EqualShare(w.load.Proxies))
-	if w.way != EqualShares {
-		w.report(p, p.start)
+	p.limiter.SetBaseShare(ratelimit.EqualShare(w.scenario.Proxies))
+	if w.strategy != EqualShares {
+		w.reportPeriodically(p, p.incarnation)
 	}
 }
 
-// report has a proxy report to its pool for as long as its process runs.
-func (w *simulation) report(p *proxy, start int) {
-	if p.start != start || p.down {
+// reportPeriodically has a proxy report to its pool for as long as its process runs.
+func (w *simulation) reportPeriodically(p *proxy, incarnation int) {
+	if p.incarnation != incarnation || p.down {
 		return
 	}
-	pause := ratelimit.ReportInterval*9/10 + time.Duration(w.random.Int64N(int64(ratelimit.ReportInterval/5)))
-	w.After(pause, func() { w.report(p, start) })
-	if best := w.poolOf(p, p.region); best != nil {
-		w.reportOnce(p, start, best)
+	delay := ratelimit.ReportInterval*9/10 + time.Duration(w.random.Int64N(int64(ratelimit.ReportInterval/5)))
+	w.After(delay, func() { w.reportPeriodically(p, incarnation) })
+	if pool := w.poolOf(p, p.region); pool != nil {
+		w.sendReport(p, incarnation, pool)
 	}
-	w.borrow(p, start)
+	w.requestLoans(p, incarnation)
 }
 
-func (w *simulation) reportOnce(p *proxy, start int, best *proxy) {
-	asked := w.clock()
-	to, r := p.holder.NextReport(asked, best.name, w.others(p))
-	if w.way == CentralPool {
-		r.Wants = nil
+func (w *simulation) sendReport(p *proxy, incarnation int, preferred *proxy) {
+	reportedAt := w.clock()
+	to, report := p.limiter.NextReport(reportedAt, preferred.name, w.otherPools(p))
+	if w.strategy == CentralPool {
+		report.Wants = nil
 	}
 	pool := w.byName[to]
-	w.reports++
-	var g ratelimit.Grants
-	w.call(p, pool, reportLost, func() { g = pool.pool.HandleReport(w.clock(), r) }, func(answered bool) {
+	w.reportCount++
+	var grants ratelimit.Grants
+	w.call(p, pool, reportTimeout, func() { grants = pool.pool.HandleReport(w.clock(), report) }, func(answered bool) {
 		switch {
-		case p.start != start || p.down:
+		case p.incarnation != incarnation || p.down:
 		case !answered:
-			p.silent[to] = w.Now + pauseAfter
-			p.holder.MarkUnresponsive(w.clock(), to)
-		case p.holder.ApplyGrants(w.clock(), asked, to, g):
+			p.unresponsiveUntil[to] = w.Now + unresponsivePoolBackoff
+			p.limiter.MarkUnresponsive(w.clock(), to)
+		case p.limiter.ApplyGrants(w.clock(), reportedAt, to, grants):
 			if next := w.poolOf(p, p.region); next != nil {
-				w.reportOnce(p, start, next)
+				w.sendReport(p, incarnation, next)
 			}
 		}
 	})
 }
 
-func (w *simulation) borrow(p *proxy, start int) {
-	if w.way != RegionalPools || !p.pool.HasDeposits(w.clock()) {
+func (w *simulation) requestLoans(p *proxy, incarnation int) {
+	if w.strategy != RegionalPools || !p.pool.HasDeposits(w.clock()) {
 		return
 	}
-	asked := w.clock()
-	for _, l := range p.pool.LoanRequests(asked, p.name+"/pool", w.others(p)) {
-		lender := w.byName[l.Lender]
-		var g ratelimit.Grants
-		w.call(p, lender, reportLost, func() { g = lender.pool.HandleReport(w.clock(), l.Report) }, func(answered bool) {
-			if answered && p.start == start && !p.down {
-				p.pool.ApplyLoan(w.clock(), asked, l.Lender, g)
+	requestedAt := w.clock()
+	for _, loan := range p.pool.LoanRequests(requestedAt, p.name+"/pool", w.otherPools(p)) {
+		lender := w.byName[loan.Lender]
+		var grants ratelimit.Grants
+		w.call(p, lender, reportTimeout, func() { grants = lender.pool.HandleReport(w.clock(), loan.Report) }, func(answered bool) {
+			if answered && p.incarnation == incarnation && !p.down {
+				p.pool.ApplyLoan(w.clock(), requestedAt, loan.Lender, grants)
 			}
 		})
 	}
 }
 
-// others are the pools of other regions as a proxy sees them.
-func (w *simulation) others(p *proxy) []string {
-	if w.way == CentralPool {
+// otherPools are the pools of other regions as a proxy sees them.
+func (w *simulation) otherPools(p *proxy) []string {
+	if w.strategy == CentralPool {
 		return nil
 	}
 	var list []string
-	for region := range w.load.Regions {
+	for region := range w.scenario.Regions {
 		if other := w.poolOf(p, region); region != p.region && other != nil {
 			list = append(list, other.name)
 		}
@@ -182,175 +182,175 @@
 }
 
 // call has one proxy ask another; done is told once whether it was answered.
-func (w *simulation) call(from, to *proxy, most time.Duration, ask func(), done func(answered bool)) {
-	ended := false
-	end := func(answered bool) {
-		if !ended {
-			ended = true
+func (w *simulation) call(from, to *proxy, timeout time.Duration, handle func(), done func(answered bool)) {
+	finished := false
+	finish := func(answered bool) {
+		if !finished {
+			finished = true
 			done(answered)
 		}
 	}
 	if from == to {
-		ask()
-		end(true)
+		handle()
+		finish(true)
 		return
 	}
-	w.After(most, func() { end(false) })
-	start := to.start
-	reaches := func() bool { return !from.cut && !to.cut && !to.down && to.start == start }
-	way := w.delay(from, to)
-	w.After(way, func() {
-		if !reaches() {
+	w.After(timeout, func() { finish(false) })
+	incarnation := to.incarnation
+	connected := func() bool { return !from.partitioned && !to.partitioned && !to.down && to.incarnation == incarnation }
+	delay := w.messageDelay(from, to)
+	w.After(delay, func() {
+		if !connected() {
 			return
 		}
-		ask()
-		w.After(way, func() {
-			if reaches() {
-				end(true)
+		handle()
+		w.After(delay, func() {
+			if connected() {
+				finish(true)
 			}
 		})
 	})
 }
 
-// delay is how long a message takes; some take far longer.
-func (w *simulation) delay(a, b *proxy) time.Duration {
-	way := otherRegion
+// messageDelay is how long a message takes; some take far longer.
+func (w *simulation) messageDelay(a, b *proxy) time.Duration {
+	delay := crossRegionDelay
 	switch {
 	case a.domain == b.domain:
-		way = sameDomain
+		delay = sameDomainDelay
 	case a.region == b.region:
-		way = sameRegion
+		delay = sameRegionDelay
 	}
 	if w.random.IntN(200) == 0 {
-		way += time.Duration(w.random.Int64N(int64(time.Second)))
+		delay += time.Duration(w.random.Int64N(int64(time.Second)))
 	}
-	return way
+	return delay
 }
 
 // poolOf is the proxy that is a region's pool as another one sees it.
 func (w *simulation) poolOf(p *proxy, region int) *proxy {
-	if w.way == CentralPool {
+	if w.strategy == CentralPool {
 		region = 0
 	}
 	for _, other := range w.regions[region] {
-		if w.Now >= p.silent[other.name] {
+		if w.Now >= p.unresponsiveUntil[other.name] {
 			return other
 		}
 	}
 	return nil
 }
 
-// account makes an account with its clients and has them send.
-func (w *simulation) account(i int, rate float64) {
+// addAccount makes an account with its clients and has them send.
+func (w *simulation) addAccount(i int, rate float64) {
 	name := "account-" + strconv.Itoa(i)
-	w.limits[name] = ratelimit.Limit{PerSecond: w.load.Headroom * rate, Burst: w.load.Headroom * rate}
-	w.owed[name], w.kept[name], w.allowed[name] = &referenceBucket{tokens: 1e9}, &referenceBucket{tokens: 1e9}, &referenceBucket{tokens: 1e9}
-	count := max(1, int(float64(w.load.Clients)*rate/w.load.Rate+w.random.Float64()))
+	w.limits[name] = ratelimit.Limit{PerSecond: w.scenario.Headroom * rate, Burst: w.scenario.Headroom * rate}
+	w.conforming[name], w.enforced[name], w.allowed[name] = &referenceBucket{tokens: 1e9}, &referenceBucket{tokens: 1e9}, &referenceBucket{tokens: 1e9}
+	count := max(1, int(float64(w.scenario.Clients)*rate/w.scenario.Rate+w.random.Float64()))
 	clients := make([]*client, 0, count)
 	for range count {
-		clients = append(clients, &client{domain: w.random.IntN(2 * w.load.Regions)})
+		clients = append(clients, &client{domain: w.random.IntN(2 * w.scenario.Regions)})
 	}
 	var next func()
 	next = func() {
-		now := rate
-		if i == 0 && w.Now > lead+w.load.For/2 && w.load.Hot > 0 {
-			now *= w.load.Hot
+		currentRate := rate
+		if i == 0 && w.Now > warmUp+w.scenario.For/2 && w.scenario.Hot > 0 {
+			currentRate *= w.scenario.Hot
 		}
-		w.After(time.Duration(w.random.ExpFloat64()/now*float64(time.Second)), next)
-		w.request(name, clients[w.random.IntN(len(clients))])
+		w.After(time.Duration(w.random.ExpFloat64()/currentRate*float64(time.Second)), next)
+		w.sendRequest(name, clients[w.random.IntN(len(clients))])
 	}
-	w.After(lead, next)
+	w.After(warmUp, next)
 }
 
-// request is a request's first try.
-func (w *simulation) request(account string, c *client) {
+// sendRequest is a request's first try.
+func (w *simulation) sendRequest(account string, c *client) {
 	l := w.limits[account]
-	w.out.Requests++
-	owed := w.owed[account].take(w.Now, l) >= 0
-	if !owed {
-		w.owed[account].tokens++
+	w.result.Requests++
+	conforming := w.conforming[account].take(w.Now, l) >= 0
+	if !conforming {
+		w.conforming[account].tokens++
 	} else {
-		w.out.Conforming++
+		w.result.Conforming++
 	}
-	w.try(account, c, func(r ratelimit.Decision) {
-		if r.Verdict == ratelimit.Admitted || !owed {
+	w.attempt(account, c, func(decision ratelimit.Decision) {
+		if decision.Verdict == ratelimit.Admitted || !conforming {
 			return
 		}
-		w.out.InitiallyRefused++
-		if r.RetryAfter > returnFor {
-			w.out.Refused++
+		w.result.InitiallyRefused++
+		if decision.RetryAfter > maxRetryWait {
+			w.result.Refused++
 			return
 		}
-		c.last = nil
-		w.After(max(80*time.Millisecond, r.RetryAfter+time.Duration(w.random.Int64N(int64(r.RetryAfter)+1))), func() {
-			w.try(account, c, func(r ratelimit.Decision) {
-				if r.Verdict != ratelimit.Admitted {
-					w.out.Refused++
+		c.lastProxy = nil
+		w.After(max(80*time.Millisecond, decision.RetryAfter+time.Duration(w.random.Int64N(int64(decision.RetryAfter)+1))), func() {
+			w.attempt(account, c, func(decision ratelimit.Decision) {
+				if decision.Verdict != ratelimit.Admitted {
+					w.result.Refused++
 				}
 			})
 		})
 	})
 }
 
-// try sends a request to a proxy of the client's failure domain.
-func (w *simulation) try(account string, c *client, done func(ratelimit.Decision)) {
-	p := w.proxyFor(c)
+// attempt sends a request to a proxy of the client's failure domain.
+func (w *simulation) attempt(account string, c *client, done func(ratelimit.Decision)) {
+	p := w.pickProxy(c)
 	if p == nil {
-		done(ratelimit.Decision{Verdict: ratelimit.Denied, RetryAfter: returnFor / 2})
+		done(ratelimit.Decision{Verdict: ratelimit.Denied, RetryAfter: maxRetryWait / 2})
 		return
 	}
-	w.settle(account, p, p.holder.Take(w.clock(), account), done)
+	w.resolve(account, p, p.limiter.Take(w.clock(), account), done)
 }
 
-// settle asks pools for a request until one rules on it.
-func (w *simulation) settle(account string, p *proxy, r ratelimit.Decision, done func(ratelimit.Decision)) {
-	if r.Verdict != ratelimit.AskPool {
-		if r.Verdict == ratelimit.Admitted {
-			w.admitted(account)
+// resolve asks pools for a request until one rules on it.
+func (w *simulation) resolve(account string, p *proxy, decision ratelimit.Decision, done func(ratelimit.Decision)) {
+	if decision.Verdict != ratelimit.AskPool {
+		if decision.Verdict == ratelimit.Admitted {
+			w.recordAdmitted(account)
 		}
-		done(r)
+		done(decision)
 		return
 	}
-	pool, start := w.byName[r.Pool], p.start
+	pool, incarnation := w.byName[decision.Pool], p.incarnation
 	if pool != p {
-		w.asks++
+		w.tokenRequestCount++
 	}
-	var t ratelimit.TokenReply
-	w.call(p, pool, tokenLost, func() { t = pool.pool.Take(w.clock(), account) }, func(answered bool) {
-		if p.start != start || p.down {
-			done(ratelimit.Decision{Verdict: ratelimit.Denied, RetryAfter: returnFor / 2})
+	var reply ratelimit.TokenReply
+	w.call(p, pool, tokenTimeout, func() { reply = pool.pool.Take(w.clock(), account) }, func(answered bool) {
+		if p.incarnation != incarnation || p.down {
+			done(ratelimit.Decision{Verdict: ratelimit.Denied, RetryAfter: maxRetryWait / 2})
 			return
 		}
-		w.settle(account, p, p.holder.HandlePoolReply(w.clock(), account, r, t, answered), done)
+		w.resolve(account, p, p.limiter.HandlePoolReply(w.clock(), account, decision, reply, answered), done)
 	})
 }
 
-// proxyFor is the proxy that a client sends its next request to.
-func (w *simulation) proxyFor(c *client) *proxy {
-	if c.last != nil && !c.last.down && w.random.Float64() < keepConnection {
-		return c.last
+// pickProxy is the proxy that a client sends its next request to.
+func (w *simulation) pickProxy(c *client) *proxy {
+	if c.lastProxy != nil && !c.lastProxy.down && w.random.Float64() < connectionReuse {
+		return c.lastProxy
 	}
-	var list []*proxy
+	var running []*proxy
 	for _, p := range w.domains[c.domain] {
 		if !p.down {
-			list = append(list, p)
+			running = append(running, p)
 		}
 	}
-	c.last = nil
-	if len(list) > 0 {
-		c.last = list[w.random.IntN(len(list))]
+	c.lastProxy = nil
+	if len(running) > 0 {
+		c.lastProxy = running[w.random.IntN(len(running))]
 	}
-	return c.last
+	return c.lastProxy
 }
 
-// admitted checks what all proxies have let through.
-func (w *simulation) admitted(account string) {
+// recordAdmitted checks what all proxies have let through.
+func (w *simulation) recordAdmitted(account string) {
 	l := w.limits[account]
-	w.out.MaxExcess = max(w.out.MaxExcess, -w.kept[account].take(w.Now, l.WithOverage(overage)))
+	w.result.MaxExcess = max(w.result.MaxExcess, -w.enforced[account].take(w.Now, l.WithOverage(overage)))
 	bound := ratelimit.Limit{
 		PerSecond: l.PerSecond * (1 + overage.Ratio), Burst: l.Burst*(1+overage.Ratio) + overage.Requests,
 	}
-	w.out.MaxViolation = max(w.out.MaxViolation, -w.allowed[account].take(w.Now, bound))
+	w.result.MaxViolation = max(w.result.MaxViolation, -w.allowed[account].take(w.Now, bound))
 }
 
 // take takes a token and tells how many are left, below zero if there was none.
@@ -361,10 +361,10 @@
 	return r.tokens
 }
 
-// faults has proxies cut off and killed, and a limit lowered.
-func (w *simulation) faults() {
-	l := w.load
-	struck := func(share float64) []*proxy {
+// scheduleFaults has proxies cut off and killed, and a limit lowered.
+func (w *simulation) scheduleFaults() {
+	l := w.scenario
+	sample := func(share float64) []*proxy {
 		order := w.random.Perm(len(w.proxies))
 		var list []*proxy
 		for _, i := range order[:int(share*float64(len(order)))] {
@@ -372,26 +372,26 @@
 		}
 		return list
 	}
-	cut := struck(l.Cut)
-	w.After(lead+l.For/4, func() { setCut(cut, true) })
-	w.After(lead+l.For/2, func() { setCut(cut, false) })
-	killed := struck(l.Killed)
-	w.After(lead+l.For/2, func() {
+	partitioned := sample(l.Cut)
+	w.After(warmUp+l.For/4, func() { setPartitioned(partitioned, true) })
+	w.After(warmUp+l.For/2, func() { setPartitioned(partitioned, false) })
+	killed := sample(l.Killed)
+	w.After(warmUp+l.For/2, func() {
 		for _, p := range killed {
 			p.down = true
-			w.After(l.Down, func() { w.begin(p) })
+			w.After(l.Down, func() { w.startProxy(p) })
 		}
 	})
 	if l.Lowered > 0 {
-		w.After(lead+l.For/3, func() {
+		w.After(warmUp+l.For/3, func() {
 			limit := w.limits["account-0"]
 			w.limits["account-0"] = ratelimit.Limit{PerSecond: limit.PerSecond / l.Lowered, Burst: limit.Burst / l.Lowered}
 		})
 	}
 }
 
-func setCut(list []*proxy, cut bool) {
+func setPartitioned(list []*proxy, partitioned bool) {
 	for _, p := range list {
-		p.cut = cut
+		p.partitioned = partitioned
 	}
 }
--- a/internal/fake/warmnet/bound_test.go
+++ b/internal/fake/warmnet/bound_test.go
@@ -8,14 +8,14 @@
 
 // Guards against a region whose servers are given their part of all objects on top of
 // requests of accounts that are bound to it.
-func TestRegionsLeaveRoomForBoundAccounts(t *testing.T) {
-	l := load(t, "bound")
-	share, worst, _ := mean(l, steering.DefaultPlacer)
+func TestRegionsReserveCapacityForRestrictedAccounts(t *testing.T) {
+	scenario := readScenario(t, "bound")
+	share, worst, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
 	t.Logf("%.3f of all, %.3f of the worst region", share, worst)
-	free := l
-	free.RestrictedShare = 0
-	open, _, _ := mean(free, steering.DefaultPlacer)
-	if worst < 0.85*open {
-		t.Errorf("%.3f of the worst region are answered within the target, want 0.85 at least of the %.3f of all without bound accounts", worst, open)
+	unrestricted := scenario
+	unrestricted.RestrictedShare = 0
+	unrestrictedShare, _, _ := meanOverSeeds(unrestricted, steering.DefaultPlacer)
+	if worst < 0.85*unrestrictedShare {
+		t.Errorf("%.3f of the worst region are answered within the target, want 0.85 at least of the %.3f of all without bound accounts", worst, unrestrictedShare)
 	}
 }
--- a/internal/fake/warmnet/ends.go
+++ b/internal/fake/warmnet/ends.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// endedLapse is how long the registration of a server that has ended stays.
-	endedLapse = 2 * time.Second
-	// dialAfter is how long a proxy collects what breaks before it dials and alerts, as
+	// registrationTTL is how long the registration of a server that has ended stays.
+	registrationTTL = 2 * time.Second
+	// probeDelay is how long a proxy collects what breaks before it dials and alerts, as
 	// the daemon does.
-	dialAfter = 50 * time.Millisecond
-	// alertsMost is how many proxies of its own region a proxy alerts at once.
-	alertsMost = 4
+	probeDelay = 50 * time.Millisecond
+	// maxRegionAlerts is how many proxies of its own region a proxy alerts at once.
+	maxRegionAlerts = 4
 )
 
 type (
@@ -54,39 +54,39 @@
 
 	// crashState carries what proxies find out and tell each other of servers that end.
 	crashState struct {
-		// due are the proxies that are about to dial and alert.
-		due    map[*steering.Kernel]bool
-		deadly map[quarantine.Fingerprint]string
+		// pending are the proxies that are about to dial and alert.
+		pending      map[*steering.Kernel]bool
+		fingerprints map[quarantine.Fingerprint]string
 	}
 )
 
-// workOf names the work of a request for an object.
-func workOf(object string) quarantine.Fingerprint {
+// fingerprintOf names the work of a request for an object.
+func fingerprintOf(object string) quarantine.Fingerprint {
 	return quarantine.NewFingerprint("GET", host, "/"+object, "", nil)
 }
 
 // hasCrashes reports whether servers end in this load.
 func (l Scenario) hasCrashes() bool { return l.CrashingRequests != nil || l.RandomCrashes != nil }
 
-// playEnds sets off what ends servers.
-func (w *simulation) playEnds() {
-	w.ends.due, w.ends.deadly = make(map[*steering.Kernel]bool), make(map[quarantine.Fingerprint]string)
-	w.out.Crashes.ByCrashingRequest, w.out.Crashes.HarmlessQuarantined = make(map[string][]time.Duration), make(map[string]bool)
-	if d := w.load.CrashingRequests; d != nil {
+// scheduleCrashes sets off what ends servers.
+func (w *simulation) scheduleCrashes() {
+	w.crashes.pending, w.crashes.fingerprints = make(map[*steering.Kernel]bool), make(map[quarantine.Fingerprint]string)
+	w.result.Crashes.ByCrashingRequest, w.result.Crashes.HarmlessQuarantined = make(map[string][]time.Duration), make(map[string]bool)
+	if d := w.scenario.CrashingRequests; d != nil {
 		for i := range d.Count {
 			name := fmt.Sprintf("deadly-%d", i)
-			w.ends.deadly[workOf(name)] = name
-			w.repeat(d.PerSecond, d.From, d.To, func() { w.askDeadly(name) })
+			w.crashes.fingerprints[fingerprintOf(name)] = name
+			w.scheduleRandomly(d.PerSecond, d.From, d.To, func() { w.sendCrashingRequest(name) })
 		}
 	}
-	if s := w.load.RandomCrashes; s != nil {
-		w.repeat(s.PerSecond, s.From, s.To, func() { w.finish(w.servers[w.random.IntN(len(w.servers))]) })
+	if s := w.scenario.RandomCrashes; s != nil {
+		w.scheduleRandomly(s.PerSecond, s.From, s.To, func() { w.crash(w.servers[w.random.IntN(len(w.servers))]) })
 	}
 }
 
-// repeat does something at random moments of a time.
-func (w *simulation) repeat(perSecond float64, from, to operator.Duration, do func()) {
-	pause := func() time.Duration {
+// scheduleRandomly does something at random moments of a time.
+func (w *simulation) scheduleRandomly(perSecond float64, from, to operator.Duration, do func()) {
+	interval := func() time.Duration {
 		return time.Duration(w.random.ExpFloat64() / perSecond * float64(time.Second))
 	}
 	var next func()
@@ -95,113 +95,113 @@
 			return
 		}
 		do()
-		w.After(pause(), next)
+		w.After(interval(), next)
 	}
-	w.After(from.Std()+pause(), next)
+	w.After(from.Std()+interval(), next)
 }
 
-func (w *simulation) askDeadly(name string) {
-	region := w.load.Regions[w.random.IntN(len(w.load.Regions))].Name
-	w.begin(&request{region: region, began: w.Now, object: name, deadly: true})
+func (w *simulation) sendCrashingRequest(name string) {
+	region := w.scenario.Regions[w.random.IntN(len(w.scenario.Regions))].Name
+	w.sendToProxy(&request{region: region, startedAt: w.Now, object: name, crashing: true})
 }
 
-// deadlyRan ends the server of deadly work that has run for a while.
-func (w *simulation) deadlyRan(j *request, s *server) {
-	if s.ended {
+// crashFromRequest ends the server of deadly work that has run for a while.
+func (w *simulation) crashFromRequest(req *request, s *server) {
+	if s.crashed {
 		return
 	}
-	w.out.Crashes.CausedByRequests++
-	w.out.Crashes.ByCrashingRequest[j.object] = append(w.out.Crashes.ByCrashingRequest[j.object], w.Now)
-	w.finish(s)
+	w.result.Crashes.CausedByRequests++
+	w.result.Crashes.ByCrashingRequest[req.object] = append(w.result.Crashes.ByCrashingRequest[req.object], w.Now)
+	w.crash(s)
 }
 
-// finish ends a server: all its exchanges break, nothing listens there, and one with a
+// crash ends a server: all its exchanges break, nothing listens there, and one with a
 // new id takes its place after some time.
-func (w *simulation) finish(s *server) {
-	if s.ended || s.gone {
+func (w *simulation) crash(s *server) {
+	if s.crashed || s.removed {
 		return
 	}
-	s.ended = true
-	w.out.Crashes.Servers++
-	jobs := append(s.now, s.waiting...)
-	s.now, s.waiting, s.running = nil, nil, 0
-	for _, j := range jobs {
-		w.end(j, steering.ResultConnectionLost)
+	s.crashed = true
+	w.result.Crashes.Servers++
+	interrupted := append(s.active, s.queue...)
+	s.active, s.queue, s.running = nil, nil, 0
+	for _, req := range interrupted {
+		w.endAttempt(req, steering.ResultConnectionLost)
 	}
-	w.After(endedLapse, func() { w.remove(s) })
-	w.After(w.load.RestartDelay.Std(), func() {
-		s.starts++
-		again := &server{id: s.id + "." + strconv.Itoa(s.starts), region: s.region, number: s.number, slow: s.slow}
+	w.After(registrationTTL, func() { w.removeServer(s) })
+	w.After(w.scenario.RestartDelay.Std(), func() {
+		s.restarts++
+		replacement := &server{id: s.id + "." + strconv.Itoa(s.restarts), region: s.region, index: s.index, serviceTimeFactor: s.serviceTimeFactor}
 		for i := range w.servers {
 			if w.servers[i] == s {
-				w.servers[i] = again
+				w.servers[i] = replacement
 			}
 		}
-		w.byID[again.id] = again
-		w.each(func(k *steering.Kernel) { k.RegisterServer(w.clock(), w.registration(again)) })
+		w.byID[replacement.id] = replacement
+		w.eachProxy(func(k *steering.Kernel) { k.RegisterServer(w.clock(), w.registration(replacement)) })
 	})
 }
 
-// stir has a proxy dial and alert soon if there is anything to find out or to tell.
-func (w *simulation) stir(k *steering.Kernel) {
-	if !w.load.hasCrashes() || !k.QuarantinePending() || w.ends.due[k] {
+// scheduleAlert has a proxy dial and alert soon if there is anything to find out or to tell.
+func (w *simulation) scheduleAlert(k *steering.Kernel) {
+	if !w.scenario.hasCrashes() || !k.QuarantinePending() || w.crashes.pending[k] {
 		return
 	}
-	w.ends.due[k] = true
-	w.After(dialAfter, func() {
-		w.ends.due[k] = false
+	w.crashes.pending[k] = true
+	w.After(probeDelay, func() {
+		w.crashes.pending[k] = false
 		_, region := w.kernelOf(k.Name())
 		for _, s := range k.ServersToProbe() {
-			known := w.byID[s.ID]
-			w.After(w.roundTrip(region, known.region), func() {
-				if known.ended {
-					k.RecordConnectionRefused(w.clock(), known.id)
-					w.stir(k)
+			target := w.byID[s.ID]
+			w.After(w.roundTrip(region, target.region), func() {
+				if target.crashed {
+					k.RecordConnectionRefused(w.clock(), target.id)
+					w.scheduleAlert(k)
 				}
 			})
 		}
 		if k.QuarantineReportsUrgent() {
-			w.alert(k, region)
+			w.sendAlerts(k, region)
 		}
 	})
 }
 
-// alert tells some proxies of the region and one of each other region.
-func (w *simulation) alert(k *steering.Kernel, region string) {
-	list := k.QuarantineReports(w.clock(), false)
-	for _, r := range w.load.Regions {
+// sendAlerts tells some proxies of the region and one of each other region.
+func (w *simulation) sendAlerts(k *steering.Kernel, region string) {
+	reports := k.QuarantineReports(w.clock(), false)
+	for _, r := range w.scenario.Regions {
 		others := w.proxies[r.Name]
-		most := 1
+		maxAlerts := 1
 		if r.Name == region {
-			most = alertsMost
+			maxAlerts = maxRegionAlerts
 		}
-		for range min(most, len(others)) {
-			to := others[w.random.IntN(len(others))]
+		for range min(maxAlerts, len(others)) {
+			peer := others[w.random.IntN(len(others))]
 			w.After(w.roundTrip(region, r.Name)/2, func() {
-				to.ApplyQuarantineReports(w.clock(), list)
-				w.stir(to)
+				peer.ApplyQuarantineReports(w.clock(), reports)
+				w.scheduleAlert(peer)
 			})
 		}
 	}
 }
 
-// tellSuspicions has each proxy exchange what it knows with another one.
-func (w *simulation) tellSuspicions() {
-	w.gossip(func(k, to *steering.Kernel) {
-		to.ApplyQuarantineReports(w.clock(), k.QuarantineReports(w.clock(), false))
-		k.ApplyQuarantineReports(w.clock(), to.QuarantineReports(w.clock(), false))
-		w.stir(to)
-		w.stir(k)
+// exchangeQuarantineReports has each proxy exchange what it knows with another one.
+func (w *simulation) exchangeQuarantineReports() {
+	w.gossip(func(k, peer *steering.Kernel) {
+		peer.ApplyQuarantineReports(w.clock(), k.QuarantineReports(w.clock(), false))
+		k.ApplyQuarantineReports(w.clock(), peer.QuarantineReports(w.clock(), false))
+		w.scheduleAlert(peer)
+		w.scheduleAlert(k)
 	})
 }
 
-// endsRefused counts a refusal because servers ended with the work.
-func (w *simulation) endsRefused(j *request, d steering.Decision) {
-	if j.deadly || d.Reason != steering.ReasonCrashesServers && d.Reason != steering.ReasonMayCrashServers {
+// recordQuarantineRefusal counts a refusal because servers ended with the work.
+func (w *simulation) recordQuarantineRefusal(req *request, d steering.Decision) {
+	if req.crashing || d.Reason != steering.ReasonCrashesServers && d.Reason != steering.ReasonMayCrashServers {
 		return
 	}
-	w.out.Crashes.HarmlessRefused++
+	w.result.Crashes.HarmlessRefused++
 	if d.Reason == steering.ReasonCrashesServers {
-		w.out.Crashes.HarmlessQuarantined[j.object] = true
+		w.result.Crashes.HarmlessQuarantined[req.object] = true
 	}
 }
--- a/internal/fake/warmnet/ends_test.go
+++ b/internal/fake/warmnet/ends_test.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// newsBound is the operators' bound for news at all proxies, endsToKnow and runsAfter
+	// quarantinePropagationBound is the operators' bound for news at all proxies, endsToKnow and maxLateCrashes
 	// theirs on the servers that work may end before and after it is known.
-	newsBound  = 4 * time.Second
-	endsToKnow = 3
-	runsAfter  = 3
+	quarantinePropagationBound = 4 * time.Second
+	crashesToDetect            = 3
+	maxLateCrashes             = 3
 )
 
-func playEndsLoad(t *testing.T, file string, change func(*Scenario)) Result {
+func simulateCrashes(t *testing.T, file string, change func(*Scenario)) Result {
 	t.Helper()
-	l, err := ReadScenario("testdata/" + file)
+	scenario, err := ReadScenario("testdata/" + file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
-		change(&l)
+		change(&scenario)
 	}
-	return Simulate(l, "homes", 1)
+	return Simulate(scenario, "homes", 1)
 }
 
-// endsAfter counts the servers that a work ended after it was to be known everywhere.
-func endsAfter(ends []time.Duration) (n int) {
-	if len(ends) < endsToKnow {
+// lateCrashes counts the servers that a work ended after it was to be known everywhere.
+func lateCrashes(crashes []time.Duration) (n int) {
+	if len(crashes) < crashesToDetect {
 		return 0
 	}
-	for _, at := range ends {
-		if at > ends[endsToKnow-1]+newsBound {
+	for _, at := range crashes {
+		if at > crashes[crashesToDetect-1]+quarantinePropagationBound {
 			n++
 		}
 	}
@@ -40,17 +40,17 @@
 
 // A caller asks three times a second for what ends its server, at proxies of all regions:
 // the service is down to half for as long as that goes on. Each proxy sees an end or two.
-func TestDeadlyWorkEndsFewServers(t *testing.T) {
+func TestCrashingRequestsCrashFewServers(t *testing.T) {
 	for _, file := range []string{"deadly.json", "deadly-flood.json"} {
-		o := playEndsLoad(t, file, func(l *Scenario) {
+		o := simulateCrashes(t, file, func(l *Scenario) {
 			if l.CrashingRequests.Count > 1 {
 				l.ProxiesPerRegion, l.Duration = 3, l.Duration/2
 			}
 		})
 		t.Logf("%s: %d servers ended, %d refusals of sound work", file, o.Crashes.Servers, o.Crashes.HarmlessRefused)
-		for name, ends := range o.Crashes.ByCrashingRequest {
-			if n := endsAfter(ends); n > runsAfter {
-				t.Errorf("%s: %s ended %d servers after the bound for news, want %d at most: %v", file, name, n, runsAfter, ends)
+		for name, crashes := range o.Crashes.ByCrashingRequest {
+			if n := lateCrashes(crashes); n > maxLateCrashes {
+				t.Errorf("%s: %s ended %d servers after the bound for news, want %d at most: %v", file, name, n, maxLateCrashes, crashes)
 			}
 		}
 		if n := len(o.Crashes.HarmlessQuarantined); n > 0 {
@@ -62,16 +62,16 @@
 // Servers end by themselves, three in two seconds of twelve, each with all that it has.
 // The most asked-for objects are cut off again and again, and rare ones are asked for
 // again by callers whose first server has ended. None of them may be refused for it.
-func TestStormOfEndsCondemnsNothing(t *testing.T) {
+func TestRandomCrashesQuarantineNothing(t *testing.T) {
 	for _, skew := range []float64{0.8, 1.2} {
-		o := playEndsLoad(t, "storm.json", func(l *Scenario) { l.Skew = skew })
-		without := playEndsLoad(t, "storm.json", func(l *Scenario) { l.Skew, l.MechanismsOff = skew, append(l.MechanismsOff, "quarantine") })
+		o := simulateCrashes(t, "storm.json", func(l *Scenario) { l.Skew = skew })
+		without := simulateCrashes(t, "storm.json", func(l *Scenario) { l.Skew, l.MechanismsOff = skew, append(l.MechanismsOff, "quarantine") })
 		t.Logf("skew %.1f: %d servers ended, %d refusals, in target %.3f, without the quarantine %.3f", skew, o.Crashes.Servers, o.Crashes.HarmlessRefused, o.ShareWithinTarget(), without.ShareWithinTarget())
 		if n := len(o.Crashes.HarmlessQuarantined); n > 0 {
 			t.Errorf("skew %.1f: %d sound works were condemned, want none", skew, n)
 		}
-		if lost := without.ShareWithinTarget() - o.ShareWithinTarget(); lost > 0.03 {
-			t.Errorf("skew %.1f: %.3f of the requests are no longer answered in time, want 0.03 at most", skew, lost)
+		if loss := without.ShareWithinTarget() - o.ShareWithinTarget(); loss > 0.03 {
+			t.Errorf("skew %.1f: %.3f of the requests are no longer answered in time, want 0.03 at most", skew, loss)
 		}
 	}
 }
--- a/internal/fake/warmnet/leaving.go
+++ b/internal/fake/warmnet/leaving.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// drainWithin is the operators' bound on new requests to a server that leaves.
-	drainWithin = 2500 * time.Millisecond
-	// heartbeat is how often servers write their registrations.
-	heartbeat = 1500 * time.Millisecond
+	// drainBound is the operators' bound on new requests to a server that leaves.
+	drainBound = 2500 * time.Millisecond
+	// heartbeatInterval is how often servers write their registrations.
+	heartbeatInterval = 1500 * time.Millisecond
 )
 
 type (
@@ -32,34 +32,34 @@
 	return false
 }
 
-// playLeaving has servers leave that tell nobody but those who send them requests.
-func (w *simulation) playLeaving() {
-	w.leaves = make(firstHeard)
-	for _, e := range w.load.Draining {
+// scheduleDraining has servers leave that tell nobody but those who send them requests.
+func (w *simulation) scheduleDraining() {
+	w.drainHeard = make(firstHeard)
+	for _, e := range w.scenario.Draining {
 		for i := range e.Servers {
 			s := w.byID[serverID(e.Region, i)]
-			for at := e.From.Std(); at < e.To.Std(); at += heartbeat {
-				w.After(at, func() { w.each(func(k *steering.Kernel) { k.RegisterServer(w.clock(), w.registration(s)) }) })
+			for at := e.From.Std(); at < e.To.Std(); at += heartbeatInterval {
+				w.After(at, func() { w.eachProxy(func(k *steering.Kernel) { k.RegisterServer(w.clock(), w.registration(s)) }) })
 			}
-			w.After((e.From.Std()+e.To.Std())/2, func() { w.lapse(s) })
-			w.After(e.To.Std(), func() { w.remove(s) })
+			w.After((e.From.Std()+e.To.Std())/2, func() { w.expireAndReregister(s) })
+			w.After(e.To.Std(), func() { w.removeServer(s) })
 		}
 	}
 }
 
-// lapse has a server's registration run out and come back.
-func (w *simulation) lapse(s *server) {
-	w.each(func(k *steering.Kernel) {
+// expireAndReregister has a server's registration run out and come back.
+func (w *simulation) expireAndReregister(s *server) {
+	w.eachProxy(func(k *steering.Kernel) {
 		k.RemoveServer(w.clock(), s.id)
 		k.RegisterServer(w.clock(), w.registration(s))
 	})
 }
 
-// left notes a request that reaches a server which leaves.
-func (w *simulation) left(j *request) {
-	at, told := w.leaves[serverProxy{j.server.id, j.kernel.Name()}]
-	if told && j.asked > at+drainWithin {
-		w.out.Draining.LateRequests++
+// recordDrainArrival notes a request that reaches a server which leaves.
+func (w *simulation) recordDrainArrival(req *request) {
+	at, informed := w.drainHeard[serverProxy{req.server.id, req.kernel.Name()}]
+	if informed && req.sentAt > at+drainBound {
+		w.result.Draining.LateRequests++
 	}
-	w.out.Draining.ProxiesInformed = len(w.leaves)
+	w.result.Draining.ProxiesInformed = len(w.drainHeard)
 }
--- a/internal/fake/warmnet/limits.go
+++ b/internal/fake/warmnet/limits.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// limitSpan is the window in which a limit is judged, limitFactor and limitSlack what
+	// limitWindow is the window in which a limit is judged, limitFactor and limitSlack what
 	// is allowed there beyond it.
-	limitSpan   = 4 * time.Second
-	limitFactor = 1.5
+	limitWindow = 4 * time.Second
+	limitRatio  = 1.5
 	limitSlack  = 5
-	// newsWithin is the operators' bound for news at all proxies; a limit is judged from
+	// propagationBound is the operators' bound for news at all proxies; a limit is judged from
 	// then on.
-	newsWithin = 4 * time.Second
-	// heedWithin is how long a proxy may take to heed an answer.
-	heedWithin = 500 * time.Millisecond
+	propagationBound = 4 * time.Second
+	// reactionTime is how long a proxy may take to heed an answer.
+	reactionTime = 500 * time.Millisecond
 )
 
 type (
@@ -48,20 +48,20 @@
 
 	// rateLimitLog notes what arrives at servers, and which proxies were told.
 	rateLimitLog struct {
-		arrivals map[string][]arrival
-		toldAt   firstHeard
-		reports  int
+		arrivals   map[string][]arrival
+		informedAt firstHeard
+		reports    int
 	}
 
 	arrival struct {
 		at time.Duration
-		// told is set if the proxy knew of the limit.
-		told bool
+		// informed is set if the proxy knew of the limit.
+		informed bool
 	}
 )
 
-// note notes the first time.
-func (n firstHeard) note(now time.Duration, server, proxy string) {
+// record notes the first time.
+func (n firstHeard) record(now time.Duration, server, proxy string) {
 	if _, known := n[serverProxy{server, proxy}]; !known {
 		n[serverProxy{server, proxy}] = now
 	}
@@ -87,49 +87,49 @@
 	if r == steering.ResultConnectionLost || r == steering.ResultUnreachable || r == steering.ResultTimeout {
 		return backpressure.Signal{}
 	}
-	return backpressure.Signal{Limit: w.load.advertisedLimit(s, w.Now), Draining: w.load.isDraining(s, w.Now), Pause: w.load.backoffRequest(s, w.Now)}
+	return backpressure.Signal{Limit: w.scenario.advertisedLimit(s, w.Now), Draining: w.scenario.isDraining(s, w.Now), Pause: w.scenario.backoffRequest(s, w.Now)}
 }
 
-// told notes what a proxy hears with an answer.
-func (w *simulation) told(j *request, s backpressure.Signal) {
+// recordSignal notes what a proxy hears with an answer.
+func (w *simulation) recordSignal(req *request, s backpressure.Signal) {
 	if s.Limit.Set {
-		w.limits.toldAt.note(w.Now, j.server.id, j.kernel.Name())
+		w.rateLimits.informedAt.record(w.Now, req.server.id, req.kernel.Name())
 	}
 	if s.Draining {
-		w.leaves.note(w.Now, j.server.id, j.kernel.Name())
+		w.drainHeard.record(w.Now, req.server.id, req.kernel.Name())
 	}
 }
 
-// tellSignals has each proxy tell another one what servers ask, and be told.
-func (w *simulation) tellSignals() {
-	w.gossip(func(k, to *steering.Kernel) {
-		question, answer := k.BackpressureReports(w.clock(), false), to.BackpressureReports(w.clock(), false)
-		to.ApplyBackpressureReports(w.clock(), question)
-		k.ApplyBackpressureReports(w.clock(), answer)
-		w.limits.reports += len(question) + len(answer)
+// exchangeBackpressure has each proxy tell another one what servers ask, and be told.
+func (w *simulation) exchangeBackpressure() {
+	w.gossip(func(k, peer *steering.Kernel) {
+		sent, received := k.BackpressureReports(w.clock(), false), peer.BackpressureReports(w.clock(), false)
+		peer.ApplyBackpressureReports(w.clock(), sent)
+		k.ApplyBackpressureReports(w.clock(), received)
+		w.rateLimits.reports += len(sent) + len(received)
 	})
 }
 
-func (l *rateLimitLog) arrived(now time.Duration, server, proxy string) {
+func (l *rateLimitLog) recordArrival(now time.Duration, server, proxy string) {
 	if l.arrivals == nil {
-		l.arrivals, l.toldAt = make(map[string][]arrival), make(firstHeard)
+		l.arrivals, l.informedAt = make(map[string][]arrival), make(firstHeard)
 	}
-	at, told := l.toldAt[serverProxy{server, proxy}]
-	l.arrivals[server] = append(l.arrivals[server], arrival{at: now, told: told && now-at >= heedWithin})
+	at, informed := l.informedAt[serverProxy{server, proxy}]
+	l.arrivals[server] = append(l.arrivals[server], arrival{at: now, informed: informed && now-at >= reactionTime})
 }
 
-// judge sums up what became of the limits.
-func (l *rateLimitLog) judge(episodes []RateLimit) (out RateLimitStats) {
+// stats sums up what became of the limits.
+func (l *rateLimitLog) stats(episodes []RateLimit) (out RateLimitStats) {
 	out.Reports = l.reports
 	before, after, use, servers := 0.0, 0.0, 0.0, 0
 	for _, e := range episodes {
 		for i := range e.Servers {
-			list := l.arrivals[serverID(e.Region, i)]
-			out.MaxUtilization = max(out.MaxUtilization, e.maxUtilization(list))
-			from, to := e.From.Std()+newsWithin, e.To.Std()
-			use += rate(list, from, to) / max(e.PerSecond, 1/limitSpan.Seconds())
-			before += rate(list, e.From.Std()-newsWithin, e.From.Std())
-			after += rate(list, to+newsWithin, to+2*newsWithin)
+			arrivals := l.arrivals[serverID(e.Region, i)]
+			out.MaxUtilization = max(out.MaxUtilization, e.maxUtilization(arrivals))
+			from, to := e.From.Std()+propagationBound, e.To.Std()
+			use += arrivalRate(arrivals, from, to) / max(e.PerSecond, 1/limitWindow.Seconds())
+			before += arrivalRate(arrivals, e.From.Std()-propagationBound, e.From.Std())
+			after += arrivalRate(arrivals, to+propagationBound, to+2*propagationBound)
 			servers++
 		}
 	}
@@ -141,28 +141,28 @@
 
 // maxUtilization is the largest part of what is allowed that came from proxies that knew, in any
 // window that ends after the time for news.
-func (e RateLimit) maxUtilization(list []arrival) float64 {
-	allowed := limitFactor*limitSpan.Seconds()*e.PerSecond + limitSlack
-	most := 0.0
-	for i, last := range list {
-		if last.at < e.From.Std()+newsWithin || last.at >= e.To.Std() {
+func (e RateLimit) maxUtilization(arrivals []arrival) float64 {
+	allowed := limitRatio*limitWindow.Seconds()*e.PerSecond + limitSlack
+	largest := 0.0
+	for i, last := range arrivals {
+		if last.at < e.From.Std()+propagationBound || last.at >= e.To.Std() {
 			continue
 		}
 		n := 0.0
-		for k := i; k >= 0 && last.at-list[k].at < limitSpan; k-- {
-			if list[k].told {
+		for k := i; k >= 0 && last.at-arrivals[k].at < limitWindow; k-- {
+			if arrivals[k].informed {
 				n++
 			}
 		}
-		most = max(most, n/allowed)
+		largest = max(largest, n/allowed)
 	}
-	return most
+	return largest
 }
 
-// rate is how many arrived a second between two moments.
-func rate(list []arrival, from, to time.Duration) float64 {
+// arrivalRate is how many arrived a second between two moments.
+func arrivalRate(arrivals []arrival, from, to time.Duration) float64 {
 	n := 0.0
-	for _, a := range list {
+	for _, a := range arrivals {
 		if a.at >= from && a.at < to {
 			n++
 		}
--- a/internal/fake/warmnet/limits_test.go
+++ b/internal/fake/warmnet/limits_test.go
@@ -7,52 +7,52 @@
 )
 
 const (
-	// inPauseMost is the operators' bound on what a proxy sends a server in a pause.
-	inPauseMost = 2
-	// refusedMost is the part of callers that may be refused while two thirds of the
+	// maxRequestsInBackoff is the operators' bound on what a proxy sends a server in a pause.
+	maxRequestsInBackoff = 2
+	// maxRefusedRatio is the part of callers that may be refused while two thirds of the
 	// servers have room for all: one in 500.
-	refusedMost = 0.002
-	// crowdedTimes is the load at which the servers without a limit are busy for five
-	// sixths, crowdedShare the part of it that must be answered in time.
-	crowdedTimes = 2.4
-	crowdedShare = 0.9
+	maxRefusedRatio = 0.002
+	// highLoadFactor is the load at which the servers without a limit are busy for five
+	// sixths, minHighLoadShare the part of it that must be answered in time.
+	highLoadFactor   = 2.4
+	minHighLoadShare = 0.9
 )
 
 // Guards against servers that ask for a pause and get requests in it, and against callers
 // who are refused while other servers have room.
-func TestServersThatAskForAPauseGetIt(t *testing.T) {
+func TestProxiesHonorRequestedBackoff(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
-		l := load(t, "pausing")
+		l := readScenario(t, "pausing")
 		l.ProxiesPerRegion = proxies
 		o := Simulate(l, steering.DefaultPlacer, 1)
 		t.Logf("%d proxies a region: at most %d requests in a pause of %d; %.3f in target, %d refused", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, o.ShareWithinTarget(), o.Refused)
-		if o.Backoffs.Count == 0 || o.Backoffs.MaxRequests > inPauseMost {
-			t.Errorf("%d proxies a region: %d requests in one of %d pauses, want %d at most", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, inPauseMost)
+		if o.Backoffs.Count == 0 || o.Backoffs.MaxRequests > maxRequestsInBackoff {
+			t.Errorf("%d proxies a region: %d requests in one of %d pauses, want %d at most", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, maxRequestsInBackoff)
 		}
-		if refused := float64(o.Refused) / float64(o.Requests); refused > refusedMost {
-			t.Errorf("%d proxies a region: %.3f of the callers are refused, want %.3f at most", proxies, refused, refusedMost)
+		if refused := float64(o.Refused) / float64(o.Requests); refused > maxRefusedRatio {
+			t.Errorf("%d proxies a region: %.3f of the callers are refused, want %.3f at most", proxies, refused, maxRefusedRatio)
 		}
 	}
 }
 
 // Guards against a server that leaves by its own word and gets new requests, since its
 // registration says otherwise or has come back.
-func TestServerThatLeavesByItsOwnWordGetsNothingNew(t *testing.T) {
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
-		l := load(t, "leaving")
+		l := readScenario(t, "leaving")
 		l.ProxiesPerRegion = proxies
 		o := Simulate(l, steering.DefaultPlacer, 1)
 		t.Logf("%d proxies a region: %d requests after the bound, %d told; %.3f in target", proxies, o.Draining.LateRequests, o.Draining.ProxiesInformed, o.ShareWithinTarget())
 		if o.Draining.ProxiesInformed == 0 || o.Draining.LateRequests > 0 {
-			t.Errorf("%d proxies a region: %d requests later than %s after one of %d was told, want none", proxies, o.Draining.LateRequests, drainWithin, o.Draining.ProxiesInformed)
+			t.Errorf("%d proxies a region: %d requests later than %s after one of %d was told, want none", proxies, o.Draining.LateRequests, drainBound, o.Draining.ProxiesInformed)
 		}
 	}
 }
 
 // Guards against proxies that each keep to a server's limit, or do not, and pass it together.
-func TestServersGetNoMoreThanTheLimitThatTheyName(t *testing.T) {
+func TestProxiesTogetherKeepAdvertisedRateLimit(t *testing.T) {
 	for _, proxies := range []int{1, 3, 12} {
-		l := load(t, "limited")
+		l := readScenario(t, "limited")
 		l.ProxiesPerRegion = proxies
 		for seed := range uint64(2) {
 			o := Simulate(l, steering.DefaultPlacer, seed+1)
@@ -67,32 +67,32 @@
 
 // Guards against a service that is hardly overloaded and does less and less: full servers
 // refuse requests, which run cold elsewhere and fill the other servers.
-func TestFullHomesDoNotSpreadTheirLoad(t *testing.T) {
+func TestFullHomesDoNotSpreadColdRuns(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
-		l := load(t, "limited")
+		l := readScenario(t, "limited")
 		l.ProxiesPerRegion = proxies
 		for i := range l.Regions {
-			l.Regions[i].PerSecond *= crowdedTimes
+			l.Regions[i].PerSecond *= highLoadFactor
 		}
-		share, worst, first := mean(l, steering.DefaultPlacer)
+		share, worst, first := meanOverSeeds(l, steering.DefaultPlacer)
 		t.Logf("%d proxies a region: %.3f in target, %.3f of the worst region, %.0f first runs", proxies, share, worst, first)
-		if share < crowdedShare {
-			t.Errorf("%d proxies a region: %.3f in target, want %.2f at least: the servers have room for all", proxies, share, crowdedShare)
+		if share < minHighLoadShare {
+			t.Errorf("%d proxies a region: %.3f in target, want %.2f at least: the servers have room for all", proxies, share, minHighLoadShare)
 		}
 	}
 }
 
 // Guards against objects of limited servers that run by turns at home and anywhere else in
 // a region whose servers are full.
-func TestObjectsOfLimitedServersFailOver(t *testing.T) {
-	l := load(t, "limited")
+func TestObjectsOfRateLimitedServersFailOver(t *testing.T) {
+	l := readScenario(t, "limited")
 	l.ProxiesPerRegion = 12
 	for i := range l.Regions {
-		l.Regions[i].PerSecond *= crowdedTimes
+		l.Regions[i].PerSecond *= highLoadFactor
 	}
-	share, worst, _ := mean(l, steering.DefaultPlacer)
+	share, worst, _ := meanOverSeeds(l, steering.DefaultPlacer)
 	l.MechanismsOff = append(l.MechanismsOff, steering.MechanismFailover)
-	without, worstWithout, _ := mean(l, steering.DefaultPlacer)
+	without, worstWithout, _ := meanOverSeeds(l, steering.DefaultPlacer)
 	t.Logf("%.3f in target, %.3f of the worst region; without failover %.3f and %.3f", share, worst, without, worstWithout)
 	if share <= without || worst <= worstWithout {
 		t.Errorf("got %.3f in target and %.3f of the worst region, want more than the %.3f and %.3f without failover", share, worst, without, worstWithout)
--- a/internal/fake/warmnet/load.go
+++ b/internal/fake/warmnet/load.go
@@ -178,7 +178,7 @@
 
 // affects reports whether a server is one of those concerned now.
 func (e *Episode) affects(s *server, now time.Duration) bool {
-	return e.activeIn(s.region, now) && s.number < e.Servers
+	return e.activeIn(s.region, now) && s.index < e.Servers
 }
 
 // constantRate reports whether the rate stays the same all the time.
--- a/internal/fake/warmnet/pausing.go
+++ b/internal/fake/warmnet/pausing.go
@@ -24,7 +24,7 @@
 	// backoffLog notes what each proxy sends each server, and when the server asked for what.
 	backoffLog struct {
 		arrivals map[serverProxy][]time.Duration
-		spans    map[serverProxy][]backoffPeriod
+		periods  map[serverProxy][]backoffPeriod
 	}
 
 	backoffPeriod struct {
@@ -34,33 +34,33 @@
 
 // backoffRequest is what a server asks for now, zero for nothing.
 func (l Scenario) backoffRequest(s *server, now time.Duration) time.Duration {
-	for _, p := range l.BackoffRequests {
-		if p.affects(s, now) {
-			return p.Backoff.Std()
+	for _, b := range l.BackoffRequests {
+		if b.affects(s, now) {
+			return b.Backoff.Std()
 		}
 	}
 	return 0
 }
 
-func (p *backoffLog) arrived(now time.Duration, server, proxy string) {
+func (p *backoffLog) recordArrival(now time.Duration, server, proxy string) {
 	if p.arrivals == nil {
-		p.arrivals, p.spans = make(map[serverProxy][]time.Duration), make(map[serverProxy][]backoffPeriod)
+		p.arrivals, p.periods = make(map[serverProxy][]time.Duration), make(map[serverProxy][]backoffPeriod)
 	}
 	p.arrivals[serverProxy{server, proxy}] = append(p.arrivals[serverProxy{server, proxy}], now)
 }
 
-func (p *backoffLog) asked(now, pause time.Duration, server, proxy string) {
-	p.spans[serverProxy{server, proxy}] = append(p.spans[serverProxy{server, proxy}], backoffPeriod{now + heedWithin, now + pause})
+func (p *backoffLog) recordBackoff(now, backoff time.Duration, server, proxy string) {
+	p.periods[serverProxy{server, proxy}] = append(p.periods[serverProxy{server, proxy}], backoffPeriod{now + reactionTime, now + backoff})
 }
 
-// judge sums up what came in pauses.
-func (p *backoffLog) judge() (out BackoffStats) {
-	for key, spans := range p.spans {
-		out.Count += len(spans)
-		for _, span := range spans {
+// stats sums up what came in pauses.
+func (p *backoffLog) stats() (out BackoffStats) {
+	for key, periods := range p.periods {
+		out.Count += len(periods)
+		for _, period := range periods {
 			n := 0
 			for _, at := range p.arrivals[key] {
-				if at >= span.from && at < span.to {
+				if at >= period.from && at < period.to {
 					n++
 				}
 			}
--- a/internal/fake/warmnet/play.go
+++ b/internal/fake/warmnet/play.go
@@ -20,59 +20,59 @@
 	// so a plan for the objects may do a little better.
 	Oracle = "all-seeing"
 
-	service  = "service"
-	host     = "host"
-	workVary = 0.15
-	// accountsInAll is how many accounts there are, which send alike.
-	accountsInAll = 10
-	// calmShare is the rate while a load is calm, as a part of the load's.
-	calmShare = 0.5
+	service           = "service"
+	host              = "host"
+	serviceTimeJitter = 0.15
+	// accountCount is how many accounts there are, which send alike.
+	accountCount = 10
+	// initialRateFactor is the rate while a load is calm, as a part of the load's.
+	initialRateFactor = 0.5
 )
 
 type (
 	simulation struct {
 		schedule.Schedule
-		load    Scenario
-		random  *rand.Rand
-		servers []*server
-		byID    map[string]*server
-		proxies map[string][]*steering.Kernel
-		// listed are the proxies that know of each other.
-		listed  []steering.Proxy
-		out     Result
-		inRange map[string]int
-		asked   map[string]int
-		oracle  bool
-		// holds passes what proxies tell each other of gates.
-		holds  slotMessages
-		record func(steering.Call)
-		// upTo sums how often the objects up to each one are asked for, if they
+		scenario Scenario
+		random   *rand.Rand
+		servers  []*server
+		byID     map[string]*server
+		proxies  map[string][]*steering.Kernel
+		// proxyList are the proxies that know of each other.
+		proxyList    []steering.Proxy
+		result       Result
+		withinTarget map[string]int
+		requests     map[string]int
+		oracle       bool
+		// slotMessages passes what proxies tell each other of gates.
+		slotMessages slotMessages
+		record       func(steering.Call)
+		// cumulativeWeights sums how often the objects up to each one are asked for, if they
 		// differ.
-		upTo   []float64
-		shares regionCounts
-		ends   crashState
-		limits rateLimitLog
-		// leaves are when proxies heard that servers leave.
-		leaves firstHeard
-		pauses backoffLog
+		cumulativeWeights []float64
+		regionCounts      regionCounts
+		crashes           crashState
+		rateLimits        rateLimitLog
+		// drainHeard are when proxies heard that servers leave.
+		drainHeard firstHeard
+		backoffs   backoffLog
 	}
 
 	request struct {
-		kernel *steering.Kernel
-		flight *steering.ActiveRequest
+		kernel        *steering.Kernel
+		activeRequest *steering.ActiveRequest
 		// region is the caller's, entry that of the proxy that it asks.
-		region string
-		entry  string
-		began  time.Duration
-		// asked is when its caller sent it last.
-		asked   time.Duration
-		server  *server
-		object  string
-		returns int
+		region      string
+		proxyRegion string
+		startedAt   time.Duration
+		// sentAt is when its caller sent it last.
+		sentAt      time.Duration
+		server      *server
+		object      string
+		retriesLeft int
 		// credential is that of the caller's account, if there are any.
 		credential account.Credential
-		// deadly work ends its server.
-		deadly bool
+		// crashing work ends its server.
+		crashing bool
 	}
 )
 
@@ -82,80 +82,80 @@
 // simulate does so and records the calls of the first proxy's kernel.
 func simulate(l Scenario, placer string, seed uint64, record func(steering.Call)) Result {
 	w := &simulation{
-		record: record,
-		load:   l, random: rand.New(rand.NewPCG(seed, 1)), byID: make(map[string]*server),
-		proxies: make(map[string][]*steering.Kernel), inRange: make(map[string]int), asked: make(map[string]int),
-		shares: make(regionCounts),
-		oracle: placer == Oracle,
+		record:   record,
+		scenario: l, random: rand.New(rand.NewPCG(seed, 1)), byID: make(map[string]*server),
+		proxies: make(map[string][]*steering.Kernel), withinTarget: make(map[string]int), requests: make(map[string]int),
+		regionCounts: make(regionCounts),
+		oracle:       placer == Oracle,
 	}
 	if w.oracle {
 		placer = steering.DefaultPlacer
 	}
 	w.build(placer, seed)
 	for i, r := range l.Regions {
-		w.arrivals(i, r)
+		w.scheduleArrivals(i, r)
 	}
 	if l.RemoveAt > 0 {
-		w.After(l.RemoveAt.Std(), w.leave)
+		w.After(l.RemoveAt.Std(), w.removeFirstServers)
 	}
 	if l.Rollout != nil {
-		w.After(l.Rollout.From.Std(), func() { w.replace(0) })
+		w.After(l.Rollout.From.Std(), func() { w.replaceServers(0) })
 	}
 	if len(l.ProxyLossRegions) > 0 {
-		w.After(l.ProxyLossAt.Std(), w.strand)
+		w.After(l.ProxyLossAt.Std(), w.removeProxies)
 	}
 	if l.hasCrashes() {
-		w.playEnds()
+		w.scheduleCrashes()
 	}
-	w.playLeaving()
+	w.scheduleDraining()
 	if len(l.ProxyLossRegions) > 0 || l.Knee > 0 || l.hasCrashes() || l.hasBackpressure() {
-		w.After(tickEvery, w.tick)
+		w.After(tickInterval, w.tick)
 	}
 	for w.Next() {
 	}
-	w.out.WithinTargetByRegion = make(map[string]float64)
-	for region, n := range w.asked {
-		w.out.WithinTargetByRegion[region] = float64(w.inRange[region]) / float64(max(1, n))
+	w.result.WithinTargetByRegion = make(map[string]float64)
+	for region, n := range w.requests {
+		w.result.WithinTargetByRegion[region] = float64(w.withinTarget[region]) / float64(max(1, n))
 	}
-	w.out.MaxRegionShift = w.shares.shifted()
-	w.out.RateLimits, w.out.Backoffs = w.limits.judge(l.RateLimits), w.pauses.judge()
-	slices.Sort(w.out.Latencies)
-	return w.out
+	w.result.MaxRegionShift = w.regionCounts.maxShift()
+	w.result.RateLimits, w.result.Backoffs = w.rateLimits.stats(l.RateLimits), w.backoffs.stats()
+	slices.Sort(w.result.Latencies)
+	return w.result
 }
 
 func (w *simulation) clock() time.Time { return time.Unix(1_000_000, 0).Add(w.Now) }
 
 func (w *simulation) build(placer string, seed uint64) {
 	regionOf := make(map[string]string)
-	for _, r := range w.load.Regions {
+	for _, r := range w.scenario.Regions {
 		regionOf[r.Name+"-a"] = r.Name
 		for i := range r.Servers {
-			s := &server{id: serverID(r.Name, i), region: r.Name, number: i, slow: 1}
-			if n := len(w.load.ServiceTimeFactors); n > 0 {
-				s.slow = w.load.ServiceTimeFactors[len(w.servers)%n]
+			s := &server{id: serverID(r.Name, i), region: r.Name, index: i, serviceTimeFactor: 1}
+			if n := len(w.scenario.ServiceTimeFactors); n > 0 {
+				s.serviceTimeFactor = w.scenario.ServiceTimeFactors[len(w.servers)%n]
 			}
 			w.servers = append(w.servers, s)
 			w.byID[s.id] = s
 		}
 	}
-	for _, r := range w.load.Regions {
-		for i := range w.load.ProxiesPerRegion {
-			w.listed = append(w.listed, steering.Proxy{Name: fmt.Sprintf("%s-proxy-%d", r.Name, i), Domain: r.Name + "-a", Region: r.Name})
+	for _, r := range w.scenario.Regions {
+		for i := range w.scenario.ProxiesPerRegion {
+			w.proxyList = append(w.proxyList, steering.Proxy{Name: fmt.Sprintf("%s-proxy-%d", r.Name, i), Domain: r.Name + "-a", Region: r.Name})
 		}
 	}
-	for i, p := range w.listed {
+	for i, p := range w.proxyList {
 		var record func(steering.Call)
 		if i == 0 {
 			record = w.record
 		}
 		k := steering.New(steering.Config{
 			Record: record,
-			Name:   p.Name, Domain: p.Domain, Off: w.load.MechanismsOff, EndsToCondemn: w.load.QuarantineThreshold, Region: p.Region, RegionOf: regionOf, Placer: placer, Seed: [32]byte{byte(i), byte(seed), byte(i >> 8)},
+			Name:   p.Name, Domain: p.Domain, Off: w.scenario.MechanismsOff, EndsToCondemn: w.scenario.QuarantineThreshold, Region: p.Region, RegionOf: regionOf, Placer: placer, Seed: [32]byte{byte(i), byte(seed), byte(i >> 8)},
 			Bounds: steering.Bounds{
 				Retry: steering.RetryBudget{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}, ColdFactor: 1.5, ColdSlack: 5,
 			},
 		})
-		k.SetProxies(time.Time{}, w.listed)
+		k.SetProxies(time.Time{}, w.proxyList)
 		w.configure(k, p.Region)
 		w.proxies[p.Region] = append(w.proxies[p.Region], k)
 	}
@@ -163,10 +163,10 @@
 
 func (w *simulation) configure(k *steering.Kernel, region string) {
 	route := &routing.Route{
-		Name: "route", Host: host, Prefix: "/", Idempotent: true, Attempts: 2, Sticky: !w.load.NotSticky,
-		Timeout: w.load.Timeout.Std(), Target: w.load.LatencyTarget.Std(), Parts: []routing.WeightedService{{Service: service, Weight: 1}},
+		Name: "route", Host: host, Prefix: "/", Idempotent: true, Attempts: 2, Sticky: !w.scenario.NotSticky,
+		Timeout: w.scenario.Timeout.Std(), Target: w.scenario.LatencyTarget.Std(), Parts: []routing.WeightedService{{Service: service, Weight: 1}},
 	}
-	bounds := &routing.Service{Name: service, Connections: w.load.MaxConnections}
+	bounds := &routing.Service{Name: service, Connections: w.scenario.MaxConnections}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, []*routing.Service{bounds}, routing.Limits{}).WithAccounts(w.accounts()))
 	for _, s := range w.servers {
 		k.RegisterServer(w.clock(), w.registration(s))
@@ -176,14 +176,14 @@
 
 // accounts are those of the callers, if some are bound to a region.
 func (w *simulation) accounts() *account.Table {
-	if w.load.RestrictedShare == 0 {
+	if w.scenario.RestrictedShare == 0 {
 		return nil
 	}
 	var list []*account.Account
-	for i := range accountsInAll {
+	for i := range accountCount {
 		a := &account.Account{Name: strconv.Itoa(i), Keys: []account.Key{accountKey(i)}}
-		if float64(i) < w.load.RestrictedShare*accountsInAll {
-			a.Regions = []string{w.load.RestrictedTo}
+		if float64(i) < w.scenario.RestrictedShare*accountCount {
+			a.Regions = []string{w.scenario.RestrictedTo}
 		}
 		list = append(list, a)
 	}
@@ -197,265 +197,265 @@
 }
 
 func (w *simulation) registration(s *server) routing.Server {
-	return routing.Server{ID: s.id, Service: service, Domain: s.region + "-a", Slots: w.load.SlotsPerServer}
+	return routing.Server{ID: s.id, Service: service, Domain: s.region + "-a", Slots: w.scenario.SlotsPerServer}
 }
 
 func (w *simulation) roundTrip(a, b string) time.Duration {
 	if a == b {
 		return time.Millisecond
 	}
-	return w.load.RoundTrip.Std()
+	return w.scenario.RoundTrip.Std()
 }
 
-// arrivals makes one region's callers ask, at random moments.
-func (w *simulation) arrivals(i int, r Region) {
-	most := r.PerSecond * (1 + w.load.RateAmplitude)
-	if w.load.Surge != nil {
-		most *= max(1, w.load.Surge.RateFactor)
+// scheduleArrivals makes one region's callers ask, at random moments.
+func (w *simulation) scheduleArrivals(i int, r Region) {
+	maxRate := r.PerSecond * (1 + w.scenario.RateAmplitude)
+	if w.scenario.Surge != nil {
+		maxRate *= max(1, w.scenario.Surge.RateFactor)
 	}
-	pause := func() time.Duration { return time.Duration(w.random.ExpFloat64() / most * float64(time.Second)) }
+	interval := func() time.Duration { return time.Duration(w.random.ExpFloat64() / maxRate * float64(time.Second)) }
 	var next func()
 	next = func() {
-		if w.Now >= w.load.Duration.Std() {
+		if w.Now >= w.scenario.Duration.Std() {
 			return
 		}
 		// Moments at the highest rate are thinned out to the rate of now.
-		if w.load.constantRate() || w.random.Float64()*most < r.PerSecond*w.wave(i) {
-			w.ask(i, r.Name)
+		if w.scenario.constantRate() || w.random.Float64()*maxRate < r.PerSecond*w.rateFactor(i) {
+			w.createRequest(i, r.Name)
 		}
-		w.After(pause(), next)
+		w.After(interval(), next)
 	}
-	w.After(pause(), next)
+	w.After(interval(), next)
 }
 
-// wave is a region's rate now, as a part of its mean.
-func (w *simulation) wave(i int) float64 {
-	if w.Now < w.load.HalfRateUntil.Std() {
-		return calmShare
+// rateFactor is a region's rate now, as a part of its mean.
+func (w *simulation) rateFactor(i int) float64 {
+	if w.Now < w.scenario.HalfRateUntil.Std() {
+		return initialRateFactor
 	}
-	if w.load.Surge.activeIn(w.load.Regions[i].Name, w.Now) {
-		return w.load.Surge.RateFactor
+	if w.scenario.Surge.activeIn(w.scenario.Regions[i].Name, w.Now) {
+		return w.scenario.Surge.RateFactor
 	}
-	if w.load.RateAmplitude == 0 {
+	if w.scenario.RateAmplitude == 0 {
 		return 1
 	}
-	turns := w.Now.Seconds()/w.load.RatePeriod.Std().Seconds() + float64(i)/float64(len(w.load.Regions))
-	return 1 + w.load.RateAmplitude*math.Sin(2*math.Pi*turns)
+	periods := w.Now.Seconds()/w.scenario.RatePeriod.Std().Seconds() + float64(i)/float64(len(w.scenario.Regions))
+	return 1 + w.scenario.RateAmplitude*math.Sin(2*math.Pi*periods)
 }
 
-func (w *simulation) ask(i int, region string) {
-	w.out.Requests++
-	w.asked[region]++
+func (w *simulation) createRequest(i int, region string) {
+	w.result.Requests++
+	w.requests[region]++
 	object := ""
-	if !w.load.NoObjects {
-		object = strconv.FormatInt(int64(i*w.load.ObjectsPerRegion+w.draw()), 16)
+	if !w.scenario.NoObjects {
+		object = strconv.FormatInt(int64(i*w.scenario.ObjectsPerRegion+w.drawObject()), 16)
 	}
-	j := &request{region: region, began: w.Now, object: object, returns: w.load.MaxRetries}
-	if w.load.RestrictedShare > 0 {
-		j.credential = account.Credential{State: account.CredentialPresent, Key: accountKey(w.random.IntN(accountsInAll))}
+	req := &request{region: region, startedAt: w.Now, object: object, retriesLeft: w.scenario.MaxRetries}
+	if w.scenario.RestrictedShare > 0 {
+		req.credential = account.Credential{State: account.CredentialPresent, Key: accountKey(w.random.IntN(accountCount))}
 	}
-	w.begin(j)
+	w.sendToProxy(req)
 }
 
-// draw draws an object among those of one region.
-func (w *simulation) draw() int {
-	if w.load.Skew == 0 {
-		return w.random.IntN(w.load.ObjectsPerRegion)
+// drawObject draws an object among those of one region.
+func (w *simulation) drawObject() int {
+	if w.scenario.Skew == 0 {
+		return w.random.IntN(w.scenario.ObjectsPerRegion)
 	}
-	if len(w.upTo) == 0 {
+	if len(w.cumulativeWeights) == 0 {
 		sum := 0.0
-		for n := range w.load.ObjectsPerRegion {
-			sum += math.Pow(float64(n+1), -w.load.Skew)
-			w.upTo = append(w.upTo, sum)
+		for n := range w.scenario.ObjectsPerRegion {
+			sum += math.Pow(float64(n+1), -w.scenario.Skew)
+			w.cumulativeWeights = append(w.cumulativeWeights, sum)
 		}
 	}
-	i, _ := slices.BinarySearch(w.upTo, w.random.Float64()*w.upTo[len(w.upTo)-1])
+	i, _ := slices.BinarySearch(w.cumulativeWeights, w.random.Float64()*w.cumulativeWeights[len(w.cumulativeWeights)-1])
 	return i
 }
 
-// begin brings a caller to one of its region's proxies, or to any if it has none.
-func (w *simulation) begin(j *request) {
-	j.kernel, j.entry = w.entry(j.region)
-	j.asked = w.Now
-	if j.entry == j.region {
-		w.receive(j)
+// sendToProxy brings a caller to one of its region's proxies, or to any if it has none.
+func (w *simulation) sendToProxy(req *request) {
+	req.kernel, req.proxyRegion = w.pickProxy(req.region)
+	req.sentAt = w.Now
+	if req.proxyRegion == req.region {
+		w.handleAtProxy(req)
 		return
 	}
-	w.After(w.roundTrip(j.region, j.entry)/2, func() { w.receive(j) })
+	w.After(w.roundTrip(req.region, req.proxyRegion)/2, func() { w.handleAtProxy(req) })
 }
 
-func (w *simulation) receive(j *request) {
-	flight, decision := j.kernel.BeginRequest(w.clock(), steering.Request{ID: strconv.Itoa(w.out.Requests), Host: host, Path: "/", Object: j.object, Work: workOf(j.object), Credential: j.credential})
-	j.flight = flight
-	w.follow(j, decision)
+func (w *simulation) handleAtProxy(req *request) {
+	active, decision := req.kernel.BeginRequest(w.clock(), steering.Request{ID: strconv.Itoa(w.result.Requests), Host: host, Path: "/", Object: req.object, Work: fingerprintOf(req.object), Credential: req.credential})
+	req.activeRequest = active
+	w.applyDecision(req, decision)
 }
 
-func (w *simulation) follow(j *request, d steering.Decision) {
+func (w *simulation) applyDecision(req *request, d steering.Decision) {
 	if d.SlotRelease != nil {
-		w.release(j.entry, *d.SlotRelease)
+		w.sendSlotRelease(req.proxyRegion, *d.SlotRelease)
 	}
-	w.endsRefused(j, d)
-	w.stir(j.kernel)
+	w.recordQuarantineRefusal(req, d)
+	w.scheduleAlert(req.kernel)
 	switch {
 	case d.SlotRequest != nil && !w.oracle:
-		w.askFor(j, *d.SlotRequest)
+		w.sendSlotRequest(req, *d.SlotRequest)
 	case d.Server != nil:
 		s := w.byID[d.Server.ID]
 		if w.oracle {
-			s = w.best(j)
+			s = w.oracleServer(req)
 		}
-		j.server = s
-		w.shares.sent(w.Now, j.region, s.region)
-		w.After(w.roundTrip(j.entry, s.region)/2, func() { w.arrive(j) })
-	case d.ReturnResponse && j.entry != j.region:
-		w.After(w.roundTrip(j.region, j.entry)/2, func() { w.answered(j) })
+		req.server = s
+		w.regionCounts.record(w.Now, req.region, s.region)
+		w.After(w.roundTrip(req.proxyRegion, s.region)/2, func() { w.arriveAtServer(req) })
+	case d.ReturnResponse && req.proxyRegion != req.region:
+		w.After(w.roundTrip(req.region, req.proxyRegion)/2, func() { w.recordResponse(req) })
 	case d.ReturnResponse:
-		w.answered(j)
-	case j.deadly:
-	case d.NotRun && j.returns > 0:
-		j.returns--
-		w.After(d.RetryAfter, func() { w.begin(j) })
+		w.recordResponse(req)
+	case req.crashing:
+	case d.NotRun && req.retriesLeft > 0:
+		req.retriesLeft--
+		w.After(d.RetryAfter, func() { w.sendToProxy(req) })
 	case d.NotRun:
-		w.out.Refused++
+		w.result.Refused++
 	default:
-		w.out.Failed++
+		w.result.Failed++
 	}
 }
 
-// best is the all-seeing choice: the server that answers first.
-func (w *simulation) best(j *request) *server {
+// oracleServer is the all-seeing choice: the server that answers first.
+func (w *simulation) oracleServer(req *request) *server {
 	var best *server
-	least := time.Duration(math.MaxInt64)
+	bestLatency := time.Duration(math.MaxInt64)
 	for _, s := range w.servers {
-		if s.gone || w.away(s) {
+		if s.removed || w.inOutage(s) {
 			continue
 		}
-		work := time.Duration(float64(w.load.ServiceTime.Std()) * w.slowness(s))
-		warm := time.Duration(float64(work) * w.load.WarmFactor)
-		if s.knows(j.flight.Object) {
+		work := time.Duration(float64(w.scenario.ServiceTime.Std()) * w.slowdown(s))
+		warm := time.Duration(float64(work) * w.scenario.WarmFactor)
+		if s.hasCached(req.activeRequest.Object) {
 			work = warm
 		} else {
 			work += warm
 		}
-		busy := max(0, s.running+len(s.waiting)+1-w.load.SlotsPerServer)
-		took := w.roundTrip(j.entry, s.region) + work + time.Duration(busy)*warm/time.Duration(w.load.SlotsPerServer)
-		if took < least {
-			best, least = s, took
+		excess := max(0, s.running+len(s.queue)+1-w.scenario.SlotsPerServer)
+		latency := w.roundTrip(req.proxyRegion, s.region) + work + time.Duration(excess)*warm/time.Duration(w.scenario.SlotsPerServer)
+		if latency < bestLatency {
+			best, bestLatency = s, latency
 		}
 	}
 	return best
 }
 
-func (w *simulation) answered(j *request) {
-	took := w.Now - j.began
-	w.out.Latencies = append(w.out.Latencies, took)
-	if took <= w.load.LatencyTarget.Std() {
-		w.out.WithinTarget++
-		w.inRange[j.region]++
+func (w *simulation) recordResponse(req *request) {
+	latency := w.Now - req.startedAt
+	w.result.Latencies = append(w.result.Latencies, latency)
+	if latency <= w.scenario.LatencyTarget.Std() {
+		w.result.WithinTarget++
+		w.withinTarget[req.region]++
 		return
 	}
-	w.out.Late++
+	w.result.Late++
 }
 
-func (w *simulation) arrive(j *request) {
-	s := j.server
-	w.limits.arrived(w.Now, s.id, j.kernel.Name())
-	w.left(j)
-	w.pauses.arrived(w.Now, s.id, j.kernel.Name())
-	refuses := w.Now >= w.load.RefuseFrom.Std() && w.Now < w.load.RefuseTo.Std() && w.random.Float64() < w.load.RefuseRatio
+func (w *simulation) arriveAtServer(req *request) {
+	s := req.server
+	w.rateLimits.recordArrival(w.Now, s.id, req.kernel.Name())
+	w.recordDrainArrival(req)
+	w.backoffs.recordArrival(w.Now, s.id, req.kernel.Name())
+	refuses := w.Now >= w.scenario.RefuseFrom.Std() && w.Now < w.scenario.RefuseTo.Std() && w.random.Float64() < w.scenario.RefuseRatio
 	switch {
-	case w.away(s):
-		s.recent = nil
-		w.end(j, steering.ResultUnreachable)
-	case s.ended:
-		w.endWith(j, steering.Attempt{Result: steering.ResultUnreachable, Refusing: true})
-	case w.load.backoffRequest(s, w.Now) > 0:
-		w.pauses.asked(w.Now, w.load.backoffRequest(s, w.Now), s.id, j.kernel.Name())
-		w.end(j, steering.ResultRefused)
-	case s.gone || refuses || s.running >= w.load.SlotsPerServer && len(s.waiting) >= w.load.QueueCapacity:
-		w.end(j, steering.ResultRefused)
-	case s.running < w.load.SlotsPerServer:
-		w.run(j)
+	case w.inOutage(s):
+		s.cached = nil
+		w.endAttempt(req, steering.ResultUnreachable)
+	case s.crashed:
+		w.returnAttempt(req, steering.Attempt{Result: steering.ResultUnreachable, Refusing: true})
+	case w.scenario.backoffRequest(s, w.Now) > 0:
+		w.backoffs.recordBackoff(w.Now, w.scenario.backoffRequest(s, w.Now), s.id, req.kernel.Name())
+		w.endAttempt(req, steering.ResultRefused)
+	case s.removed || refuses || s.running >= w.scenario.SlotsPerServer && len(s.queue) >= w.scenario.QueueCapacity:
+		w.endAttempt(req, steering.ResultRefused)
+	case s.running < w.scenario.SlotsPerServer:
+		w.startRun(req)
 	default:
-		s.waiting = append(s.waiting, j)
+		s.queue = append(s.queue, req)
 	}
 }
 
-func (w *simulation) run(j *request) {
-	s := j.server
+func (w *simulation) startRun(req *request) {
+	s := req.server
 	s.running++
-	s.now = append(s.now, j)
-	if j.deadly {
-		w.After(w.load.CrashingRequests.Delay.Std(), func() { w.deadlyRan(j, s) })
+	s.active = append(s.active, req)
+	if req.crashing {
+		w.After(w.scenario.CrashingRequests.Delay.Std(), func() { w.crashFromRequest(req, s) })
 		return
 	}
-	work := float64(w.load.ServiceTime.Std()) * w.slowness(s) * w.vary()
-	if w.load.Knee > 0 && float64(s.running) > w.load.Knee*float64(w.load.SlotsPerServer) {
-		work *= w.load.KneeFactor
+	work := float64(w.scenario.ServiceTime.Std()) * w.slowdown(s) * w.drawServiceTimeFactor()
+	if w.scenario.Knee > 0 && float64(s.running) > w.scenario.Knee*float64(w.scenario.SlotsPerServer) {
+		work *= w.scenario.KneeFactor
 	}
-	if s.knows(j.flight.Object) {
-		work *= w.load.WarmFactor
+	if s.hasCached(req.activeRequest.Object) {
+		work *= w.scenario.WarmFactor
 	} else {
-		w.out.ColdRuns++
+		w.result.ColdRuns++
 	}
-	s.remember(j.flight.Object, w.load.CacheCapacity)
+	s.addToCache(req.activeRequest.Object, w.scenario.CacheCapacity)
 	w.After(time.Duration(work), func() {
-		if s.ended {
+		if s.crashed {
 			return
 		}
 		s.running--
-		s.now = slices.DeleteFunc(s.now, func(other *request) bool { return other == j })
-		w.end(j, steering.ResultAnswered)
-		for len(s.waiting) > 0 && s.running < w.load.SlotsPerServer {
-			next := s.waiting[0]
-			s.waiting = s.waiting[1:]
-			if w.clock().After(next.flight.ExpiresAt) {
-				w.end(next, steering.ResultTimeout)
+		s.active = slices.DeleteFunc(s.active, func(other *request) bool { return other == req })
+		w.endAttempt(req, steering.ResultAnswered)
+		for len(s.queue) > 0 && s.running < w.scenario.SlotsPerServer {
+			next := s.queue[0]
+			s.queue = s.queue[1:]
+			if w.clock().After(next.activeRequest.ExpiresAt) {
+				w.endAttempt(next, steering.ResultTimeout)
 				continue
 			}
-			w.run(next)
+			w.startRun(next)
 		}
 	})
 }
 
-// slowness is how many times as long a server takes now.
-func (w *simulation) slowness(s *server) float64 {
-	if s.number < max(1, w.load.SlowServers) && w.Now >= w.load.SlowFrom.Std() && w.Now < w.load.SlowTo.Std() {
-		return s.slow * w.load.SlowFactor
+// slowdown is how many times as long a server takes now.
+func (w *simulation) slowdown(s *server) float64 {
+	if s.index < max(1, w.scenario.SlowServers) && w.Now >= w.scenario.SlowFrom.Std() && w.Now < w.scenario.SlowTo.Std() {
+		return s.serviceTimeFactor * w.scenario.SlowFactor
 	}
-	return s.slow
+	return s.serviceTimeFactor
 }
 
-// vary is one request's work as a part of the mean.
-func (w *simulation) vary() float64 {
-	if w.load.ServiceTimeSigma > 0 {
-		return math.Exp(w.load.ServiceTimeSigma*w.random.NormFloat64() - w.load.ServiceTimeSigma*w.load.ServiceTimeSigma/2)
+// drawServiceTimeFactor is one request's work as a part of the mean.
+func (w *simulation) drawServiceTimeFactor() float64 {
+	if w.scenario.ServiceTimeSigma > 0 {
+		return math.Exp(w.scenario.ServiceTimeSigma*w.random.NormFloat64() - w.scenario.ServiceTimeSigma*w.scenario.ServiceTimeSigma/2)
 	}
-	return 1 + workVary*(2*w.random.Float64()-1)
+	return 1 + serviceTimeJitter*(2*w.random.Float64()-1)
 }
 
-// end brings the result back to the proxy.
-func (w *simulation) end(j *request, result steering.Result) {
+// endAttempt brings the result back to the proxy.
+func (w *simulation) endAttempt(req *request, result steering.Result) {
 	attempt := steering.Attempt{Result: result}
-	if !w.load.NoLoadReports && result != steering.ResultConnectionLost {
-		attempt.Loaded, attempt.Running, attempt.Waiting = true, j.server.running, len(j.server.waiting)
+	if !w.scenario.NoLoadReports && result != steering.ResultConnectionLost {
+		attempt.Loaded, attempt.Running, attempt.Waiting = true, req.server.running, len(req.server.queue)
 		if result == steering.ResultAnswered {
 			// A server that answers counts the request that it answers.
 			attempt.Running++
 		}
 	}
-	w.endWith(j, attempt)
+	w.returnAttempt(req, attempt)
 }
 
-// endWith brings an attempt's end back to the proxy.
-func (w *simulation) endWith(j *request, attempt steering.Attempt) {
-	attempt.Signal = w.signal(j.server, attempt.Result)
-	w.After(w.roundTrip(j.entry, j.server.region)/2, func() {
-		w.told(j, attempt.Signal)
-		if attempt.Result == steering.ResultAnswered && w.clock().After(j.flight.ExpiresAt) {
+// returnAttempt brings an attempt's end back to the proxy.
+func (w *simulation) returnAttempt(req *request, attempt steering.Attempt) {
+	attempt.Signal = w.signal(req.server, attempt.Result)
+	w.After(w.roundTrip(req.proxyRegion, req.server.region)/2, func() {
+		w.recordSignal(req, attempt.Signal)
+		if attempt.Result == steering.ResultAnswered && w.clock().After(req.activeRequest.ExpiresAt) {
 			// The proxy has gone before the server's word arrives.
 			attempt = steering.Attempt{Result: steering.ResultTimeout}
 		}
-		w.follow(j, j.kernel.EndAttempt(w.clock(), j.flight, attempt))
+		w.applyDecision(req, req.kernel.EndAttempt(w.clock(), req.activeRequest, attempt))
 	})
 }
--- a/internal/fake/warmnet/replay_test.go
+++ b/internal/fake/warmnet/replay_test.go
@@ -15,7 +15,7 @@
 	var recording bytes.Buffer
 	var calls []steering.Call
 	encoder := json.NewEncoder(&recording)
-	simulate(load(t, name), steering.DefaultPlacer, 1, func(c steering.Call) {
+	simulate(readScenario(t, name), steering.DefaultPlacer, 1, func(c steering.Call) {
 		calls = append(calls, c)
 		if err := encoder.Encode(c); err != nil {
 			t.Fatal(err)
@@ -27,7 +27,7 @@
 // An operator has a recording of a proxy that placed requests badly. Given the
 // same calls, a new kernel must decide the same to the last request, or nobody
 // could find the cause with it.
-func TestRecordingsReplay(t *testing.T) {
+func TestReplayRepeatsAllDecisions(t *testing.T) {
 	for _, name := range []string{"refusals", "leave", "overload", "limited"} {
 		recording, _ := recorded(t, name)
 		got, err := steering.ReplayCalls(recording, "")
@@ -41,15 +41,15 @@
 }
 
 // The replay of a request tells how each server was weighed and which was chosen.
-func TestReplayTellsHowARequestWasPlaced(t *testing.T) {
+func TestReplayExplainsServerChoice(t *testing.T) {
 	recording, calls := recorded(t, "heavy")
-	var about, server string
+	var requestID, server string
 	for _, c := range calls {
 		if c.Request != nil && c.Decision.Server != "" {
-			about, server = c.Request.ID, c.Decision.Server
+			requestID, server = c.Request.ID, c.Decision.Server
 		}
 	}
-	got, err := steering.ReplayCalls(recording, about)
+	got, err := steering.ReplayCalls(recording, requestID)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,27 +60,27 @@
 		}
 	}
 	if len(got.Candidates) != 12 || chosen != server {
-		t.Errorf("request %s: %d servers weighed, chosen %q; want 12 and %q", about, len(got.Candidates), chosen, server)
+		t.Errorf("request %s: %d servers weighed, chosen %q; want 12 and %q", requestID, len(got.Candidates), chosen, server)
 	}
 }
 
 // The code is changed and decides otherwise on one request. The replay must name
 // it, and what was recorded after it must still be compared.
-func TestReplayNamesTheDecisionThatDiffers(t *testing.T) {
+func TestReplayReportsDifferingDecision(t *testing.T) {
 	_, calls := recorded(t, "heavy")
-	other := -1
+	index := -1
 	for i, c := range calls {
 		if c.Request != nil && c.Decision.Server != "" && i > len(calls)/2 {
-			other = i
+			index = i
 			break
 		}
 	}
-	changed := *calls[other].Decision
+	changed := *calls[index].Decision
 	changed.Server = "many-5"
-	if changed == *calls[other].Decision {
+	if changed == *calls[index].Decision {
 		changed.Server = "many-4"
 	}
-	calls[other].Decision = &changed
+	calls[index].Decision = &changed
 	var recording bytes.Buffer
 	for _, c := range calls {
 		if err := json.NewEncoder(&recording).Encode(c); err != nil {
@@ -91,13 +91,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got.Differences) == 0 || got.Differences[0].Request != calls[other].Request.ID || got.Calls != len(calls) {
-		t.Errorf("got %d differences over %d calls, want request %s first over %d", got.DifferenceCount, got.Calls, calls[other].Request.ID, len(calls))
+	if len(got.Differences) == 0 || got.Differences[0].Request != calls[index].Request.ID || got.Calls != len(calls) {
+		t.Errorf("got %d differences over %d calls, want request %s first over %d", got.DifferenceCount, got.Calls, calls[index].Request.ID, len(calls))
 	}
 }
 
 // A VM loses power while a call is written. What comes before it must replay.
-func TestRecordingThatIsCutShortReplays(t *testing.T) {
+func TestTruncatedRecordingReplays(t *testing.T) {
 	recording, calls := recorded(t, "refusals")
 	recording.Truncate(recording.Len() - 5)
 	got, err := steering.ReplayCalls(recording, "")
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestReplayNamesWhatIsWrong(t *testing.T) {
+func TestReplayReportsInvalidRecordings(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"do":"tick"}`: "call 1, tick: recording does not begin with the start of a proxy",
 		`{"do":"start","config":{}}{"do":"dance"}`:             `call 2, dance: do: "dance" is no call`,
--- a/internal/fake/warmnet/server.go
+++ b/internal/fake/warmnet/server.go
@@ -8,34 +8,36 @@
 type (
 	server struct {
 		id, region string
-		// number counts the servers of a region.
-		number  int
+		// index counts the servers of a region.
+		index   int
 		running int
-		waiting []*request
-		// now are the jobs that it runs.
-		now    []*request
-		recent []string
-		gone   bool
-		// ended servers refuse connections; starts counts those that took this one's place.
-		ended  bool
-		starts int
-		// slow is the time that it takes, as a part of the load's work.
-		slow float64
+		queue   []*request
+		// active are the jobs that it runs.
+		active  []*request
+		cached  []string
+		removed bool
+		// crashed servers refuse connections; starts counts those that took this one's place.
+		crashed  bool
+		restarts int
+		// serviceTimeFactor is the time that it takes, as a part of the load's work.
+		serviceTimeFactor float64
 	}
 )
 
-func (s *server) knows(object string) bool { return object != "" && slices.Contains(s.recent, object) }
+func (s *server) hasCached(object string) bool {
+	return object != "" && slices.Contains(s.cached, object)
+}
 
-func (s *server) remember(object string, most int) {
+func (s *server) addToCache(object string, capacity int) {
 	if object == "" {
 		return
 	}
-	if i := slices.Index(s.recent, object); i >= 0 {
-		s.recent = slices.Delete(s.recent, i, i+1)
+	if i := slices.Index(s.cached, object); i >= 0 {
+		s.cached = slices.Delete(s.cached, i, i+1)
 	}
-	s.recent = append(s.recent, object)
-	if len(s.recent) > most {
-		s.recent = s.recent[1:]
+	s.cached = append(s.cached, object)
+	if len(s.cached) > capacity {
+		s.cached = s.cached[1:]
 	}
 }
 
--- a/internal/fake/warmnet/shares.go
+++ b/internal/fake/warmnet/shares.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// shareWindow is the time over which operators compare regions' shares.
-	shareWindow = 2 * time.Second
-	// shareLeast is how many requests a window must have for its shares to say
+	// shiftWindow is the time over which operators compare regions' shares.
+	shiftWindow = 2 * time.Second
+	// minWindowRequests is how many requests a window must have for its shares to say
 	// anything: their standard deviation is under 0.04 then.
-	shareLeast = 200
+	minWindowRequests = 200
 )
 
 type (
@@ -18,36 +18,36 @@
 	regionCounts map[string][]map[string]int
 )
 
-// sent counts a request of a region's caller that is sent to a server's region.
-func (s regionCounts) sent(now time.Duration, from, to string) {
-	n := int(now / shareWindow)
-	for len(s[from]) <= n {
+// record counts a request of a region's caller that is sent to a server's region.
+func (s regionCounts) record(now time.Duration, from, to string) {
+	window := int(now / shiftWindow)
+	for len(s[from]) <= window {
 		s[from] = append(s[from], make(map[string]int))
 	}
-	s[from][n][to]++
+	s[from][window][to]++
 }
 
-// shifted is the largest part of a region's requests that went to another region than
+// maxShift is the largest part of a region's requests that went to another region than
 // in the window before.
-func (s regionCounts) shifted() float64 {
-	most := 0.0
+func (s regionCounts) maxShift() float64 {
+	largest := 0.0
 	for _, windows := range s {
 		for n := 1; n < len(windows); n++ {
-			most = max(most, moved(windows[n-1], windows[n]))
+			largest = max(largest, shift(windows[n-1], windows[n]))
 		}
 	}
-	return most
+	return largest
 }
 
-func moved(before, after map[string]int) float64 {
-	sum := func(counts map[string]int) (n int) {
+func shift(before, after map[string]int) float64 {
+	total := func(counts map[string]int) (n int) {
 		for _, count := range counts {
 			n += count
 		}
 		return n
 	}
-	was, is := sum(before), sum(after)
-	if was < shareLeast || is < shareLeast {
+	totalBefore, totalAfter := total(before), total(after)
+	if totalBefore < minWindowRequests || totalAfter < minWindowRequests {
 		return 0
 	}
 	regions := make(map[string]bool)
@@ -59,7 +59,7 @@
 	}
 	difference := 0.0
 	for region := range regions {
-		difference += math.Abs(float64(after[region])/float64(is) - float64(before[region])/float64(was))
+		difference += math.Abs(float64(after[region])/float64(totalAfter) - float64(before[region])/float64(totalBefore))
 	}
 	return difference / 2
 }
