--- a/cmd/gypsumquay-bench/experiment.go
+++ b/cmd/gypsumquay-bench/experiment.go
@@ -57,7 +57,7 @@
 		o := warmnet.Simulate(load, placer, uint64(seed)+1)
 		share += o.ShareWithinTarget() / n
 		worst += o.WorstRegionShare() / n
-		refused += float64(o.Refused) / float64(max(1, o.Requests)) / n
+		refused += float64(o.Refused) / float64(max(1, o.Sent)) / n
 		first += float64(o.ColdRuns) / n
 		if len(o.Latencies) > 0 {
 			p99 += float64(o.Latencies[len(o.Latencies)*99/100].Milliseconds()) / n
--- a/cmd/gypsumquay-bench/signals.go
+++ b/cmd/gypsumquay-bench/signals.go
@@ -56,7 +56,7 @@
 		use += o.RateLimits.MeanUtilization / n
 		after += o.RateLimits.RecoveredRate / n
 		share += o.ShareWithinTarget() / n
-		refused += float64(o.Refused) / float64(max(1, o.Requests)) / n
+		refused += float64(o.Refused) / float64(max(1, o.Sent)) / n
 		reports += float64(o.RateLimits.Reports) / all / load.Duration.Std().Seconds() / n
 	}
 	fmt.Printf("%8.0f %8.1f %12.2f %8.2f %8.2f %10.3f %8.4f %14.2f\n", all, limit, most, use, after, share, refused, reports)
--- a/internal/fake/limitnet/load.go
+++ b/internal/fake/limitnet/load.go
@@ -53,8 +53,8 @@
 
 	// Result is what came of it.
 	Result struct {
-		// Requests counts requests, Owed those within their account's limit.
-		Requests, Conforming int
+		// Sent counts requests, Owed those within their account's limit.
+		Sent, Conforming int
 		// InitiallyRefused counts the owed ones that were refused at first, Refused those
 		// that were refused also when they came again.
 		InitiallyRefused, Refused int
--- a/internal/fake/limitnet/play.go
+++ b/internal/fake/limitnet/play.go
@@ -72,27 +72,27 @@
 )
 
 // Simulate plays a load. Equal arguments give equal outcomes.
-func Simulate(l Scenario, strategy Strategy, seed uint64) Result {
+func Simulate(scenario Scenario, strategy Strategy, seed uint64) Result {
 	w := &simulation{
 		byName: make(map[string]*proxy), domains: make(map[int][]*proxy), regions: make(map[int][]*proxy),
-		scenario: l, strategy: strategy, random: rand.New(rand.NewPCG(seed, 1)), limits: make(map[string]ratelimit.Limit),
+		scenario: scenario, strategy: strategy, random: rand.New(rand.NewPCG(seed, 1)), limits: make(map[string]ratelimit.Limit),
 		conforming: make(map[string]*referenceBucket), enforced: make(map[string]*referenceBucket), allowed: make(map[string]*referenceBucket),
 	}
-	for i := range l.Proxies {
-		p := &proxy{name: "proxy-" + strconv.Itoa(i), region: i % l.Regions, domain: i % (2 * l.Regions)}
+	for i := range scenario.Proxies {
+		p := &proxy{name: "proxy-" + strconv.Itoa(i), region: i % scenario.Regions, domain: i % (2 * scenario.Regions)}
 		w.proxies = append(w.proxies, p)
 		w.byName[p.name] = p
 		w.domains[p.domain] = append(w.domains[p.domain], p)
 		w.regions[p.region] = append(w.regions[p.region], p)
 		w.startProxy(p)
 	}
-	for i, rate := range l.rates() {
+	for i, rate := range scenario.rates() {
 		w.addAccount(i, rate)
 	}
 	w.scheduleFaults()
-	for w.Next() && w.Now < warmUp+l.For {
+	for w.Next() && w.Now < warmUp+scenario.For {
 	}
-	seconds := (warmUp + l.For).Seconds() * float64(l.Proxies)
+	seconds := (warmUp + scenario.For).Seconds() * float64(scenario.Proxies)
 	w.result.ReportRate, w.result.TokenRequestRate = float64(w.reportCount)/seconds, float64(w.tokenRequestCount)/seconds
 	return w.result
 }
@@ -241,8 +241,8 @@
 }
 
 // addAccount makes an account with its clients and has them send.
-func (w *simulation) addAccount(i int, rate float64) {
-	name := "account-" + strconv.Itoa(i)
+func (w *simulation) addAccount(index int, rate float64) {
+	name := "account-" + strconv.Itoa(index)
 	w.limits[name] = ratelimit.Limit{PerSecond: w.scenario.Headroom * rate, Burst: w.scenario.Headroom * rate}
 	w.conforming[name], w.enforced[name], w.allowed[name] = &referenceBucket{tokens: 1e9}, &referenceBucket{tokens: 1e9}, &referenceBucket{tokens: 1e9}
 	count := max(1, int(float64(w.scenario.Clients)*rate/w.scenario.Rate+w.random.Float64()))
@@ -253,7 +253,7 @@
 	var next func()
 	next = func() {
 		currentRate := rate
-		if i == 0 && w.Now > warmUp+w.scenario.For/2 && w.scenario.Hot > 0 {
+		if index == 0 && w.Now > warmUp+w.scenario.For/2 && w.scenario.Hot > 0 {
 			currentRate *= w.scenario.Hot
 		}
 		w.After(time.Duration(w.random.ExpFloat64()/currentRate*float64(time.Second)), next)
@@ -264,9 +264,9 @@
 
 // sendRequest is a request's first try.
 func (w *simulation) sendRequest(account string, c *client) {
-	l := w.limits[account]
-	w.result.Requests++
-	conforming := w.conforming[account].take(w.Now, l) >= 0
+	limit := w.limits[account]
+	w.result.Sent++
+	conforming := w.conforming[account].take(w.Now, limit) >= 0
 	if !conforming {
 		w.conforming[account].tokens++
 	} else {
@@ -345,17 +345,17 @@
 
 // recordAdmitted checks what all proxies have let through.
 func (w *simulation) recordAdmitted(account string) {
-	l := w.limits[account]
-	w.result.MaxExcess = max(w.result.MaxExcess, -w.enforced[account].take(w.Now, l.WithOverage(overage)))
+	limit := w.limits[account]
+	w.result.MaxExcess = max(w.result.MaxExcess, -w.enforced[account].take(w.Now, limit.WithOverage(overage)))
 	bound := ratelimit.Limit{
-		PerSecond: l.PerSecond * (1 + overage.Ratio), Burst: l.Burst*(1+overage.Ratio) + overage.Requests,
+		PerSecond: limit.PerSecond * (1 + overage.Ratio), Burst: limit.Burst*(1+overage.Ratio) + overage.Requests,
 	}
 	w.result.MaxViolation = max(w.result.MaxViolation, -w.allowed[account].take(w.Now, bound))
 }
 
 // take takes a token and tells how many are left, below zero if there was none.
-func (r *referenceBucket) take(now time.Duration, l ratelimit.Limit) float64 {
-	r.tokens = min(l.Burst, r.tokens+(now-r.at).Seconds()*l.PerSecond)
+func (r *referenceBucket) take(now time.Duration, limit ratelimit.Limit) float64 {
+	r.tokens = min(limit.Burst, r.tokens+(now-r.at).Seconds()*limit.PerSecond)
 	r.at = now
 	r.tokens--
 	return r.tokens
@@ -363,7 +363,7 @@
 
 // scheduleFaults has proxies cut off and killed, and a limit lowered.
 func (w *simulation) scheduleFaults() {
-	l := w.scenario
+	scenario := w.scenario
 	sample := func(share float64) []*proxy {
 		order := w.random.Perm(len(w.proxies))
 		var list []*proxy
@@ -372,20 +372,20 @@
 		}
 		return list
 	}
-	partitioned := sample(l.Cut)
-	w.After(warmUp+l.For/4, func() { setPartitioned(partitioned, true) })
-	w.After(warmUp+l.For/2, func() { setPartitioned(partitioned, false) })
-	killed := sample(l.Killed)
-	w.After(warmUp+l.For/2, func() {
+	partitioned := sample(scenario.Cut)
+	w.After(warmUp+scenario.For/4, func() { setPartitioned(partitioned, true) })
+	w.After(warmUp+scenario.For/2, func() { setPartitioned(partitioned, false) })
+	killed := sample(scenario.Killed)
+	w.After(warmUp+scenario.For/2, func() {
 		for _, p := range killed {
 			p.down = true
-			w.After(l.Down, func() { w.startProxy(p) })
+			w.After(scenario.Down, func() { w.startProxy(p) })
 		}
 	})
-	if l.Lowered > 0 {
-		w.After(warmUp+l.For/3, func() {
+	if scenario.Lowered > 0 {
+		w.After(warmUp+scenario.For/3, func() {
 			limit := w.limits["account-0"]
-			w.limits["account-0"] = ratelimit.Limit{PerSecond: limit.PerSecond / l.Lowered, Burst: limit.Burst / l.Lowered}
+			w.limits["account-0"] = ratelimit.Limit{PerSecond: limit.PerSecond / scenario.Lowered, Burst: limit.Burst / scenario.Lowered}
 		})
 	}
 }
--- a/internal/fake/limitnet/play_test.go
+++ b/internal/fake/limitnet/play_test.go
@@ -20,9 +20,9 @@
 	// testCase is a load with what callers must get.
 	testCase struct {
 		Name string `json:"name"`
-		// Guards says which failure the load is there for.
-		Guards   string   `json:"guards"`
-		Scenario Scenario `json:"load"`
+		// GuardsAgainst says which failure the load is there for.
+		GuardsAgainst string   `json:"guards"`
+		Scenario      Scenario `json:"load"`
 		// MaxRefused is the largest part of the owed requests that may be refused for good;
 		// a limit that is lowered binds from then on only.
 		MaxRefused  float64 `json:"refused-most"`
@@ -67,15 +67,15 @@
 
 // Pools must be worth their messages.
 func TestPoolsRefuseFewerThanEqualShares(t *testing.T) {
-	l := readTestCases(t)[0].Scenario
-	if pools, equal := Simulate(l, RegionalPools, 1).RefusedShare(), Simulate(l, EqualShares, 1).RefusedShare(); pools >= equal/10 {
+	scenario := readTestCases(t)[0].Scenario
+	if pools, equal := Simulate(scenario, RegionalPools, 1).RefusedShare(), Simulate(scenario, EqualShares, 1).RefusedShare(); pools >= equal/10 {
 		t.Errorf("%.4f refused with pools, %.4f with even parts, want less than a tenth", pools, equal)
 	}
 }
 
 func Example() {
-	l := Scenario{Regions: 1, Proxies: 4, Accounts: 1, Rate: 100, Clients: 10, Headroom: 2, For: 5 * time.Second}
-	o := Simulate(l, RegionalPools, 1)
+	scenario := Scenario{Regions: 1, Proxies: 4, Accounts: 1, Rate: 100, Clients: 10, Headroom: 2, For: 5 * time.Second}
+	o := Simulate(scenario, RegionalPools, 1)
 	fmt.Println(o.Refused, o.MaxViolation)
 	// Output: 0 0
 }
--- a/internal/fake/warmnet/ends.go
+++ b/internal/fake/warmnet/ends.go
@@ -123,8 +123,8 @@
 	}
 	s.crashed = true
 	w.result.Crashes.Servers++
-	interrupted := append(s.active, s.queue...)
-	s.active, s.queue, s.running = nil, nil, 0
+	interrupted := append(s.activeRequests, s.queue...)
+	s.activeRequests, s.queue, s.running = nil, nil, 0
 	for _, req := range interrupted {
 		w.endAttempt(req, steering.ResultConnectionLost)
 	}
--- a/internal/fake/warmnet/leaving.go
+++ b/internal/fake/warmnet/leaving.go
@@ -18,7 +18,7 @@
 	DrainStats struct {
 		// LateRequests reached them that callers had sent later than the bound after the
 		// proxy heard of it; Told counts the proxies that did.
-		LateRequests, ProxiesInformed int
+		LateRequests, InformedPairs int
 	}
 )
 
@@ -61,5 +61,5 @@
 	if informed && req.sentAt > at+drainBound {
 		w.result.Draining.LateRequests++
 	}
-	w.result.Draining.ProxiesInformed = len(w.drainHeard)
+	w.result.Draining.InformedPairs = len(w.drainHeard)
 }
--- a/internal/fake/warmnet/limits.go
+++ b/internal/fake/warmnet/limits.go
@@ -93,7 +93,7 @@
 // recordSignal notes what a proxy hears with an answer.
 func (w *simulation) recordSignal(req *request, s backpressure.Signal) {
 	if s.Limit.Set {
-		w.rateLimits.informedAt.record(w.Now, req.server.id, req.kernel.Name())
+		w.rateLimitLog.informedAt.record(w.Now, req.server.id, req.kernel.Name())
 	}
 	if s.Draining {
 		w.drainHeard.record(w.Now, req.server.id, req.kernel.Name())
@@ -106,7 +106,7 @@
 		sent, received := k.BackpressureReports(w.clock(), false), peer.BackpressureReports(w.clock(), false)
 		peer.ApplyBackpressureReports(w.clock(), sent)
 		k.ApplyBackpressureReports(w.clock(), received)
-		w.rateLimits.reports += len(sent) + len(received)
+		w.rateLimitLog.reports += len(sent) + len(received)
 	})
 }
 
@@ -149,8 +149,8 @@
 			continue
 		}
 		n := 0.0
-		for k := i; k >= 0 && last.at-arrivals[k].at < limitWindow; k-- {
-			if arrivals[k].informed {
+		for j := i; j >= 0 && last.at-arrivals[j].at < limitWindow; j-- {
+			if arrivals[j].informed {
 				n++
 			}
 		}
--- a/internal/fake/warmnet/limits_test.go
+++ b/internal/fake/warmnet/limits_test.go
@@ -22,14 +22,14 @@
 // who are refused while other servers have room.
 func TestProxiesHonorRequestedBackoff(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
-		l := readScenario(t, "pausing")
-		l.ProxiesPerRegion = proxies
-		o := Simulate(l, steering.DefaultPlacer, 1)
+		scenario := readScenario(t, "pausing")
+		scenario.ProxiesPerRegion = proxies
+		o := Simulate(scenario, steering.DefaultPlacer, 1)
 		t.Logf("%d proxies a region: at most %d requests in a pause of %d; %.3f in target, %d refused", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, o.ShareWithinTarget(), o.Refused)
 		if o.Backoffs.Count == 0 || o.Backoffs.MaxRequests > maxRequestsInBackoff {
 			t.Errorf("%d proxies a region: %d requests in one of %d pauses, want %d at most", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, maxRequestsInBackoff)
 		}
-		if refused := float64(o.Refused) / float64(o.Requests); refused > maxRefusedRatio {
+		if refused := float64(o.Refused) / float64(o.Sent); refused > maxRefusedRatio {
 			t.Errorf("%d proxies a region: %.3f of the callers are refused, want %.3f at most", proxies, refused, maxRefusedRatio)
 		}
 	}
@@ -39,12 +39,12 @@
 // registration says otherwise or has come back.
 func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
-		l := readScenario(t, "leaving")
-		l.ProxiesPerRegion = proxies
-		o := Simulate(l, steering.DefaultPlacer, 1)
-		t.Logf("%d proxies a region: %d requests after the bound, %d told; %.3f in target", proxies, o.Draining.LateRequests, o.Draining.ProxiesInformed, o.ShareWithinTarget())
-		if o.Draining.ProxiesInformed == 0 || o.Draining.LateRequests > 0 {
-			t.Errorf("%d proxies a region: %d requests later than %s after one of %d was told, want none", proxies, o.Draining.LateRequests, drainBound, o.Draining.ProxiesInformed)
+		scenario := readScenario(t, "leaving")
+		scenario.ProxiesPerRegion = proxies
+		o := Simulate(scenario, steering.DefaultPlacer, 1)
+		t.Logf("%d proxies a region: %d requests after the bound, %d told; %.3f in target", proxies, o.Draining.LateRequests, o.Draining.InformedPairs, o.ShareWithinTarget())
+		if o.Draining.InformedPairs == 0 || o.Draining.LateRequests > 0 {
+			t.Errorf("%d proxies a region: %d requests later than %s after one of %d was told, want none", proxies, o.Draining.LateRequests, drainBound, o.Draining.InformedPairs)
 		}
 	}
 }
@@ -52,10 +52,10 @@
 // Guards against proxies that each keep to a server's limit, or do not, and pass it together.
 func TestProxiesTogetherKeepAdvertisedRateLimit(t *testing.T) {
 	for _, proxies := range []int{1, 3, 12} {
-		l := readScenario(t, "limited")
-		l.ProxiesPerRegion = proxies
+		scenario := readScenario(t, "limited")
+		scenario.ProxiesPerRegion = proxies
 		for seed := range uint64(2) {
-			o := Simulate(l, steering.DefaultPlacer, seed+1)
+			o := Simulate(scenario, steering.DefaultPlacer, seed+1)
 			t.Logf("%d proxies a region: at most %.2f of what is allowed; %.2f of the limits in use, %.2f of the rate before from 4 s after; %.3f in target",
 				proxies, o.RateLimits.MaxUtilization, o.RateLimits.MeanUtilization, o.RateLimits.RecoveredRate, o.ShareWithinTarget())
 			if o.RateLimits.MaxUtilization > 1 {
@@ -69,13 +69,13 @@
 // refuse requests, which run cold elsewhere and fill the other servers.
 func TestFullHomesDoNotSpreadColdRuns(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
-		l := readScenario(t, "limited")
-		l.ProxiesPerRegion = proxies
-		for i := range l.Regions {
-			l.Regions[i].PerSecond *= highLoadFactor
+		scenario := readScenario(t, "limited")
+		scenario.ProxiesPerRegion = proxies
+		for i := range scenario.Regions {
+			scenario.Regions[i].PerSecond *= highLoadFactor
 		}
-		share, worst, first := meanOverSeeds(l, steering.DefaultPlacer)
-		t.Logf("%d proxies a region: %.3f in target, %.3f of the worst region, %.0f first runs", proxies, share, worst, first)
+		share, worst, coldRuns := meanOverSeeds(scenario, steering.DefaultPlacer)
+		t.Logf("%d proxies a region: %.3f in target, %.3f of the worst region, %.0f first runs", proxies, share, worst, coldRuns)
 		if share < minHighLoadShare {
 			t.Errorf("%d proxies a region: %.3f in target, want %.2f at least: the servers have room for all", proxies, share, minHighLoadShare)
 		}
@@ -85,14 +85,14 @@
 // Guards against objects of limited servers that run by turns at home and anywhere else in
 // a region whose servers are full.
 func TestObjectsOfRateLimitedServersFailOver(t *testing.T) {
-	l := readScenario(t, "limited")
-	l.ProxiesPerRegion = 12
-	for i := range l.Regions {
-		l.Regions[i].PerSecond *= highLoadFactor
+	scenario := readScenario(t, "limited")
+	scenario.ProxiesPerRegion = 12
+	for i := range scenario.Regions {
+		scenario.Regions[i].PerSecond *= highLoadFactor
 	}
-	share, worst, _ := meanOverSeeds(l, steering.DefaultPlacer)
-	l.MechanismsOff = append(l.MechanismsOff, steering.MechanismFailover)
-	without, worstWithout, _ := meanOverSeeds(l, steering.DefaultPlacer)
+	share, worst, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
+	scenario.MechanismsOff = append(scenario.MechanismsOff, steering.MechanismFailover)
+	without, worstWithout, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
 	t.Logf("%.3f in target, %.3f of the worst region; without failover %.3f and %.3f", share, worst, without, worstWithout)
 	if share <= without || worst <= worstWithout {
 		t.Errorf("got %.3f in target and %.3f of the worst region, want more than the %.3f and %.3f without failover", share, worst, without, worstWithout)
--- a/internal/fake/warmnet/load.go
+++ b/internal/fake/warmnet/load.go
@@ -142,7 +142,7 @@
 
 	// Result is what callers got.
 	Result struct {
-		Requests, WithinTarget, Late, Refused, Failed int
+		Sent, WithinTarget, Late, Refused, Failed int
 		// ColdRuns counts runs on a server that did not know the object.
 		ColdRuns int
 		// WithinTargetByRegion is the share answered within the target.
@@ -188,7 +188,7 @@
 
 // ShareWithinTarget is the part of the requests answered within the target.
 func (o Result) ShareWithinTarget() float64 {
-	return float64(o.WithinTarget) / float64(max(1, o.Requests))
+	return float64(o.WithinTarget) / float64(max(1, o.Sent))
 }
 
 // WorstRegionShare is the smallest part of any region.
--- a/internal/fake/warmnet/play.go
+++ b/internal/fake/warmnet/play.go
@@ -38,11 +38,11 @@
 		byID     map[string]*server
 		proxies  map[string][]*steering.Kernel
 		// proxyList are the proxies that know of each other.
-		proxyList    []steering.Proxy
-		result       Result
-		withinTarget map[string]int
-		requests     map[string]int
-		oracle       bool
+		proxyList            []steering.Proxy
+		result               Result
+		withinTargetByRegion map[string]int
+		sentByRegion         map[string]int
+		oracle               bool
 		// slotMessages passes what proxies tell each other of gates.
 		slotMessages slotMessages
 		record       func(steering.Call)
@@ -51,10 +51,10 @@
 		cumulativeWeights []float64
 		regionCounts      regionCounts
 		crashes           crashState
-		rateLimits        rateLimitLog
+		rateLimitLog      rateLimitLog
 		// drainHeard are when proxies heard that servers leave.
 		drainHeard firstHeard
-		backoffs   backoffLog
+		backoffLog backoffLog
 	}
 
 	request struct {
@@ -77,14 +77,16 @@
 )
 
 // Simulate plays a load with a placer. Equal arguments give equal outcomes.
-func Simulate(l Scenario, placer string, seed uint64) Result { return simulate(l, placer, seed, nil) }
+func Simulate(scenario Scenario, placer string, seed uint64) Result {
+	return simulate(scenario, placer, seed, nil)
+}
 
 // simulate does so and records the calls of the first proxy's kernel.
-func simulate(l Scenario, placer string, seed uint64, record func(steering.Call)) Result {
+func simulate(scenario Scenario, placer string, seed uint64, record func(steering.Call)) Result {
 	w := &simulation{
 		record:   record,
-		scenario: l, random: rand.New(rand.NewPCG(seed, 1)), byID: make(map[string]*server),
-		proxies: make(map[string][]*steering.Kernel), withinTarget: make(map[string]int), requests: make(map[string]int),
+		scenario: scenario, random: rand.New(rand.NewPCG(seed, 1)), byID: make(map[string]*server),
+		proxies: make(map[string][]*steering.Kernel), withinTargetByRegion: make(map[string]int), sentByRegion: make(map[string]int),
 		regionCounts: make(regionCounts),
 		oracle:       placer == Oracle,
 	}
@@ -92,33 +94,33 @@
 		placer = steering.DefaultPlacer
 	}
 	w.build(placer, seed)
-	for i, r := range l.Regions {
+	for i, r := range scenario.Regions {
 		w.scheduleArrivals(i, r)
 	}
-	if l.RemoveAt > 0 {
-		w.After(l.RemoveAt.Std(), w.removeFirstServers)
+	if scenario.RemoveAt > 0 {
+		w.After(scenario.RemoveAt.Std(), w.removeFirstServers)
 	}
-	if l.Rollout != nil {
-		w.After(l.Rollout.From.Std(), func() { w.replaceServers(0) })
+	if scenario.Rollout != nil {
+		w.After(scenario.Rollout.From.Std(), func() { w.replaceServers(0) })
 	}
-	if len(l.ProxyLossRegions) > 0 {
-		w.After(l.ProxyLossAt.Std(), w.removeProxies)
+	if len(scenario.ProxyLossRegions) > 0 {
+		w.After(scenario.ProxyLossAt.Std(), w.removeProxies)
 	}
-	if l.hasCrashes() {
+	if scenario.hasCrashes() {
 		w.scheduleCrashes()
 	}
 	w.scheduleDraining()
-	if len(l.ProxyLossRegions) > 0 || l.Knee > 0 || l.hasCrashes() || l.hasBackpressure() {
+	if len(scenario.ProxyLossRegions) > 0 || scenario.Knee > 0 || scenario.hasCrashes() || scenario.hasBackpressure() {
 		w.After(tickInterval, w.tick)
 	}
 	for w.Next() {
 	}
 	w.result.WithinTargetByRegion = make(map[string]float64)
-	for region, n := range w.requests {
-		w.result.WithinTargetByRegion[region] = float64(w.withinTarget[region]) / float64(max(1, n))
+	for region, n := range w.sentByRegion {
+		w.result.WithinTargetByRegion[region] = float64(w.withinTargetByRegion[region]) / float64(max(1, n))
 	}
 	w.result.MaxRegionShift = w.regionCounts.maxShift()
-	w.result.RateLimits, w.result.Backoffs = w.rateLimits.stats(l.RateLimits), w.backoffs.stats()
+	w.result.RateLimits, w.result.Backoffs = w.rateLimitLog.stats(scenario.RateLimits), w.backoffLog.stats()
 	slices.Sort(w.result.Latencies)
 	return w.result
 }
@@ -208,7 +210,7 @@
 }
 
 // scheduleArrivals makes one region's callers ask, at random moments.
-func (w *simulation) scheduleArrivals(i int, r Region) {
+func (w *simulation) scheduleArrivals(regionIndex int, r Region) {
 	maxRate := r.PerSecond * (1 + w.scenario.RateAmplitude)
 	if w.scenario.Surge != nil {
 		maxRate *= max(1, w.scenario.Surge.RateFactor)
@@ -220,8 +222,8 @@
 			return
 		}
 		// Moments at the highest rate are thinned out to the rate of now.
-		if w.scenario.constantRate() || w.random.Float64()*maxRate < r.PerSecond*w.rateFactor(i) {
-			w.createRequest(i, r.Name)
+		if w.scenario.constantRate() || w.random.Float64()*maxRate < r.PerSecond*w.rateFactor(regionIndex) {
+			w.createRequest(regionIndex, r.Name)
 		}
 		w.After(interval(), next)
 	}
@@ -229,26 +231,26 @@
 }
 
 // rateFactor is a region's rate now, as a part of its mean.
-func (w *simulation) rateFactor(i int) float64 {
+func (w *simulation) rateFactor(regionIndex int) float64 {
 	if w.Now < w.scenario.HalfRateUntil.Std() {
 		return initialRateFactor
 	}
-	if w.scenario.Surge.activeIn(w.scenario.Regions[i].Name, w.Now) {
+	if w.scenario.Surge.activeIn(w.scenario.Regions[regionIndex].Name, w.Now) {
 		return w.scenario.Surge.RateFactor
 	}
 	if w.scenario.RateAmplitude == 0 {
 		return 1
 	}
-	periods := w.Now.Seconds()/w.scenario.RatePeriod.Std().Seconds() + float64(i)/float64(len(w.scenario.Regions))
+	periods := w.Now.Seconds()/w.scenario.RatePeriod.Std().Seconds() + float64(regionIndex)/float64(len(w.scenario.Regions))
 	return 1 + w.scenario.RateAmplitude*math.Sin(2*math.Pi*periods)
 }
 
-func (w *simulation) createRequest(i int, region string) {
-	w.result.Requests++
-	w.requests[region]++
+func (w *simulation) createRequest(regionIndex int, region string) {
+	w.result.Sent++
+	w.sentByRegion[region]++
 	object := ""
 	if !w.scenario.NoObjects {
-		object = strconv.FormatInt(int64(i*w.scenario.ObjectsPerRegion+w.drawObject()), 16)
+		object = strconv.FormatInt(int64(regionIndex*w.scenario.ObjectsPerRegion+w.drawObject()), 16)
 	}
 	req := &request{region: region, startedAt: w.Now, object: object, retriesLeft: w.scenario.MaxRetries}
 	if w.scenario.RestrictedShare > 0 {
@@ -285,7 +287,7 @@
 }
 
 func (w *simulation) handleAtProxy(req *request) {
-	active, decision := req.kernel.BeginRequest(w.clock(), steering.Request{ID: strconv.Itoa(w.result.Requests), Host: host, Path: "/", Object: req.object, Work: fingerprintOf(req.object), Credential: req.credential})
+	active, decision := req.kernel.BeginRequest(w.clock(), steering.Request{ID: strconv.Itoa(w.result.Sent), Host: host, Path: "/", Object: req.object, Work: fingerprintOf(req.object), Credential: req.credential})
 	req.activeRequest = active
 	w.applyDecision(req, decision)
 }
@@ -330,15 +332,15 @@
 		if s.removed || w.inOutage(s) {
 			continue
 		}
-		work := time.Duration(float64(w.scenario.ServiceTime.Std()) * w.slowdown(s))
-		warm := time.Duration(float64(work) * w.scenario.WarmFactor)
+		serviceTime := time.Duration(float64(w.scenario.ServiceTime.Std()) * w.slowdown(s))
+		warmServiceTime := time.Duration(float64(serviceTime) * w.scenario.WarmFactor)
 		if s.hasCached(req.activeRequest.Object) {
-			work = warm
+			serviceTime = warmServiceTime
 		} else {
-			work += warm
+			serviceTime += warmServiceTime
 		}
 		excess := max(0, s.running+len(s.queue)+1-w.scenario.SlotsPerServer)
-		latency := w.roundTrip(req.proxyRegion, s.region) + work + time.Duration(excess)*warm/time.Duration(w.scenario.SlotsPerServer)
+		latency := w.roundTrip(req.proxyRegion, s.region) + serviceTime + time.Duration(excess)*warmServiceTime/time.Duration(w.scenario.SlotsPerServer)
 		if latency < bestLatency {
 			best, bestLatency = s, latency
 		}
@@ -351,7 +353,7 @@
 	w.result.Latencies = append(w.result.Latencies, latency)
 	if latency <= w.scenario.LatencyTarget.Std() {
 		w.result.WithinTarget++
-		w.withinTarget[req.region]++
+		w.withinTargetByRegion[req.region]++
 		return
 	}
 	w.result.Late++
@@ -359,10 +361,10 @@
 
 func (w *simulation) arriveAtServer(req *request) {
 	s := req.server
-	w.rateLimits.recordArrival(w.Now, s.id, req.kernel.Name())
+	w.rateLimitLog.recordArrival(w.Now, s.id, req.kernel.Name())
 	w.recordDrainArrival(req)
-	w.backoffs.recordArrival(w.Now, s.id, req.kernel.Name())
-	refuses := w.Now >= w.scenario.RefuseFrom.Std() && w.Now < w.scenario.RefuseTo.Std() && w.random.Float64() < w.scenario.RefuseRatio
+	w.backoffLog.recordArrival(w.Now, s.id, req.kernel.Name())
+	refusesAtRandom := w.Now >= w.scenario.RefuseFrom.Std() && w.Now < w.scenario.RefuseTo.Std() && w.random.Float64() < w.scenario.RefuseRatio
 	switch {
 	case w.inOutage(s):
 		s.cached = nil
@@ -370,9 +372,9 @@
 	case s.crashed:
 		w.returnAttempt(req, steering.Attempt{Result: steering.ResultUnreachable, Refusing: true})
 	case w.scenario.backoffRequest(s, w.Now) > 0:
-		w.backoffs.recordBackoff(w.Now, w.scenario.backoffRequest(s, w.Now), s.id, req.kernel.Name())
+		w.backoffLog.recordBackoff(w.Now, w.scenario.backoffRequest(s, w.Now), s.id, req.kernel.Name())
 		w.endAttempt(req, steering.ResultRefused)
-	case s.removed || refuses || s.running >= w.scenario.SlotsPerServer && len(s.queue) >= w.scenario.QueueCapacity:
+	case s.removed || refusesAtRandom || s.running >= w.scenario.SlotsPerServer && len(s.queue) >= w.scenario.QueueCapacity:
 		w.endAttempt(req, steering.ResultRefused)
 	case s.running < w.scenario.SlotsPerServer:
 		w.startRun(req)
@@ -384,27 +386,27 @@
 func (w *simulation) startRun(req *request) {
 	s := req.server
 	s.running++
-	s.active = append(s.active, req)
+	s.activeRequests = append(s.activeRequests, req)
 	if req.crashing {
 		w.After(w.scenario.CrashingRequests.Delay.Std(), func() { w.crashFromRequest(req, s) })
 		return
 	}
-	work := float64(w.scenario.ServiceTime.Std()) * w.slowdown(s) * w.drawServiceTimeFactor()
+	serviceTime := float64(w.scenario.ServiceTime.Std()) * w.slowdown(s) * w.drawServiceTimeFactor()
 	if w.scenario.Knee > 0 && float64(s.running) > w.scenario.Knee*float64(w.scenario.SlotsPerServer) {
-		work *= w.scenario.KneeFactor
+		serviceTime *= w.scenario.KneeFactor
 	}
 	if s.hasCached(req.activeRequest.Object) {
-		work *= w.scenario.WarmFactor
+		serviceTime *= w.scenario.WarmFactor
 	} else {
 		w.result.ColdRuns++
 	}
 	s.addToCache(req.activeRequest.Object, w.scenario.CacheCapacity)
-	w.After(time.Duration(work), func() {
+	w.After(time.Duration(serviceTime), func() {
 		if s.crashed {
 			return
 		}
 		s.running--
-		s.active = slices.DeleteFunc(s.active, func(other *request) bool { return other == req })
+		s.activeRequests = slices.DeleteFunc(s.activeRequests, func(other *request) bool { return other == req })
 		w.endAttempt(req, steering.ResultAnswered)
 		for len(s.queue) > 0 && s.running < w.scenario.SlotsPerServer {
 			next := s.queue[0]
--- a/internal/fake/warmnet/server.go
+++ b/internal/fake/warmnet/server.go
@@ -12,10 +12,10 @@
 		index   int
 		running int
 		queue   []*request
-		// active are the jobs that it runs.
-		active  []*request
-		cached  []string
-		removed bool
+		// activeRequests are the jobs that it runs.
+		activeRequests []*request
+		cached         []string
+		removed        bool
 		// crashed servers refuse connections; starts counts those that took this one's place.
 		crashed  bool
 		restarts int
--- a/internal/fake/warmnet/warmnet_test.go
+++ b/internal/fake/warmnet/warmnet_test.go
@@ -18,10 +18,10 @@
 }
 
 // meanOverSeeds plays a load with a few seeds.
-func meanOverSeeds(l Scenario, placer string) (share, worst, coldRuns float64) {
+func meanOverSeeds(scenario Scenario, placer string) (share, worst, coldRuns float64) {
 	const seeds = 3
 	for seed := range uint64(seeds) {
-		o := Simulate(l, placer, seed+1)
+		o := Simulate(scenario, placer, seed+1)
 		share += o.ShareWithinTarget() / seeds
 		worst += o.WorstRegionShare() / seeds
 		coldRuns += float64(o.ColdRuns) / seeds
@@ -35,16 +35,16 @@
 func TestHomePlacementServesMoreWithinTarget(t *testing.T) {
 	for _, name := range []string{"heavy", "far", "refusals", "leave", "waves", "slow", "away", "surge"} {
 		t.Run(name, func(t *testing.T) {
-			l := readScenario(t, name)
-			share, worst, first := meanOverSeeds(l, steering.DefaultPlacer)
-			oracleShare, oracleWorst, oracleColdRuns := meanOverSeeds(l, Oracle)
-			t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f first runs", "homes", share, worst, first)
+			scenario := readScenario(t, name)
+			share, worst, coldRuns := meanOverSeeds(scenario, steering.DefaultPlacer)
+			oracleShare, oracleWorst, oracleColdRuns := meanOverSeeds(scenario, Oracle)
+			t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f first runs", "homes", share, worst, coldRuns)
 			t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f first runs", Oracle, oracleShare, oracleWorst, oracleColdRuns)
 			for _, placer := range steering.Placers() {
 				if placer == steering.DefaultPlacer {
 					continue
 				}
-				s, w, n := meanOverSeeds(l, placer)
+				s, w, n := meanOverSeeds(scenario, placer)
 				t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f first runs", placer, s, w, n)
 				if placer == "rendezvous" && name == "heavy" && share < 1.25*s {
 					t.Errorf("homes serve %.3f within the target, want 1.25 times the %.3f of plain rendezvous hashing", share, s)
@@ -61,8 +61,8 @@
 }
 
 func TestSimulationIsDeterministic(t *testing.T) {
-	l := readScenario(t, "heavy")
-	if a, b := Simulate(l, steering.DefaultPlacer, 7), Simulate(l, steering.DefaultPlacer, 7); !reflect.DeepEqual(a, b) {
+	scenario := readScenario(t, "heavy")
+	if a, b := Simulate(scenario, steering.DefaultPlacer, 7), Simulate(scenario, steering.DefaultPlacer, 7); !reflect.DeepEqual(a, b) {
 		t.Error("two plays with the same seed differ")
 	}
 }
@@ -106,8 +106,8 @@
 // The work of single requests differs by a factor of three, and servers don't
 // tell their load. A long answer must not pass for a queue: none need be refused.
 func TestVaryingServiceTimeIsNotOverload(t *testing.T) {
-	if o := Simulate(readScenario(t, "uneven-mute"), steering.DefaultPlacer, 1); o.Refused > o.Requests/200 {
-		t.Errorf("%d of %d requests refused, want hardly any", o.Refused, o.Requests)
+	if o := Simulate(readScenario(t, "uneven-mute"), steering.DefaultPlacer, 1); o.Refused > o.Sent/200 {
+		t.Errorf("%d of %d requests refused, want hardly any", o.Refused, o.Sent)
 	}
 }
 
@@ -153,12 +153,12 @@
 	for name, c := range map[string]struct{ want, ofLeastInFlight float64 }{
 		"plain": {0.99, 1}, "plain-high": {0.95, 1}, "plain-high-mute": {0.89, 0.95}, "plain-over": {0.82, 2},
 	} {
-		l := readScenario(t, name)
-		share, worst, _ := meanOverSeeds(l, steering.DefaultPlacer)
+		scenario := readScenario(t, name)
+		share, worst, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
 		if share < c.want || worst < 0.94*c.want {
 			t.Errorf("%s: %.3f within the target, %.3f in the worst region; want %.2f and 0.94 of it at least", name, share, worst, c.want)
 		}
-		if other, _, _ := meanOverSeeds(l, "least-in-flight"); share < c.ofLeastInFlight*other {
+		if other, _, _ := meanOverSeeds(scenario, "least-in-flight"); share < c.ofLeastInFlight*other {
 			t.Errorf("%s: %.3f within the target, want %.2f times the %.3f of least in flight at least", name, share, c.ofLeastInFlight, other)
 		}
 	}
@@ -168,13 +168,13 @@
 // its home, which turned them away or let them wait while a hundred servers idled:
 // 0.74 were answered within the target. Regions keep their parts all the while.
 func TestPopularObjectsAreReplicated(t *testing.T) {
-	l := readScenario(t, "hot")
-	share, worst, _ := meanOverSeeds(l, steering.DefaultPlacer)
+	scenario := readScenario(t, "hot")
+	share, worst, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
 	if share < 0.91 || worst < 0.88 {
 		t.Errorf("%.3f within the target, %.3f in the worst region; want 0.91 and 0.88 at least", share, worst)
 	}
-	l.MechanismsOff = []steering.Mechanism{steering.MechanismReplicas}
-	if without, _, _ := meanOverSeeds(l, steering.DefaultPlacer); share < 1.15*without {
+	scenario.MechanismsOff = []steering.Mechanism{steering.MechanismReplicas}
+	if without, _, _ := meanOverSeeds(scenario, steering.DefaultPlacer); share < 1.15*without {
 		t.Errorf("%.3f within the target, want 1.15 times the %.3f of one home each", share, without)
 	}
 }
@@ -183,14 +183,14 @@
 // waves or a burst, servers are replaced one after the other, or few objects make up
 // most of the load. Operators allow 0.15 of a region's requests to change the region
 // in which they run from two seconds to the next, and count on what is cold by that.
-func TestRegionSharesAreStableUnderLoad(t *testing.T) {
+func TestRegionShiftIsBoundedUnderLoad(t *testing.T) {
 	for _, name := range []string{"slow-service", "hot", "release", "waves", "surge"} {
 		for seed := range uint64(2) {
-			l := readScenario(t, name)
+			scenario := readScenario(t, name)
 			// Holding back is not in use where deployed: it denies more of what comes from
 			// far, and moves up to 0.19 where a whole service is slow.
-			l.MechanismsOff = []steering.Mechanism{steering.MechanismConcurrencyLimit}
-			if o := Simulate(l, steering.DefaultPlacer, seed+1); o.MaxRegionShift > 0.15 {
+			scenario.MechanismsOff = []steering.Mechanism{steering.MechanismConcurrencyLimit}
+			if o := Simulate(scenario, steering.DefaultPlacer, seed+1); o.MaxRegionShift > 0.15 {
 				t.Errorf("%s, seed %d: %.2f of a region's requests changed the region within two seconds, want 0.15 at most", name, seed+1, o.MaxRegionShift)
 			}
 		}
@@ -201,9 +201,9 @@
 // free to servers that did not know the object, these had three times the work, all
 // proxies ran short, and 239 requests ran cold instead of 135.
 func TestConnectionShortageDoesNotSpreadObjects(t *testing.T) {
-	share, _, first := meanOverSeeds(readScenario(t, "connections"), steering.DefaultPlacer)
-	if share < 0.75 || first > 160 {
-		t.Errorf("%.3f within the target and %.0f first runs, want 0.75 at least and 160 at most", share, first)
+	share, _, coldRuns := meanOverSeeds(readScenario(t, "connections"), steering.DefaultPlacer)
+	if share < 0.75 || coldRuns > 160 {
+		t.Errorf("%.3f within the target and %.0f first runs, want 0.75 at least and 160 at most", share, coldRuns)
 	}
 }
 
@@ -212,13 +212,13 @@
 // server filled all its slots from its own queue, ran at its worst point and never
 // caught up: a tenth was answered in time.
 func TestServersPastTheirKneeAreNotFilled(t *testing.T) {
-	l := readScenario(t, "knee")
-	share, worst, _ := meanOverSeeds(l, steering.DefaultPlacer)
+	scenario := readScenario(t, "knee")
+	share, worst, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
 	if share < 0.45 || worst < 0.38 {
 		t.Errorf("%.3f within the target, %.3f in the worst region; want 0.45 and 0.38 at least", share, worst)
 	}
-	l.MechanismsOff = []steering.Mechanism{steering.MechanismConcurrencyLimit}
-	if without, _, _ := meanOverSeeds(l, steering.DefaultPlacer); share < 3*without {
+	scenario.MechanismsOff = []steering.Mechanism{steering.MechanismConcurrencyLimit}
+	if without, _, _ := meanOverSeeds(scenario, steering.DefaultPlacer); share < 3*without {
 		t.Errorf("%.3f within the target, want three times the %.3f without holding back", share, without)
 	}
 }
