--- a/internal/fake/limitnet/scenario.go
+++ b/internal/fake/limitnet/scenario.go
@@ -1,6 +1,6 @@
-// Package limitnet plays callers of client accounts against the limits that many proxies
-// keep together, in virtual time: what is refused within a limit, what is let through
-// beyond it, and what the proxies tell each other for it.
+// Package limitnet simulates the rate limits of client accounts that many proxies enforce together,
+// in virtual time. It measures the requests refused within a limit, the requests admitted beyond it
+// and the messages between the proxies.
 package limitnet
 
 import (
@@ -11,65 +11,69 @@
 )
 
 const (
-	// RegionalPools is the way that is in use: shares move through the pool of each region.
+	// RegionalPools is the strategy in use: shares move between proxies through a pool in each
+	// region.
 	RegionalPools Strategy = "pools"
-	// EqualShares leaves each proxy its own part of each limit.
+	// EqualShares gives each proxy a fixed, equal share of each limit.
 	EqualShares Strategy = "even"
-	// CentralPool has each proxy ask one proxy of the fleet about each request.
+	// CentralPool has each proxy ask a single proxy of the fleet about each request.
 	CentralPool Strategy = "owner"
 )
 
 type (
-	// Strategy names a way to keep limits.
+	// Strategy is a method of enforcing rate limits across proxies.
 	Strategy string
 
-	// Scenario is what is played.
+	// Scenario describes the fleet, the load and the faults of a simulation.
 	Scenario struct {
 		Regions int
-		// Proxies are all proxies, evenly in the regions, two failure domains each.
+		// Proxies is the total number of proxies, spread evenly over the regions with two failure
+		// domains each.
 		Proxies  int
 		Accounts int
-		// Rate is how many requests a second all accounts send together.
+		// Rate is the number of requests per second of all accounts together.
 		Rate float64
-		// Skew is how unlike the accounts are: the n-th sends in proportion to n to its
-		// negative power.
+		// Skew is the exponent of the Zipf distribution of the accounts' rates: the n-th sends in
+		// proportion to n to the power of -Skew.
 		Skew float64
-		// Clients send from a few connections each, kept from request to request.
+		// Clients is the approximate number of clients of all accounts. A client reuses its
+		// connection to a proxy for most requests.
 		Clients int
-		// Headroom is the limit of an account over what it sends.
+		// Headroom is the ratio of an account's limit to its request rate.
 		Headroom float64
 		For      time.Duration
-		// Hot is how many times its usual the largest account sends in the second half.
+		// Hot multiplies the rate of the largest account in the second half.
 		Hot float64
-		// Cut is the part of the proxies that can reach no other from a quarter of the
-		// time to the half, Killed the part that is killed at half of it and is back after
-		// Down.
+		// Cut is the fraction of the proxies that are partitioned from all others from a quarter to
+		// half of the time. Killed is the fraction that is killed at half of the time and restarts
+		// after Down.
 		Cut    float64
 		Killed float64
 		Down   time.Duration
-		// Lowered divides the limit of the largest account at a third of the time.
+		// Lowered divides the limit of the largest account after a third of the time.
 		Lowered float64
 	}
 
-	// Result is what came of it.
+	// Result is the outcome of a simulation.
 	Result struct {
-		// Sent counts requests, Owed those within their account's limit.
+		// Sent counts all requests, Conforming those within the limit of their account.
 		Sent, Conforming int
-		// InitiallyRefused counts the owed ones that were refused at first, Refused those
-		// that were refused also when they came again.
+		// InitiallyRefused counts the conforming requests whose first attempt was refused, Refused
+		// those that were finally refused.
 		InitiallyRefused, Refused int
-		// MaxExcess is how many requests beyond the limit that is kept to were let through, at
-		// the worst moment; Broken the same beyond what is allowed.
+		// MaxExcess is the largest number of requests that were admitted beyond the limit that
+		// proxies enforce. MaxViolation is the same beyond the limit plus the overage allowed by
+		// the operators.
 		MaxExcess, MaxViolation float64
-		// ReportRate and Asks are those of a proxy in a second.
+		// ReportRate and TokenRequestRate are messages per second and proxy.
 		ReportRate, TokenRequestRate float64
 	}
 )
 
-// overage is what operators allow beyond limits.
+// overage is the excess over limits that operators allow.
 var overage = ratelimit.Overage{Window: 5 * time.Second, Ratio: 0.1, Requests: 20}
 
-// rates are what the accounts send in a second, the largest first.
+// rates returns the requests per second of the accounts, in descending order.
 func (l Scenario) rates() []float64 {
 	rates, sum := make([]float64, l.Accounts), 0.0
 	for i := range rates {
@@ -82,10 +86,11 @@
 	return rates
 }
 
-// RefusedShare is the part of the owed requests that were refused for good.
+// RefusedShare returns the fraction of the conforming requests that were finally refused.
 func (o Result) RefusedShare() float64 { return float64(o.Refused) / float64(max(1, o.Conforming)) }
 
-// InitiallyRefusedShare is the part of the owed requests that were refused at first.
+// InitiallyRefusedShare returns the fraction of the conforming requests whose first attempt was
+// refused.
 func (o Result) InitiallyRefusedShare() float64 {
 	return float64(o.InitiallyRefused) / float64(max(1, o.Conforming))
 }
--- a/internal/fake/limitnet/simulation.go
+++ b/internal/fake/limitnet/simulation.go
@@ -13,17 +13,17 @@
 	sameDomainDelay  = 100 * time.Microsecond
 	sameRegionDelay  = 900 * time.Microsecond
 	crossRegionDelay = 35 * time.Millisecond
-	// reportTimeout and tokenTimeout are when a proxy gives up on an answer.
+	// reportTimeout and tokenTimeout are the timeouts of a proxy's messages to a pool.
 	reportTimeout = 250 * time.Millisecond
 	tokenTimeout  = 150 * time.Millisecond
-	// connectionReuse is the part of its requests that a client sends to the proxy of the
-	// one before.
+	// connectionReuse is the fraction of requests that a client sends to the same proxy as the one
+	// before.
 	connectionReuse = 0.8
-	// maxRetryWait is how long a refused caller may be told to stay away and still come back.
+	// maxRetryWait is the longest retry delay after which a refused caller still retries.
 	maxRetryWait = 1500 * time.Millisecond
 	// warmUp is how long the proxies run before the first request.
 	warmUp = 5 * time.Second
-	// unresponsivePoolBackoff is how long a pool that did not answer is passed over.
+	// unresponsivePoolBackoff is how long a proxy skips a pool that did not answer.
 	unresponsivePoolBackoff = 2 * time.Second
 )
 
@@ -38,10 +38,11 @@
 		// domains are the proxies of each failure domain, regions those of each region.
 		domains map[int][]*proxy
 		regions map[int][]*proxy
-		// limits are those of the accounts, by name.
+		// limits are the rate limits by account.
 		limits map[string]ratelimit.Limit
-		// owed, kept and allowed are single buckets that see all requests: of the limit, of
-		// what is kept to, and of what is allowed.
+		// conforming, enforced and allowed are reference buckets by account that see the requests
+		// of all proxies: for the configured limit, for the limit that proxies enforce, and for the
+		// limit plus the allowed overage.
 		conforming, enforced, allowed  map[string]*referenceBucket
 		result                         Result
 		reportCount, tokenRequestCount int
@@ -64,14 +65,14 @@
 		lastProxy *proxy
 	}
 
-	// referenceBucket is a token bucket that may be overdrawn.
+	// referenceBucket is a token bucket that may go negative.
 	referenceBucket struct {
 		tokens float64
 		at     time.Duration
 	}
 )
 
-// Simulate plays a load. Equal arguments give equal outcomes.
+// Simulate runs a scenario. Equal arguments give equal results.
 func Simulate(scenario Scenario, strategy Strategy, seed uint64) Result {
 	w := &simulation{
 		byName: make(map[string]*proxy), domains: make(map[int][]*proxy), regions: make(map[int][]*proxy),
@@ -99,7 +100,7 @@
 
 func (w *simulation) clock() time.Time { return time.Unix(1_000_000, 0).Add(w.Now) }
 
-// startProxy starts a proxy's process.
+// startProxy starts or restarts a proxy.
 func (w *simulation) startProxy(p *proxy) {
 	p.incarnation++
 	p.down, p.unresponsiveUntil = false, make(map[string]time.Duration)
@@ -114,7 +115,7 @@
 	}
 }
 
-// reportPeriodically has a proxy report to its pool for as long as its process runs.
+// reportPeriodically has a proxy report to its pool until it stops or restarts.
 func (w *simulation) reportPeriodically(p *proxy, incarnation int) {
 	if p.incarnation != incarnation || p.down {
 		return
@@ -166,7 +167,7 @@
 	}
 }
 
-// otherPools are the pools of other regions as a proxy sees them.
+// otherPools returns up to two pools of other regions that a proxy considers responsive.
 func (w *simulation) otherPools(p *proxy) []string {
 	if w.strategy == CentralPool {
 		return nil
@@ -181,7 +182,7 @@
 	return list[:min(2, len(list))]
 }
 
-// call has one proxy ask another; done is told once whether it was answered.
+// call delivers a message from one proxy to another. done is called once, with false on a timeout.
 func (w *simulation) call(from, to *proxy, timeout time.Duration, handle func(), done func(answered bool)) {
 	finished := false
 	finish := func(answered bool) {
@@ -212,7 +213,7 @@
 	})
 }
 
-// messageDelay is how long a message takes; some take far longer.
+// messageDelay returns the delay of a message. One in 200 takes up to a second longer.
 func (w *simulation) messageDelay(a, b *proxy) time.Duration {
 	delay := crossRegionDelay
 	switch {
@@ -227,7 +228,8 @@
 	return delay
 }
 
-// poolOf is the proxy that is a region's pool as another one sees it.
+// poolOf returns the proxy that another one takes for the pool of a region: the first that it does
+// not consider unresponsive.
 func (w *simulation) poolOf(p *proxy, region int) *proxy {
 	if w.strategy == CentralPool {
 		region = 0
@@ -240,7 +242,7 @@
 	return nil
 }
 
-// addAccount makes an account with its clients and has them send.
+// addAccount adds an account with its clients and schedules their requests.
 func (w *simulation) addAccount(index int, rate float64) {
 	name := "account-" + strconv.Itoa(index)
 	w.limits[name] = ratelimit.Limit{PerSecond: w.scenario.Headroom * rate, Burst: w.scenario.Headroom * rate}
@@ -262,7 +264,7 @@
 	w.After(warmUp, next)
 }
 
-// sendRequest is a request's first try.
+// sendRequest sends a new request and retries it once if it is refused within the limit.
 func (w *simulation) sendRequest(account string, c *client) {
 	limit := w.limits[account]
 	w.result.Sent++
@@ -302,7 +304,7 @@
 	w.resolve(account, p, p.limiter.Take(w.clock(), account), done)
 }
 
-// resolve asks pools for a request until one rules on it.
+// resolve asks pools about a request until one decides.
 func (w *simulation) resolve(account string, p *proxy, decision ratelimit.Decision, done func(ratelimit.Decision)) {
 	if decision.Verdict != ratelimit.AskPool {
 		if decision.Verdict == ratelimit.Admitted {
@@ -325,7 +327,7 @@
 	})
 }
 
-// pickProxy is the proxy that a client sends its next request to.
+// pickProxy returns the proxy that a client sends its next request to, or nil if none is running.
 func (w *simulation) pickProxy(c *client) *proxy {
 	if c.lastProxy != nil && !c.lastProxy.down && w.random.Float64() < connectionReuse {
 		return c.lastProxy
@@ -343,7 +345,7 @@
 	return c.lastProxy
 }
 
-// recordAdmitted checks what all proxies have let through.
+// recordAdmitted compares the admitted requests of all proxies with the limits.
 func (w *simulation) recordAdmitted(account string) {
 	limit := w.limits[account]
 	w.result.MaxExcess = max(w.result.MaxExcess, -w.enforced[account].take(w.Now, limit.WithOverage(overage)))
@@ -353,7 +355,7 @@
 	w.result.MaxViolation = max(w.result.MaxViolation, -w.allowed[account].take(w.Now, bound))
 }
 
-// take takes a token and tells how many are left, below zero if there was none.
+// take takes a token and returns the number left, which is negative if there was none.
 func (r *referenceBucket) take(now time.Duration, limit ratelimit.Limit) float64 {
 	r.tokens = min(limit.Burst, r.tokens+(now-r.at).Seconds()*limit.PerSecond)
 	r.at = now
@@ -361,7 +363,7 @@
 	return r.tokens
 }
 
-// scheduleFaults has proxies cut off and killed, and a limit lowered.
+// scheduleFaults schedules the partitions, the killed proxies and the lowered limit.
 func (w *simulation) scheduleFaults() {
 	scenario := w.scenario
 	sample := func(share float64) []*proxy {
--- a/internal/fake/limitnet/simulation_test.go
+++ b/internal/fake/limitnet/simulation_test.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// maxExcess covers rounding: shares are whole millionths.
+	// maxExcess allows for rounding: shares are whole millionths.
 	maxExcess = 0.01
-	// seeds are how often each load is played.
+	// seeds is the number of seeds for each scenario.
 	seeds = 2
 )
 
 type (
-	// testCase is a load with what callers must get.
+	// testCase is a scenario with its bounds.
 	testCase struct {
 		Name string `json:"name"`
-		// GuardsAgainst says which failure the load is there for.
+		// GuardsAgainst describes the failure that the scenario guards against.
 		GuardsAgainst string   `json:"guards"`
 		Scenario      Scenario `json:"load"`
-		// MaxRefused is the largest part of the owed requests that may be refused for good;
-		// a limit that is lowered binds from then on only.
+		// MaxRefused is the largest fraction of the conforming requests that may be finally
+		// refused. LowersLimit is set if the scenario lowers a limit, which applies only from then
+		// on.
 		MaxRefused  float64 `json:"refused-most"`
 		LowersLimit bool    `json:"lowers"`
 	}
@@ -43,8 +44,8 @@
 	return list
 }
 
-// Guards against limits that are passed, or starve accounts that keep to them, while
-// proxies are cut off, killed, or see one request of an account in a while.
+// Guards against limits that are exceeded, and against refusals of accounts within their limits,
+// while proxies are partitioned or killed, or get a request of an account only now and then.
 func TestRateLimitsHoldWithoutStarvation(t *testing.T) {
 	for _, p := range readTestCases(t) {
 		t.Run(p.Name, func(t *testing.T) {
@@ -65,7 +66,7 @@
 	}
 }
 
-// Pools must be worth their messages.
+// Pools must refuse far fewer requests than equal shares, or their messages are not worth it.
 func TestPoolsRefuseFewerThanEqualShares(t *testing.T) {
 	scenario := readTestCases(t)[0].Scenario
 	if pools, equal := Simulate(scenario, RegionalPools, 1).RefusedShare(), Simulate(scenario, EqualShares, 1).RefusedShare(); pools >= equal/10 {
--- a/internal/fake/warmnet/backoff.go
+++ b/internal/fake/warmnet/backoff.go
@@ -7,21 +7,23 @@
 )
 
 type (
-	// BackoffRequest is a time in which the first servers of a region refuse all requests and ask
-	// each proxy for a pause.
+	// BackoffRequest is a period in which the first servers of a region refuse all requests and ask
+	// each proxy to back off.
 	BackoffRequest struct {
 		Episode
 		Backoff operator.Duration `json:"pause"`
 	}
 
-	// BackoffStats is what servers got that had asked for a pause.
+	// BackoffStats describes the requests sent to servers that had asked for backoff.
 	BackoffStats struct {
-		// MaxRequests is how many requests a proxy sent a server in a pause at most, from some
-		// time after it was asked for; Asked counts the pauses.
+		// MaxRequests is the largest number of requests that one proxy sent to one server during a
+		// backoff period, not counting the reaction time of the proxy. Count is the number of
+		// backoff periods requested.
 		MaxRequests, Count int
 	}
 
-	// backoffLog notes what each proxy sends each server, and when the server asked for what.
+	// backoffLog records the requests that each proxy sends to each server and the backoff periods
+	// that the server asked that proxy for.
 	backoffLog struct {
 		arrivals map[serverProxy][]time.Duration
 		periods  map[serverProxy][]backoffPeriod
@@ -32,7 +34,7 @@
 	}
 )
 
-// backoffRequest is what a server asks for now, zero for nothing.
+// backoffRequest returns the backoff that a server currently asks for, or zero.
 func (l Scenario) backoffRequest(s *server, now time.Duration) time.Duration {
 	for _, b := range l.BackoffRequests {
 		if b.affects(s, now) {
@@ -53,7 +55,7 @@
 	p.periods[serverProxy{server, proxy}] = append(p.periods[serverProxy{server, proxy}], backoffPeriod{now + reactionTime, now + backoff})
 }
 
-// stats sums up what came in pauses.
+// stats counts the requests that arrived during backoff periods.
 func (p *backoffLog) stats() (out BackoffStats) {
 	for key, periods := range p.periods {
 		out.Count += len(periods)
--- a/internal/fake/warmnet/crashes.go
+++ b/internal/fake/warmnet/crashes.go
@@ -11,64 +11,68 @@
 )
 
 const (
-	// registrationTTL is how long the registration of a server that has ended stays.
+	// registrationTTL is the time after which the registration of a crashed server expires.
 	registrationTTL = 2 * time.Second
-	// probeDelay is how long a proxy collects what breaks before it dials and alerts, as
-	// the daemon does.
+	// probeDelay is how long a proxy collects lost connections before it probes servers and alerts
+	// peers. The proxy daemon uses the same delay.
 	probeDelay = 50 * time.Millisecond
-	// maxRegionAlerts is how many proxies of its own region a proxy alerts at once.
+	// maxRegionAlerts is the number of proxies of its own region that a proxy alerts at once.
 	maxRegionAlerts = 4
 )
 
 type (
-	// CrashingRequests is work that ends each server that begins to run it.
+	// CrashingRequests are requests that crash each server that starts to run them.
 	CrashingRequests struct {
-		// Count is how many different ones there are, PerSecond how often each is asked
-		// for by callers of any region.
+		// Count is the number of different requests. PerSecond is the rate at which callers of any
+		// region send each of them.
 		Count     int               `json:"works"`
 		PerSecond float64           `json:"per-second"`
 		From      operator.Duration `json:"from"`
 		To        operator.Duration `json:"to"`
-		// Delay is how long a run takes until its server ends.
+		// Delay is the time from the start of a run to the crash of the server.
 		Delay operator.Duration `json:"after"`
 	}
 
-	// RandomCrashes is a time in which servers end by themselves, each drawn at random.
+	// RandomCrashes is a period in which servers crash for reasons of their own, each chosen at
+	// random.
 	RandomCrashes struct {
 		PerSecond float64           `json:"per-second"`
 		From      operator.Duration `json:"from"`
 		To        operator.Duration `json:"to"`
 	}
 
-	// CrashStats is what became of servers and of the work that was there.
+	// CrashStats describes the crashes of servers and the effect of the quarantine on requests.
 	CrashStats struct {
-		// Servers counts those that ended, CausedByRequests those of them that work ended.
+		// Servers counts all crashed servers, CausedByRequests those that crashed because of a
+		// request.
 		Servers, CausedByRequests int
-		// ByCrashingRequest are the moments at which each deadly work has ended a server.
+		// ByCrashingRequest holds, for each crashing request, the times at which it crashed a
+		// server.
 		ByCrashingRequest map[string][]time.Duration
-		// HarmlessQuarantined are the works that end no server and were refused because servers ended
-		// with them; Refused counts those refusals.
+		// HarmlessQuarantined are the objects whose requests crash no server and were quarantined
+		// because servers crashed while running them. HarmlessRefused counts all refusals of such
+		// requests by the quarantine, also those for a mere suspicion.
 		HarmlessQuarantined map[string]bool
 		HarmlessRefused     int
 	}
 
-	// crashState carries what proxies find out and tell each other of servers that end.
+	// crashState holds the state behind the crash detection of the proxies.
 	crashState struct {
-		// pending are the proxies that are about to dial and alert.
+		// pending are the proxies that have scheduled probes and alerts.
 		pending      map[*steering.Kernel]bool
 		fingerprints map[quarantine.Fingerprint]string
 	}
 )
 
-// fingerprintOf names the work of a request for an object.
+// fingerprintOf returns the fingerprint of a request for an object.
 func fingerprintOf(object string) quarantine.Fingerprint {
 	return quarantine.NewFingerprint("GET", host, "/"+object, "", nil)
 }
 
-// hasCrashes reports whether servers end in this load.
+// hasCrashes reports whether servers crash in this scenario.
 func (l Scenario) hasCrashes() bool { return l.CrashingRequests != nil || l.RandomCrashes != nil }
 
-// scheduleCrashes sets off what ends servers.
+// scheduleCrashes schedules the requests and faults that crash servers.
 func (w *simulation) scheduleCrashes() {
 	w.crashes.pending, w.crashes.fingerprints = make(map[*steering.Kernel]bool), make(map[quarantine.Fingerprint]string)
 	w.result.Crashes.ByCrashingRequest, w.result.Crashes.HarmlessQuarantined = make(map[string][]time.Duration), make(map[string]bool)
@@ -84,7 +88,7 @@
 	}
 }
 
-// scheduleRandomly does something at random moments of a time.
+// scheduleRandomly calls a function at random times within a period.
 func (w *simulation) scheduleRandomly(perSecond float64, from, to operator.Duration, do func()) {
 	interval := func() time.Duration {
 		return time.Duration(w.random.ExpFloat64() / perSecond * float64(time.Second))
@@ -105,7 +109,7 @@
 	w.sendToProxy(&request{region: region, startedAt: w.Now, object: name, crashing: true})
 }
 
-// crashFromRequest ends the server of deadly work that has run for a while.
+// crashFromRequest crashes the server of a crashing request that has run for its delay.
 func (w *simulation) crashFromRequest(req *request, s *server) {
 	if s.crashed {
 		return
@@ -115,8 +119,8 @@
 	w.crash(s)
 }
 
-// crash ends a server: all its exchanges break, nothing listens there, and one with a
-// new id takes its place after some time.
+// crash crashes a server: all its connections are lost, it refuses new ones, and after the restart
+// delay another server with a new ID replaces it.
 func (w *simulation) crash(s *server) {
 	if s.crashed || s.removed {
 		return
@@ -142,7 +146,8 @@
 	})
 }
 
-// scheduleAlert has a proxy dial and alert soon if there is anything to find out or to tell.
+// scheduleAlert has a proxy probe servers and alert peers after a short delay if its quarantine has
+// anything to check or to report.
 func (w *simulation) scheduleAlert(k *steering.Kernel) {
 	if !w.scenario.hasCrashes() || !k.QuarantinePending() || w.crashes.pending[k] {
 		return
@@ -166,7 +171,8 @@
 	})
 }
 
-// sendAlerts tells some proxies of the region and one of each other region.
+// sendAlerts sends quarantine reports to some proxies of the same region and to one of each other
+// region.
 func (w *simulation) sendAlerts(k *steering.Kernel, region string) {
 	reports := k.QuarantineReports(w.clock(), false)
 	for _, r := range w.scenario.Regions {
@@ -185,7 +191,7 @@
 	}
 }
 
-// exchangeQuarantineReports has each proxy exchange what it knows with another one.
+// exchangeQuarantineReports has each proxy exchange quarantine reports with one peer.
 func (w *simulation) exchangeQuarantineReports() {
 	w.gossip(func(k, peer *steering.Kernel) {
 		peer.ApplyQuarantineReports(w.clock(), k.QuarantineReports(w.clock(), false))
@@ -195,7 +201,7 @@
 	})
 }
 
-// recordQuarantineRefusal counts a refusal because servers ended with the work.
+// recordQuarantineRefusal counts the refusal of a harmless request by the quarantine.
 func (w *simulation) recordQuarantineRefusal(req *request, d steering.Decision) {
 	if req.crashing || d.Reason != steering.ReasonCrashesServers && d.Reason != steering.ReasonMayCrashServers {
 		return
--- a/internal/fake/warmnet/crashes_test.go
+++ b/internal/fake/warmnet/crashes_test.go
@@ -6,8 +6,9 @@
 )
 
 const (
-	// quarantinePropagationBound is the operators' bound for news at all proxies, endsToKnow and maxLateCrashes
-	// theirs on the servers that work may end before and after it is known.
+	// quarantinePropagationBound is the operators' bound on the time until all proxies know of a
+	// crashing request. crashesToDetect and maxLateCrashes are their bounds on the servers that it
+	// may crash before and after that.
 	quarantinePropagationBound = 4 * time.Second
 	crashesToDetect            = 3
 	maxLateCrashes             = 3
@@ -25,7 +26,7 @@
 	return Simulate(scenario, "homes", 1)
 }
 
-// lateCrashes counts the servers that a work ended after it was to be known everywhere.
+// lateCrashes counts the servers that a request crashed after all proxies should have known of it.
 func lateCrashes(crashes []time.Duration) (n int) {
 	if len(crashes) < crashesToDetect {
 		return 0
@@ -38,8 +39,9 @@
 	return n
 }
 
-// A caller asks three times a second for what ends its server, at proxies of all regions:
-// the service is down to half for as long as that goes on. Each proxy sees an end or two.
+// A caller sends a request that crashes its server three times a second, to proxies of all regions,
+// which keeps the service at half its capacity. Guards against proxies that never quarantine it
+// because each of them sees only one or two of the crashes.
 func TestCrashingRequestsCrashFewServers(t *testing.T) {
 	for _, file := range []string{"deadly.json", "deadly-flood.json"} {
 		o := simulateCrashes(t, file, func(l *Scenario) {
@@ -59,9 +61,10 @@
 	}
 }
 
-// Servers end by themselves, three in two seconds of twelve, each with all that it has.
-// The most asked-for objects are cut off again and again, and rare ones are asked for
-// again by callers whose first server has ended. None of them may be refused for it.
+// Three of twelve servers crash within two seconds for reasons of their own, with all requests on
+// them. Requests for the most popular objects are interrupted again and again, and requests for
+// rare ones are retried by callers whose first server has crashed. Guards against the quarantine of
+// such requests.
 func TestRandomCrashesQuarantineNothing(t *testing.T) {
 	for _, skew := range []float64{0.8, 1.2} {
 		o := simulateCrashes(t, "storm.json", func(l *Scenario) { l.Skew = skew })
--- a/internal/fake/warmnet/draining.go
+++ b/internal/fake/warmnet/draining.go
@@ -7,22 +7,24 @@
 )
 
 const (
-	// drainBound is the operators' bound on new requests to a server that leaves.
+	// drainBound is the operators' bound on the time until a draining server gets no new requests.
 	drainBound = 2500 * time.Millisecond
-	// heartbeatInterval is how often servers write their registrations.
+	// heartbeatInterval is the interval at which servers renew their registrations.
 	heartbeatInterval = 1500 * time.Millisecond
 )
 
 type (
-	// DrainStats is what became of servers that leave by their own word.
+	// DrainStats describes the requests sent to servers that advertise in their responses that they
+	// are draining.
 	DrainStats struct {
-		// LateRequests reached them that callers had sent later than the bound after the
-		// proxy heard of it; Told counts the proxies that did.
+		// LateRequests counts the requests that a caller sent later than drainBound after the proxy
+		// had learned that the server was draining. InformedPairs counts the pairs of a draining
+		// server and a proxy that learned of it.
 		LateRequests, InformedPairs int
 	}
 )
 
-// isDraining reports whether a server says that it leaves.
+// isDraining reports whether a server advertises that it is draining.
 func (l Scenario) isDraining(s *server, now time.Duration) bool {
 	for _, e := range l.Draining {
 		if e.affects(s, now) {
@@ -32,7 +34,8 @@
 	return false
 }
 
-// scheduleDraining has servers leave that tell nobody but those who send them requests.
+// scheduleDraining schedules the servers that advertise draining in their responses only. Their
+// registrations do not show it.
 func (w *simulation) scheduleDraining() {
 	w.drainHeard = make(firstHeard)
 	for _, e := range w.scenario.Draining {
@@ -47,7 +50,7 @@
 	}
 }
 
-// expireAndReregister has a server's registration run out and come back.
+// expireAndReregister lets a server's registration expire and registers the server again.
 func (w *simulation) expireAndReregister(s *server) {
 	w.eachProxy(func(k *steering.Kernel) {
 		k.RemoveServer(w.clock(), s.id)
@@ -55,7 +58,7 @@
 	})
 }
 
-// recordDrainArrival notes a request that reaches a server which leaves.
+// recordDrainArrival records a request that reaches a server, in case the server is draining.
 func (w *simulation) recordDrainArrival(req *request) {
 	at, informed := w.drainHeard[serverProxy{req.server.id, req.kernel.Name()}]
 	if informed && req.sentAt > at+drainBound {
--- a/internal/fake/warmnet/failures.go
+++ b/internal/fake/warmnet/failures.go
@@ -7,10 +7,11 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// tickInterval is how often kernels are told the time.
+// tickInterval is the interval at which the kernels are ticked.
 const tickInterval = 100 * time.Millisecond
 
-// pickProxy draws the proxy that a region's caller asks.
+// pickProxy picks the proxy that receives a request from a region's caller, and returns the region
+// of the proxy.
 func (w *simulation) pickProxy(region string) (*steering.Kernel, string) {
 	if list := w.proxies[region]; len(list) > 0 {
 		return list[w.random.IntN(len(list))], region
@@ -21,7 +22,7 @@
 	return w.proxies[region][n-first], region
 }
 
-// removeProxies takes the proxies of the stranded regions away.
+// removeProxies removes all proxies of the regions that lose them.
 func (w *simulation) removeProxies() {
 	for _, region := range w.scenario.ProxyLossRegions {
 		delete(w.proxies, region)
@@ -44,7 +45,7 @@
 	}
 }
 
-// eachProxy calls do for every live proxy, in order.
+// eachProxy calls a function for each running proxy, in a fixed order.
 func (w *simulation) eachProxy(do func(*steering.Kernel)) {
 	for _, r := range w.scenario.Regions {
 		for _, k := range w.proxies[r.Name] {
@@ -53,7 +54,7 @@
 	}
 }
 
-// inOutage reports whether a server is down for a while.
+// inOutage reports whether a server is currently unreachable because of the outage.
 func (w *simulation) inOutage(s *server) bool {
 	if !w.scenario.Outage.activeIn(s.region, w.Now) {
 		return false
@@ -62,7 +63,7 @@
 	return slices.Index(w.servers, s) < first+w.scenario.Outage.Servers
 }
 
-// removeFirstServers takes the first server of each region away.
+// removeFirstServers removes the first server of each region.
 func (w *simulation) removeFirstServers() {
 	for _, r := range w.scenario.Regions {
 		w.removeServer(w.byID[serverID(r.Name, 0)])
@@ -74,7 +75,7 @@
 	w.eachProxy(func(k *steering.Kernel) { k.RemoveServer(w.clock(), s.id) })
 }
 
-// replaceServers replaces the n-th server of each region, and then the next.
+// replaceServers replaces the n-th server of each region and schedules the replacement of the next.
 func (w *simulation) replaceServers(n int) {
 	if n >= w.scenario.Rollout.Servers {
 		return
--- a/internal/fake/warmnet/messages.go
+++ b/internal/fake/warmnet/messages.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// gossipInterval is how often proxies tell each other which services they hold back.
+	// gossipInterval is the interval at which proxies exchange reports and concurrency limits.
 	gossipInterval = 500 * time.Millisecond
-	// anyRegionOneIn is how many exchanges go to any region: one in so many.
+	// anyRegionOneIn sets how many gossip exchanges go to a proxy of any region: one in this many.
 	anyRegionOneIn = 4
 )
 
 type (
-	// slotMessages carries the messages between proxies that ask for places at servers and
-	// those that own the gates.
+	// slotMessages holds the state of the messages between proxies that request slots of a service
+	// with a concurrency limit and the proxies that own these limits.
 	slotMessages struct {
 		nextExchange time.Duration
 		queued       map[slotRequestKey]*request
@@ -29,7 +29,7 @@
 	}
 )
 
-// kernelOf finds a proxy's kernel and region by its name.
+// kernelOf returns the kernel and the region of the proxy with a name.
 func (w *simulation) kernelOf(name string) (*steering.Kernel, string) {
 	for _, r := range w.scenario.Regions {
 		first := slices.IndexFunc(w.proxyList, func(p steering.Proxy) bool { return p.Region == r.Name })
@@ -41,7 +41,8 @@
 	return nil, ""
 }
 
-// sendSlotRequest brings a question to the gate's owner and its answer back.
+// sendSlotRequest delivers a slot request to the owner of the limit, and its reply to the proxy
+// unless the owner queues the request.
 func (w *simulation) sendSlotRequest(req *request, slotRequest steering.SlotRequest) {
 	owner, region := w.kernelOf(slotRequest.Owner.Name)
 	delay := w.roundTrip(req.proxyRegion, region) / 2
@@ -61,7 +62,8 @@
 	})
 }
 
-// sendSlotRelease brings a place back and tells those that get it.
+// sendSlotRelease returns a slot to the owner of the limit and delivers the replies to queued
+// requests that get a slot now.
 func (w *simulation) sendSlotRelease(proxyRegion string, r steering.SlotRelease) {
 	owner, region := w.kernelOf(r.Owner.Name)
 	w.After(w.roundTrip(proxyRegion, region)/2, func() { w.deliverSlotReplies(region, owner.HandleSlotRelease(w.clock(), r)) })
@@ -81,7 +83,7 @@
 	}
 }
 
-// gossip has each proxy exchange what it knows with another one.
+// gossip calls exchange for each proxy and one random peer.
 func (w *simulation) gossip(exchange func(k, peer *steering.Kernel)) {
 	w.eachProxy(func(k *steering.Kernel) {
 		_, region := w.kernelOf(k.Name())
@@ -93,7 +95,8 @@
 	})
 }
 
-// exchangeReports has all proxies tell each other which services they hold back.
+// exchangeReports has the proxies exchange reports and concurrency limits if the gossip interval
+// has passed.
 func (w *simulation) exchangeReports() {
 	if w.Now < w.slotMessages.nextExchange {
 		return
--- a/internal/fake/warmnet/placement_test.go
+++ b/internal/fake/warmnet/placement_test.go
@@ -17,7 +17,7 @@
 	return l
 }
 
-// meanOverSeeds plays a load with a few seeds.
+// meanOverSeeds returns mean results of a scenario over a few seeds.
 func meanOverSeeds(scenario Scenario, placer string) (share, worst, coldRuns float64) {
 	const seeds = 3
 	for seed := range uint64(seeds) {
@@ -29,9 +29,9 @@
 	return share, worst, coldRuns
 }
 
-// More is asked than the servers could do if every request ran cold. Where
-// objects are spread over servers, each runs cold on many of them and callers
-// wait; where all proxies name one home, most requests are warm.
+// The demand exceeds the capacity that the servers have if every request runs cold. Guards against
+// placement that spreads an object over servers: each runs cold on many objects and callers wait.
+// If all proxies select the same home, most requests run warm.
 func TestHomePlacementServesMoreWithinTarget(t *testing.T) {
 	for _, name := range []string{"heavy", "far", "refusals", "leave", "waves", "slow", "away", "surge"} {
 		t.Run(name, func(t *testing.T) {
@@ -67,7 +67,8 @@
 	}
 }
 
-// One region has a sixth of the servers and a third of the callers.
+// Guards against poor service in one region that has a sixth of the servers and a third of the
+// callers.
 func TestOverloadedRegionIsNotStarved(t *testing.T) {
 	share, worst, _ := meanOverSeeds(readScenario(t, "heavy"), steering.DefaultPlacer)
 	if worst < 0.85*share {
@@ -75,27 +76,27 @@
 	}
 }
 
-// The regions' callers come in waves, one region after the other, from 0.45 to 1.55
-// of the mean. Where all objects lived near their callers, the servers there
-// queued at the top of the wave while others idled.
+// The request rates of the regions peak one after the other, between 0.45 and 1.55 of the mean.
+// Guards against placement of all objects near their callers: the servers there built up queues at
+// the peak while others were idle.
 func TestPeaksOfOneRegionUseServersOfAll(t *testing.T) {
 	if _, worst, _ := meanOverSeeds(readScenario(t, "waves"), steering.DefaultPlacer); worst < 0.9 {
 		t.Errorf("the worst region has %.3f within the target, want 0.9 at least", worst)
 	}
 }
 
-// Callers ask for 2% more than warm servers can do, for half a minute, and come
-// back once if they are refused. Where all are sent, every queue stands at its end
-// and hardly one answer comes in time.
+// For half a minute, callers demand 2% more than the capacity of warm servers, and retry once if
+// they are refused. Guards against proxies that admit all requests: every queue fills up and hardly
+// any response is in time.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	if share, worst, _ := meanOverSeeds(readScenario(t, "overload"), steering.DefaultPlacer); share < 0.42 || worst < 0.36 {
 		t.Errorf("%.3f within the target, %.3f in the worst region; want 0.42 and 0.36 at least", share, worst)
 	}
 }
 
-// Servers don't tell their load. After a calm third of the time, in which proxies
-// learn how long the work takes, callers ask for 2% more than warm servers can do.
-// Proxies that infer no queue from late answers send all, and a quarter is
+// Servers do not report their load. The demand is low for the first third, in which proxies learn
+// the service time, and 2% above the capacity of warm servers from then on. Guards against proxies
+// that do not infer queues from late responses: they admit all requests, and only a quarter is
 // answered in time.
 func TestOverloadIsDetectedWithoutLoadReports(t *testing.T) {
 	if share, worst, _ := meanOverSeeds(readScenario(t, "overload-mute"), steering.DefaultPlacer); share < 0.38 || worst < 0.32 {
@@ -103,16 +104,18 @@
 	}
 }
 
-// The work of single requests differs by a factor of three, and servers don't
-// tell their load. A long answer must not pass for a queue: none need be refused.
+// The service time varies between requests by a factor of three, and servers do not report their
+// load. Guards against proxies that take a long run for a queue and refuse requests: none needs to
+// be refused.
 func TestVaryingServiceTimeIsNotOverload(t *testing.T) {
 	if o := Simulate(readScenario(t, "uneven-mute"), steering.DefaultPlacer, 1); o.Refused > o.Sent/200 {
 		t.Errorf("%d of %d requests refused, want hardly any", o.Refused, o.Sent)
 	}
 }
 
-// Requests name no object, and servers don't tell their load. Each proxy knows
-// only its own requests; the queues of others show in how long answers take.
+// Requests name no object, and servers do not report their load. Each proxy knows only its own
+// requests. Guards against proxies that do not infer the queues caused by other proxies from
+// response times.
 func TestQueuesAreInferredFromResponseTimes(t *testing.T) {
 	share, worst, _ := meanOverSeeds(readScenario(t, "anonymous-mute"), steering.DefaultPlacer)
 	if share < 0.98 || worst < 0.97 {
@@ -120,9 +123,9 @@
 	}
 }
 
-// All proxies of one region, then of two, go for good, and their callers ask those
-// that are left. Where these dealt objects out as before, their own servers got
-// what is meant for all and 0.70 of the requests were answered in time.
+// All proxies of one region, or of two, are lost for good, and their callers use the remaining
+// proxies. Guards against remaining proxies that assign objects as before: their own servers got
+// the load of all regions and only 0.70 of the requests were answered in time.
 func TestRegionsWithoutProxiesAreServedInTime(t *testing.T) {
 	for name, want := range map[string]float64{"stranded-one": 0.97, "stranded": 0.85} {
 		share, _, _ := meanOverSeeds(readScenario(t, name), steering.DefaultPlacer)
@@ -133,9 +136,9 @@
 	}
 }
 
-// Half of a region's servers are lost for ten seconds and come back empty. Where
-// their objects all went to the other half, 0.75 of that region's requests were
-// answered in time.
+// Half of a region's servers are unreachable for ten seconds and come back with empty caches.
+// Guards against moving all their objects to the other half: only 0.75 of that region's requests
+// were answered in time.
 func TestLossOfHalfARegionIsSharedByAllRegions(t *testing.T) {
 	share, worst, _ := meanOverSeeds(readScenario(t, "away"), steering.DefaultPlacer)
 	if share < 0.87 || worst < 0.83 {
@@ -143,12 +146,13 @@
 	}
 }
 
-// Servers are no faster for objects that they know, and the route says so. Where
-// each object had a home nevertheless, some servers had long queues while others
-// idled: 0.73 were answered in time at 0.96 of what the servers can do. Where
-// proxies did not reckon with each other's unseen requests, each filled the same
-// server first: 0.55 if servers tell nothing.
-// The regions' parts stay as they are, which least in flight does not care for.
+// Servers are no faster for objects that they have handled before, and the route is not sticky.
+// Guards against a home for each object nevertheless: some servers had long queues while others
+// were idle, and only 0.73 of the requests were answered in time at 0.96 of the capacity. Also
+// guards against proxies that do not allow for the unseen requests of other proxies: each filled
+// the same server first, and 0.55 were answered in time if servers report no load.
+//
+// The shares of the regions must stay the same, which the least-in-flight policy does not ensure.
 func TestNonStickyRoutesUseAllServers(t *testing.T) {
 	for name, c := range map[string]struct{ want, ofLeastInFlight float64 }{
 		"plain": {0.99, 1}, "plain-high": {0.95, 1}, "plain-high-mute": {0.89, 0.95}, "plain-over": {0.82, 2},
@@ -164,9 +168,9 @@
 	}
 }
 
-// Few objects make up much of what is asked for. All requests for one of them went to
-// its home, which turned them away or let them wait while a hundred servers idled:
-// 0.74 were answered within the target. Regions keep their parts all the while.
+// Few objects make up much of the demand. Guards against a single home for such an object: the home
+// refused or queued its requests while a hundred servers were idle, and 0.74 were answered within
+// the target. The shares of the regions must not suffer.
 func TestPopularObjectsAreReplicated(t *testing.T) {
 	scenario := readScenario(t, "hot")
 	share, worst, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
@@ -179,16 +183,16 @@
 	}
 }
 
-// All servers of a service take three times as long for some seconds, callers come in
-// waves or a burst, servers are replaced one after the other, or few objects make up
-// most of the load. Operators allow 0.15 of a region's requests to change the region
-// in which they run from two seconds to the next, and count on what is cold by that.
+// All servers of a service take three times as long for some seconds, callers come in waves or in a
+// surge, servers are replaced one after the other, or few objects make up most of the load.
+// Operators allow 0.15 of a region's requests to change the region in which they run from one
+// window of two seconds to the next, and plan for cold runs on that basis.
 func TestRegionShiftIsBoundedUnderLoad(t *testing.T) {
 	for _, name := range []string{"slow-service", "hot", "release", "waves", "surge"} {
 		for seed := range uint64(2) {
 			scenario := readScenario(t, name)
-			// Holding back is not in use where deployed: it denies more of what comes from
-			// far, and moves up to 0.19 where a whole service is slow.
+			// Concurrency limits are not enabled in production: they deny more of the requests from
+			// other regions, which shifts up to 0.19 where a whole service is slow.
 			scenario.MechanismsOff = []steering.Mechanism{steering.MechanismConcurrencyLimit}
 			if o := Simulate(scenario, steering.DefaultPlacer, seed+1); o.MaxRegionShift > 0.15 {
 				t.Errorf("%s, seed %d: %.2f of a region's requests changed the region within two seconds, want 0.15 at most", name, seed+1, o.MaxRegionShift)
@@ -197,9 +201,9 @@
 	}
 }
 
-// Each proxy may hold three connections to a server. Where it sent what found none
-// free to servers that did not know the object, these had three times the work, all
-// proxies ran short, and 239 requests ran cold instead of 135.
+// Each proxy may open three connections to a server. Guards against proxies that send a request to
+// a cold server when no connection to the home is free: cold servers had three times the work, all
+// proxies ran out of connections, and 239 requests ran cold instead of 135.
 func TestConnectionShortageDoesNotSpreadObjects(t *testing.T) {
 	share, _, coldRuns := meanOverSeeds(readScenario(t, "connections"), steering.DefaultPlacer)
 	if share < 0.75 || coldRuns > 160 {
@@ -207,10 +211,10 @@
 	}
 }
 
-// Servers take three times as long once two of their three slots are used,
-// and half of what they can do with two is asked for. Where proxies sent at once, every
-// server filled all its slots from its own queue, ran at its worst point and never
-// caught up: a tenth was answered in time.
+// Servers take three times as long once two of their three slots are in use, and the demand is half
+// of their capacity with two. Guards against proxies that send all requests at once: every server
+// kept all its slots filled from its queue, ran at its slowest and never caught up, and only a
+// tenth of the requests was answered in time.
 func TestServersPastTheirKneeAreNotFilled(t *testing.T) {
 	scenario := readScenario(t, "knee")
 	share, worst, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
--- a/internal/fake/warmnet/ratelimits.go
+++ b/internal/fake/warmnet/ratelimits.go
@@ -8,45 +8,47 @@
 )
 
 const (
-	// limitWindow is the window in which a limit is judged, limitFactor and limitSlack what
-	// is allowed there beyond it.
+	// limitWindow is the window over which arrivals are compared with a rate limit. limitRatio and
+	// limitSlack are the allowed excess over the limit in that window.
 	limitWindow = 4 * time.Second
 	limitRatio  = 1.5
 	limitSlack  = 5
-	// propagationBound is the operators' bound for news at all proxies; a limit is judged from
-	// then on.
+	// propagationBound is the operators' bound on the time until all proxies know of a rate limit.
+	// Arrivals are compared with a limit from then on.
 	propagationBound = 4 * time.Second
-	// reactionTime is how long a proxy may take to heed an answer.
+	// reactionTime is the time within which a proxy must act on a response.
 	reactionTime = 500 * time.Millisecond
 )
 
 type (
-	// RateLimit is a time in which the first servers of a region name a limit.
+	// RateLimit is a period in which the first servers of a region advertise a rate limit.
 	RateLimit struct {
 		Episode
 		PerSecond float64 `json:"per-second"`
 	}
 
-	// RateLimitStats is what servers got that named a limit.
+	// RateLimitStats describes the requests sent to servers that advertise a rate limit.
 	RateLimitStats struct {
-		// MaxUtilization is the largest part of what is allowed in one window that a server got
-		// from the proxies that it had told.
+		// MaxUtilization is the largest number of requests that a server got within one window from
+		// informed proxies, as a fraction of the number allowed.
 		MaxUtilization float64
-		// MeanUtilization is the mean part of their limits that servers got, After their mean rate
-		// from some time after it, as a part of the rate before it.
+		// MeanUtilization is the mean request rate of the servers as a fraction of their limits.
+		// RecoveredRate is their mean request rate some time after the limit has ended, as a
+		// fraction of the rate before it.
 		MeanUtilization, RecoveredRate float64
-		// Reports counts what proxies told each other of servers.
+		// Reports counts the backpressure reports exchanged between proxies.
 		Reports int
 	}
 
-	// firstHeard are the moments at which proxies first heard something of servers.
+	// firstHeard holds the times at which each proxy first received a signal of each server.
 	firstHeard map[serverProxy]time.Duration
 
 	serverProxy struct {
 		server, proxy string
 	}
 
-	// rateLimitLog notes what arrives at servers, and which proxies were told.
+	// rateLimitLog records the requests that arrive at servers and the proxies that know of a
+	// limit.
 	rateLimitLog struct {
 		arrivals   map[string][]arrival
 		informedAt firstHeard
@@ -55,19 +57,19 @@
 
 	arrival struct {
 		at time.Duration
-		// informed is set if the proxy knew of the limit.
+		// informed is set if the proxy had known of the limit for reactionTime.
 		informed bool
 	}
 )
 
-// record notes the first time.
+// record records a time unless an earlier one is known.
 func (n firstHeard) record(now time.Duration, server, proxy string) {
 	if _, known := n[serverProxy{server, proxy}]; !known {
 		n[serverProxy{server, proxy}] = now
 	}
 }
 
-// advertisedLimit is what a server names now.
+// advertisedLimit returns the rate limit that a server currently advertises.
 func (l Scenario) advertisedLimit(s *server, now time.Duration) backpressure.Limit {
 	for _, e := range l.RateLimits {
 		if e.affects(s, now) {
@@ -77,12 +79,12 @@
 	return backpressure.Limit{}
 }
 
-// hasBackpressure reports whether servers ask anything of their senders.
+// hasBackpressure reports whether servers send backpressure signals in this scenario.
 func (l Scenario) hasBackpressure() bool {
 	return len(l.RateLimits)+len(l.Draining)+len(l.BackoffRequests) > 0
 }
 
-// signal is what a server's answer asks.
+// signal returns the backpressure signal in a server's response.
 func (w *simulation) signal(s *server, r steering.Result) backpressure.Signal {
 	if r == steering.ResultConnectionLost || r == steering.ResultUnreachable || r == steering.ResultTimeout {
 		return backpressure.Signal{}
@@ -90,7 +92,7 @@
 	return backpressure.Signal{Limit: w.scenario.advertisedLimit(s, w.Now), Draining: w.scenario.isDraining(s, w.Now), Pause: w.scenario.backoffRequest(s, w.Now)}
 }
 
-// recordSignal notes what a proxy hears with an answer.
+// recordSignal records the signal that a proxy receives with a response.
 func (w *simulation) recordSignal(req *request, s backpressure.Signal) {
 	if s.Limit.Set {
 		w.rateLimitLog.informedAt.record(w.Now, req.server.id, req.kernel.Name())
@@ -100,7 +102,7 @@
 	}
 }
 
-// exchangeBackpressure has each proxy tell another one what servers ask, and be told.
+// exchangeBackpressure has each proxy exchange backpressure reports with one peer.
 func (w *simulation) exchangeBackpressure() {
 	w.gossip(func(k, peer *steering.Kernel) {
 		sent, received := k.BackpressureReports(w.clock(), false), peer.BackpressureReports(w.clock(), false)
@@ -118,7 +120,7 @@
 	l.arrivals[server] = append(l.arrivals[server], arrival{at: now, informed: informed && now-at >= reactionTime})
 }
 
-// stats sums up what became of the limits.
+// stats computes the statistics over all periods with a rate limit.
 func (l *rateLimitLog) stats(episodes []RateLimit) (out RateLimitStats) {
 	out.Reports = l.reports
 	before, after, use, servers := 0.0, 0.0, 0.0, 0
@@ -139,8 +141,8 @@
 	return out
 }
 
-// maxUtilization is the largest part of what is allowed that came from proxies that knew, in any
-// window that ends after the time for news.
+// maxUtilization returns the largest number of requests from informed proxies as a fraction of the
+// number allowed, over all windows that end after propagationBound.
 func (e RateLimit) maxUtilization(arrivals []arrival) float64 {
 	allowed := limitRatio*limitWindow.Seconds()*e.PerSecond + limitSlack
 	largest := 0.0
@@ -159,7 +161,7 @@
 	return largest
 }
 
-// arrivalRate is how many arrived a second between two moments.
+// arrivalRate returns the arrivals per second between two times.
 func arrivalRate(arrivals []arrival, from, to time.Duration) float64 {
 	n := 0.0
 	for _, a := range arrivals {
--- a/internal/fake/warmnet/ratelimits_test.go
+++ b/internal/fake/warmnet/ratelimits_test.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// maxRequestsInBackoff is the operators' bound on what a proxy sends a server in a pause.
+	// maxRequestsInBackoff is the operators' bound on the requests that a proxy may send to a
+	// server during a backoff period.
 	maxRequestsInBackoff = 2
-	// maxRefusedRatio is the part of callers that may be refused while two thirds of the
-	// servers have room for all: one in 500.
+	// maxRefusedRatio is the fraction of callers that may be refused while two thirds of the
+	// servers have capacity for all: one in 500.
 	maxRefusedRatio = 0.002
-	// highLoadFactor is the load at which the servers without a limit are busy for five
-	// sixths, minHighLoadShare the part of it that must be answered in time.
+	// highLoadFactor multiplies the request rate so that the servers without a limit are five
+	// sixths busy. minHighLoadShare is the fraction of requests that must be answered in time then.
 	highLoadFactor   = 2.4
 	minHighLoadShare = 0.9
 )
 
-// Guards against servers that ask for a pause and get requests in it, and against callers
-// who are refused while other servers have room.
+// Guards against requests to servers during a backoff period that they asked for, and against
+// refusals while other servers have capacity.
 func TestProxiesHonorRequestedBackoff(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
 		scenario := readScenario(t, "pausing")
@@ -35,8 +36,8 @@
 	}
 }
 
-// Guards against a server that leaves by its own word and gets new requests, since its
-// registration says otherwise or has come back.
+// Guards against new requests to a server that advertises draining, because its registration does
+// not show it or has been renewed.
 func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
 		scenario := readScenario(t, "leaving")
@@ -49,7 +50,8 @@
 	}
 }
 
-// Guards against proxies that each keep to a server's limit, or do not, and pass it together.
+// Guards against proxies that exceed a server's rate limit together, whether or not each of them
+// stays within it.
 func TestProxiesTogetherKeepAdvertisedRateLimit(t *testing.T) {
 	for _, proxies := range []int{1, 3, 12} {
 		scenario := readScenario(t, "limited")
@@ -65,8 +67,8 @@
 	}
 }
 
-// Guards against a service that is hardly overloaded and does less and less: full servers
-// refuse requests, which run cold elsewhere and fill the other servers.
+// Guards against a service under slight overload whose throughput keeps falling: full servers
+// refuse requests, which run cold elsewhere and fill up the other servers.
 func TestFullHomesDoNotSpreadColdRuns(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
 		scenario := readScenario(t, "limited")
@@ -82,8 +84,8 @@
 	}
 }
 
-// Guards against objects of limited servers that run by turns at home and anywhere else in
-// a region whose servers are full.
+// Guards against objects of rate-limited servers that run alternately at home and on any other
+// server, in a region whose servers are full.
 func TestObjectsOfRateLimitedServersFailOver(t *testing.T) {
 	scenario := readScenario(t, "limited")
 	scenario.ProxiesPerRegion = 12
--- a/internal/fake/warmnet/regionshift.go
+++ b/internal/fake/warmnet/regionshift.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// shiftWindow is the time over which operators compare regions' shares.
+	// shiftWindow is the window over which operators compare the shares of regions.
 	shiftWindow = 2 * time.Second
-	// minWindowRequests is how many requests a window must have for its shares to say
-	// anything: their standard deviation is under 0.04 then.
+	// minWindowRequests is the number of requests that a window needs for meaningful shares: their
+	// standard deviation is below 0.04 then.
 	minWindowRequests = 200
 )
 
 type (
-	// regionCounts counts where the requests of each region's callers are sent, by window.
+	// regionCounts counts, for each region of callers and each window, the requests sent to each
+	// region of servers.
 	regionCounts map[string][]map[string]int
 )
 
-// record counts a request of a region's caller that is sent to a server's region.
+// record counts a request from a caller's region to a server's region.
 func (s regionCounts) record(now time.Duration, from, to string) {
 	window := int(now / shiftWindow)
 	for len(s[from]) <= window {
@@ -27,8 +28,8 @@
 	s[from][window][to]++
 }
 
-// maxShift is the largest part of a region's requests that went to another region than
-// in the window before.
+// maxShift returns the largest fraction of a region's requests that moved to another region from
+// one window to the next.
 func (s regionCounts) maxShift() float64 {
 	largest := 0.0
 	for _, windows := range s {
--- a/internal/fake/warmnet/replay_test.go
+++ b/internal/fake/warmnet/replay_test.go
@@ -8,8 +8,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// recorded plays a load and returns the recording of one proxy's kernel, and the
-// calls in it.
+// recorded simulates a scenario and returns the recording of one proxy's kernel and the calls in
+// it.
 func recorded(t *testing.T, name string) (*bytes.Buffer, []steering.Call) {
 	t.Helper()
 	var recording bytes.Buffer
@@ -24,9 +24,8 @@
 	return &recording, calls
 }
 
-// An operator has a recording of a proxy that placed requests badly. Given the
-// same calls, a new kernel must decide the same to the last request, or nobody
-// could find the cause with it.
+// Operators replay the recording of a proxy to find out why it placed requests badly. Guards
+// against a replay that decides any request differently from the recorded kernel.
 func TestReplayRepeatsAllDecisions(t *testing.T) {
 	for _, name := range []string{"refusals", "leave", "overload", "limited"} {
 		recording, _ := recorded(t, name)
@@ -40,7 +39,8 @@
 	}
 }
 
-// The replay of a request tells how each server was weighed and which was chosen.
+// Guards against a replay that does not show how the servers were rated for a request and which one
+// was chosen.
 func TestReplayExplainsServerChoice(t *testing.T) {
 	recording, calls := recorded(t, "heavy")
 	var requestID, server string
@@ -64,8 +64,8 @@
 	}
 }
 
-// The code is changed and decides otherwise on one request. The replay must name
-// it, and what was recorded after it must still be compared.
+// A changed version of the code decides one request differently. The replay must report this
+// request and still compare the calls recorded after it.
 func TestReplayReportsDifferingDecision(t *testing.T) {
 	_, calls := recorded(t, "heavy")
 	index := -1
@@ -96,7 +96,7 @@
 	}
 }
 
-// A VM loses power while a call is written. What comes before it must replay.
+// A VM loses power while a call is being written. The calls before it must replay.
 func TestTruncatedRecordingReplays(t *testing.T) {
 	recording, calls := recorded(t, "refusals")
 	recording.Truncate(recording.Len() - 5)
--- a/internal/fake/warmnet/restricted_test.go
+++ b/internal/fake/warmnet/restricted_test.go
@@ -6,8 +6,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// Guards against a region whose servers are given their part of all objects on top of
-// requests of accounts that are bound to it.
+// Guards against a region whose servers get their share of all objects in addition to the requests
+// of accounts that are restricted to it.
 func TestRegionsReserveCapacityForRestrictedAccounts(t *testing.T) {
 	scenario := readScenario(t, "bound")
 	share, worst, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
--- a/internal/fake/warmnet/scenario.go
+++ b/internal/fake/warmnet/scenario.go
@@ -1,7 +1,7 @@
-// Package warmnet plays loads against steering kernels in virtual time:
-// proxies in several regions, backend servers that remember the objects they
-// handled lately and do their work faster, queues, and the way between them.
-// It measures what callers get. There is no network and no clock.
+// Package warmnet simulates steering kernels in virtual time: proxies in several regions, backend
+// servers with queues that run requests for recently handled objects faster, and the network delay
+// between them. It measures the latency and the errors that callers see. It uses no network and no
+// real clock.
 package warmnet
 
 import (
@@ -16,139 +16,144 @@
 )
 
 type (
-	// Scenario is what is played.
+	// Scenario describes the fleet, the load and the faults of a simulation.
 	Scenario struct {
 		Regions []Region `json:"regions"`
-		// ProxiesPerRegion in each region, Slots and Queue of each server.
+		// ProxiesPerRegion is the number of proxies in each region. SlotsPerServer and
+		// QueueCapacity are the number of concurrent and of queued requests of each server.
 		ProxiesPerRegion int `json:"proxies"`
 		SlotsPerServer   int `json:"slots"`
 		QueueCapacity    int `json:"queue"`
-		// ObjectsPerRegion that each region's callers ask for, and how many a server
-		// remembers.
+		// ObjectsPerRegion is the number of objects that the callers of each region request.
+		// CacheCapacity is the number of objects for which a server stays warm.
 		ObjectsPerRegion int `json:"objects"`
 		CacheCapacity    int `json:"remember"`
-		// Skew is by how much an object is asked for more often than the next ones:
-		// the n-th as often as n to the power of -Skew; zero for all alike.
+		// Skew is the exponent of the Zipf distribution of objects: the n-th is requested in
+		// proportion to n to the power of -Skew. Zero means that all are requested equally often.
 		Skew float64 `json:"skew"`
-		// ServiceTime on a server that does not know the object, and the share of it
-		// that is left on one that does.
+		// ServiceTime is the mean service time on a server that is cold for the object. WarmFactor
+		// is the fraction of it that a warm server needs.
 		ServiceTime   operator.Duration `json:"work"`
 		WarmFactor    float64           `json:"warm-share"`
 		RoundTrip     operator.Duration `json:"round-trip"`
 		LatencyTarget operator.Duration `json:"target"`
 		Timeout       operator.Duration `json:"timeout"`
 		Duration      operator.Duration `json:"span"`
-		// RefuseRatio of requests are refused by chance although slots are
-		// free, between the two moments.
+		// RefuseRatio is the fraction of requests that servers refuse at random, even with free
+		// slots, from RefuseFrom to RefuseTo.
 		RefuseRatio float64           `json:"refuse-share"`
 		RefuseFrom  operator.Duration `json:"refuse-from"`
 		RefuseTo    operator.Duration `json:"refuse-to"`
-		// MaxRetries is how often a refused caller comes back when it was told to.
+		// MaxRetries is the number of times that a refused caller retries after the delay it was
+		// told.
 		MaxRetries int `json:"returns"`
-		// RateAmplitude is how far each region's rate moves up and down, as a part of it,
-		// once in each Period; the regions follow each other evenly.
+		// RateAmplitude is the amplitude of each region's sinusoidal request rate, as a fraction of
+		// its mean. RatePeriod is the period. The phases of the regions are evenly spaced.
 		RateAmplitude float64           `json:"swing"`
 		RatePeriod    operator.Duration `json:"period"`
-		// HalfRateUntil is how long half the rate is asked at first.
+		// HalfRateUntil is the time until which callers send at half the rate.
 		HalfRateUntil operator.Duration `json:"calm"`
-		// ServiceTimeFactors are the times that servers take, as parts of Work, dealt out in
-		// turn; none for servers that are alike.
+		// ServiceTimeFactors are factors on the service time, assigned to the servers in turn.
+		// Without any, all servers are equally fast.
 		ServiceTimeFactors []float64 `json:"speeds"`
-		// ServiceTimeSigma is the standard deviation of the logarithm of the work; zero for
-		// work that varies evenly by a little.
+		// ServiceTimeSigma is the standard deviation of the logarithm of the service time. Zero
+		// selects a uniform distribution with a small spread.
 		ServiceTimeSigma float64 `json:"spread"`
-		// SlowFactor is how many times as long some servers of each region take between
-		// the two moments: the first SlowServers, one if that is zero.
+		// SlowFactor multiplies the service time of the first SlowServers servers of each region,
+		// or of the first one if that is zero, from SlowFrom to SlowTo.
 		SlowFactor  float64           `json:"slow-by"`
 		SlowServers int               `json:"slow-servers"`
 		SlowFrom    operator.Duration `json:"slow-from"`
 		SlowTo      operator.Duration `json:"slow-to"`
-		// Knee is the part of its slots beyond which a server slows down: work that
-		// begins with more running takes KneeFactor as long. Zero for no knee.
+		// Knee is the fraction of its slots above which a server slows down: requests that start
+		// with more running take KneeFactor times as long. Zero disables it.
 		Knee       float64 `json:"knee"`
 		KneeFactor float64 `json:"knee-times"`
-		// NoLoadReports servers don't tell their load.
+		// NoLoadReports means that servers do not report their load.
 		NoLoadReports bool `json:"mute"`
-		// NoObjects requests name no object.
+		// NoObjects means that requests name no object.
 		NoObjects bool `json:"anonymous"`
-		// MaxConnections that a server accepts from all proxies; zero for no bound.
+		// MaxConnections is the number of connections that a server accepts from all proxies. Zero
+		// means unlimited.
 		MaxConnections int `json:"connections"`
-		// NotSticky routes promise nothing of servers that know an object; WarmFactor
-		// should be 1 then.
+		// NotSticky means that the route does not promise that servers are faster for objects they
+		// have handled. WarmFactor should be 1 then.
 		NotSticky bool `json:"plain"`
-		// RestrictedShare is the part of all requests whose accounts may be served in the region
-		// RestrictedTo only, in tenths.
+		// RestrictedShare is the fraction of requests, in multiples of 0.1, whose accounts may be
+		// served in the region RestrictedTo only.
 		RestrictedShare float64 `json:"bound"`
 		RestrictedTo    string  `json:"bound-to"`
-		// MechanismsOff lists the mechanisms that the proxies do without.
+		// MechanismsOff lists the mechanisms that are disabled on the proxies.
 		MechanismsOff []steering.Mechanism `json:"off"`
-		// RemoveAt is when one server of each region leaves; zero for never.
+		// RemoveAt is the time at which one server of each region is removed. Zero means never.
 		RemoveAt operator.Duration `json:"leave"`
 		// Rollout replaces servers one after the other.
 		Rollout *Rollout `json:"release"`
-		// Outage servers of a region refuse connections for a while and have forgotten
-		// all objects when they are back.
+		// Outage makes servers of a region refuse connections for a period. They come back with
+		// empty caches.
 		Outage *Episode `json:"away"`
-		// Surge is when a region's callers ask more.
+		// Surge raises the request rate of a region's callers for a period.
 		Surge *Episode `json:"surge"`
-		// ProxyLossRegions regions lose all their proxies at ProxyLossAt, for good. Their
-		// callers ask proxies of the other regions from then on.
+		// ProxyLossRegions lose all their proxies at ProxyLossAt, for good. Their callers use
+		// proxies of the other regions from then on.
 		ProxyLossRegions []string          `json:"stranded"`
 		ProxyLossAt      operator.Duration `json:"strand-at"`
-		// CrashingRequests work ends servers, Storm has them end by themselves; Back is after how
-		// long others take their places, cold and with new ids.
+		// CrashingRequests crash servers, RandomCrashes are crashes for other reasons. RestartDelay
+		// is the time until a cold server with a new ID replaces a crashed one.
 		CrashingRequests *CrashingRequests `json:"deadly"`
 		RandomCrashes    *RandomCrashes    `json:"storm"`
 		RestartDelay     operator.Duration `json:"back"`
-		// RateLimits servers name a limit for a while.
+		// RateLimits are the periods in which servers advertise a rate limit.
 		RateLimits []RateLimit `json:"limited"`
-		// Draining servers say so in their answers from a moment on, and are gone at
-		// another. Their registrations don't tell; they run out in between and are back.
+		// Draining are the periods in which servers advertise in their responses that they are
+		// draining; they are removed at the end. Their registrations do not show it, and expire and
+		// are renewed once in between.
 		Draining []Episode `json:"leaving"`
-		// BackoffRequests servers refuse all requests for a while and ask for a pause with each
-		// refusal.
+		// BackoffRequests are the periods in which servers refuse all requests and ask for backoff
+		// with each refusal.
 		BackoffRequests []BackoffRequest `json:"pausing"`
-		// QuarantineThreshold is from how many ends on proxies refuse work; zero for as many
-		// as they do without being told.
+		// QuarantineThreshold is the number of crashes after which proxies quarantine a request.
+		// Zero selects the default.
 		QuarantineThreshold int `json:"ends-to-condemn"`
 	}
 
-	// Episode is a time in which something is otherwise in one region.
+	// Episode is a period in which the conditions in one region differ.
 	Episode struct {
 		Region string `json:"region"`
-		// Servers concerned, from the first on.
+		// Servers is the number of servers affected, counted from the first.
 		Servers int `json:"servers"`
-		// RateFactor is by how much more is asked.
+		// RateFactor multiplies the request rate.
 		RateFactor float64           `json:"times"`
 		From       operator.Duration `json:"from"`
 		To         operator.Duration `json:"to"`
 	}
 
-	// Rollout is the replacement of the first servers of each region by new ones, which
-	// know no object.
+	// Rollout replaces the first servers of each region by new ones, which are cold for all
+	// objects.
 	Rollout struct {
 		Servers int               `json:"servers"`
 		From    operator.Duration `json:"from"`
-		// Interval is the time from one to the next.
+		// Interval is the time from one replacement to the next.
 		Interval operator.Duration `json:"gap"`
 	}
 
-	// Region has callers and servers.
+	// Region is a region with its number of servers and the request rate of its callers.
 	Region struct {
 		Name      string  `json:"name"`
 		Servers   int     `json:"servers"`
 		PerSecond float64 `json:"requests-per-second"`
 	}
 
-	// Result is what callers got.
+	// Result is the outcome of a simulation as callers see it.
 	Result struct {
 		Sent, WithinTarget, Late, Refused, Failed int
-		// ColdRuns counts runs on a server that did not know the object.
+		// ColdRuns counts the runs on servers that were cold for the object.
 		ColdRuns int
-		// WithinTargetByRegion is the share answered within the target.
+		// WithinTargetByRegion is the fraction of each region's requests answered within the
+		// target.
 		WithinTargetByRegion map[string]float64
-		// MaxRegionShift is the largest part of a region's requests that were sent to another
-		// region than those of the window before.
+		// MaxRegionShift is the largest fraction of a region's requests that moved to another
+		// region from one window to the next.
 		MaxRegionShift float64
 		Crashes        CrashStats
 		RateLimits     RateLimitStats
@@ -158,7 +163,7 @@
 	}
 )
 
-// ReadScenario reads a load from a file.
+// ReadScenario reads a scenario from a JSON file.
 func ReadScenario(path string) (Scenario, error) {
 	var l Scenario
 	data, err := os.ReadFile(path)
@@ -171,27 +176,27 @@
 	return l, nil
 }
 
-// activeIn reports whether a moment falls into the episode, for a region.
+// activeIn reports whether the episode applies to a region at a time. It may be called on nil.
 func (e *Episode) activeIn(region string, now time.Duration) bool {
 	return e != nil && e.Region == region && now >= e.From.Std() && now < e.To.Std()
 }
 
-// affects reports whether a server is one of those concerned now.
+// affects reports whether the episode applies to a server at a time.
 func (e *Episode) affects(s *server, now time.Duration) bool {
 	return e.activeIn(s.region, now) && s.index < e.Servers
 }
 
-// constantRate reports whether the rate stays the same all the time.
+// constantRate reports whether the request rates never change.
 func (l Scenario) constantRate() bool {
 	return l.RateAmplitude == 0 && l.HalfRateUntil == 0 && l.Surge == nil
 }
 
-// ShareWithinTarget is the part of the requests answered within the target.
+// ShareWithinTarget returns the fraction of all requests that were answered within the target.
 func (o Result) ShareWithinTarget() float64 {
 	return float64(o.WithinTarget) / float64(max(1, o.Sent))
 }
 
-// WorstRegionShare is the smallest part of any region.
+// WorstRegionShare returns the smallest fraction answered within the target of any region.
 func (o Result) WorstRegionShare() float64 {
 	worst := 1.0
 	for _, share := range o.WithinTargetByRegion {
--- a/internal/fake/warmnet/server.go
+++ b/internal/fake/warmnet/server.go
@@ -8,18 +8,19 @@
 type (
 	server struct {
 		id, region string
-		// index counts the servers of a region.
+		// index is the position of the server among those of its region.
 		index   int
 		running int
 		queue   []*request
-		// activeRequests are the jobs that it runs.
+		// activeRequests are the requests that are running.
 		activeRequests []*request
 		cached         []string
 		removed        bool
-		// crashed servers refuse connections; starts counts those that took this one's place.
+		// crashed servers refuse connections. restarts counts the servers that have replaced this
+		// one.
 		crashed  bool
 		restarts int
-		// serviceTimeFactor is the time that it takes, as a part of the load's work.
+		// serviceTimeFactor multiplies the service time of the scenario.
 		serviceTimeFactor float64
 	}
 )
@@ -41,5 +42,5 @@
 	}
 }
 
-// serverID names a server of a region by its number.
+// serverID returns the ID of the server with an index in a region.
 func serverID(region string, number int) string { return region + "-" + strconv.Itoa(number) }
--- a/internal/fake/warmnet/simulation.go
+++ b/internal/fake/warmnet/simulation.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// Oracle is a placer of this package: it knows every server's queue and
-	// memory as they are and takes the server that answers first. It is greedy,
-	// so a plan for the objects may do a little better.
+	// Oracle is a placer that only this package implements. It knows the queue and the cache of
+	// every server and selects the server that responds first. It is greedy, so a global assignment
+	// of objects may do slightly better.
 	Oracle = "all-seeing"
 
 	service           = "service"
 	host              = "host"
 	serviceTimeJitter = 0.15
-	// accountCount is how many accounts there are, which send alike.
+	// accountCount is the number of accounts. All send at the same rate.
 	accountCount = 10
-	// initialRateFactor is the rate while a load is calm, as a part of the load's.
+	// initialRateFactor multiplies the request rate until HalfRateUntil.
 	initialRateFactor = 0.5
 )
 
@@ -37,22 +37,22 @@
 		servers  []*server
 		byID     map[string]*server
 		proxies  map[string][]*steering.Kernel
-		// proxyList are the proxies that know of each other.
+		// proxyList are the proxies that know each other.
 		proxyList            []steering.Proxy
 		result               Result
 		withinTargetByRegion map[string]int
 		sentByRegion         map[string]int
 		oracle               bool
-		// slotMessages passes what proxies tell each other of gates.
+		// slotMessages holds the pending messages about slots.
 		slotMessages slotMessages
 		record       func(steering.Call)
-		// cumulativeWeights sums how often the objects up to each one are asked for, if they
-		// differ.
+		// cumulativeWeights are the cumulative request frequencies of the objects. It is empty if
+		// Skew is zero.
 		cumulativeWeights []float64
 		regionCounts      regionCounts
 		crashes           crashState
 		rateLimitLog      rateLimitLog
-		// drainHeard are when proxies heard that servers leave.
+		// drainHeard holds the times at which proxies learned that servers are draining.
 		drainHeard firstHeard
 		backoffLog backoffLog
 	}
@@ -60,28 +60,28 @@
 	request struct {
 		kernel        *steering.Kernel
 		activeRequest *steering.ActiveRequest
-		// region is the caller's, entry that of the proxy that it asks.
+		// region is the region of the caller, proxyRegion that of the proxy that it uses.
 		region      string
 		proxyRegion string
 		startedAt   time.Duration
-		// sentAt is when its caller sent it last.
+		// sentAt is when the caller last sent the request.
 		sentAt      time.Duration
 		server      *server
 		object      string
 		retriesLeft int
-		// credential is that of the caller's account, if there are any.
+		// credential belongs to the account of the caller, if the scenario has accounts.
 		credential account.Credential
-		// crashing work ends its server.
+		// crashing requests crash the server that runs them.
 		crashing bool
 	}
 )
 
-// Simulate plays a load with a placer. Equal arguments give equal outcomes.
+// Simulate runs a scenario with a placer. Equal arguments give equal results.
 func Simulate(scenario Scenario, placer string, seed uint64) Result {
 	return simulate(scenario, placer, seed, nil)
 }
 
-// simulate does so and records the calls of the first proxy's kernel.
+// simulate is Simulate with a recorder for the calls of the first proxy's kernel.
 func simulate(scenario Scenario, placer string, seed uint64, record func(steering.Call)) Result {
 	w := &simulation{
 		record:   record,
@@ -176,7 +176,7 @@
 	}
 }
 
-// accounts are those of the callers, if some are bound to a region.
+// accounts returns the accounts of the callers, or nil if none is restricted to a region.
 func (w *simulation) accounts() *account.Table {
 	if w.scenario.RestrictedShare == 0 {
 		return nil
@@ -209,7 +209,7 @@
 	return w.scenario.RoundTrip.Std()
 }
 
-// scheduleArrivals makes one region's callers ask, at random moments.
+// scheduleArrivals schedules the requests of one region's callers as a Poisson process.
 func (w *simulation) scheduleArrivals(regionIndex int, r Region) {
 	maxRate := r.PerSecond * (1 + w.scenario.RateAmplitude)
 	if w.scenario.Surge != nil {
@@ -221,7 +221,7 @@
 		if w.Now >= w.scenario.Duration.Std() {
 			return
 		}
-		// Moments at the highest rate are thinned out to the rate of now.
+		// Arrivals are generated at the maximum rate and thinned out to the current rate.
 		if w.scenario.constantRate() || w.random.Float64()*maxRate < r.PerSecond*w.rateFactor(regionIndex) {
 			w.createRequest(regionIndex, r.Name)
 		}
@@ -230,7 +230,7 @@
 	w.After(interval(), next)
 }
 
-// rateFactor is a region's rate now, as a part of its mean.
+// rateFactor returns a region's current request rate as a multiple of its mean.
 func (w *simulation) rateFactor(regionIndex int) float64 {
 	if w.Now < w.scenario.HalfRateUntil.Std() {
 		return initialRateFactor
@@ -259,7 +259,7 @@
 	w.sendToProxy(req)
 }
 
-// drawObject draws an object among those of one region.
+// drawObject draws the index of an object within its region.
 func (w *simulation) drawObject() int {
 	if w.scenario.Skew == 0 {
 		return w.random.IntN(w.scenario.ObjectsPerRegion)
@@ -275,7 +275,8 @@
 	return i
 }
 
-// sendToProxy brings a caller to one of its region's proxies, or to any if it has none.
+// sendToProxy sends a request to a proxy of the caller's region, or to any proxy if the region has
+// none.
 func (w *simulation) sendToProxy(req *request) {
 	req.kernel, req.proxyRegion = w.pickProxy(req.region)
 	req.sentAt = w.Now
@@ -324,7 +325,7 @@
 	}
 }
 
-// oracleServer is the all-seeing choice: the server that answers first.
+// oracleServer returns the choice of the Oracle placer: the server that responds first.
 func (w *simulation) oracleServer(req *request) *server {
 	var best *server
 	bestLatency := time.Duration(math.MaxInt64)
@@ -420,7 +421,7 @@
 	})
 }
 
-// slowdown is how many times as long a server takes now.
+// slowdown returns the current factor on a server's service time.
 func (w *simulation) slowdown(s *server) float64 {
 	if s.index < max(1, w.scenario.SlowServers) && w.Now >= w.scenario.SlowFrom.Std() && w.Now < w.scenario.SlowTo.Std() {
 		return s.serviceTimeFactor * w.scenario.SlowFactor
@@ -428,7 +429,7 @@
 	return s.serviceTimeFactor
 }
 
-// drawServiceTimeFactor is one request's work as a part of the mean.
+// drawServiceTimeFactor draws the service time of one request as a multiple of the mean.
 func (w *simulation) drawServiceTimeFactor() float64 {
 	if w.scenario.ServiceTimeSigma > 0 {
 		return math.Exp(w.scenario.ServiceTimeSigma*w.random.NormFloat64() - w.scenario.ServiceTimeSigma*w.scenario.ServiceTimeSigma/2)
@@ -436,26 +437,26 @@
 	return 1 + serviceTimeJitter*(2*w.random.Float64()-1)
 }
 
-// endAttempt brings the result back to the proxy.
+// endAttempt returns a result to the proxy, with the load of the server if it reports it.
 func (w *simulation) endAttempt(req *request, result steering.Result) {
 	attempt := steering.Attempt{Result: result}
 	if !w.scenario.NoLoadReports && result != steering.ResultConnectionLost {
 		attempt.Loaded, attempt.Running, attempt.Waiting = true, req.server.running, len(req.server.queue)
 		if result == steering.ResultAnswered {
-			// A server that answers counts the request that it answers.
+			// The load in a response includes the request it belongs to.
 			attempt.Running++
 		}
 	}
 	w.returnAttempt(req, attempt)
 }
 
-// returnAttempt brings an attempt's end back to the proxy.
+// returnAttempt returns the end of an attempt to the proxy, with the server's signal.
 func (w *simulation) returnAttempt(req *request, attempt steering.Attempt) {
 	attempt.Signal = w.signal(req.server, attempt.Result)
 	w.After(w.roundTrip(req.proxyRegion, req.server.region)/2, func() {
 		w.recordSignal(req, attempt.Signal)
 		if attempt.Result == steering.ResultAnswered && w.clock().After(req.activeRequest.ExpiresAt) {
-			// The proxy has gone before the server's word arrives.
+			// The request timed out at the proxy before the response arrived.
 			attempt = steering.Attempt{Result: steering.ResultTimeout}
 		}
 		w.applyDecision(req, req.kernel.EndAttempt(w.clock(), req.activeRequest, attempt))
