--- a/internal/fake/limitnet/simulation_test.go
+++ b/internal/fake/limitnet/simulation_test.go
@@ -53,13 +53,13 @@
 			for seed := range uint64(seeds) {
 				got := Simulate(p.Scenario, RegionalPools, seed)
 				if !p.LowersLimit && got.MaxExcess > maxExcess {
-					t.Errorf("seed %d: %.2f requests beyond the limit that is kept to, want none", seed, got.MaxExcess)
+					t.Errorf("seed %d: %.2f requests beyond the enforced limit, want none", seed, got.MaxExcess)
 				}
 				if got.MaxViolation > 0 {
-					t.Errorf("seed %d: %.2f requests beyond what is allowed, want none", seed, got.MaxViolation)
+					t.Errorf("seed %d: %.2f requests beyond the allowed overage, want none", seed, got.MaxViolation)
 				}
 				if share := got.RefusedShare(); share > p.MaxRefused {
-					t.Errorf("seed %d: %.4f of the owed requests refused, want at most %g", seed, share, p.MaxRefused)
+					t.Errorf("seed %d: %.4f of the conforming requests refused, want at most %g", seed, share, p.MaxRefused)
 				}
 			}
 		})
@@ -70,7 +70,7 @@
 func TestPoolsRefuseFewerThanEqualShares(t *testing.T) {
 	scenario := readTestCases(t)[0].Scenario
 	if pools, equal := Simulate(scenario, RegionalPools, 1).RefusedShare(), Simulate(scenario, EqualShares, 1).RefusedShare(); pools >= equal/10 {
-		t.Errorf("%.4f refused with pools, %.4f with even parts, want less than a tenth", pools, equal)
+		t.Errorf("%.4f refused with pools, %.4f with equal shares, want less than a tenth of that", pools, equal)
 	}
 }
 
--- a/internal/fake/warmnet/crashes_test.go
+++ b/internal/fake/warmnet/crashes_test.go
@@ -49,14 +49,14 @@
 				l.ProxiesPerRegion, l.Duration = 3, l.Duration/2
 			}
 		})
-		t.Logf("%s: %d servers ended, %d refusals of sound work", file, o.Crashes.Servers, o.Crashes.HarmlessRefused)
+		t.Logf("%s: %d servers crashed, %d refusals of harmless requests", file, o.Crashes.Servers, o.Crashes.HarmlessRefused)
 		for name, crashes := range o.Crashes.ByCrashingRequest {
 			if n := lateCrashes(crashes); n > maxLateCrashes {
-				t.Errorf("%s: %s ended %d servers after the bound for news, want %d at most: %v", file, name, n, maxLateCrashes, crashes)
+				t.Errorf("%s: %s crashed %d servers after the propagation bound, want at most %d: %v", file, name, n, maxLateCrashes, crashes)
 			}
 		}
 		if n := len(o.Crashes.HarmlessQuarantined); n > 0 {
-			t.Errorf("%s: %d sound works were condemned with the deadly ones, want none", file, n)
+			t.Errorf("%s: %d harmless requests were quarantined with the crashing ones, want none", file, n)
 		}
 	}
 }
@@ -69,12 +69,12 @@
 	for _, skew := range []float64{0.8, 1.2} {
 		o := simulateCrashes(t, "storm.json", func(l *Scenario) { l.Skew = skew })
 		without := simulateCrashes(t, "storm.json", func(l *Scenario) { l.Skew, l.MechanismsOff = skew, append(l.MechanismsOff, "quarantine") })
-		t.Logf("skew %.1f: %d servers ended, %d refusals, in target %.3f, without the quarantine %.3f", skew, o.Crashes.Servers, o.Crashes.HarmlessRefused, o.ShareWithinTarget(), without.ShareWithinTarget())
+		t.Logf("skew %.1f: %d servers crashed, %d refusals, %.3f within the target, %.3f without the quarantine", skew, o.Crashes.Servers, o.Crashes.HarmlessRefused, o.ShareWithinTarget(), without.ShareWithinTarget())
 		if n := len(o.Crashes.HarmlessQuarantined); n > 0 {
-			t.Errorf("skew %.1f: %d sound works were condemned, want none", skew, n)
+			t.Errorf("skew %.1f: %d harmless requests were quarantined, want none", skew, n)
 		}
 		if loss := without.ShareWithinTarget() - o.ShareWithinTarget(); loss > 0.03 {
-			t.Errorf("skew %.1f: %.3f of the requests are no longer answered in time, want 0.03 at most", skew, loss)
+			t.Errorf("skew %.1f: the quarantine costs %.3f of the requests answered in time, want at most 0.03", skew, loss)
 		}
 	}
 }
--- a/internal/fake/warmnet/placement_test.go
+++ b/internal/fake/warmnet/placement_test.go
@@ -38,23 +38,23 @@
 			scenario := readScenario(t, name)
 			share, worst, coldRuns := meanOverSeeds(scenario, steering.DefaultPlacer)
 			oracleShare, oracleWorst, oracleColdRuns := meanOverSeeds(scenario, Oracle)
-			t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f first runs", "homes", share, worst, coldRuns)
-			t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f first runs", Oracle, oracleShare, oracleWorst, oracleColdRuns)
+			t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f cold runs", "homes", share, worst, coldRuns)
+			t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f cold runs", Oracle, oracleShare, oracleWorst, oracleColdRuns)
 			for _, placer := range steering.Placers() {
 				if placer == steering.DefaultPlacer {
 					continue
 				}
 				s, w, n := meanOverSeeds(scenario, placer)
-				t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f first runs", placer, s, w, n)
+				t.Logf("%-16s %.3f of all, %.3f of the worst region, %.0f cold runs", placer, s, w, n)
 				if placer == "rendezvous" && name == "heavy" && share < 1.25*s {
-					t.Errorf("homes serve %.3f within the target, want 1.25 times the %.3f of plain rendezvous hashing", share, s)
+					t.Errorf("homes serve %.3f within the target, want at least 1.25 times the %.3f of plain rendezvous hashing", share, s)
 				}
 				if s >= share {
-					t.Errorf("%s serves %.3f within the target, homes %.3f", placer, s, share)
+					t.Errorf("%s serves %.3f within the target, want less than the %.3f with homes", placer, s, share)
 				}
 			}
 			if share < 0.85*oracleShare {
-				t.Errorf("homes serve %.3f within the target, the all-seeing bound %.3f; want 0.85 of it at least", share, oracleShare)
+				t.Errorf("homes serve %.3f within the target, the oracle %.3f; want at least 0.85 of that", share, oracleShare)
 			}
 		})
 	}
@@ -63,7 +63,7 @@
 func TestSimulationIsDeterministic(t *testing.T) {
 	scenario := readScenario(t, "heavy")
 	if a, b := Simulate(scenario, steering.DefaultPlacer, 7), Simulate(scenario, steering.DefaultPlacer, 7); !reflect.DeepEqual(a, b) {
-		t.Error("two plays with the same seed differ")
+		t.Error("two simulations with the same seed differ")
 	}
 }
 
@@ -72,7 +72,7 @@
 func TestOverloadedRegionIsNotStarved(t *testing.T) {
 	share, worst, _ := meanOverSeeds(readScenario(t, "heavy"), steering.DefaultPlacer)
 	if worst < 0.85*share {
-		t.Errorf("the worst region has %.3f within the target, all together %.3f", worst, share)
+		t.Errorf("the worst region has %.3f within the target, all regions %.3f, want at least 0.85 of that", worst, share)
 	}
 }
 
@@ -81,7 +81,7 @@
 // the peak while others were idle.
 func TestPeaksOfOneRegionUseServersOfAll(t *testing.T) {
 	if _, worst, _ := meanOverSeeds(readScenario(t, "waves"), steering.DefaultPlacer); worst < 0.9 {
-		t.Errorf("the worst region has %.3f within the target, want 0.9 at least", worst)
+		t.Errorf("the worst region has %.3f within the target, want at least 0.9", worst)
 	}
 }
 
@@ -90,7 +90,7 @@
 // any response is in time.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	if share, worst, _ := meanOverSeeds(readScenario(t, "overload"), steering.DefaultPlacer); share < 0.42 || worst < 0.36 {
-		t.Errorf("%.3f within the target, %.3f in the worst region; want 0.42 and 0.36 at least", share, worst)
+		t.Errorf("%.3f within the target, %.3f in the worst region; want at least 0.42 and 0.36", share, worst)
 	}
 }
 
@@ -100,7 +100,7 @@
 // answered in time.
 func TestOverloadIsDetectedWithoutLoadReports(t *testing.T) {
 	if share, worst, _ := meanOverSeeds(readScenario(t, "overload-mute"), steering.DefaultPlacer); share < 0.38 || worst < 0.32 {
-		t.Errorf("%.3f within the target, %.3f in the worst region; want 0.38 and 0.32 at least", share, worst)
+		t.Errorf("%.3f within the target, %.3f in the worst region; want at least 0.38 and 0.32", share, worst)
 	}
 }
 
@@ -109,7 +109,7 @@
 // be refused.
 func TestVaryingServiceTimeIsNotOverload(t *testing.T) {
 	if o := Simulate(readScenario(t, "uneven-mute"), steering.DefaultPlacer, 1); o.Refused > o.Sent/200 {
-		t.Errorf("%d of %d requests refused, want hardly any", o.Refused, o.Sent)
+		t.Errorf("%d of %d requests refused, want at most 1 in 200", o.Refused, o.Sent)
 	}
 }
 
@@ -119,7 +119,7 @@
 func TestQueuesAreInferredFromResponseTimes(t *testing.T) {
 	share, worst, _ := meanOverSeeds(readScenario(t, "anonymous-mute"), steering.DefaultPlacer)
 	if share < 0.98 || worst < 0.97 {
-		t.Errorf("%.3f within the target, %.3f in the worst region; want 0.98 and 0.97 at least", share, worst)
+		t.Errorf("%.3f within the target, %.3f in the worst region; want at least 0.98 and 0.97", share, worst)
 	}
 }
 
@@ -131,7 +131,7 @@
 		share, _, _ := meanOverSeeds(readScenario(t, name), steering.DefaultPlacer)
 		oracleShare, _, _ := meanOverSeeds(readScenario(t, name), Oracle)
 		if share < want || share < 0.95*oracleShare {
-			t.Errorf("%s: %.3f within the target, want %.2f and 0.95 of the all-seeing %.3f at least", name, share, want, oracleShare)
+			t.Errorf("%s: %.3f within the target, want at least %.2f and 0.95 of the %.3f of the oracle", name, share, want, oracleShare)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 func TestLossOfHalfARegionIsSharedByAllRegions(t *testing.T) {
 	share, worst, _ := meanOverSeeds(readScenario(t, "away"), steering.DefaultPlacer)
 	if share < 0.87 || worst < 0.83 {
-		t.Errorf("%.3f within the target, %.3f in the worst region; want 0.87 and 0.83 at least", share, worst)
+		t.Errorf("%.3f within the target, %.3f in the worst region; want at least 0.87 and 0.83", share, worst)
 	}
 }
 
@@ -160,10 +160,10 @@
 		scenario := readScenario(t, name)
 		share, worst, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
 		if share < c.want || worst < 0.94*c.want {
-			t.Errorf("%s: %.3f within the target, %.3f in the worst region; want %.2f and 0.94 of it at least", name, share, worst, c.want)
+			t.Errorf("%s: %.3f within the target, %.3f in the worst region; want at least %.2f and 0.94 of that", name, share, worst, c.want)
 		}
 		if other, _, _ := meanOverSeeds(scenario, "least-in-flight"); share < c.ofLeastInFlight*other {
-			t.Errorf("%s: %.3f within the target, want %.2f times the %.3f of least in flight at least", name, share, c.ofLeastInFlight, other)
+			t.Errorf("%s: %.3f within the target, want at least %.2f times the %.3f of least-in-flight", name, share, c.ofLeastInFlight, other)
 		}
 	}
 }
@@ -175,11 +175,11 @@
 	scenario := readScenario(t, "hot")
 	share, worst, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
 	if share < 0.91 || worst < 0.88 {
-		t.Errorf("%.3f within the target, %.3f in the worst region; want 0.91 and 0.88 at least", share, worst)
+		t.Errorf("%.3f within the target, %.3f in the worst region; want at least 0.91 and 0.88", share, worst)
 	}
 	scenario.MechanismsOff = []steering.Mechanism{steering.MechanismReplicas}
 	if without, _, _ := meanOverSeeds(scenario, steering.DefaultPlacer); share < 1.15*without {
-		t.Errorf("%.3f within the target, want 1.15 times the %.3f of one home each", share, without)
+		t.Errorf("%.3f within the target, want at least 1.15 times the %.3f without replicas", share, without)
 	}
 }
 
@@ -195,7 +195,7 @@
 			// other regions, which shifts up to 0.19 where a whole service is slow.
 			scenario.MechanismsOff = []steering.Mechanism{steering.MechanismConcurrencyLimit}
 			if o := Simulate(scenario, steering.DefaultPlacer, seed+1); o.MaxRegionShift > 0.15 {
-				t.Errorf("%s, seed %d: %.2f of a region's requests changed the region within two seconds, want 0.15 at most", name, seed+1, o.MaxRegionShift)
+				t.Errorf("%s, seed %d: %.2f of a region's requests moved to another region within two seconds, want at most 0.15", name, seed+1, o.MaxRegionShift)
 			}
 		}
 	}
@@ -207,7 +207,7 @@
 func TestConnectionShortageDoesNotSpreadObjects(t *testing.T) {
 	share, _, coldRuns := meanOverSeeds(readScenario(t, "connections"), steering.DefaultPlacer)
 	if share < 0.75 || coldRuns > 160 {
-		t.Errorf("%.3f within the target and %.0f first runs, want 0.75 at least and 160 at most", share, coldRuns)
+		t.Errorf("%.3f within the target and %.0f cold runs, want at least 0.75 and at most 160", share, coldRuns)
 	}
 }
 
@@ -219,10 +219,10 @@
 	scenario := readScenario(t, "knee")
 	share, worst, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
 	if share < 0.45 || worst < 0.38 {
-		t.Errorf("%.3f within the target, %.3f in the worst region; want 0.45 and 0.38 at least", share, worst)
+		t.Errorf("%.3f within the target, %.3f in the worst region; want at least 0.45 and 0.38", share, worst)
 	}
 	scenario.MechanismsOff = []steering.Mechanism{steering.MechanismConcurrencyLimit}
 	if without, _, _ := meanOverSeeds(scenario, steering.DefaultPlacer); share < 3*without {
-		t.Errorf("%.3f within the target, want three times the %.3f without holding back", share, without)
+		t.Errorf("%.3f within the target, want at least 3 times the %.3f without concurrency limits", share, without)
 	}
 }
--- a/internal/fake/warmnet/ratelimits_test.go
+++ b/internal/fake/warmnet/ratelimits_test.go
@@ -26,12 +26,12 @@
 		scenario := readScenario(t, "pausing")
 		scenario.ProxiesPerRegion = proxies
 		o := Simulate(scenario, steering.DefaultPlacer, 1)
-		t.Logf("%d proxies a region: at most %d requests in a pause of %d; %.3f in target, %d refused", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, o.ShareWithinTarget(), o.Refused)
+		t.Logf("%d proxies per region: at most %d requests in one of %d backoff periods; %.3f within the target, %d refused", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, o.ShareWithinTarget(), o.Refused)
 		if o.Backoffs.Count == 0 || o.Backoffs.MaxRequests > maxRequestsInBackoff {
-			t.Errorf("%d proxies a region: %d requests in one of %d pauses, want %d at most", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, maxRequestsInBackoff)
+			t.Errorf("%d proxies per region: %d requests in one of %d backoff periods, want at most %d", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, maxRequestsInBackoff)
 		}
 		if refused := float64(o.Refused) / float64(o.Sent); refused > maxRefusedRatio {
-			t.Errorf("%d proxies a region: %.3f of the callers are refused, want %.3f at most", proxies, refused, maxRefusedRatio)
+			t.Errorf("%d proxies per region: %.3f of the callers are refused, want at most %.3f", proxies, refused, maxRefusedRatio)
 		}
 	}
 }
@@ -43,9 +43,9 @@
 		scenario := readScenario(t, "leaving")
 		scenario.ProxiesPerRegion = proxies
 		o := Simulate(scenario, steering.DefaultPlacer, 1)
-		t.Logf("%d proxies a region: %d requests after the bound, %d told; %.3f in target", proxies, o.Draining.LateRequests, o.Draining.InformedPairs, o.ShareWithinTarget())
+		t.Logf("%d proxies per region: %d requests after the bound, %d server-proxy pairs informed; %.3f within the target", proxies, o.Draining.LateRequests, o.Draining.InformedPairs, o.ShareWithinTarget())
 		if o.Draining.InformedPairs == 0 || o.Draining.LateRequests > 0 {
-			t.Errorf("%d proxies a region: %d requests later than %s after one of %d was told, want none", proxies, o.Draining.LateRequests, drainBound, o.Draining.InformedPairs)
+			t.Errorf("%d proxies per region: %d requests later than %s after one of %d server-proxy pairs was informed, want none", proxies, o.Draining.LateRequests, drainBound, o.Draining.InformedPairs)
 		}
 	}
 }
@@ -58,10 +58,10 @@
 		scenario.ProxiesPerRegion = proxies
 		for seed := range uint64(2) {
 			o := Simulate(scenario, steering.DefaultPlacer, seed+1)
-			t.Logf("%d proxies a region: at most %.2f of what is allowed; %.2f of the limits in use, %.2f of the rate before from 4 s after; %.3f in target",
+			t.Logf("%d proxies per region: at most %.2f of the allowed requests; %.2f of the limits used, %.2f of the previous rate from 4 s after the limit; %.3f within the target",
 				proxies, o.RateLimits.MaxUtilization, o.RateLimits.MeanUtilization, o.RateLimits.RecoveredRate, o.ShareWithinTarget())
 			if o.RateLimits.MaxUtilization > 1 {
-				t.Errorf("%d proxies a region: a server got %.2f times what is allowed in 4 s", proxies, o.RateLimits.MaxUtilization)
+				t.Errorf("%d proxies per region: a server got %.2f times the requests allowed in 4 s", proxies, o.RateLimits.MaxUtilization)
 			}
 		}
 	}
@@ -77,9 +77,9 @@
 			scenario.Regions[i].PerSecond *= highLoadFactor
 		}
 		share, worst, coldRuns := meanOverSeeds(scenario, steering.DefaultPlacer)
-		t.Logf("%d proxies a region: %.3f in target, %.3f of the worst region, %.0f first runs", proxies, share, worst, coldRuns)
+		t.Logf("%d proxies per region: %.3f within the target, %.3f of the worst region, %.0f cold runs", proxies, share, worst, coldRuns)
 		if share < minHighLoadShare {
-			t.Errorf("%d proxies a region: %.3f in target, want %.2f at least: the servers have room for all", proxies, share, minHighLoadShare)
+			t.Errorf("%d proxies per region: %.3f within the target, want at least %.2f: the servers have capacity for all", proxies, share, minHighLoadShare)
 		}
 	}
 }
@@ -95,8 +95,8 @@
 	share, worst, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
 	scenario.MechanismsOff = append(scenario.MechanismsOff, steering.MechanismFailover)
 	without, worstWithout, _ := meanOverSeeds(scenario, steering.DefaultPlacer)
-	t.Logf("%.3f in target, %.3f of the worst region; without failover %.3f and %.3f", share, worst, without, worstWithout)
+	t.Logf("%.3f within the target, %.3f of the worst region; without failover %.3f and %.3f", share, worst, without, worstWithout)
 	if share <= without || worst <= worstWithout {
-		t.Errorf("got %.3f in target and %.3f of the worst region, want more than the %.3f and %.3f without failover", share, worst, without, worstWithout)
+		t.Errorf("got %.3f within the target and %.3f of the worst region, want more than the %.3f and %.3f without failover", share, worst, without, worstWithout)
 	}
 }
--- a/internal/fake/warmnet/replay_test.go
+++ b/internal/fake/warmnet/replay_test.go
@@ -34,7 +34,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if got.DifferenceCount > 0 || got.Decisions < 200 {
-			t.Errorf("%s: %d of %d decisions differ, want none of 200 at least: %+v", name, got.DifferenceCount, got.Decisions, got.Differences)
+			t.Errorf("%s: %d of %d decisions differ, want none of at least 200: %+v", name, got.DifferenceCount, got.Decisions, got.Differences)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		}
 	}
 	if len(got.Candidates) != 12 || chosen != server {
-		t.Errorf("request %s: %d servers weighed, chosen %q; want 12 and %q", requestID, len(got.Candidates), chosen, server)
+		t.Errorf("request %s: %d candidates, chosen %q; want 12 and %q", requestID, len(got.Candidates), chosen, server)
 	}
 }
 
@@ -102,7 +102,7 @@
 	recording.Truncate(recording.Len() - 5)
 	got, err := steering.ReplayCalls(recording, "")
 	if err != nil || !got.Truncated || got.Calls != len(calls)-1 || got.DifferenceCount > 0 {
-		t.Errorf("got %d calls, cut short %t, %d differ, error %v; want %d, cut short, none, none", got.Calls, got.Truncated, got.DifferenceCount, err, len(calls)-1)
+		t.Errorf("got %d calls, truncated %t, %d differences, error %v; want %d, true, none, none", got.Calls, got.Truncated, got.DifferenceCount, err, len(calls)-1)
 	}
 }
 
--- a/internal/fake/warmnet/restricted_test.go
+++ b/internal/fake/warmnet/restricted_test.go
@@ -16,6 +16,6 @@
 	unrestricted.RestrictedShare = 0
 	unrestrictedShare, _, _ := meanOverSeeds(unrestricted, steering.DefaultPlacer)
 	if worst < 0.85*unrestrictedShare {
-		t.Errorf("%.3f of the worst region are answered within the target, want 0.85 at least of the %.3f of all without bound accounts", worst, unrestrictedShare)
+		t.Errorf("%.3f of the worst region are answered within the target, want at least 0.85 of the %.3f of all without restricted accounts", worst, unrestrictedShare)
 	}
 }
--- a/internal/fake/warmnet/scenario.go
+++ b/internal/fake/warmnet/scenario.go
@@ -168,7 +168,7 @@
 	var l Scenario
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return l, errors.Wrap(err, "load")
+		return l, errors.Wrap(err, "read scenario")
 	}
 	if err := json.Unmarshal(data, &l); err != nil {
 		return l, errors.Wrap(err, path)
--- a/internal/fake/warmnet/server.go
+++ b/internal/fake/warmnet/server.go
@@ -43,4 +43,4 @@
 }
 
 // serverID returns the ID of the server with an index in a region.
-func serverID(region string, number int) string { return region + "-" + strconv.Itoa(number) }
+func serverID(region string, index int) string { return region + "-" + strconv.Itoa(index) }
