--- a/cmd/gypsumquay-bench/slopes.go
+++ b/cmd/gypsumquay-bench/slopes.go
@@ -177,7 +177,7 @@
 	c.Load = make([]float64, row.regions)
 	bytes, messages := 0, 0
 	c.Exchanged = func(asked, answer peer.Exchange) {
-		bytes += 2 * (peerdrpc.ExchangeBytes(asked) + peerdrpc.ExchangeBytes(answer))
+		bytes += 2 * (peerdrpc.ExchangeSize(asked) + peerdrpc.ExchangeSize(answer))
 		messages += 4
 	}
 	var before, after runtime.MemStats
--- a/internal/adapter/peerdrpc/client.go
+++ b/internal/adapter/peerdrpc/client.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	idleExpiry    = time.Minute
-	poolCapacity  = 256
-	perPeer       = 8
-	dialTimeout   = time.Second
-	callTimeout   = time.Second
-	handoverLimit = 5 * time.Second
+	connectionIdleTimeout = time.Minute
+	maxPooledConnections  = 256
+	maxPooledPerPeer      = 8
+	dialTimeout           = time.Second
+	callTimeout           = time.Second
+	handoverTimeout       = 5 * time.Second
 )
 
 type (
@@ -31,10 +31,10 @@
 		pool *drpcpool.Pool[netip.AddrPort, drpcpool.Conn]
 		// TLS returns the current client configuration, nil for plain TCP.
 		TLS func() *tls.Config
-		// Sent counts the bytes written to peers.
-		Sent func(int)
-		// Received counts the bytes read from peers.
-		Received func(int)
+		// OnSent counts the bytes written to peers.
+		OnSent func(int)
+		// OnReceived counts the bytes read from peers.
+		OnReceived func(int)
 	}
 
 	countedConn struct {
@@ -47,7 +47,7 @@
 func NewClient(config func() *tls.Config) *Client {
 	return &Client{
 		pool: drpcpool.New[netip.AddrPort, drpcpool.Conn](drpcpool.Options{
-			Expiration: idleExpiry, Capacity: poolCapacity, KeyCapacity: perPeer,
+			Expiration: connectionIdleTimeout, Capacity: maxPooledConnections, KeyCapacity: maxPooledPerPeer,
 		}),
 		TLS: config,
 	}
@@ -78,8 +78,8 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "dial peer")
 	}
-	if c.Sent != nil && c.Received != nil {
-		conn = &countedConn{Conn: conn, sent: c.Sent, received: c.Received}
+	if c.OnSent != nil && c.OnReceived != nil {
+		conn = &countedConn{Conn: conn, sent: c.OnSent, received: c.OnReceived}
 	}
 	if config := c.TLS(); config != nil {
 		// The certificate must name the IP address that was dialled.
@@ -95,7 +95,7 @@
 	return drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: managerOptions()}), nil
 }
 
-func (c *Client) peer(ctx context.Context, m peer.Member) peerpb.DRPCPeerClient {
+func (c *Client) peerClient(ctx context.Context, m peer.Member) peerpb.DRPCPeerClient {
 	return peerpb.NewDRPCPeerClient(c.pool.Get(ctx, m.PeerAddress, c.dial))
 }
 
@@ -103,20 +103,20 @@
 func (c *Client) Exchange(ctx context.Context, to peer.Member, e peer.Exchange) (peer.Exchange, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	out, err := c.peer(ctx, to).Exchange(ctx, exchangeOut(e))
+	out, err := c.peerClient(ctx, to).Exchange(ctx, encodeExchange(e))
 	if err != nil {
 		return peer.Exchange{}, errors.Wrap(err, "exchange")
 	}
-	return exchangeIn(out)
+	return decodeExchange(out)
 }
 
 // Borrow asks a peer for quota.
 func (c *Client) Borrow(ctx context.Context, to peer.Member, r peer.BorrowRequest) (peer.BorrowReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	out, err := c.peer(ctx, to).Borrow(ctx, &peerpb.BorrowRequest{
+	out, err := c.peerClient(ctx, to).Borrow(ctx, &peerpb.BorrowRequest{
 		From:     r.From,
-		Stamp:    stampOut(r.Stamp),
+		Stamp:    encodeStamp(r.Stamp),
 		Resource: string(r.Resource),
 		Want:     int64(r.Want),
 		Renew:    uint64(r.Renew),
@@ -125,7 +125,7 @@
 		return peer.BorrowReply{}, errors.Wrap(err, "borrow")
 	}
 	return peer.BorrowReply{
-		Stamp:  stampIn(out.GetStamp()),
+		Stamp:  decodeStamp(out.GetStamp()),
 		Loan:   peer.LoanID(out.GetLoan()),
 		Amount: int(out.GetAmount()),
 	}, nil
@@ -134,20 +134,20 @@
 // Forward hands a request to the minter of its token. The context's deadline
 // is the request's.
 func (c *Client) Forward(ctx context.Context, to peer.Member, f peer.ForwardRequest) (peer.ForwardReply, error) {
-	out, err := c.peer(ctx, to).Forward(ctx, forwardOut(f))
+	out, err := c.peerClient(ctx, to).Forward(ctx, encodeForwardRequest(f))
 	if err != nil {
 		return peer.ForwardReply{}, errors.Wrap(err, "forward")
 	}
-	return replyIn(out), nil
+	return decodeForwardReply(out), nil
 }
 
 // Handover leaves records to a peer.
 func (c *Client) Handover(ctx context.Context, to peer.Member, h peer.HandoverRequest) (peer.Stamp, error) {
-	ctx, cancel := context.WithTimeout(ctx, handoverLimit)
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	out, err := c.peer(ctx, to).Handover(ctx, handoverOut(h))
+	out, err := c.peerClient(ctx, to).Handover(ctx, encodeHandover(h))
 	if err != nil {
 		return peer.Stamp{}, errors.Wrap(err, "hand over")
 	}
-	return stampIn(out.GetStamp()), nil
+	return decodeStamp(out.GetStamp()), nil
 }
--- a/internal/adapter/peerdrpc/convert.go
+++ b/internal/adapter/peerdrpc/convert.go
@@ -14,15 +14,15 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/peer"
 )
 
-func stampOut(s peer.Stamp) *peerpb.Stamp {
+func encodeStamp(s peer.Stamp) *peerpb.Stamp {
 	return &peerpb.Stamp{Wall: uint64(s.Wall), Count: s.Count}
 }
 
-func stampIn(s *peerpb.Stamp) peer.Stamp {
+func decodeStamp(s *peerpb.Stamp) peer.Stamp {
 	return peer.Stamp{Wall: int64(s.GetWall()), Count: s.GetCount()}
 }
 
-func memberOut(m peer.Member) *peerpb.Member {
+func encodeMember(m peer.Member) *peerpb.Member {
 	return &peerpb.Member{
 		Name:        m.Name,
 		Address:     m.Address.String(),
@@ -38,9 +38,9 @@
 	}
 }
 
-// memberIn reads a record. Addresses that do not parse stay invalid; the
+// decodeMember reads a record. Addresses that do not parse stay invalid; the
 // kernel keeps such a member but nobody can be sent to it.
-func memberIn(m *peerpb.Member) peer.Member {
+func decodeMember(m *peerpb.Member) peer.Member {
 	address, _ := netip.ParseAddrPort(m.GetAddress())
 	peerAddress, _ := netip.ParseAddrPort(m.GetPeerAddress())
 	operators, _ := netip.ParseAddrPort(m.GetOperators())
@@ -59,10 +59,10 @@
 	}
 }
 
-func exchangeOut(e peer.Exchange) *peerpb.ExchangeMessage {
+func encodeExchange(e peer.Exchange) *peerpb.ExchangeMessage {
 	out := &peerpb.ExchangeMessage{
 		From:  e.From,
-		Stamp: stampOut(e.Stamp),
+		Stamp: encodeStamp(e.Stamp),
 		Versions: &peerpb.Versions{
 			Bundle:     e.Versions.Bundle,
 			Assignment: e.Versions.Assignment,
@@ -76,7 +76,7 @@
 		Machines:   e.Machines,
 	}
 	for _, m := range e.Members {
-		out.Members = append(out.Members, memberOut(m))
+		out.Members = append(out.Members, encodeMember(m))
 	}
 	for _, row := range e.Rows {
 		one := &peerpb.Row{}
@@ -85,15 +85,15 @@
 		}
 		out.Rows = append(out.Rows, one)
 	}
-	out.Suspicions, out.Signals = suspicionsOut(e.QuarantineReports), signalsOut(e.BackpressureReports)
+	out.Suspicions, out.Signals = encodeQuarantineReports(e.QuarantineReports), encodeBackpressureReports(e.BackpressureReports)
 	return out
 }
 
-func exchangeIn(e *peerpb.ExchangeMessage) (peer.Exchange, error) {
+func decodeExchange(e *peerpb.ExchangeMessage) (peer.Exchange, error) {
 	v := e.GetVersions()
 	in := peer.Exchange{
 		From:  e.GetFrom(),
-		Stamp: stampIn(e.GetStamp()),
+		Stamp: decodeStamp(e.GetStamp()),
 		Versions: peer.Versions{
 			Bundle:      v.GetBundle(),
 			Assignment:  v.GetAssignment(),
@@ -107,7 +107,7 @@
 		Machines:   e.GetMachines(),
 	}
 	for _, m := range e.GetMembers() {
-		in.Members = append(in.Members, memberIn(m))
+		in.Members = append(in.Members, decodeMember(m))
 	}
 	for _, row := range e.GetRows() {
 		var one []int
@@ -117,14 +117,14 @@
 		in.Rows = append(in.Rows, one)
 	}
 	var err error
-	if in.QuarantineReports, err = suspicionsIn(e.GetSuspicions()); err != nil {
+	if in.QuarantineReports, err = decodeQuarantineReports(e.GetSuspicions()); err != nil {
 		return in, err
 	}
-	in.BackpressureReports, err = signalsIn(e.GetSignals())
+	in.BackpressureReports, err = decodeBackpressureReports(e.GetSignals())
 	return in, err
 }
 
-func headerOut(h http.Header) []*peerpb.HeaderField {
+func encodeHeader(h http.Header) []*peerpb.HeaderField {
 	fields := make([]*peerpb.HeaderField, 0, len(h))
 	for name, values := range h {
 		fields = append(fields, &peerpb.HeaderField{Name: name, Values: values})
@@ -132,7 +132,7 @@
 	return fields
 }
 
-func headerIn(fields []*peerpb.HeaderField) http.Header {
+func decodeHeader(fields []*peerpb.HeaderField) http.Header {
 	h := make(http.Header, len(fields))
 	for _, f := range fields {
 		h[f.GetName()] = f.GetValues()
@@ -140,74 +140,74 @@
 	return h
 }
 
-func answerOut(a *caller.Response) *peerpb.Answer {
+func encodeResponse(a *caller.Response) *peerpb.Answer {
 	if a == nil {
 		return nil
 	}
-	return &peerpb.Answer{Status: int32(a.Status), Header: headerOut(a.Header), Body: a.Body}
+	return &peerpb.Answer{Status: int32(a.Status), Header: encodeHeader(a.Header), Body: a.Body}
 }
 
-func answerIn(a *peerpb.Answer) *caller.Response {
+func decodeResponse(a *peerpb.Answer) *caller.Response {
 	if a == nil {
 		return nil
 	}
-	return &caller.Response{Status: int(a.GetStatus()), Header: headerIn(a.GetHeader()), Body: a.GetBody()}
+	return &caller.Response{Status: int(a.GetStatus()), Header: decodeHeader(a.GetHeader()), Body: a.GetBody()}
 }
 
-func forwardOut(f peer.ForwardRequest) *peerpb.ForwardRequest {
+func encodeForwardRequest(f peer.ForwardRequest) *peerpb.ForwardRequest {
 	return &peerpb.ForwardRequest{
 		From:              f.From,
-		Stamp:             stampOut(f.Stamp),
+		Stamp:             encodeStamp(f.Stamp),
 		Token:             f.Token,
 		Service:           f.Service,
 		Method:            f.Method,
 		Path:              f.Path,
 		Client:            f.Client,
-		Header:            headerOut(f.Header),
+		Header:            encodeHeader(f.Header),
 		Body:              f.Body,
 		DeadlineUnixMicro: f.Deadline.UnixMicro(),
 	}
 }
 
-func forwardIn(f *peerpb.ForwardRequest) peer.ForwardRequest {
+func decodeForwardRequest(f *peerpb.ForwardRequest) peer.ForwardRequest {
 	return peer.ForwardRequest{
 		From:     f.GetFrom(),
-		Stamp:    stampIn(f.GetStamp()),
+		Stamp:    decodeStamp(f.GetStamp()),
 		Token:    f.GetToken(),
 		Service:  f.GetService(),
 		Method:   f.GetMethod(),
 		Path:     f.GetPath(),
 		Client:   f.GetClient(),
-		Header:   headerIn(f.GetHeader()),
+		Header:   decodeHeader(f.GetHeader()),
 		Body:     f.GetBody(),
 		Deadline: time.UnixMicro(f.GetDeadlineUnixMicro()),
 	}
 }
 
-func replyOut(r peer.ForwardReply) *peerpb.ForwardReply {
+func encodeForwardReply(r peer.ForwardReply) *peerpb.ForwardReply {
 	return &peerpb.ForwardReply{
-		Stamp:           stampOut(r.Stamp),
+		Stamp:           encodeStamp(r.Stamp),
 		Outcome:         uint32(r.Result.Outcome),
 		Reason:          string(r.Result.Reason),
 		RetryAfterMicro: r.Result.RetryAfter.Microseconds(),
-		Answer:          answerOut(r.Result.Response),
+		Answer:          encodeResponse(r.Result.Response),
 	}
 }
 
-func replyIn(r *peerpb.ForwardReply) peer.ForwardReply {
+func decodeForwardReply(r *peerpb.ForwardReply) peer.ForwardReply {
 	return peer.ForwardReply{
-		Stamp: stampIn(r.GetStamp()),
+		Stamp: decodeStamp(r.GetStamp()),
 		Result: caller.Result{
 			Outcome:    caller.Outcome(r.GetOutcome()),
 			Reason:     caller.Reason(r.GetReason()),
 			RetryAfter: time.Duration(r.GetRetryAfterMicro()) * time.Microsecond,
-			Response:   answerIn(r.GetAnswer()),
+			Response:   decodeResponse(r.GetAnswer()),
 		},
 	}
 }
 
-func handoverOut(h peer.HandoverRequest) *peerpb.HandoverRequest {
-	out := &peerpb.HandoverRequest{From: h.From, Stamp: stampOut(h.Stamp)}
+func encodeHandover(h peer.HandoverRequest) *peerpb.HandoverRequest {
+	out := &peerpb.HandoverRequest{From: h.From, Stamp: encodeStamp(h.Stamp)}
 	for _, one := range h.Records {
 		message := &peerpb.Handover{
 			Minter:         one.Minter.Name,
@@ -219,7 +219,7 @@
 			message.Records = append(message.Records, &peerpb.Record{
 				Nonce:           r.Nonce[:],
 				State:           uint32(r.State),
-				Answer:          answerOut(r.Response),
+				Answer:          encodeResponse(r.Response),
 				Dropped:         r.ResponseDropped,
 				ExpiryUnixMilli: r.Expiry.UnixMilli(),
 			})
@@ -229,8 +229,8 @@
 	return out
 }
 
-func handoverIn(h *peerpb.HandoverRequest) peer.HandoverRequest {
-	in := peer.HandoverRequest{From: h.GetFrom(), Stamp: stampIn(h.GetStamp())}
+func decodeHandover(h *peerpb.HandoverRequest) peer.HandoverRequest {
+	in := peer.HandoverRequest{From: h.GetFrom(), Stamp: decodeStamp(h.GetStamp())}
 	for _, message := range h.GetHandovers() {
 		one := caller.Handover{
 			Minter:    caller.Minter{Name: message.GetMinter(), Incarnation: message.GetIncarnation()},
@@ -240,7 +240,7 @@
 		for _, r := range message.GetRecords() {
 			record := caller.TokenRecord{
 				State:           uint8(r.GetState()),
-				Response:        answerIn(r.GetAnswer()),
+				Response:        decodeResponse(r.GetAnswer()),
 				ResponseDropped: r.GetDropped(),
 				Expiry:          time.UnixMilli(r.GetExpiryUnixMilli()),
 			}
@@ -252,5 +252,5 @@
 	return in
 }
 
-// ExchangeBytes is the size of an exchange on the wire, without the frame.
-func ExchangeBytes(e peer.Exchange) int { return proto.Size(exchangeOut(e)) }
+// ExchangeSize is the size of an exchange on the wire, without the frame.
+func ExchangeSize(e peer.Exchange) int { return proto.Size(encodeExchange(e)) }
--- a/internal/adapter/peerdrpc/limits.go
+++ b/internal/adapter/peerdrpc/limits.go
@@ -25,14 +25,14 @@
 	defer cancel()
 	out, err := peerpb.NewDRPCReplicaClient(c.pool.Get(ctx, to, c.dial)).ReportLimits(ctx, &peerpb.LimitReport{
 		From: r.From, Part: uint32(r.Part), Pool: r.Pool, ClockMicro: r.Echo.Microseconds(), Applied: r.Applied,
-		Wants: sharesOut(r.Wants), Withdraws: r.Withdraws, Lends: r.Lends, Starter: uint32(r.Starter), Start: r.Start,
+		Wants: encodeShares(r.Wants), Withdraws: r.Withdraws, Lends: r.Lends, Starter: uint32(r.Starter), Start: r.Start,
 	})
 	if err != nil {
 		return ratelimit.Grants{}, errors.Wrap(err, "report to the pool of limits")
 	}
 	return ratelimit.Grants{
-		Pool: out.GetPool(), Clock: micro(out.GetClockMicro()), ID: out.GetId(), Shares: sharesIn(out.GetShares()),
-		For: micro(out.GetForMicro()), Withdrawn: out.GetWithdrawn(),
+		Pool: out.GetPool(), Clock: decodeMicros(out.GetClockMicro()), ID: out.GetId(), Shares: decodeShares(out.GetShares()),
+		For: decodeMicros(out.GetForMicro()), Withdrawn: out.GetWithdrawn(),
 	}, nil
 }
 
@@ -44,7 +44,7 @@
 	if err != nil {
 		return ratelimit.TokenReply{}, errors.Wrap(err, "ask the pool of limits")
 	}
-	return ratelimit.TokenReply{Granted: out.GetGranted(), Wait: micro(out.GetWaitMicro())}, nil
+	return ratelimit.TokenReply{Granted: out.GetGranted(), Wait: decodeMicros(out.GetWaitMicro())}, nil
 }
 
 // ReportLimits implements the generated interface.
@@ -53,12 +53,12 @@
 		return nil, errors.New("report of limits: sender, clock or part is wrong")
 	}
 	g := s.handlers.ReportLimits(ratelimit.Report{
-		From: in.GetFrom(), Part: ratelimit.Share(in.GetPart()), Pool: in.GetPool(), Echo: micro(in.GetClockMicro()),
-		Applied: in.GetApplied(), Wants: sharesIn(in.GetWants()), Withdraws: in.GetWithdraws(), Lends: in.GetLends(),
+		From: in.GetFrom(), Part: ratelimit.Share(in.GetPart()), Pool: in.GetPool(), Echo: decodeMicros(in.GetClockMicro()),
+		Applied: in.GetApplied(), Wants: decodeShares(in.GetWants()), Withdraws: in.GetWithdraws(), Lends: in.GetLends(),
 		Starter: min(ratelimit.Share(in.GetStarter()), ratelimit.FullShare), Start: in.GetStart(),
 	})
 	return &peerpb.LimitGrants{
-		Pool: g.Pool, ClockMicro: g.Clock.Microseconds(), Id: g.ID, Shares: sharesOut(g.Shares),
+		Pool: g.Pool, ClockMicro: g.Clock.Microseconds(), Id: g.ID, Shares: encodeShares(g.Shares),
 		ForMicro: g.For.Microseconds(), Withdrawn: g.Withdrawn,
 	}, nil
 }
@@ -69,7 +69,7 @@
 	return &peerpb.TokenReply{Granted: t.Granted, WaitMicro: t.Wait.Microseconds()}, nil
 }
 
-func sharesOut(list []ratelimit.AccountShare) []*peerpb.LimitShare {
+func encodeShares(list []ratelimit.AccountShare) []*peerpb.LimitShare {
 	out := make([]*peerpb.LimitShare, 0, len(list))
 	for _, w := range list {
 		out = append(out, &peerpb.LimitShare{Account: w.Account, Share: uint32(w.Share)})
@@ -77,7 +77,7 @@
 	return out
 }
 
-func sharesIn(list []*peerpb.LimitShare) []ratelimit.AccountShare {
+func decodeShares(list []*peerpb.LimitShare) []ratelimit.AccountShare {
 	in := make([]ratelimit.AccountShare, 0, len(list))
 	for _, w := range list {
 		in = append(in, ratelimit.AccountShare{Account: w.GetAccount(), Share: min(ratelimit.Share(w.GetShare()), ratelimit.FullShare)})
@@ -85,4 +85,4 @@
 	return in
 }
 
-func micro(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+func decodeMicros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/adapter/peerdrpc/peerdrpc_test.go
+++ b/internal/adapter/peerdrpc/peerdrpc_test.go
@@ -25,7 +25,7 @@
 )
 
 type (
-	authority struct {
+	testCA struct {
 		t    *testing.T
 		cert *x509.Certificate
 		key  *ecdsa.PrivateKey
@@ -33,9 +33,9 @@
 	}
 )
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
-	a := &authority{t: t, dir: t.TempDir()}
+	a := &testCA{t: t, dir: t.TempDir()}
 	var err error
 	if a.key, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader); err != nil {
 		t.Fatal(err)
@@ -51,11 +51,11 @@
 	if a.cert, err = x509.ParseCertificate(der); err != nil {
 		t.Fatal(err)
 	}
-	a.write("ca.pem", "CERTIFICATE", der)
+	a.writePEM("ca.pem", "CERTIFICATE", der)
 	return a
 }
 
-func (a *authority) write(name, kind string, der []byte) string {
+func (a *testCA) writePEM(name, kind string, der []byte) string {
 	a.t.Helper()
 	path := filepath.Join(a.dir, name)
 	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
@@ -64,8 +64,8 @@
 	return path
 }
 
-// identity is a VM's identity for 127.0.0.1, signed by the authority.
-func (a *authority) identity() *settings.Identity {
+// newIdentity is a VM's identity for 127.0.0.1, signed by the authority.
+func (a *testCA) newIdentity() *settings.Identity {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -83,9 +83,9 @@
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	identity, err := settings.NewIdentity(settings.TLS{
-		Certificate: a.write("cert.pem", "CERTIFICATE", der),
-		Key:         a.write("key.pem", "EC PRIVATE KEY", keyDER),
+	identity, err := settings.NewIdentity(settings.TLSFiles{
+		Certificate: a.writePEM("cert.pem", "CERTIFICATE", der),
+		Key:         a.writePEM("key.pem", "EC PRIVATE KEY", keyDER),
 		Authority:   filepath.Join(a.dir, "ca.pem"),
 	})
 	if err != nil {
@@ -94,10 +94,10 @@
 	return identity
 }
 
-func plain() *tls.Config { return nil }
+func noTLS() *tls.Config { return nil }
 
-// serve answers exchanges by echoing them, and hand-overs into a channel.
-func serve(t *testing.T, config *tls.Config, records chan<- peer.HandoverRequest) peer.Member {
+// startServer answers exchanges by echoing them, and hand-overs into a channel.
+func startServer(t *testing.T, config *tls.Config, records chan<- peer.HandoverRequest) peer.Member {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -135,12 +135,12 @@
 	}
 }
 
-// TestMessagesSurviveTheWire: a field left out of the conversion would be lost
+// TestMessagesRoundTrip: a field left out of the conversion would be lost
 // between proxies without any error.
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	records := make(chan peer.HandoverRequest, 1)
-	to := serve(t, nil, records)
-	client := NewClient(plain)
+	to := startServer(t, nil, records)
+	client := NewClient(noTLS)
 	defer func() { _ = client.Close() }()
 	want := sampleExchange()
 	got, err := client.Exchange(context.Background(), to, want)
@@ -165,23 +165,23 @@
 	}
 }
 
-// TestOnlyPeersOfTheAuthority: somebody on the network speaks to a proxy's peer
+// TestOnlyPeersWithCertificateOfCA: somebody on the network speaks to a proxy's peer
 // address without a certificate, or with one of another authority. Neither may
 // exchange, borrow quota or take records over.
-func TestOnlyPeersOfTheAuthority(t *testing.T) {
-	own, other := newAuthority(t), newAuthority(t)
-	identity, stranger := own.identity(), other.identity()
-	to := serve(t, identity.Server(true), nil)
+func TestOnlyPeersWithCertificateOfCA(t *testing.T) {
+	own, other := newTestCA(t), newTestCA(t)
+	identity, stranger := own.newIdentity(), other.newIdentity()
+	to := startServer(t, identity.ServerConfig(true), nil)
 	cases := []struct {
 		name   string
 		config func() *tls.Config
 		want   bool
 	}{
-		{"a peer", identity.Client, true},
-		{"plain TCP", plain, false},
-		{"another authority", stranger.Client, false},
+		{"a peer", identity.ClientConfig, true},
+		{"plain TCP", noTLS, false},
+		{"another authority", stranger.ClientConfig, false},
 		{"no certificate", func() *tls.Config {
-			c := identity.Client()
+			c := identity.ClientConfig()
 			c.Certificates = nil
 			return c
 		}, false},
--- a/internal/adapter/peerdrpc/place.go
+++ b/internal/adapter/peerdrpc/place.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// askTimeout bounds a question to the owner of a gate: a round trip to another
+	// slotRequestTimeout bounds a question to the owner of a gate: a round trip to another
 	// region and some time on a slow VM. Until then a caller's request waits.
-	askTimeout = 200 * time.Millisecond
+	slotRequestTimeout = 200 * time.Millisecond
 )
 
-// Ask asks the owner of a server's gate for a place, at a moment of the own clock.
-func (c *Client) Ask(ctx context.Context, to netip.AddrPort, now time.Time, a steering.SlotRequest) (steering.SlotReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// RequestSlot asks the owner of a server's gate for a place, at a moment of the own clock.
+func (c *Client) RequestSlot(ctx context.Context, to netip.AddrPort, now time.Time, a steering.SlotRequest) (steering.SlotReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, slotRequestTimeout)
 	defer cancel()
 	out, err := peerpb.NewDRPCReplicaClient(c.pool.Get(ctx, to, c.dial)).Ask(ctx, &peerpb.AskMessage{
 		From: a.From, Id: a.ID, Server: a.Server, Priority: uint32(a.Priority), WorkMicro: a.Work.Microseconds(),
 		GoodMicro: a.Good.Sub(now).Microseconds(), LastMicro: a.Last.Sub(now).Microseconds(), UntilMicro: a.Until.Sub(now).Microseconds(),
-		Limit: limitOut("", a.Limit),
+		Limit: encodeLimit("", a.Limit),
 	})
 	if err != nil {
 		return steering.SlotReply{}, errors.Wrap(err, "ask for a place")
 	}
-	return placeIn(out), nil
+	return decodeSlotReply(out), nil
 }
 
-// Release gives a place back to the owner of its gate.
-func (c *Client) Release(ctx context.Context, to netip.AddrPort, r steering.SlotRelease) error {
+// ReleaseSlot gives a place back to the owner of its gate.
+func (c *Client) ReleaseSlot(ctx context.Context, to netip.AddrPort, r steering.SlotRelease) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := peerpb.NewDRPCReplicaClient(c.pool.Get(ctx, to, c.dial)).Release(ctx, &peerpb.ReleaseMessage{
@@ -44,11 +44,11 @@
 	return errs.Wrap(err, "give a place back")
 }
 
-// Grant tells a proxy what has become of its question.
-func (c *Client) Grant(ctx context.Context, to netip.AddrPort, r steering.SlotReply) error {
+// SendSlotReply tells a proxy what has become of its question.
+func (c *Client) SendSlotReply(ctx context.Context, to netip.AddrPort, r steering.SlotReply) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, err := peerpb.NewDRPCReplicaClient(c.pool.Get(ctx, to, c.dial)).Grant(ctx, placeOut(r))
+	_, err := peerpb.NewDRPCReplicaClient(c.pool.Get(ctx, to, c.dial)).Grant(ctx, encodeSlotReply(r))
 	return errs.Wrap(err, "grant a place")
 }
 
@@ -56,8 +56,8 @@
 func (s *syncService) Ask(_ context.Context, in *peerpb.AskMessage) (*peerpb.PlaceMessage, error) {
 	now := s.handlers.Now()
 	after := func(micro int64) time.Time { return now.Add(time.Duration(micro) * time.Microsecond) }
-	return placeOut(s.handlers.Ask(steering.SlotRequest{
-		Server: in.GetServer(), Work: time.Duration(in.GetWorkMicro()) * time.Microsecond, Limit: limitIn(in.GetLimit()),
+	return encodeSlotReply(s.handlers.RequestSlot(steering.SlotRequest{
+		Server: in.GetServer(), Work: time.Duration(in.GetWorkMicro()) * time.Microsecond, Limit: decodeLimit(in.GetLimit()),
 		Ticket: admission.Ticket{
 			ID: in.GetId(), From: in.GetFrom(), Priority: int(in.GetPriority()),
 			Good: after(in.GetGoodMicro()), Last: after(in.GetLastMicro()), Until: after(in.GetUntilMicro()),
@@ -67,7 +67,7 @@
 
 // Release implements the generated interface.
 func (s *syncService) Release(_ context.Context, in *peerpb.ReleaseMessage) (*peerpb.Nothing, error) {
-	s.handlers.Release(steering.SlotRelease{
+	s.handlers.ReleaseSlot(steering.SlotRelease{
 		From: in.GetFrom(), ID: in.GetId(), Server: in.GetServer(), Rank: int(in.GetRank()), Ratio: float64(in.GetRatio()),
 	})
 	return &peerpb.Nothing{}, nil
@@ -75,32 +75,32 @@
 
 // Grant implements the generated interface.
 func (s *syncService) Grant(_ context.Context, in *peerpb.PlaceMessage) (*peerpb.Nothing, error) {
-	s.handlers.Grant(placeIn(in))
+	s.handlers.HandleSlotReply(decodeSlotReply(in))
 	return &peerpb.Nothing{}, nil
 }
 
-func placeOut(r steering.SlotReply) *peerpb.PlaceMessage {
+func encodeSlotReply(r steering.SlotReply) *peerpb.PlaceMessage {
 	return &peerpb.PlaceMessage{
 		From: r.From, Id: r.ID, Verdict: uint32(r.Verdict), Rank: uint32(r.Rank), Running: uint32(r.Running), Waiting: uint32(r.Waiting),
-		Limit: limitOut("", r.Limit), Unknown: r.Unknown, Whole: r.Whole, Sound: r.Sound,
+		Limit: encodeLimit("", r.Limit), Unknown: r.Unknown, Whole: r.Whole, Sound: r.Sound,
 	}
 }
 
-func placeIn(in *peerpb.PlaceMessage) steering.SlotReply {
+func decodeSlotReply(in *peerpb.PlaceMessage) steering.SlotReply {
 	return steering.SlotReply{
 		Grant: admission.Grant{
 			Ticket:  admission.Ticket{ID: in.GetId(), From: in.GetFrom()},
 			Verdict: admission.Verdict(in.GetVerdict()), Rank: int(in.GetRank()),
 		},
-		Running: int(in.GetRunning()), Waiting: int(in.GetWaiting()), Limit: limitIn(in.GetLimit()),
+		Running: int(in.GetRunning()), Waiting: int(in.GetWaiting()), Limit: decodeLimit(in.GetLimit()),
 		Unknown: in.GetUnknown(), Whole: in.GetWhole(), Sound: in.GetSound(),
 	}
 }
 
-func limitOut(service string, l admission.Limit) *peerpb.Held {
+func encodeLimit(service string, l admission.Limit) *peerpb.Held {
 	return &peerpb.Held{Service: service, Slots: uint32(l.Slots), Most: uint32(l.Max), Evidence: uint32(l.Samples)}
 }
 
-func limitIn(in *peerpb.Held) admission.Limit {
+func decodeLimit(in *peerpb.Held) admission.Limit {
 	return admission.Limit{Slots: int(in.GetSlots()), Max: int(in.GetMost()), Samples: int(in.GetEvidence())}
 }
--- a/internal/adapter/peerdrpc/server.go
+++ b/internal/adapter/peerdrpc/server.go
@@ -37,11 +37,11 @@
 	SyncHandlers struct {
 		// Sync compares copies of the store.
 		Sync func(SyncMessage) SyncMessage
-		// Ask answers for places at servers whose gates are here, Release takes them
+		// RequestSlot answers for places at servers whose gates are here, Release takes them
 		// back, Grant hears what has become of an own question.
-		Ask     func(steering.SlotRequest) steering.SlotReply
-		Release func(steering.SlotRelease)
-		Grant   func(steering.SlotReply)
+		RequestSlot     func(steering.SlotRequest) steering.SlotReply
+		ReleaseSlot     func(steering.SlotRelease)
+		HandleSlotReply func(steering.SlotReply)
 		// ReportLimits answers proxies whose pool of limits is here, TakeToken those that
 		// ask it for one request of an account.
 		ReportLimits func(ratelimit.Report) ratelimit.Grants
@@ -50,7 +50,7 @@
 		Now func() time.Time
 	}
 
-	service struct {
+	peerService struct {
 		handlers Handlers
 	}
 )
@@ -58,7 +58,7 @@
 // Serve answers peers until the context ends.
 func Serve(ctx context.Context, listener net.Listener, h Handlers) error {
 	mux := drpcmux.New()
-	if err := peerpb.DRPCRegisterPeer(mux, &service{handlers: h}); err != nil {
+	if err := peerpb.DRPCRegisterPeer(mux, &peerService{handlers: h}); err != nil {
 		return errors.Wrap(err, "register peer service")
 	}
 	return serveMux(ctx, listener, mux)
@@ -83,36 +83,36 @@
 }
 
 // Exchange implements the generated interface.
-func (s *service) Exchange(_ context.Context, in *peerpb.ExchangeMessage) (*peerpb.ExchangeMessage, error) {
-	e, err := exchangeIn(in)
+func (s *peerService) Exchange(_ context.Context, in *peerpb.ExchangeMessage) (*peerpb.ExchangeMessage, error) {
+	e, err := decodeExchange(in)
 	if err != nil {
 		return nil, err
 	}
-	return exchangeOut(s.handlers.Exchange(e)), nil
+	return encodeExchange(s.handlers.Exchange(e)), nil
 }
 
 // Borrow implements the generated interface.
-func (s *service) Borrow(_ context.Context, in *peerpb.BorrowRequest) (*peerpb.BorrowReply, error) {
+func (s *peerService) Borrow(_ context.Context, in *peerpb.BorrowRequest) (*peerpb.BorrowReply, error) {
 	reply := s.handlers.Borrow(peer.BorrowRequest{
 		From:     in.GetFrom(),
-		Stamp:    stampIn(in.GetStamp()),
+		Stamp:    decodeStamp(in.GetStamp()),
 		Resource: peer.Resource(in.GetResource()),
 		Want:     int(in.GetWant()),
 		Renew:    peer.LoanID(in.GetRenew()),
 	})
 	return &peerpb.BorrowReply{
-		Stamp:  stampOut(reply.Stamp),
+		Stamp:  encodeStamp(reply.Stamp),
 		Loan:   uint64(reply.Loan),
 		Amount: int64(reply.Amount),
 	}, nil
 }
 
 // Forward implements the generated interface.
-func (s *service) Forward(ctx context.Context, in *peerpb.ForwardRequest) (*peerpb.ForwardReply, error) {
-	return replyOut(s.handlers.Forward(ctx, forwardIn(in))), nil
+func (s *peerService) Forward(ctx context.Context, in *peerpb.ForwardRequest) (*peerpb.ForwardReply, error) {
+	return encodeForwardReply(s.handlers.Forward(ctx, decodeForwardRequest(in))), nil
 }
 
 // Handover implements the generated interface.
-func (s *service) Handover(_ context.Context, in *peerpb.HandoverRequest) (*peerpb.HandoverReply, error) {
-	return &peerpb.HandoverReply{Stamp: stampOut(s.handlers.Handover(handoverIn(in)))}, nil
+func (s *peerService) Handover(_ context.Context, in *peerpb.HandoverRequest) (*peerpb.HandoverReply, error) {
+	return &peerpb.HandoverReply{Stamp: encodeStamp(s.handlers.Handover(decodeHandover(in)))}, nil
 }
--- a/internal/adapter/peerdrpc/signal.go
+++ b/internal/adapter/peerdrpc/signal.go
@@ -11,7 +11,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/quarantine"
 )
 
-func signalsOut(list []backpressure.Report) []*peerpb.ServerSignal {
+func encodeBackpressureReports(list []backpressure.Report) []*peerpb.ServerSignal {
 	out := make([]*peerpb.ServerSignal, 0, len(list))
 	for _, r := range list {
 		out = append(out, &peerpb.ServerSignal{
@@ -22,7 +22,7 @@
 	return out
 }
 
-func signalsIn(list []*peerpb.ServerSignal) ([]backpressure.Report, error) {
+func decodeBackpressureReports(list []*peerpb.ServerSignal) ([]backpressure.Report, error) {
 	var reports []backpressure.Report
 	for _, s := range list {
 		rate := s.GetLimitPerSecond()
--- a/internal/adapter/peerdrpc/suspicion.go
+++ b/internal/adapter/peerdrpc/suspicion.go
@@ -9,7 +9,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/quarantine"
 )
 
-func suspicionsOut(list []quarantine.Report) []*peerpb.Suspicion {
+func encodeQuarantineReports(list []quarantine.Report) []*peerpb.Suspicion {
 	out := make([]*peerpb.Suspicion, 0, len(list))
 	for _, r := range list {
 		s := &peerpb.Suspicion{Work: r.Fingerprint[:], RanWell: r.Succeeded}
@@ -21,7 +21,7 @@
 	return out
 }
 
-func suspicionsIn(list []*peerpb.Suspicion) ([]quarantine.Report, error) {
+func decodeQuarantineReports(list []*peerpb.Suspicion) ([]quarantine.Report, error) {
 	var reports []quarantine.Report
 	for _, s := range list {
 		var r quarantine.Report
--- a/internal/adapter/peerdrpc/sync_test.go
+++ b/internal/adapter/peerdrpc/sync_test.go
@@ -13,8 +13,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/replica"
 )
 
-// registrations is a whole copy of a fleet's servers, as they are registered.
-func registrations(n int) SyncMessage {
+// registrationSync is a whole copy of a fleet's servers, as they are registered.
+func registrationSync(n int) SyncMessage {
 	m := SyncMessage{From: "proxy-a", Delta: replica.Delta{Revision: uint64(n), Full: true, Age: time.Second, KeyDigest: 1 << 63}}
 	r := rand.New(rand.NewPCG(1, 1))
 	for i := range n {
@@ -28,18 +28,18 @@
 }
 
 // A few entries travel as they are and many packed; what arrives is the same.
-func TestSyncMessagesSurviveTheWire(t *testing.T) {
+func TestSyncMessagesRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 3, 500} {
-		want := registrations(n)
-		want.MayMissRemovals, want.Leaving, want.Others = true, true, []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:7001")}
+		want := registrationSync(n)
+		want.MayMissRemovals, want.Leaving, want.OtherPeers = true, true, []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:7001")}
 		for i := range want.Entries {
 			want.Entries[i].Removed, want.Entries[i].Tentative = i%3 == 1, i%6 == 1
 		}
-		out, err := syncOut(want)
+		out, err := encodeSync(want)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := syncIn(out)
+		got, err := decodeSync(out)
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%d entries: got %v (%v), want %v", n, got, err, want)
 		}
@@ -48,25 +48,25 @@
 
 // A peer of another version, or one that is broken, sends what does not unpack.
 // It must be an error, not a copy without entries: that would remove all.
-func TestBrokenPackIsAnError(t *testing.T) {
-	out, err := syncOut(registrations(500))
+func TestCorruptCompressedEntriesAreRejected(t *testing.T) {
+	out, err := encodeSync(registrationSync(500))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, packed := range map[string][]byte{"cut": out.GetPacked()[:len(out.GetPacked())/2], "garbage": []byte("no pack")} {
 		broken := proto.CloneOf(out)
 		broken.Packed = packed
-		if _, err := syncIn(broken); err == nil {
+		if _, err := decodeSync(broken); err == nil {
 			t.Errorf("%s: got no error, want one", name)
 		}
 	}
 }
 
-func BenchmarkPack(b *testing.B) {
-	m := registrations(3000)
+func BenchmarkCompressEntries(b *testing.B) {
+	m := registrationSync(3000)
 	size := 0
 	for b.Loop() {
-		out, err := syncOut(m)
+		out, err := encodeSync(m)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -57,10 +57,10 @@
 		return nil, err
 	}
 	d := &Daemon{settings: s, identity: identity, meters: newMeters()}
-	d.peers = peerdrpc.NewClient(identity.Client)
-	d.peers.Sent = d.meters.peerSent
-	d.peers.Received = d.meters.peerReceived
-	d.platform = kvhttp.NewClient(s.Platform)
+	d.peers = peerdrpc.NewClient(identity.ClientConfig)
+	d.peers.OnSent = d.meters.peerSent
+	d.peers.OnReceived = d.meters.peerReceived
+	d.platform = kvhttp.NewClient(s.PlatformAddresses)
 	d.platform.Called = d.meters.platformCall
 	config, err := kernelConfig(s)
 	if err != nil {
@@ -68,20 +68,20 @@
 	}
 	config.OnEvent = d.meters.event
 	var backends *backendhttp.Client
-	d.driver = driver.New(config, driver.Seams{
+	d.driver = driver.New(config, driver.Dependencies{
 		Exchange: d.peers.Exchange,
 		Borrow:   d.peers.Borrow,
 		Probe: func(ctx context.Context, a netip.AddrPort) backend.Health {
 			return backends.Probe(ctx, a)
 		},
-		Store: d.storeAssignment,
+		StoreAssignment: d.storeAssignment,
 	})
 	backends = backendhttp.NewClient(connectionsPerServer, d.driver.Now)
-	d.runner = &runner.Runner{Name: s.Name, Kernel: d.driver.Do, Send: backends.Send, Forward: d.peers.Forward}
-	limits := callerhttp.Limits{Body: s.Limits.Body, Total: s.Limits.AllBodies}
-	d.callers = callerhttp.NewServer(d.driver.Do, d.runner.Run, limits, d.driver.Now, d.meters.request).HTTP()
+	d.runner = &runner.Runner{Name: s.Name, WithKernel: d.driver.WithKernel, Send: backends.Send, Forward: d.peers.Forward}
+	limits := callerhttp.Limits{Body: s.Limits.MaxBodyBytes, Total: s.Limits.MaxTotalBodyBytes}
+	d.callers = callerhttp.NewServer(d.driver.WithKernel, d.runner.Run, limits, d.driver.Now, d.meters.request).HTTP()
 	d.operators = (&operatorhttp.Server{
-		Kernel:   d.driver.Do,
+		Kernel:   d.driver.WithKernel,
 		Trust:    config.Trust,
 		Platform: d.platform.Store(),
 		List:     d.platform.List,
@@ -100,11 +100,11 @@
 			PeerAddress:     s.Listen.Peers,
 			OperatorAddress: s.Listen.Operators,
 			Region:          s.Region,
-			Domain:          s.Domain,
+			Domain:          s.FailureDomain,
 		},
-		Trust:       s.Operators,
-		MaxInFlight: s.Limits.InFlight,
-		Seeds:       s.Seeds,
+		Trust:       s.TrustedOperators,
+		MaxInFlight: s.Limits.MaxInFlight,
+		Seeds:       s.SeedPeers,
 	}
 	if _, err := rand.Read(c.Seed[:]); err != nil {
 		return c, errors.Wrap(err, "seed")
@@ -124,13 +124,13 @@
 
 func (d *Daemon) storeAssignment(ctx context.Context, a core.StoreAssignment) {
 	driver.StoreAssignment(ctx, d.platform.Store(), a, func(stored *kv.Assignment) {
-		d.driver.Do(func(k *core.Kernel, now time.Time) { k.ApplyAssignment(now, stored) })
+		d.driver.WithKernel(func(k *core.Kernel, now time.Time) { k.ApplyAssignment(now, stored) })
 	})
 }
 
 func (d *Daemon) ready() bool {
 	ready := false
-	d.driver.Do(func(k *core.Kernel, _ time.Time) {
+	d.driver.WithKernel(func(k *core.Kernel, _ time.Time) {
 		ready = k.BundleVersion() > 0 && k.Self().State == peer.StateLive
 	})
 	return ready
@@ -177,9 +177,9 @@
 		address netip.AddrPort
 		tls     *tls.Config
 	}{
-		{d.settings.Listen.Peers, d.identity.Server(true)},
+		{d.settings.Listen.Peers, d.identity.ServerConfig(true)},
 		{d.settings.Listen.Callers, nil},
-		{d.settings.Listen.Operators, d.identity.Server(false)},
+		{d.settings.Listen.Operators, d.identity.ServerConfig(false)},
 	}
 	var listeners []net.Listener
 	for _, a := range addresses {
@@ -198,16 +198,16 @@
 func (d *Daemon) handlers() peerdrpc.Handlers {
 	return peerdrpc.Handlers{
 		Exchange: func(m peer.Exchange) (reply peer.Exchange) {
-			d.driver.Do(func(k *core.Kernel, now time.Time) { reply = k.HandleExchange(now, m) })
+			d.driver.WithKernel(func(k *core.Kernel, now time.Time) { reply = k.HandleExchange(now, m) })
 			return reply
 		},
 		Borrow: func(m peer.BorrowRequest) (reply peer.BorrowReply) {
-			d.driver.Do(func(k *core.Kernel, now time.Time) { reply = k.HandleBorrow(now, m) })
+			d.driver.WithKernel(func(k *core.Kernel, now time.Time) { reply = k.HandleBorrow(now, m) })
 			return reply
 		},
 		Forward: d.runner.HandleForward,
 		Handover: func(m peer.HandoverRequest) (stamp peer.Stamp) {
-			d.driver.Do(func(k *core.Kernel, now time.Time) {
+			d.driver.WithKernel(func(k *core.Kernel, now time.Time) {
 				k.HandleHandover(now, m.From, m.Stamp, m.Records)
 				stamp = k.Stamp(now)
 			})
--- a/internal/proxy/daemon/meters.go
+++ b/internal/proxy/daemon/meters.go
@@ -67,7 +67,7 @@
 	gauge := func(name string, read func(core.Status) float64) {
 		m.set.NewGauge(name, func() float64 {
 			var s core.Status
-			d.Do(func(k *core.Kernel, now time.Time) { s = k.Status(now) })
+			d.WithKernel(func(k *core.Kernel, now time.Time) { s = k.Status(now) })
 			return read(s)
 		})
 	}
--- a/internal/proxy/daemon/stop.go
+++ b/internal/proxy/daemon/stop.go
@@ -24,7 +24,7 @@
 // the quota slots back, and only then go.
 func (d *Daemon) stop(ctx context.Context) {
 	klog.InfoS("planned stop begun")
-	d.driver.Do(func(k *core.Kernel, now time.Time) { k.BeginStop(now) })
+	d.driver.WithKernel(func(k *core.Kernel, now time.Time) { k.BeginStop(now) })
 	d.until(func(k *core.Kernel, now time.Time) bool { return k.MayStopServing(now) })
 	// Shutdown refuses new connections and ends idle ones; requests that are
 	// in flight finish.
@@ -41,7 +41,7 @@
 func (d *Daemon) until(done func(*core.Kernel, time.Time) bool) {
 	for {
 		finished := false
-		d.driver.Do(func(k *core.Kernel, now time.Time) { finished = done(k, now) })
+		d.driver.WithKernel(func(k *core.Kernel, now time.Time) { finished = done(k, now) })
 		if finished {
 			return
 		}
@@ -54,7 +54,7 @@
 	var records []caller.Handover
 	var heirs []peer.Member
 	var stamp peer.Stamp
-	d.driver.Do(func(k *core.Kernel, now time.Time) {
+	d.driver.WithKernel(func(k *core.Kernel, now time.Time) {
 		records, heirs = k.CloseRecords()
 		stamp = k.Stamp(now)
 	})
@@ -65,7 +65,7 @@
 			continue
 		}
 		var actions []core.Action
-		d.driver.Do(func(k *core.Kernel, now time.Time) { actions = k.FinishHandover(now, heir.Name) })
+		d.driver.WithKernel(func(k *core.Kernel, now time.Time) { actions = k.FinishHandover(now, heir.Name) })
 		d.driver.Perform(ctx, actions)
 		klog.InfoS("records handed over", "peer", heir.Name, "minters", len(records))
 		return
@@ -78,7 +78,7 @@
 func (d *Daemon) releaseSlots(ctx context.Context) {
 	for range releaseTries {
 		var next *kv.Assignment
-		d.driver.Do(func(k *core.Kernel, now time.Time) { next = k.ReleaseSlots(now) })
+		d.driver.WithKernel(func(k *core.Kernel, now time.Time) { next = k.ReleaseSlots(now) })
 		if next == nil {
 			return
 		}
--- a/internal/proxy/driver/driver.go
+++ b/internal/proxy/driver/driver.go
@@ -17,12 +17,12 @@
 )
 
 type (
-	// Seams are the driver's ways out. Tests put functions of their own in.
-	Seams struct {
-		Exchange func(context.Context, peer.Member, peer.Exchange) (peer.Exchange, error)
-		Borrow   func(context.Context, peer.Member, peer.BorrowRequest) (peer.BorrowReply, error)
-		Probe    func(context.Context, netip.AddrPort) backend.Health
-		Store    func(context.Context, core.StoreAssignment)
+	// Dependencies are the driver's ways out. Tests put functions of their own in.
+	Dependencies struct {
+		Exchange        func(context.Context, peer.Member, peer.Exchange) (peer.Exchange, error)
+		Borrow          func(context.Context, peer.Member, peer.BorrowRequest) (peer.BorrowReply, error)
+		Probe           func(context.Context, netip.AddrPort) backend.Health
+		StoreAssignment func(context.Context, core.StoreAssignment)
 	}
 
 	// Driver owns one kernel.
@@ -30,13 +30,13 @@
 		mu     sync.Mutex
 		kernel *core.Kernel
 		base   atomic.Pointer[time.Time]
-		seams  Seams
+		seams  Dependencies
 		work   sync.WaitGroup
 	}
 )
 
 // New makes a driver. The kernel is made from the driver's own clock.
-func New(c core.Config, s Seams) *Driver {
+func New(c core.Config, s Dependencies) *Driver {
 	d := &Driver{seams: s}
 	now := time.Now()
 	d.base.Store(&now)
@@ -66,8 +66,8 @@
 	}
 }
 
-// Do runs a function with the kernel under the lock.
-func (d *Driver) Do(f func(k *core.Kernel, now time.Time)) {
+// WithKernel runs a function with the kernel under the lock.
+func (d *Driver) WithKernel(f func(k *core.Kernel, now time.Time)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d.kernel, d.Now())
@@ -92,7 +92,7 @@
 func (d *Driver) Tick(ctx context.Context) {
 	d.catchUp()
 	var actions []core.Action
-	d.Do(func(k *core.Kernel, now time.Time) { actions = k.Tick(now) })
+	d.WithKernel(func(k *core.Kernel, now time.Time) { actions = k.Tick(now) })
 	d.Perform(ctx, actions)
 }
 
@@ -113,12 +113,12 @@
 		if err != nil {
 			answer = nil
 		}
-		d.Do(func(k *core.Kernel, now time.Time) { k.HandleBorrowReply(now, a, answer) })
+		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleBorrowReply(now, a, answer) })
 	case core.SendProbe:
 		health := d.seams.Probe(ctx, a.Address)
-		d.Do(func(k *core.Kernel, now time.Time) { k.HandleProbeResult(now, a.Server, health) })
+		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleProbeResult(now, a.Server, health) })
 	case core.StoreAssignment:
-		d.seams.Store(ctx, a)
+		d.seams.StoreAssignment(ctx, a)
 	}
 }
 
@@ -127,8 +127,8 @@
 	reply, err := d.seams.Exchange(ctx, a.To, a.Message)
 	if err != nil {
 		klog.V(1).InfoS("peer did not answer", "peer", a.To.Name, "address", a.To.PeerAddress, "error", err.Error())
-		d.Do(func(k *core.Kernel, now time.Time) { k.HandleExchangeFailure(now, a.To.Name) })
+		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleExchangeFailure(now, a.To.Name) })
 		return
 	}
-	d.Do(func(k *core.Kernel, now time.Time) { k.HandleExchangeReply(now, asked, reply) })
+	d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleExchangeReply(now, asked, reply) })
 }
--- a/internal/proxy/driver/platform.go
+++ b/internal/proxy/driver/platform.go
@@ -74,7 +74,7 @@
 
 func (w *Watcher) relay() bool {
 	relay := false
-	w.driver.Do(func(k *core.Kernel, _ time.Time) { relay = k.IsRelay() })
+	w.driver.WithKernel(func(k *core.Kernel, _ time.Time) { relay = k.IsRelay() })
 	return relay
 }
 
@@ -108,7 +108,7 @@
 
 func (w *Watcher) hearBundle(_ time.Time, data []byte) []byte {
 	var repair []byte
-	w.driver.Do(func(k *core.Kernel, now time.Time) {
+	w.driver.WithKernel(func(k *core.Kernel, now time.Time) {
 		if len(data) > 0 {
 			k.ApplyBundle(now, data)
 		}
@@ -119,7 +119,7 @@
 
 func (w *Watcher) hearAssignment(asked time.Time, data []byte) []byte {
 	var repair []byte
-	w.driver.Do(func(k *core.Kernel, now time.Time) {
+	w.driver.WithKernel(func(k *core.Kernel, now time.Time) {
 		a, err := kv.ParseAssignment(data)
 		if err == nil {
 			k.ApplyAssignment(now, a)
@@ -138,7 +138,7 @@
 			return err
 		}
 		after = list.Version
-		w.driver.Do(func(k *core.Kernel, now time.Time) { k.ApplyMachines(now, list) })
+		w.driver.WithKernel(func(k *core.Kernel, now time.Time) { k.ApplyMachines(now, list) })
 		return nil
 	}
 }
--- a/internal/proxy/forward/daemon.go
+++ b/internal/proxy/forward/daemon.go
@@ -92,7 +92,7 @@
 	d.quarantine = newQuarantineStore(d, deps.Store)
 	d.quotas = newQuotaClient(d, deps.Store)
 	d.peerClient = peerdrpc.NewClient(func() *tls.Config { return nil })
-	d.peerClient.Sent, d.peerClient.Received = d.metrics.peerBytesSent.Add, d.metrics.peerBytesReceived.Add
+	d.peerClient.OnSent, d.peerClient.OnReceived = d.metrics.peerBytesSent.Add, d.metrics.peerBytesReceived.Add
 	d.metrics.registerGauges(d, deps.DroppedLogLines)
 	d.slots = newSlotClient(d)
 	d.gossip = &gossip{replica: d.replica, send: d.peerClient.Sync}
@@ -227,11 +227,11 @@
 func (d *Daemon) peerHandlers(ctx context.Context) peerdrpc.SyncHandlers {
 	return peerdrpc.SyncHandlers{
 		Sync: func(m peerdrpc.SyncMessage) peerdrpc.SyncMessage { return d.gossip.handle(ctx, m) },
-		Ask: func(a steering.SlotRequest) (reply steering.SlotReply) {
+		RequestSlot: func(a steering.SlotRequest) (reply steering.SlotReply) {
 			d.withKernel(func(k *steering.Kernel, now time.Time) { reply = k.HandleSlotRequest(now, a) })
 			return reply
 		},
-		Release: d.slots.releaseLocal, Grant: d.slots.deliver, Now: d.now,
+		ReleaseSlot: d.slots.releaseLocal, HandleSlotReply: d.slots.deliver, Now: d.now,
 		ReportLimits: func(r ratelimit.Report) (g ratelimit.Grants) {
 			d.withKernel(func(k *steering.Kernel, now time.Time) { g = k.HandleQuotaReport(now, r) })
 			return g
--- a/internal/proxy/forward/gossip.go
+++ b/internal/proxy/forward/gossip.go
@@ -104,7 +104,7 @@
 	}
 	response := g.message(g.replica.deltaSince(m.Revision), m.Revision == 0)
 	if m.Revision == 0 && !response.Full {
-		response.Others = g.namePeers()
+		response.OtherPeers = g.namePeers()
 	}
 	return response
 }
@@ -112,15 +112,15 @@
 // merge applies a peer's message and reports whether the copy advanced.
 func (g *gossip) merge(m peerdrpc.SyncMessage) bool {
 	g.replica.handlePeerState(m)
-	if len(m.Held)+len(m.Suspicions)+len(m.Signals) > 0 {
+	if len(m.LearnedLimits)+len(m.QuarantineReports)+len(m.BackpressureReports) > 0 {
 		g.replica.daemon.withKernel(func(k *steering.Kernel, now time.Time) {
-			k.ApplyConcurrencyLimits(now, m.Held)
-			k.ApplyQuarantineReports(now, m.Suspicions)
-			k.ApplyBackpressureReports(now, m.Signals)
+			k.ApplyConcurrencyLimits(now, m.LearnedLimits)
+			k.ApplyQuarantineReports(now, m.QuarantineReports)
+			k.ApplyBackpressureReports(now, m.BackpressureReports)
 		})
 	}
 	g.mu.Lock()
-	g.namedPeers = m.Others
+	g.namedPeers = m.OtherPeers
 	g.mu.Unlock()
 	return g.replica.apply(m.Delta)
 }
@@ -137,9 +137,9 @@
 // has just started gets all quarantine and backpressure reports.
 func (g *gossip) message(d replica.Delta, newPeer bool) peerdrpc.SyncMessage {
 	return peerdrpc.SyncMessage{
-		Suspicions: g.replica.daemon.quarantineReports(newPeer), Signals: g.replica.daemon.backpressureReports(newPeer),
-		From: g.replica.daemon.settings.Name, Started: g.replica.daemon.startMillis(), Leaving: g.replica.daemon.isStopping(),
-		Held: g.replica.daemon.learnedLimits(), Delta: d,
+		QuarantineReports: g.replica.daemon.quarantineReports(newPeer), BackpressureReports: g.replica.daemon.backpressureReports(newPeer),
+		From: g.replica.daemon.settings.Name, StartMillis: g.replica.daemon.startMillis(), Leaving: g.replica.daemon.isStopping(),
+		LearnedLimits: g.replica.daemon.learnedLimits(), Delta: d,
 	}
 }
 
--- a/internal/proxy/forward/gossip_test.go
+++ b/internal/proxy/forward/gossip_test.go
@@ -57,7 +57,7 @@
 	seed := servePeer(t, func(peerdrpc.SyncMessage) peerdrpc.SyncMessage {
 		return peerdrpc.SyncMessage{
 			From: "seed", Delta: replica.Delta{Base: 99, Revision: 99},
-			Others: []netip.AddrPort{f.daemons[0].settings.Listen.Peers},
+			OtherPeers: []netip.AddrPort{f.daemons[0].settings.Listen.Peers},
 		}
 	})
 	f.storeOutage = true
@@ -73,12 +73,12 @@
 	g := &gossip{replica: f.newIdleDaemon().replica}
 	g.replica.members["proxy-b"] = proxyEntry{Name: "proxy-b", Region: "north", Peers: f.daemons[1].settings.Listen.Peers}
 	answer := g.handle(context.Background(), peerdrpc.SyncMessage{From: "newcomer"})
-	if got, want := fmt.Sprint(answer.Others), fmt.Sprint([]netip.AddrPort{f.daemons[1].settings.Listen.Peers}); got != want {
+	if got, want := fmt.Sprint(answer.OtherPeers), fmt.Sprint([]netip.AddrPort{f.daemons[1].settings.Listen.Peers}); got != want {
 		t.Errorf("peers named to a new proxy are %s, want %s", got, want)
 	}
 	answer = g.handle(context.Background(), peerdrpc.SyncMessage{From: "lags", Delta: replica.Delta{Base: 3, Revision: 3}})
-	if len(answer.Others) != 0 {
-		t.Errorf("peers named to a lagging proxy are %v, want none", answer.Others)
+	if len(answer.OtherPeers) != 0 {
+		t.Errorf("peers named to a lagging proxy are %v, want none", answer.OtherPeers)
 	}
 }
 
--- a/internal/proxy/forward/members.go
+++ b/internal/proxy/forward/members.go
@@ -145,7 +145,7 @@
 	if m.Region == f.daemon.settings.Region && replica.Fresh(msg.Age) {
 		f.peerFreshAt = f.daemon.now()
 	}
-	sameStart := msg.Started == 0 || msg.Started == m.Started
+	sameStart := msg.StartMillis == 0 || msg.StartMillis == m.Started
 	if msg.Leaving && sameStart && !m.Leaving {
 		m.Leaving = true
 		f.members[name] = m
--- a/internal/proxy/forward/members_test.go
+++ b/internal/proxy/forward/members_test.go
@@ -108,11 +108,11 @@
 	d.replica.apply(replica.Delta{Revision: 1, Full: true, Entries: []replica.Entry{
 		{Key: proxyKeyPrefix + "far", Value: remoteEntry(t, func(m *proxyEntry) { m.Started = 2000 }), Revision: 1},
 	}})
-	d.replica.handlePeerState(peerdrpc.SyncMessage{From: "far", Started: 1000, Leaving: true})
+	d.replica.handlePeerState(peerdrpc.SyncMessage{From: "far", StartMillis: 1000, Leaving: true})
 	if d.replica.proxies()[0].Leaving {
 		t.Error("the new process counts as leaving")
 	}
-	d.replica.handlePeerState(peerdrpc.SyncMessage{From: "far", Started: 2000, Leaving: true})
+	d.replica.handlePeerState(peerdrpc.SyncMessage{From: "far", StartMillis: 2000, Leaving: true})
 	if !d.replica.proxies()[0].Leaving {
 		t.Error("a proxy's own leaving message is ignored")
 	}
--- a/internal/proxy/forward/slots.go
+++ b/internal/proxy/forward/slots.go
@@ -73,7 +73,7 @@
 	if !known {
 		return reply, false
 	}
-	reply, err := d.peerClient.Ask(ctx, peer, d.now(), a)
+	reply, err := d.peerClient.RequestSlot(ctx, peer, d.now(), a)
 	if err != nil {
 		klog.V(1).InfoS("slot request to limiter owner failed", "proxy", a.Owner.Name, "server", a.Server, "error", err.Error())
 	}
@@ -121,7 +121,7 @@
 		return
 	}
 	go func() {
-		if err := d.peerClient.Release(context.Background(), peer, r); err != nil {
+		if err := d.peerClient.ReleaseSlot(context.Background(), peer, r); err != nil {
 			klog.V(1).InfoS("slot not released; it will expire", "proxy", r.Owner.Name, "server", r.Server, "error", err.Error())
 		}
 	}()
@@ -151,7 +151,7 @@
 }
 
 func (p *slotClient) sendReply(peer netip.AddrPort, g steering.SlotReply) {
-	if err := p.daemon.peerClient.Grant(context.Background(), peer, g); err != nil {
+	if err := p.daemon.peerClient.SendSlotReply(context.Background(), peer, g); err != nil {
 		klog.V(1).InfoS("slot reply not delivered; the proxy will ask again", "proxy", g.From, "error", err.Error())
 	}
 }
--- a/internal/proxy/runner/runner.go
+++ b/internal/proxy/runner/runner.go
@@ -21,11 +21,11 @@
 type (
 	// Runner serves requests.
 	Runner struct {
-		Name    string
-		Kernel  core.Executor
-		Send    func(context.Context, backendhttp.Request) backendhttp.Response
-		Forward func(context.Context, peer.Member, peer.ForwardRequest) (peer.ForwardReply, error)
-		late    sync.WaitGroup
+		Name       string
+		WithKernel core.Executor
+		Send       func(context.Context, backendhttp.Request) backendhttp.Response
+		Forward    func(context.Context, peer.Member, peer.ForwardRequest) (peer.ForwardReply, error)
+		late       sync.WaitGroup
 	}
 
 	attempt struct {
@@ -37,7 +37,7 @@
 // Run serves one request to its final result.
 func (r *Runner) Run(ctx context.Context, q callerhttp.Request) callerhttp.Reply {
 	var d core.Decision
-	r.Kernel(func(k *core.Kernel, now time.Time) { d = k.BeginRequest(now, q.Request) })
+	r.WithKernel(func(k *core.Kernel, now time.Time) { d = k.BeginRequest(now, q.Request) })
 	for {
 		switch d.Step {
 		case core.StepFinish:
@@ -129,7 +129,7 @@
 
 func (r *Runner) end(a attempt, final bool) core.Decision {
 	var next core.Decision
-	r.Kernel(func(k *core.Kernel, now time.Time) {
+	r.WithKernel(func(k *core.Kernel, now time.Time) {
 		next = k.EndAttempt(now, core.AttemptEnd{
 			Attempt: a.decision.Attempt,
 			Result:  a.response.Result,
@@ -145,7 +145,7 @@
 
 func (r *Runner) overdue(d core.Decision) callerhttp.Reply {
 	reply := callerhttp.Reply{ID: d.ID}
-	r.Kernel(func(k *core.Kernel, now time.Time) { reply.Result = k.HandleDeadlineExceeded(now, d.Attempt) })
+	r.WithKernel(func(k *core.Kernel, now time.Time) { reply.Result = k.HandleDeadlineExceeded(now, d.Attempt) })
 	return reply
 }
 
@@ -181,14 +181,14 @@
 		Body:     q.Body,
 		Deadline: d.Deadline,
 	}
-	r.Kernel(func(k *core.Kernel, now time.Time) { message.Stamp = k.Stamp(now) })
+	r.WithKernel(func(k *core.Kernel, now time.Time) { message.Stamp = k.Stamp(now) })
 	answer, err := r.Forward(ctx, d.Peer, message)
 	if err == nil {
-		r.Kernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(answer.Stamp) })
+		r.WithKernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(answer.Stamp) })
 		return callerhttp.Reply{Result: answer.Result, ID: d.ID}
 	}
 	reply := callerhttp.Reply{ID: d.ID}
-	r.Kernel(func(k *core.Kernel, now time.Time) {
+	r.WithKernel(func(k *core.Kernel, now time.Time) {
 		reply.Result = k.HandleForwardFailure(now, q.Service, d.ID, d.Peer.Name)
 	})
 	return reply
@@ -196,7 +196,7 @@
 
 // HandleForward serves a request that a peer handed on.
 func (r *Runner) HandleForward(ctx context.Context, f peer.ForwardRequest) peer.ForwardReply {
-	r.Kernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(f.Stamp) })
+	r.WithKernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(f.Stamp) })
 	client, _ := netip.ParseAddr(f.Client)
 	reply := r.Run(ctx, callerhttp.Request{
 		Request: core.Request{
@@ -211,7 +211,7 @@
 	if reply.Stream != nil {
 		out.Result = r.collect(reply)
 	}
-	r.Kernel(func(k *core.Kernel, now time.Time) { out.Stamp = k.Stamp(now) })
+	r.WithKernel(func(k *core.Kernel, now time.Time) { out.Stamp = k.Stamp(now) })
 	return out
 }
 
--- a/internal/proxy/settings/settings.go
+++ b/internal/proxy/settings/settings.go
@@ -24,23 +24,23 @@
 type (
 	// Settings is the whole file.
 	Settings struct {
-		Name   string `json:"name"`
-		Region string `json:"region"`
-		Domain string `json:"failure-domain"`
-		Listen Listen `json:"listen"`
-		Limits Limits `json:"limits"`
-		TLS    TLS    `json:"tls"`
-		// Platform lists the key-value service's addresses.
-		Platform []netip.AddrPort `json:"platform"`
-		// Seeds lists peer addresses of other proxies.
-		Seeds []netip.AddrPort `json:"seed-peers"`
-		// Operators lists the keys that may sign bundles.
-		Operators []operator.TrustedKey `json:"trusted-operators"`
+		Name          string          `json:"name"`
+		Region        string          `json:"region"`
+		FailureDomain string          `json:"failure-domain"`
+		Listen        ListenAddresses `json:"listen"`
+		Limits        Limits          `json:"limits"`
+		TLS           TLSFiles        `json:"tls"`
+		// PlatformAddresses lists the key-value service's addresses.
+		PlatformAddresses []netip.AddrPort `json:"platform"`
+		// SeedPeers lists peer addresses of other proxies.
+		SeedPeers []netip.AddrPort `json:"seed-peers"`
+		// TrustedOperators lists the keys that may sign bundles.
+		TrustedOperators []operator.TrustedKey `json:"trusted-operators"`
 	}
 
-	// Listen holds the addresses that this proxy listens on. Others reach it
+	// ListenAddresses holds the addresses that this proxy listens on. Others reach it
 	// at the same ones.
-	Listen struct {
+	ListenAddresses struct {
 		Callers   netip.AddrPort `json:"callers"`
 		Peers     netip.AddrPort `json:"peers"`
 		Operators netip.AddrPort `json:"operators"`
@@ -48,14 +48,14 @@
 
 	// Limits bounds what the proxy holds; bytes where not said otherwise.
 	Limits struct {
-		InFlight  int   `json:"in-flight-requests"`
-		Body      int64 `json:"request-body-bytes"`
-		AllBodies int64 `json:"all-request-bodies-bytes"`
+		MaxInFlight       int   `json:"in-flight-requests"`
+		MaxBodyBytes      int64 `json:"request-body-bytes"`
+		MaxTotalBodyBytes int64 `json:"all-request-bodies-bytes"`
 	}
 
-	// TLS names PEM files. With them, peers must present a certificate that
+	// TLSFiles names PEM files. With them, peers must present a certificate that
 	// the authority signed, and operators speak HTTPS.
-	TLS struct {
+	TLSFiles struct {
 		Certificate string `json:"certificate-file,omitempty"`
 		Key         string `json:"key-file,omitempty"`
 		Authority   string `json:"authority-file,omitempty"`
@@ -74,22 +74,22 @@
 // Parse reads and checks settings, and fills defaults in.
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{Limits: Limits{
-		InFlight: defaultMaxInFlight, Body: defaultMaxBody, AllBodies: defaultMaxBodies,
+		MaxInFlight: defaultMaxInFlight, MaxBodyBytes: defaultMaxBody, MaxTotalBodyBytes: defaultMaxBodies,
 	}}
 	if err := operator.DecodeStrict(data, s); err != nil {
 		return nil, errors.Wrap(err, "settings")
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
-// Check reports every wrong field at once.
-func (s *Settings) Check() error {
+// Validate reports every wrong field at once.
+func (s *Settings) Validate() error {
 	var problems []error
 	add := func(field, want, got string) {
 		problems = append(problems, &operator.FieldError{Field: field, Want: want, Got: got})
 	}
 	for _, n := range []struct{ field, got string }{
-		{"name", s.Name}, {"region", s.Region}, {"failure-domain", s.Domain},
+		{"name", s.Name}, {"region", s.Region}, {"failure-domain", s.FailureDomain},
 	} {
 		if n.got == "" || len(n.got) > maxNameLetters || strings.Trim(n.got, "abcdefghijklmnopqrstuvwxyz0123456789-") != "" {
 			add(n.field, "1 to 64 lower-case letters, digits and hyphens", quote(n.got))
@@ -105,13 +105,13 @@
 			add(a.field, "an IP address that others reach, and a port", quote(a.got.String()))
 		}
 	}
-	if s.Limits.InFlight < 1 || s.Limits.InFlight > maxInFlightLimit {
+	if s.Limits.MaxInFlight < 1 || s.Limits.MaxInFlight > maxInFlightLimit {
 		add("limits.in-flight-requests", "between 1 and 1000000", "another number")
 	}
-	if s.Limits.Body < 1 || s.Limits.Body > s.Limits.AllBodies {
+	if s.Limits.MaxBodyBytes < 1 || s.Limits.MaxBodyBytes > s.Limits.MaxTotalBodyBytes {
 		add("limits.request-body-bytes", "between 1 and limits.all-request-bodies-bytes", "another number")
 	}
-	if s.Limits.AllBodies > bytesLimit {
+	if s.Limits.MaxTotalBodyBytes > bytesLimit {
 		add("limits.all-request-bodies-bytes", "at most 16 GiB", "more")
 	}
 	problems = append(problems, s.checkOthers()...)
@@ -120,11 +120,11 @@
 
 func (s *Settings) checkOthers() []error {
 	var problems []error
-	if len(s.Platform) == 0 {
+	if len(s.PlatformAddresses) == 0 {
 		problems = append(problems, &operator.FieldError{Field: "platform", Want: "at least one address", Got: "none"})
 	}
 	people := make(map[string]bool)
-	for _, k := range s.Operators {
+	for _, k := range s.TrustedOperators {
 		people[k.Operator] = true
 	}
 	if len(people) < 2 {
--- a/internal/proxy/settings/settings_test.go
+++ b/internal/proxy/settings/settings_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatalf("got error %v, want none", err)
 	}
-	if got, want := s.Limits.InFlight, defaultMaxInFlight; got != want {
+	if got, want := s.Limits.MaxInFlight, defaultMaxInFlight; got != want {
 		t.Errorf("got %d requests in flight, want %d", got, want)
 	}
 }
--- a/internal/proxy/settings/tls.go
+++ b/internal/proxy/settings/tls.go
@@ -19,7 +19,7 @@
 	// Identity is the proxy's TLS identity, read again when its files are
 	// replaced. A replacement that does not load leaves the old one in use.
 	Identity struct {
-		files   TLS
+		files   TLSFiles
 		mu      sync.Mutex
 		checked time.Time
 		changed time.Time
@@ -29,7 +29,7 @@
 )
 
 // NewIdentity loads the files; nil without any.
-func NewIdentity(files TLS) (*Identity, error) {
+func NewIdentity(files TLSFiles) (*Identity, error) {
 	if files.Certificate == "" {
 		return nil, nil
 	}
@@ -82,9 +82,9 @@
 	return i.cert, i.pool
 }
 
-// Server is the configuration for a listener. Peers must present a
+// ServerConfig is the configuration for a listener. Peers must present a
 // certificate of the authority; operators need none, their bundles are signed.
-func (i *Identity) Server(mutual bool) *tls.Config {
+func (i *Identity) ServerConfig(mutual bool) *tls.Config {
 	if i == nil {
 		return nil
 	}
@@ -102,9 +102,9 @@
 	}
 }
 
-// Client is the configuration for a call to a peer. Certificates name the
+// ClientConfig is the configuration for a call to a peer. Certificates name the
 // IP address that a peer listens on.
-func (i *Identity) Client() *tls.Config {
+func (i *Identity) ClientConfig() *tls.Config {
 	if i == nil {
 		return nil
 	}
