--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -31,22 +31,22 @@
 )
 
 const (
-	// connectionsPerServer bounds the connections to one backend server.
-	connectionsPerServer = 128
+	// maxConnectionsPerServer bounds the connections to one backend server.
+	maxConnectionsPerServer = 128
 )
 
 type (
 	// Daemon is one proxy process.
 	Daemon struct {
-		settings  *settings.Settings
-		identity  *settings.Identity
-		driver    *driver.Driver
-		runner    *runner.Runner
-		peers     *peerdrpc.Client
-		platform  *kvhttp.Client
-		meters    *meters
-		callers   *http.Server
-		operators *http.Server
+		settings       *settings.Settings
+		identity       *settings.Identity
+		driver         *driver.Driver
+		runner         *runner.Runner
+		peerClient     *peerdrpc.Client
+		platformClient *kvhttp.Client
+		metrics        *processMetrics
+		callerServer   *http.Server
+		operatorServer *http.Server
 	}
 )
 
@@ -56,43 +56,43 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{settings: s, identity: identity, meters: newMeters()}
-	d.peers = peerdrpc.NewClient(identity.ClientConfig)
-	d.peers.OnSent = d.meters.peerSent
-	d.peers.OnReceived = d.meters.peerReceived
-	d.platform = kvhttp.NewClient(s.PlatformAddresses)
-	d.platform.Called = d.meters.platformCall
-	config, err := kernelConfig(s)
+	d := &Daemon{settings: s, identity: identity, metrics: newProcessMetrics()}
+	d.peerClient = peerdrpc.NewClient(identity.ClientConfig)
+	d.peerClient.OnSent = d.metrics.addPeerSent
+	d.peerClient.OnReceived = d.metrics.addPeerReceived
+	d.platformClient = kvhttp.NewClient(s.PlatformAddresses)
+	d.platformClient.Called = d.metrics.countPlatformCall
+	config, err := newKernelConfig(s)
 	if err != nil {
 		return nil, err
 	}
-	config.OnEvent = d.meters.event
+	config.OnEvent = d.metrics.countEvent
 	var backends *backendhttp.Client
 	d.driver = driver.New(config, driver.Dependencies{
-		Exchange: d.peers.Exchange,
-		Borrow:   d.peers.Borrow,
+		Exchange: d.peerClient.Exchange,
+		Borrow:   d.peerClient.Borrow,
 		Probe: func(ctx context.Context, a netip.AddrPort) backend.Health {
 			return backends.Probe(ctx, a)
 		},
 		StoreAssignment: d.storeAssignment,
 	})
-	backends = backendhttp.NewClient(connectionsPerServer, d.driver.Now)
-	d.runner = &runner.Runner{Name: s.Name, WithKernel: d.driver.WithKernel, Send: backends.Send, Forward: d.peers.Forward}
+	backends = backendhttp.NewClient(maxConnectionsPerServer, d.driver.Now)
+	d.runner = &runner.Runner{Name: s.Name, WithKernel: d.driver.WithKernel, Send: backends.Send, Forward: d.peerClient.Forward}
 	limits := callerhttp.Limits{Body: s.Limits.MaxBodyBytes, Total: s.Limits.MaxTotalBodyBytes}
-	d.callers = callerhttp.NewServer(d.driver.WithKernel, d.runner.Run, limits, d.driver.Now, d.meters.request).HTTP()
-	d.operators = (&operatorhttp.Server{
+	d.callerServer = callerhttp.NewServer(d.driver.WithKernel, d.runner.Run, limits, d.driver.Now, d.metrics.observeRequest).HTTP()
+	d.operatorServer = (&operatorhttp.Server{
 		Kernel:   d.driver.WithKernel,
 		Trust:    config.Trust,
-		Platform: d.platform.Store(),
-		List:     d.platform.List,
-		Metrics:  d.meters.set,
-		Ready:    d.ready,
+		Platform: d.platformClient.Store(),
+		List:     d.platformClient.List,
+		Metrics:  d.metrics.set,
+		Ready:    d.isReady,
 	}).HTTP()
-	d.meters.watch(d.driver)
+	d.metrics.registerGauges(d.driver)
 	return d, nil
 }
 
-func kernelConfig(s *settings.Settings) (core.Config, error) {
+func newKernelConfig(s *settings.Settings) (core.Config, error) {
 	c := core.Config{
 		Self: peer.Member{
 			Name:            s.Name,
@@ -114,21 +114,21 @@
 	}
 	// The incarnation must be larger after each restart, and unlike in two
 	// processes; a VM keeps nothing, so it comes from the clock and chance.
-	var low [2]byte
-	if _, err := rand.Read(low[:]); err != nil {
+	var random [2]byte
+	if _, err := rand.Read(random[:]); err != nil {
 		return c, errors.Wrap(err, "incarnation")
 	}
-	c.Self.Incarnation = uint64(time.Now().UnixMilli())<<16 | uint64(binary.BigEndian.Uint16(low[:]))
+	c.Self.Incarnation = uint64(time.Now().UnixMilli())<<16 | uint64(binary.BigEndian.Uint16(random[:]))
 	return c, nil
 }
 
 func (d *Daemon) storeAssignment(ctx context.Context, a core.StoreAssignment) {
-	driver.StoreAssignment(ctx, d.platform.Store(), a, func(stored *kv.Assignment) {
+	driver.StoreAssignment(ctx, d.platformClient.Store(), a, func(stored *kv.Assignment) {
 		d.driver.WithKernel(func(k *core.Kernel, now time.Time) { k.ApplyAssignment(now, stored) })
 	})
 }
 
-func (d *Daemon) ready() bool {
+func (d *Daemon) isReady() bool {
 	ready := false
 	d.driver.WithKernel(func(k *core.Kernel, _ time.Time) {
 		ready = k.BundleVersion() > 0 && k.Self().State == peer.StateLive
@@ -144,30 +144,30 @@
 	if err != nil {
 		return err
 	}
-	failed := make(chan error, 4)
-	go func() { failed <- peerdrpc.Serve(ctx, listeners[0], d.handlers()) }()
-	go func() { failed <- d.callers.Serve(listeners[1]) }()
-	go func() { failed <- d.operators.Serve(listeners[2]) }()
+	serveErrors := make(chan error, 4)
+	go func() { serveErrors <- peerdrpc.Serve(ctx, listeners[0], d.peerHandlers()) }()
+	go func() { serveErrors <- d.callerServer.Serve(listeners[1]) }()
+	go func() { serveErrors <- d.operatorServer.Serve(listeners[2]) }()
 	watcher := driver.NewWatcher(d.driver, driver.Platform{
-		Store: d.platform.Store(), Watch: d.platform.Watch, Machines: d.platform.Machines,
+		Store: d.platformClient.Store(), Watch: d.platformClient.Watch, Machines: d.platformClient.Machines,
 	})
 	go watcher.Run(ctx)
-	ticking := make(chan struct{})
+	ticksDone := make(chan struct{})
 	go func() {
 		d.driver.Run(ctx)
-		close(ticking)
+		close(ticksDone)
 	}()
 	klog.InfoS("serving", "callers", d.settings.Listen.Callers,
 		"peers", d.settings.Listen.Peers, "operators", d.settings.Listen.Operators)
 	select {
 	case <-stop.Done():
-		d.stop(ctx)
-	case err := <-failed:
+		d.stopGracefully(ctx)
+	case err := <-serveErrors:
 		return errors.Wrap(err, "listener")
 	}
 	cancel()
-	<-ticking
-	return errs.Wrap(d.peers.Close(), "close")
+	<-ticksDone
+	return errs.Wrap(d.peerClient.Close(), "close")
 }
 
 // listen binds all addresses first: a process that cannot have its VM's
@@ -195,7 +195,7 @@
 	return listeners, nil
 }
 
-func (d *Daemon) handlers() peerdrpc.Handlers {
+func (d *Daemon) peerHandlers() peerdrpc.Handlers {
 	return peerdrpc.Handlers{
 		Exchange: func(m peer.Exchange) (reply peer.Exchange) {
 			d.driver.WithKernel(func(k *core.Kernel, now time.Time) { reply = k.HandleExchange(now, m) })
--- a/internal/proxy/daemon/metrics.go
+++ b/internal/proxy/daemon/metrics.go
@@ -13,44 +13,44 @@
 
 type (
 
-	// meters holds the process's metrics. Names follow the Prometheus habit:
+	// processMetrics holds the process's metrics. Names follow the Prometheus habit:
 	// base units, and _total for counters.
-	meters struct {
-		set      *metrics.Set
-		sent     *metrics.Counter
-		received *metrics.Counter
-		events   map[core.EventKind]*metrics.Counter
+	processMetrics struct {
+		set               *metrics.Set
+		peerSentBytes     *metrics.Counter
+		peerReceivedBytes *metrics.Counter
+		eventCounters     map[core.EventKind]*metrics.Counter
 	}
 )
 
-func newMeters() *meters {
+func newProcessMetrics() *processMetrics {
 	set := metrics.NewSet()
-	return &meters{
-		set:      set,
-		sent:     set.NewCounter("gypsumquay_peer_sent_bytes_total"),
-		received: set.NewCounter("gypsumquay_peer_received_bytes_total"),
-		events:   make(map[core.EventKind]*metrics.Counter),
+	return &processMetrics{
+		set:               set,
+		peerSentBytes:     set.NewCounter("gypsumquay_peer_sent_bytes_total"),
+		peerReceivedBytes: set.NewCounter("gypsumquay_peer_received_bytes_total"),
+		eventCounters:     make(map[core.EventKind]*metrics.Counter),
 	}
 }
 
-func (m *meters) peerSent(n int)     { m.sent.Add(n) }
-func (m *meters) peerReceived(n int) { m.received.Add(n) }
+func (m *processMetrics) addPeerSent(n int)     { m.peerSentBytes.Add(n) }
+func (m *processMetrics) addPeerReceived(n int) { m.peerReceivedBytes.Add(n) }
 
-func (m *meters) platformCall(operation string) {
+func (m *processMetrics) countPlatformCall(operation string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_platform_calls_total{operation=%q}", operation)).Inc()
 }
 
-// event counts by kind. The driver's lock is held, so the map needs none.
-func (m *meters) event(e core.Event) {
-	counter := m.events[e.Kind]
+// countEvent counts by kind. The driver's lock is held, so the map needs none.
+func (m *processMetrics) countEvent(e core.Event) {
+	counter := m.eventCounters[e.Kind]
 	if counter == nil {
 		counter = m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_events_total{kind=%q}", e.Kind))
-		m.events[e.Kind] = counter
+		m.eventCounters[e.Kind] = counter
 	}
 	counter.Inc()
 }
 
-func (m *meters) request(service string, r caller.Result, took time.Duration) {
+func (m *processMetrics) observeRequest(service string, r caller.Result, took time.Duration) {
 	if r.Reason == caller.ReasonNoService {
 		// The name is the caller's own invention; as a label it would let
 		// anyone fill the memory with time series.
@@ -62,8 +62,8 @@
 		"gypsumquay_request_duration_seconds{service=%q}", service)).Update(took.Seconds())
 }
 
-// watch adds gauges that read the kernel when asked.
-func (m *meters) watch(d *driver.Driver) {
+// registerGauges adds gauges that read the kernel when asked.
+func (m *processMetrics) registerGauges(d *driver.Driver) {
 	gauge := func(name string, read func(core.Status) float64) {
 		m.set.NewGauge(name, func() float64 {
 			var s core.Status
--- a/internal/proxy/daemon/process_test.go
+++ b/internal/proxy/daemon/process_test.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	fleetSize = 4
-	patience  = 30 * time.Second
+	fleetSize   = 4
+	waitTimeout = 30 * time.Second
 )
 
 type (
 	// fleet is a platform, backend servers and proxies as real processes.
 	fleet struct {
 		t       *testing.T
-		bin     string
+		binDir  string
 		dir     string
 		keys    [2]*operator.KeyPair
 		proxies []*exec.Cmd
@@ -45,8 +45,8 @@
 func startFleet(t *testing.T) *fleet {
 	t.Helper()
 	f := &fleet{t: t, dir: t.TempDir()}
-	f.bin = filepath.Join(f.dir, "bin")
-	build := exec.Command("go", "build", "-o", f.bin+"/", "./cmd/...")
+	f.binDir = filepath.Join(f.dir, "bin")
+	build := exec.Command("go", "build", "-o", f.binDir+"/", "./cmd/...")
 	build.Dir = filepath.Join("..", "..", "..")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
@@ -61,9 +61,9 @@
 	addresses := freePorts(t, 2+3*fleetSize)
 	f.platform, f.control, addresses = addresses[0], addresses[1], addresses[2:]
 	f.callers, f.operators, f.peers = addresses[:fleetSize], addresses[fleetSize:2*fleetSize], addresses[2*fleetSize:]
-	example := f.ownBundle(filepath.Join("..", "..", "..", "examples", "trinacria.json"))
-	f.run("gypsumquay-fake", "platform", "--listen", f.platform.String(), "--lag", "1s")
-	f.run("gypsumquay-fake", "backend", "--bundle", example, "--control", f.control.String(), "--service-time", "40ms")
+	example := f.bundleWithFreePorts(filepath.Join("..", "..", "..", "examples", "trinacria.json"))
+	f.startProcess("gypsumquay-fake", "platform", "--listen", f.platform.String(), "--lag", "1s")
+	f.startProcess("gypsumquay-fake", "backend", "--bundle", example, "--control", f.control.String(), "--service-time", "40ms")
 	for i := range fleetSize {
 		f.proxies = append(f.proxies, f.startProxy(i))
 	}
@@ -82,10 +82,10 @@
 	return list
 }
 
-// ownBundle copies an example with addresses of this run: with the example's
+// bundleWithFreePorts copies an example with addresses of this run: with the example's
 // own, a demo or another run beside this one holds the ports, the stand-in
 // ends, and its control port refuses connections.
-func (f *fleet) ownBundle(example string) string {
+func (f *fleet) bundleWithFreePorts(example string) string {
 	f.t.Helper()
 	data, err := os.ReadFile(example)
 	if err != nil {
@@ -93,22 +93,22 @@
 	}
 	pattern := regexp.MustCompile(`127\.0\.0\.1:[0-9]+`)
 	addresses := freePorts(f.t, len(pattern.FindAll(data, -1)))
-	own := pattern.ReplaceAllFunc(data, func([]byte) []byte {
+	rewritten := pattern.ReplaceAllFunc(data, func([]byte) []byte {
 		address := addresses[0]
 		addresses = addresses[1:]
 		return []byte(address.String())
 	})
 	path := filepath.Join(f.dir, "bundle.json")
-	if err := os.WriteFile(path, own, 0o600); err != nil {
+	if err := os.WriteFile(path, rewritten, 0o600); err != nil {
 		f.t.Fatal(err)
 	}
 	return path
 }
 
-// run starts a process that ends with the test.
-func (f *fleet) run(name string, args ...string) *exec.Cmd {
+// startProcess starts a process that ends with the test.
+func (f *fleet) startProcess(name string, args ...string) *exec.Cmd {
 	f.t.Helper()
-	cmd := exec.Command(filepath.Join(f.bin, name), args...)
+	cmd := exec.Command(filepath.Join(f.binDir, name), args...)
 	log, err := os.Create(filepath.Join(f.dir, fmt.Sprintf("%s-%d.log", name, len(f.proxies))))
 	if err != nil {
 		f.t.Fatal(err)
@@ -145,7 +145,7 @@
 		f.t.Fatal(err)
 	}
 	f.post("http://" + f.platform.String() + "/control/machines/" + fmt.Sprintf("proxy-%d", i+1) + "/live")
-	return f.run("gypsumquayd", path)
+	return f.startProcess("gypsumquayd", path)
 }
 
 func (f *fleet) post(target string) {
@@ -162,12 +162,12 @@
 
 func (f *fleet) eventually(what string, done func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	f.t.Fatalf("%s did not happen within %s", what, patience)
+	f.t.Fatalf("%s did not happen within %s", what, waitTimeout)
 }
 
 func (f *fleet) rollout(example string) {
@@ -208,11 +208,11 @@
 	})
 }
 
-// load makes callers that browse and book, and returns their report.
-func (f *fleet) load(name string, span, timeout time.Duration) <-chan callerfake.Report {
+// startLoad makes callers that browse and book, and returns their report.
+func (f *fleet) startLoad(name string, duration, timeout time.Duration) <-chan callerfake.Report {
 	seeds := []netip.AddrPort{f.callers[0], f.callers[2], f.callers[3]}
 	callers := callerfake.NewFleet(callerfake.Plan{
-		Seeds: seeds, Callers: 48, Rate: 200, Span: span, Browse: []string{"notice-board"}, Book: "bid-ledger",
+		Seeds: seeds, Callers: 48, Rate: 200, Span: duration, Browse: []string{"notice-board"}, Book: "bid-ledger",
 		BookShare: 400, Name: name, Timeout: timeout,
 	})
 	out := make(chan callerfake.Report, 1)
@@ -220,8 +220,8 @@
 	return out
 }
 
-// runs counts how often each booking ran, over all backend servers.
-func (f *fleet) runs() map[string]int {
+// bookingRuns counts how often each booking ran, over all backend servers.
+func (f *fleet) bookingRuns() map[string]int {
 	f.t.Helper()
 	response, err := http.Get("http://" + f.control.String() + "/stats")
 	if err != nil {
@@ -241,9 +241,9 @@
 	return runs
 }
 
-func (f *fleet) checkOnce(r callerfake.Report) {
+func (f *fleet) checkAtMostOnce(r callerfake.Report) {
 	f.t.Helper()
-	runs := f.runs()
+	runs := f.bookingRuns()
 	for key, n := range runs {
 		if n > 1 {
 			f.t.Errorf("%s: got %d runs, want at most 1", key, n)
@@ -273,26 +273,26 @@
 	// later, when their callers have long asked others. What it had begun must
 	// not run a second time.
 	t.Run("frozen", func(_ *testing.T) {
-		report := f.load("frozen", 10*time.Second, 2500*time.Millisecond)
+		report := f.startLoad("frozen", 10*time.Second, 2500*time.Millisecond)
 		time.Sleep(2 * time.Second)
 		_ = f.proxies[1].Process.Signal(syscall.SIGSTOP)
 		time.Sleep(4 * time.Second)
 		_ = f.proxies[1].Process.Signal(syscall.SIGCONT)
-		f.checkOnce(<-report)
+		f.checkAtMostOnce(<-report)
 	})
 
 	// A proxy stops as planned with requests in flight and callers that hold
 	// cached answers: no request is cut, no booking is left unsettled.
 	t.Run("planned stop", func(t *testing.T) {
 		f.waitLive(fleetSize)
-		report := f.load("stop", 10*time.Second, 10*time.Second)
+		report := f.startLoad("stop", 10*time.Second, 10*time.Second)
 		time.Sleep(2 * time.Second)
 		_ = f.proxies[1].Process.Signal(syscall.SIGTERM)
 		r := <-report
 		if err := f.proxies[1].Wait(); err != nil {
 			t.Errorf("got exit %v of the stopped proxy, want a clean one", err)
 		}
-		f.checkOnce(r)
+		f.checkAtMostOnce(r)
 		if r.Cut != 0 || r.BookLost != 0 {
 			t.Errorf("got %d requests cut and %d bookings unsettled, want none", r.Cut, r.BookLost)
 		}
@@ -301,10 +301,10 @@
 	// A proxy is killed with bookings in flight. Their callers are told
 	// unknown by the others; none runs twice.
 	t.Run("killed", func(_ *testing.T) {
-		report := f.load("kill", 8*time.Second, 2500*time.Millisecond)
+		report := f.startLoad("kill", 8*time.Second, 2500*time.Millisecond)
 		time.Sleep(2 * time.Second)
 		_ = f.proxies[2].Process.Kill()
 		f.post("http://" + f.platform.String() + "/control/machines/proxy-3/gone")
-		f.checkOnce(<-report)
+		f.checkAtMostOnce(<-report)
 	})
 }
--- a/internal/proxy/daemon/stop.go
+++ b/internal/proxy/daemon/stop.go
@@ -13,61 +13,61 @@
 )
 
 const (
-	stopPoll = 50 * time.Millisecond
-	// releaseTries bounds the tries to give slots back. Without the platform
+	stopPollInterval = 50 * time.Millisecond
+	// maxReleaseAttempts bounds the tries to give slots back. Without the platform
 	// they stay assigned until its list shows that the VM is gone.
-	releaseTries = 5
+	maxReleaseAttempts = 5
 )
 
-// stop is the planned stop: leave look-ups, serve until no cached answer
+// stopGracefully is the planned stop: leave look-ups, serve until no cached answer
 // names this proxy, finish every request, leave the records to a peer, give
 // the quota slots back, and only then go.
-func (d *Daemon) stop(ctx context.Context) {
+func (d *Daemon) stopGracefully(ctx context.Context) {
 	klog.InfoS("planned stop begun")
 	d.driver.WithKernel(func(k *core.Kernel, now time.Time) { k.BeginStop(now) })
-	d.until(func(k *core.Kernel, now time.Time) bool { return k.MayStopServing(now) })
+	d.waitUntil(func(k *core.Kernel, now time.Time) bool { return k.MayStopServing(now) })
 	// Shutdown refuses new connections and ends idle ones; requests that are
 	// in flight finish.
-	if err := d.callers.Shutdown(ctx); err != nil {
+	if err := d.callerServer.Shutdown(ctx); err != nil {
 		klog.ErrorS(err, "callers' listener")
 	}
 	d.runner.Wait()
-	d.until(func(k *core.Kernel, _ time.Time) bool { return k.Drained() })
-	d.handOver(ctx)
+	d.waitUntil(func(k *core.Kernel, _ time.Time) bool { return k.Drained() })
+	d.handOverRecords(ctx)
 	d.releaseSlots(ctx)
 	klog.InfoS("planned stop done")
 }
 
-func (d *Daemon) until(done func(*core.Kernel, time.Time) bool) {
+func (d *Daemon) waitUntil(done func(*core.Kernel, time.Time) bool) {
 	for {
 		finished := false
 		d.driver.WithKernel(func(k *core.Kernel, now time.Time) { finished = done(k, now) })
 		if finished {
 			return
 		}
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 }
 
-// handOver leaves the token records to the first peer that takes them.
-func (d *Daemon) handOver(ctx context.Context) {
+// handOverRecords leaves the token records to the first peer that takes them.
+func (d *Daemon) handOverRecords(ctx context.Context) {
 	var records []caller.Handover
-	var heirs []peer.Member
+	var successors []peer.Member
 	var stamp peer.Stamp
 	d.driver.WithKernel(func(k *core.Kernel, now time.Time) {
-		records, heirs = k.CloseRecords()
+		records, successors = k.CloseRecords()
 		stamp = k.Stamp(now)
 	})
-	for _, heir := range heirs {
+	for _, successor := range successors {
 		message := peer.HandoverRequest{From: d.settings.Name, Stamp: stamp, Records: records}
-		if _, err := d.peers.Handover(ctx, heir, message); err != nil {
-			klog.ErrorS(err, "peer did not take the records", "peer", heir.Name)
+		if _, err := d.peerClient.Handover(ctx, successor, message); err != nil {
+			klog.ErrorS(err, "peer did not take the records", "peer", successor.Name)
 			continue
 		}
 		var actions []core.Action
-		d.driver.WithKernel(func(k *core.Kernel, now time.Time) { actions = k.FinishHandover(now, heir.Name) })
+		d.driver.WithKernel(func(k *core.Kernel, now time.Time) { actions = k.FinishHandover(now, successor.Name) })
 		d.driver.Perform(ctx, actions)
-		klog.InfoS("records handed over", "peer", heir.Name, "minters", len(records))
+		klog.InfoS("records handed over", "peer", successor.Name, "minters", len(records))
 		return
 	}
 	klog.InfoS("no peer took the records; repeats of this proxy's tokens will be answered unknown")
@@ -76,7 +76,7 @@
 // releaseSlots gives the quota slots back. A store that loses a race hears the
 // newer assignment, so the next try starts from that.
 func (d *Daemon) releaseSlots(ctx context.Context) {
-	for range releaseTries {
+	for range maxReleaseAttempts {
 		var next *kv.Assignment
 		d.driver.WithKernel(func(k *core.Kernel, now time.Time) { next = k.ReleaseSlots(now) })
 		if next == nil {
--- a/internal/proxy/driver/driver.go
+++ b/internal/proxy/driver/driver.go
@@ -27,19 +27,19 @@
 
 	// Driver owns one kernel.
 	Driver struct {
-		mu     sync.Mutex
-		kernel *core.Kernel
-		base   atomic.Pointer[time.Time]
-		seams  Dependencies
-		work   sync.WaitGroup
+		mu        sync.Mutex
+		kernel    *core.Kernel
+		clockBase atomic.Pointer[time.Time]
+		deps      Dependencies
+		running   sync.WaitGroup
 	}
 )
 
 // New makes a driver. The kernel is made from the driver's own clock.
-func New(c core.Config, s Dependencies) *Driver {
-	d := &Driver{seams: s}
+func New(c core.Config, deps Dependencies) *Driver {
+	d := &Driver{deps: deps}
 	now := time.Now()
-	d.base.Store(&now)
+	d.clockBase.Store(&now)
 	d.kernel = core.New(c, d.Now())
 	return d
 }
@@ -48,21 +48,21 @@
 // clock has counted since. A step of the wall clock must not make a record
 // look expired, or a token whose record is gone look fresh again.
 func (d *Driver) Now() time.Time {
-	base := d.base.Load()
+	base := d.clockBase.Load()
 	return base.Round(0).Add(time.Since(*base))
 }
 
-// catchUp follows the wall clock forward, never back. The monotonic clock does
+// followWallClock follows the wall clock forward, never back. The monotonic clock does
 // not count while a VM is paused, so after a pause this process would lag for
 // good: every deadline that it sends would lie in the past, and backend servers
 // would refuse all its requests. The kernel takes the jump for a freeze and
 // uses no quota for a window, so a wall clock that was set wrong costs a second
 // and no capacity.
-func (d *Driver) catchUp() {
+func (d *Driver) followWallClock() {
 	now := time.Now()
 	if now.Round(0).Sub(d.Now()) > core.ClockTolerance {
 		klog.InfoS("clock was behind, perhaps the VM was paused", "by", now.Round(0).Sub(d.Now()).String())
-		d.base.Store(&now)
+		d.clockBase.Store(&now)
 	}
 }
 
@@ -80,7 +80,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			d.work.Wait()
+			d.running.Wait()
 			return
 		case <-ticker.C:
 			d.Tick(ctx)
@@ -90,7 +90,7 @@
 
 // Tick lets the kernel do what is due.
 func (d *Driver) Tick(ctx context.Context) {
-	d.catchUp()
+	d.followWallClock()
 	var actions []core.Action
 	d.WithKernel(func(k *core.Kernel, now time.Time) { actions = k.Tick(now) })
 	d.Perform(ctx, actions)
@@ -99,36 +99,36 @@
 // Perform starts the actions; each reports back to the kernel by itself.
 func (d *Driver) Perform(ctx context.Context, actions []core.Action) {
 	for _, a := range actions {
-		d.work.Go(func() { d.perform(ctx, a) })
+		d.running.Go(func() { d.performAction(ctx, a) })
 	}
 }
 
-func (d *Driver) perform(ctx context.Context, action core.Action) {
+func (d *Driver) performAction(ctx context.Context, action core.Action) {
 	switch a := action.(type) {
 	case core.SendExchange:
-		d.exchange(ctx, a)
+		d.sendExchange(ctx, a)
 	case core.SendBorrow:
-		reply, err := d.seams.Borrow(ctx, a.To, a.Message)
+		reply, err := d.deps.Borrow(ctx, a.To, a.Message)
 		answer := &reply
 		if err != nil {
 			answer = nil
 		}
 		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleBorrowReply(now, a, answer) })
 	case core.SendProbe:
-		health := d.seams.Probe(ctx, a.Address)
+		health := d.deps.Probe(ctx, a.Address)
 		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleProbeResult(now, a.Server, health) })
 	case core.StoreAssignment:
-		d.seams.StoreAssignment(ctx, a)
+		d.deps.StoreAssignment(ctx, a)
 	}
 }
 
-func (d *Driver) exchange(ctx context.Context, a core.SendExchange) {
-	asked := d.Now()
-	reply, err := d.seams.Exchange(ctx, a.To, a.Message)
+func (d *Driver) sendExchange(ctx context.Context, a core.SendExchange) {
+	sentAt := d.Now()
+	reply, err := d.deps.Exchange(ctx, a.To, a.Message)
 	if err != nil {
 		klog.V(1).InfoS("peer did not answer", "peer", a.To.Name, "address", a.To.PeerAddress, "error", err.Error())
 		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleExchangeFailure(now, a.To.Name) })
 		return
 	}
-	d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleExchangeReply(now, asked, reply) })
+	d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleExchangeReply(now, sentAt, reply) })
 }
--- a/internal/proxy/driver/platform.go
+++ b/internal/proxy/driver/platform.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	backoffLeast = 200 * time.Millisecond
-	backoffMost  = 5 * time.Second
-	relayCheck   = time.Second
+	minBackoff         = 200 * time.Millisecond
+	maxBackoff         = 5 * time.Second
+	relayCheckInterval = time.Second
 )
 
 type (
@@ -41,49 +41,49 @@
 // Run watches until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	done := make(chan struct{}, 3)
-	loop := func(once func(context.Context) error) {
-		w.loop(ctx, once)
+	run := func(watch func(context.Context) error) {
+		w.watchLoop(ctx, watch)
 		done <- struct{}{}
 	}
-	go loop(w.follow(kv.KeyBundle, w.hearBundle))
-	go loop(w.follow(kv.KeyAssignment, w.hearAssignment))
-	go loop(w.machines())
+	go run(w.watchKey(kv.KeyBundle, w.applyBundle))
+	go run(w.watchKey(kv.KeyAssignment, w.applyAssignment))
+	go run(w.watchMachines())
 	for range cap(done) {
 		<-done
 	}
 }
 
-// loop repeats one watch. After a failure it waits longer each time and by a
+// watchLoop repeats one watch. After a failure it waits longer each time and by a
 // random part, or all relays would return together after an outage.
-func (w *Watcher) loop(ctx context.Context, once func(context.Context) error) {
-	pause := backoffLeast
+func (w *Watcher) watchLoop(ctx context.Context, watch func(context.Context) error) {
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		if !w.relay() {
-			sleep.For(ctx, relayCheck)
+		if !w.isRelay() {
+			sleep.For(ctx, relayCheckInterval)
 			continue
 		}
-		if err := once(ctx); err != nil {
+		if err := watch(ctx); err != nil {
 			klog.V(1).InfoS("platform watch failed", "error", err.Error())
-			sleep.For(ctx, pause/2+rand.N(pause))
-			pause = min(2*pause, backoffMost)
+			sleep.For(ctx, backoff/2+rand.N(backoff))
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		pause = backoffLeast
+		backoff = minBackoff
 	}
 }
 
-func (w *Watcher) relay() bool {
+func (w *Watcher) isRelay() bool {
 	relay := false
 	w.driver.WithKernel(func(k *core.Kernel, _ time.Time) { relay = k.IsRelay() })
 	return relay
 }
 
-// follow watches one key. hear gets each new value, or nil data when the key
+// watchKey watches one key. hear gets each new value, or nil data when the key
 // is absent, and may return data to write in its place.
-func (w *Watcher) follow(key kv.Key, hear func(time.Time, []byte) []byte) func(context.Context) error {
+func (w *Watcher) watchKey(key kv.Key, apply func(time.Time, []byte) []byte) func(context.Context) error {
 	after := kv.Revision(0)
 	return func(ctx context.Context) error {
-		asked := w.driver.Now()
+		sentAt := w.driver.Now()
 		value, err := w.platform.Watch(ctx, key, after)
 		if err != nil && !errors.Is(err, kv.ErrAbsent) {
 			return err
@@ -92,7 +92,7 @@
 			return nil
 		}
 		after = value.Revision
-		repair := hear(asked, value.Data)
+		repair := apply(sentAt, value.Data)
 		if repair == nil {
 			return nil
 		}
@@ -106,7 +106,7 @@
 	}
 }
 
-func (w *Watcher) hearBundle(_ time.Time, data []byte) []byte {
+func (w *Watcher) applyBundle(_ time.Time, data []byte) []byte {
 	var repair []byte
 	w.driver.WithKernel(func(k *core.Kernel, now time.Time) {
 		if len(data) > 0 {
@@ -117,20 +117,20 @@
 	return repair
 }
 
-func (w *Watcher) hearAssignment(asked time.Time, data []byte) []byte {
+func (w *Watcher) applyAssignment(sentAt time.Time, data []byte) []byte {
 	var repair []byte
 	w.driver.WithKernel(func(k *core.Kernel, now time.Time) {
 		a, err := kv.ParseAssignment(data)
 		if err == nil {
 			k.ApplyAssignment(now, a)
 		}
-		k.HandlePlatformReply(now, asked)
+		k.HandlePlatformReply(now, sentAt)
 		repair = k.RepairAssignment(a)
 	})
 	return repair
 }
 
-func (w *Watcher) machines() func(context.Context) error {
+func (w *Watcher) watchMachines() func(context.Context) error {
 	after := uint64(0)
 	return func(ctx context.Context) error {
 		list, err := w.platform.Machines(ctx, after)
@@ -145,20 +145,20 @@
 
 // StoreAssignment carries out the kernel's action: read, compare the version,
 // swap. The result is heard back through the watch, or here at once.
-func StoreAssignment(ctx context.Context, s kv.Store, a core.StoreAssignment, hear func(*kv.Assignment)) {
+func StoreAssignment(ctx context.Context, s kv.Store, a core.StoreAssignment, apply func(*kv.Assignment)) {
 	value, err := s.Get(ctx, kv.KeyAssignment)
 	if err != nil && !errors.Is(err, kv.ErrAbsent) {
 		return
 	}
 	if stored, err := kv.ParseAssignment(value.Data); err == nil {
 		if stored.Version != a.ExpectedVersion {
-			hear(stored)
+			apply(stored)
 			return
 		}
 	} else if a.ExpectedVersion != 0 {
 		return
 	}
 	if _, err := s.Swap(ctx, kv.KeyAssignment, value.Revision, a.Value.Encode()); err == nil {
-		hear(a.Value)
+		apply(a.Value)
 	}
 }
--- a/internal/proxy/logs/buffer.go
+++ b/internal/proxy/logs/buffer.go
@@ -11,10 +11,10 @@
 	// that find no room are dropped and counted: a log that blocked would hold
 	// up requests.
 	Buffer struct {
-		lines   chan []byte
-		dropped atomic.Uint64
-		done    chan struct{}
-		once    sync.Once
+		lines     chan []byte
+		dropped   atomic.Uint64
+		done      chan struct{}
+		closeOnce sync.Once
 	}
 )
 
@@ -46,6 +46,6 @@
 
 // Close writes what is left. Nothing may be written after it.
 func (b *Buffer) Close() {
-	b.once.Do(func() { close(b.lines) })
+	b.closeOnce.Do(func() { close(b.lines) })
 	<-b.done
 }
--- a/internal/proxy/logs/buffer_test.go
+++ b/internal/proxy/logs/buffer_test.go
@@ -6,22 +6,22 @@
 )
 
 type (
-	// stuck is a writer that waits until it is released.
-	stuck struct {
+	// blockedWriter is a writer that waits until it is released.
+	blockedWriter struct {
 		release chan struct{}
 		text    strings.Builder
 	}
 )
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return s.text.Write(p)
 }
 
 // The log's reader stops reading. Requests must go on; what is lost is
 // counted, so that nobody takes the gap for silence.
-func TestStuckWriterDoesNotBlock(t *testing.T) {
-	w := &stuck{release: make(chan struct{})}
+func TestWriteDoesNotBlockOnSlowWriter(t *testing.T) {
+	w := &blockedWriter{release: make(chan struct{})}
 	b := NewBuffer(w, 10)
 	for range 100 {
 		if n, err := b.Write([]byte("line\n")); n != 5 || err != nil {
--- a/internal/proxy/recording/file.go
+++ b/internal/proxy/recording/file.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// flushEvery bounds what a process that is killed has not written yet.
-	flushEvery = 200 * time.Millisecond
+	// flushInterval bounds what a process that is killed has not written yet.
+	flushInterval = 200 * time.Millisecond
 )
 
 type (
 	// File is the recording of one run of a process.
 	File struct {
-		mu      sync.Mutex
-		file    *os.File
-		buffer  *bufio.Writer
-		encoder *json.Encoder
-		flushed time.Time
-		failed  bool
+		mu        sync.Mutex
+		file      *os.File
+		buffer    *bufio.Writer
+		encoder   *json.Encoder
+		lastFlush time.Time
+		ended     bool
 	}
 )
 
@@ -52,16 +52,16 @@
 func (f *File) Write(c steering.Call) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.failed {
+	if f.ended {
 		return
 	}
 	err := f.encoder.Encode(c)
-	if now := time.Now(); err == nil && now.Sub(f.flushed) >= flushEvery {
-		f.flushed = now
+	if now := time.Now(); err == nil && now.Sub(f.lastFlush) >= flushInterval {
+		f.lastFlush = now
 		err = f.buffer.Flush()
 	}
 	if err != nil {
-		f.failed = true
+		f.ended = true
 		klog.ErrorS(err, "recording ended", "file", f.file.Name())
 	}
 }
@@ -71,6 +71,6 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	err := f.buffer.Flush()
-	f.failed = true
+	f.ended = true
 	return errs.Wrap(errors.Join(err, f.file.Close()), "recording")
 }
--- a/internal/proxy/recording/file_test.go
+++ b/internal/proxy/recording/file_test.go
@@ -13,9 +13,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// recorded has a kernel place two requests, the second in vain, and returns the
+// writeRecording has a kernel place two requests, the second in vain, and returns the
 // recording's path.
-func recorded(t *testing.T) string {
+func writeRecording(t *testing.T) string {
 	t.Helper()
 	directory, now := t.TempDir(), time.Unix(1_000_000, 0)
 	file, err := Create(directory, "vm-1", now)
@@ -36,20 +36,20 @@
 	return filepath.Join(directory, "vm-1-19700112T134640.000.json")
 }
 
-func replay(path, request string) (code int, out, complaints string) {
-	var printed, complained strings.Builder
+func runReplay(path, request string) (code int, out, errOut string) {
+	var stdout, stderr strings.Builder
 	code = command.Run(context.Background(), command.Arguments{
 		Steering: &command.SteeringArguments{Replay: &command.SteeringReplayArguments{File: path, Request: request}},
-	}, &printed, &complained)
-	return code, printed.String(), complained.String()
+	}, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
 // An operator asks why a request went where it went. The command line replays the
 // recording and shows the servers as they were weighed.
-func TestCommandLineReplaysARecording(t *testing.T) {
-	code, out, complaints := replay(recorded(t), "first")
+func TestCommandReplaysRecording(t *testing.T) {
+	code, out, errOut := runReplay(writeRecording(t), "first")
 	if code != command.ExitOK {
-		t.Fatalf("exit code %d: %s", code, complaints)
+		t.Fatalf("exit code %d: %s", code, errOut)
 	}
 	for _, want := range []string{"7 calls, 3 decisions, 0 differ", "server-1", "chosen"} {
 		if !strings.Contains(out, want) {
@@ -59,8 +59,8 @@
 }
 
 // The recording was made by other code, which refused the first request.
-func TestCommandLineNamesDecisionsThatDiffer(t *testing.T) {
-	path := recorded(t)
+func TestCommandReportsDifferingDecisions(t *testing.T) {
+	path := writeRecording(t)
 	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -69,19 +69,19 @@
 	if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, out, _ := replay(path, ""); !strings.Contains(out, "request first: recorded no-server, now to server-1") {
+	if _, out, _ := runReplay(path, ""); !strings.Contains(out, "request first: recorded no-server, now to server-1") {
 		t.Errorf("got %q, want the first request with both decisions", out)
 	}
 }
 
-func TestWrongRecordingIsNamed(t *testing.T) {
+func TestErrorNamesInvalidRecording(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "wrong.json")
 	if err := os.WriteFile(path, []byte(`{"do":"tick"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range []string{path, path + "-missing"} {
-		if code, _, complaints := replay(p, ""); code != command.ExitUsage || !strings.Contains(complaints, p) {
-			t.Errorf("exit code %d, %q; want %d and the file's name", code, complaints, command.ExitUsage)
+		if code, _, errOut := runReplay(p, ""); code != command.ExitUsage || !strings.Contains(errOut, p) {
+			t.Errorf("exit code %d, %q; want %d and the file's name", code, errOut, command.ExitUsage)
 		}
 	}
 }
--- a/internal/proxy/runner/body.go
+++ b/internal/proxy/runner/body.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// maxForwardedBody bounds an answer that travels between proxies.
-	maxForwardedBody = 8 << 20
+	// maxForwardedBodyBytes bounds an answer that travels between proxies.
+	maxForwardedBodyBytes = 8 << 20
 )
 
 var (
-	errBodyTooLarge = errors.New("answer too large to hand on")
+	errResponseTooLarge = errors.New("answer too large to hand on")
 )
 
 type (
-	// cancelling ends a request's context with its body, not before.
-	cancelling struct {
+	// cancelOnClose ends a request's context with its body, not before.
+	cancelOnClose struct {
 		io.ReadCloser
 		cancel context.CancelFunc
 	}
 
-	bodyBuffer struct {
+	boundedBuffer struct {
 		data []byte
 	}
 )
 
 // Close implements io.Closer.
-func (c *cancelling) Close() error {
+func (c *cancelOnClose) Close() error {
 	defer c.cancel()
 	return errs.Wrap(c.ReadCloser.Close(), "close body")
 }
 
 // Write implements io.Writer.
-func (b *bodyBuffer) Write(p []byte) (int, error) {
-	if len(b.data)+len(p) > maxForwardedBody {
-		return 0, errBodyTooLarge
+func (b *boundedBuffer) Write(p []byte) (int, error) {
+	if len(b.data)+len(p) > maxForwardedBodyBytes {
+		return 0, errResponseTooLarge
 	}
 	b.data = append(b.data, p...)
 	return len(p), nil
--- a/internal/proxy/runner/runner.go
+++ b/internal/proxy/runner/runner.go
@@ -25,10 +25,10 @@
 		WithKernel core.Executor
 		Send       func(context.Context, backendhttp.Request) backendhttp.Response
 		Forward    func(context.Context, peer.Member, peer.ForwardRequest) (peer.ForwardReply, error)
-		late       sync.WaitGroup
+		detached   sync.WaitGroup
 	}
 
-	attempt struct {
+	endedAttempt struct {
 		decision core.Decision
 		response backendhttp.Response
 	}
@@ -43,40 +43,40 @@
 		case core.StepFinish:
 			return callerhttp.Reply{Result: d.Result, ID: d.ID, NewToken: d.NewToken}
 		case core.StepForward:
-			return r.forward(ctx, q, d)
+			return r.forwardToMinter(ctx, q, d)
 		}
-		a, ended := r.attempt(ctx, q, d)
+		a, ended := r.runAttempt(ctx, q, d)
 		if !ended {
-			return r.overdue(d)
+			return r.deadlineExceeded(d)
 		}
 		if a.response.Rest != nil {
-			return r.stream(a)
+			return r.streamResponse(a)
 		}
-		d = r.end(a, false)
+		d = r.endAttempt(a, false)
 	}
 }
 
 // Wait blocks until attempts that outlived their callers have ended.
-func (r *Runner) Wait() { r.late.Wait() }
+func (r *Runner) Wait() { r.detached.Wait() }
 
-// attempt sends one dispatch. A non-idempotent one is not tied to its caller:
+// runAttempt sends one dispatch. A non-idempotent one is not tied to its caller:
 // it goes on when the caller leaves or its deadline passes, so that a repeat
 // can be told what became of it.
-func (r *Runner) attempt(ctx context.Context, q callerhttp.Request, d core.Decision) (attempt, bool) {
+func (r *Runner) runAttempt(ctx context.Context, q callerhttp.Request, d core.Decision) (endedAttempt, bool) {
 	if d.Idempotent {
-		return attempt{decision: d, response: r.send(ctx, q, d, d.Deadline)}, true
+		return endedAttempt{decision: d, response: r.send(ctx, q, d, d.Deadline)}, true
 	}
-	done := make(chan attempt, 1)
-	gone := make(chan struct{})
-	r.late.Go(func() {
-		a := attempt{decision: d, response: r.send(context.WithoutCancel(ctx), q, d, d.Deadline.Add(core.AnswerGracePeriod))}
+	done := make(chan endedAttempt, 1)
+	callerGone := make(chan struct{})
+	r.detached.Go(func() {
+		a := endedAttempt{decision: d, response: r.send(context.WithoutCancel(ctx), q, d, d.Deadline.Add(core.AnswerGracePeriod))}
 		select {
 		case done <- a:
 		default:
 		}
 		select {
-		case <-gone:
-			r.settleLate(done)
+		case <-callerGone:
+			r.endDetached(done)
 		default:
 		}
 	})
@@ -88,27 +88,27 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	close(gone)
+	close(callerGone)
 	// The answer may have come in this very moment; whoever takes it from the
 	// channel ends the attempt, so it is ended once.
-	r.settleLate(done)
-	return attempt{}, false
+	r.endDetached(done)
+	return endedAttempt{}, false
 }
 
-func (r *Runner) settleLate(done <-chan attempt) {
+func (r *Runner) endDetached(done <-chan endedAttempt) {
 	select {
 	case a := <-done:
 		if a.response.Rest != nil {
 			_ = a.response.Rest.Close()
 			a.response.Answer.Streamed = true
 		}
-		r.end(a, true)
+		r.endAttempt(a, true)
 	default:
 	}
 }
 
-func (r *Runner) send(ctx context.Context, q callerhttp.Request, d core.Decision, until time.Time) backendhttp.Response {
-	ctx, cancel := context.WithDeadline(ctx, until)
+func (r *Runner) send(ctx context.Context, q callerhttp.Request, d core.Decision, deadline time.Time) backendhttp.Response {
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	response := r.Send(ctx, backendhttp.Request{
 		Address:  d.Server.Address,
 		Method:   q.Method,
@@ -123,11 +123,11 @@
 		cancel()
 		return response
 	}
-	response.Rest = &cancelling{ReadCloser: response.Rest, cancel: cancel}
+	response.Rest = &cancelOnClose{ReadCloser: response.Rest, cancel: cancel}
 	return response
 }
 
-func (r *Runner) end(a attempt, final bool) core.Decision {
+func (r *Runner) endAttempt(a endedAttempt, noRetry bool) core.Decision {
 	var next core.Decision
 	r.WithKernel(func(k *core.Kernel, now time.Time) {
 		next = k.EndAttempt(now, core.AttemptEnd{
@@ -135,7 +135,7 @@
 			Result:  a.response.Result,
 			Answer:  a.response.Answer,
 			Report:  a.response.Report,
-			NoRetry: final,
+			NoRetry: noRetry,
 
 			ConnectionRefused: a.response.Refusing,
 		})
@@ -143,14 +143,14 @@
 	return next
 }
 
-func (r *Runner) overdue(d core.Decision) callerhttp.Reply {
+func (r *Runner) deadlineExceeded(d core.Decision) callerhttp.Reply {
 	reply := callerhttp.Reply{ID: d.ID}
 	r.WithKernel(func(k *core.Kernel, now time.Time) { reply.Result = k.HandleDeadlineExceeded(now, d.Attempt) })
 	return reply
 }
 
-// stream passes a long answer on as it arrives. The attempt ends with it.
-func (r *Runner) stream(a attempt) callerhttp.Reply {
+// streamResponse passes a long answer on as it arrives. The attempt ends with it.
+func (r *Runner) streamResponse(a endedAttempt) callerhttp.Reply {
 	result := caller.Result{Outcome: caller.OutcomeDone, Response: a.response.Answer}
 	return callerhttp.Reply{Result: result, ID: a.decision.ID, Stream: func(w io.Writer) error {
 		defer func() { _ = a.response.Rest.Close() }()
@@ -162,12 +162,12 @@
 			a.response.Result = backend.Interrupted
 		}
 		a.response.Answer.Streamed = true
-		r.end(a, true)
+		r.endAttempt(a, true)
 		return err
 	}}
 }
 
-func (r *Runner) forward(ctx context.Context, q callerhttp.Request, d core.Decision) callerhttp.Reply {
+func (r *Runner) forwardToMinter(ctx context.Context, q callerhttp.Request, d core.Decision) callerhttp.Reply {
 	ctx, cancel := context.WithDeadline(ctx, d.Deadline)
 	defer cancel()
 	message := peer.ForwardRequest{
@@ -209,15 +209,15 @@
 	})
 	out := peer.ForwardReply{Result: reply.Result}
 	if reply.Stream != nil {
-		out.Result = r.collect(reply)
+		out.Result = r.bufferResponse(reply)
 	}
 	r.WithKernel(func(k *core.Kernel, now time.Time) { out.Stamp = k.Stamp(now) })
 	return out
 }
 
-// collect gathers a long answer for a peer. A broken one becomes unknown.
-func (r *Runner) collect(reply callerhttp.Reply) caller.Result {
-	var whole bodyBuffer
+// bufferResponse gathers a long answer for a peer. A broken one becomes unknown.
+func (r *Runner) bufferResponse(reply callerhttp.Reply) caller.Result {
+	var whole boundedBuffer
 	if err := reply.Stream(&whole); err != nil {
 		return caller.Result{Outcome: caller.OutcomeUnknown, Reason: caller.ReasonConnectionLost}
 	}
--- a/internal/proxy/settings/settings.go
+++ b/internal/proxy/settings/settings.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	defaultMaxInFlight = 4096
-	defaultMaxBody     = 1 << 20
-	defaultMaxBodies   = 64 << 20
-	maxInFlightLimit   = 1_000_000
-	bytesLimit         = 1 << 34
-	maxNameLetters     = 64
+	defaultMaxInFlight       = 4096
+	defaultMaxBodyBytes      = 1 << 20
+	defaultMaxTotalBodyBytes = 64 << 20
+	inFlightLimit            = 1_000_000
+	totalBodyBytesLimit      = 1 << 34
+	maxNameLength            = 64
 )
 
 type (
@@ -74,7 +74,7 @@
 // Parse reads and checks settings, and fills defaults in.
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{Limits: Limits{
-		MaxInFlight: defaultMaxInFlight, MaxBodyBytes: defaultMaxBody, MaxTotalBodyBytes: defaultMaxBodies,
+		MaxInFlight: defaultMaxInFlight, MaxBodyBytes: defaultMaxBodyBytes, MaxTotalBodyBytes: defaultMaxTotalBodyBytes,
 	}}
 	if err := operator.DecodeStrict(data, s); err != nil {
 		return nil, errors.Wrap(err, "settings")
@@ -91,7 +91,7 @@
 	for _, n := range []struct{ field, got string }{
 		{"name", s.Name}, {"region", s.Region}, {"failure-domain", s.FailureDomain},
 	} {
-		if n.got == "" || len(n.got) > maxNameLetters || strings.Trim(n.got, "abcdefghijklmnopqrstuvwxyz0123456789-") != "" {
+		if n.got == "" || len(n.got) > maxNameLength || strings.Trim(n.got, "abcdefghijklmnopqrstuvwxyz0123456789-") != "" {
 			add(n.field, "1 to 64 lower-case letters, digits and hyphens", quote(n.got))
 		}
 	}
@@ -105,31 +105,31 @@
 			add(a.field, "an IP address that others reach, and a port", quote(a.got.String()))
 		}
 	}
-	if s.Limits.MaxInFlight < 1 || s.Limits.MaxInFlight > maxInFlightLimit {
+	if s.Limits.MaxInFlight < 1 || s.Limits.MaxInFlight > inFlightLimit {
 		add("limits.in-flight-requests", "between 1 and 1000000", "another number")
 	}
 	if s.Limits.MaxBodyBytes < 1 || s.Limits.MaxBodyBytes > s.Limits.MaxTotalBodyBytes {
 		add("limits.request-body-bytes", "between 1 and limits.all-request-bodies-bytes", "another number")
 	}
-	if s.Limits.MaxTotalBodyBytes > bytesLimit {
+	if s.Limits.MaxTotalBodyBytes > totalBodyBytesLimit {
 		add("limits.all-request-bodies-bytes", "at most 16 GiB", "more")
 	}
-	problems = append(problems, s.checkOthers()...)
+	problems = append(problems, s.validatePlatformAndTrust()...)
 	return errors.Join(problems...)
 }
 
-func (s *Settings) checkOthers() []error {
+func (s *Settings) validatePlatformAndTrust() []error {
 	var problems []error
 	if len(s.PlatformAddresses) == 0 {
 		problems = append(problems, &operator.FieldError{Field: "platform", Want: "at least one address", Got: "none"})
 	}
-	people := make(map[string]bool)
+	operators := make(map[string]bool)
 	for _, k := range s.TrustedOperators {
-		people[k.Operator] = true
+		operators[k.Operator] = true
 	}
-	if len(people) < 2 {
+	if len(operators) < 2 {
 		problems = append(problems, &operator.FieldError{
-			Field: "trusted-operators", Want: "keys of at least two people", Got: quote(strings.Join(keysOf(people), ", ")),
+			Field: "trusted-operators", Want: "keys of at least two people", Got: quote(strings.Join(setMembers(operators), ", ")),
 		})
 	}
 	given := 0
@@ -144,7 +144,7 @@
 	return problems
 }
 
-func keysOf(set map[string]bool) []string {
+func setMembers(set map[string]bool) []string {
 	var names []string
 	for name := range set {
 		names = append(names, name)
--- a/internal/proxy/settings/settings_test.go
+++ b/internal/proxy/settings/settings_test.go
@@ -8,8 +8,8 @@
 )
 
 type (
-	// wrongSettings is one edit of a good file and what the error must name.
-	wrongSettings struct {
+	// invalidSettings is one edit of a good file and what the error must name.
+	invalidSettings struct {
 		Name  string          `json:"name"`
 		Field string          `json:"field"`
 		Value json.RawMessage `json:"value"`
@@ -17,7 +17,7 @@
 	}
 )
 
-func goodFile(t *testing.T) map[string]json.RawMessage {
+func validFields(t *testing.T) map[string]json.RawMessage {
 	t.Helper()
 	data, err := os.ReadFile("testdata/good.json")
 	if err != nil {
@@ -30,7 +30,7 @@
 	return fields
 }
 
-func parse(t *testing.T, fields map[string]json.RawMessage) (*Settings, error) {
+func parseFields(t *testing.T, fields map[string]json.RawMessage) (*Settings, error) {
 	t.Helper()
 	data, err := json.Marshal(fields)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return Parse(data)
 }
 
-func TestGoodSettingsGetDefaults(t *testing.T) {
-	s, err := parse(t, goodFile(t))
+func TestDefaultsAreFilledIn(t *testing.T) {
+	s, err := parseFields(t, validFields(t))
 	if err != nil {
 		t.Fatalf("got error %v, want none", err)
 	}
@@ -49,22 +49,22 @@
 	}
 }
 
-// TestWrongSettings reads edits from a data file; each must give an error that
+// TestInvalidSettings reads edits from a data file; each must give an error that
 // names the field.
-func TestWrongSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	data, err := os.ReadFile("testdata/wrong.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var cases []wrongSettings
+	var cases []invalidSettings
 	if err := json.Unmarshal(data, &cases); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range cases {
 		t.Run(c.Name, func(t *testing.T) {
-			fields := goodFile(t)
+			fields := validFields(t)
 			fields[c.Field] = c.Value
-			_, err := parse(t, fields)
+			_, err := parseFields(t, fields)
 			if err == nil {
 				t.Fatalf("got no error, want one that names %q", c.Want)
 			}
--- a/internal/proxy/settings/tls.go
+++ b/internal/proxy/settings/tls.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// reloadCheck is how often the files' times are looked at.
-	reloadCheck = 2 * time.Second
+	// reloadCheckInterval is how often the files' times are looked at.
+	reloadCheckInterval = 2 * time.Second
 )
 
 type (
 	// Identity is the proxy's TLS identity, read again when its files are
 	// replaced. A replacement that does not load leaves the old one in use.
 	Identity struct {
-		files   TLSFiles
-		mu      sync.Mutex
-		checked time.Time
-		changed time.Time
-		cert    *tls.Certificate
-		pool    *x509.CertPool
+		files     TLSFiles
+		mu        sync.Mutex
+		lastCheck time.Time
+		modTime   time.Time
+		cert      *tls.Certificate
+		pool      *x509.CertPool
 	}
 )
 
@@ -55,11 +55,11 @@
 	}
 	i.cert = &cert
 	i.pool = pool
-	i.changed = i.newest()
+	i.modTime = i.latestModTime()
 	return nil
 }
 
-func (i *Identity) newest() time.Time {
+func (i *Identity) latestModTime() time.Time {
 	var newest time.Time
 	for _, name := range []string{i.files.Certificate, i.files.Key, i.files.Authority} {
 		if info, err := os.Stat(name); err == nil && info.ModTime().After(newest) {
@@ -72,9 +72,9 @@
 func (i *Identity) current() (*tls.Certificate, *x509.CertPool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if time.Since(i.checked) > reloadCheck {
-		i.checked = time.Now()
-		if i.newest().After(i.changed) {
+	if time.Since(i.lastCheck) > reloadCheckInterval {
+		i.lastCheck = time.Now()
+		if i.latestModTime().After(i.modTime) {
 			// A half-written file fails to load; the next check tries again.
 			_ = i.load()
 		}
