--- a/internal/adapter/peerdrpc/backpressure.go
+++ b/internal/adapter/peerdrpc/backpressure.go
@@ -27,7 +27,7 @@
 	for _, s := range list {
 		rate := s.GetLimitPerSecond()
 		if math.IsNaN(rate) || rate < 0 {
-			return nil, errors.Errorf("signals: limit_per_second: must be 0 or more, got %v", rate)
+			return nil, errors.Errorf("signals: limit_per_second must be 0 or more, got %v", rate)
 		}
 		reports = append(reports, backpressure.Report{
 			Server: quarantine.InstanceID(s.GetServer()), Age: max(0, time.Duration(s.GetAgeMilli())*time.Millisecond),
--- a/internal/adapter/peerdrpc/client.go
+++ b/internal/adapter/peerdrpc/client.go
@@ -26,14 +26,15 @@
 )
 
 type (
-	// Client calls peers over pooled connections.
+	// Client calls other proxies over pooled connections.
 	Client struct {
 		pool *drpcpool.Pool[netip.AddrPort, drpcpool.Conn]
-		// TLS returns the current client configuration, nil for plain TCP.
+		// TLS returns the current client configuration, or nil for plain TCP.
 		TLS func() *tls.Config
-		// OnSent counts the bytes written to peers.
+		// OnSent is called with the number of bytes of each write to a peer. Bytes are counted only
+		// if OnReceived is set too.
 		OnSent func(int)
-		// OnReceived counts the bytes read from peers.
+		// OnReceived is called with the number of bytes of each read from a peer.
 		OnReceived func(int)
 	}
 
@@ -43,7 +44,7 @@
 	}
 )
 
-// NewClient makes a client.
+// NewClient returns a client. config returns the current TLS configuration, or nil for plain TCP.
 func NewClient(config func() *tls.Config) *Client {
 	return &Client{
 		pool: drpcpool.New[netip.AddrPort, drpcpool.Conn](drpcpool.Options{
@@ -53,8 +54,8 @@
 	}
 }
 
-// Close ends all pooled connections.
-func (c *Client) Close() error { return errs.Wrap(c.pool.Close(), "close pool") }
+// Close closes all pooled connections.
+func (c *Client) Close() error { return errs.Wrap(c.pool.Close(), "close connection pool") }
 
 // Write implements net.Conn.
 func (c *countedConn) Write(p []byte) (int, error) {
@@ -82,13 +83,13 @@
 		conn = &countedConn{Conn: conn, sent: c.OnSent, received: c.OnReceived}
 	}
 	if config := c.TLS(); config != nil {
-		// The certificate must name the IP address that was dialled.
+		// The peer's certificate must be valid for the IP address that was dialed.
 		config = config.Clone()
 		config.ServerName = address.Addr().String()
 		secure := tls.Client(conn, config)
 		if err := secure.HandshakeContext(ctx); err != nil {
 			_ = conn.Close()
-			return nil, errors.Wrap(err, "TLS with peer")
+			return nil, errors.Wrap(err, "TLS handshake with peer")
 		}
 		conn = secure
 	}
@@ -99,7 +100,7 @@
 	return peerpb.NewDRPCPeerClient(c.pool.Get(ctx, m.PeerAddress, c.dial))
 }
 
-// Exchange compares versions with a peer.
+// Exchange sends the sender's state versions and updates to a peer and returns the peer's.
 func (c *Client) Exchange(ctx context.Context, to peer.Member, e peer.Exchange) (peer.Exchange, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -110,7 +111,7 @@
 	return decodeExchange(out)
 }
 
-// Borrow asks a peer for quota.
+// Borrow requests a loan of quota from a peer, or the renewal of one.
 func (c *Client) Borrow(ctx context.Context, to peer.Member, r peer.BorrowRequest) (peer.BorrowReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -122,7 +123,7 @@
 		Renew:    uint64(r.Renew),
 	})
 	if err != nil {
-		return peer.BorrowReply{}, errors.Wrap(err, "borrow")
+		return peer.BorrowReply{}, errors.Wrap(err, "borrow quota")
 	}
 	return peer.BorrowReply{
 		Stamp:  decodeStamp(out.GetStamp()),
@@ -131,23 +132,23 @@
 	}, nil
 }
 
-// Forward hands a request to the minter of its token. The context's deadline
-// is the request's.
+// Forward forwards a request to the proxy that minted its token. The context carries the deadline
+// of the request.
 func (c *Client) Forward(ctx context.Context, to peer.Member, f peer.ForwardRequest) (peer.ForwardReply, error) {
 	out, err := c.peerClient(ctx, to).Forward(ctx, encodeForwardRequest(f))
 	if err != nil {
-		return peer.ForwardReply{}, errors.Wrap(err, "forward")
+		return peer.ForwardReply{}, errors.Wrap(err, "forward request")
 	}
 	return decodeForwardReply(out), nil
 }
 
-// Handover leaves records to a peer.
+// Handover transfers token records to a peer.
 func (c *Client) Handover(ctx context.Context, to peer.Member, h peer.HandoverRequest) (peer.Stamp, error) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	out, err := c.peerClient(ctx, to).Handover(ctx, encodeHandover(h))
 	if err != nil {
-		return peer.Stamp{}, errors.Wrap(err, "hand over")
+		return peer.Stamp{}, errors.Wrap(err, "hand over records")
 	}
 	return decodeStamp(out.GetStamp()), nil
 }
--- a/internal/adapter/peerdrpc/convert.go
+++ b/internal/adapter/peerdrpc/convert.go
@@ -1,5 +1,5 @@
-// Package peerdrpc carries the kernel's messages between proxies over drpc,
-// with TLS where the settings name files.
+// Package peerdrpc sends and receives the kernel's messages between proxies over DRPC. Connections
+// use TLS if the settings name certificate files.
 package peerdrpc
 
 import (
@@ -38,8 +38,8 @@
 	}
 }
 
-// decodeMember reads a record. Addresses that do not parse stay invalid; the
-// kernel keeps such a member but nobody can be sent to it.
+// decodeMember converts a member record. Addresses that do not parse stay invalid: the kernel keeps
+// the member, but nothing can be sent to it.
 func decodeMember(m *peerpb.Member) peer.Member {
 	address, _ := netip.ParseAddrPort(m.GetAddress())
 	peerAddress, _ := netip.ParseAddrPort(m.GetPeerAddress())
@@ -79,11 +79,11 @@
 		out.Members = append(out.Members, encodeMember(m))
 	}
 	for _, row := range e.Rows {
-		one := &peerpb.Row{}
+		encoded := &peerpb.Row{}
 		for _, share := range row {
-			one.Permille = append(one.Permille, uint32(share))
+			encoded.Permille = append(encoded.Permille, uint32(share))
 		}
-		out.Rows = append(out.Rows, one)
+		out.Rows = append(out.Rows, encoded)
 	}
 	out.Suspicions, out.Signals = encodeQuarantineReports(e.QuarantineReports), encodeBackpressureReports(e.BackpressureReports)
 	return out
@@ -110,11 +110,11 @@
 		in.Members = append(in.Members, decodeMember(m))
 	}
 	for _, row := range e.GetRows() {
-		var one []int
+		var shares []int
 		for _, share := range row.GetPermille() {
-			one = append(one, int(share))
+			shares = append(shares, int(share))
 		}
-		in.Rows = append(in.Rows, one)
+		in.Rows = append(in.Rows, shares)
 	}
 	var err error
 	if in.QuarantineReports, err = decodeQuarantineReports(e.GetSuspicions()); err != nil {
@@ -140,18 +140,18 @@
 	return h
 }
 
-func encodeResponse(a *caller.Response) *peerpb.Answer {
-	if a == nil {
+func encodeResponse(r *caller.Response) *peerpb.Answer {
+	if r == nil {
 		return nil
 	}
-	return &peerpb.Answer{Status: int32(a.Status), Header: encodeHeader(a.Header), Body: a.Body}
+	return &peerpb.Answer{Status: int32(r.Status), Header: encodeHeader(r.Header), Body: r.Body}
 }
 
-func decodeResponse(a *peerpb.Answer) *caller.Response {
-	if a == nil {
+func decodeResponse(r *peerpb.Answer) *caller.Response {
+	if r == nil {
 		return nil
 	}
-	return &caller.Response{Status: int(a.GetStatus()), Header: decodeHeader(a.GetHeader()), Body: a.GetBody()}
+	return &caller.Response{Status: int(r.GetStatus()), Header: decodeHeader(r.GetHeader()), Body: r.GetBody()}
 }
 
 func encodeForwardRequest(f peer.ForwardRequest) *peerpb.ForwardRequest {
@@ -208,14 +208,14 @@
 
 func encodeHandover(h peer.HandoverRequest) *peerpb.HandoverRequest {
 	out := &peerpb.HandoverRequest{From: h.From, Stamp: encodeStamp(h.Stamp)}
-	for _, one := range h.Records {
+	for _, handover := range h.Records {
 		message := &peerpb.Handover{
-			Minter:         one.Minter.Name,
-			Incarnation:    one.Minter.Incarnation,
-			Key:            one.Key[:],
-			RetentionMilli: one.Retention.Milliseconds(),
+			Minter:         handover.Minter.Name,
+			Incarnation:    handover.Minter.Incarnation,
+			Key:            handover.Key[:],
+			RetentionMilli: handover.Retention.Milliseconds(),
 		}
-		for _, r := range one.Records {
+		for _, r := range handover.Records {
 			message.Records = append(message.Records, &peerpb.Record{
 				Nonce:           r.Nonce[:],
 				State:           uint32(r.State),
@@ -232,11 +232,11 @@
 func decodeHandover(h *peerpb.HandoverRequest) peer.HandoverRequest {
 	in := peer.HandoverRequest{From: h.GetFrom(), Stamp: decodeStamp(h.GetStamp())}
 	for _, message := range h.GetHandovers() {
-		one := caller.Handover{
+		handover := caller.Handover{
 			Minter:    caller.Minter{Name: message.GetMinter(), Incarnation: message.GetIncarnation()},
 			Retention: time.Duration(message.GetRetentionMilli()) * time.Millisecond,
 		}
-		copy(one.Key[:], message.GetKey())
+		copy(handover.Key[:], message.GetKey())
 		for _, r := range message.GetRecords() {
 			record := caller.TokenRecord{
 				State:           uint8(r.GetState()),
@@ -245,12 +245,12 @@
 				Expiry:          time.UnixMilli(r.GetExpiryUnixMilli()),
 			}
 			copy(record.Nonce[:], r.GetNonce())
-			one.Records = append(one.Records, record)
+			handover.Records = append(handover.Records, record)
 		}
-		in.Records = append(in.Records, one)
+		in.Records = append(in.Records, handover)
 	}
 	return in
 }
 
-// ExchangeSize is the size of an exchange on the wire, without the frame.
+// ExchangeSize returns the encoded size of an exchange in bytes, without framing.
 func ExchangeSize(e peer.Exchange) int { return proto.Size(encodeExchange(e)) }
--- a/internal/adapter/peerdrpc/limits.go
+++ b/internal/adapter/peerdrpc/limits.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// reportTimeout bounds a report to a pool: a round trip to another region and some
-	// time on a slow VM. A pool that takes longer is of no use.
+	// reportTimeout limits a report to a quota pool. It allows for a round trip to another region
+	// and processing on a slow VM; a pool that takes longer is of no use.
 	reportTimeout = 250 * time.Millisecond
-	// tokenTimeout bounds a question to a pool, for which a caller's request waits.
+	// tokenTimeout limits a token request to a quota pool, during which a caller's request waits.
 	tokenTimeout = 150 * time.Millisecond
 )
 
-// ReportLimits tells a pool what a proxy gives away and wants.
+// ReportLimits reports to a quota pool the shares that a proxy deposits and requests, and returns
+// what the pool grants.
 func (c *Client) ReportLimits(ctx context.Context, to netip.AddrPort, r ratelimit.Report) (ratelimit.Grants, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -28,7 +29,7 @@
 		Wants: encodeShares(r.Wants), Withdraws: r.Withdraws, Lends: r.Lends, Starter: uint32(r.Starter), Start: r.Start,
 	})
 	if err != nil {
-		return ratelimit.Grants{}, errors.Wrap(err, "report to the pool of limits")
+		return ratelimit.Grants{}, errors.Wrap(err, "report to quota pool")
 	}
 	return ratelimit.Grants{
 		Pool: out.GetPool(), Clock: decodeMicros(out.GetClockMicro()), ID: out.GetId(), Shares: decodeShares(out.GetShares()),
@@ -36,21 +37,21 @@
 	}, nil
 }
 
-// TakeToken asks a pool for one request of an account.
+// TakeToken requests a token for one request of an account from a quota pool.
 func (c *Client) TakeToken(ctx context.Context, to netip.AddrPort, account string) (ratelimit.TokenReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
 	out, err := peerpb.NewDRPCReplicaClient(c.pool.Get(ctx, to, c.dial)).TakeToken(ctx, &peerpb.TokenRequest{Account: account})
 	if err != nil {
-		return ratelimit.TokenReply{}, errors.Wrap(err, "ask the pool of limits")
+		return ratelimit.TokenReply{}, errors.Wrap(err, "request token from quota pool")
 	}
 	return ratelimit.TokenReply{Granted: out.GetGranted(), Wait: decodeMicros(out.GetWaitMicro())}, nil
 }
 
-// ReportLimits implements the generated interface.
+// ReportLimits implements peerpb.DRPCReplicaServer.
 func (s *syncService) ReportLimits(_ context.Context, in *peerpb.LimitReport) (*peerpb.LimitGrants, error) {
 	if in.GetFrom() == "" || in.GetClockMicro() < 0 || in.GetPart() > uint32(ratelimit.FullShare) {
-		return nil, errors.New("report of limits: sender, clock or part is wrong")
+		return nil, errors.New("rate limit report: invalid from, clock_micro or part")
 	}
 	g := s.handlers.ReportLimits(ratelimit.Report{
 		From: in.GetFrom(), Part: ratelimit.Share(in.GetPart()), Pool: in.GetPool(), Echo: decodeMicros(in.GetClockMicro()),
@@ -63,7 +64,7 @@
 	}, nil
 }
 
-// TakeToken implements the generated interface.
+// TakeToken implements peerpb.DRPCReplicaServer.
 func (s *syncService) TakeToken(_ context.Context, in *peerpb.TokenRequest) (*peerpb.TokenReply, error) {
 	t := s.handlers.TakeToken(in.GetAccount())
 	return &peerpb.TokenReply{Granted: t.Granted, WaitMicro: t.Wait.Microseconds()}, nil
--- a/internal/adapter/peerdrpc/peerdrpc_test.go
+++ b/internal/adapter/peerdrpc/peerdrpc_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	template := &x509.Certificate{
-		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"}, NotAfter: time.Now().Add(time.Hour),
+		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test CA"}, NotAfter: time.Now().Add(time.Hour),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &a.key.PublicKey, a.key)
@@ -64,7 +64,7 @@
 	return path
 }
 
-// newIdentity is a VM's identity for 127.0.0.1, signed by the authority.
+// newIdentity returns a VM's TLS identity for 127.0.0.1, signed by the CA.
 func (a *testCA) newIdentity() *settings.Identity {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -96,7 +96,7 @@
 
 func noTLS() *tls.Config { return nil }
 
-// startServer answers exchanges by echoing them, and hand-overs into a channel.
+// startServer starts a peer that echoes exchanges and sends received handovers to a channel.
 func startServer(t *testing.T, config *tls.Config, records chan<- peer.HandoverRequest) peer.Member {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -135,8 +135,7 @@
 	}
 }
 
-// TestMessagesRoundTrip: a field left out of the conversion would be lost
-// between proxies without any error.
+// A field missing from the conversion would be lost between proxies without an error.
 func TestMessagesRoundTrip(t *testing.T) {
 	records := make(chan peer.HandoverRequest, 1)
 	to := startServer(t, nil, records)
@@ -161,16 +160,15 @@
 		t.Fatal(err)
 	}
 	if got := <-records; !reflect.DeepEqual(got, handover) {
-		t.Errorf("got hand-over %+v, want %+v", got, handover)
+		t.Errorf("got handover %+v, want %+v", got, handover)
 	}
 }
 
-// TestOnlyPeersWithCertificateOfCA: somebody on the network speaks to a proxy's peer
-// address without a certificate, or with one of another authority. Neither may
-// exchange, borrow quota or take records over.
+// Connections to a proxy's peer address without a certificate, or with one of another CA, must be
+// rejected. Otherwise anyone on the network could exchange state, borrow quota or take over records.
 func TestOnlyPeersWithCertificateOfCA(t *testing.T) {
-	own, other := newTestCA(t), newTestCA(t)
-	identity, stranger := own.newIdentity(), other.newIdentity()
+	ca, otherCA := newTestCA(t), newTestCA(t)
+	identity, otherIdentity := ca.newIdentity(), otherCA.newIdentity()
 	to := startServer(t, identity.ServerConfig(true), nil)
 	cases := []struct {
 		name   string
@@ -179,7 +177,7 @@
 	}{
 		{"a peer", identity.ClientConfig, true},
 		{"plain TCP", noTLS, false},
-		{"another authority", stranger.ClientConfig, false},
+		{"another CA", otherIdentity.ClientConfig, false},
 		{"no certificate", func() *tls.Config {
 			c := identity.ClientConfig()
 			c.Certificates = nil
@@ -192,7 +190,7 @@
 			defer func() { _ = client.Close() }()
 			_, err := client.Exchange(context.Background(), to, sampleExchange())
 			if got := err == nil; got != c.want {
-				t.Errorf("got an answer %v (error %v), want %v", got, err, c.want)
+				t.Errorf("got a reply: %v (error %v), want %v", got, err, c.want)
 			}
 		})
 	}
--- a/internal/adapter/peerdrpc/quarantine.go
+++ b/internal/adapter/peerdrpc/quarantine.go
@@ -26,7 +26,7 @@
 	for _, s := range list {
 		var r quarantine.Report
 		if len(s.GetWork()) != len(r.Fingerprint) {
-			return nil, errors.Errorf("suspicions: work: must have %d bytes, got %d", len(r.Fingerprint), len(s.GetWork()))
+			return nil, errors.Errorf("suspicions: work must have %d bytes, got %d", len(r.Fingerprint), len(s.GetWork()))
 		}
 		copy(r.Fingerprint[:], s.GetWork())
 		r.Succeeded = s.GetRanWell()
--- a/internal/adapter/peerdrpc/server.go
+++ b/internal/adapter/peerdrpc/server.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// MaxMessageBytes bounds one message; a hand-over is the largest.
+	// MaxMessageBytes limits the size of one message. The largest are handovers.
 	MaxMessageBytes = 16 << 20
 )
 
 type (
-	// Handlers answers peers. Each field is the kernel's own method behind
-	// the driver's lock, but for Forward, which runs a whole request.
+	// Handlers handles the calls of peers. Each field calls the kernel method of the same purpose
+	// under the driver's lock, except for Forward, which serves a whole request.
 	Handlers struct {
 		Exchange func(peer.Exchange) peer.Exchange
 		Borrow   func(peer.BorrowRequest) peer.BorrowReply
@@ -33,20 +33,21 @@
 		Handover func(peer.HandoverRequest) peer.Stamp
 	}
 
-	// SyncHandlers answers proxies on the platform.
+	// SyncHandlers handles the calls of peers that replicate the platform's store.
 	SyncHandlers struct {
-		// Sync compares copies of the store.
+		// Sync merges a peer's changes to the store and returns those that the peer lacks.
 		Sync func(SyncMessage) SyncMessage
-		// RequestSlot answers for places at servers whose gates are here, Release takes them
-		// back, Grant hears what has become of an own question.
+		// RequestSlot handles a request for a slot of a server whose limiter this proxy owns, and
+		// ReleaseSlot the return of such a slot. HandleSlotReply handles the decision on a slot
+		// request of this proxy.
 		RequestSlot     func(steering.SlotRequest) steering.SlotReply
 		ReleaseSlot     func(steering.SlotRelease)
 		HandleSlotReply func(steering.SlotReply)
-		// ReportLimits answers proxies whose pool of limits is here, TakeToken those that
-		// ask it for one request of an account.
+		// ReportLimits handles a report to the quota pool that this proxy runs, and TakeToken a
+		// request for one token of an account.
 		ReportLimits func(ratelimit.Report) ratelimit.Grants
 		TakeToken    func(account string) ratelimit.TokenReply
-		// Now is the clock by which moments are told.
+		// Now returns the time to which the relative times of messages are added.
 		Now func() time.Time
 	}
 
@@ -55,7 +56,7 @@
 	}
 )
 
-// Serve answers peers until the context ends.
+// Serve handles the calls of peers until the context is done.
 func Serve(ctx context.Context, listener net.Listener, h Handlers) error {
 	mux := drpcmux.New()
 	if err := peerpb.DRPCRegisterPeer(mux, &peerService{handlers: h}); err != nil {
@@ -64,7 +65,7 @@
 	return serveMux(ctx, listener, mux)
 }
 
-// ServeSync answers proxies on the platform until the context ends.
+// ServeSync handles the calls of peers that replicate the platform's store until the context is done.
 func ServeSync(ctx context.Context, listener net.Listener, h SyncHandlers) error {
 	mux := drpcmux.New()
 	if err := peerpb.DRPCRegisterReplica(mux, &syncService{handlers: h}); err != nil {
@@ -75,14 +76,14 @@
 
 func serveMux(ctx context.Context, listener net.Listener, mux *drpcmux.Mux) error {
 	server := drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: managerOptions()})
-	return errs.Wrap(server.Serve(ctx, listener), "serve peers")
+	return errs.Wrap(server.Serve(ctx, listener), "serve peer connections")
 }
 
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageBytes}}
 }
 
-// Exchange implements the generated interface.
+// Exchange implements peerpb.DRPCPeerServer.
 func (s *peerService) Exchange(_ context.Context, in *peerpb.ExchangeMessage) (*peerpb.ExchangeMessage, error) {
 	e, err := decodeExchange(in)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return encodeExchange(s.handlers.Exchange(e)), nil
 }
 
-// Borrow implements the generated interface.
+// Borrow implements peerpb.DRPCPeerServer.
 func (s *peerService) Borrow(_ context.Context, in *peerpb.BorrowRequest) (*peerpb.BorrowReply, error) {
 	reply := s.handlers.Borrow(peer.BorrowRequest{
 		From:     in.GetFrom(),
@@ -107,12 +108,12 @@
 	}, nil
 }
 
-// Forward implements the generated interface.
+// Forward implements peerpb.DRPCPeerServer.
 func (s *peerService) Forward(ctx context.Context, in *peerpb.ForwardRequest) (*peerpb.ForwardReply, error) {
 	return encodeForwardReply(s.handlers.Forward(ctx, decodeForwardRequest(in))), nil
 }
 
-// Handover implements the generated interface.
+// Handover implements peerpb.DRPCPeerServer.
 func (s *peerService) Handover(_ context.Context, in *peerpb.HandoverRequest) (*peerpb.HandoverReply, error) {
 	return &peerpb.HandoverReply{Stamp: encodeStamp(s.handlers.Handover(decodeHandover(in)))}, nil
 }
--- a/internal/adapter/peerdrpc/slot.go
+++ b/internal/adapter/peerdrpc/slot.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	// slotRequestTimeout bounds a question to the owner of a gate: a round trip to another
-	// region and some time on a slow VM. Until then a caller's request waits.
+	// slotRequestTimeout limits a slot request to the owner of a limiter, during which a caller's
+	// request waits. It allows for a round trip to another region and processing on a slow VM.
 	slotRequestTimeout = 200 * time.Millisecond
 )
 
-// RequestSlot asks the owner of a server's gate for a place, at a moment of the own clock.
+// RequestSlot requests a slot from the owner of a server's limiter. Times are sent relative to now,
+// because the clocks of proxies differ.
 func (c *Client) RequestSlot(ctx context.Context, to netip.AddrPort, now time.Time, a steering.SlotRequest) (steering.SlotReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, slotRequestTimeout)
 	defer cancel()
@@ -29,30 +30,30 @@
 		Limit: encodeLimit("", a.Limit),
 	})
 	if err != nil {
-		return steering.SlotReply{}, errors.Wrap(err, "ask for a place")
+		return steering.SlotReply{}, errors.Wrap(err, "request slot")
 	}
 	return decodeSlotReply(out), nil
 }
 
-// ReleaseSlot gives a place back to the owner of its gate.
+// ReleaseSlot returns a slot to the owner of its limiter.
 func (c *Client) ReleaseSlot(ctx context.Context, to netip.AddrPort, r steering.SlotRelease) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := peerpb.NewDRPCReplicaClient(c.pool.Get(ctx, to, c.dial)).Release(ctx, &peerpb.ReleaseMessage{
 		From: r.From, Id: r.ID, Server: r.Server, Rank: uint32(r.Rank), Ratio: float32(r.Ratio),
 	})
-	return errs.Wrap(err, "give a place back")
+	return errs.Wrap(err, "release slot")
 }
 
-// SendSlotReply tells a proxy what has become of its question.
+// SendSlotReply sends a proxy the decision on its slot request.
 func (c *Client) SendSlotReply(ctx context.Context, to netip.AddrPort, r steering.SlotReply) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := peerpb.NewDRPCReplicaClient(c.pool.Get(ctx, to, c.dial)).Grant(ctx, encodeSlotReply(r))
-	return errs.Wrap(err, "grant a place")
+	return errs.Wrap(err, "send slot reply")
 }
 
-// Ask implements the generated interface.
+// Ask implements peerpb.DRPCReplicaServer.
 func (s *syncService) Ask(_ context.Context, in *peerpb.AskMessage) (*peerpb.PlaceMessage, error) {
 	now := s.handlers.Now()
 	after := func(micro int64) time.Time { return now.Add(time.Duration(micro) * time.Microsecond) }
@@ -65,7 +66,7 @@
 	})), nil
 }
 
-// Release implements the generated interface.
+// Release implements peerpb.DRPCReplicaServer.
 func (s *syncService) Release(_ context.Context, in *peerpb.ReleaseMessage) (*peerpb.Nothing, error) {
 	s.handlers.ReleaseSlot(steering.SlotRelease{
 		From: in.GetFrom(), ID: in.GetId(), Server: in.GetServer(), Rank: int(in.GetRank()), Ratio: float64(in.GetRatio()),
@@ -73,7 +74,7 @@
 	return &peerpb.Nothing{}, nil
 }
 
-// Grant implements the generated interface.
+// Grant implements peerpb.DRPCReplicaServer.
 func (s *syncService) Grant(_ context.Context, in *peerpb.PlaceMessage) (*peerpb.Nothing, error) {
 	s.handlers.HandleSlotReply(decodeSlotReply(in))
 	return &peerpb.Nothing{}, nil
--- a/internal/adapter/peerdrpc/sync.go
+++ b/internal/adapter/peerdrpc/sync.go
@@ -19,31 +19,32 @@
 )
 
 const (
-	// minCompressBytes is the size of the entries, in bytes, from which they are
-	// packed. Below it a message is a packet or a few.
+	// minCompressBytes is the size from which entries are compressed. A smaller message takes
+	// only one packet or a few.
 	minCompressBytes = 4 << 10
-	// compressionLevel is the fastest: registrations are much alike (BenchmarkCompressEntries).
+	// compressionLevel is the fastest level, since registrations are similar enough to compress well
+	// (BenchmarkCompressEntries).
 	compressionLevel = flate.BestSpeed
-	// maxDecompressedBytes bounds what a peer's message may unpack to, in bytes.
+	// maxDecompressedBytes limits the decompressed size of the entries in a peer's message.
 	maxDecompressedBytes = 64 << 20
 )
 
 type (
-	// SyncMessage is what two proxies tell each other of their copies.
+	// SyncMessage is exchanged between two proxies to synchronize their copies of the store.
 	SyncMessage struct {
 		From string
-		// StartMillis is when the sender's process started: Unix milliseconds of its
-		// own clock, zero if it does not tell.
+		// StartMillis is the start time of the sender's process in Unix milliseconds, by its own
+		// clock, or zero if it is not known.
 		StartMillis int64
 		Leaving     bool
 		replica.Delta
-		// LearnedLimits are the services that the sender holds back by its own signs.
+		// LearnedLimits are the services whose concurrency the sender limits by evidence of its own.
 		LearnedLimits []steering.ServiceLimit
-		// QuarantineReports are works that were there at the ends of servers.
+		// QuarantineReports are about requests that were in flight when servers crashed.
 		QuarantineReports []quarantine.Report
-		// BackpressureReports are what backend servers ask of all proxies.
+		// BackpressureReports are the backpressure signals of backend servers to all proxies.
 		BackpressureReports []backpressure.Report
-		// OtherPeers may have what the sender may not give away now.
+		// OtherPeers may have the data that the sender may not send at present.
 		OtherPeers []netip.AddrPort
 	}
 
@@ -52,7 +53,7 @@
 	}
 )
 
-// Sync implements the generated interface.
+// Sync implements peerpb.DRPCReplicaServer.
 func (s *syncService) Sync(_ context.Context, in *peerpb.SyncMessage) (*peerpb.SyncMessage, error) {
 	m, err := decodeSync(in)
 	if err != nil {
@@ -61,7 +62,7 @@
 	return encodeSync(s.handlers.Sync(m))
 }
 
-// Sync exchanges copies with a peer.
+// Sync synchronizes the copies of the store with a peer.
 func (c *Client) Sync(ctx context.Context, to netip.AddrPort, m SyncMessage) (SyncMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -109,7 +110,7 @@
 	for _, text := range in.GetOthers() {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return SyncMessage{}, errors.Wrap(err, "others")
+			return SyncMessage{}, errors.Wrap(err, "parse others")
 		}
 		m.OtherPeers = append(m.OtherPeers, a)
 	}
@@ -137,37 +138,37 @@
 	return m, nil
 }
 
-// compressEntries compresses entries: registrations are much alike.
+// compressEntries encodes and compresses entries. Registrations are similar and compress well.
 func compressEntries(entries []*peerpb.Entry) ([]byte, error) {
-	plain, err := proto.Marshal(&peerpb.Entries{Entries: entries})
+	encoded, err := proto.Marshal(&peerpb.Entries{Entries: entries})
 	if err != nil {
-		return nil, errors.Wrap(err, "pack entries")
+		return nil, errors.Wrap(err, "compress entries")
 	}
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, compressionLevel)
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, compressionLevel)
 	if err != nil {
-		return nil, errors.Wrap(err, "pack entries")
+		return nil, errors.Wrap(err, "compress entries")
 	}
-	if _, err := w.Write(plain); err != nil {
-		return nil, errors.Wrap(err, "pack entries")
+	if _, err := w.Write(encoded); err != nil {
+		return nil, errors.Wrap(err, "compress entries")
 	}
 	if err := w.Close(); err != nil {
-		return nil, errors.Wrap(err, "pack entries")
+		return nil, errors.Wrap(err, "compress entries")
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
-func decompressEntries(packed []byte) ([]*peerpb.Entry, error) {
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDecompressedBytes+1))
+func decompressEntries(compressed []byte) ([]*peerpb.Entry, error) {
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxDecompressedBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "unpack entries")
+		return nil, errors.Wrap(err, "decompress entries")
 	}
-	if len(plain) > maxDecompressedBytes {
-		return nil, errors.Errorf("unpack entries: over %d bytes", maxDecompressedBytes)
+	if len(encoded) > maxDecompressedBytes {
+		return nil, errors.Errorf("decompress entries: more than %d bytes", maxDecompressedBytes)
 	}
 	var entries peerpb.Entries
-	if err := proto.Unmarshal(plain, &entries); err != nil {
-		return nil, errors.Wrap(err, "unpack entries")
+	if err := proto.Unmarshal(encoded, &entries); err != nil {
+		return nil, errors.Wrap(err, "decompress entries")
 	}
 	return entries.GetEntries(), nil
 }
--- a/internal/adapter/peerdrpc/sync_test.go
+++ b/internal/adapter/peerdrpc/sync_test.go
@@ -13,7 +13,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/replica"
 )
 
-// registrationSync is a whole copy of a fleet's servers, as they are registered.
+// registrationSync returns a full copy of the store with the registrations of n servers.
 func registrationSync(n int) SyncMessage {
 	m := SyncMessage{From: "proxy-a", Delta: replica.Delta{Revision: uint64(n), Full: true, Age: time.Second, KeyDigest: 1 << 63}}
 	r := rand.New(rand.NewPCG(1, 1))
@@ -27,7 +27,7 @@
 	return m
 }
 
-// A few entries travel as they are and many packed; what arrives is the same.
+// Few entries are sent uncompressed and many compressed. Both must be received unchanged.
 func TestSyncMessagesRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 3, 500} {
 		want := registrationSync(n)
@@ -46,17 +46,17 @@
 	}
 }
 
-// A peer of another version, or one that is broken, sends what does not unpack.
-// It must be an error, not a copy without entries: that would remove all.
+// A faulty peer, or one of another version, may send entries that cannot be decompressed. They must
+// be rejected and not be taken for a copy without entries, which would remove all entries.
 func TestCorruptCompressedEntriesAreRejected(t *testing.T) {
 	out, err := encodeSync(registrationSync(500))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, packed := range map[string][]byte{"cut": out.GetPacked()[:len(out.GetPacked())/2], "garbage": []byte("no pack")} {
-		broken := proto.CloneOf(out)
-		broken.Packed = packed
-		if _, err := decodeSync(broken); err == nil {
+	for name, compressed := range map[string][]byte{"cut": out.GetPacked()[:len(out.GetPacked())/2], "garbage": []byte("no pack")} {
+		corrupt := proto.CloneOf(out)
+		corrupt.Packed = compressed
+		if _, err := decodeSync(corrupt); err == nil {
 			t.Errorf("%s: got no error, want one", name)
 		}
 	}
--- a/internal/adapter/peerpb/doc.go
+++ b/internal/adapter/peerpb/doc.go
@@ -1,3 +1,3 @@
-// Package peerpb holds the generated messages between proxies. `make
-// generate` remakes it with protoc and the two Go plug-ins.
+// Package peerpb contains the generated code of the messages between proxies. `make generate`
+// regenerates it with protoc and the plugins protoc-gen-go and protoc-gen-go-drpc.
 package peerpb
