--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires one proxy process: kernel, driver, adapters, and the
-// order in which they start and stop.
+// Package daemon assembles one proxy process from the kernel, the driver and the adapters, and
+// starts and stops them in order.
 package daemon
 
 import (
@@ -31,7 +31,7 @@
 )
 
 const (
-	// maxConnectionsPerServer bounds the connections to one backend server.
+	// maxConnectionsPerServer limits the number of connections to one backend server.
 	maxConnectionsPerServer = 128
 )
 
@@ -50,7 +50,7 @@
 	}
 )
 
-// New makes a daemon from checked settings.
+// New returns a daemon for validated settings.
 func New(s *settings.Settings) (*Daemon, error) {
 	identity, err := settings.NewIdentity(s.TLS)
 	if err != nil {
@@ -107,16 +107,16 @@
 		Seeds:       s.SeedPeers,
 	}
 	if _, err := rand.Read(c.Seed[:]); err != nil {
-		return c, errors.Wrap(err, "seed")
+		return c, errors.Wrap(err, "generate seed")
 	}
 	if _, err := rand.Read(c.TokenKey[:]); err != nil {
-		return c, errors.Wrap(err, "token key")
+		return c, errors.Wrap(err, "generate token key")
 	}
-	// The incarnation must be larger after each restart, and unlike in two
-	// processes; a VM keeps nothing, so it comes from the clock and chance.
+	// The incarnation must increase with each restart and differ between two processes. A VM has no
+	// persistent storage, so the incarnation is composed of the wall clock and random bits.
 	var random [2]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return c, errors.Wrap(err, "incarnation")
+		return c, errors.Wrap(err, "generate incarnation")
 	}
 	c.Self.Incarnation = uint64(time.Now().UnixMilli())<<16 | uint64(binary.BigEndian.Uint16(random[:]))
 	return c, nil
@@ -136,7 +136,7 @@
 	return ready
 }
 
-// Run serves until stop ends, then stops as planned.
+// Run serves until the stop context is done, then performs a planned stop.
 func (d *Daemon) Run(stop context.Context) error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
@@ -163,15 +163,15 @@
 	case <-stop.Done():
 		d.stopGracefully(ctx)
 	case err := <-serveErrors:
-		return errors.Wrap(err, "listener")
+		return errors.Wrap(err, "serve listener")
 	}
 	cancel()
 	<-ticksDone
-	return errs.Wrap(d.peerClient.Close(), "close")
+	return errs.Wrap(d.peerClient.Close(), "close peer client")
 }
 
-// listen binds all addresses first: a process that cannot have its VM's
-// addresses must not take part, for another incarnation still holds them.
+// listen binds all addresses before anything is served. A process that cannot bind the addresses of
+// its VM must not join the fleet, because another incarnation still uses them.
 func (d *Daemon) listen() ([]net.Listener, error) {
 	addresses := []struct {
 		address netip.AddrPort
--- a/internal/proxy/daemon/metrics.go
+++ b/internal/proxy/daemon/metrics.go
@@ -13,8 +13,8 @@
 
 type (
 
-	// processMetrics holds the process's metrics. Names follow the Prometheus habit:
-	// base units, and _total for counters.
+	// processMetrics holds the metrics of the process. Names follow the Prometheus conventions: base
+	// units, and the suffix _total for counters.
 	processMetrics struct {
 		set               *metrics.Set
 		peerSentBytes     *metrics.Counter
@@ -40,7 +40,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("gypsumquay_platform_calls_total{operation=%q}", operation)).Inc()
 }
 
-// countEvent counts by kind. The driver's lock is held, so the map needs none.
+// countEvent counts an event by its kind. The map needs no lock because the driver's lock is held.
 func (m *processMetrics) countEvent(e core.Event) {
 	counter := m.eventCounters[e.Kind]
 	if counter == nil {
@@ -52,8 +52,8 @@
 
 func (m *processMetrics) observeRequest(service string, r caller.Result, took time.Duration) {
 	if r.Reason == caller.ReasonNoService {
-		// The name is the caller's own invention; as a label it would let
-		// anyone fill the memory with time series.
+		// The caller chose a service name that does not exist. As a label value, such names would let
+		// any caller create time series without limit and exhaust the memory.
 		service = ""
 	}
 	m.set.GetOrCreateCounter(fmt.Sprintf(
@@ -62,7 +62,7 @@
 		"gypsumquay_request_duration_seconds{service=%q}", service)).Update(took.Seconds())
 }
 
-// registerGauges adds gauges that read the kernel when asked.
+// registerGauges registers gauges that read the kernel when the metrics are collected.
 func (m *processMetrics) registerGauges(d *driver.Driver) {
 	gauge := func(name string, read func(core.Status) float64) {
 		m.set.NewGauge(name, func() float64 {
--- a/internal/proxy/daemon/process_test.go
+++ b/internal/proxy/daemon/process_test.go
@@ -28,7 +28,7 @@
 )
 
 type (
-	// fleet is a platform, backend servers and proxies as real processes.
+	// fleet runs a platform, backend servers and proxies as real processes.
 	fleet struct {
 		t       *testing.T
 		binDir  string
@@ -36,7 +36,7 @@
 		keys    [2]*operator.KeyPair
 		proxies []*exec.Cmd
 		client  *operatorhttp.Client
-		// callers, operators and peers are the proxies' addresses.
+		// callers, operators and peers are the listen addresses of the proxies.
 		callers, operators, peers []netip.AddrPort
 		platform, control         netip.AddrPort
 	}
@@ -82,9 +82,9 @@
 	return list
 }
 
-// bundleWithFreePorts copies an example with addresses of this run: with the example's
-// own, a demo or another run beside this one holds the ports, the stand-in
-// ends, and its control port refuses connections.
+// bundleWithFreePorts copies an example bundle and replaces its addresses by free ones. With the
+// addresses of the example, a demo or a concurrent test run may use the same ports. The fake backend
+// then exits, and its control port refuses connections.
 func (f *fleet) bundleWithFreePorts(example string) string {
 	f.t.Helper()
 	data, err := os.ReadFile(example)
@@ -105,7 +105,7 @@
 	return path
 }
 
-// startProcess starts a process that ends with the test.
+// startProcess starts a process that is killed at the end of the test.
 func (f *fleet) startProcess(name string, args ...string) *exec.Cmd {
 	f.t.Helper()
 	cmd := exec.Command(filepath.Join(f.binDir, name), args...)
@@ -167,12 +167,12 @@
 			return
 		}
 	}
-	f.t.Fatalf("%s did not happen within %s", what, waitTimeout)
+	f.t.Fatalf("timed out waiting for %s after %s", what, waitTimeout)
 }
 
-func (f *fleet) rollout(example string) {
+func (f *fleet) rollout(bundlePath string) {
 	f.t.Helper()
-	data, err := os.ReadFile(example)
+	data, err := os.ReadFile(bundlePath)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 		f.t.Fatal(err)
 	}
 	e.Operation = "first"
-	f.eventually("roll-out", func() bool {
+	f.eventually("rollout", func() bool {
 		out, err := f.client.Rollout(context.Background(), e)
 		return err == nil && out.Verdict == "accepted"
 	})
@@ -208,7 +208,7 @@
 	})
 }
 
-// startLoad makes callers that browse and book, and returns their report.
+// startLoad starts callers that browse and book. Their report is sent to the returned channel.
 func (f *fleet) startLoad(name string, duration, timeout time.Duration) <-chan callerfake.Report {
 	seeds := []netip.AddrPort{f.callers[0], f.callers[2], f.callers[3]}
 	callers := callerfake.NewFleet(callerfake.Plan{
@@ -220,7 +220,7 @@
 	return out
 }
 
-// bookingRuns counts how often each booking ran, over all backend servers.
+// bookingRuns returns how often each booking ran, summed over all backend servers.
 func (f *fleet) bookingRuns() map[string]int {
 	f.t.Helper()
 	response, err := http.Get("http://" + f.control.String() + "/stats")
@@ -250,10 +250,10 @@
 		}
 	}
 	if r.Booked > len(runs) {
-		f.t.Errorf("got %d bookings confirmed and %d run, want none confirmed that did not run", r.Booked, len(runs))
+		f.t.Errorf("got %d bookings confirmed and %d run, want every confirmed booking to have run", r.Booked, len(runs))
 	}
 	if r.Wrong != 0 || r.Truncated != 0 {
-		f.t.Errorf("got %d wrong and %d truncated answers, want none", r.Wrong, r.Truncated)
+		f.t.Errorf("got %d wrong and %d truncated responses, want none", r.Wrong, r.Truncated)
 	}
 	if r.Booked == 0 {
 		f.t.Error("got no bookings, want some")
@@ -261,17 +261,16 @@
 	f.t.Logf("outcomes %v, reasons %v, booked %d, run %d, cut %d, repeats %d", r.Outcomes, r.Reasons, r.Booked, len(runs), r.Cut, r.Repeats)
 }
 
-// TestRealProcesses does to real processes what the runs in virtual time
-// cannot show: signals. Callers browse and book all the while.
+// TestRealProcesses covers what runs in virtual time cannot: signals to real processes, while
+// callers browse and book.
 func TestRealProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	f := startFleet(t)
 
-	// A proxy is stopped in the middle of bookings and goes on four seconds
-	// later, when their callers have long asked others. What it had begun must
-	// not run a second time.
+	// A proxy is suspended during bookings and resumed four seconds later, after the callers have
+	// timed out and retried at other proxies. Requests that it had started must not run twice.
 	t.Run("frozen", func(_ *testing.T) {
 		report := f.startLoad("frozen", 10*time.Second, 2500*time.Millisecond)
 		time.Sleep(2 * time.Second)
@@ -281,8 +280,8 @@
 		f.checkAtMostOnce(<-report)
 	})
 
-	// A proxy stops as planned with requests in flight and callers that hold
-	// cached answers: no request is cut, no booking is left unsettled.
+	// A proxy performs a planned stop with requests in flight while callers have cached lookup
+	// answers. No request may be cut off, and no booking left with an unknown outcome.
 	t.Run("planned stop", func(t *testing.T) {
 		f.waitLive(fleetSize)
 		report := f.startLoad("stop", 10*time.Second, 10*time.Second)
@@ -290,16 +289,16 @@
 		_ = f.proxies[1].Process.Signal(syscall.SIGTERM)
 		r := <-report
 		if err := f.proxies[1].Wait(); err != nil {
-			t.Errorf("got exit %v of the stopped proxy, want a clean one", err)
+			t.Errorf("got exit error %v of the stopped proxy, want none", err)
 		}
 		f.checkAtMostOnce(r)
 		if r.Cut != 0 || r.BookLost != 0 {
-			t.Errorf("got %d requests cut and %d bookings unsettled, want none", r.Cut, r.BookLost)
+			t.Errorf("got %d requests cut off and %d bookings lost, want none", r.Cut, r.BookLost)
 		}
 	})
 
-	// A proxy is killed with bookings in flight. Their callers are told
-	// unknown by the others; none runs twice.
+	// A proxy is killed with bookings in flight. The other proxies return the outcome unknown for
+	// them, and none may run twice.
 	t.Run("killed", func(_ *testing.T) {
 		report := f.startLoad("kill", 8*time.Second, 2500*time.Millisecond)
 		time.Sleep(2 * time.Second)
--- a/internal/proxy/daemon/stop.go
+++ b/internal/proxy/daemon/stop.go
@@ -14,28 +14,27 @@
 
 const (
 	stopPollInterval = 50 * time.Millisecond
-	// maxReleaseAttempts bounds the tries to give slots back. Without the platform
-	// they stay assigned until its list shows that the VM is gone.
+	// maxReleaseAttempts limits the attempts to release the quota slots. If the platform cannot be
+	// reached, the slots stay assigned until its list of machines shows that the VM is gone.
 	maxReleaseAttempts = 5
 )
 
-// stopGracefully is the planned stop: leave look-ups, serve until no cached answer
-// names this proxy, finish every request, leave the records to a peer, give
-// the quota slots back, and only then go.
+// stopGracefully performs a planned stop. The proxy leaves lookups, serves until no cached lookup
+// answer names it, finishes all requests, hands its token records over to a peer and releases its
+// quota slots before the process exits.
 func (d *Daemon) stopGracefully(ctx context.Context) {
-	klog.InfoS("planned stop begun")
+	klog.InfoS("planned stop started")
 	d.driver.WithKernel(func(k *core.Kernel, now time.Time) { k.BeginStop(now) })
 	d.waitUntil(func(k *core.Kernel, now time.Time) bool { return k.MayStopServing(now) })
-	// Shutdown refuses new connections and ends idle ones; requests that are
-	// in flight finish.
+	// Shutdown stops accepting connections, closes idle ones and waits for requests in flight.
 	if err := d.callerServer.Shutdown(ctx); err != nil {
-		klog.ErrorS(err, "callers' listener")
+		klog.ErrorS(err, "failed to shut down the server for callers")
 	}
 	d.runner.Wait()
 	d.waitUntil(func(k *core.Kernel, _ time.Time) bool { return k.Drained() })
 	d.handOverRecords(ctx)
 	d.releaseSlots(ctx)
-	klog.InfoS("planned stop done")
+	klog.InfoS("planned stop completed")
 }
 
 func (d *Daemon) waitUntil(done func(*core.Kernel, time.Time) bool) {
@@ -49,7 +48,7 @@
 	}
 }
 
-// handOverRecords leaves the token records to the first peer that takes them.
+// handOverRecords transfers the token records to the first peer that accepts them.
 func (d *Daemon) handOverRecords(ctx context.Context) {
 	var records []caller.Handover
 	var successors []peer.Member
@@ -61,20 +60,20 @@
 	for _, successor := range successors {
 		message := peer.HandoverRequest{From: d.settings.Name, Stamp: stamp, Records: records}
 		if _, err := d.peerClient.Handover(ctx, successor, message); err != nil {
-			klog.ErrorS(err, "peer did not take the records", "peer", successor.Name)
+			klog.ErrorS(err, "failed to hand token records over to peer", "peer", successor.Name)
 			continue
 		}
 		var actions []core.Action
 		d.driver.WithKernel(func(k *core.Kernel, now time.Time) { actions = k.FinishHandover(now, successor.Name) })
 		d.driver.Perform(ctx, actions)
-		klog.InfoS("records handed over", "peer", successor.Name, "minters", len(records))
+		klog.InfoS("handed token records over", "peer", successor.Name, "minters", len(records))
 		return
 	}
-	klog.InfoS("no peer took the records; repeats of this proxy's tokens will be answered unknown")
+	klog.InfoS("no peer accepted the token records; repeated requests with tokens of this proxy will have outcome unknown")
 }
 
-// releaseSlots gives the quota slots back. A store that loses a race hears the
-// newer assignment, so the next try starts from that.
+// releaseSlots releases the quota slots. A store that fails because of a concurrent update applies
+// the newer assignment to the kernel, so the next attempt is based on it.
 func (d *Daemon) releaseSlots(ctx context.Context) {
 	for range maxReleaseAttempts {
 		var next *kv.Assignment
--- a/internal/proxy/driver/driver.go
+++ b/internal/proxy/driver/driver.go
@@ -1,5 +1,5 @@
-// Package driver gives a kernel its clock, its lock and its messages: it calls
-// Tick, carries out the actions and brings back what came of them.
+// Package driver runs a kernel: it provides the clock and the lock, calls Tick, performs the
+// resulting actions and passes their results back to the kernel.
 package driver
 
 import (
@@ -17,7 +17,8 @@
 )
 
 type (
-	// Dependencies are the driver's ways out. Tests put functions of their own in.
+	// Dependencies are the functions by which the driver reaches peers, backend servers and the
+	// platform. Tests replace them.
 	Dependencies struct {
 		Exchange        func(context.Context, peer.Member, peer.Exchange) (peer.Exchange, error)
 		Borrow          func(context.Context, peer.Member, peer.BorrowRequest) (peer.BorrowReply, error)
@@ -25,7 +26,7 @@
 		StoreAssignment func(context.Context, core.StoreAssignment)
 	}
 
-	// Driver owns one kernel.
+	// Driver owns one kernel and serializes access to it.
 	Driver struct {
 		mu        sync.Mutex
 		kernel    *core.Kernel
@@ -35,7 +36,7 @@
 	}
 )
 
-// New makes a driver. The kernel is made from the driver's own clock.
+// New returns a driver with a new kernel that uses the driver's clock.
 func New(c core.Config, deps Dependencies) *Driver {
 	d := &Driver{deps: deps}
 	now := time.Now()
@@ -44,36 +45,35 @@
 	return d
 }
 
-// Now is the kernel's time: the wall time at the start plus what the monotonic
-// clock has counted since. A step of the wall clock must not make a record
-// look expired, or a token whose record is gone look fresh again.
+// Now returns the kernel's time: a base wall time plus the monotonic time since. It does not follow
+// steps of the wall clock, because a step must not make a record look expired, or a token whose
+// record has been removed look valid again.
 func (d *Driver) Now() time.Time {
 	base := d.clockBase.Load()
 	return base.Round(0).Add(time.Since(*base))
 }
 
-// followWallClock follows the wall clock forward, never back. The monotonic clock does
-// not count while a VM is paused, so after a pause this process would lag for
-// good: every deadline that it sends would lie in the past, and backend servers
-// would refuse all its requests. The kernel takes the jump for a freeze and
-// uses no quota for a window, so a wall clock that was set wrong costs a second
-// and no capacity.
+// followWallClock advances the kernel's time to the wall clock if it lags, and never moves it back.
+// The monotonic clock does not advance while a VM is paused. Without the correction this process
+// would lag permanently after a pause: every deadline that it sends would be in the past, and backend
+// servers would reject all its requests. The kernel treats the jump as a freeze and uses no quota for
+// one window, so a wrongly set wall clock costs one second but no capacity.
 func (d *Driver) followWallClock() {
 	now := time.Now()
 	if now.Round(0).Sub(d.Now()) > core.ClockTolerance {
-		klog.InfoS("clock was behind, perhaps the VM was paused", "by", now.Round(0).Sub(d.Now()).String())
+		klog.InfoS("advanced the lagging clock; the VM may have been paused", "by", now.Round(0).Sub(d.Now()).String())
 		d.clockBase.Store(&now)
 	}
 }
 
-// WithKernel runs a function with the kernel under the lock.
+// WithKernel calls f with the kernel while holding the lock.
 func (d *Driver) WithKernel(f func(k *core.Kernel, now time.Time)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d.kernel, d.Now())
 }
 
-// Run ticks until the context ends, then waits for actions under way.
+// Run ticks until the context is done, then waits for running actions.
 func (d *Driver) Run(ctx context.Context) {
 	ticker := time.NewTicker(core.TickInterval)
 	defer ticker.Stop()
@@ -88,7 +88,7 @@
 	}
 }
 
-// Tick lets the kernel do what is due.
+// Tick runs the kernel's due work and performs the resulting actions.
 func (d *Driver) Tick(ctx context.Context) {
 	d.followWallClock()
 	var actions []core.Action
@@ -96,7 +96,7 @@
 	d.Perform(ctx, actions)
 }
 
-// Perform starts the actions; each reports back to the kernel by itself.
+// Perform starts the actions. Each passes its result to the kernel when it completes.
 func (d *Driver) Perform(ctx context.Context, actions []core.Action) {
 	for _, a := range actions {
 		d.running.Go(func() { d.performAction(ctx, a) })
@@ -126,7 +126,7 @@
 	sentAt := d.Now()
 	reply, err := d.deps.Exchange(ctx, a.To, a.Message)
 	if err != nil {
-		klog.V(1).InfoS("peer did not answer", "peer", a.To.Name, "address", a.To.PeerAddress, "error", err.Error())
+		klog.V(1).InfoS("exchange with peer failed", "peer", a.To.Name, "address", a.To.PeerAddress, "error", err.Error())
 		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleExchangeFailure(now, a.To.Name) })
 		return
 	}
--- a/internal/proxy/driver/platform.go
+++ b/internal/proxy/driver/platform.go
@@ -20,25 +20,26 @@
 )
 
 type (
-	// Platform is the platform's service, as function fields.
+	// Platform gives access to the platform: its key-value store, and function fields that wait for
+	// a change of a key or of the list of machines.
 	Platform struct {
 		kv.Store
 		Watch    func(ctx context.Context, key kv.Key, after kv.Revision) (kv.Value, error)
 		Machines func(ctx context.Context, after uint64) (*kv.Machines, error)
 	}
 
-	// Watcher brings what the platform holds to the kernel while this proxy
-	// is one of its failure domain's relays.
+	// Watcher applies changes on the platform to the kernel while this proxy is a relay of its
+	// failure domain.
 	Watcher struct {
 		driver   *Driver
 		platform Platform
 	}
 )
 
-// NewWatcher makes a watcher.
+// NewWatcher returns a watcher that applies changes to the kernel of d.
 func NewWatcher(d *Driver, p Platform) *Watcher { return &Watcher{driver: d, platform: p} }
 
-// Run watches until the context ends.
+// Run watches the bundle, the assignment and the list of machines until the context is done.
 func (w *Watcher) Run(ctx context.Context) {
 	done := make(chan struct{}, 3)
 	run := func(watch func(context.Context) error) {
@@ -53,8 +54,8 @@
 	}
 }
 
-// watchLoop repeats one watch. After a failure it waits longer each time and by a
-// random part, or all relays would return together after an outage.
+// watchLoop repeats one watch. After failures it retries with exponential backoff and jitter, so that
+// the relays do not all reconnect at once after an outage.
 func (w *Watcher) watchLoop(ctx context.Context, watch func(context.Context) error) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -78,8 +79,8 @@
 	return relay
 }
 
-// watchKey watches one key. hear gets each new value, or nil data when the key
-// is absent, and may return data to write in its place.
+// watchKey returns a function that watches one key. apply is called with each new value, or with nil
+// data if the key is absent, and may return data to write in its place.
 func (w *Watcher) watchKey(key kv.Key, apply func(time.Time, []byte) []byte) func(context.Context) error {
 	after := kv.Revision(0)
 	return func(ctx context.Context) error {
@@ -96,12 +97,12 @@
 		if repair == nil {
 			return nil
 		}
-		// The platform holds an older value than this proxy: it was restored
-		// from a backup. Writing the newer one back keeps it in force.
+		// The platform's value is older than the one in force here, because the platform was restored
+		// from a backup. Writing the newer value back keeps it in force.
 		if _, err := w.platform.Swap(ctx, key, value.Revision, repair); err != nil {
 			return errors.Wrap(err, "write back "+string(key))
 		}
-		klog.InfoS("platform held an older value; wrote the newer one back", "key", key)
+		klog.InfoS("replaced an older value on the platform by the newer one", "key", key)
 		return nil
 	}
 }
@@ -143,8 +144,9 @@
 	}
 }
 
-// StoreAssignment carries out the kernel's action: read, compare the version,
-// swap. The result is heard back through the watch, or here at once.
+// StoreAssignment performs the kernel's action: it reads the stored assignment, compares its version
+// and swaps it. apply is called with the assignment that is then stored, without waiting for the
+// watch.
 func StoreAssignment(ctx context.Context, s kv.Store, a core.StoreAssignment, apply func(*kv.Assignment)) {
 	value, err := s.Get(ctx, kv.KeyAssignment)
 	if err != nil && !errors.Is(err, kv.ErrAbsent) {
--- a/internal/proxy/logs/buffer.go
+++ b/internal/proxy/logs/buffer.go
@@ -7,9 +7,8 @@
 )
 
 type (
-	// Buffer hands lines to a slow writer without ever waiting for it. Lines
-	// that find no room are dropped and counted: a log that blocked would hold
-	// up requests.
+	// Buffer is an asynchronous writer of log lines. Write never blocks, since a blocking log would
+	// delay requests. Lines that do not fit into the buffer are dropped and counted.
 	Buffer struct {
 		lines     chan []byte
 		dropped   atomic.Uint64
@@ -18,20 +17,20 @@
 	}
 )
 
-// NewBuffer makes a buffer of a number of lines before a writer.
+// NewBuffer returns a buffer for the given number of lines that writes to w.
 func NewBuffer(w io.Writer, lines int) *Buffer {
 	b := &Buffer{lines: make(chan []byte, lines), done: make(chan struct{})}
 	go func() {
 		defer close(b.done)
 		for line := range b.lines {
-			// There is nowhere else to tell of a log that cannot be written.
+			// A failure to write the log cannot be reported anywhere else.
 			_, _ = w.Write(line)
 		}
 	}()
 	return b
 }
 
-// Write implements io.Writer; it never fails.
+// Write implements io.Writer. It never blocks and never fails.
 func (b *Buffer) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- append([]byte(nil), line...):
@@ -41,10 +40,10 @@
 	return len(line), nil
 }
 
-// Dropped counts the lines that found no room.
+// Dropped returns the number of lines dropped because the buffer was full.
 func (b *Buffer) Dropped() uint64 { return b.dropped.Load() }
 
-// Close writes what is left. Nothing may be written after it.
+// Close writes the remaining lines and waits for that. Write must not be called afterwards.
 func (b *Buffer) Close() {
 	b.closeOnce.Do(func() { close(b.lines) })
 	<-b.done
--- a/internal/proxy/logs/buffer_test.go
+++ b/internal/proxy/logs/buffer_test.go
@@ -6,7 +6,7 @@
 )
 
 type (
-	// blockedWriter is a writer that waits until it is released.
+	// blockedWriter blocks all writes until release is closed.
 	blockedWriter struct {
 		release chan struct{}
 		text    strings.Builder
@@ -18,8 +18,8 @@
 	return s.text.Write(p)
 }
 
-// The log's reader stops reading. Requests must go on; what is lost is
-// counted, so that nobody takes the gap for silence.
+// If the reader of the log stops reading, requests must not block. Dropped lines must be counted, so
+// that a gap in the log is not mistaken for a period without events.
 func TestWriteDoesNotBlockOnSlowWriter(t *testing.T) {
 	w := &blockedWriter{release: make(chan struct{})}
 	b := NewBuffer(w, 10)
--- a/internal/proxy/logs/logs.go
+++ b/internal/proxy/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs sets klog up to write JSON lines.
+// Package logs configures klog to write JSON lines.
 package logs
 
 import (
@@ -10,8 +10,8 @@
 	"k8s.io/klog/v2"
 )
 
-// Setup directs klog to a writer, one JSON object a line. Verbosity 0 is for
-// operation, 1 tells of each failed call, 2 of more.
+// Setup configures klog to write one JSON object per line to w. Verbosity 0 is for normal operation, 1
+// adds every failed call, and 2 more detail. The attributes are added to every line.
 func Setup(w io.Writer, verbosity int, attributes ...any) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
--- a/internal/proxy/recording/file.go
+++ b/internal/proxy/recording/file.go
@@ -1,5 +1,4 @@
-// Package recording writes the calls of a proxy's kernel to a file, from which
-// they can be replayed.
+// Package recording writes the calls of a proxy's kernel to a file from which they can be replayed.
 package recording
 
 import (
@@ -18,12 +17,12 @@
 )
 
 const (
-	// flushInterval bounds what a process that is killed has not written yet.
+	// flushInterval limits how much of the recording is lost if the process is killed.
 	flushInterval = 200 * time.Millisecond
 )
 
 type (
-	// File is the recording of one run of a process.
+	// File is the recording of one run of the process.
 	File struct {
 		mu        sync.Mutex
 		file      *os.File
@@ -34,21 +33,21 @@
 	}
 )
 
-// Create makes a recording in a directory, named for the VM and the moment: a
-// process that starts again must not write behind a call that was cut short.
+// Create creates a recording in a directory. The file name contains the VM and the time, because a
+// restarted process must not append to a recording whose last call may be truncated.
 func Create(directory, vm string, now time.Time) (*File, error) {
 	path := filepath.Join(directory, vm+"-"+now.UTC().Format("20060102T150405.000")+".json")
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, errors.Wrap(err, "recording")
+		return nil, errors.Wrap(err, "create recording")
 	}
 	f := &File{file: file, buffer: bufio.NewWriter(file)}
 	f.encoder = json.NewEncoder(f.buffer)
 	return f, nil
 }
 
-// Write adds a call. A recording with a gap cannot be replayed, so it waits for the
-// disk, and ends for good at the first failure.
+// Write appends a call. A recording with a gap cannot be replayed, so Write blocks on a slow disk
+// instead of dropping calls, and the recording ends at the first failure.
 func (f *File) Write(c steering.Call) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,15 +61,15 @@
 	}
 	if err != nil {
 		f.ended = true
-		klog.ErrorS(err, "recording ended", "file", f.file.Name())
+		klog.ErrorS(err, "recording stopped after a failed write", "file", f.file.Name())
 	}
 }
 
-// Close writes what is left.
+// Close flushes and closes the file. Later calls of Write are ignored.
 func (f *File) Close() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	err := f.buffer.Flush()
 	f.ended = true
-	return errs.Wrap(errors.Join(err, f.file.Close()), "recording")
+	return errs.Wrap(errors.Join(err, f.file.Close()), "close recording")
 }
--- a/internal/proxy/recording/file_test.go
+++ b/internal/proxy/recording/file_test.go
@@ -13,8 +13,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// writeRecording has a kernel place two requests, the second in vain, and returns the
-// recording's path.
+// writeRecording records a kernel that dispatches two requests, of which the second finds no server,
+// and returns the path of the recording.
 func writeRecording(t *testing.T) string {
 	t.Helper()
 	directory, now := t.TempDir(), time.Unix(1_000_000, 0)
@@ -26,8 +26,8 @@
 	route := &routing.Route{Name: "route", Host: "host", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.WeightedService{{Service: "service", Weight: 1}}}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 	k.RegisterServer(now, routing.Server{ID: "server-1", Service: "service", Domain: "north-a", Slots: 4})
-	f, _ := k.BeginRequest(now, steering.Request{ID: "first", Host: "host", Path: "/"})
-	k.EndAttempt(now.Add(time.Millisecond), f, steering.Attempt{Result: steering.ResultAnswered})
+	request, _ := k.BeginRequest(now, steering.Request{ID: "first", Host: "host", Path: "/"})
+	k.EndAttempt(now.Add(time.Millisecond), request, steering.Attempt{Result: steering.ResultAnswered})
 	k.RemoveServer(now, "server-1")
 	k.BeginRequest(now, steering.Request{ID: "second", Host: "host", Path: "/"})
 	if err := file.Close(); err != nil {
@@ -44,8 +44,8 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// An operator asks why a request went where it went. The command line replays the
-// recording and shows the servers as they were weighed.
+// An operator wants to know why a request was sent to its server. The command replays the recording
+// and prints the candidate servers of the decision.
 func TestCommandReplaysRecording(t *testing.T) {
 	code, out, errOut := runReplay(writeRecording(t), "first")
 	if code != command.ExitOK {
@@ -58,7 +58,7 @@
 	}
 }
 
-// The recording was made by other code, which refused the first request.
+// The recording was made by a different version of the code, which rejected the first request.
 func TestCommandReportsDifferingDecisions(t *testing.T) {
 	path := writeRecording(t)
 	data, err := os.ReadFile(path)
--- a/internal/proxy/runner/body.go
+++ b/internal/proxy/runner/body.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// maxForwardedBodyBytes bounds an answer that travels between proxies.
+	// maxForwardedBodyBytes limits the body of a response that is returned to a peer.
 	maxForwardedBodyBytes = 8 << 20
 )
 
 var (
-	errResponseTooLarge = errors.New("answer too large to hand on")
+	errResponseTooLarge = errors.New("response body too large to return to peer")
 )
 
 type (
-	// cancelOnClose ends a request's context with its body, not before.
+	// cancelOnClose cancels the context of a request when the response body is closed. The body
+	// cannot be read after the context has ended.
 	cancelOnClose struct {
 		io.ReadCloser
 		cancel context.CancelFunc
--- a/internal/proxy/runner/runner.go
+++ b/internal/proxy/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner takes one request through the kernel's decisions: dispatch,
-// forward, retry, final result. It decides nothing itself.
+// Package runner executes the kernel's decisions on a request: dispatch, forward, retry and final
+// result. It makes no decisions itself.
 package runner
 
 import (
@@ -34,7 +34,7 @@
 	}
 )
 
-// Run serves one request to its final result.
+// Run serves one request until it has its final result.
 func (r *Runner) Run(ctx context.Context, q callerhttp.Request) callerhttp.Reply {
 	var d core.Decision
 	r.WithKernel(func(k *core.Kernel, now time.Time) { d = k.BeginRequest(now, q.Request) })
@@ -56,12 +56,12 @@
 	}
 }
 
-// Wait blocks until attempts that outlived their callers have ended.
+// Wait waits for the attempts that continue without their callers.
 func (r *Runner) Wait() { r.detached.Wait() }
 
-// runAttempt sends one dispatch. A non-idempotent one is not tied to its caller:
-// it goes on when the caller leaves or its deadline passes, so that a repeat
-// can be told what became of it.
+// runAttempt sends the request to the chosen server. The attempt of a non-idempotent request
+// continues when the caller disconnects or the deadline passes, so that the outcome can be returned
+// if the caller repeats the request. In that case runAttempt returns false.
 func (r *Runner) runAttempt(ctx context.Context, q callerhttp.Request, d core.Decision) (endedAttempt, bool) {
 	if d.Idempotent {
 		return endedAttempt{decision: d, response: r.send(ctx, q, d, d.Deadline)}, true
@@ -89,8 +89,8 @@
 	case <-ctx.Done():
 	}
 	close(callerGone)
-	// The answer may have come in this very moment; whoever takes it from the
-	// channel ends the attempt, so it is ended once.
+	// The response may have arrived at the same time. Only the goroutine that receives it from the
+	// channel ends the attempt, so the attempt is ended once.
 	r.endDetached(done)
 	return endedAttempt{}, false
 }
@@ -149,7 +149,8 @@
 	return reply
 }
 
-// streamResponse passes a long answer on as it arrives. The attempt ends with it.
+// streamResponse streams a long response to the caller as it arrives. The attempt ends with the
+// response.
 func (r *Runner) streamResponse(a endedAttempt) callerhttp.Reply {
 	result := caller.Result{Outcome: caller.OutcomeDone, Response: a.response.Answer}
 	return callerhttp.Reply{Result: result, ID: a.decision.ID, Stream: func(w io.Writer) error {
@@ -194,7 +195,7 @@
 	return reply
 }
 
-// HandleForward serves a request that a peer handed on.
+// HandleForward serves a request that a peer forwarded.
 func (r *Runner) HandleForward(ctx context.Context, f peer.ForwardRequest) peer.ForwardReply {
 	r.WithKernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(f.Stamp) })
 	client, _ := netip.ParseAddr(f.Client)
@@ -215,17 +216,17 @@
 	return out
 }
 
-// bufferResponse gathers a long answer for a peer. A broken one becomes unknown.
+// bufferResponse buffers a streamed response for a peer. If the stream fails, the outcome is unknown.
 func (r *Runner) bufferResponse(reply callerhttp.Reply) caller.Result {
-	var whole boundedBuffer
-	if err := reply.Stream(&whole); err != nil {
+	var body boundedBuffer
+	if err := reply.Stream(&body); err != nil {
 		return caller.Result{Outcome: caller.OutcomeUnknown, Reason: caller.ReasonConnectionLost}
 	}
 	result := reply.Result
 	result.Response = &caller.Response{
 		Status: result.Response.Status,
 		Header: result.Response.Header,
-		Body:   whole.data,
+		Body:   body.data,
 	}
 	return result
 }
--- a/internal/proxy/settings/settings.go
+++ b/internal/proxy/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the JSON file that tells a proxy its own
-// addresses, its place, its platform and whom to trust.
+// Package settings reads and validates the JSON file with a proxy's own addresses, its region and
+// failure domain, the platform's addresses and the trusted operators.
 package settings
 
 import (
@@ -22,7 +22,7 @@
 )
 
 type (
-	// Settings is the whole file.
+	// Settings is the content of the settings file.
 	Settings struct {
 		Name          string          `json:"name"`
 		Region        string          `json:"region"`
@@ -30,31 +30,31 @@
 		Listen        ListenAddresses `json:"listen"`
 		Limits        Limits          `json:"limits"`
 		TLS           TLSFiles        `json:"tls"`
-		// PlatformAddresses lists the key-value service's addresses.
+		// PlatformAddresses are the addresses of the platform's key-value service.
 		PlatformAddresses []netip.AddrPort `json:"platform"`
-		// SeedPeers lists peer addresses of other proxies.
+		// SeedPeers are the peer addresses of other proxies, by which this proxy joins the fleet.
 		SeedPeers []netip.AddrPort `json:"seed-peers"`
-		// TrustedOperators lists the keys that may sign bundles.
+		// TrustedOperators are the keys that may sign bundles.
 		TrustedOperators []operator.TrustedKey `json:"trusted-operators"`
 	}
 
-	// ListenAddresses holds the addresses that this proxy listens on. Others reach it
-	// at the same ones.
+	// ListenAddresses are the addresses that this proxy listens on and advertises to others.
 	ListenAddresses struct {
 		Callers   netip.AddrPort `json:"callers"`
 		Peers     netip.AddrPort `json:"peers"`
 		Operators netip.AddrPort `json:"operators"`
 	}
 
-	// Limits bounds what the proxy holds; bytes where not said otherwise.
+	// Limits are the maximum number of requests in flight and the maximum sizes of their bodies in
+	// bytes, of one and of all together.
 	Limits struct {
 		MaxInFlight       int   `json:"in-flight-requests"`
 		MaxBodyBytes      int64 `json:"request-body-bytes"`
 		MaxTotalBodyBytes int64 `json:"all-request-bodies-bytes"`
 	}
 
-	// TLSFiles names PEM files. With them, peers must present a certificate that
-	// the authority signed, and operators speak HTTPS.
+	// TLSFiles are the paths of PEM files. If they are set, peers must present a certificate signed by
+	// the certificate authority, and the operators' listener serves HTTPS.
 	TLSFiles struct {
 		Certificate string `json:"certificate-file,omitempty"`
 		Key         string `json:"key-file,omitempty"`
@@ -62,27 +62,27 @@
 	}
 )
 
-// Load reads and checks a file.
+// Load reads and validates a settings file.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "settings")
+		return nil, errors.Wrap(err, "read settings")
 	}
 	return Parse(data)
 }
 
-// Parse reads and checks settings, and fills defaults in.
+// Parse decodes and validates settings. Missing limits get their defaults.
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{Limits: Limits{
 		MaxInFlight: defaultMaxInFlight, MaxBodyBytes: defaultMaxBodyBytes, MaxTotalBodyBytes: defaultMaxTotalBodyBytes,
 	}}
 	if err := operator.DecodeStrict(data, s); err != nil {
-		return nil, errors.Wrap(err, "settings")
+		return nil, errors.Wrap(err, "parse settings")
 	}
 	return s, s.Validate()
 }
 
-// Validate reports every wrong field at once.
+// Validate returns the errors of all invalid fields.
 func (s *Settings) Validate() error {
 	var problems []error
 	add := func(field, want, got string) {
@@ -132,13 +132,13 @@
 			Field: "trusted-operators", Want: "keys of at least two people", Got: quote(strings.Join(setMembers(operators), ", ")),
 		})
 	}
-	given := 0
+	fileCount := 0
 	for _, file := range []string{s.TLS.Certificate, s.TLS.Key, s.TLS.Authority} {
 		if file != "" {
-			given++
+			fileCount++
 		}
 	}
-	if given != 0 && given != 3 {
+	if fileCount != 0 && fileCount != 3 {
 		problems = append(problems, &operator.FieldError{Field: "tls", Want: "all three files or none", Got: "some"})
 	}
 	return problems
--- a/internal/proxy/settings/settings_test.go
+++ b/internal/proxy/settings/settings_test.go
@@ -8,8 +8,9 @@
 )
 
 type (
-	// invalidSettings is one edit of a good file and what the error must name.
-	invalidSettings struct {
+	// invalidFieldCase is a change of one field of a valid file, and the text that the error must
+	// contain.
+	invalidFieldCase struct {
 		Name  string          `json:"name"`
 		Field string          `json:"field"`
 		Value json.RawMessage `json:"value"`
@@ -49,14 +50,14 @@
 	}
 }
 
-// TestInvalidSettings reads edits from a data file; each must give an error that
+// TestInvalidSettings applies the changes of a data file one by one. Each must cause an error that
 // names the field.
 func TestInvalidSettings(t *testing.T) {
 	data, err := os.ReadFile("testdata/wrong.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var cases []invalidSettings
+	var cases []invalidFieldCase
 	if err := json.Unmarshal(data, &cases); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/settings/tls.go
+++ b/internal/proxy/settings/tls.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// reloadCheckInterval is how often the files' times are looked at.
+	// reloadCheckInterval is how often the modification times of the files are checked.
 	reloadCheckInterval = 2 * time.Second
 )
 
 type (
-	// Identity is the proxy's TLS identity, read again when its files are
-	// replaced. A replacement that does not load leaves the old one in use.
+	// Identity is the proxy's TLS identity. It is reloaded when its files are replaced. If the new
+	// files cannot be loaded, the old identity stays in use.
 	Identity struct {
 		files     TLSFiles
 		mu        sync.Mutex
@@ -28,7 +28,7 @@
 	}
 )
 
-// NewIdentity loads the files; nil without any.
+// NewIdentity loads the files. It returns nil if none are set.
 func NewIdentity(files TLSFiles) (*Identity, error) {
 	if files.Certificate == "" {
 		return nil, nil
@@ -51,7 +51,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return errors.New("tls.authority-file: holds no certificate")
+		return errors.New("tls.authority-file: contains no certificate")
 	}
 	i.cert = &cert
 	i.pool = pool
@@ -75,15 +75,16 @@
 	if time.Since(i.lastCheck) > reloadCheckInterval {
 		i.lastCheck = time.Now()
 		if i.latestModTime().After(i.modTime) {
-			// A half-written file fails to load; the next check tries again.
+			// A partially written file fails to load. The next check tries again.
 			_ = i.load()
 		}
 	}
 	return i.cert, i.pool
 }
 
-// ServerConfig is the configuration for a listener. Peers must present a
-// certificate of the authority; operators need none, their bundles are signed.
+// ServerConfig returns the TLS configuration of a listener. With mutual set, as for peers, clients
+// must present a certificate signed by the certificate authority. Operators need none, because their
+// bundles are signed.
 func (i *Identity) ServerConfig(mutual bool) *tls.Config {
 	if i == nil {
 		return nil
@@ -102,8 +103,8 @@
 	}
 }
 
-// ClientConfig is the configuration for a call to a peer. Certificates name the
-// IP address that a peer listens on.
+// ClientConfig returns the TLS configuration for connections to peers. The certificate of a peer must
+// contain the IP address that the peer listens on.
 func (i *Identity) ClientConfig() *tls.Config {
 	if i == nil {
 		return nil
--- a/internal/proxy/sleep/sleep.go
+++ b/internal/proxy/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits without outliving what waits.
+// Package sleep provides a sleep that ends early when a context is done.
 package sleep
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a time or until the context ends.
+// For waits for d or until the context is done.
 func For(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
