--- a/internal/adapter/peerdrpc/client.go
+++ b/internal/adapter/peerdrpc/client.go
@@ -17,24 +17,25 @@
 )
 
 const (
-	idleExpiry    = time.Minute
-	poolCapacity  = 256
-	perPeer       = 8
-	dialTimeout   = time.Second
-	callTimeout   = time.Second
-	handoverLimit = 5 * time.Second
+	connectionIdleTimeout = time.Minute
+	maxPooledConnections  = 256
+	maxPooledPerPeer      = 8
+	dialTimeout           = time.Second
+	callTimeout           = time.Second
+	handoverTimeout       = 5 * time.Second
 )
 
 type (
-	// Client calls peers over pooled connections.
+	// Client calls other proxies over pooled connections.
 	Client struct {
 		pool *drpcpool.Pool[netip.AddrPort, drpcpool.Conn]
-		// TLS returns the current client configuration, nil for plain TCP.
+		// TLS returns the current client configuration, or nil for plain TCP.
 		TLS func() *tls.Config
-		// Sent counts the bytes written to peers.
-		Sent func(int)
-		// Received counts the bytes read from peers.
-		Received func(int)
+		// OnSent is called with the number of bytes of each write to a peer. Bytes are counted only
+		// if OnReceived is set too.
+		OnSent func(int)
+		// OnReceived is called with the number of bytes of each read from a peer.
+		OnReceived func(int)
 	}
 
 	countedConn struct {
@@ -43,18 +44,18 @@
 	}
 )
 
-// NewClient makes a client.
+// NewClient returns a client. config returns the current TLS configuration, or nil for plain TCP.
 func NewClient(config func() *tls.Config) *Client {
 	return &Client{
 		pool: drpcpool.New[netip.AddrPort, drpcpool.Conn](drpcpool.Options{
-			Expiration: idleExpiry, Capacity: poolCapacity, KeyCapacity: perPeer,
+			Expiration: connectionIdleTimeout, Capacity: maxPooledConnections, KeyCapacity: maxPooledPerPeer,
 		}),
 		TLS: config,
 	}
 }
 
-// Close ends all pooled connections.
-func (c *Client) Close() error { return errs.Wrap(c.pool.Close(), "close pool") }
+// Close closes all pooled connections.
+func (c *Client) Close() error { return errs.Wrap(c.pool.Close(), "close connection pool") }
 
 // Write implements net.Conn.
 func (c *countedConn) Write(p []byte) (int, error) {
@@ -78,76 +79,76 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "dial peer")
 	}
-	if c.Sent != nil && c.Received != nil {
-		conn = &countedConn{Conn: conn, sent: c.Sent, received: c.Received}
+	if c.OnSent != nil && c.OnReceived != nil {
+		conn = &countedConn{Conn: conn, sent: c.OnSent, received: c.OnReceived}
 	}
 	if config := c.TLS(); config != nil {
-		// The certificate must name the IP address that was dialled.
+		// The peer's certificate must be valid for the IP address that was dialed.
 		config = config.Clone()
 		config.ServerName = address.Addr().String()
 		secure := tls.Client(conn, config)
 		if err := secure.HandshakeContext(ctx); err != nil {
 			_ = conn.Close()
-			return nil, errors.Wrap(err, "TLS with peer")
+			return nil, errors.Wrap(err, "TLS handshake with peer")
 		}
 		conn = secure
 	}
 	return drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: managerOptions()}), nil
 }
 
-func (c *Client) peer(ctx context.Context, m peer.Member) peerpb.DRPCPeerClient {
+func (c *Client) peerClient(ctx context.Context, m peer.Member) peerpb.DRPCPeerClient {
 	return peerpb.NewDRPCPeerClient(c.pool.Get(ctx, m.PeerAddress, c.dial))
 }
 
-// Exchange compares versions with a peer.
+// Exchange sends the sender's state versions and updates to a peer and returns the peer's.
 func (c *Client) Exchange(ctx context.Context, to peer.Member, e peer.Exchange) (peer.Exchange, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	out, err := c.peer(ctx, to).Exchange(ctx, exchangeOut(e))
+	out, err := c.peerClient(ctx, to).Exchange(ctx, encodeExchange(e))
 	if err != nil {
 		return peer.Exchange{}, errors.Wrap(err, "exchange")
 	}
-	return exchangeIn(out)
+	return decodeExchange(out)
 }
 
-// Borrow asks a peer for quota.
+// Borrow requests a loan of quota from a peer, or the renewal of one.
 func (c *Client) Borrow(ctx context.Context, to peer.Member, r peer.BorrowRequest) (peer.BorrowReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	out, err := c.peer(ctx, to).Borrow(ctx, &peerpb.BorrowRequest{
+	out, err := c.peerClient(ctx, to).Borrow(ctx, &peerpb.BorrowRequest{
 		From:     r.From,
-		Stamp:    stampOut(r.Stamp),
+		Stamp:    encodeStamp(r.Stamp),
 		Resource: string(r.Resource),
 		Want:     int64(r.Want),
 		Renew:    uint64(r.Renew),
 	})
 	if err != nil {
-		return peer.BorrowReply{}, errors.Wrap(err, "borrow")
+		return peer.BorrowReply{}, errors.Wrap(err, "borrow quota")
 	}
 	return peer.BorrowReply{
-		Stamp:  stampIn(out.GetStamp()),
+		Stamp:  decodeStamp(out.GetStamp()),
 		Loan:   peer.LoanID(out.GetLoan()),
 		Amount: int(out.GetAmount()),
 	}, nil
 }
 
-// Forward hands a request to the minter of its token. The context's deadline
-// is the request's.
+// Forward forwards a request to the proxy that minted its token. The context carries the deadline
+// of the request.
 func (c *Client) Forward(ctx context.Context, to peer.Member, f peer.ForwardRequest) (peer.ForwardReply, error) {
-	out, err := c.peer(ctx, to).Forward(ctx, forwardOut(f))
+	out, err := c.peerClient(ctx, to).Forward(ctx, encodeForwardRequest(f))
 	if err != nil {
-		return peer.ForwardReply{}, errors.Wrap(err, "forward")
+		return peer.ForwardReply{}, errors.Wrap(err, "forward request")
 	}
-	return replyIn(out), nil
+	return decodeForwardReply(out), nil
 }
 
-// Handover leaves records to a peer.
+// Handover transfers token records to a peer.
 func (c *Client) Handover(ctx context.Context, to peer.Member, h peer.HandoverRequest) (peer.Stamp, error) {
-	ctx, cancel := context.WithTimeout(ctx, handoverLimit)
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	out, err := c.peer(ctx, to).Handover(ctx, handoverOut(h))
+	out, err := c.peerClient(ctx, to).Handover(ctx, encodeHandover(h))
 	if err != nil {
-		return peer.Stamp{}, errors.Wrap(err, "hand over")
+		return peer.Stamp{}, errors.Wrap(err, "hand over records")
 	}
-	return stampIn(out.GetStamp()), nil
+	return decodeStamp(out.GetStamp()), nil
 }
--- a/internal/adapter/peerdrpc/convert.go
+++ b/internal/adapter/peerdrpc/convert.go
@@ -1,5 +1,5 @@
-// Package peerdrpc carries the kernel's messages between proxies over drpc,
-// with TLS where the settings name files.
+// Package peerdrpc sends and receives the kernel's messages between proxies over DRPC. Connections
+// use TLS if the settings name certificate files.
 package peerdrpc
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/peer"
 )
 
-func stampOut(s peer.Stamp) *peerpb.Stamp {
+func encodeStamp(s peer.Stamp) *peerpb.Stamp {
 	return &peerpb.Stamp{Wall: uint64(s.Wall), Count: s.Count}
 }
 
-func stampIn(s *peerpb.Stamp) peer.Stamp {
+func decodeStamp(s *peerpb.Stamp) peer.Stamp {
 	return peer.Stamp{Wall: int64(s.GetWall()), Count: s.GetCount()}
 }
 
-func memberOut(m peer.Member) *peerpb.Member {
+func encodeMember(m peer.Member) *peerpb.Member {
 	return &peerpb.Member{
 		Name:        m.Name,
 		Address:     m.Address.String(),
@@ -38,9 +38,9 @@
 	}
 }
 
-// memberIn reads a record. Addresses that do not parse stay invalid; the
-// kernel keeps such a member but nobody can be sent to it.
-func memberIn(m *peerpb.Member) peer.Member {
+// decodeMember converts a member record. Addresses that do not parse stay invalid: the kernel keeps
+// the member, but nothing can be sent to it.
+func decodeMember(m *peerpb.Member) peer.Member {
 	address, _ := netip.ParseAddrPort(m.GetAddress())
 	peerAddress, _ := netip.ParseAddrPort(m.GetPeerAddress())
 	operators, _ := netip.ParseAddrPort(m.GetOperators())
@@ -59,10 +59,10 @@
 	}
 }
 
-func exchangeOut(e peer.Exchange) *peerpb.ExchangeMessage {
+func encodeExchange(e peer.Exchange) *peerpb.ExchangeMessage {
 	out := &peerpb.ExchangeMessage{
 		From:  e.From,
-		Stamp: stampOut(e.Stamp),
+		Stamp: encodeStamp(e.Stamp),
 		Versions: &peerpb.Versions{
 			Bundle:     e.Versions.Bundle,
 			Assignment: e.Versions.Assignment,
@@ -76,24 +76,24 @@
 		Machines:   e.Machines,
 	}
 	for _, m := range e.Members {
-		out.Members = append(out.Members, memberOut(m))
+		out.Members = append(out.Members, encodeMember(m))
 	}
 	for _, row := range e.Rows {
-		one := &peerpb.Row{}
+		encoded := &peerpb.Row{}
 		for _, share := range row {
-			one.Permille = append(one.Permille, uint32(share))
+			encoded.Permille = append(encoded.Permille, uint32(share))
 		}
-		out.Rows = append(out.Rows, one)
+		out.Rows = append(out.Rows, encoded)
 	}
-	out.Suspicions, out.Signals = suspicionsOut(e.QuarantineReports), signalsOut(e.BackpressureReports)
+	out.Suspicions, out.Signals = encodeQuarantineReports(e.QuarantineReports), encodeBackpressureReports(e.BackpressureReports)
 	return out
 }
 
-func exchangeIn(e *peerpb.ExchangeMessage) (peer.Exchange, error) {
+func decodeExchange(e *peerpb.ExchangeMessage) (peer.Exchange, error) {
 	v := e.GetVersions()
 	in := peer.Exchange{
 		From:  e.GetFrom(),
-		Stamp: stampIn(e.GetStamp()),
+		Stamp: decodeStamp(e.GetStamp()),
 		Versions: peer.Versions{
 			Bundle:      v.GetBundle(),
 			Assignment:  v.GetAssignment(),
@@ -107,24 +107,24 @@
 		Machines:   e.GetMachines(),
 	}
 	for _, m := range e.GetMembers() {
-		in.Members = append(in.Members, memberIn(m))
+		in.Members = append(in.Members, decodeMember(m))
 	}
 	for _, row := range e.GetRows() {
-		var one []int
+		var shares []int
 		for _, share := range row.GetPermille() {
-			one = append(one, int(share))
+			shares = append(shares, int(share))
 		}
-		in.Rows = append(in.Rows, one)
+		in.Rows = append(in.Rows, shares)
 	}
 	var err error
-	if in.QuarantineReports, err = suspicionsIn(e.GetSuspicions()); err != nil {
+	if in.QuarantineReports, err = decodeQuarantineReports(e.GetSuspicions()); err != nil {
 		return in, err
 	}
-	in.BackpressureReports, err = signalsIn(e.GetSignals())
+	in.BackpressureReports, err = decodeBackpressureReports(e.GetSignals())
 	return in, err
 }
 
-func headerOut(h http.Header) []*peerpb.HeaderField {
+func encodeHeader(h http.Header) []*peerpb.HeaderField {
 	fields := make([]*peerpb.HeaderField, 0, len(h))
 	for name, values := range h {
 		fields = append(fields, &peerpb.HeaderField{Name: name, Values: values})
@@ -132,7 +132,7 @@
 	return fields
 }
 
-func headerIn(fields []*peerpb.HeaderField) http.Header {
+func decodeHeader(fields []*peerpb.HeaderField) http.Header {
 	h := make(http.Header, len(fields))
 	for _, f := range fields {
 		h[f.GetName()] = f.GetValues()
@@ -140,86 +140,86 @@
 	return h
 }
 
-func answerOut(a *caller.Response) *peerpb.Answer {
-	if a == nil {
+func encodeResponse(r *caller.Response) *peerpb.Answer {
+	if r == nil {
 		return nil
 	}
-	return &peerpb.Answer{Status: int32(a.Status), Header: headerOut(a.Header), Body: a.Body}
+	return &peerpb.Answer{Status: int32(r.Status), Header: encodeHeader(r.Header), Body: r.Body}
 }
 
-func answerIn(a *peerpb.Answer) *caller.Response {
-	if a == nil {
+func decodeResponse(r *peerpb.Answer) *caller.Response {
+	if r == nil {
 		return nil
 	}
-	return &caller.Response{Status: int(a.GetStatus()), Header: headerIn(a.GetHeader()), Body: a.GetBody()}
+	return &caller.Response{Status: int(r.GetStatus()), Header: decodeHeader(r.GetHeader()), Body: r.GetBody()}
 }
 
-func forwardOut(f peer.ForwardRequest) *peerpb.ForwardRequest {
+func encodeForwardRequest(f peer.ForwardRequest) *peerpb.ForwardRequest {
 	return &peerpb.ForwardRequest{
 		From:              f.From,
-		Stamp:             stampOut(f.Stamp),
+		Stamp:             encodeStamp(f.Stamp),
 		Token:             f.Token,
 		Service:           f.Service,
 		Method:            f.Method,
 		Path:              f.Path,
 		Client:            f.Client,
-		Header:            headerOut(f.Header),
+		Header:            encodeHeader(f.Header),
 		Body:              f.Body,
 		DeadlineUnixMicro: f.Deadline.UnixMicro(),
 	}
 }
 
-func forwardIn(f *peerpb.ForwardRequest) peer.ForwardRequest {
+func decodeForwardRequest(f *peerpb.ForwardRequest) peer.ForwardRequest {
 	return peer.ForwardRequest{
 		From:     f.GetFrom(),
-		Stamp:    stampIn(f.GetStamp()),
+		Stamp:    decodeStamp(f.GetStamp()),
 		Token:    f.GetToken(),
 		Service:  f.GetService(),
 		Method:   f.GetMethod(),
 		Path:     f.GetPath(),
 		Client:   f.GetClient(),
-		Header:   headerIn(f.GetHeader()),
+		Header:   decodeHeader(f.GetHeader()),
 		Body:     f.GetBody(),
 		Deadline: time.UnixMicro(f.GetDeadlineUnixMicro()),
 	}
 }
 
-func replyOut(r peer.ForwardReply) *peerpb.ForwardReply {
+func encodeForwardReply(r peer.ForwardReply) *peerpb.ForwardReply {
 	return &peerpb.ForwardReply{
-		Stamp:           stampOut(r.Stamp),
+		Stamp:           encodeStamp(r.Stamp),
 		Outcome:         uint32(r.Result.Outcome),
 		Reason:          string(r.Result.Reason),
 		RetryAfterMicro: r.Result.RetryAfter.Microseconds(),
-		Answer:          answerOut(r.Result.Response),
+		Answer:          encodeResponse(r.Result.Response),
 	}
 }
 
-func replyIn(r *peerpb.ForwardReply) peer.ForwardReply {
+func decodeForwardReply(r *peerpb.ForwardReply) peer.ForwardReply {
 	return peer.ForwardReply{
-		Stamp: stampIn(r.GetStamp()),
+		Stamp: decodeStamp(r.GetStamp()),
 		Result: caller.Result{
 			Outcome:    caller.Outcome(r.GetOutcome()),
 			Reason:     caller.Reason(r.GetReason()),
 			RetryAfter: time.Duration(r.GetRetryAfterMicro()) * time.Microsecond,
-			Response:   answerIn(r.GetAnswer()),
+			Response:   decodeResponse(r.GetAnswer()),
 		},
 	}
 }
 
-func handoverOut(h peer.HandoverRequest) *peerpb.HandoverRequest {
-	out := &peerpb.HandoverRequest{From: h.From, Stamp: stampOut(h.Stamp)}
-	for _, one := range h.Records {
+func encodeHandover(h peer.HandoverRequest) *peerpb.HandoverRequest {
+	out := &peerpb.HandoverRequest{From: h.From, Stamp: encodeStamp(h.Stamp)}
+	for _, handover := range h.Records {
 		message := &peerpb.Handover{
-			Minter:         one.Minter.Name,
-			Incarnation:    one.Minter.Incarnation,
-			Key:            one.Key[:],
-			RetentionMilli: one.Retention.Milliseconds(),
+			Minter:         handover.Minter.Name,
+			Incarnation:    handover.Minter.Incarnation,
+			Key:            handover.Key[:],
+			RetentionMilli: handover.Retention.Milliseconds(),
 		}
-		for _, r := range one.Records {
+		for _, r := range handover.Records {
 			message.Records = append(message.Records, &peerpb.Record{
 				Nonce:           r.Nonce[:],
 				State:           uint32(r.State),
-				Answer:          answerOut(r.Response),
+				Answer:          encodeResponse(r.Response),
 				Dropped:         r.ResponseDropped,
 				ExpiryUnixMilli: r.Expiry.UnixMilli(),
 			})
@@ -229,28 +229,28 @@
 	return out
 }
 
-func handoverIn(h *peerpb.HandoverRequest) peer.HandoverRequest {
-	in := peer.HandoverRequest{From: h.GetFrom(), Stamp: stampIn(h.GetStamp())}
+func decodeHandover(h *peerpb.HandoverRequest) peer.HandoverRequest {
+	in := peer.HandoverRequest{From: h.GetFrom(), Stamp: decodeStamp(h.GetStamp())}
 	for _, message := range h.GetHandovers() {
-		one := caller.Handover{
+		handover := caller.Handover{
 			Minter:    caller.Minter{Name: message.GetMinter(), Incarnation: message.GetIncarnation()},
 			Retention: time.Duration(message.GetRetentionMilli()) * time.Millisecond,
 		}
-		copy(one.Key[:], message.GetKey())
+		copy(handover.Key[:], message.GetKey())
 		for _, r := range message.GetRecords() {
 			record := caller.TokenRecord{
 				State:           uint8(r.GetState()),
-				Response:        answerIn(r.GetAnswer()),
+				Response:        decodeResponse(r.GetAnswer()),
 				ResponseDropped: r.GetDropped(),
 				Expiry:          time.UnixMilli(r.GetExpiryUnixMilli()),
 			}
 			copy(record.Nonce[:], r.GetNonce())
-			one.Records = append(one.Records, record)
+			handover.Records = append(handover.Records, record)
 		}
-		in.Records = append(in.Records, one)
+		in.Records = append(in.Records, handover)
 	}
 	return in
 }
 
-// ExchangeBytes is the size of an exchange on the wire, without the frame.
-func ExchangeBytes(e peer.Exchange) int { return proto.Size(exchangeOut(e)) }
+// ExchangeSize returns the encoded size of an exchange in bytes, without framing.
+func ExchangeSize(e peer.Exchange) int { return proto.Size(encodeExchange(e)) }
--- a/internal/adapter/peerdrpc/suspicion.go
+++ b/internal/adapter/peerdrpc/quarantine.go
@@ -9,7 +9,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/quarantine"
 )
 
-func suspicionsOut(list []quarantine.Report) []*peerpb.Suspicion {
+func encodeQuarantineReports(list []quarantine.Report) []*peerpb.Suspicion {
 	out := make([]*peerpb.Suspicion, 0, len(list))
 	for _, r := range list {
 		s := &peerpb.Suspicion{Work: r.Fingerprint[:], RanWell: r.Succeeded}
@@ -21,12 +21,12 @@
 	return out
 }
 
-func suspicionsIn(list []*peerpb.Suspicion) ([]quarantine.Report, error) {
+func decodeQuarantineReports(list []*peerpb.Suspicion) ([]quarantine.Report, error) {
 	var reports []quarantine.Report
 	for _, s := range list {
 		var r quarantine.Report
 		if len(s.GetWork()) != len(r.Fingerprint) {
-			return nil, errors.Errorf("suspicions: work: must have %d bytes, got %d", len(r.Fingerprint), len(s.GetWork()))
+			return nil, errors.Errorf("suspicions: work must have %d bytes, got %d", len(r.Fingerprint), len(s.GetWork()))
 		}
 		copy(r.Fingerprint[:], s.GetWork())
 		r.Succeeded = s.GetRanWell()
--- a/internal/adapter/peerdrpc/server.go
+++ b/internal/adapter/peerdrpc/server.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// MaxMessageBytes bounds one message; a hand-over is the largest.
+	// MaxMessageBytes limits the size of one message. The largest are handovers.
 	MaxMessageBytes = 16 << 20
 )
 
 type (
-	// Handlers answers peers. Each field is the kernel's own method behind
-	// the driver's lock, but for Forward, which runs a whole request.
+	// Handlers handles the calls of peers. Each field calls the kernel method of the same purpose
+	// under the driver's lock, except for Forward, which serves a whole request.
 	Handlers struct {
 		Exchange func(peer.Exchange) peer.Exchange
 		Borrow   func(peer.BorrowRequest) peer.BorrowReply
@@ -33,38 +33,39 @@
 		Handover func(peer.HandoverRequest) peer.Stamp
 	}
 
-	// SyncHandlers answers proxies on the platform.
+	// SyncHandlers handles the calls of peers that replicate the platform's store.
 	SyncHandlers struct {
-		// Sync compares copies of the store.
+		// Sync merges a peer's changes to the store and returns those that the peer lacks.
 		Sync func(SyncMessage) SyncMessage
-		// Ask answers for places at servers whose gates are here, Release takes them
-		// back, Grant hears what has become of an own question.
-		Ask     func(steering.SlotRequest) steering.SlotReply
-		Release func(steering.SlotRelease)
-		Grant   func(steering.SlotReply)
-		// ReportLimits answers proxies whose pool of limits is here, TakeToken those that
-		// ask it for one request of an account.
+		// RequestSlot handles a request for a slot of a server whose limiter this proxy owns, and
+		// ReleaseSlot the return of such a slot. HandleSlotReply handles the decision on a slot
+		// request of this proxy.
+		RequestSlot     func(steering.SlotRequest) steering.SlotReply
+		ReleaseSlot     func(steering.SlotRelease)
+		HandleSlotReply func(steering.SlotReply)
+		// ReportLimits handles a report to the quota pool that this proxy runs, and TakeToken a
+		// request for one token of an account.
 		ReportLimits func(ratelimit.Report) ratelimit.Grants
 		TakeToken    func(account string) ratelimit.TokenReply
-		// Now is the clock by which moments are told.
+		// Now returns the time to which the relative times of messages are added.
 		Now func() time.Time
 	}
 
-	service struct {
+	peerService struct {
 		handlers Handlers
 	}
 )
 
-// Serve answers peers until the context ends.
+// Serve handles the calls of peers until the context is done.
 func Serve(ctx context.Context, listener net.Listener, h Handlers) error {
 	mux := drpcmux.New()
-	if err := peerpb.DRPCRegisterPeer(mux, &service{handlers: h}); err != nil {
+	if err := peerpb.DRPCRegisterPeer(mux, &peerService{handlers: h}); err != nil {
 		return errors.Wrap(err, "register peer service")
 	}
 	return serveMux(ctx, listener, mux)
 }
 
-// ServeSync answers proxies on the platform until the context ends.
+// ServeSync handles the calls of peers that replicate the platform's store until the context is done.
 func ServeSync(ctx context.Context, listener net.Listener, h SyncHandlers) error {
 	mux := drpcmux.New()
 	if err := peerpb.DRPCRegisterReplica(mux, &syncService{handlers: h}); err != nil {
@@ -75,44 +76,44 @@
 
 func serveMux(ctx context.Context, listener net.Listener, mux *drpcmux.Mux) error {
 	server := drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: managerOptions()})
-	return errs.Wrap(server.Serve(ctx, listener), "serve peers")
+	return errs.Wrap(server.Serve(ctx, listener), "serve peer connections")
 }
 
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageBytes}}
 }
 
-// Exchange implements the generated interface.
-func (s *service) Exchange(_ context.Context, in *peerpb.ExchangeMessage) (*peerpb.ExchangeMessage, error) {
-	e, err := exchangeIn(in)
+// Exchange implements peerpb.DRPCPeerServer.
+func (s *peerService) Exchange(_ context.Context, in *peerpb.ExchangeMessage) (*peerpb.ExchangeMessage, error) {
+	e, err := decodeExchange(in)
 	if err != nil {
 		return nil, err
 	}
-	return exchangeOut(s.handlers.Exchange(e)), nil
+	return encodeExchange(s.handlers.Exchange(e)), nil
 }
 
-// Borrow implements the generated interface.
-func (s *service) Borrow(_ context.Context, in *peerpb.BorrowRequest) (*peerpb.BorrowReply, error) {
+// Borrow implements peerpb.DRPCPeerServer.
+func (s *peerService) Borrow(_ context.Context, in *peerpb.BorrowRequest) (*peerpb.BorrowReply, error) {
 	reply := s.handlers.Borrow(peer.BorrowRequest{
 		From:     in.GetFrom(),
-		Stamp:    stampIn(in.GetStamp()),
+		Stamp:    decodeStamp(in.GetStamp()),
 		Resource: peer.Resource(in.GetResource()),
 		Want:     int(in.GetWant()),
 		Renew:    peer.LoanID(in.GetRenew()),
 	})
 	return &peerpb.BorrowReply{
-		Stamp:  stampOut(reply.Stamp),
+		Stamp:  encodeStamp(reply.Stamp),
 		Loan:   uint64(reply.Loan),
 		Amount: int64(reply.Amount),
 	}, nil
 }
 
-// Forward implements the generated interface.
-func (s *service) Forward(ctx context.Context, in *peerpb.ForwardRequest) (*peerpb.ForwardReply, error) {
-	return replyOut(s.handlers.Forward(ctx, forwardIn(in))), nil
+// Forward implements peerpb.DRPCPeerServer.
+func (s *peerService) Forward(ctx context.Context, in *peerpb.ForwardRequest) (*peerpb.ForwardReply, error) {
+	return encodeForwardReply(s.handlers.Forward(ctx, decodeForwardRequest(in))), nil
 }
 
-// Handover implements the generated interface.
-func (s *service) Handover(_ context.Context, in *peerpb.HandoverRequest) (*peerpb.HandoverReply, error) {
-	return &peerpb.HandoverReply{Stamp: stampOut(s.handlers.Handover(handoverIn(in)))}, nil
+// Handover implements peerpb.DRPCPeerServer.
+func (s *peerService) Handover(_ context.Context, in *peerpb.HandoverRequest) (*peerpb.HandoverReply, error) {
+	return &peerpb.HandoverReply{Stamp: encodeStamp(s.handlers.Handover(decodeHandover(in)))}, nil
 }
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires one proxy process: kernel, driver, adapters, and the
-// order in which they start and stop.
+// Package daemon assembles one proxy process from the kernel, the driver and the adapters, and
+// starts and stops them in order.
 package daemon
 
 import (
@@ -31,68 +31,68 @@
 )
 
 const (
-	// connectionsPerServer bounds the connections to one backend server.
-	connectionsPerServer = 128
+	// maxConnectionsPerServer limits the number of connections to one backend server.
+	maxConnectionsPerServer = 128
 )
 
 type (
 	// Daemon is one proxy process.
 	Daemon struct {
-		settings  *settings.Settings
-		identity  *settings.Identity
-		driver    *driver.Driver
-		runner    *runner.Runner
-		peers     *peerdrpc.Client
-		platform  *kvhttp.Client
-		meters    *meters
-		callers   *http.Server
-		operators *http.Server
+		settings       *settings.Settings
+		identity       *settings.Identity
+		driver         *driver.Driver
+		runner         *runner.Runner
+		peerClient     *peerdrpc.Client
+		platformClient *kvhttp.Client
+		metrics        *processMetrics
+		callerServer   *http.Server
+		operatorServer *http.Server
 	}
 )
 
-// New makes a daemon from checked settings.
+// New returns a daemon for validated settings.
 func New(s *settings.Settings) (*Daemon, error) {
 	identity, err := settings.NewIdentity(s.TLS)
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{settings: s, identity: identity, meters: newMeters()}
-	d.peers = peerdrpc.NewClient(identity.Client)
-	d.peers.Sent = d.meters.peerSent
-	d.peers.Received = d.meters.peerReceived
-	d.platform = kvhttp.NewClient(s.Platform)
-	d.platform.OnCall = d.meters.platformCall
-	config, err := kernelConfig(s)
+	d := &Daemon{settings: s, identity: identity, metrics: newProcessMetrics()}
+	d.peerClient = peerdrpc.NewClient(identity.ClientConfig)
+	d.peerClient.OnSent = d.metrics.addPeerSent
+	d.peerClient.OnReceived = d.metrics.addPeerReceived
+	d.platformClient = kvhttp.NewClient(s.PlatformAddresses)
+	d.platformClient.OnCall = d.metrics.countPlatformCall
+	config, err := newKernelConfig(s)
 	if err != nil {
 		return nil, err
 	}
-	config.OnEvent = d.meters.event
+	config.OnEvent = d.metrics.countEvent
 	var backends *backendhttp.Client
-	d.driver = driver.New(config, driver.Seams{
-		Exchange: d.peers.Exchange,
-		Borrow:   d.peers.Borrow,
+	d.driver = driver.New(config, driver.Dependencies{
+		Exchange: d.peerClient.Exchange,
+		Borrow:   d.peerClient.Borrow,
 		Probe: func(ctx context.Context, a netip.AddrPort) backend.Health {
 			return backends.Probe(ctx, a)
 		},
-		Store: d.storeAssignment,
+		StoreAssignment: d.storeAssignment,
 	})
-	backends = backendhttp.NewClient(connectionsPerServer, d.driver.Now)
-	d.runner = &runner.Runner{Name: s.Name, Kernel: d.driver.Do, Send: backends.Send, Forward: d.peers.Forward}
-	limits := callerhttp.Limits{MaxBodyBytes: s.Limits.Body, MaxTotalBytes: s.Limits.AllBodies}
-	d.callers = callerhttp.NewServer(d.driver.Do, d.runner.Run, limits, d.driver.Now, d.meters.request).HTTPServer()
-	d.operators = (&operatorhttp.Server{
-		WithKernel: d.driver.Do,
+	backends = backendhttp.NewClient(maxConnectionsPerServer, d.driver.Now)
+	d.runner = &runner.Runner{Name: s.Name, WithKernel: d.driver.WithKernel, Send: backends.Send, Forward: d.peerClient.Forward}
+	limits := callerhttp.Limits{MaxBodyBytes: s.Limits.MaxBodyBytes, MaxTotalBytes: s.Limits.MaxTotalBodyBytes}
+	d.callerServer = callerhttp.NewServer(d.driver.WithKernel, d.runner.Run, limits, d.driver.Now, d.metrics.observeRequest).HTTPServer()
+	d.operatorServer = (&operatorhttp.Server{
+		WithKernel: d.driver.WithKernel,
 		Trust:      config.Trust,
-		Store:      d.platform.Store(),
-		ListValues: d.platform.List,
-		Metrics:    d.meters.set,
-		Ready:      d.ready,
+		Store:      d.platformClient.Store(),
+		ListValues: d.platformClient.List,
+		Metrics:    d.metrics.set,
+		Ready:      d.isReady,
 	}).HTTPServer()
-	d.meters.watch(d.driver)
+	d.metrics.registerGauges(d.driver)
 	return d, nil
 }
 
-func kernelConfig(s *settings.Settings) (core.Config, error) {
+func newKernelConfig(s *settings.Settings) (core.Config, error) {
 	c := core.Config{
 		Self: peer.Member{
 			Name:            s.Name,
@@ -100,43 +100,43 @@
 			PeerAddress:     s.Listen.Peers,
 			OperatorAddress: s.Listen.Operators,
 			Region:          s.Region,
-			Domain:          s.Domain,
+			Domain:          s.FailureDomain,
 		},
-		Trust:       s.Operators,
-		MaxInFlight: s.Limits.InFlight,
-		Seeds:       s.Seeds,
+		Trust:       s.TrustedOperators,
+		MaxInFlight: s.Limits.MaxInFlight,
+		Seeds:       s.SeedPeers,
 	}
 	if _, err := rand.Read(c.Seed[:]); err != nil {
-		return c, errors.Wrap(err, "seed")
+		return c, errors.Wrap(err, "generate seed")
 	}
 	if _, err := rand.Read(c.TokenKey[:]); err != nil {
-		return c, errors.Wrap(err, "token key")
+		return c, errors.Wrap(err, "generate token key")
 	}
-	// The incarnation must be larger after each restart, and unlike in two
-	// processes; a VM keeps nothing, so it comes from the clock and chance.
-	var low [2]byte
-	if _, err := rand.Read(low[:]); err != nil {
-		return c, errors.Wrap(err, "incarnation")
+	// The incarnation must increase with each restart and differ between two processes. A VM has no
+	// persistent storage, so the incarnation is composed of the wall clock and random bits.
+	var random [2]byte
+	if _, err := rand.Read(random[:]); err != nil {
+		return c, errors.Wrap(err, "generate incarnation")
 	}
-	c.Self.Incarnation = uint64(time.Now().UnixMilli())<<16 | uint64(binary.BigEndian.Uint16(low[:]))
+	c.Self.Incarnation = uint64(time.Now().UnixMilli())<<16 | uint64(binary.BigEndian.Uint16(random[:]))
 	return c, nil
 }
 
 func (d *Daemon) storeAssignment(ctx context.Context, a core.StoreAssignment) {
-	driver.StoreAssignment(ctx, d.platform.Store(), a, func(stored *kv.Assignment) {
-		d.driver.Do(func(k *core.Kernel, now time.Time) { k.ApplyAssignment(now, stored) })
+	driver.StoreAssignment(ctx, d.platformClient.Store(), a, func(stored *kv.Assignment) {
+		d.driver.WithKernel(func(k *core.Kernel, now time.Time) { k.ApplyAssignment(now, stored) })
 	})
 }
 
-func (d *Daemon) ready() bool {
+func (d *Daemon) isReady() bool {
 	ready := false
-	d.driver.Do(func(k *core.Kernel, _ time.Time) {
+	d.driver.WithKernel(func(k *core.Kernel, _ time.Time) {
 		ready = k.BundleVersion() > 0 && k.Self().State == peer.StateLive
 	})
 	return ready
 }
 
-// Run serves until stop ends, then stops as planned.
+// Run serves until the stop context is done, then performs a planned stop.
 func (d *Daemon) Run(stop context.Context) error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
@@ -144,42 +144,42 @@
 	if err != nil {
 		return err
 	}
-	failed := make(chan error, 4)
-	go func() { failed <- peerdrpc.Serve(ctx, listeners[0], d.handlers()) }()
-	go func() { failed <- d.callers.Serve(listeners[1]) }()
-	go func() { failed <- d.operators.Serve(listeners[2]) }()
+	serveErrors := make(chan error, 4)
+	go func() { serveErrors <- peerdrpc.Serve(ctx, listeners[0], d.peerHandlers()) }()
+	go func() { serveErrors <- d.callerServer.Serve(listeners[1]) }()
+	go func() { serveErrors <- d.operatorServer.Serve(listeners[2]) }()
 	watcher := driver.NewWatcher(d.driver, driver.Platform{
-		Store: d.platform.Store(), Watch: d.platform.Watch, Machines: d.platform.WatchMachines,
+		Store: d.platformClient.Store(), Watch: d.platformClient.Watch, Machines: d.platformClient.WatchMachines,
 	})
 	go watcher.Run(ctx)
-	ticking := make(chan struct{})
+	ticksDone := make(chan struct{})
 	go func() {
 		d.driver.Run(ctx)
-		close(ticking)
+		close(ticksDone)
 	}()
 	klog.InfoS("serving", "callers", d.settings.Listen.Callers,
 		"peers", d.settings.Listen.Peers, "operators", d.settings.Listen.Operators)
 	select {
 	case <-stop.Done():
-		d.stop(ctx)
-	case err := <-failed:
-		return errors.Wrap(err, "listener")
+		d.stopGracefully(ctx)
+	case err := <-serveErrors:
+		return errors.Wrap(err, "serve listener")
 	}
 	cancel()
-	<-ticking
-	return errs.Wrap(d.peers.Close(), "close")
+	<-ticksDone
+	return errs.Wrap(d.peerClient.Close(), "close peer client")
 }
 
-// listen binds all addresses first: a process that cannot have its VM's
-// addresses must not take part, for another incarnation still holds them.
+// listen binds all addresses before anything is served. A process that cannot bind the addresses of
+// its VM must not join the fleet, because another incarnation still uses them.
 func (d *Daemon) listen() ([]net.Listener, error) {
 	addresses := []struct {
 		address netip.AddrPort
 		tls     *tls.Config
 	}{
-		{d.settings.Listen.Peers, d.identity.Server(true)},
+		{d.settings.Listen.Peers, d.identity.ServerConfig(true)},
 		{d.settings.Listen.Callers, nil},
-		{d.settings.Listen.Operators, d.identity.Server(false)},
+		{d.settings.Listen.Operators, d.identity.ServerConfig(false)},
 	}
 	var listeners []net.Listener
 	for _, a := range addresses {
@@ -195,19 +195,19 @@
 	return listeners, nil
 }
 
-func (d *Daemon) handlers() peerdrpc.Handlers {
+func (d *Daemon) peerHandlers() peerdrpc.Handlers {
 	return peerdrpc.Handlers{
 		Exchange: func(m peer.Exchange) (reply peer.Exchange) {
-			d.driver.Do(func(k *core.Kernel, now time.Time) { reply = k.HandleExchange(now, m) })
+			d.driver.WithKernel(func(k *core.Kernel, now time.Time) { reply = k.HandleExchange(now, m) })
 			return reply
 		},
 		Borrow: func(m peer.BorrowRequest) (reply peer.BorrowReply) {
-			d.driver.Do(func(k *core.Kernel, now time.Time) { reply = k.HandleBorrow(now, m) })
+			d.driver.WithKernel(func(k *core.Kernel, now time.Time) { reply = k.HandleBorrow(now, m) })
 			return reply
 		},
 		Forward: d.runner.HandleForward,
 		Handover: func(m peer.HandoverRequest) (stamp peer.Stamp) {
-			d.driver.Do(func(k *core.Kernel, now time.Time) {
+			d.driver.WithKernel(func(k *core.Kernel, now time.Time) {
 				k.HandleHandover(now, m.From, m.Stamp, m.Records)
 				stamp = k.Stamp(now)
 			})
--- a/internal/proxy/driver/driver.go
+++ b/internal/proxy/driver/driver.go
@@ -1,5 +1,5 @@
-// Package driver gives a kernel its clock, its lock and its messages: it calls
-// Tick, carries out the actions and brings back what came of them.
+// Package driver runs a kernel: it provides the clock and the lock, calls Tick, performs the
+// resulting actions and passes their results back to the kernel.
 package driver
 
 import (
@@ -17,70 +17,70 @@
 )
 
 type (
-	// Seams are the driver's ways out. Tests put functions of their own in.
-	Seams struct {
-		Exchange func(context.Context, peer.Member, peer.Exchange) (peer.Exchange, error)
-		Borrow   func(context.Context, peer.Member, peer.BorrowRequest) (peer.BorrowReply, error)
-		Probe    func(context.Context, netip.AddrPort) backend.Health
-		Store    func(context.Context, core.StoreAssignment)
+	// Dependencies are the functions by which the driver reaches peers, backend servers and the
+	// platform. Tests replace them.
+	Dependencies struct {
+		Exchange        func(context.Context, peer.Member, peer.Exchange) (peer.Exchange, error)
+		Borrow          func(context.Context, peer.Member, peer.BorrowRequest) (peer.BorrowReply, error)
+		Probe           func(context.Context, netip.AddrPort) backend.Health
+		StoreAssignment func(context.Context, core.StoreAssignment)
 	}
 
-	// Driver owns one kernel.
+	// Driver owns one kernel and serializes access to it.
 	Driver struct {
-		mu     sync.Mutex
-		kernel *core.Kernel
-		base   atomic.Pointer[time.Time]
-		seams  Seams
-		work   sync.WaitGroup
+		mu        sync.Mutex
+		kernel    *core.Kernel
+		clockBase atomic.Pointer[time.Time]
+		deps      Dependencies
+		running   sync.WaitGroup
 	}
 )
 
-// New makes a driver. The kernel is made from the driver's own clock.
-func New(c core.Config, s Seams) *Driver {
-	d := &Driver{seams: s}
+// New returns a driver with a new kernel that uses the driver's clock.
+func New(c core.Config, deps Dependencies) *Driver {
+	d := &Driver{deps: deps}
 	now := time.Now()
-	d.base.Store(&now)
+	d.clockBase.Store(&now)
 	d.kernel = core.New(c, d.Now())
 	return d
 }
 
-// Now is the kernel's time: the wall time at the start plus what the monotonic
-// clock has counted since. A step of the wall clock must not make a record
-// look expired, or a token whose record is gone look fresh again.
+// Now returns the kernel's time: a base wall time plus the monotonic time since. It does not follow
+// steps of the wall clock, because a step must not make a record look expired, or a token whose
+// record has been removed look valid again.
 func (d *Driver) Now() time.Time {
-	base := d.base.Load()
+	base := d.clockBase.Load()
 	return base.Round(0).Add(time.Since(*base))
 }
 
-// catchUp follows the wall clock forward, never back. The monotonic clock does
-// not count while a VM is paused, so after a pause this process would lag for
-// good: every deadline that it sends would lie in the past, and backend servers
-// would refuse all its requests. The kernel takes the jump for a freeze and
-// uses no quota for a window, so a wall clock that was set wrong costs a second
-// and no capacity.
-func (d *Driver) catchUp() {
+// followWallClock advances the kernel's time to the wall clock if it lags, and never moves it back.
+// The monotonic clock does not advance while a VM is paused. Without the correction this process
+// would lag permanently after a pause: every deadline that it sends would be in the past, and backend
+// servers would reject all its requests. The kernel treats the jump as a freeze and uses no quota for
+// one window, so a wrongly set wall clock costs one second but no capacity.
+func (d *Driver) followWallClock() {
 	now := time.Now()
 	if now.Round(0).Sub(d.Now()) > core.ClockTolerance {
-		klog.InfoS("clock was behind, perhaps the VM was paused", "by", now.Round(0).Sub(d.Now()).String())
-		d.base.Store(&now)
+		klog.InfoS("advanced the lagging clock; the VM may have been paused", "by", now.Round(0).Sub(d.Now()).String())
+		d.clockBase.Store(&now)
 	}
 }
 
-// Do runs a function with the kernel under the lock.
-func (d *Driver) Do(f func(k *core.Kernel, now time.Time)) {
+// WithKernel calls f with the kernel while holding the lock.
+func (d *Driver) WithKernel(f func(k *core.Kernel, now time.Time)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d.kernel, d.Now())
 }
 
-// Run ticks until the context ends, then waits for actions under way.
+// Run ticks until the context is done, then waits for running actions.
 func (d *Driver) Run(ctx context.Context) {
 	ticker := time.NewTicker(core.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			d.work.Wait()
+			d.running.Wait()
 			return
 		case <-ticker.C:
 			d.Tick(ctx)
@@ -88,47 +88,47 @@
 	}
 }
 
-// Tick lets the kernel do what is due.
+// Tick runs the kernel's due work and performs the resulting actions.
 func (d *Driver) Tick(ctx context.Context) {
-	d.catchUp()
+	d.followWallClock()
 	var actions []core.Action
-	d.Do(func(k *core.Kernel, now time.Time) { actions = k.Tick(now) })
+	d.WithKernel(func(k *core.Kernel, now time.Time) { actions = k.Tick(now) })
 	d.Perform(ctx, actions)
 }
 
-// Perform starts the actions; each reports back to the kernel by itself.
+// Perform starts the actions. Each passes its result to the kernel when it completes.
 func (d *Driver) Perform(ctx context.Context, actions []core.Action) {
 	for _, a := range actions {
-		d.work.Go(func() { d.perform(ctx, a) })
+		d.running.Go(func() { d.performAction(ctx, a) })
 	}
 }
 
-func (d *Driver) perform(ctx context.Context, action core.Action) {
+func (d *Driver) performAction(ctx context.Context, action core.Action) {
 	switch a := action.(type) {
 	case core.SendExchange:
-		d.exchange(ctx, a)
+		d.sendExchange(ctx, a)
 	case core.SendBorrow:
-		reply, err := d.seams.Borrow(ctx, a.To, a.Message)
+		reply, err := d.deps.Borrow(ctx, a.To, a.Message)
 		answer := &reply
 		if err != nil {
 			answer = nil
 		}
-		d.Do(func(k *core.Kernel, now time.Time) { k.HandleBorrowReply(now, a, answer) })
+		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleBorrowReply(now, a, answer) })
 	case core.SendProbe:
-		health := d.seams.Probe(ctx, a.Address)
-		d.Do(func(k *core.Kernel, now time.Time) { k.HandleProbeResult(now, a.Server, health) })
+		health := d.deps.Probe(ctx, a.Address)
+		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleProbeResult(now, a.Server, health) })
 	case core.StoreAssignment:
-		d.seams.Store(ctx, a)
+		d.deps.StoreAssignment(ctx, a)
 	}
 }
 
-func (d *Driver) exchange(ctx context.Context, a core.SendExchange) {
-	asked := d.Now()
-	reply, err := d.seams.Exchange(ctx, a.To, a.Message)
+func (d *Driver) sendExchange(ctx context.Context, a core.SendExchange) {
+	sentAt := d.Now()
+	reply, err := d.deps.Exchange(ctx, a.To, a.Message)
 	if err != nil {
-		klog.V(1).InfoS("peer did not answer", "peer", a.To.Name, "address", a.To.PeerAddress, "error", err.Error())
-		d.Do(func(k *core.Kernel, now time.Time) { k.HandleExchangeFailure(now, a.To.Name) })
+		klog.V(1).InfoS("exchange with peer failed", "peer", a.To.Name, "address", a.To.PeerAddress, "error", err.Error())
+		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleExchangeFailure(now, a.To.Name) })
 		return
 	}
-	d.Do(func(k *core.Kernel, now time.Time) { k.HandleExchangeReply(now, asked, reply) })
+	d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleExchangeReply(now, sentAt, reply) })
 }
--- a/internal/proxy/driver/platform.go
+++ b/internal/proxy/driver/platform.go
@@ -14,76 +14,77 @@
 )
 
 const (
-	backoffLeast = 200 * time.Millisecond
-	backoffMost  = 5 * time.Second
-	relayCheck   = time.Second
+	minBackoff         = 200 * time.Millisecond
+	maxBackoff         = 5 * time.Second
+	relayCheckInterval = time.Second
 )
 
 type (
-	// Platform is the platform's service, as function fields.
+	// Platform gives access to the platform: its key-value store, and function fields that wait for
+	// a change of a key or of the list of machines.
 	Platform struct {
 		kv.Store
 		Watch    func(ctx context.Context, key kv.Key, after kv.Revision) (kv.Value, error)
 		Machines func(ctx context.Context, after uint64) (*kv.MachineList, error)
 	}
 
-	// Watcher brings what the platform holds to the kernel while this proxy
-	// is one of its failure domain's relays.
+	// Watcher applies changes on the platform to the kernel while this proxy is a relay of its
+	// failure domain.
 	Watcher struct {
 		driver   *Driver
 		platform Platform
 	}
 )
 
-// NewWatcher makes a watcher.
+// NewWatcher returns a watcher that applies changes to the kernel of d.
 func NewWatcher(d *Driver, p Platform) *Watcher { return &Watcher{driver: d, platform: p} }
 
-// Run watches until the context ends.
+// Run watches the bundle, the assignment and the list of machines until the context is done.
 func (w *Watcher) Run(ctx context.Context) {
 	done := make(chan struct{}, 3)
-	loop := func(once func(context.Context) error) {
-		w.loop(ctx, once)
+	run := func(watch func(context.Context) error) {
+		w.watchLoop(ctx, watch)
 		done <- struct{}{}
 	}
-	go loop(w.follow(kv.KeyBundle, w.hearBundle))
-	go loop(w.follow(kv.KeyAssignment, w.hearAssignment))
-	go loop(w.machines())
+	go run(w.watchKey(kv.KeyBundle, w.applyBundle))
+	go run(w.watchKey(kv.KeyAssignment, w.applyAssignment))
+	go run(w.watchMachines())
 	for range cap(done) {
 		<-done
 	}
 }
 
-// loop repeats one watch. After a failure it waits longer each time and by a
-// random part, or all relays would return together after an outage.
-func (w *Watcher) loop(ctx context.Context, once func(context.Context) error) {
-	pause := backoffLeast
+// watchLoop repeats one watch. After failures it retries with exponential backoff and jitter, so that
+// the relays do not all reconnect at once after an outage.
+func (w *Watcher) watchLoop(ctx context.Context, watch func(context.Context) error) {
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		if !w.relay() {
-			sleep.For(ctx, relayCheck)
+		if !w.isRelay() {
+			sleep.For(ctx, relayCheckInterval)
 			continue
 		}
-		if err := once(ctx); err != nil {
+		if err := watch(ctx); err != nil {
 			klog.V(1).InfoS("platform watch failed", "error", err.Error())
-			sleep.For(ctx, pause/2+rand.N(pause))
-			pause = min(2*pause, backoffMost)
+			sleep.For(ctx, backoff/2+rand.N(backoff))
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		pause = backoffLeast
+		backoff = minBackoff
 	}
 }
 
-func (w *Watcher) relay() bool {
+func (w *Watcher) isRelay() bool {
 	relay := false
-	w.driver.Do(func(k *core.Kernel, _ time.Time) { relay = k.IsRelay() })
+	w.driver.WithKernel(func(k *core.Kernel, _ time.Time) { relay = k.IsRelay() })
 	return relay
 }
 
-// follow watches one key. hear gets each new value, or nil data when the key
-// is absent, and may return data to write in its place.
-func (w *Watcher) follow(key kv.Key, hear func(time.Time, []byte) []byte) func(context.Context) error {
+// watchKey returns a function that watches one key. apply is called with each new value, or with nil
+// data if the key is absent, and may return data to write in its place.
+func (w *Watcher) watchKey(key kv.Key, apply func(time.Time, []byte) []byte) func(context.Context) error {
 	after := kv.Revision(0)
 	return func(ctx context.Context) error {
-		asked := w.driver.Now()
+		sentAt := w.driver.Now()
 		value, err := w.platform.Watch(ctx, key, after)
 		if err != nil && !errors.Is(err, kv.ErrNotFound) {
 			return err
@@ -92,23 +93,23 @@
 			return nil
 		}
 		after = value.Revision
-		repair := hear(asked, value.Data)
+		repair := apply(sentAt, value.Data)
 		if repair == nil {
 			return nil
 		}
-		// The platform holds an older value than this proxy: it was restored
-		// from a backup. Writing the newer one back keeps it in force.
+		// The platform's value is older than the one in force here, because the platform was restored
+		// from a backup. Writing the newer value back keeps it in force.
 		if _, err := w.platform.CompareAndSwap(ctx, key, value.Revision, repair); err != nil {
 			return errors.Wrap(err, "write back "+string(key))
 		}
-		klog.InfoS("platform held an older value; wrote the newer one back", "key", key)
+		klog.InfoS("replaced an older value on the platform by the newer one", "key", key)
 		return nil
 	}
 }
 
-func (w *Watcher) hearBundle(_ time.Time, data []byte) []byte {
+func (w *Watcher) applyBundle(_ time.Time, data []byte) []byte {
 	var repair []byte
-	w.driver.Do(func(k *core.Kernel, now time.Time) {
+	w.driver.WithKernel(func(k *core.Kernel, now time.Time) {
 		if len(data) > 0 {
 			k.ApplyBundle(now, data)
 		}
@@ -117,20 +118,20 @@
 	return repair
 }
 
-func (w *Watcher) hearAssignment(asked time.Time, data []byte) []byte {
+func (w *Watcher) applyAssignment(sentAt time.Time, data []byte) []byte {
 	var repair []byte
-	w.driver.Do(func(k *core.Kernel, now time.Time) {
+	w.driver.WithKernel(func(k *core.Kernel, now time.Time) {
 		a, err := kv.ParseAssignment(data)
 		if err == nil {
 			k.ApplyAssignment(now, a)
 		}
-		k.HandlePlatformReply(now, asked)
+		k.HandlePlatformReply(now, sentAt)
 		repair = k.RepairAssignment(a)
 	})
 	return repair
 }
 
-func (w *Watcher) machines() func(context.Context) error {
+func (w *Watcher) watchMachines() func(context.Context) error {
 	after := uint64(0)
 	return func(ctx context.Context) error {
 		list, err := w.platform.Machines(ctx, after)
@@ -138,27 +139,28 @@
 			return err
 		}
 		after = list.Version
-		w.driver.Do(func(k *core.Kernel, now time.Time) { k.ApplyMachines(now, list) })
+		w.driver.WithKernel(func(k *core.Kernel, now time.Time) { k.ApplyMachines(now, list) })
 		return nil
 	}
 }
 
-// StoreAssignment carries out the kernel's action: read, compare the version,
-// swap. The result is heard back through the watch, or here at once.
-func StoreAssignment(ctx context.Context, s kv.Store, a core.StoreAssignment, hear func(*kv.Assignment)) {
+// StoreAssignment performs the kernel's action: it reads the stored assignment, compares its version
+// and swaps it. apply is called with the assignment that is then stored, without waiting for the
+// watch.
+func StoreAssignment(ctx context.Context, s kv.Store, a core.StoreAssignment, apply func(*kv.Assignment)) {
 	value, err := s.Get(ctx, kv.KeyAssignment)
 	if err != nil && !errors.Is(err, kv.ErrNotFound) {
 		return
 	}
 	if stored, err := kv.ParseAssignment(value.Data); err == nil {
 		if stored.Version != a.ExpectedVersion {
-			hear(stored)
+			apply(stored)
 			return
 		}
 	} else if a.ExpectedVersion != 0 {
 		return
 	}
 	if _, err := s.CompareAndSwap(ctx, kv.KeyAssignment, value.Revision, a.Value.Encode()); err == nil {
-		hear(a.Value)
+		apply(a.Value)
 	}
 }
--- a/internal/proxy/recording/file_test.go
+++ b/internal/proxy/recording/file_test.go
@@ -13,9 +13,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// recorded has a kernel place two requests, the second in vain, and returns the
-// recording's path.
-func recorded(t *testing.T) string {
+// writeRecording records a kernel that dispatches two requests, of which the second finds no server,
+// and returns the path of the recording.
+func writeRecording(t *testing.T) string {
 	t.Helper()
 	directory, now := t.TempDir(), time.Unix(1_000_000, 0)
 	file, err := Create(directory, "vm-1", now)
@@ -26,8 +26,8 @@
 	route := &routing.Route{Name: "route", Host: "host", Prefix: "/", Attempts: 1, Timeout: time.Second, Target: time.Second, Parts: []routing.WeightedService{{Service: "service", Weight: 1}}}
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 	k.RegisterServer(now, routing.Server{ID: "server-1", Service: "service", Domain: "north-a", Slots: 4})
-	f, _ := k.BeginRequest(now, steering.Request{ID: "first", Host: "host", Path: "/"})
-	k.EndAttempt(now.Add(time.Millisecond), f, steering.Attempt{Result: steering.ResultAnswered})
+	request, _ := k.BeginRequest(now, steering.Request{ID: "first", Host: "host", Path: "/"})
+	k.EndAttempt(now.Add(time.Millisecond), request, steering.Attempt{Result: steering.ResultAnswered})
 	k.RemoveServer(now, "server-1")
 	k.BeginRequest(now, steering.Request{ID: "second", Host: "host", Path: "/"})
 	if err := file.Close(); err != nil {
@@ -36,20 +36,20 @@
 	return filepath.Join(directory, "vm-1-19700112T134640.000.json")
 }
 
-func replay(path, request string) (code int, out, complaints string) {
-	var printed, complained strings.Builder
+func runReplay(path, request string) (code int, out, errOut string) {
+	var stdout, stderr strings.Builder
 	code = command.Run(context.Background(), command.Arguments{
 		Steering: &command.SteeringArguments{Replay: &command.SteeringReplayArguments{File: path, Request: request}},
-	}, &printed, &complained)
-	return code, printed.String(), complained.String()
+	}, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
-// An operator asks why a request went where it went. The command line replays the
-// recording and shows the servers as they were weighed.
-func TestCommandLineReplaysARecording(t *testing.T) {
-	code, out, complaints := replay(recorded(t), "first")
+// An operator wants to know why a request was sent to its server. The command replays the recording
+// and prints the candidate servers of the decision.
+func TestCommandReplaysRecording(t *testing.T) {
+	code, out, errOut := runReplay(writeRecording(t), "first")
 	if code != command.ExitOK {
-		t.Fatalf("exit code %d: %s", code, complaints)
+		t.Fatalf("exit code %d: %s", code, errOut)
 	}
 	for _, want := range []string{"7 calls, 3 decisions, 0 differ", "server-1", "chosen"} {
 		if !strings.Contains(out, want) {
@@ -58,9 +58,9 @@
 	}
 }
 
-// The recording was made by other code, which refused the first request.
-func TestCommandLineNamesDecisionsThatDiffer(t *testing.T) {
-	path := recorded(t)
+// The recording was made by a different version of the code, which rejected the first request.
+func TestCommandReportsDifferingDecisions(t *testing.T) {
+	path := writeRecording(t)
 	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -69,19 +69,19 @@
 	if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, out, _ := replay(path, ""); !strings.Contains(out, "request first: recorded no-server, now to server-1") {
+	if _, out, _ := runReplay(path, ""); !strings.Contains(out, "request first: recorded no-server, now to server-1") {
 		t.Errorf("got %q, want the first request with both decisions", out)
 	}
 }
 
-func TestWrongRecordingIsNamed(t *testing.T) {
+func TestErrorNamesInvalidRecording(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "wrong.json")
 	if err := os.WriteFile(path, []byte(`{"do":"tick"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range []string{path, path + "-missing"} {
-		if code, _, complaints := replay(p, ""); code != command.ExitUsage || !strings.Contains(complaints, p) {
-			t.Errorf("exit code %d, %q; want %d and the file's name", code, complaints, command.ExitUsage)
+		if code, _, errOut := runReplay(p, ""); code != command.ExitUsage || !strings.Contains(errOut, p) {
+			t.Errorf("exit code %d, %q; want %d and the file's name", code, errOut, command.ExitUsage)
 		}
 	}
 }
--- a/internal/proxy/runner/body.go
+++ b/internal/proxy/runner/body.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	// maxForwardedBody bounds an answer that travels between proxies.
-	maxForwardedBody = 8 << 20
+	// maxForwardedBodyBytes limits the body of a response that is returned to a peer.
+	maxForwardedBodyBytes = 8 << 20
 )
 
 var (
-	errBodyTooLarge = errors.New("answer too large to hand on")
+	errResponseTooLarge = errors.New("response body too large to return to peer")
 )
 
 type (
-	// cancelling ends a request's context with its body, not before.
-	cancelling struct {
+	// cancelOnClose cancels the context of a request when the response body is closed. The body
+	// cannot be read after the context has ended.
+	cancelOnClose struct {
 		io.ReadCloser
 		cancel context.CancelFunc
 	}
 
-	bodyBuffer struct {
+	boundedBuffer struct {
 		data []byte
 	}
 )
 
 // Close implements io.Closer.
-func (c *cancelling) Close() error {
+func (c *cancelOnClose) Close() error {
 	defer c.cancel()
 	return errs.Wrap(c.ReadCloser.Close(), "close body")
 }
 
 // Write implements io.Writer.
-func (b *bodyBuffer) Write(p []byte) (int, error) {
-	if len(b.data)+len(p) > maxForwardedBody {
-		return 0, errBodyTooLarge
+func (b *boundedBuffer) Write(p []byte) (int, error) {
+	if len(b.data)+len(p) > maxForwardedBodyBytes {
+		return 0, errResponseTooLarge
 	}
 	b.data = append(b.data, p...)
 	return len(p), nil
--- a/internal/proxy/runner/runner.go
+++ b/internal/proxy/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner takes one request through the kernel's decisions: dispatch,
-// forward, retry, final result. It decides nothing itself.
+// Package runner executes the kernel's decisions on a request: dispatch, forward, retry and final
+// result. It makes no decisions itself.
 package runner
 
 import (
@@ -21,62 +21,62 @@
 type (
 	// Runner serves requests.
 	Runner struct {
-		Name    string
-		Kernel  core.Executor
-		Send    func(context.Context, backendhttp.Request) backendhttp.Response
-		Forward func(context.Context, peer.Member, peer.ForwardRequest) (peer.ForwardReply, error)
-		late    sync.WaitGroup
+		Name       string
+		WithKernel core.Executor
+		Send       func(context.Context, backendhttp.Request) backendhttp.Response
+		Forward    func(context.Context, peer.Member, peer.ForwardRequest) (peer.ForwardReply, error)
+		detached   sync.WaitGroup
 	}
 
-	attempt struct {
+	endedAttempt struct {
 		decision core.Decision
 		response backendhttp.Response
 	}
 )
 
-// Run serves one request to its final result.
+// Run serves one request until it has its final result.
 func (r *Runner) Run(ctx context.Context, q callerhttp.Request) callerhttp.Reply {
 	var d core.Decision
-	r.Kernel(func(k *core.Kernel, now time.Time) { d = k.BeginRequest(now, q.Request) })
+	r.WithKernel(func(k *core.Kernel, now time.Time) { d = k.BeginRequest(now, q.Request) })
 	for {
 		switch d.Step {
 		case core.StepFinish:
 			return callerhttp.Reply{Result: d.Result, ID: d.ID, NewToken: d.NewToken}
 		case core.StepForward:
-			return r.forward(ctx, q, d)
+			return r.forwardToMinter(ctx, q, d)
 		}
-		a, ended := r.attempt(ctx, q, d)
+		a, ended := r.runAttempt(ctx, q, d)
 		if !ended {
-			return r.overdue(d)
+			return r.deadlineExceeded(d)
 		}
 		if a.response.Remainder != nil {
-			return r.stream(a)
+			return r.streamResponse(a)
 		}
-		d = r.end(a, false)
+		d = r.endAttempt(a, false)
 	}
 }
 
-// Wait blocks until attempts that outlived their callers have ended.
-func (r *Runner) Wait() { r.late.Wait() }
+// Wait waits for the attempts that continue without their callers.
+func (r *Runner) Wait() { r.detached.Wait() }
 
-// attempt sends one dispatch. A non-idempotent one is not tied to its caller:
-// it goes on when the caller leaves or its deadline passes, so that a repeat
-// can be told what became of it.
-func (r *Runner) attempt(ctx context.Context, q callerhttp.Request, d core.Decision) (attempt, bool) {
+// runAttempt sends the request to the chosen server. The attempt of a non-idempotent request
+// continues when the caller disconnects or the deadline passes, so that the outcome can be returned
+// if the caller repeats the request. In that case runAttempt returns false.
+func (r *Runner) runAttempt(ctx context.Context, q callerhttp.Request, d core.Decision) (endedAttempt, bool) {
 	if d.Idempotent {
-		return attempt{decision: d, response: r.send(ctx, q, d, d.Deadline)}, true
+		return endedAttempt{decision: d, response: r.send(ctx, q, d, d.Deadline)}, true
 	}
-	done := make(chan attempt, 1)
-	gone := make(chan struct{})
-	r.late.Go(func() {
-		a := attempt{decision: d, response: r.send(context.WithoutCancel(ctx), q, d, d.Deadline.Add(core.AnswerGracePeriod))}
+	done := make(chan endedAttempt, 1)
+	callerGone := make(chan struct{})
+	r.detached.Go(func() {
+		a := endedAttempt{decision: d, response: r.send(context.WithoutCancel(ctx), q, d, d.Deadline.Add(core.AnswerGracePeriod))}
 		select {
 		case done <- a:
 		default:
 		}
 		select {
-		case <-gone:
-			r.settleLate(done)
+		case <-callerGone:
+			r.endDetached(done)
 		default:
 		}
 	})
@@ -88,27 +88,27 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	close(gone)
-	// The answer may have come in this very moment; whoever takes it from the
-	// channel ends the attempt, so it is ended once.
-	r.settleLate(done)
-	return attempt{}, false
+	close(callerGone)
+	// The response may have arrived at the same time. Only the goroutine that receives it from the
+	// channel ends the attempt, so the attempt is ended once.
+	r.endDetached(done)
+	return endedAttempt{}, false
 }
 
-func (r *Runner) settleLate(done <-chan attempt) {
+func (r *Runner) endDetached(done <-chan endedAttempt) {
 	select {
 	case a := <-done:
 		if a.response.Remainder != nil {
 			_ = a.response.Remainder.Close()
 			a.response.Answer.Streamed = true
 		}
-		r.end(a, true)
+		r.endAttempt(a, true)
 	default:
 	}
 }
 
-func (r *Runner) send(ctx context.Context, q callerhttp.Request, d core.Decision, until time.Time) backendhttp.Response {
-	ctx, cancel := context.WithDeadline(ctx, until)
+func (r *Runner) send(ctx context.Context, q callerhttp.Request, d core.Decision, deadline time.Time) backendhttp.Response {
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	response := r.Send(ctx, backendhttp.Request{
 		Address:  d.Server.Address,
 		Method:   q.Method,
@@ -123,19 +123,19 @@
 		cancel()
 		return response
 	}
-	response.Remainder = &cancelling{ReadCloser: response.Remainder, cancel: cancel}
+	response.Remainder = &cancelOnClose{ReadCloser: response.Remainder, cancel: cancel}
 	return response
 }
 
-func (r *Runner) end(a attempt, final bool) core.Decision {
+func (r *Runner) endAttempt(a endedAttempt, noRetry bool) core.Decision {
 	var next core.Decision
-	r.Kernel(func(k *core.Kernel, now time.Time) {
+	r.WithKernel(func(k *core.Kernel, now time.Time) {
 		next = k.EndAttempt(now, core.AttemptEnd{
 			Attempt: a.decision.Attempt,
 			Result:  a.response.Result,
 			Answer:  a.response.Answer,
 			Report:  a.response.Report,
-			NoRetry: final,
+			NoRetry: noRetry,
 
 			ConnectionRefused: a.response.ConnectionRefused,
 		})
@@ -143,14 +143,15 @@
 	return next
 }
 
-func (r *Runner) overdue(d core.Decision) callerhttp.Reply {
+func (r *Runner) deadlineExceeded(d core.Decision) callerhttp.Reply {
 	reply := callerhttp.Reply{ID: d.ID}
-	r.Kernel(func(k *core.Kernel, now time.Time) { reply.Result = k.HandleDeadlineExceeded(now, d.Attempt) })
+	r.WithKernel(func(k *core.Kernel, now time.Time) { reply.Result = k.HandleDeadlineExceeded(now, d.Attempt) })
 	return reply
 }
 
-// stream passes a long answer on as it arrives. The attempt ends with it.
-func (r *Runner) stream(a attempt) callerhttp.Reply {
+// streamResponse streams a long response to the caller as it arrives. The attempt ends with the
+// response.
+func (r *Runner) streamResponse(a endedAttempt) callerhttp.Reply {
 	result := caller.Result{Outcome: caller.OutcomeDone, Response: a.response.Answer}
 	return callerhttp.Reply{Result: result, ID: a.decision.ID, Stream: func(w io.Writer) error {
 		defer func() { _ = a.response.Remainder.Close() }()
@@ -162,12 +163,12 @@
 			a.response.Result = backend.Interrupted
 		}
 		a.response.Answer.Streamed = true
-		r.end(a, true)
+		r.endAttempt(a, true)
 		return err
 	}}
 }
 
-func (r *Runner) forward(ctx context.Context, q callerhttp.Request, d core.Decision) callerhttp.Reply {
+func (r *Runner) forwardToMinter(ctx context.Context, q callerhttp.Request, d core.Decision) callerhttp.Reply {
 	ctx, cancel := context.WithDeadline(ctx, d.Deadline)
 	defer cancel()
 	message := peer.ForwardRequest{
@@ -181,22 +182,22 @@
 		Body:     q.Body,
 		Deadline: d.Deadline,
 	}
-	r.Kernel(func(k *core.Kernel, now time.Time) { message.Stamp = k.Stamp(now) })
+	r.WithKernel(func(k *core.Kernel, now time.Time) { message.Stamp = k.Stamp(now) })
 	answer, err := r.Forward(ctx, d.Peer, message)
 	if err == nil {
-		r.Kernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(answer.Stamp) })
+		r.WithKernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(answer.Stamp) })
 		return callerhttp.Reply{Result: answer.Result, ID: d.ID}
 	}
 	reply := callerhttp.Reply{ID: d.ID}
-	r.Kernel(func(k *core.Kernel, now time.Time) {
+	r.WithKernel(func(k *core.Kernel, now time.Time) {
 		reply.Result = k.HandleForwardFailure(now, q.Service, d.ID, d.Peer.Name)
 	})
 	return reply
 }
 
-// HandleForward serves a request that a peer handed on.
+// HandleForward serves a request that a peer forwarded.
 func (r *Runner) HandleForward(ctx context.Context, f peer.ForwardRequest) peer.ForwardReply {
-	r.Kernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(f.Stamp) })
+	r.WithKernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(f.Stamp) })
 	client, _ := netip.ParseAddr(f.Client)
 	reply := r.Run(ctx, callerhttp.Request{
 		Request: core.Request{
@@ -209,23 +210,23 @@
 	})
 	out := peer.ForwardReply{Result: reply.Result}
 	if reply.Stream != nil {
-		out.Result = r.collect(reply)
+		out.Result = r.bufferResponse(reply)
 	}
-	r.Kernel(func(k *core.Kernel, now time.Time) { out.Stamp = k.Stamp(now) })
+	r.WithKernel(func(k *core.Kernel, now time.Time) { out.Stamp = k.Stamp(now) })
 	return out
 }
 
-// collect gathers a long answer for a peer. A broken one becomes unknown.
-func (r *Runner) collect(reply callerhttp.Reply) caller.Result {
-	var whole bodyBuffer
-	if err := reply.Stream(&whole); err != nil {
+// bufferResponse buffers a streamed response for a peer. If the stream fails, the outcome is unknown.
+func (r *Runner) bufferResponse(reply callerhttp.Reply) caller.Result {
+	var body boundedBuffer
+	if err := reply.Stream(&body); err != nil {
 		return caller.Result{Outcome: caller.OutcomeUnknown, Reason: caller.ReasonConnectionLost}
 	}
 	result := reply.Result
 	result.Response = &caller.Response{
 		Status: result.Response.Status,
 		Header: result.Response.Header,
-		Body:   whole.data,
+		Body:   body.data,
 	}
 	return result
 }
--- a/internal/proxy/settings/settings.go
+++ b/internal/proxy/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the JSON file that tells a proxy its own
-// addresses, its place, its platform and whom to trust.
+// Package settings reads and validates the JSON file with a proxy's own addresses, its region and
+// failure domain, the platform's addresses and the trusted operators.
 package settings
 
 import (
@@ -13,85 +13,85 @@
 )
 
 const (
-	defaultMaxInFlight = 4096
-	defaultMaxBody     = 1 << 20
-	defaultMaxBodies   = 64 << 20
-	maxInFlightLimit   = 1_000_000
-	bytesLimit         = 1 << 34
-	maxNameLetters     = 64
+	defaultMaxInFlight       = 4096
+	defaultMaxBodyBytes      = 1 << 20
+	defaultMaxTotalBodyBytes = 64 << 20
+	inFlightLimit            = 1_000_000
+	totalBodyBytesLimit      = 1 << 34
+	maxNameLength            = 64
 )
 
 type (
-	// Settings is the whole file.
+	// Settings is the content of the settings file.
 	Settings struct {
-		Name   string `json:"name"`
-		Region string `json:"region"`
-		Domain string `json:"failure-domain"`
-		Listen Listen `json:"listen"`
-		Limits Limits `json:"limits"`
-		TLS    TLS    `json:"tls"`
-		// Platform lists the key-value service's addresses.
-		Platform []netip.AddrPort `json:"platform"`
-		// Seeds lists peer addresses of other proxies.
-		Seeds []netip.AddrPort `json:"seed-peers"`
-		// Operators lists the keys that may sign bundles.
-		Operators []operator.TrustedKey `json:"trusted-operators"`
+		Name          string          `json:"name"`
+		Region        string          `json:"region"`
+		FailureDomain string          `json:"failure-domain"`
+		Listen        ListenAddresses `json:"listen"`
+		Limits        Limits          `json:"limits"`
+		TLS           TLSFiles        `json:"tls"`
+		// PlatformAddresses are the addresses of the platform's key-value service.
+		PlatformAddresses []netip.AddrPort `json:"platform"`
+		// SeedPeers are the peer addresses of other proxies, by which this proxy joins the fleet.
+		SeedPeers []netip.AddrPort `json:"seed-peers"`
+		// TrustedOperators are the keys that may sign bundles.
+		TrustedOperators []operator.TrustedKey `json:"trusted-operators"`
 	}
 
-	// Listen holds the addresses that this proxy listens on. Others reach it
-	// at the same ones.
-	Listen struct {
+	// ListenAddresses are the addresses that this proxy listens on and advertises to others.
+	ListenAddresses struct {
 		Callers   netip.AddrPort `json:"callers"`
 		Peers     netip.AddrPort `json:"peers"`
 		Operators netip.AddrPort `json:"operators"`
 	}
 
-	// Limits bounds what the proxy holds; bytes where not said otherwise.
+	// Limits are the maximum number of requests in flight and the maximum sizes of their bodies in
+	// bytes, of one and of all together.
 	Limits struct {
-		InFlight  int   `json:"in-flight-requests"`
-		Body      int64 `json:"request-body-bytes"`
-		AllBodies int64 `json:"all-request-bodies-bytes"`
+		MaxInFlight       int   `json:"in-flight-requests"`
+		MaxBodyBytes      int64 `json:"request-body-bytes"`
+		MaxTotalBodyBytes int64 `json:"all-request-bodies-bytes"`
 	}
 
-	// TLS names PEM files. With them, peers must present a certificate that
-	// the authority signed, and operators speak HTTPS.
-	TLS struct {
+	// TLSFiles are the paths of PEM files. If they are set, peers must present a certificate signed by
+	// the certificate authority, and the operators' listener serves HTTPS.
+	TLSFiles struct {
 		Certificate string `json:"certificate-file,omitempty"`
 		Key         string `json:"key-file,omitempty"`
 		Authority   string `json:"authority-file,omitempty"`
 	}
 )
 
-// Load reads and checks a file.
+// Load reads and validates a settings file.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "settings")
+		return nil, errors.Wrap(err, "read settings")
 	}
 	return Parse(data)
 }
 
-// Parse reads and checks settings, and fills defaults in.
+// Parse decodes and validates settings. Missing limits get their defaults.
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{Limits: Limits{
-		InFlight: defaultMaxInFlight, Body: defaultMaxBody, AllBodies: defaultMaxBodies,
+		MaxInFlight: defaultMaxInFlight, MaxBodyBytes: defaultMaxBodyBytes, MaxTotalBodyBytes: defaultMaxTotalBodyBytes,
 	}}
 	if err := operator.DecodeStrict(data, s); err != nil {
-		return nil, errors.Wrap(err, "settings")
+		return nil, errors.Wrap(err, "parse settings")
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
-// Check reports every wrong field at once.
-func (s *Settings) Check() error {
+// Validate returns the errors of all invalid fields.
+func (s *Settings) Validate() error {
 	var problems []error
 	add := func(field, want, got string) {
 		problems = append(problems, &operator.FieldError{Field: field, Want: want, Got: got})
 	}
 	for _, n := range []struct{ field, got string }{
-		{"name", s.Name}, {"region", s.Region}, {"failure-domain", s.Domain},
+		{"name", s.Name}, {"region", s.Region}, {"failure-domain", s.FailureDomain},
 	} {
-		if n.got == "" || len(n.got) > maxNameLetters || strings.Trim(n.got, "abcdefghijklmnopqrstuvwxyz0123456789-") != "" {
+		if n.got == "" || len(n.got) > maxNameLength || strings.Trim(n.got, "abcdefghijklmnopqrstuvwxyz0123456789-") != "" {
 			add(n.field, "1 to 64 lower-case letters, digits and hyphens", quote(n.got))
 		}
 	}
@@ -105,46 +105,46 @@
 			add(a.field, "an IP address that others reach, and a port", quote(a.got.String()))
 		}
 	}
-	if s.Limits.InFlight < 1 || s.Limits.InFlight > maxInFlightLimit {
+	if s.Limits.MaxInFlight < 1 || s.Limits.MaxInFlight > inFlightLimit {
 		add("limits.in-flight-requests", "between 1 and 1000000", "another number")
 	}
-	if s.Limits.Body < 1 || s.Limits.Body > s.Limits.AllBodies {
+	if s.Limits.MaxBodyBytes < 1 || s.Limits.MaxBodyBytes > s.Limits.MaxTotalBodyBytes {
 		add("limits.request-body-bytes", "between 1 and limits.all-request-bodies-bytes", "another number")
 	}
-	if s.Limits.AllBodies > bytesLimit {
+	if s.Limits.MaxTotalBodyBytes > totalBodyBytesLimit {
 		add("limits.all-request-bodies-bytes", "at most 16 GiB", "more")
 	}
-	problems = append(problems, s.checkOthers()...)
+	problems = append(problems, s.validatePlatformAndTrust()...)
 	return errors.Join(problems...)
 }
 
-func (s *Settings) checkOthers() []error {
+func (s *Settings) validatePlatformAndTrust() []error {
 	var problems []error
-	if len(s.Platform) == 0 {
+	if len(s.PlatformAddresses) == 0 {
 		problems = append(problems, &operator.FieldError{Field: "platform", Want: "at least one address", Got: "none"})
 	}
-	people := make(map[string]bool)
-	for _, k := range s.Operators {
-		people[k.Operator] = true
+	operators := make(map[string]bool)
+	for _, k := range s.TrustedOperators {
+		operators[k.Operator] = true
 	}
-	if len(people) < 2 {
+	if len(operators) < 2 {
 		problems = append(problems, &operator.FieldError{
-			Field: "trusted-operators", Want: "keys of at least two people", Got: quote(strings.Join(keysOf(people), ", ")),
+			Field: "trusted-operators", Want: "keys of at least two people", Got: quote(strings.Join(setMembers(operators), ", ")),
 		})
 	}
-	given := 0
+	fileCount := 0
 	for _, file := range []string{s.TLS.Certificate, s.TLS.Key, s.TLS.Authority} {
 		if file != "" {
-			given++
+			fileCount++
 		}
 	}
-	if given != 0 && given != 3 {
+	if fileCount != 0 && fileCount != 3 {
 		problems = append(problems, &operator.FieldError{Field: "tls", Want: "all three files or none", Got: "some"})
 	}
 	return problems
 }
 
-func keysOf(set map[string]bool) []string {
+func setMembers(set map[string]bool) []string {
 	var names []string
 	for name := range set {
 		names = append(names, name)
--- a/internal/proxy/settings/tls.go
+++ b/internal/proxy/settings/tls.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// reloadCheck is how often the files' times are looked at.
-	reloadCheck = 2 * time.Second
+	// reloadCheckInterval is how often the modification times of the files are checked.
+	reloadCheckInterval = 2 * time.Second
 )
 
 type (
-	// Identity is the proxy's TLS identity, read again when its files are
-	// replaced. A replacement that does not load leaves the old one in use.
+	// Identity is the proxy's TLS identity. It is reloaded when its files are replaced. If the new
+	// files cannot be loaded, the old identity stays in use.
 	Identity struct {
-		files   TLS
-		mu      sync.Mutex
-		checked time.Time
-		changed time.Time
-		cert    *tls.Certificate
-		pool    *x509.CertPool
+		files     TLSFiles
+		mu        sync.Mutex
+		lastCheck time.Time
+		modTime   time.Time
+		cert      *tls.Certificate
+		pool      *x509.CertPool
 	}
 )
 
-// NewIdentity loads the files; nil without any.
-func NewIdentity(files TLS) (*Identity, error) {
+// NewIdentity loads the files. It returns nil if none are set.
+func NewIdentity(files TLSFiles) (*Identity, error) {
 	if files.Certificate == "" {
 		return nil, nil
 	}
@@ -51,15 +51,15 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return errors.New("tls.authority-file: holds no certificate")
+		return errors.New("tls.authority-file: contains no certificate")
 	}
 	i.cert = &cert
 	i.pool = pool
-	i.changed = i.newest()
+	i.modTime = i.latestModTime()
 	return nil
 }
 
-func (i *Identity) newest() time.Time {
+func (i *Identity) latestModTime() time.Time {
 	var newest time.Time
 	for _, name := range []string{i.files.Certificate, i.files.Key, i.files.Authority} {
 		if info, err := os.Stat(name); err == nil && info.ModTime().After(newest) {
@@ -72,19 +72,20 @@
 func (i *Identity) current() (*tls.Certificate, *x509.CertPool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if time.Since(i.checked) > reloadCheck {
-		i.checked = time.Now()
-		if i.newest().After(i.changed) {
-			// A half-written file fails to load; the next check tries again.
+	if time.Since(i.lastCheck) > reloadCheckInterval {
+		i.lastCheck = time.Now()
+		if i.latestModTime().After(i.modTime) {
+			// A partially written file fails to load. The next check tries again.
 			_ = i.load()
 		}
 	}
 	return i.cert, i.pool
 }
 
-// Server is the configuration for a listener. Peers must present a
-// certificate of the authority; operators need none, their bundles are signed.
-func (i *Identity) Server(mutual bool) *tls.Config {
+// ServerConfig returns the TLS configuration of a listener. With mutual set, as for peers, clients
+// must present a certificate signed by the certificate authority. Operators need none, because their
+// bundles are signed.
+func (i *Identity) ServerConfig(mutual bool) *tls.Config {
 	if i == nil {
 		return nil
 	}
@@ -102,9 +103,9 @@
 	}
 }
 
-// Client is the configuration for a call to a peer. Certificates name the
-// IP address that a peer listens on.
-func (i *Identity) Client() *tls.Config {
+// ClientConfig returns the TLS configuration for connections to peers. The certificate of a peer must
+// contain the IP address that the peer listens on.
+func (i *Identity) ClientConfig() *tls.Config {
 	if i == nil {
 		return nil
 	}
