--- a/cmd/gypsumquay-bench/ablate.go
+++ b/cmd/gypsumquay-bench/ablate.go
@@ -50,14 +50,14 @@
 		if err != nil {
 			return err
 		}
-		a.row(strings.TrimSuffix(filepath.Base(path), ".json"), load, off)
+		a.measureLoad(strings.TrimSuffix(filepath.Base(path), ".json"), load, off)
 	}
 	return nil
 }
 
-// row prints one load: the share with all mechanisms on, and for each what switching
+// measureLoad prints one load: the share with all mechanisms on, and for each what switching
 // it off changes, with the standard error of the difference between equal seeds.
-func (a *ablateArguments) row(name string, load warmnet.Load, off []steering.Mechanism) {
+func (a *ablateArguments) measureLoad(name string, load warmnet.Load, off []steering.Mechanism) {
 	results := make([]shares, len(off)+1)
 	limit := semaphore.NewWeighted(a.Parallel)
 	var group sync.WaitGroup
@@ -78,7 +78,7 @@
 	group.Wait()
 	fmt.Printf("%-16s %7.3f", name, results[0].mean())
 	for i, m := range off {
-		change, spread := results[i+1].against(results[0])
+		change, spread := results[i+1].differenceFrom(results[0])
 		fmt.Printf(" %*s", columnWidth(m), fmt.Sprintf("%+.3f±%.3f", change, spread))
 	}
 	fmt.Println()
@@ -94,8 +94,8 @@
 	return sum / float64(len(s))
 }
 
-// against is the mean difference to the same seeds and its standard error.
-func (s shares) against(base shares) (mean, standardError float64) {
+// differenceFrom is the mean difference to the same seeds and its standard error.
+func (s shares) differenceFrom(base shares) (mean, standardError float64) {
 	differences := make(shares, len(s))
 	for i := range s {
 		differences[i] = s[i] - base[i]
--- a/cmd/gypsumquay-bench/bench.go
+++ b/cmd/gypsumquay-bench/bench.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	boundName = "all-seeing"
+	boundBalancer = "all-seeing"
 )
 
 type (
@@ -38,12 +38,12 @@
 
 	// results is the file of figures.
 	results struct {
-		Latency []row      `json:"latency"`
-		Events  []eventRow `json:"events"`
+		Latency []latencyRow `json:"latency"`
+		Events  []eventRow   `json:"events"`
 	}
 
-	// row is one measured run.
-	row struct {
+	// latencyRow is one measured run.
+	latencyRow struct {
 		Deployment string  `json:"deployment"`
 		Load       int     `json:"load-percent"`
 		Balancer   string  `json:"balancer"`
@@ -67,7 +67,7 @@
 	if len(a.Balancers) == 0 {
 		a.Balancers = backend.Balancers()
 	}
-	var rows []row
+	var rows []latencyRow
 	var events []eventRow
 	for _, d := range simnet.Deployments() {
 		if a.Only != "" && d.Name != a.Only {
@@ -77,24 +77,24 @@
 		if err != nil {
 			return err
 		}
-		rows = append(rows, a.deployment(d.Name, c)...)
-		events = append(events, a.events(d.Name, c))
+		rows = append(rows, a.measureDeployment(d.Name, c)...)
+		events = append(events, a.measureEvents(d.Name, c))
 	}
 	printRows(rows)
 	printEvents(events)
 	if err := a.write(results{Latency: rows, Events: events}); err != nil {
 		return err
 	}
-	return a.draw(rows)
+	return a.writeCharts(rows)
 }
 
-// deployment measures all loads and balancers of one installation.
-func (a *benchArguments) deployment(name string, c simnet.Config) []row {
+// measureDeployment measures all loads and balancers of one installation.
+func (a *benchArguments) measureDeployment(name string, c simnet.Config) []latencyRow {
 	var mu sync.Mutex
-	var rows []row
+	var rows []latencyRow
 	limit := semaphore.NewWeighted(int64(a.Parallel))
 	var group sync.WaitGroup
-	measure := func(f func() row) {
+	measure := func(f func() latencyRow) {
 		group.Go(func() {
 			_ = limit.Acquire(background, 1)
 			defer limit.Release(1)
@@ -110,13 +110,13 @@
 		run.Seed = a.Seed
 		run.Warm = a.Warm
 		run.Load = slotLoad(c, load)
-		measure(func() row { return a.bound(run, load) })
+		measure(func() latencyRow { return a.measureBound(run, load) })
 		for _, balancer := range a.Balancers {
-			measure(func() row { return a.balancer(run, load, balancer) })
+			measure(func() latencyRow { return a.measureBalancer(run, load, balancer) })
 		}
 	}
 	group.Wait()
-	return compare(rows)
+	return addBoundRatios(rows)
 }
 
 // slotLoad is a share of what all slots of each region can do.
@@ -134,15 +134,15 @@
 	return load
 }
 
-func (a *benchArguments) bound(c simnet.Config, load int) row {
+func (a *benchArguments) measureBound(c simnet.Config, load int) latencyRow {
 	b := simnet.RunBound(c, a.Span)
-	return row{
-		Load: load, Balancer: boundName, Done: len(b.Took), Refused: b.Refused,
+	return latencyRow{
+		Load: load, Balancer: boundBalancer, Done: len(b.Took), Refused: b.Refused,
 		P50: millis(b.Quantile(0.5)), P99: millis(b.Quantile(0.99)), P999: millis(b.Quantile(0.999)),
 	}
 }
 
-func (a *benchArguments) balancer(c simnet.Config, load int, name string) row {
+func (a *benchArguments) measureBalancer(c simnet.Config, load int, name string) latencyRow {
 	b := *c.Bundle
 	b.Balancer = name
 	c.Bundle = &b
@@ -151,7 +151,7 @@
 	sheds := s.Checks().Sheds()
 	s.Run(a.Span)
 	callers := s.Callers()
-	return row{
+	return latencyRow{
 		Load: load, Balancer: name, Done: len(callers.Took),
 		Refused: callers.Outcomes[caller.OutcomeNotRun], Unknown: callers.Outcomes[caller.OutcomeUnknown],
 		Sheds: s.Checks().Sheds() - sheds, Used: s.Checks().Used,
@@ -161,9 +161,9 @@
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// compare fills in the ratios to the bound of the same load.
-func compare(rows []row) []row {
-	slices.SortFunc(rows, func(a, b row) int {
+// addBoundRatios fills in the ratios to the bound of the same load.
+func addBoundRatios(rows []latencyRow) []latencyRow {
+	slices.SortFunc(rows, func(a, b latencyRow) int {
 		if a.Load != b.Load {
 			return a.Load - b.Load
 		}
@@ -171,7 +171,7 @@
 	})
 	for i := range rows {
 		for _, b := range rows {
-			if b.Balancer == boundName && b.Load == rows[i].Load {
+			if b.Balancer == boundBalancer && b.Load == rows[i].Load {
 				rows[i].Ratio = rows[i].P99 / b.P99
 				rows[i].Goodput = float64(rows[i].Done) / float64(b.Done)
 			}
@@ -180,7 +180,7 @@
 	return rows
 }
 
-func printRows(rows []row) {
+func printRows(rows []latencyRow) {
 	fmt.Printf("%-10s %5s %-16s %8s %8s %8s %7s %8s %7s %7s %6s %6s\n",
 		"DEPLOYMENT", "LOAD", "BALANCER", "P50", "P99", "P99.9", "/BOUND", "GOODPUT", "DONE", "REFUSED", "SHEDS", "USED")
 	for _, r := range rows {
--- a/cmd/gypsumquay-bench/chart.go
+++ b/cmd/gypsumquay-bench/chart.go
@@ -13,17 +13,17 @@
 const (
 	chartWidth  = 6 * vg.Inch
 	chartHeight = 4 * vg.Inch
-	// overload is left out of the chart: the bound fills its queues there, and
+	// maxChartLoad is left out of the chart: the bound fills its queues there, and
 	// its latency says nothing.
-	overload = 100
+	maxChartLoad = 100
 )
 
-// draw writes one chart a deployment: p99 against load, a line a balancer.
-func (a *benchArguments) draw(rows []row) error {
+// writeCharts writes one chart a deployment: p99 against load, a line a balancer.
+func (a *benchArguments) writeCharts(rows []latencyRow) error {
 	charts := make(map[string]*plot.Plot)
 	lines := make(map[string]map[string]plotter.XYs)
 	for _, r := range rows {
-		if r.Load > overload {
+		if r.Load > maxChartLoad {
 			continue
 		}
 		if charts[r.Deployment] == nil {
@@ -39,7 +39,7 @@
 	}
 	for name, p := range charts {
 		var arguments []any
-		for _, balancer := range append([]string{boundName}, a.Balancers...) {
+		for _, balancer := range append([]string{boundBalancer}, a.Balancers...) {
 			arguments = append(arguments, balancer, lines[name][balancer])
 		}
 		if err := plotutil.AddLinePoints(p, arguments...); err != nil {
--- a/cmd/gypsumquay-bench/ends.go
+++ b/cmd/gypsumquay-bench/ends.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// thresholdLeast and thresholdMost are the ends from which on work is refused in the
+	// minThreshold and maxThreshold are the ends from which on work is refused in the
 	// plays.
-	thresholdLeast = 2
-	thresholdMost  = 6
+	minThreshold = 2
+	maxThreshold = 6
 )
 
 type (
-	endsArguments struct {
+	crashesArguments struct {
 		Loads []string `arg:"positional" help:"load files; those of the emulator in which servers end if left out"`
 		Seeds int      `default:"3" help:"plays of each load"`
 		Out   string   `help:"directory for charts; none if left out"`
 	}
 
-	// endsRow is what a number of ends that condemn work costs.
-	endsRow struct {
+	// crashesRow is what a number of ends that condemn work costs.
+	crashesRow struct {
 		threshold int
-		// lost is how many servers each deadly work ended, condemned how many sound
+		// serversLost is how many servers each deadly work ended, condemned how many sound
 		// works were refused, share the part answered within the target.
-		lost, condemned, refused, share float64
+		serversLost, falselyQuarantined, rejected, inTarget float64
 	}
 )
 
 // run plays loads in which servers end against the number of ends that condemn work: a
 // small one refuses sound work, a large one loses servers.
-func (a *endsArguments) run() error {
+func (a *crashesArguments) run() error {
 	files := a.Loads
 	if len(files) == 0 {
 		for _, name := range []string{"deadly", "deadly-flood", "storm", "storm-rare"} {
@@ -54,18 +54,18 @@
 			return err
 		}
 		name := strings.TrimSuffix(filepath.Base(file), ".json")
-		var rows []endsRow
-		for threshold := thresholdLeast; threshold <= thresholdMost; threshold++ {
-			rows = append(rows, a.row(load, threshold))
+		var rows []crashesRow
+		for threshold := minThreshold; threshold <= maxThreshold; threshold++ {
+			rows = append(rows, a.measureThreshold(load, threshold))
 		}
 		without := load
 		without.Off = append(without.Off, steering.MechanismQuarantine)
-		rows = append(rows, a.row(without, 0))
+		rows = append(rows, a.measureThreshold(without, 0))
 		for _, r := range rows {
-			fmt.Printf("%-14s %8s %14.1f %16.1f %14.1f %10.3f\n", name, endsName(r.threshold), r.lost, r.condemned, r.refused, r.share)
+			fmt.Printf("%-14s %8s %14.1f %16.1f %14.1f %10.3f\n", name, thresholdLabel(r.threshold), r.serversLost, r.falselyQuarantined, r.rejected, r.inTarget)
 		}
 		if a.Out != "" {
-			if err := a.draw(name, rows[:len(rows)-1]); err != nil {
+			if err := a.writeChart(name, rows[:len(rows)-1]); err != nil {
 				return err
 			}
 		}
@@ -73,36 +73,36 @@
 	return nil
 }
 
-func endsName(threshold int) string {
+func thresholdLabel(threshold int) string {
 	if threshold == 0 {
 		return "off"
 	}
 	return fmt.Sprint(threshold)
 }
 
-func (a *endsArguments) row(load warmnet.Load, threshold int) endsRow {
+func (a *crashesArguments) measureThreshold(load warmnet.Load, threshold int) crashesRow {
 	load.EndsToCondemn = threshold
-	r, n := endsRow{threshold: threshold}, float64(a.Seeds)
+	r, n := crashesRow{threshold: threshold}, float64(a.Seeds)
 	for seed := range a.Seeds {
 		o := warmnet.Play(load, steering.DefaultPlacer, uint64(seed)+1)
-		r.lost += float64(o.Ends.ByWork) / float64(max(1, len(o.Ends.Deadly))) / n
-		r.condemned += float64(len(o.Ends.Sound)) / n
-		r.refused += float64(o.Ends.Refused) / n
-		r.share += o.Share() / n
+		r.serversLost += float64(o.Ends.ByWork) / float64(max(1, len(o.Ends.Deadly))) / n
+		r.falselyQuarantined += float64(len(o.Ends.Sound)) / n
+		r.rejected += float64(o.Ends.Refused) / n
+		r.inTarget += o.Share() / n
 	}
 	return r
 }
 
-// draw writes a chart of both kinds of error over the number of ends that condemn.
-func (a *endsArguments) draw(name string, rows []endsRow) error {
+// writeChart writes a chart of both kinds of error over the number of ends that condemn.
+func (a *crashesArguments) writeChart(name string, rows []crashesRow) error {
 	p := plot.New()
 	p.Title.Text = name + ": what the number of ends that condemn work costs"
 	p.X.Label.Text = "ends"
 	p.Y.Label.Text = "servers, works"
 	var lost, condemned plotter.XYs
 	for _, r := range rows {
-		lost = append(lost, plotter.XY{X: float64(r.threshold), Y: r.lost})
-		condemned = append(condemned, plotter.XY{X: float64(r.threshold), Y: r.condemned})
+		lost = append(lost, plotter.XY{X: float64(r.threshold), Y: r.serversLost})
+		condemned = append(condemned, plotter.XY{X: float64(r.threshold), Y: r.falselyQuarantined})
 	}
 	if err := plotutil.AddLinePoints(p, "servers lost to each deadly work", lost, "sound works condemned", condemned); err != nil {
 		return errors.Wrap(err, "chart")
--- a/cmd/gypsumquay-bench/events.go
+++ b/cmd/gypsumquay-bench/events.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// lostLoad leaves room for a third of the traffic in two regions.
-	lostLoad   = 55
-	lostBucket = 500 * time.Millisecond
-	// servedShare of a home's requests done means that its traffic is served.
-	servedShare = 0.99
+	// regionLossLoad leaves room for a third of the traffic in two regions.
+	regionLossLoad = 55
+	bucketWidth    = 500 * time.Millisecond
+	// minServedShare of a home's requests done means that its traffic is served.
+	minServedShare = 0.99
 )
 
 type (
@@ -32,13 +32,13 @@
 	}
 )
 
-func (a *benchArguments) events(name string, c simnet.Config) eventRow {
+func (a *benchArguments) measureEvents(name string, c simnet.Config) eventRow {
 	c.Warm = a.Warm
 	r := eventRow{Deployment: name}
-	r.LostSeconds, r.LostUsed = a.lostRegion(c)
+	r.LostSeconds, r.LostUsed = a.measureRegionLoss(c)
 	var force, drain, stop []float64
 	for i := range a.Repeats {
-		f, d, s := a.drainAndStop(c, a.Seed+uint64(i))
+		f, d, s := a.measureDrainAndStop(c, a.Seed+uint64(i))
 		force = append(force, f)
 		drain = append(drain, d)
 		stop = append(stop, s)
@@ -49,28 +49,28 @@
 	return r
 }
 
-// lostRegion stops all backend servers of the first region, which come back
+// measureRegionLoss stops all backend servers of the first region, which come back
 // cold at the end of the run or not at all.
-func (a *benchArguments) lostRegion(c simnet.Config) (seconds, used float64) {
+func (a *benchArguments) measureRegionLoss(c simnet.Config) (seconds, used float64) {
 	c.Seed = a.Seed
-	c.Load = slotLoad(c, lostLoad)
+	c.Load = slotLoad(c, regionLossLoad)
 	s := simnet.New(c)
 	s.Run(c.Warm)
 	lost := s.Now()
 	s.LoseRegion(c.Bundle.Regions[0].Name, true)
 	s.Run(2 * a.Span)
 	callers := s.Callers()
-	return servedAfter(callers.Done[0], callers.Failed[0], lost, s.Now()), s.Checks().Used
+	return recoverySeconds(callers.Done[0], callers.Failed[0], lost, s.Now()), s.Checks().Used
 }
 
-// servedAfter is the time from which on each bucket has the wanted share done.
-func servedAfter(done, failed []time.Time, from, to time.Time) float64 {
-	buckets := int(to.Sub(from) / lostBucket)
+// recoverySeconds is the time from which on each bucket has the wanted share done.
+func recoverySeconds(done, failed []time.Time, from, to time.Time) float64 {
+	buckets := int(to.Sub(from) / bucketWidth)
 	good := make([]int, buckets+1)
 	bad := make([]int, buckets+1)
 	count := func(list []time.Time, into []int) {
 		for _, t := range list {
-			if at := int(t.Sub(from) / lostBucket); !t.Before(from) && at <= buckets {
+			if at := int(t.Sub(from) / bucketWidth); !t.Before(from) && at <= buckets {
 				into[at]++
 			}
 		}
@@ -79,16 +79,16 @@
 	count(failed, bad)
 	last := -1
 	for i := range good {
-		if total := good[i] + bad[i]; total > 0 && float64(good[i]) < servedShare*float64(total) {
+		if total := good[i] + bad[i]; total > 0 && float64(good[i]) < minServedShare*float64(total) {
 			last = i
 		}
 	}
-	return (time.Duration(last+1) * lostBucket).Seconds()
+	return (time.Duration(last+1) * bucketWidth).Seconds()
 }
 
-// drainAndStop drains one backend server by bundle and stops one proxy, at
+// measureDrainAndStop drains one backend server by bundle and stops one proxy, at
 // half load, and times both.
-func (a *benchArguments) drainAndStop(c simnet.Config, seed uint64) (force, drain, stop float64) {
+func (a *benchArguments) measureDrainAndStop(c simnet.Config, seed uint64) (force, drain, stop float64) {
 	small := c.Small()
 	small.Seed = seed
 	small.Load = slotLoad(small, 50)
@@ -105,7 +105,7 @@
 	began = s.Now()
 	s.Inject(simnet.Fault{Kind: "stop-proxy", Target: "1", For: operator.Duration(time.Hour)})
 	for s.Checks().Stopped() == 0 && s.Now().Sub(began) < time.Minute {
-		s.Run(lostBucket)
+		s.Run(bucketWidth)
 	}
 	return force, drain, s.Now().Sub(began).Seconds()
 }
--- a/cmd/gypsumquay-bench/experiment.go
+++ b/cmd/gypsumquay-bench/experiment.go
@@ -35,7 +35,7 @@
 			return err
 		}
 		for _, placer := range placers {
-			a.row(strings.TrimSuffix(filepath.Base(path), ".json"), load, placer)
+			a.measurePlacer(strings.TrimSuffix(filepath.Base(path), ".json"), load, placer)
 		}
 	}
 	return nil
@@ -50,7 +50,7 @@
 	return found, errs.Wrap(err, "loads")
 }
 
-func (a *experimentArguments) row(name string, load warmnet.Load, placer string) {
+func (a *experimentArguments) measurePlacer(name string, load warmnet.Load, placer string) {
 	var share, worst, refused, first, p99 float64
 	n := float64(a.Seeds)
 	for seed := range a.Seeds {
--- a/cmd/gypsumquay-bench/limits.go
+++ b/cmd/gypsumquay-bench/limits.go
@@ -25,7 +25,7 @@
 
 	// limitsRow is one play.
 	limitsRow struct {
-		fleet   limitnet.Load
+		load    limitnet.Load
 		way     limitnet.Way
 		outcome limitnet.Outcome
 	}
@@ -38,30 +38,30 @@
 	clientsPerProxy = 13
 	// proxiesPerRegion is about how many proxies a region has in a large fleet.
 	proxiesPerRegion = 60
-	regionsLeast     = 3
-	// limitHeadroom is the limit of each account over what it sends.
-	limitHeadroom = 1.6
+	minRegions       = 3
+	// limitFactor is the limit of each account over what it sends.
+	limitFactor = 1.6
 )
 
 // run plays fleets of several sizes against the ways to keep limits.
 func (a *limitsArguments) run() error {
-	a.defaults()
+	a.setDefaults()
 	fmt.Printf("%8s %9s %5s %-6s %12s %12s %8s %8s %10s %7s\n", "PROXIES", "ACCOUNTS", "SKEW", "WAY", "REFUSED 1ST", "FOR GOOD", "EXCESS", "BROKEN", "REPORTS/S", "ASKS/S")
 	var rows []limitsRow
 	for _, accounts := range a.Accounts {
 		for _, skew := range a.Skew {
 			for _, proxies := range a.Proxies {
-				rows = append(rows, a.play(proxies, accounts, skew)...)
+				rows = append(rows, a.measureFleet(proxies, accounts, skew)...)
 			}
 		}
 	}
 	if a.Out == "" {
 		return nil
 	}
-	return a.draw(rows)
+	return a.writeChart(rows)
 }
 
-func (a *limitsArguments) defaults() {
+func (a *limitsArguments) setDefaults() {
 	if len(a.Proxies) == 0 {
 		a.Proxies = []int{10, 77, 300}
 	}
@@ -73,10 +73,10 @@
 	}
 }
 
-func (a *limitsArguments) play(proxies, accounts int, skew float64) []limitsRow {
+func (a *limitsArguments) measureFleet(proxies, accounts int, skew float64) []limitsRow {
 	l := limitnet.Load{
-		Regions: max(regionsLeast, proxies/proxiesPerRegion), Proxies: proxies, Accounts: accounts, Skew: skew,
-		Rate: float64(ratePerProxy * proxies), Clients: clientsPerProxy * proxies, Headroom: limitHeadroom,
+		Regions: max(minRegions, proxies/proxiesPerRegion), Proxies: proxies, Accounts: accounts, Skew: skew,
+		Rate: float64(ratePerProxy * proxies), Clients: clientsPerProxy * proxies, Headroom: limitFactor,
 		For: time.Duration(a.Seconds) * time.Second,
 	}
 	var rows []limitsRow
@@ -84,13 +84,13 @@
 		o := limitnet.Play(l, way, 1)
 		fmt.Printf("%8d %9d %5.1f %-6s %12.4f %12.4f %8.2f %8.2f %10.1f %7.1f\n", proxies, accounts, skew, way,
 			o.RefusedAtFirstShare(), o.RefusedShare(), o.Excess, o.Broken, o.Reports, o.Asks)
-		rows = append(rows, limitsRow{fleet: l, way: way, outcome: o})
+		rows = append(rows, limitsRow{load: l, way: way, outcome: o})
 	}
 	return rows
 }
 
-// draw writes a chart of what is refused for good over the number of proxies.
-func (a *limitsArguments) draw(rows []limitsRow) error {
+// writeChart writes a chart of what is refused for good over the number of proxies.
+func (a *limitsArguments) writeChart(rows []limitsRow) error {
 	p := plot.New()
 	p.Title.Text = "requests within a limit that are refused for good"
 	p.X.Label.Text = "proxies"
@@ -98,11 +98,11 @@
 	lines := make(map[string]plotter.XYs)
 	var names []string
 	for _, r := range rows {
-		name := fmt.Sprintf("%s, %d accounts, skew %.1f", r.way, r.fleet.Accounts, r.fleet.Skew)
+		name := fmt.Sprintf("%s, %d accounts, skew %.1f", r.way, r.load.Accounts, r.load.Skew)
 		if lines[name] == nil {
 			names = append(names, name)
 		}
-		lines[name] = append(lines[name], plotter.XY{X: float64(r.fleet.Proxies), Y: r.outcome.RefusedShare()})
+		lines[name] = append(lines[name], plotter.XY{X: float64(r.load.Proxies), Y: r.outcome.RefusedShare()})
 	}
 	var arguments []any
 	for _, name := range names {
--- a/cmd/gypsumquay-bench/main.go
+++ b/cmd/gypsumquay-bench/main.go
@@ -16,7 +16,7 @@
 		Slopes     *slopesArguments     `arg:"subcommand:slopes" help:"costs against size, for the capacity page"`
 		Experiment *experimentArguments `arg:"subcommand:experiment" help:"placers against loads with warm servers, as a table"`
 		Ablate     *ablateArguments     `arg:"subcommand:ablate" help:"each mechanism switched off in turn, against loads, as a table"`
-		Ends       *endsArguments       `arg:"subcommand:ends" help:"servers lost and sound work refused against the ends that condemn work"`
+		Crashes    *crashesArguments    `arg:"subcommand:ends" help:"servers lost and sound work refused against the ends that condemn work"`
 		Limits     *limitsArguments     `arg:"subcommand:limits" help:"limits of client accounts: what is refused within them, over sizes and ways to keep them"`
 		Signals    *signalsArguments    `arg:"subcommand:signals" help:"limits that backend servers name: what they get and what callers get, over sizes"`
 		Soak       *soakArguments       `arg:"subcommand:soak" help:"randomised faults with fresh seeds until the time is over"`
@@ -36,8 +36,8 @@
 		err = a.Bench.run()
 	case a.Soak != nil:
 		err = a.Soak.run()
-	case a.Ends != nil:
-		err = a.Ends.run()
+	case a.Crashes != nil:
+		err = a.Crashes.run()
 	case a.Limits != nil:
 		err = a.Limits.run()
 	case a.Signals != nil:
--- a/cmd/gypsumquay-bench/signals.go
+++ b/cmd/gypsumquay-bench/signals.go
@@ -36,13 +36,13 @@
 	fmt.Printf("%8s %8s %12s %8s %8s %10s %8s %14s\n", "PROXIES", "LIMIT/S", "OF ALLOWED", "IN USE", "AFTER", "IN TARGET", "REFUSED", "REPORTS/PROXY/S")
 	for _, limit := range a.Limits {
 		for _, proxies := range a.Proxies {
-			a.row(load, limit, proxies)
+			a.measureFleet(load, limit, proxies)
 		}
 	}
 	return nil
 }
 
-func (a *signalsArguments) row(load warmnet.Load, limit float64, proxies int) {
+func (a *signalsArguments) measureFleet(load warmnet.Load, limit float64, proxies int) {
 	load.Proxies = proxies
 	load.Limited = append([]warmnet.Limited(nil), load.Limited...)
 	for i := range load.Limited {
--- a/cmd/gypsumquay-bench/slopes.go
+++ b/cmd/gypsumquay-bench/slopes.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	targetSites   = 210
-	targetNodes   = 1300
-	targetRegions = 22
-	bytesPerMega  = 1 << 20
-	restSpan      = 20 * time.Second
-	settleSpan    = 40 * time.Second
-	drainsPerRun  = 10
+	targetSites    = 210
+	targetNodes    = 1300
+	targetRegions  = 22
+	bytesPerMiB    = 1 << 20
+	idleDuration   = 20 * time.Second
+	settleDuration = 40 * time.Second
+	changesPerRun  = 10
 )
 
 type (
@@ -35,11 +35,11 @@
 	// fleetRow is one fleet size's measured costs, each per node.
 	fleetRow struct {
 		nodes, regions   int
-		restBytes        float64
-		restMessages     float64
+		idleBytes        float64
+		idleMessages     float64
 		changeBytes      float64
 		changeCPU        float64
-		restCPU          float64
+		idleCPU          float64
 		memory           float64
 		platformCalls    float64
 		inForce          time.Duration
@@ -54,16 +54,16 @@
 		a.Proxies = []int{10, 50, 100, 200}
 	}
 	fmt.Printf("%s, %d processors, %s\n\n", time.Now().UTC().Format("2006-01-02"), runtime.NumCPU(), runtime.Version())
-	prefixSlopes()
-	if err := fleetSlopes(a.Proxies); err != nil {
+	measurePrefixTable()
+	if err := measureFleets(a.Proxies); err != nil {
 		return err
 	}
-	planSlopes()
+	measurePlanner()
 	return nil
 }
 
-// prefixSlopes measures the table of client prefixes at several sizes.
-func prefixSlopes() {
+// measurePrefixTable measures the table of client prefixes at several sizes.
+func measurePrefixTable() {
 	fmt.Printf("%-10s %10s %10s %10s %12s %10s %8s\n", "PREFIXES", "RANGES", "MEMORY", "B/PREFIX", "BUILD", "LOOK-UP", "ALLOCS")
 	var xs, ys []float64
 	for _, n := range []int{10_000, 100_000, 940_000} {
@@ -83,12 +83,12 @@
 				at++
 			}
 		})
-		fmt.Printf("%-10d %10d %8.2f MB %10.1f %9.0f ms %7d ns %8d\n", n, table.RangeCount(), float64(table.MemoryBytes())/bytesPerMega,
+		fmt.Printf("%-10d %10d %8.2f MB %10.1f %9.0f ms %7d ns %8d\n", n, table.RangeCount(), float64(table.MemoryBytes())/bytesPerMiB,
 			float64(table.MemoryBytes())/float64(n), built.Seconds()*1000, result.NsPerOp(), result.AllocsPerOp())
 		xs = append(xs, float64(n))
 		ys = append(ys, float64(table.MemoryBytes()))
 	}
-	slope, intercept, deviation := fit(xs, ys)
+	slope, intercept, deviation := fitLine(xs, ys)
 	fmt.Printf("fit: %.0f bytes + %.2f bytes a prefix, error %.1f%%\n\n", intercept, slope, 100*deviation)
 }
 
@@ -108,39 +108,39 @@
 	return list
 }
 
-// fleetSlopes measures control traffic and processor time at several sizes.
-func fleetSlopes(sizes []int) error {
+// measureFleets measures control traffic and processor time at several sizes.
+func measureFleets(sizes []int) error {
 	fmt.Printf("%-6s %7s %9s %8s %10s %9s %9s %9s %9s %9s %11s %9s %9s\n", "NODES", "REGIONS", "REST B/S", "MSG/S",
 		"B/CHANGE", "US/CHANGE", "CPU", "KB/NODE", "CALLS/S", "IN FORCE", "RELAY DEAD", "BUNDLE", "ASSIGN")
 	var rows []fleetRow
 	for _, n := range sizes {
-		row, err := fleet(n)
+		row, err := measureFleet(n)
 		if err != nil {
 			return err
 		}
 		rows = append(rows, row)
-		fmt.Printf("%-6d %7d %9.0f %8.2f %10.0f %9.0f %8.3f%% %9.0f %9.2f %8.2fs %10.2fs %9d %9d\n", row.nodes, row.regions, row.restBytes,
-			row.restMessages, row.changeBytes, 1e6*row.changeCPU, 100*row.restCPU, row.memory/1024, row.platformCalls, row.inForce.Seconds(),
+		fmt.Printf("%-6d %7d %9.0f %8.2f %10.0f %9.0f %8.3f%% %9.0f %9.2f %8.2fs %10.2fs %9d %9d\n", row.nodes, row.regions, row.idleBytes,
+			row.idleMessages, row.changeBytes, 1e6*row.changeCPU, 100*row.idleCPU, row.memory/1024, row.platformCalls, row.inForce.Seconds(),
 			row.inForceRelayDead.Seconds(), row.bundleBytes, row.assignmentBytes)
 	}
 	linear := func(n float64) float64 { return n }
 	logarithm := math.Log2
 	root := math.Sqrt
-	report(rows, "bytes/s at rest", "n", linear, func(r fleetRow) float64 { return r.restBytes })
-	report(rows, "bytes a change", "log2 n", logarithm, func(r fleetRow) float64 { return r.changeBytes })
-	report(rows, "seconds a change", "n", linear, func(r fleetRow) float64 { return r.changeCPU })
-	report(rows, "share of a core", "n", linear, func(r fleetRow) float64 { return r.restCPU })
-	report(rows, "bytes of memory", "n", linear, func(r fleetRow) float64 { return r.memory })
-	report(rows, "platform calls/s", "root n", root, func(r fleetRow) float64 { return r.platformCalls })
-	report(rows, "seconds until in force", "log2 n", logarithm, func(r fleetRow) float64 { return r.inForce.Seconds() })
-	report(rows, "assignment bytes", "n", linear, func(r fleetRow) float64 { return float64(r.assignmentBytes) })
+	printFit(rows, "bytes/s at rest", "n", linear, func(r fleetRow) float64 { return r.idleBytes })
+	printFit(rows, "bytes a change", "log2 n", logarithm, func(r fleetRow) float64 { return r.changeBytes })
+	printFit(rows, "seconds a change", "n", linear, func(r fleetRow) float64 { return r.changeCPU })
+	printFit(rows, "share of a core", "n", linear, func(r fleetRow) float64 { return r.idleCPU })
+	printFit(rows, "bytes of memory", "n", linear, func(r fleetRow) float64 { return r.memory })
+	printFit(rows, "platform calls/s", "root n", root, func(r fleetRow) float64 { return r.platformCalls })
+	printFit(rows, "seconds until in force", "log2 n", logarithm, func(r fleetRow) float64 { return r.inForce.Seconds() })
+	printFit(rows, "assignment bytes", "n", linear, func(r fleetRow) float64 { return float64(r.assignmentBytes) })
 	fmt.Println()
 	return nil
 }
 
-// report prints the fit of a cost over a function of the fleet's size, the
+// printFit prints the fit of a cost over a function of the fleet's size, the
 // exponent of its growth, and what the fit gives at the target and at twice it.
-func report(rows []fleetRow, name, unit string, of func(float64) float64, value func(fleetRow) float64) {
+func printFit(rows []fleetRow, name, unit string, of func(float64) float64, value func(fleetRow) float64) {
 	var xs, ys, lx, ly []float64
 	for _, r := range rows {
 		xs = append(xs, of(float64(r.nodes)))
@@ -148,8 +148,8 @@
 		lx = append(lx, math.Log(float64(r.nodes)))
 		ly = append(ly, math.Log(max(value(r), 1e-9)))
 	}
-	slope, intercept, deviation := fit(xs, ys)
-	exponent, _, _ := fit(lx, ly)
+	slope, intercept, deviation := fitLine(xs, ys)
+	exponent, _, _ := fitLine(lx, ly)
 	fmt.Printf("fit %-22s %.4g + %.4g x %s, error %.1f%%; exponent %.2f; at %d nodes %.4g, at %d %.4g\n", name, intercept, slope, unit,
 		100*deviation, exponent, targetNodes, intercept+slope*of(targetNodes), 2*targetNodes, intercept+slope*of(2*targetNodes))
 }
@@ -160,7 +160,7 @@
 	return max(3, int(math.Round(3*math.Pow(float64(nodes)/10, exponent))))
 }
 
-func fleet(n int) (fleetRow, error) {
+func measureFleet(n int) (fleetRow, error) {
 	row := fleetRow{nodes: n, regions: regionsFor(n)}
 	b := simnet.Synthetic(n, row.regions)
 	author, err := operator.NewKeyPair("anna")
@@ -184,37 +184,37 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	s := simnet.New(c)
-	s.Run(settleSpan)
+	s.Run(settleDuration)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	row.memory = float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
 	nodes := float64(n)
-	seconds := restSpan.Seconds()
+	seconds := idleDuration.Seconds()
 
 	bytes, messages = 0, 0
 	calls := s.PlatformCalls()
 	used := s.KernelTime
-	s.Run(restSpan)
-	row.restCPU = (s.KernelTime - used).Seconds() / nodes / seconds
-	row.restBytes = float64(bytes) / nodes / seconds
-	row.restMessages = float64(messages) / nodes / seconds
+	s.Run(idleDuration)
+	row.idleCPU = (s.KernelTime - used).Seconds() / nodes / seconds
+	row.idleBytes = float64(bytes) / nodes / seconds
+	row.idleMessages = float64(messages) / nodes / seconds
 	// A waiting watch counts as a call each time that it is renewed; the run
 	// counts those that fire, so the renewals at rest are added by hand.
-	row.platformCalls = float64(s.PlatformCalls()-calls)/seconds + float64(s.Relays()*watchesPerRelay)/watchSeconds
+	row.platformCalls = float64(s.PlatformCalls()-calls)/seconds + float64(s.Relays()*watchesPerRelay)/watchRenewalSeconds
 
 	bytes = 0
 	used = s.KernelTime
-	for range drainsPerRun {
+	for range changesPerRun {
 		s.Inject(simnet.Fault{Kind: "steer", Target: "region-0", Second: "region-1", Amount: rand.IntN(500)})
-		s.Run(restSpan / drainsPerRun)
+		s.Run(idleDuration / changesPerRun)
 	}
-	row.changeBytes = max(0, float64(bytes)/nodes-row.restBytes*seconds) / drainsPerRun
-	row.changeCPU = max(0, (s.KernelTime-used).Seconds()/nodes-row.restCPU*seconds) / drainsPerRun
-	row.inForce = worst(s.Checks().InForce)
+	row.changeBytes = max(0, float64(bytes)/nodes-row.idleBytes*seconds) / changesPerRun
+	row.changeCPU = max(0, (s.KernelTime-used).Seconds()/nodes-row.idleCPU*seconds) / changesPerRun
+	row.inForce = longest(s.Checks().InForce)
 
 	s.Inject(simnet.Fault{Kind: "steer", Target: "region-0", Second: "region-1", Amount: 7})
 	s.Kill(s.FirstRelay())
-	s.Run(restSpan)
+	s.Run(idleDuration)
 	row.inForceRelayDead = s.Checks().InForce[len(s.Checks().InForce)-1]
 	row.bundleBytes = len(s.Envelope())
 	row.assignmentBytes = s.AssignmentBytes()
@@ -222,11 +222,11 @@
 }
 
 const (
-	watchesPerRelay = 3
-	watchSeconds    = 30.0
+	watchesPerRelay     = 3
+	watchRenewalSeconds = 30.0
 )
 
-func worst(list []time.Duration) time.Duration {
+func longest(list []time.Duration) time.Duration {
 	most := time.Duration(0)
 	for _, d := range list[1:] {
 		most = max(most, d)
@@ -234,8 +234,8 @@
 	return most
 }
 
-// planSlopes measures one round of planning against the number of regions.
-func planSlopes() {
+// measurePlanner measures one round of planning against the number of regions.
+func measurePlanner() {
 	planner, _ := region.FindPlanner(region.DefaultPlanner)
 	fmt.Printf("%-8s %12s\n", "REGIONS", "PLAN")
 	var xs, ys []float64
@@ -267,13 +267,13 @@
 		xs = append(xs, float64(n*n))
 		ys = append(ys, float64(result.NsPerOp()))
 	}
-	slope, intercept, deviation := fit(xs, ys)
+	slope, intercept, deviation := fitLine(xs, ys)
 	fmt.Printf("fit: %.0f ns + %.1f ns a pair of regions, error %.1f%%; twice a second\n", intercept, slope, 100*deviation)
 }
 
-// fit is the least-squares line, with the root mean square error as a share
+// fitLine is the least-squares line, with the root mean square error as a share
 // of the mean.
-func fit(xs, ys []float64) (slope, intercept, deviation float64) {
+func fitLine(xs, ys []float64) (slope, intercept, deviation float64) {
 	n := float64(len(xs))
 	var sx, sy, sxx, sxy float64
 	for i := range xs {
--- a/cmd/gypsumquay-bench/soak.go
+++ b/cmd/gypsumquay-bench/soak.go
@@ -41,7 +41,7 @@
 	for range a.Parallel {
 		group.Go(func() {
 			for time.Now().Before(end) {
-				s.one(a.Examples)
+				s.runSeed(a.Examples)
 			}
 		})
 	}
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (s *soak) seed() uint64 {
+func (s *soak) nextSeed() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next++
@@ -61,9 +61,9 @@
 	return s.next
 }
 
-// one plays one seed and prints what failed with how to play it again.
-func (s *soak) one(examples string) {
-	seed := s.seed()
+// runSeed plays one seed and prints what failed with how to play it again.
+func (s *soak) runSeed(examples string) {
+	seed := s.nextSeed()
 	deployments := simnet.Deployments()
 	d := deployments[seed%uint64(len(deployments))]
 	c, err := loadConfig(examples, d)
@@ -73,7 +73,7 @@
 	}
 	c = c.Small()
 	sc := simnet.RandomScenario(c, simnet.DrawFrom(seed))
-	violations := play(c, sc)
+	violations := violationsOf(c, sc)
 	if len(violations) == 0 {
 		return
 	}
@@ -84,7 +84,7 @@
 	fmt.Printf("seed %d (%s) failed:\n%s\nscenario: %s\n", seed, d.Name, strings.Join(violations, "\n"), text)
 }
 
-func play(c simnet.Config, sc *simnet.Scenario) (violations []string) {
+func violationsOf(c simnet.Config, sc *simnet.Scenario) (violations []string) {
 	defer func() {
 		if r := recover(); r != nil {
 			violations = append(violations, fmt.Sprint(r))
--- a/cmd/gypsumquay-fake/main.go
+++ b/cmd/gypsumquay-fake/main.go
@@ -122,7 +122,7 @@
 func (a *callerArguments) run(ctx context.Context) error {
 	fleet := callerfake.NewFleet(callerfake.Plan{
 		Seeds: a.Seeds, Callers: a.Callers, Rate: a.Rate, Span: a.Span,
-		Browse: splitAll(a.Browse), Book: a.Book, BookShare: a.BookShare, Name: a.Name,
+		Browse: splitCommas(a.Browse), Book: a.Book, BookShare: a.BookShare, Name: a.Name,
 	})
 	report := fleet.Run(ctx)
 	encoder := json.NewEncoder(os.Stdout)
@@ -130,6 +130,6 @@
 	return errs.Wrap(encoder.Encode(report), "report")
 }
 
-func splitAll(list []string) []string {
+func splitCommas(list []string) []string {
 	return strings.FieldsFunc(strings.Join(list, ","), func(r rune) bool { return r == ',' })
 }
--- a/cmd/gypsumquayd/main.go
+++ b/cmd/gypsumquayd/main.go
@@ -25,8 +25,8 @@
 const (
 	exitFailure  = 1
 	exitSettings = 2
-	// logLines bounds the lines that wait for a slow reader of the log.
-	logLines = 4096
+	// logBufferLines bounds the lines that wait for a slow reader of the log.
+	logBufferLines = 4096
 )
 
 type (
@@ -52,15 +52,15 @@
 	}
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	program := standalone
+	program := runStandalone
 	if a.OnPlatform {
-		program = onPlatform
+		program = runOnPlatform
 	}
 	os.Exit(program(stop, a))
 }
 
-// standalone runs a proxy with the product's own interface.
-func standalone(stop context.Context, a arguments) int {
+// runStandalone runs a proxy with the product's own interface.
+func runStandalone(stop context.Context, a arguments) int {
 	s, err := settings.Load(a.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -79,10 +79,10 @@
 	return run(stop, d.Run)
 }
 
-// onPlatform runs a proxy that takes its settings and its servers from the
+// runOnPlatform runs a proxy that takes its settings and its servers from the
 // platform.
-func onPlatform(stop context.Context, a arguments) int {
-	told := hangUps()
+func runOnPlatform(stop context.Context, a arguments) int {
+	told := reloadSignals()
 	if a.Settings == "" {
 		a.Settings = os.Getenv(platform.SettingsEnv)
 	}
@@ -95,7 +95,7 @@
 		fmt.Println("settings are in order")
 		return 0
 	}
-	buffer := logs.NewBuffer(os.Stdout, logLines)
+	buffer := logs.NewBuffer(os.Stdout, logBufferLines)
 	defer buffer.Close()
 	logs.Setup(buffer, a.Verbosity, "vm", s.Proxy.Name, "vm-region", s.Proxy.Region)
 	s.Proxy.DisabledMechanisms = a.Off
@@ -123,8 +123,8 @@
 	}
 }
 
-// hangUps tells of each hang-up signal; unhandled it would end the process.
-func hangUps() <-chan struct{} {
+// reloadSignals tells of each hang-up signal; unhandled it would end the process.
+func reloadSignals() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	told := make(chan struct{}, 1)
--- a/internal/client/command/bundle.go
+++ b/internal/client/command/bundle.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	digestShown = 12
-	waitPoll    = 20 * time.Millisecond
+	shortDigestLength   = 12
+	rolloutPollInterval = 20 * time.Millisecond
 )
 
 type (
@@ -61,19 +61,19 @@
 		Wait   time.Duration `arg:"--wait" default:"10s" help:"how long to wait until it is in force everywhere"`
 	}
 
-	proposed struct {
-		Digest  operator.Digest   `json:"digest"`
-		Version uint64            `json:"version"`
-		Author  string            `json:"author"`
-		Second  string            `json:"approver,omitempty"`
-		Changes []operator.Change `json:"changes"`
+	proposalSummary struct {
+		Digest   operator.Digest   `json:"digest"`
+		Version  uint64            `json:"version"`
+		Author   string            `json:"author"`
+		Approver string            `json:"approver,omitempty"`
+		Changes  []operator.Change `json:"changes"`
 	}
 
-	rolledOut struct {
-		Version uint64            `json:"version"`
-		Seconds float64           `json:"seconds-until-in-force"`
-		Entries map[string]uint64 `json:"bundle-versions"`
-		Behind  []string          `json:"behind,omitempty"`
+	rolloutSummary struct {
+		Version  uint64            `json:"version"`
+		Seconds  float64           `json:"seconds-until-in-force"`
+		Versions map[string]uint64 `json:"bundle-versions"`
+		Behind   []string          `json:"behind,omitempty"`
 	}
 )
 
@@ -84,9 +84,9 @@
 	case a.Diff != nil:
 		return a.Diff.diff(s)
 	case a.Show != nil:
-		return show(s)
+		return showBundle(s)
 	case a.List != nil:
-		return list(s)
+		return listProposals(s)
 	case a.Propose != nil:
 		return a.Propose.run(s)
 	case a.Approve != nil:
@@ -135,8 +135,8 @@
 	}, nil
 }
 
-// current reads the bundle in force; nil when there is none yet.
-func (s *session) current() (*operator.Bundle, error) {
+// currentBundle reads the bundle in force; nil when there is none yet.
+func (s *session) currentBundle() (*operator.Bundle, error) {
 	e, err := s.client.Bundle(s.ctx)
 	if errors.Is(err, operatorhttp.ErrRejected) {
 		return nil, nil
@@ -152,7 +152,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	old, err := s.current()
+	old, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
@@ -178,8 +178,8 @@
 	return text
 }
 
-func show(s *session) (Result, error) {
-	b, err := s.current()
+func showBundle(s *session) (Result, error) {
+	b, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
@@ -190,25 +190,25 @@
 	return Result{Text: string(data), Data: b}, errs.Wrap(err, "encode")
 }
 
-func list(s *session) (Result, error) {
+func listProposals(s *session) (Result, error) {
 	envelopes, err := s.client.Proposals(s.ctx)
 	if err != nil {
 		return Result{}, err
 	}
-	old, err := s.current()
+	old, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
 	var text strings.Builder
-	var all []proposed
+	var all []proposalSummary
 	for _, e := range envelopes {
 		b, err := operator.ParseBundle(e.Bundle)
 		if err != nil || old != nil && b.Version <= old.Version {
 			continue
 		}
-		p := proposed{Digest: e.Digest, Version: b.Version, Author: e.Author.Operator, Second: e.Approver.Operator, Changes: operator.Diff(old, b)}
+		p := proposalSummary{Digest: e.Digest, Version: b.Version, Author: e.Author.Operator, Approver: e.Approver.Operator, Changes: operator.Diff(old, b)}
 		all = append(all, p)
-		fmt.Fprintf(&text, "%s version %d by %s, approved by %s, %d changes\n", p.Digest[:digestShown], p.Version, p.Author, orNone(p.Second), len(p.Changes))
+		fmt.Fprintf(&text, "%s version %d by %s, approved by %s, %d changes\n", p.Digest[:shortDigestLength], p.Version, p.Author, orNone(p.Approver), len(p.Changes))
 	}
 	if len(all) == 0 {
 		text.WriteString("no proposals")
@@ -221,16 +221,16 @@
 	if err != nil {
 		return Result{}, err
 	}
-	return propose(s, b, a.Key)
+	return proposeBundle(s, b, a.Key)
 }
 
-// propose signs a bundle and stores it for the second person.
-func propose(s *session, b *operator.Bundle, keyFile string) (Result, error) {
+// proposeBundle signs a bundle and stores it for the second person.
+func proposeBundle(s *session, b *operator.Bundle, keyFile string) (Result, error) {
 	key, err := readKey(keyFile)
 	if err != nil {
 		return Result{}, err
 	}
-	old, err := s.current()
+	old, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
@@ -244,12 +244,12 @@
 	changes := operator.Diff(old, b)
 	return Result{
 		Text: fmt.Sprintf("%sproposed version %d, digest %s", changesText(changes), b.Version, e.Digest),
-		Data: proposed{Digest: e.Digest, Version: b.Version, Author: key.Operator, Changes: changes},
+		Data: proposalSummary{Digest: e.Digest, Version: b.Version, Author: key.Operator, Changes: changes},
 	}, nil
 }
 
-// find finds the one proposal whose digest begins with the given letters.
-func (s *session) find(digest string) (*operator.Envelope, error) {
+// findProposal finds the one proposal whose digest begins with the given letters.
+func (s *session) findProposal(digest string) (*operator.Envelope, error) {
 	envelopes, err := s.client.Proposals(s.ctx)
 	if err != nil {
 		return nil, err
@@ -275,7 +275,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	e, err := s.find(a.Digest)
+	e, err := s.findProposal(a.Digest)
 	if err != nil {
 		return Result{}, err
 	}
@@ -283,7 +283,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	old, err := s.current()
+	old, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
@@ -296,12 +296,12 @@
 	changes := operator.Diff(old, b)
 	return Result{
 		Text: fmt.Sprintf("%sapproved version %d by %s", changesText(changes), b.Version, e.Author.Operator),
-		Data: proposed{Digest: e.Digest, Version: b.Version, Author: e.Author.Operator, Second: key.Operator, Changes: changes},
+		Data: proposalSummary{Digest: e.Digest, Version: b.Version, Author: e.Author.Operator, Approver: key.Operator, Changes: changes},
 	}, nil
 }
 
 func (a *BundleRolloutArguments) run(s *session) (Result, error) {
-	e, err := s.find(a.Digest)
+	e, err := s.findProposal(a.Digest)
 	if err != nil {
 		return Result{}, err
 	}
@@ -313,7 +313,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	if err := verdictError(out.Result); err != nil {
+	if err := rolloutError(out.Result); err != nil {
 		return Result{}, err
 	}
 	return s.waitInForce(out.CurrentVersion, began, a.Wait), nil
@@ -321,23 +321,23 @@
 
 // waitInForce asks every proxy that runs until all use the version.
 func (s *session) waitInForce(version uint64, began time.Time, wait time.Duration) Result {
-	done := rolledOut{Version: version}
+	done := rolloutSummary{Version: version}
 	for {
-		done.Entries, done.Behind = s.versions(version)
+		done.Versions, done.Behind = s.bundleVersions(version)
 		done.Seconds = time.Since(began).Seconds()
 		if len(done.Behind) == 0 || time.Since(began) > wait {
 			break
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(rolloutPollInterval)
 	}
-	text := fmt.Sprintf("version %d is in force on %d proxies after %.2f s", version, len(done.Entries)-len(done.Behind), done.Seconds)
+	text := fmt.Sprintf("version %d is in force on %d proxies after %.2f s", version, len(done.Versions)-len(done.Behind), done.Seconds)
 	if len(done.Behind) > 0 {
 		text += "; not yet on " + strings.Join(done.Behind, ", ")
 	}
 	return Result{Text: text, Data: done}
 }
 
-func (s *session) versions(version uint64) (map[string]uint64, []string) {
+func (s *session) bundleVersions(version uint64) (map[string]uint64, []string) {
 	entries := make(map[string]uint64)
 	var behind []string
 	members, err := s.client.Members(s.ctx)
--- a/internal/client/command/command.go
+++ b/internal/client/command/command.go
@@ -27,8 +27,8 @@
 	ExitFailure = 1
 	// ExitUsage means that the command line or a file is wrong.
 	ExitUsage = 2
-	// ExitRefused means that a proxy refused, for example a signature.
-	ExitRefused = 3
+	// ExitRejected means that a proxy refused, for example a signature.
+	ExitRejected = 3
 	// ExitLostRace means that another bundle took the version.
 	ExitLostRace = 4
 	// ExitUndecided means that the platform does not say yet; run it again.
@@ -126,7 +126,7 @@
 	case errors.Is(err, errUndecided):
 		return ExitUndecided
 	case errors.Is(err, operatorhttp.ErrRejected), errors.Is(err, operator.ErrSameOperator):
-		return ExitRefused
+		return ExitRejected
 	case errors.Is(err, operatorhttp.ErrNoProxy):
 		return ExitNoProxy
 	}
@@ -134,7 +134,7 @@
 }
 
 func dispatch(ctx context.Context, a Arguments) (Result, error) {
-	config, err := authority(a.Authority)
+	config, err := loadTLSConfig(a.Authority)
 	if err != nil {
 		return Result{}, err
 	}
@@ -160,7 +160,7 @@
 	return Result{}, usageError("name a command; --help lists them")
 }
 
-func authority(path string) (*tls.Config, error) {
+func loadTLSConfig(path string) (*tls.Config, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -175,7 +175,7 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool}, nil
 }
 
-func verdictError(v kv.RolloutResult) error {
+func rolloutError(v kv.RolloutResult) error {
 	switch v {
 	case kv.RolloutAccepted:
 		return nil
--- a/internal/client/command/command_test.go
+++ b/internal/client/command/command_test.go
@@ -8,7 +8,7 @@
 
 // An operator mistypes a command. The message must say what is missing and end
 // there, and scripts go by the exit code.
-func TestWrongCommandLines(t *testing.T) {
+func TestUsageErrors(t *testing.T) {
 	for _, c := range []struct {
 		arguments Arguments
 		want      string
--- a/internal/client/command/drain.go
+++ b/internal/client/command/drain.go
@@ -51,9 +51,9 @@
 	return Result{}, usageError("drain: plan, list or cancel")
 }
 
-// next is the bundle in force under the following version.
-func (s *session) next() (*operator.Bundle, error) {
-	b, err := s.current()
+// nextBundle is the bundle in force under the following version.
+func (s *session) nextBundle() (*operator.Bundle, error) {
+	b, err := s.currentBundle()
 	if err != nil {
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 }
 
 func (a *DrainPlanArguments) run(s *session) (Result, error) {
-	b, err := s.next()
+	b, err := s.nextBundle()
 	if err != nil {
 		return Result{}, err
 	}
@@ -76,11 +76,11 @@
 	if err := b.Validate(); err != nil {
 		return Result{}, err
 	}
-	return propose(s, b, a.Key)
+	return proposeBundle(s, b, a.Key)
 }
 
 func (a *DrainCancelArguments) run(s *session) (Result, error) {
-	b, err := s.next()
+	b, err := s.nextBundle()
 	if err != nil {
 		return Result{}, err
 	}
@@ -89,11 +89,11 @@
 		return Result{}, usageError("no drain is named " + a.Name)
 	}
 	b.Drains = slices.Delete(b.Drains, at, at+1)
-	return propose(s, b, a.Key)
+	return proposeBundle(s, b, a.Key)
 }
 
 func listDrains(s *session) (Result, error) {
-	b, err := s.current()
+	b, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
--- a/internal/client/command/losses.go
+++ b/internal/client/command/losses.go
@@ -22,12 +22,12 @@
 		Most  int      `default:"12" help:"rows of each list"`
 	}
 
-	// LossesAnswer is what losses prints as JSON.
-	LossesAnswer struct {
+	// LossesOutput is what losses prints as JSON.
+	LossesOutput struct {
 		losses.Table
 		// Skipped counts the lines that could not be read.
 		Skipped    int          `json:"skipped-lines,omitempty"`
-		Unanswered []Unanswered `json:"unanswered,omitempty"`
+		Unanswered []ProxyError `json:"unanswered,omitempty"`
 	}
 )
 
@@ -36,12 +36,12 @@
 		return Result{}, usageError("--most: must be at least 1")
 	}
 	counter := losses.NewCounter()
-	var answer LossesAnswer
+	var answer LossesOutput
 	var err error
 	if len(a.Files) > 0 {
 		answer.Skipped, err = readLogs(counter, a.Files)
 	} else {
-		answer.Unanswered, err = askLosses(s, c, counter)
+		answer.Unanswered, err = queryLosses(s, c, counter)
 	}
 	if err != nil {
 		return Result{}, err
@@ -71,33 +71,33 @@
 	return skipped, nil
 }
 
-// askLosses counts what the proxies keep: their last few thousand events each.
-func askLosses(s *session, c *steeringhttp.Client, counter *losses.Counter) ([]Unanswered, error) {
-	answers, err := ask(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
+// queryLosses counts what the proxies keep: their last few thousand events each.
+func queryLosses(s *session, c *steeringhttp.Client, counter *losses.Counter) ([]ProxyError, error) {
+	answers, err := queryAll(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
 		return c.Events(ctx, proxy, "")
 	})
 	if err != nil {
 		return nil, err
 	}
-	var unanswered []Unanswered
+	var unanswered []ProxyError
 	for _, a := range answers {
 		if a.Error != "" {
-			unanswered = append(unanswered, Unanswered{Proxy: a.Proxy.Name, Error: a.Error})
+			unanswered = append(unanswered, ProxyError{Proxy: a.Proxy.Name, Error: a.Error})
 		}
 		for _, e := range a.Value {
 			if e.Kind != string(steering.EventRequestEnded) {
 				continue
 			}
-			counter.Add(losses.Ended{
+			counter.Add(losses.EndedRequest{
 				At: e.At, Request: e.Request, Route: e.Route, Region: a.Proxy.Region, Outcome: e.Outcome, Reason: e.Reason,
-				Cause: e.Cause, State: e.ServerState, Took: losses.ParseSpan(e.Duration), Target: losses.ParseSpan(e.Target),
+				Cause: e.Cause, State: e.ServerState, Took: losses.ParseDuration(e.Duration), Target: losses.ParseDuration(e.Target),
 			})
 		}
 	}
 	return unanswered, nil
 }
 
-func (a *SteeringLossesArguments) text(answer LossesAnswer) string {
+func (a *SteeringLossesArguments) text(answer LossesOutput) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d requests lost\n", answer.Lost)
 	for _, u := range answer.Unanswered {
@@ -110,21 +110,21 @@
 		title string
 		part  func(losses.Key) string
 	}{
-		{"WHY", func(k losses.Key) string { return k.Why }},
+		{"WHY", func(k losses.Key) string { return k.Cause }},
 		{"ROUTE", func(k losses.Key) string { return k.Route }},
 		{"REGION OF THE PROXY", func(k losses.Key) string { return k.Region }},
 		{"SERVER", func(k losses.Key) string { return k.State }},
 	} {
 		fmt.Fprintf(&text, "\n%8s  %-8s %s\n", "COUNT", "LOSS", list.title)
-		rows := answer.Sum(list.part)
+		rows := answer.SumBy(list.part)
 		for _, r := range rows[:min(len(rows), a.Most)] {
-			fmt.Fprintf(&text, "%8d  %-8s %s\n", r.Count, r.Kind, r.Why)
+			fmt.Fprintf(&text, "%8d  %-8s %s\n", r.Count, r.Kind, r.Cause)
 		}
 	}
-	fmt.Fprintf(&text, "\n%-10s %8s %8s %8s %8s\n", "SECOND", losses.Late, losses.Refused, losses.Failed, losses.Left)
+	fmt.Fprintf(&text, "\n%-10s %8s %8s %8s %8s\n", "SECOND", losses.Late, losses.Rejected, losses.Failed, losses.Abandoned)
 	for _, s := range answer.Seconds {
 		fmt.Fprintf(&text, "%-10s %8d %8d %8d %8d\n", s.At.Format("15:04:05"), s.Counts[losses.Late],
-			s.Counts[losses.Refused], s.Counts[losses.Failed], s.Counts[losses.Left])
+			s.Counts[losses.Rejected], s.Counts[losses.Failed], s.Counts[losses.Abandoned])
 	}
 	return text.String()
 }
--- a/internal/client/command/replay.go
+++ b/internal/client/command/replay.go
@@ -36,7 +36,7 @@
 		text.WriteString("the last call is cut short: the process was killed\n")
 	}
 	for _, d := range r.Differences {
-		fmt.Fprintf(&text, "%s request %s: recorded %s, now %s\n", d.At.Format("15:04:05.000"), d.Request, verdictText(d.Recorded), verdictText(d.Now))
+		fmt.Fprintf(&text, "%s request %s: recorded %s, now %s\n", d.At.Format("15:04:05.000"), d.Request, decisionText(d.Recorded), decisionText(d.Now))
 	}
 	if len(r.Candidates) > 0 {
 		fmt.Fprintf(&text, "%-12s %7s %-20s %6s %5s %5s %4s %6s %6s %9s %12s\n", "AT", "ATTEMPT", "SERVER", "USABLE", "COLD", "WARM", "HOME", "LOAD", "SPEED", "EXPECTED", "COST")
@@ -47,12 +47,12 @@
 			mark = " chosen"
 		}
 		fmt.Fprintf(&text, "%-12s %7d %-20s %6t %5t %5t %4d %6.1f %6.2f %9s %12s%s\n", w.At.Format("15:04:05.000"), w.Attempt, w.Server,
-			w.Usable, w.Cold, w.Warm, w.HomeRank, w.Load, w.Slowdown, rounded(w.Expected), rounded(w.Cost), mark)
+			w.Usable, w.Cold, w.Warm, w.HomeRank, w.Load, w.Slowdown, roundDuration(w.Expected), roundDuration(w.Cost), mark)
 	}
 	return Result{Text: text.String(), Data: r}, nil
 }
 
-func verdictText(v steering.RecordedDecision) string {
+func decisionText(v steering.RecordedDecision) string {
 	switch {
 	case v.Server != "":
 		return "to " + v.Server
@@ -62,5 +62,5 @@
 	return string(v.Reason)
 }
 
-// rounded leaves out what nobody reads.
-func rounded(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
+// roundDuration leaves out what nobody reads.
+func roundDuration(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
--- a/internal/client/command/signals.go
+++ b/internal/client/command/signals.go
@@ -24,34 +24,34 @@
 		Domain  string `json:"failure-domain"`
 		// Limit is what it takes from all proxies together, the lowest that any knows of.
 		Limit string `json:"limit,omitempty"`
-		// Leaving is set if it leaves by its own word.
-		Leaving bool `json:"leaving,omitempty"`
+		// Draining is set if it leaves by its own word.
+		Draining bool `json:"leaving,omitempty"`
 		// Limited, Pausing and Known count the proxies that keep to a limit or a pause of
 		// it, and those that know of anything that it asks.
 		Limited int `json:"limited-proxies"`
 		Pausing int `json:"pausing-proxies"`
 		Known   int `json:"proxies"`
 
-		perSecond float64
+		limitPerSecond float64
 	}
 
-	// SignalsAnswer is what signals prints as JSON. What proxies know that did not answer
+	// SignalsOutput is what signals prints as JSON. What proxies know that did not answer
 	// is missing.
-	SignalsAnswer struct {
+	SignalsOutput struct {
 		Servers    []ServerSignals `json:"backend-servers"`
-		Unanswered []Unanswered    `json:"unanswered,omitempty"`
+		Unanswered []ProxyError    `json:"unanswered,omitempty"`
 	}
 )
 
 func (a *SteeringSignalsArguments) run(s *session, c *steeringhttp.Client) (Result, error) {
-	answers, err := ask(s, c, c.Status)
+	answers, err := queryAll(s, c, c.Status)
 	if err != nil {
 		return Result{}, err
 	}
 	var text strings.Builder
-	var out SignalsAnswer
+	var out SignalsOutput
 	asking := make(map[string]*ServerSignals)
-	out.Unanswered = unanswered(&text, answers)
+	out.Unanswered = listFailed(&text, answers)
 	for _, one := range answers {
 		for _, b := range one.Value.Servers {
 			if a.Service == "" || a.Service == b.Service {
@@ -59,11 +59,11 @@
 			}
 		}
 	}
-	out.Servers = pickSignals(asking)
+	out.Servers = sortSignals(asking)
 	fmt.Fprintf(&text, "of %d proxies that answered\n%-16s %-16s %-16s %10s %8s %8s %8s %8s\n", len(answers)-len(out.Unanswered),
 		"SERVER", "SERVICE", "DOMAIN", "LIMIT", "LIMITED", "PAUSING", "LEAVES", "KNOWN BY")
 	for _, v := range out.Servers {
-		fmt.Fprintf(&text, "%-16s %-16s %-16s %10s %8d %8d %8t %8d\n", v.Server, v.Service, v.Domain, cmp.Or(v.Limit, "none"), v.Limited, v.Pausing, v.Leaving, v.Known)
+		fmt.Fprintf(&text, "%-16s %-16s %-16s %10s %8d %8d %8t %8d\n", v.Server, v.Service, v.Domain, cmp.Or(v.Limit, "none"), v.Limited, v.Pausing, v.Draining, v.Known)
 	}
 	return Result{Text: text.String(), Data: out}, nil
 }
@@ -79,20 +79,20 @@
 		asking[b.ID] = v
 	}
 	v.Known++
-	v.Leaving = v.Leaving || b.ReportsDraining
+	v.Draining = v.Draining || b.ReportsDraining
 	if b.PausedFor != "" {
 		v.Pausing++
 	}
 	if b.Limit == nil {
 		return
 	}
-	if v.Limited++; v.Limited == 1 || *b.Limit < v.perSecond {
-		v.perSecond, v.Limit = *b.Limit, fmt.Sprintf("%.1f/s", *b.Limit)
+	if v.Limited++; v.Limited == 1 || *b.Limit < v.limitPerSecond {
+		v.limitPerSecond, v.Limit = *b.Limit, fmt.Sprintf("%.1f/s", *b.Limit)
 	}
 }
 
-// pickSignals lists servers by service, those known to the most proxies first.
-func pickSignals(asking map[string]*ServerSignals) []ServerSignals {
+// sortSignals lists servers by service, those known to the most proxies first.
+func sortSignals(asking map[string]*ServerSignals) []ServerSignals {
 	list := make([]ServerSignals, 0, len(asking))
 	for _, v := range slices.Collect(maps.Values(asking)) {
 		list = append(list, *v)
--- a/internal/client/command/status.go
+++ b/internal/client/command/status.go
@@ -71,11 +71,11 @@
 		}
 		report.Proxies = append(report.Proxies, p)
 	}
-	report.Regions = totals(report.Proxies)
+	report.Regions = sumRegions(report.Proxies)
 	return Result{Text: report.text(), Data: report}, nil
 }
 
-func totals(proxies []proxyStatus) []regionTotal {
+func sumRegions(proxies []proxyStatus) []regionTotal {
 	var list []regionTotal
 	index := make(map[string]int)
 	for _, p := range proxies {
@@ -132,7 +132,7 @@
 			continue
 		}
 		query := url.Values{"service": {a.Service}, "client": {a.Client.String()}, "explain": {""}}
-		answer, err := askLookup(s, "http://"+m.Address.String()+"/v1/lookup?"+query.Encode())
+		answer, err := queryLookup(s, "http://"+m.Address.String()+"/v1/lookup?"+query.Encode())
 		if err != nil {
 			continue
 		}
@@ -152,7 +152,7 @@
 	} `json:"proxies"`
 }
 
-func askLookup(s *session, target string) (lookupAnswer, error) {
+func queryLookup(s *session, target string) (lookupAnswer, error) {
 	var answer lookupAnswer
 	request, err := http.NewRequestWithContext(s.ctx, http.MethodGet, target, nil)
 	if err != nil {
@@ -201,7 +201,7 @@
 	sort.SliceStable(all, func(i, j int) bool { return all[i].Stamp.Less(all[j].Stamp) })
 	var text strings.Builder
 	for _, e := range all {
-		fmt.Fprintf(&text, "%s %-10s %-24s %s\n", e.Stamp.Time().Format("15:04:05.000000"), e.VM, e.Kind, eventDetail(e))
+		fmt.Fprintf(&text, "%s %-10s %-24s %s\n", e.Stamp.Time().Format("15:04:05.000000"), e.VM, e.Kind, eventText(e))
 	}
 	return Result{Text: text.String(), Data: all}, nil
 }
@@ -218,7 +218,7 @@
 	return true
 }
 
-func eventDetail(e core.Event) string {
+func eventText(e core.Event) string {
 	var parts []string
 	for _, p := range []string{e.Service, e.Request, e.Target, string(e.Reason), e.Detail} {
 		if p != "" {
--- a/internal/client/command/steering.go
+++ b/internal/client/command/steering.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// asksAtOnce bounds the proxies asked at the same time.
-	asksAtOnce = 16
+	// maxConcurrentQueries bounds the proxies asked at the same time.
+	maxConcurrentQueries = 16
 )
 
 type (
@@ -58,21 +58,21 @@
 		Server string `help:"only this backend server"`
 	}
 
-	// EventsAnswer is what events and explain print as JSON: the events in order, and
+	// EventsOutput is what events and explain print as JSON: the events in order, and
 	// the proxies that did not answer, whose events are missing.
-	EventsAnswer struct {
+	EventsOutput struct {
 		Events     []steeringhttp.Event `json:"events"`
-		Unanswered []Unanswered         `json:"unanswered,omitempty"`
+		Unanswered []ProxyError         `json:"unanswered,omitempty"`
 	}
 
-	// Unanswered is a proxy that did not answer, and why.
-	Unanswered struct {
+	// ProxyError is a proxy that did not answer, and why.
+	ProxyError struct {
 		Proxy string `json:"proxy"`
 		Error string `json:"error"`
 	}
 
-	// answer is what one proxy said, or why it did not.
-	answer[T any] struct {
+	// proxyResponse is what one proxy said, or why it did not.
+	proxyResponse[T any] struct {
 		Proxy steeringhttp.Proxy `json:"proxy"`
 		Value T                  `json:"answer"`
 		Error string             `json:"error,omitempty"`
@@ -108,10 +108,10 @@
 	return (a.Kind == "" || a.Kind == e.Kind) && (a.Server == "" || a.Server == e.Server)
 }
 
-// first is the view of the first proxy that answers. It counts among those that it
+// firstStatus is the view of the first proxy that answers. It counts among those that it
 // lists: one whose entry was taken away still serves, and may be the one that a
 // caller complains about.
-func first(s *session, c *steeringhttp.Client) (steeringhttp.Status, error) {
+func firstStatus(s *session, c *steeringhttp.Client) (steeringhttp.Status, error) {
 	var failed error
 	for _, address := range s.proxies {
 		status, err := c.Status(s.ctx, address)
@@ -129,14 +129,14 @@
 	return steeringhttp.Status{}, errors.Wrap(operatorhttp.ErrNoProxy, failed.Error())
 }
 
-// ask puts a question to all proxies that the first one knows.
-func ask[T any](s *session, c *steeringhttp.Client, question func(context.Context, netip.AddrPort) (T, error)) ([]answer[T], error) {
-	view, err := first(s, c)
+// queryAll puts a question to all proxies that the first one knows.
+func queryAll[T any](s *session, c *steeringhttp.Client, question func(context.Context, netip.AddrPort) (T, error)) ([]proxyResponse[T], error) {
+	view, err := firstStatus(s, c)
 	if err != nil {
 		return nil, err
 	}
-	answers := make([]answer[T], len(view.Proxies))
-	places := make(chan struct{}, asksAtOnce)
+	answers := make([]proxyResponse[T], len(view.Proxies))
+	places := make(chan struct{}, maxConcurrentQueries)
 	var all sync.WaitGroup
 	for i, p := range view.Proxies {
 		all.Go(func() {
@@ -154,19 +154,19 @@
 	return answers, nil
 }
 
-// unanswered lists the proxies that did not answer, and says so in the text.
-func unanswered[T any](text *strings.Builder, answers []answer[T]) (list []Unanswered) {
+// listFailed lists the proxies that did not answer, and says so in the text.
+func listFailed[T any](text *strings.Builder, answers []proxyResponse[T]) (list []ProxyError) {
 	for _, a := range answers {
 		if a.Error != "" {
 			fmt.Fprintf(text, "%s did not answer: %s\n", a.Proxy.Name, a.Error)
-			list = append(list, Unanswered{Proxy: a.Proxy.Name, Error: a.Error})
+			list = append(list, ProxyError{Proxy: a.Proxy.Name, Error: a.Error})
 		}
 	}
 	return list
 }
 
 func steeringStatus(s *session, c *steeringhttp.Client) (Result, error) {
-	answers, err := ask(s, c, c.Status)
+	answers, err := queryAll(s, c, c.Status)
 	if err != nil {
 		return Result{}, err
 	}
@@ -197,7 +197,7 @@
 }
 
 func (a *SteeringServersArguments) run(s *session, c *steeringhttp.Client) (Result, error) {
-	view, err := first(s, c)
+	view, err := firstStatus(s, c)
 	if err != nil {
 		return Result{}, err
 	}
@@ -211,7 +211,7 @@
 }
 
 func (a *SteeringRoutesArguments) run(s *session, c *steeringhttp.Client) (Result, error) {
-	view, err := first(s, c)
+	view, err := firstStatus(s, c)
 	if err != nil {
 		return Result{}, err
 	}
@@ -229,7 +229,7 @@
 }
 
 func steeringEvents(s *session, c *steeringhttp.Client, request string, match func(steeringhttp.Event) bool) (Result, error) {
-	answers, err := ask(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
+	answers, err := queryAll(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
 		return c.Events(ctx, proxy, request)
 	})
 	if err != nil {
@@ -237,7 +237,7 @@
 	}
 	all := []steeringhttp.Event{}
 	var text strings.Builder
-	missing := unanswered(&text, answers)
+	missing := listFailed(&text, answers)
 	for _, a := range answers {
 		for _, e := range a.Value {
 			if match(e) {
@@ -250,18 +250,18 @@
 		text.WriteString("nothing kept; requests that ended well are sampled, and a restarted proxy has forgotten: search the logs\n")
 	}
 	for _, e := range all {
-		fmt.Fprintf(&text, "%s %-22s %-22s %s\n", e.At.Format("15:04:05.000"), e.VM, e.Kind, steeringDetail(e))
+		fmt.Fprintf(&text, "%s %-22s %-22s %s\n", e.At.Format("15:04:05.000"), e.VM, e.Kind, steeringEventText(e))
 	}
-	return Result{Text: text.String(), Data: EventsAnswer{Events: all, Unanswered: missing}}, nil
+	return Result{Text: text.String(), Data: EventsOutput{Events: all, Unanswered: missing}}, nil
 }
 
-// steeringDetail lists the fields that an event has, each with its name.
-func steeringDetail(e steeringhttp.Event) string {
+// steeringEventText lists the fields that an event has, each with its name.
+func steeringEventText(e steeringhttp.Event) string {
 	var parts []string
 	for _, f := range []struct{ name, value string }{
 		{"request", e.Request}, {"route", e.Route}, {"account", e.Account}, {"service", e.Service}, {"server", e.Server}, {"object", e.Object},
 		{"failure-domain", e.Domain}, {"result", e.Result}, {"outcome", e.Outcome}, {"reason", e.Reason},
-		{"expected", e.Expected}, {"took", e.Duration}, {"load-age", e.LoadAge}, {"come-back", e.RetryAfter}, {"pressure", level(e.Pressure)},
+		{"expected", e.Expected}, {"took", e.Duration}, {"load-age", e.LoadAge}, {"come-back", e.RetryAfter}, {"pressure", formatPressure(e.Pressure)},
 		{"cause", e.Cause}, {"server-state", e.ServerState}, {"wait", e.ExpectedWait}, {"target", e.Target}, {"limit", e.Limit}, {"error", e.Error},
 	} {
 		if f.value != "" {
@@ -277,8 +277,8 @@
 	return strings.Join(parts, " ")
 }
 
-// level is a queue's length as text, empty for none.
-func level(pressure float64) string {
+// formatPressure is a queue's length as text, empty for none.
+func formatPressure(pressure float64) string {
 	if pressure == 0 {
 		return ""
 	}
--- a/internal/client/command/steering_test.go
+++ b/internal/client/command/steering_test.go
@@ -19,7 +19,7 @@
 // The store has taken a proxy's entry away, and the proxy serves on: it lists no
 // proxy, not even itself. An operator asks it about a request that it refused, and
 // was told that nothing is known, for only listed proxies were asked.
-func TestProxyWithoutAnEntryIsAskedToo(t *testing.T) {
+func TestExplainQueriesUnregisteredProxy(t *testing.T) {
 	s := steeringhttp.Server{
 		Status: func() steeringhttp.Status { return steeringhttp.Status{VM: "vm-1"} },
 		Events: func(id string) []steeringhttp.Event {
@@ -42,7 +42,7 @@
 
 // A proxy does not answer while an operator asks for a request's cause by a script.
 // Printed without a word on it, an empty list would say that nothing is known.
-func TestJSONNamesProxiesThatDidNotAnswer(t *testing.T) {
+func TestJSONListsUnreachableProxies(t *testing.T) {
 	s := steeringhttp.Server{
 		Status: func() steeringhttp.Status {
 			return steeringhttp.Status{VM: "vm-1", Proxies: []steeringhttp.Proxy{{Name: "vm-2", OperatorAddress: netip.MustParseAddrPort("127.0.0.1:1")}}}
@@ -57,7 +57,7 @@
 		JSON: true, Proxies: []netip.AddrPort{netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))},
 		Steering: &SteeringArguments{Explain: &SteeringExplainArguments{Request: "r-1"}},
 	}, &out, io.Discard)
-	var got EventsAnswer
+	var got EventsOutput
 	if err := json.Unmarshal([]byte(out.String()), &got); err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 
 // Guards against use of a limit that is told for one proxy as if it were all, and against
 // accounts of proxies that did not answer that pass for unused.
-func TestAccountsAreSummedOverProxies(t *testing.T) {
+func TestAccountUsageIsSummedOverProxies(t *testing.T) {
 	use := func(admitted, refused uint64) steeringhttp.Server {
 		return steeringhttp.Server{Metrics: metrics.NewSet(), Status: func() steeringhttp.Status {
 			return steeringhttp.Status{Accounts: []steeringhttp.Account{
@@ -95,7 +95,7 @@
 		JSON: true, Proxies: []netip.AddrPort{netip.MustParseAddrPort(strings.TrimPrefix(first.URL, "http://"))},
 		Steering: &SteeringArguments{Accounts: &SteeringAccountsArguments{Refused: true}},
 	}, &out, io.Discard)
-	var got AccountsAnswer
+	var got AccountsOutput
 	if err := json.Unmarshal([]byte(out.String()), &got); err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 		Steering: &SteeringArguments{Signals: &SteeringSignalsArguments{Service: "x"}},
 	}
 	code := Run(context.Background(), a, &out, io.Discard)
-	var got SignalsAnswer
+	var got SignalsOutput
 	if err := json.Unmarshal([]byte(out.String()), &got); err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 
 // An engineer counts what callers lost from the logs of a bad minute, and misspells
 // a file's name. The count is printed, and the error names the file.
-func TestLossesFromLogFiles(t *testing.T) {
+func TestLossesReadsLogFiles(t *testing.T) {
 	log := filepath.Join("..", "losses", "testdata", "proxy.log")
 	var out, complaints strings.Builder
 	a := Arguments{Steering: &SteeringArguments{Losses: &SteeringLossesArguments{Files: []string{log}, Most: 3}}}
--- a/internal/client/losses/losses.go
+++ b/internal/client/losses/losses.go
@@ -13,12 +13,12 @@
 const (
 	// Late requests were answered after their route's target.
 	Late Kind = "late"
-	// Refused requests have not run, and their callers were told to come back.
-	Refused Kind = "refused"
+	// Rejected requests have not run, and their callers were told to come back.
+	Rejected Kind = "refused"
 	// Failed requests got no answer and may have run, or a server's own failure.
 	Failed Kind = "failed"
-	// Left requests were given up by their callers.
-	Left Kind = "left"
+	// Abandoned requests were given up by their callers.
+	Abandoned Kind = "left"
 
 	// Unknown stands for what was counted without being told.
 	Unknown = "not told"
@@ -28,8 +28,8 @@
 	// Kind is what a caller lost.
 	Kind string
 
-	// Ended is one request as a proxy tells of its end.
-	Ended struct {
+	// EndedRequest is one request as a proxy tells of its end.
+	EndedRequest struct {
 		At      time.Time
 		Request string
 		Route   string
@@ -45,7 +45,7 @@
 	// Key is what losses are counted by.
 	Key struct {
 		Kind   Kind   `json:"kind"`
-		Why    string `json:"why"`
+		Cause  string `json:"why"`
 		Route  string `json:"route"`
 		Region string `json:"region"`
 		State  string `json:"server-state"`
@@ -57,16 +57,16 @@
 		Count int `json:"count"`
 	}
 
-	// Second counts the losses that became known in one second.
-	Second struct {
+	// SecondCounts counts the losses that became known in one second.
+	SecondCounts struct {
 		At     time.Time    `json:"at"`
 		Counts map[Kind]int `json:"counts"`
 	}
 
 	// Table is all that was counted.
 	Table struct {
-		Rows    []Row    `json:"rows"`
-		Seconds []Second `json:"seconds"`
+		Rows    []Row          `json:"rows"`
+		Seconds []SecondCounts `json:"seconds"`
 		// Lost is the sum of the rows.
 		Lost int `json:"lost"`
 	}
@@ -86,18 +86,18 @@
 
 // Add counts a request if its caller lost anything. One that is told twice, by a
 // log and by its proxy, counts once.
-func (c *Counter) Add(e Ended) {
-	kind, why := judge(e)
+func (c *Counter) Add(e EndedRequest) {
+	kind, why := classify(e)
 	if kind == "" || e.Request != "" && c.seen[e.Request] {
 		return
 	}
 	c.seen[e.Request] = true
-	c.rows[Key{Kind: kind, Why: why, Route: e.Route, Region: e.Region, State: e.State}]++
-	c.count(e.At, kind, 1)
+	c.rows[Key{Kind: kind, Cause: why, Route: e.Route, Region: e.Region, State: e.State}]++
+	c.addToSecond(e.At, kind, 1)
 }
 
-// AddLeftOut counts requests of which a log tells only how many ended in a way.
-func (c *Counter) AddLeftOut(at time.Time, region string, endings map[string]int) {
+// AddOmitted counts requests of which a log tells only how many ended in a way.
+func (c *Counter) AddOmitted(at time.Time, region string, endings map[string]int) {
 	for ending, n := range endings {
 		kind, why := Kind(""), ending
 		switch ending {
@@ -106,14 +106,14 @@
 		case string(Late):
 			kind, why = Late, Unknown
 		default:
-			kind, _ = judge(Ended{Reason: ending, Outcome: steering.OutcomeNotRun.String()})
+			kind, _ = classify(EndedRequest{Reason: ending, Outcome: steering.OutcomeNotRun.String()})
 		}
-		c.rows[Key{Kind: kind, Why: why, Route: Unknown, Region: region, State: Unknown}] += n
-		c.count(at, kind, n)
+		c.rows[Key{Kind: kind, Cause: why, Route: Unknown, Region: region, State: Unknown}] += n
+		c.addToSecond(at, kind, n)
 	}
 }
 
-func (c *Counter) count(at time.Time, kind Kind, n int) {
+func (c *Counter) addToSecond(at time.Time, kind Kind, n int) {
 	second := at.Truncate(time.Second)
 	if c.seconds[second] == nil {
 		c.seconds[second] = make(map[Kind]int)
@@ -121,8 +121,8 @@
 	c.seconds[second][kind] += n
 }
 
-// judge says what a caller lost and why; nothing for a good answer.
-func judge(e Ended) (Kind, string) {
+// classify says what a caller lost and why; nothing for a good answer.
+func classify(e EndedRequest) (Kind, string) {
 	switch steering.Reason(e.Reason) {
 	case steering.ReasonNone:
 		if e.Target <= 0 || e.Took <= e.Target {
@@ -130,7 +130,7 @@
 		}
 		return Late, cmp.Or(e.Cause, Unknown)
 	case steering.ReasonCallerGone:
-		return Left, e.Reason
+		return Abandoned, e.Reason
 	case steering.ReasonServerError, steering.ReasonConnectionLost:
 		return Failed, e.Reason
 	case steering.ReasonTimeout:
@@ -142,39 +142,39 @@
 	if e.Outcome == steering.OutcomeMayHaveRun.String() {
 		return Failed, e.Reason
 	}
-	return Refused, e.Reason
+	return Rejected, e.Reason
 }
 
 // Table lists the counts, the largest first.
 func (c *Counter) Table() Table {
-	t := Table{Rows: make([]Row, 0, len(c.rows)), Seconds: make([]Second, 0, len(c.seconds))}
+	t := Table{Rows: make([]Row, 0, len(c.rows)), Seconds: make([]SecondCounts, 0, len(c.seconds))}
 	for key, n := range c.rows {
 		t.Rows = append(t.Rows, Row{Key: key, Count: n})
 		t.Lost += n
 	}
 	slices.SortFunc(t.Rows, func(a, b Row) int {
-		return cmp.Or(b.Count-a.Count, cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Why, b.Why),
+		return cmp.Or(b.Count-a.Count, cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Cause, b.Cause),
 			cmp.Compare(a.Route, b.Route), cmp.Compare(a.Region, b.Region), cmp.Compare(a.State, b.State))
 	})
 	for at, counts := range c.seconds {
-		t.Seconds = append(t.Seconds, Second{At: at, Counts: counts})
+		t.Seconds = append(t.Seconds, SecondCounts{At: at, Counts: counts})
 	}
-	slices.SortFunc(t.Seconds, func(a, b Second) int { return a.At.Compare(b.At) })
+	slices.SortFunc(t.Seconds, func(a, b SecondCounts) int { return a.At.Compare(b.At) })
 	return t
 }
 
-// Sum adds the rows up by a part of their keys, the largest first.
-func (t Table) Sum(part func(Key) string) []Row {
+// SumBy adds the rows up by a part of their keys, the largest first.
+func (t Table) SumBy(part func(Key) string) []Row {
 	sums := make(map[Key]int)
 	for _, r := range t.Rows {
-		sums[Key{Kind: r.Kind, Why: part(r.Key)}] += r.Count
+		sums[Key{Kind: r.Kind, Cause: part(r.Key)}] += r.Count
 	}
 	list := make([]Row, 0, len(sums))
 	for key, n := range sums {
 		list = append(list, Row{Key: key, Count: n})
 	}
 	slices.SortFunc(list, func(a, b Row) int {
-		return cmp.Or(b.Count-a.Count, cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Why, b.Why))
+		return cmp.Or(b.Count-a.Count, cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Cause, b.Cause))
 	})
 	return list
 }
--- a/internal/client/losses/losses_test.go
+++ b/internal/client/losses/losses_test.go
@@ -12,7 +12,7 @@
 // A log of two proxies holds good, late, refused and failed requests, one of them
 // twice, one of another program, one cut short, and a count of those left out. Each
 // loss is counted once, with its cause, and the rest is not.
-func TestLossesOfALog(t *testing.T) {
+func TestReadCountsEachLossOnce(t *testing.T) {
 	file, err := os.Open(filepath.Join("testdata", "proxy.log"))
 	if err != nil {
 		t.Fatal(err)
@@ -26,13 +26,13 @@
 	table := c.Table()
 	want := []Row{
 		{Key{Late, Unknown, Unknown, "south", Unknown}, 4},
-		{Key{Refused, "queues-too-long", Unknown, "south", Unknown}, 3},
+		{Key{Rejected, "queues-too-long", Unknown, "south", Unknown}, 3},
 		{Key{Failed, "timeout", Unknown, "south", Unknown}, 2},
 		{Key{Failed, "timeout, cold-server", "book", "south", "cold"}, 1},
 		{Key{Late, "first-run", "browse", "north", "in-use"}, 1},
 		{Key{Late, "queue", "browse", "north", "full"}, 1},
-		{Key{Left, "caller-left", "book", "south", "in-use"}, 1},
-		{Key{Refused, "queues-too-long", "book", "south", ""}, 1},
+		{Key{Abandoned, "caller-left", "book", "south", "in-use"}, 1},
+		{Key{Rejected, "queues-too-long", "book", "south", ""}, 1},
 	}
 	if !reflect.DeepEqual(table.Rows, want) {
 		t.Errorf("rows are %+v, want %+v", table.Rows, want)
@@ -40,20 +40,20 @@
 	if table.Lost != 14 || len(table.Seconds) != 3 {
 		t.Errorf("%d lost in %d seconds, want 14 in 3", table.Lost, len(table.Seconds))
 	}
-	sums := table.Sum(func(k Key) string { return k.Why })
-	if got, want := sums[0], (Row{Key{Kind: Late, Why: Unknown}, 4}); got != want {
+	sums := table.SumBy(func(k Key) string { return k.Cause })
+	if got, want := sums[0], (Row{Key{Kind: Late, Cause: Unknown}, 4}); got != want {
 		t.Errorf("largest sum is %+v, want %+v", got, want)
 	}
 }
 
-func TestPlotNeedsLosses(t *testing.T) {
+func TestPlotWithoutLossesIsAnError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "losses.svg")
 	if err := NewCounter().Table().Plot(path); err == nil {
 		t.Error("nothing was lost, and a plot of it was drawn")
 	}
 	c := NewCounter()
-	c.Add(Ended{At: time.Unix(10, 0), Reason: "overload", Outcome: "not-run"})
-	c.Add(Ended{At: time.Unix(13, 0), Reason: "overload", Outcome: "not-run"})
+	c.Add(EndedRequest{At: time.Unix(10, 0), Reason: "overload", Outcome: "not-run"})
+	c.Add(EndedRequest{At: time.Unix(13, 0), Reason: "overload", Outcome: "not-run"})
 	if err := c.Table().Plot(path); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/client/losses/plot.go
+++ b/internal/client/losses/plot.go
@@ -24,7 +24,7 @@
 	p.X.Label.Text = "seconds from " + t.Seconds[0].At.Format("15:04:05")
 	p.Y.Label.Text = "requests a second"
 	var lines []any
-	for _, kind := range []Kind{Late, Refused, Failed, Left} {
+	for _, kind := range []Kind{Late, Rejected, Failed, Abandoned} {
 		lines = append(lines, string(kind), t.points(kind))
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
--- a/internal/client/losses/read.go
+++ b/internal/client/losses/read.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// lineMost bounds a line of a log, in bytes; the longest of ours have 2 KB.
-	lineMost = 1 << 20
-	// messageLeftOut is the line that counts the requests left out.
-	messageLeftOut = "requests left out of the log"
+	// maxLineBytes bounds a line of a log, in bytes; the longest of ours have 2 KB.
+	maxLineBytes = 1 << 20
+	// omittedMessage is the line that counts the requests left out.
+	omittedMessage = "requests left out of the log"
 )
 
 type (
-	// line holds the fields that are read of a line of a proxy's log.
-	line struct {
+	// logLine holds the fields that are read of a line of a proxy's log.
+	logLine struct {
 		Time    time.Time      `json:"time"`
 		Message string         `json:"msg"`
 		Region  string         `json:"vm-region"`
@@ -42,36 +42,36 @@
 // in skipped.
 func (c *Counter) Read(log io.Reader) (skipped int, err error) {
 	lines := bufio.NewScanner(log)
-	lines.Buffer(make([]byte, 0, 64<<10), lineMost)
+	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for lines.Scan() {
 		start := bytes.IndexByte(lines.Bytes(), '{')
 		if start < 0 {
 			continue
 		}
-		var l line
+		var l logLine
 		if err := json.Unmarshal(lines.Bytes()[start:], &l); err != nil {
 			skipped++
 			continue
 		}
 		switch l.Message {
 		case string(steering.EventRequestEnded):
-			c.Add(l.ended())
-		case messageLeftOut:
-			c.AddLeftOut(l.Time, l.Region, l.Counts)
+			c.Add(l.endedRequest())
+		case omittedMessage:
+			c.AddOmitted(l.Time, l.Region, l.Counts)
 		}
 	}
 	return skipped, errs.Wrap(lines.Err(), "log")
 }
 
-func (l line) ended() Ended {
-	return Ended{
+func (l logLine) endedRequest() EndedRequest {
+	return EndedRequest{
 		At: l.Time, Request: l.Request, Route: l.Route, Region: l.Region, Outcome: l.Outcome, Reason: l.Reason,
-		Cause: l.Cause, State: l.State, Took: ParseSpan(l.Took), Target: ParseSpan(l.Target),
+		Cause: l.Cause, State: l.State, Took: ParseDuration(l.Took), Target: ParseDuration(l.Target),
 	}
 }
 
-// ParseSpan reads a time from a log; one that is not there is zero.
-func ParseSpan(text string) time.Duration {
+// ParseDuration reads a time from a log; one that is not there is zero.
+func ParseDuration(text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		return 0
