--- a/cmd/gypsumquay-bench/ablate.go
+++ b/cmd/gypsumquay-bench/ablate.go
@@ -59,27 +59,27 @@
 // it off changes, with the standard error of the difference between equal seeds.
 func (a *ablateArguments) measureLoad(name string, load warmnet.Load, off []steering.Mechanism) {
 	results := make([]shares, len(off)+1)
-	limit := semaphore.NewWeighted(a.Parallel)
+	slots := semaphore.NewWeighted(a.Parallel)
 	var group sync.WaitGroup
 	for i := range results {
 		results[i] = make(shares, a.Seeds)
-		played := load
+		variant := load
 		if i > 0 {
-			played.Off = []steering.Mechanism{off[i-1]}
+			variant.Off = []steering.Mechanism{off[i-1]}
 		}
 		for seed := range a.Seeds {
 			group.Go(func() {
-				_ = limit.Acquire(background, 1)
-				defer limit.Release(1)
-				results[i][seed] = warmnet.Play(played, steering.DefaultPlacer, uint64(seed)+1).Share()
+				_ = slots.Acquire(background, 1)
+				defer slots.Release(1)
+				results[i][seed] = warmnet.Play(variant, steering.DefaultPlacer, uint64(seed)+1).Share()
 			})
 		}
 	}
 	group.Wait()
 	fmt.Printf("%-16s %7.3f", name, results[0].mean())
 	for i, m := range off {
-		change, spread := results[i+1].differenceFrom(results[0])
-		fmt.Printf(" %*s", columnWidth(m), fmt.Sprintf("%+.3f±%.3f", change, spread))
+		change, standardError := results[i+1].differenceFrom(results[0])
+		fmt.Printf(" %*s", columnWidth(m), fmt.Sprintf("%+.3f±%.3f", change, standardError))
 	}
 	fmt.Println()
 }
--- a/cmd/gypsumquay-bench/bench.go
+++ b/cmd/gypsumquay-bench/bench.go
@@ -92,12 +92,12 @@
 func (a *benchArguments) measureDeployment(name string, c simnet.Config) []latencyRow {
 	var mu sync.Mutex
 	var rows []latencyRow
-	limit := semaphore.NewWeighted(int64(a.Parallel))
+	slots := semaphore.NewWeighted(int64(a.Parallel))
 	var group sync.WaitGroup
 	measure := func(f func() latencyRow) {
 		group.Go(func() {
-			_ = limit.Acquire(background, 1)
-			defer limit.Release(1)
+			_ = slots.Acquire(background, 1)
+			defer slots.Release(1)
 			r := f()
 			r.Deployment = name
 			mu.Lock()
@@ -106,13 +106,13 @@
 		})
 	}
 	for _, load := range a.Loads {
-		run := c
-		run.Seed = a.Seed
-		run.Warm = a.Warm
-		run.Load = slotLoad(c, load)
-		measure(func() latencyRow { return a.measureBound(run, load) })
+		config := c
+		config.Seed = a.Seed
+		config.Warm = a.Warm
+		config.Load = slotLoad(c, load)
+		measure(func() latencyRow { return a.measureBound(config, load) })
 		for _, balancer := range a.Balancers {
-			measure(func() latencyRow { return a.measureBalancer(run, load, balancer) })
+			measure(func() latencyRow { return a.measureBalancer(config, load, balancer) })
 		}
 	}
 	group.Wait()
--- a/cmd/gypsumquay-bench/chart.go
+++ b/cmd/gypsumquay-bench/chart.go
@@ -38,11 +38,11 @@
 		lines[r.Deployment][r.Balancer] = append(lines[r.Deployment][r.Balancer], point)
 	}
 	for name, p := range charts {
-		var arguments []any
+		var series []any
 		for _, balancer := range append([]string{boundBalancer}, a.Balancers...) {
-			arguments = append(arguments, balancer, lines[name][balancer])
+			series = append(series, balancer, lines[name][balancer])
 		}
-		if err := plotutil.AddLinePoints(p, arguments...); err != nil {
+		if err := plotutil.AddLinePoints(p, series...); err != nil {
 			return errors.Wrap(err, "chart")
 		}
 		p.Legend.Top = true
--- a/cmd/gypsumquay-bench/ends.go
+++ b/cmd/gypsumquay-bench/crashes.go
@@ -58,9 +58,9 @@
 		for threshold := minThreshold; threshold <= maxThreshold; threshold++ {
 			rows = append(rows, a.measureThreshold(load, threshold))
 		}
-		without := load
-		without.Off = append(without.Off, steering.MechanismQuarantine)
-		rows = append(rows, a.measureThreshold(without, 0))
+		disabled := load
+		disabled.Off = append(disabled.Off, steering.MechanismQuarantine)
+		rows = append(rows, a.measureThreshold(disabled, 0))
 		for _, r := range rows {
 			fmt.Printf("%-14s %8s %14.1f %16.1f %14.1f %10.3f\n", name, thresholdLabel(r.threshold), r.serversLost, r.falselyQuarantined, r.rejected, r.inTarget)
 		}
@@ -84,11 +84,11 @@
 	load.EndsToCondemn = threshold
 	r, n := crashesRow{threshold: threshold}, float64(a.Seeds)
 	for seed := range a.Seeds {
-		o := warmnet.Play(load, steering.DefaultPlacer, uint64(seed)+1)
-		r.serversLost += float64(o.Ends.ByWork) / float64(max(1, len(o.Ends.Deadly))) / n
-		r.falselyQuarantined += float64(len(o.Ends.Sound)) / n
-		r.rejected += float64(o.Ends.Refused) / n
-		r.inTarget += o.Share() / n
+		outcome := warmnet.Play(load, steering.DefaultPlacer, uint64(seed)+1)
+		r.serversLost += float64(outcome.Ends.ByWork) / float64(max(1, len(outcome.Ends.Deadly))) / n
+		r.falselyQuarantined += float64(len(outcome.Ends.Sound)) / n
+		r.rejected += float64(outcome.Ends.Refused) / n
+		r.inTarget += outcome.Share() / n
 	}
 	return r
 }
@@ -99,12 +99,12 @@
 	p.Title.Text = name + ": what the number of ends that condemn work costs"
 	p.X.Label.Text = "ends"
 	p.Y.Label.Text = "servers, works"
-	var lost, condemned plotter.XYs
+	var serversLost, falselyQuarantined plotter.XYs
 	for _, r := range rows {
-		lost = append(lost, plotter.XY{X: float64(r.threshold), Y: r.serversLost})
-		condemned = append(condemned, plotter.XY{X: float64(r.threshold), Y: r.falselyQuarantined})
+		serversLost = append(serversLost, plotter.XY{X: float64(r.threshold), Y: r.serversLost})
+		falselyQuarantined = append(falselyQuarantined, plotter.XY{X: float64(r.threshold), Y: r.falselyQuarantined})
 	}
-	if err := plotutil.AddLinePoints(p, "servers lost to each deadly work", lost, "sound works condemned", condemned); err != nil {
+	if err := plotutil.AddLinePoints(p, "servers lost to each deadly work", serversLost, "sound works condemned", falselyQuarantined); err != nil {
 		return errors.Wrap(err, "chart")
 	}
 	p.Legend.Top = true
--- a/cmd/gypsumquay-bench/events.go
+++ b/cmd/gypsumquay-bench/events.go
@@ -56,30 +56,30 @@
 	c.Load = slotLoad(c, regionLossLoad)
 	s := simnet.New(c)
 	s.Run(c.Warm)
-	lost := s.Now()
+	lostAt := s.Now()
 	s.LoseRegion(c.Bundle.Regions[0].Name, true)
 	s.Run(2 * a.Span)
 	callers := s.Callers()
-	return recoverySeconds(callers.Done[0], callers.Failed[0], lost, s.Now()), s.Checks().Used
+	return recoverySeconds(callers.Done[0], callers.Failed[0], lostAt, s.Now()), s.Checks().Used
 }
 
 // recoverySeconds is the time from which on each bucket has the wanted share done.
 func recoverySeconds(done, failed []time.Time, from, to time.Time) float64 {
 	buckets := int(to.Sub(from) / bucketWidth)
-	good := make([]int, buckets+1)
-	bad := make([]int, buckets+1)
+	doneCounts := make([]int, buckets+1)
+	failedCounts := make([]int, buckets+1)
 	count := func(list []time.Time, into []int) {
 		for _, t := range list {
-			if at := int(t.Sub(from) / bucketWidth); !t.Before(from) && at <= buckets {
-				into[at]++
+			if bucket := int(t.Sub(from) / bucketWidth); !t.Before(from) && bucket <= buckets {
+				into[bucket]++
 			}
 		}
 	}
-	count(done, good)
-	count(failed, bad)
+	count(done, doneCounts)
+	count(failed, failedCounts)
 	last := -1
-	for i := range good {
-		if total := good[i] + bad[i]; total > 0 && float64(good[i]) < minServedShare*float64(total) {
+	for i := range doneCounts {
+		if total := doneCounts[i] + failedCounts[i]; total > 0 && float64(doneCounts[i]) < minServedShare*float64(total) {
 			last = i
 		}
 	}
@@ -89,25 +89,25 @@
 // measureDrainAndStop drains one backend server by bundle and stops one proxy, at
 // half load, and times both.
 func (a *benchArguments) measureDrainAndStop(c simnet.Config, seed uint64) (force, drain, stop float64) {
-	small := c.Small()
-	small.Seed = seed
-	small.Load = slotLoad(small, 50)
-	s := simnet.New(small)
-	s.Run(small.Warm)
-	target := small.Bundle.Services[1].Servers[0].Name
-	began := s.Now()
+	config := c.Small()
+	config.Seed = seed
+	config.Load = slotLoad(config, 50)
+	s := simnet.New(config)
+	s.Run(config.Warm)
+	target := config.Bundle.Services[1].Servers[0].Name
+	start := s.Now()
 	s.Inject(simnet.Fault{Kind: "drain-server", Target: target})
 	s.Run(3 * time.Second)
 	if n := len(s.Checks().InForce); n > 0 {
 		force = s.Checks().InForce[n-1].Seconds()
 	}
-	drain = max(0, s.Checks().LastWork[target].Sub(began).Seconds())
-	began = s.Now()
+	drain = max(0, s.Checks().LastWork[target].Sub(start).Seconds())
+	start = s.Now()
 	s.Inject(simnet.Fault{Kind: "stop-proxy", Target: "1", For: operator.Duration(time.Hour)})
-	for s.Checks().Stopped() == 0 && s.Now().Sub(began) < time.Minute {
+	for s.Checks().Stopped() == 0 && s.Now().Sub(start) < time.Minute {
 		s.Run(bucketWidth)
 	}
-	return force, drain, s.Now().Sub(began).Seconds()
+	return force, drain, s.Now().Sub(start).Seconds()
 }
 
 func medianWorst(list []float64) (median, worst float64) {
--- a/cmd/gypsumquay-bench/experiment.go
+++ b/cmd/gypsumquay-bench/experiment.go
@@ -51,17 +51,17 @@
 }
 
 func (a *experimentArguments) measurePlacer(name string, load warmnet.Load, placer string) {
-	var share, worst, refused, first, p99 float64
+	var share, worst, refused, firstRuns, p99 float64
 	n := float64(a.Seeds)
 	for seed := range a.Seeds {
-		o := warmnet.Play(load, placer, uint64(seed)+1)
-		share += o.Share() / n
-		worst += o.Worst() / n
-		refused += float64(o.Refused) / float64(max(1, o.Asked)) / n
-		first += float64(o.First) / n
-		if len(o.Times) > 0 {
-			p99 += float64(o.Times[len(o.Times)*99/100].Milliseconds()) / n
+		outcome := warmnet.Play(load, placer, uint64(seed)+1)
+		share += outcome.Share() / n
+		worst += outcome.Worst() / n
+		refused += float64(outcome.Refused) / float64(max(1, outcome.Asked)) / n
+		firstRuns += float64(outcome.First) / n
+		if len(outcome.Times) > 0 {
+			p99 += float64(outcome.Times[len(outcome.Times)*99/100].Milliseconds()) / n
 		}
 	}
-	fmt.Printf("%-12s %-16s %9.3f %12.3f %9.3f %9.0f %9.0f\n", name, placer, share, worst, refused, first, p99)
+	fmt.Printf("%-12s %-16s %9.3f %12.3f %9.3f %9.0f %9.0f\n", name, placer, share, worst, refused, firstRuns, p99)
 }
--- a/cmd/gypsumquay-bench/limits.go
+++ b/cmd/gypsumquay-bench/limits.go
@@ -26,7 +26,7 @@
 	// limitsRow is one play.
 	limitsRow struct {
 		load    limitnet.Load
-		way     limitnet.Way
+		method  limitnet.Way
 		outcome limitnet.Outcome
 	}
 )
@@ -74,17 +74,17 @@
 }
 
 func (a *limitsArguments) measureFleet(proxies, accounts int, skew float64) []limitsRow {
-	l := limitnet.Load{
+	load := limitnet.Load{
 		Regions: max(minRegions, proxies/proxiesPerRegion), Proxies: proxies, Accounts: accounts, Skew: skew,
 		Rate: float64(ratePerProxy * proxies), Clients: clientsPerProxy * proxies, Headroom: limitFactor,
 		For: time.Duration(a.Seconds) * time.Second,
 	}
 	var rows []limitsRow
-	for _, way := range []limitnet.Way{limitnet.Pools, limitnet.Owner, limitnet.Even} {
-		o := limitnet.Play(l, way, 1)
-		fmt.Printf("%8d %9d %5.1f %-6s %12.4f %12.4f %8.2f %8.2f %10.1f %7.1f\n", proxies, accounts, skew, way,
-			o.RefusedAtFirstShare(), o.RefusedShare(), o.Excess, o.Broken, o.Reports, o.Asks)
-		rows = append(rows, limitsRow{load: l, way: way, outcome: o})
+	for _, method := range []limitnet.Way{limitnet.Pools, limitnet.Owner, limitnet.Even} {
+		outcome := limitnet.Play(load, method, 1)
+		fmt.Printf("%8d %9d %5.1f %-6s %12.4f %12.4f %8.2f %8.2f %10.1f %7.1f\n", proxies, accounts, skew, method,
+			outcome.RefusedAtFirstShare(), outcome.RefusedShare(), outcome.Excess, outcome.Broken, outcome.Reports, outcome.Asks)
+		rows = append(rows, limitsRow{load: load, method: method, outcome: outcome})
 	}
 	return rows
 }
@@ -98,17 +98,17 @@
 	lines := make(map[string]plotter.XYs)
 	var names []string
 	for _, r := range rows {
-		name := fmt.Sprintf("%s, %d accounts, skew %.1f", r.way, r.load.Accounts, r.load.Skew)
+		name := fmt.Sprintf("%s, %d accounts, skew %.1f", r.method, r.load.Accounts, r.load.Skew)
 		if lines[name] == nil {
 			names = append(names, name)
 		}
 		lines[name] = append(lines[name], plotter.XY{X: float64(r.load.Proxies), Y: r.outcome.RefusedShare()})
 	}
-	var arguments []any
+	var series []any
 	for _, name := range names {
-		arguments = append(arguments, name, lines[name])
+		series = append(series, name, lines[name])
 	}
-	if err := plotutil.AddLinePoints(p, arguments...); err != nil {
+	if err := plotutil.AddLinePoints(p, series...); err != nil {
 		return errors.Wrap(err, "chart")
 	}
 	p.Legend.Top = true
--- a/cmd/gypsumquay-bench/signals.go
+++ b/cmd/gypsumquay-bench/signals.go
@@ -48,16 +48,16 @@
 	for i := range load.Limited {
 		load.Limited[i].PerSecond = limit
 	}
-	var most, use, after, share, refused, reports float64
-	n, all := float64(a.Seeds), float64(proxies*len(load.Regions))
+	var maxUse, use, after, share, refused, reports float64
+	n, totalProxies := float64(a.Seeds), float64(proxies*len(load.Regions))
 	for seed := range a.Seeds {
-		o := warmnet.Play(load, steering.DefaultPlacer, uint64(seed)+1)
-		most = max(most, o.Limits.Most)
-		use += o.Limits.Use / n
-		after += o.Limits.After / n
-		share += o.Share() / n
-		refused += float64(o.Refused) / float64(max(1, o.Asked)) / n
-		reports += float64(o.Limits.Reports) / all / load.Span.Std().Seconds() / n
-	}
-	fmt.Printf("%8.0f %8.1f %12.2f %8.2f %8.2f %10.3f %8.4f %14.2f\n", all, limit, most, use, after, share, refused, reports)
+		outcome := warmnet.Play(load, steering.DefaultPlacer, uint64(seed)+1)
+		maxUse = max(maxUse, outcome.Limits.Most)
+		use += outcome.Limits.Use / n
+		after += outcome.Limits.After / n
+		share += outcome.Share() / n
+		refused += float64(outcome.Refused) / float64(max(1, outcome.Asked)) / n
+		reports += float64(outcome.Limits.Reports) / totalProxies / load.Span.Std().Seconds() / n
+	}
+	fmt.Printf("%8.0f %8.1f %12.2f %8.2f %8.2f %10.3f %8.4f %14.2f\n", totalProxies, limit, maxUse, use, after, share, refused, reports)
 }
--- a/cmd/gypsumquay-bench/slopes.go
+++ b/cmd/gypsumquay-bench/slopes.go
@@ -68,23 +68,23 @@
 	var xs, ys []float64
 	for _, n := range []int{10_000, 100_000, 940_000} {
 		list := randomPrefixes(n)
-		began := time.Now()
+		start := time.Now()
 		table := caller.NewPrefixTable(list)
-		built := time.Since(began)
+		buildTime := time.Since(start)
 		addresses := make([]netip.Addr, 4096)
 		for i := range addresses {
 			addresses[i] = list[rand.IntN(len(list))].Prefix.Addr()
 		}
-		at := 0
+		next := 0
 		result := testing.Benchmark(func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				table.Lookup(addresses[at&4095])
-				at++
+				table.Lookup(addresses[next&4095])
+				next++
 			}
 		})
 		fmt.Printf("%-10d %10d %8.2f MB %10.1f %9.0f ms %7d ns %8d\n", n, table.RangeCount(), float64(table.MemoryBytes())/bytesPerMiB,
-			float64(table.MemoryBytes())/float64(n), built.Seconds()*1000, result.NsPerOp(), result.AllocsPerOp())
+			float64(table.MemoryBytes())/float64(n), buildTime.Seconds()*1000, result.NsPerOp(), result.AllocsPerOp())
 		xs = append(xs, float64(n))
 		ys = append(ys, float64(table.MemoryBytes()))
 	}
@@ -140,10 +140,10 @@
 
 // printFit prints the fit of a cost over a function of the fleet's size, the
 // exponent of its growth, and what the fit gives at the target and at twice it.
-func printFit(rows []fleetRow, name, unit string, of func(float64) float64, value func(fleetRow) float64) {
+func printFit(rows []fleetRow, name, unit string, transform func(float64) float64, value func(fleetRow) float64) {
 	var xs, ys, lx, ly []float64
 	for _, r := range rows {
-		xs = append(xs, of(float64(r.nodes)))
+		xs = append(xs, transform(float64(r.nodes)))
 		ys = append(ys, value(r))
 		lx = append(lx, math.Log(float64(r.nodes)))
 		ly = append(ly, math.Log(max(value(r), 1e-9)))
@@ -151,7 +151,7 @@
 	slope, intercept, deviation := fitLine(xs, ys)
 	exponent, _, _ := fitLine(lx, ly)
 	fmt.Printf("fit %-22s %.4g + %.4g x %s, error %.1f%%; exponent %.2f; at %d nodes %.4g, at %d %.4g\n", name, intercept, slope, unit,
-		100*deviation, exponent, targetNodes, intercept+slope*of(targetNodes), 2*targetNodes, intercept+slope*of(2*targetNodes))
+		100*deviation, exponent, targetNodes, intercept+slope*transform(targetNodes), 2*targetNodes, intercept+slope*transform(2*targetNodes))
 }
 
 // regionsFor grows regions like the target's: 22 for 1,300 nodes, 3 for 10.
@@ -162,29 +162,29 @@
 
 func measureFleet(n int) (fleetRow, error) {
 	row := fleetRow{nodes: n, regions: regionsFor(n)}
-	b := simnet.Synthetic(n, row.regions)
+	bundle := simnet.Synthetic(n, row.regions)
 	author, err := operator.NewKeyPair("anna")
 	if err != nil {
 		return row, err
 	}
-	second, err := operator.NewKeyPair("bruno")
+	approver, err := operator.NewKeyPair("bruno")
 	if err != nil {
 		return row, err
 	}
-	c := simnet.Deployments()[0].Config(b, author, second)
-	c.Proxies = n
-	c.Seed = 1
-	c.Load = make([]float64, row.regions)
+	config := simnet.Deployments()[0].Config(bundle, author, approver)
+	config.Proxies = n
+	config.Seed = 1
+	config.Load = make([]float64, row.regions)
 	bytes, messages := 0, 0
-	c.Exchanged = func(asked, answer peer.Exchange) {
-		bytes += 2 * (peerdrpc.ExchangeBytes(asked) + peerdrpc.ExchangeBytes(answer))
+	config.Exchanged = func(request, response peer.Exchange) {
+		bytes += 2 * (peerdrpc.ExchangeBytes(request) + peerdrpc.ExchangeBytes(response))
 		messages += 4
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	s := simnet.New(c)
-	s.Run(settleDuration)
+	sim := simnet.New(config)
+	sim.Run(settleDuration)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	row.memory = float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
@@ -192,32 +192,32 @@
 	seconds := idleDuration.Seconds()
 
 	bytes, messages = 0, 0
-	calls := s.PlatformCalls()
-	used := s.KernelTime
-	s.Run(idleDuration)
-	row.idleCPU = (s.KernelTime - used).Seconds() / nodes / seconds
+	callsBefore := sim.PlatformCalls()
+	cpuBefore := sim.KernelTime
+	sim.Run(idleDuration)
+	row.idleCPU = (sim.KernelTime - cpuBefore).Seconds() / nodes / seconds
 	row.idleBytes = float64(bytes) / nodes / seconds
 	row.idleMessages = float64(messages) / nodes / seconds
 	// A waiting watch counts as a call each time that it is renewed; the run
 	// counts those that fire, so the renewals at rest are added by hand.
-	row.platformCalls = float64(s.PlatformCalls()-calls)/seconds + float64(s.Relays()*watchesPerRelay)/watchRenewalSeconds
+	row.platformCalls = float64(sim.PlatformCalls()-callsBefore)/seconds + float64(sim.Relays()*watchesPerRelay)/watchRenewalSeconds
 
 	bytes = 0
-	used = s.KernelTime
+	cpuBefore = sim.KernelTime
 	for range changesPerRun {
-		s.Inject(simnet.Fault{Kind: "steer", Target: "region-0", Second: "region-1", Amount: rand.IntN(500)})
-		s.Run(idleDuration / changesPerRun)
+		sim.Inject(simnet.Fault{Kind: "steer", Target: "region-0", Second: "region-1", Amount: rand.IntN(500)})
+		sim.Run(idleDuration / changesPerRun)
 	}
 	row.changeBytes = max(0, float64(bytes)/nodes-row.idleBytes*seconds) / changesPerRun
-	row.changeCPU = max(0, (s.KernelTime-used).Seconds()/nodes-row.idleCPU*seconds) / changesPerRun
-	row.inForce = longest(s.Checks().InForce)
+	row.changeCPU = max(0, (sim.KernelTime-cpuBefore).Seconds()/nodes-row.idleCPU*seconds) / changesPerRun
+	row.inForce = longest(sim.Checks().InForce)
 
-	s.Inject(simnet.Fault{Kind: "steer", Target: "region-0", Second: "region-1", Amount: 7})
-	s.Kill(s.FirstRelay())
-	s.Run(idleDuration)
-	row.inForceRelayDead = s.Checks().InForce[len(s.Checks().InForce)-1]
-	row.bundleBytes = len(s.Envelope())
-	row.assignmentBytes = s.AssignmentBytes()
+	sim.Inject(simnet.Fault{Kind: "steer", Target: "region-0", Second: "region-1", Amount: 7})
+	sim.Kill(sim.FirstRelay())
+	sim.Run(idleDuration)
+	row.inForceRelayDead = sim.Checks().InForce[len(sim.Checks().InForce)-1]
+	row.bundleBytes = len(sim.Envelope())
+	row.assignmentBytes = sim.AssignmentBytes()
 	return row, nil
 }
 
@@ -227,11 +227,11 @@
 )
 
 func longest(list []time.Duration) time.Duration {
-	most := time.Duration(0)
+	result := time.Duration(0)
 	for _, d := range list[1:] {
-		most = max(most, d)
+		result = max(result, d)
 	}
-	return most
+	return result
 }
 
 // measurePlanner measures one round of planning against the number of regions.
@@ -244,22 +244,22 @@
 			Usable: make([]bool, n), Demand: make([]float64, n), Capacity: make([]int, n),
 			Quota: make([]int, n), Rejected: make([]float64, n),
 		}
-		movers := make([]*region.Shifter, n)
+		shifters := make([]*region.Shifter, n)
 		for i := range n {
 			in.Preferred = append(in.Preferred, region.SingleRegionRow(n, i))
 			in.Current = append(in.Current, region.SingleRegionRow(n, i))
 			in.Usable[i] = i > 0
 			in.Demand[i], in.Capacity[i], in.Quota[i] = 100, 1000, 100
-			movers[i] = region.NewShifter(in.Current[i])
+			shifters[i] = region.NewShifter(in.Current[i])
 		}
-		lost := make([]bool, n)
-		pace := region.ShiftLimit{Cap: 100, Interval: 10 * time.Second}
+		lostRegions := make([]bool, n)
+		limit := region.ShiftLimit{Cap: 100, Interval: 10 * time.Second}
 		now := time.Unix(0, 0)
 		result := testing.Benchmark(func(b *testing.B) {
 			for b.Loop() {
 				now = now.Add(time.Second)
 				for i, row := range planner.Target(in) {
-					movers[i].Advance(now, row, lost, pace, pace)
+					shifters[i].Advance(now, row, lostRegions, limit, limit)
 				}
 			}
 		})
--- a/cmd/gypsumquay-bench/soak.go
+++ b/cmd/gypsumquay-bench/soak.go
@@ -65,32 +65,32 @@
 func (s *soak) runSeed(examples string) {
 	seed := s.nextSeed()
 	deployments := simnet.Deployments()
-	d := deployments[seed%uint64(len(deployments))]
-	c, err := loadConfig(examples, d)
+	deployment := deployments[seed%uint64(len(deployments))]
+	config, err := loadConfig(examples, deployment)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	c = c.Small()
-	sc := simnet.RandomScenario(c, simnet.DrawFrom(seed))
-	violations := violationsOf(c, sc)
+	config = config.Small()
+	scenario := simnet.RandomScenario(config, simnet.DrawFrom(seed))
+	violations := violationsOf(config, scenario)
 	if len(violations) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failed++
-	text, _ := json.Marshal(sc)
-	fmt.Printf("seed %d (%s) failed:\n%s\nscenario: %s\n", seed, d.Name, strings.Join(violations, "\n"), text)
+	text, _ := json.Marshal(scenario)
+	fmt.Printf("seed %d (%s) failed:\n%s\nscenario: %s\n", seed, deployment.Name, strings.Join(violations, "\n"), text)
 }
 
-func violationsOf(c simnet.Config, sc *simnet.Scenario) (violations []string) {
+func violationsOf(c simnet.Config, scenario *simnet.Scenario) (violations []string) {
 	defer func() {
 		if r := recover(); r != nil {
 			violations = append(violations, fmt.Sprint(r))
 		}
 	}()
-	return simnet.Play(c, sc).Checks().Violations()
+	return simnet.Play(c, scenario).Checks().Violations()
 }
 
 func loadConfig(examples string, d simnet.Deployment) (simnet.Config, error) {
@@ -106,9 +106,9 @@
 	if err != nil {
 		return simnet.Config{}, err
 	}
-	second, err := operator.NewKeyPair("bruno")
+	approver, err := operator.NewKeyPair("bruno")
 	if err != nil {
 		return simnet.Config{}, err
 	}
-	return d.Config(b, author, second), nil
+	return d.Config(b, author, approver), nil
 }
--- a/cmd/gypsumquayd/main.go
+++ b/cmd/gypsumquayd/main.go
@@ -50,17 +50,17 @@
 	if !a.OnPlatform && a.Settings == "" {
 		parser.Fail("a settings file or --on-platform is needed")
 	}
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	program := runStandalone
+	start := runStandalone
 	if a.OnPlatform {
-		program = runOnPlatform
+		start = runOnPlatform
 	}
-	os.Exit(program(stop, a))
+	os.Exit(start(ctx, a))
 }
 
 // runStandalone runs a proxy with the product's own interface.
-func runStandalone(stop context.Context, a arguments) int {
+func runStandalone(ctx context.Context, a arguments) int {
 	s, err := settings.Load(a.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -76,13 +76,13 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
-	return run(stop, d.Run)
+	return run(ctx, d.Run)
 }
 
 // runOnPlatform runs a proxy that takes its settings and its servers from the
 // platform.
-func runOnPlatform(stop context.Context, a arguments) int {
-	told := reloadSignals()
+func runOnPlatform(ctx context.Context, a arguments) int {
+	reload := reloadSignals()
 	if a.Settings == "" {
 		a.Settings = os.Getenv(platform.SettingsEnv)
 	}
@@ -99,7 +99,7 @@
 	defer buffer.Close()
 	logs.Setup(buffer, a.Verbosity, "vm", s.Proxy.Name, "vm-region", s.Proxy.Region)
 	s.Proxy.DisabledMechanisms = a.Off
-	seams := platform.NewDependencies(a.Settings, s, buffer.Dropped)
+	deps := platform.NewDependencies(a.Settings, s, buffer.Dropped)
 	if a.Record != "" {
 		file, err := recording.Create(a.Record, s.Proxy.Name, time.Now())
 		if err != nil {
@@ -107,14 +107,14 @@
 			return exitSettings
 		}
 		defer closeRecording(file)
-		seams.Record = file.Write
+		deps.Record = file.Write
 	}
-	d, err := forward.New(&s.Proxy, seams)
+	d, err := forward.New(&s.Proxy, deps)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailure
 	}
-	return run(stop, func(stop context.Context) error { return d.Run(stop, told) })
+	return run(ctx, func(ctx context.Context) error { return d.Run(ctx, reload) })
 }
 
 func closeRecording(f *recording.File) {
@@ -127,20 +127,20 @@
 func reloadSignals() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
-	told := make(chan struct{}, 1)
+	reload := make(chan struct{}, 1)
 	go func() {
 		for range signals {
 			select {
-			case told <- struct{}{}:
+			case reload <- struct{}{}:
 			default:
 			}
 		}
 	}()
-	return told
+	return reload
 }
 
-func run(stop context.Context, serve func(context.Context) error) int {
-	if err := serve(stop); err != nil {
+func run(ctx context.Context, serve func(context.Context) error) int {
+	if err := serve(ctx); err != nil {
 		klog.ErrorS(err, "stopped")
 		return exitFailure
 	}
--- a/internal/client/command/accounts.go
+++ b/internal/client/command/accounts.go
@@ -39,34 +39,34 @@
 )
 
 func (a *SteeringAccountsArguments) run(s *session, c *steeringhttp.Client) (Result, error) {
-	answers, err := queryAll(s, c, c.Status)
+	responses, err := queryAll(s, c, c.Status)
 	if err != nil {
 		return Result{}, err
 	}
 	var text strings.Builder
-	var out AccountsOutput
-	sums := make(map[string]*AccountUsage)
-	out.Unanswered = listFailed(&text, answers)
-	for _, one := range answers {
-		for _, account := range one.Value.Accounts {
-			addUsage(sums, account)
+	var output AccountsOutput
+	byName := make(map[string]*AccountUsage)
+	output.Unanswered = listFailed(&text, responses)
+	for _, response := range responses {
+		for _, account := range response.Value.Accounts {
+			addUsage(byName, account)
 		}
 	}
-	out.Accounts = a.selectAccounts(sums)
+	output.Accounts = a.selectAccounts(byName)
 	fmt.Fprintf(&text, "%-20s %10s %10s %10s %10s %8s %-20s %s\n", "ACCOUNT", "LIMIT/S", "USED/S", "ADMITTED", "REFUSED", "PROXIES", "REGIONS", "KEYS")
-	for _, u := range out.Accounts {
+	for _, u := range output.Accounts {
 		fmt.Fprintf(&text, "%-20s %10s %10.1f %10d %10d %8d %-20s %s\n", u.Name, formatLimit(u.LimitPerSecond), u.PerSecond, u.Admitted, u.Refused, u.Proxies,
 			cmp.Or(strings.Join(u.Regions, ","), "all"), strings.Join(u.Keys, ","))
 	}
-	return Result{Text: text.String(), Data: out}, nil
+	return Result{Text: text.String(), Data: output}, nil
 }
 
 // addUsage adds what one proxy knows of an account.
-func addUsage(sums map[string]*AccountUsage, a steeringhttp.Account) {
-	u := sums[a.Name]
+func addUsage(byName map[string]*AccountUsage, a steeringhttp.Account) {
+	u := byName[a.Name]
 	if u == nil {
 		u = &AccountUsage{Name: a.Name, Keys: a.Keys, Regions: a.Regions, LimitPerSecond: a.LimitPerSecond}
-		sums[a.Name] = u
+		byName[a.Name] = u
 	}
 	u.PerSecond += a.PerSecond
 	u.Admitted += a.Admitted
@@ -77,9 +77,9 @@
 }
 
 // selectAccounts lists the accounts asked for, those refused most first.
-func (a *SteeringAccountsArguments) selectAccounts(sums map[string]*AccountUsage) []AccountUsage {
+func (a *SteeringAccountsArguments) selectAccounts(byName map[string]*AccountUsage) []AccountUsage {
 	var list []AccountUsage
-	for _, u := range slices.Collect(maps.Values(sums)) {
+	for _, u := range slices.Collect(maps.Values(byName)) {
 		if (a.Account == "" || a.Account == u.Name) && (!a.Refused || u.Refused > 0) {
 			list = append(list, *u)
 		}
--- a/internal/client/command/bundle.go
+++ b/internal/client/command/bundle.go
@@ -152,11 +152,11 @@
 	if err != nil {
 		return Result{}, err
 	}
-	old, err := s.currentBundle()
+	current, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
-	changes := operator.Diff(old, b)
+	changes := operator.Diff(current, b)
 	return Result{Text: changesText(changes), Data: changes}, nil
 }
 
@@ -195,25 +195,25 @@
 	if err != nil {
 		return Result{}, err
 	}
-	old, err := s.currentBundle()
+	current, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
 	var text strings.Builder
-	var all []proposalSummary
+	var proposals []proposalSummary
 	for _, e := range envelopes {
 		b, err := operator.ParseBundle(e.Bundle)
-		if err != nil || old != nil && b.Version <= old.Version {
+		if err != nil || current != nil && b.Version <= current.Version {
 			continue
 		}
-		p := proposalSummary{Digest: e.Digest, Version: b.Version, Author: e.Author.Operator, Approver: e.Approver.Operator, Changes: operator.Diff(old, b)}
-		all = append(all, p)
+		p := proposalSummary{Digest: e.Digest, Version: b.Version, Author: e.Author.Operator, Approver: e.Approver.Operator, Changes: operator.Diff(current, b)}
+		proposals = append(proposals, p)
 		fmt.Fprintf(&text, "%s version %d by %s, approved by %s, %d changes\n", p.Digest[:shortDigestLength], p.Version, p.Author, orNone(p.Approver), len(p.Changes))
 	}
-	if len(all) == 0 {
+	if len(proposals) == 0 {
 		text.WriteString("no proposals")
 	}
-	return Result{Text: text.String(), Data: all}, nil
+	return Result{Text: text.String(), Data: proposals}, nil
 }
 
 func (a *BundleProposeArguments) run(s *session) (Result, error) {
@@ -230,7 +230,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	old, err := s.currentBundle()
+	current, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
@@ -241,7 +241,7 @@
 	if err := s.client.Propose(s.ctx, e); err != nil {
 		return Result{}, err
 	}
-	changes := operator.Diff(old, b)
+	changes := operator.Diff(current, b)
 	return Result{
 		Text: fmt.Sprintf("%sproposed version %d, digest %s", changesText(changes), b.Version, e.Digest),
 		Data: proposalSummary{Digest: e.Digest, Version: b.Version, Author: key.Operator, Changes: changes},
@@ -283,7 +283,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	old, err := s.currentBundle()
+	current, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
@@ -293,7 +293,7 @@
 	if err := s.client.Propose(s.ctx, e); err != nil {
 		return Result{}, err
 	}
-	changes := operator.Diff(old, b)
+	changes := operator.Diff(current, b)
 	return Result{
 		Text: fmt.Sprintf("%sapproved version %d by %s", changesText(changes), b.Version, e.Author.Operator),
 		Data: proposalSummary{Digest: e.Digest, Version: b.Version, Author: e.Author.Operator, Approver: key.Operator, Changes: changes},
@@ -308,41 +308,41 @@
 	// The operation's name comes from what is rolled out, so a repeat after a
 	// lost answer, by whichever operator, is the same operation.
 	e.OperationID = "rollout-" + string(e.Digest) + "-" + e.Approver.Value
-	began := time.Now()
-	out, err := s.client.Rollout(s.ctx, e)
+	start := time.Now()
+	outcome, err := s.client.Rollout(s.ctx, e)
 	if err != nil {
 		return Result{}, err
 	}
-	if err := rolloutError(out.Result); err != nil {
+	if err := rolloutError(outcome.Result); err != nil {
 		return Result{}, err
 	}
-	return s.waitInForce(out.CurrentVersion, began, a.Wait), nil
+	return s.waitInForce(outcome.CurrentVersion, start, a.Wait), nil
 }
 
 // waitInForce asks every proxy that runs until all use the version.
-func (s *session) waitInForce(version uint64, began time.Time, wait time.Duration) Result {
-	done := rolloutSummary{Version: version}
+func (s *session) waitInForce(version uint64, start time.Time, timeout time.Duration) Result {
+	summary := rolloutSummary{Version: version}
 	for {
-		done.Versions, done.Behind = s.bundleVersions(version)
-		done.Seconds = time.Since(began).Seconds()
-		if len(done.Behind) == 0 || time.Since(began) > wait {
+		summary.Versions, summary.Behind = s.bundleVersions(version)
+		summary.Seconds = time.Since(start).Seconds()
+		if len(summary.Behind) == 0 || time.Since(start) > timeout {
 			break
 		}
 		time.Sleep(rolloutPollInterval)
 	}
-	text := fmt.Sprintf("version %d is in force on %d proxies after %.2f s", version, len(done.Versions)-len(done.Behind), done.Seconds)
-	if len(done.Behind) > 0 {
-		text += "; not yet on " + strings.Join(done.Behind, ", ")
+	text := fmt.Sprintf("version %d is in force on %d proxies after %.2f s", version, len(summary.Versions)-len(summary.Behind), summary.Seconds)
+	if len(summary.Behind) > 0 {
+		text += "; not yet on " + strings.Join(summary.Behind, ", ")
 	}
-	return Result{Text: text, Data: done}
+	return Result{Text: text, Data: summary}
 }
 
 func (s *session) bundleVersions(version uint64) (map[string]uint64, []string) {
-	entries := make(map[string]uint64)
+	versions := make(map[string]uint64)
 	var behind []string
 	members, err := s.client.Members(s.ctx)
 	if err != nil {
-		return entries, []string{"all"}
+		return versions, []string{"all"}
 	}
 	for _, m := range members.Members {
 		if m.State == peer.StateGone || m.State == peer.StateSuspect {
@@ -352,7 +352,7 @@
 		if err != nil || status.Bundle < version {
 			behind = append(behind, m.Name)
 		}
-		entries[m.Name] = status.Bundle
+		versions[m.Name] = status.Bundle
 	}
-	return entries, behind
+	return versions, behind
 }
--- a/internal/client/command/command.go
+++ b/internal/client/command/command.go
@@ -97,13 +97,13 @@
 }
 
 // Run carries the command line out and prints the result.
-func Run(ctx context.Context, a Arguments, out, complaints io.Writer) int {
+func Run(ctx context.Context, a Arguments, out, errOut io.Writer) int {
 	result, err := dispatch(ctx, a)
 	if err != nil {
 		if a.JSON {
 			_ = json.NewEncoder(out).Encode(map[string]string{"error": err.Error()})
 		}
-		_, _ = fmt.Fprintln(complaints, "gypsumquayctl:", err)
+		_, _ = fmt.Fprintln(errOut, "gypsumquayctl:", err)
 		return exitCode(err)
 	}
 	if a.JSON {
--- a/internal/client/command/command_test.go
+++ b/internal/client/command/command_test.go
@@ -18,12 +18,12 @@
 		{Arguments{Steering: &SteeringArguments{Status: &SteeringStatusArguments{}}}, "--proxy: name at least one"},
 		{Arguments{Keys: &KeysArguments{}}, "keys: new or list"},
 	} {
-		var out, complaints strings.Builder
-		code := Run(context.Background(), c.arguments, &out, &complaints)
+		var out, errOut strings.Builder
+		code := Run(context.Background(), c.arguments, &out, &errOut)
 		if code != ExitUsage {
 			t.Errorf("%q: exit code %d, want %d", c.want, code, ExitUsage)
 		}
-		if got, want := strings.TrimSpace(complaints.String()), "gypsumquayctl: "+c.want; got != want {
+		if got, want := strings.TrimSpace(errOut.String()), "gypsumquayctl: "+c.want; got != want {
 			t.Errorf("complaint is %q, want %q", got, want)
 		}
 	}
--- a/internal/client/command/drain.go
+++ b/internal/client/command/drain.go
@@ -84,11 +84,11 @@
 	if err != nil {
 		return Result{}, err
 	}
-	at := slices.IndexFunc(b.Drains, func(d operator.Drain) bool { return d.Name == a.Name })
-	if at < 0 {
+	index := slices.IndexFunc(b.Drains, func(d operator.Drain) bool { return d.Name == a.Name })
+	if index < 0 {
 		return Result{}, usageError("no drain is named " + a.Name)
 	}
-	b.Drains = slices.Delete(b.Drains, at, at+1)
+	b.Drains = slices.Delete(b.Drains, index, index+1)
 	return proposeBundle(s, b, a.Key)
 }
 
--- a/internal/client/command/losses.go
+++ b/internal/client/command/losses.go
@@ -36,23 +36,23 @@
 		return Result{}, usageError("--most: must be at least 1")
 	}
 	counter := losses.NewCounter()
-	var answer LossesOutput
+	var output LossesOutput
 	var err error
 	if len(a.Files) > 0 {
-		answer.Skipped, err = readLogs(counter, a.Files)
+		output.Skipped, err = readLogs(counter, a.Files)
 	} else {
-		answer.Unanswered, err = queryLosses(s, c, counter)
+		output.Unanswered, err = queryLosses(s, c, counter)
 	}
 	if err != nil {
 		return Result{}, err
 	}
-	answer.Table = counter.Table()
+	output.Table = counter.Table()
 	if a.Plot != "" {
-		if err := answer.Plot(a.Plot); err != nil {
+		if err := output.Plot(a.Plot); err != nil {
 			return Result{}, usageError("--plot: " + err.Error())
 		}
 	}
-	return Result{Text: a.text(answer), Data: answer}, nil
+	return Result{Text: a.text(output), Data: output}, nil
 }
 
 func readLogs(counter *losses.Counter, files []string) (skipped int, err error) {
@@ -73,16 +73,16 @@
 
 // queryLosses counts what the proxies keep: their last few thousand events each.
 func queryLosses(s *session, c *steeringhttp.Client, counter *losses.Counter) ([]ProxyError, error) {
-	answers, err := queryAll(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
+	responses, err := queryAll(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
 		return c.Events(ctx, proxy, "")
 	})
 	if err != nil {
 		return nil, err
 	}
-	var unanswered []ProxyError
-	for _, a := range answers {
+	var failed []ProxyError
+	for _, a := range responses {
 		if a.Error != "" {
-			unanswered = append(unanswered, ProxyError{Proxy: a.Proxy.Name, Error: a.Error})
+			failed = append(failed, ProxyError{Proxy: a.Proxy.Name, Error: a.Error})
 		}
 		for _, e := range a.Value {
 			if e.Kind != string(steering.EventRequestEnded) {
@@ -94,17 +94,17 @@
 			})
 		}
 	}
-	return unanswered, nil
+	return failed, nil
 }
 
-func (a *SteeringLossesArguments) text(answer LossesOutput) string {
+func (a *SteeringLossesArguments) text(output LossesOutput) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%d requests lost\n", answer.Lost)
-	for _, u := range answer.Unanswered {
+	fmt.Fprintf(&text, "%d requests lost\n", output.Lost)
+	for _, u := range output.Unanswered {
 		fmt.Fprintf(&text, "%s did not answer: %s\n", u.Proxy, u.Error)
 	}
-	if answer.Skipped > 0 {
-		fmt.Fprintf(&text, "%d lines could not be read\n", answer.Skipped)
+	if output.Skipped > 0 {
+		fmt.Fprintf(&text, "%d lines could not be read\n", output.Skipped)
 	}
 	for _, list := range []struct {
 		title string
@@ -116,13 +116,13 @@
 		{"SERVER", func(k losses.Key) string { return k.State }},
 	} {
 		fmt.Fprintf(&text, "\n%8s  %-8s %s\n", "COUNT", "LOSS", list.title)
-		rows := answer.SumBy(list.part)
+		rows := output.SumBy(list.part)
 		for _, r := range rows[:min(len(rows), a.Most)] {
 			fmt.Fprintf(&text, "%8d  %-8s %s\n", r.Count, r.Kind, r.Cause)
 		}
 	}
 	fmt.Fprintf(&text, "\n%-10s %8s %8s %8s %8s\n", "SECOND", losses.Late, losses.Rejected, losses.Failed, losses.Abandoned)
-	for _, s := range answer.Seconds {
+	for _, s := range output.Seconds {
 		fmt.Fprintf(&text, "%-10s %8d %8d %8d %8d\n", s.At.Format("15:04:05"), s.Counts[losses.Late],
 			s.Counts[losses.Rejected], s.Counts[losses.Failed], s.Counts[losses.Abandoned])
 	}
--- a/internal/client/command/replay.go
+++ b/internal/client/command/replay.go
@@ -26,22 +26,22 @@
 		return Result{}, usageError(err.Error())
 	}
 	defer func() { _ = file.Close() }()
-	r, err := steering.ReplayCalls(file, a.Request)
+	result, err := steering.ReplayCalls(file, a.Request)
 	if err != nil {
 		return Result{}, usageError(errors.Wrap(err, a.File).Error())
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "%d calls, %d decisions, %d differ\n", r.Calls, r.Decisions, r.DifferenceCount)
-	if r.Truncated {
+	fmt.Fprintf(&text, "%d calls, %d decisions, %d differ\n", result.Calls, result.Decisions, result.DifferenceCount)
+	if result.Truncated {
 		text.WriteString("the last call is cut short: the process was killed\n")
 	}
-	for _, d := range r.Differences {
+	for _, d := range result.Differences {
 		fmt.Fprintf(&text, "%s request %s: recorded %s, now %s\n", d.At.Format("15:04:05.000"), d.Request, decisionText(d.Recorded), decisionText(d.Now))
 	}
-	if len(r.Candidates) > 0 {
+	if len(result.Candidates) > 0 {
 		fmt.Fprintf(&text, "%-12s %7s %-20s %6s %5s %5s %4s %6s %6s %9s %12s\n", "AT", "ATTEMPT", "SERVER", "USABLE", "COLD", "WARM", "HOME", "LOAD", "SPEED", "EXPECTED", "COST")
 	}
-	for _, w := range r.Candidates {
+	for _, w := range result.Candidates {
 		mark := ""
 		if w.Chosen {
 			mark = " chosen"
@@ -49,7 +49,7 @@
 		fmt.Fprintf(&text, "%-12s %7d %-20s %6t %5t %5t %4d %6.1f %6.2f %9s %12s%s\n", w.At.Format("15:04:05.000"), w.Attempt, w.Server,
 			w.Usable, w.Cold, w.Warm, w.HomeRank, w.Load, w.Slowdown, roundDuration(w.Expected), roundDuration(w.Cost), mark)
 	}
-	return Result{Text: text.String(), Data: r}, nil
+	return Result{Text: text.String(), Data: result}, nil
 }
 
 func decisionText(v steering.RecordedDecision) string {
--- a/internal/client/command/signals.go
+++ b/internal/client/command/signals.go
@@ -44,39 +44,39 @@
 )
 
 func (a *SteeringSignalsArguments) run(s *session, c *steeringhttp.Client) (Result, error) {
-	answers, err := queryAll(s, c, c.Status)
+	responses, err := queryAll(s, c, c.Status)
 	if err != nil {
 		return Result{}, err
 	}
 	var text strings.Builder
-	var out SignalsOutput
-	asking := make(map[string]*ServerSignals)
-	out.Unanswered = listFailed(&text, answers)
-	for _, one := range answers {
-		for _, b := range one.Value.Servers {
+	var output SignalsOutput
+	byServer := make(map[string]*ServerSignals)
+	output.Unanswered = listFailed(&text, responses)
+	for _, response := range responses {
+		for _, b := range response.Value.Servers {
 			if a.Service == "" || a.Service == b.Service {
-				addSignals(asking, b)
+				addSignals(byServer, b)
 			}
 		}
 	}
-	out.Servers = sortSignals(asking)
-	fmt.Fprintf(&text, "of %d proxies that answered\n%-16s %-16s %-16s %10s %8s %8s %8s %8s\n", len(answers)-len(out.Unanswered),
+	output.Servers = sortSignals(byServer)
+	fmt.Fprintf(&text, "of %d proxies that answered\n%-16s %-16s %-16s %10s %8s %8s %8s %8s\n", len(responses)-len(output.Unanswered),
 		"SERVER", "SERVICE", "DOMAIN", "LIMIT", "LIMITED", "PAUSING", "LEAVES", "KNOWN BY")
-	for _, v := range out.Servers {
+	for _, v := range output.Servers {
 		fmt.Fprintf(&text, "%-16s %-16s %-16s %10s %8d %8d %8t %8d\n", v.Server, v.Service, v.Domain, cmp.Or(v.Limit, "none"), v.Limited, v.Pausing, v.Draining, v.Known)
 	}
-	return Result{Text: text.String(), Data: out}, nil
+	return Result{Text: text.String(), Data: output}, nil
 }
 
 // addSignals adds what one proxy knows of a server.
-func addSignals(asking map[string]*ServerSignals, b steeringhttp.BackendServer) {
+func addSignals(byServer map[string]*ServerSignals, b steeringhttp.BackendServer) {
 	if b.Limit == nil && b.PausedFor == "" && !b.ReportsDraining {
 		return
 	}
-	v := asking[b.ID]
+	v := byServer[b.ID]
 	if v == nil {
 		v = &ServerSignals{Server: b.ID, Service: b.Service, Domain: b.Domain}
-		asking[b.ID] = v
+		byServer[b.ID] = v
 	}
 	v.Known++
 	v.Draining = v.Draining || b.ReportsDraining
@@ -92,9 +92,9 @@
 }
 
 // sortSignals lists servers by service, those known to the most proxies first.
-func sortSignals(asking map[string]*ServerSignals) []ServerSignals {
-	list := make([]ServerSignals, 0, len(asking))
-	for _, v := range slices.Collect(maps.Values(asking)) {
+func sortSignals(byServer map[string]*ServerSignals) []ServerSignals {
+	list := make([]ServerSignals, 0, len(byServer))
+	for _, v := range slices.Collect(maps.Values(byServer)) {
 		list = append(list, *v)
 	}
 	slices.SortFunc(list, func(a, b ServerSignals) int {
--- a/internal/client/command/status.go
+++ b/internal/client/command/status.go
@@ -169,9 +169,9 @@
 	return answer, errs.Wrap(json.NewDecoder(response.Body).Decode(&answer), "lookup")
 }
 
-func lookupText(from string, a lookupAnswer) string {
+func lookupText(proxy string, a lookupAnswer) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "answer of %s, valid for %s\n", from, a.Lifetime)
+	fmt.Fprintf(&text, "answer of %s, valid for %s\n", proxy, a.Lifetime)
 	for i, p := range a.Proxies {
 		fmt.Fprintf(&text, "%d. %-12s %-21s %s\n", i+1, p.Name, p.Address, p.Region)
 	}
--- a/internal/client/command/steering.go
+++ b/internal/client/command/steering.go
@@ -112,7 +112,7 @@
 // lists: one whose entry was taken away still serves, and may be the one that a
 // caller complains about.
 func firstStatus(s *session, c *steeringhttp.Client) (steeringhttp.Status, error) {
-	var failed error
+	var lastErr error
 	for _, address := range s.proxies {
 		status, err := c.Status(s.ctx, address)
 		if err == nil {
@@ -121,42 +121,42 @@
 			}
 			return status, nil
 		}
-		failed = err
+		lastErr = err
 	}
-	if failed == nil {
+	if lastErr == nil {
 		return steeringhttp.Status{}, usageError("--proxy: name at least one")
 	}
-	return steeringhttp.Status{}, errors.Wrap(operatorhttp.ErrNoProxy, failed.Error())
+	return steeringhttp.Status{}, errors.Wrap(operatorhttp.ErrNoProxy, lastErr.Error())
 }
 
 // queryAll puts a question to all proxies that the first one knows.
-func queryAll[T any](s *session, c *steeringhttp.Client, question func(context.Context, netip.AddrPort) (T, error)) ([]proxyResponse[T], error) {
-	view, err := firstStatus(s, c)
+func queryAll[T any](s *session, c *steeringhttp.Client, query func(context.Context, netip.AddrPort) (T, error)) ([]proxyResponse[T], error) {
+	status, err := firstStatus(s, c)
 	if err != nil {
 		return nil, err
 	}
-	answers := make([]proxyResponse[T], len(view.Proxies))
-	places := make(chan struct{}, maxConcurrentQueries)
-	var all sync.WaitGroup
-	for i, p := range view.Proxies {
-		all.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
-			answers[i].Proxy = p
-			value, err := question(s.ctx, p.OperatorAddress)
-			answers[i].Value = value
+	responses := make([]proxyResponse[T], len(status.Proxies))
+	semaphore := make(chan struct{}, maxConcurrentQueries)
+	var group sync.WaitGroup
+	for i, p := range status.Proxies {
+		group.Go(func() {
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			responses[i].Proxy = p
+			value, err := query(s.ctx, p.OperatorAddress)
+			responses[i].Value = value
 			if err != nil {
-				answers[i].Error = err.Error()
+				responses[i].Error = err.Error()
 			}
 		})
 	}
-	all.Wait()
-	return answers, nil
+	group.Wait()
+	return responses, nil
 }
 
 // listFailed lists the proxies that did not answer, and says so in the text.
-func listFailed[T any](text *strings.Builder, answers []proxyResponse[T]) (list []ProxyError) {
-	for _, a := range answers {
+func listFailed[T any](text *strings.Builder, responses []proxyResponse[T]) (list []ProxyError) {
+	for _, a := range responses {
 		if a.Error != "" {
 			fmt.Fprintf(text, "%s did not answer: %s\n", a.Proxy.Name, a.Error)
 			list = append(list, ProxyError{Proxy: a.Proxy.Name, Error: a.Error})
@@ -166,13 +166,13 @@
 }
 
 func steeringStatus(s *session, c *steeringhttp.Client) (Result, error) {
-	answers, err := queryAll(s, c, c.Status)
+	responses, err := queryAll(s, c, c.Status)
 	if err != nil {
 		return Result{}, err
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-24s %-16s %-12s %7s %9s %8s %9s %8s\n", "PROXY", "DOMAIN", "REGION", "CONFIG", "REVISION", "AGE", "IN-FLIGHT", "SERVERS")
-	for _, a := range answers {
+	for _, a := range responses {
 		if a.Error != "" {
 			fmt.Fprintf(&text, "%-24s %-16s %-12s no answer: %s\n", a.Proxy.Name, a.Proxy.Domain, a.Proxy.Region, a.Error)
 			continue
@@ -193,66 +193,66 @@
 			fmt.Fprintf(&text, "%24s without proxies: %s\n", "", strings.Join(v.RegionsWithoutProxies, ", "))
 		}
 	}
-	return Result{Text: text.String(), Data: answers}, nil
+	return Result{Text: text.String(), Data: responses}, nil
 }
 
 func (a *SteeringServersArguments) run(s *session, c *steeringhttp.Client) (Result, error) {
-	view, err := firstStatus(s, c)
+	status, err := firstStatus(s, c)
 	if err != nil {
 		return Result{}, err
 	}
-	list := slices.DeleteFunc(view.Servers, func(b steeringhttp.BackendServer) bool { return a.Service != "" && b.Service != a.Service })
+	servers := slices.DeleteFunc(status.Servers, func(b steeringhttp.BackendServer) bool { return a.Service != "" && b.Service != a.Service })
 	var text strings.Builder
-	fmt.Fprintf(&text, "as %s sees them\n%-16s %-12s %-16s %-20s %9s %6s %6s %6s\n", view.VM, "SERVER", "SERVICE", "DOMAIN", "STATE", "IN-FLIGHT", "LOAD", "SPEED", "FAILED")
-	for _, b := range list {
+	fmt.Fprintf(&text, "as %s sees them\n%-16s %-12s %-16s %-20s %9s %6s %6s %6s\n", status.VM, "SERVER", "SERVICE", "DOMAIN", "STATE", "IN-FLIGHT", "LOAD", "SPEED", "FAILED")
+	for _, b := range servers {
 		fmt.Fprintf(&text, "%-16s %-12s %-16s %-20s %5d/%-3d %6.1f %6.2f %6.2f\n", b.ID, b.Service, b.Domain, b.State, b.InFlight, b.Slots, b.Load, b.Slowdown, b.FailureShare)
 	}
-	return Result{Text: text.String(), Data: list}, nil
+	return Result{Text: text.String(), Data: servers}, nil
 }
 
 func (a *SteeringRoutesArguments) run(s *session, c *steeringhttp.Client) (Result, error) {
-	view, err := firstStatus(s, c)
+	status, err := firstStatus(s, c)
 	if err != nil {
 		return Result{}, err
 	}
-	list := slices.DeleteFunc(view.Routes, func(r steeringhttp.Route) bool { return a.Host != "" && r.Host != a.Host })
+	routes := slices.DeleteFunc(status.Routes, func(r steeringhttp.Route) bool { return a.Host != "" && r.Host != a.Host })
 	var text strings.Builder
-	fmt.Fprintf(&text, "version %d at %s\n", view.ConfigurationVersion, view.VM)
-	for _, r := range list {
+	fmt.Fprintf(&text, "version %d at %s\n", status.ConfigurationVersion, status.VM)
+	for _, r := range routes {
 		kind := "once"
 		if r.Idempotent {
 			kind = "idempotent"
 		}
 		fmt.Fprintf(&text, "%-12s %-24s %-16s %-10s %8s %s\n", r.Name, r.Host, r.Prefix, kind, r.Timeout, strings.Join(r.Services, ", "))
 	}
-	return Result{Text: text.String(), Data: list}, nil
+	return Result{Text: text.String(), Data: routes}, nil
 }
 
 func steeringEvents(s *session, c *steeringhttp.Client, request string, match func(steeringhttp.Event) bool) (Result, error) {
-	answers, err := queryAll(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
+	responses, err := queryAll(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
 		return c.Events(ctx, proxy, request)
 	})
 	if err != nil {
 		return Result{}, err
 	}
-	all := []steeringhttp.Event{}
+	events := []steeringhttp.Event{}
 	var text strings.Builder
-	missing := listFailed(&text, answers)
-	for _, a := range answers {
+	failed := listFailed(&text, responses)
+	for _, a := range responses {
 		for _, e := range a.Value {
 			if match(e) {
-				all = append(all, e)
+				events = append(events, e)
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b steeringhttp.Event) int { return a.At.Compare(b.At) })
-	if len(all) == 0 {
+	slices.SortStableFunc(events, func(a, b steeringhttp.Event) int { return a.At.Compare(b.At) })
+	if len(events) == 0 {
 		text.WriteString("nothing kept; requests that ended well are sampled, and a restarted proxy has forgotten: search the logs\n")
 	}
-	for _, e := range all {
+	for _, e := range events {
 		fmt.Fprintf(&text, "%s %-22s %-22s %s\n", e.At.Format("15:04:05.000"), e.VM, e.Kind, steeringEventText(e))
 	}
-	return Result{Text: text.String(), Data: EventsOutput{Events: all, Unanswered: missing}}, nil
+	return Result{Text: text.String(), Data: EventsOutput{Events: events, Unanswered: failed}}, nil
 }
 
 // steeringEventText lists the fields that an event has, each with its name.
--- a/internal/client/command/steering_test.go
+++ b/internal/client/command/steering_test.go
@@ -69,14 +69,14 @@
 // Guards against use of a limit that is told for one proxy as if it were all, and against
 // accounts of proxies that did not answer that pass for unused.
 func TestAccountUsageIsSummedOverProxies(t *testing.T) {
-	use := func(admitted, refused uint64) steeringhttp.Server {
+	newServer := func(admitted, refused uint64) steeringhttp.Server {
 		return steeringhttp.Server{Metrics: metrics.NewSet(), Status: func() steeringhttp.Status {
 			return steeringhttp.Status{Accounts: []steeringhttp.Account{
 				{Name: "anna", Keys: []string{"0badc0de"}, LimitPerSecond: 5, PerSecond: 2, Admitted: admitted, Refused: refused}, {Name: "bruno"},
 			}}
 		}}
 	}
-	one, two := use(3, 1), use(4, 0)
+	one, two := newServer(3, 1), newServer(4, 0)
 	second := httptest.NewServer(two.HTTPServer().Handler)
 	defer second.Close()
 	status := one.Status()
@@ -110,12 +110,12 @@
 // Guards against a limit that stands in the view of one proxy and is missed at the one that
 // happens to be asked.
 func TestSignalsAreMergedOverProxies(t *testing.T) {
-	slow, slower := 6.6, 4.0
-	view := func(servers ...steeringhttp.BackendServer) steeringhttp.Server {
+	highLimit, lowLimit := 6.6, 4.0
+	newServer := func(servers ...steeringhttp.BackendServer) steeringhttp.Server {
 		return steeringhttp.Server{Metrics: metrics.NewSet(), Status: func() steeringhttp.Status { return steeringhttp.Status{Servers: servers} }}
 	}
-	one := view(steeringhttp.BackendServer{ID: "a", Service: "x", Limit: &slow}, steeringhttp.BackendServer{ID: "b", Service: "x"}, steeringhttp.BackendServer{ID: "c", Service: "y", ReportsDraining: true})
-	two := view(steeringhttp.BackendServer{ID: "a", Service: "x", Limit: &slower, PausedFor: "1s"}, steeringhttp.BackendServer{ID: "b", Service: "x", PausedFor: "2s"})
+	one := newServer(steeringhttp.BackendServer{ID: "a", Service: "x", Limit: &highLimit}, steeringhttp.BackendServer{ID: "b", Service: "x"}, steeringhttp.BackendServer{ID: "c", Service: "y", ReportsDraining: true})
+	two := newServer(steeringhttp.BackendServer{ID: "a", Service: "x", Limit: &lowLimit, PausedFor: "1s"}, steeringhttp.BackendServer{ID: "b", Service: "x", PausedFor: "2s"})
 	second := httptest.NewServer(two.HTTPServer().Handler)
 	defer second.Close()
 	status := one.Status()
@@ -147,13 +147,13 @@
 // a file's name. The count is printed, and the error names the file.
 func TestLossesReadsLogFiles(t *testing.T) {
 	log := filepath.Join("..", "losses", "testdata", "proxy.log")
-	var out, complaints strings.Builder
+	var out, errOut strings.Builder
 	a := Arguments{Steering: &SteeringArguments{Losses: &SteeringLossesArguments{Files: []string{log}, Most: 3}}}
-	if code := Run(context.Background(), a, &out, &complaints); code != ExitOK || !strings.HasPrefix(out.String(), "14 requests lost\n1 lines could not be read\n") {
+	if code := Run(context.Background(), a, &out, &errOut); code != ExitOK || !strings.HasPrefix(out.String(), "14 requests lost\n1 lines could not be read\n") {
 		t.Errorf("exit code %d, %q", code, out.String())
 	}
 	a.Steering.Losses.Files = []string{"nowhere.log"}
-	if code := Run(context.Background(), a, io.Discard, &complaints); code != ExitUsage || !strings.Contains(complaints.String(), "nowhere.log") {
-		t.Errorf("exit code %d, %q; want the file named", code, complaints.String())
+	if code := Run(context.Background(), a, io.Discard, &errOut); code != ExitUsage || !strings.Contains(errOut.String(), "nowhere.log") {
+		t.Errorf("exit code %d, %q; want the file named", code, errOut.String())
 	}
 }
--- a/internal/client/losses/losses.go
+++ b/internal/client/losses/losses.go
@@ -97,16 +97,16 @@
 }
 
 // AddOmitted counts requests of which a log tells only how many ended in a way.
-func (c *Counter) AddOmitted(at time.Time, region string, endings map[string]int) {
-	for ending, n := range endings {
-		kind, why := Kind(""), ending
-		switch ending {
+func (c *Counter) AddOmitted(at time.Time, region string, counts map[string]int) {
+	for result, n := range counts {
+		kind, why := Kind(""), result
+		switch result {
 		case steering.OutcomeDone.String():
 			continue
 		case string(Late):
 			kind, why = Late, Unknown
 		default:
-			kind, _ = classify(EndedRequest{Reason: ending, Outcome: steering.OutcomeNotRun.String()})
+			kind, _ = classify(EndedRequest{Reason: result, Outcome: steering.OutcomeNotRun.String()})
 		}
 		c.rows[Key{Kind: kind, Cause: why, Route: Unknown, Region: region, State: Unknown}] += n
 		c.addToSecond(at, kind, n)
@@ -164,17 +164,17 @@
 }
 
 // SumBy adds the rows up by a part of their keys, the largest first.
-func (t Table) SumBy(part func(Key) string) []Row {
+func (t Table) SumBy(keyOf func(Key) string) []Row {
 	sums := make(map[Key]int)
 	for _, r := range t.Rows {
-		sums[Key{Kind: r.Kind, Cause: part(r.Key)}] += r.Count
+		sums[Key{Kind: r.Kind, Cause: keyOf(r.Key)}] += r.Count
 	}
-	list := make([]Row, 0, len(sums))
+	rows := make([]Row, 0, len(sums))
 	for key, n := range sums {
-		list = append(list, Row{Key: key, Count: n})
+		rows = append(rows, Row{Key: key, Count: n})
 	}
-	slices.SortFunc(list, func(a, b Row) int {
+	slices.SortFunc(rows, func(a, b Row) int {
 		return cmp.Or(b.Count-a.Count, cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Cause, b.Cause))
 	})
-	return list
+	return rows
 }
--- a/internal/client/losses/read.go
+++ b/internal/client/losses/read.go
@@ -41,26 +41,26 @@
 // put before a line, are passed over; a line of ours that is cut short is counted
 // in skipped.
 func (c *Counter) Read(log io.Reader) (skipped int, err error) {
-	lines := bufio.NewScanner(log)
-	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
-	for lines.Scan() {
-		start := bytes.IndexByte(lines.Bytes(), '{')
+	scanner := bufio.NewScanner(log)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
+	for scanner.Scan() {
+		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
 			continue
 		}
-		var l logLine
-		if err := json.Unmarshal(lines.Bytes()[start:], &l); err != nil {
+		var entry logLine
+		if err := json.Unmarshal(scanner.Bytes()[start:], &entry); err != nil {
 			skipped++
 			continue
 		}
-		switch l.Message {
+		switch entry.Message {
 		case string(steering.EventRequestEnded):
-			c.Add(l.endedRequest())
+			c.Add(entry.endedRequest())
 		case omittedMessage:
-			c.AddOmitted(l.Time, l.Region, l.Counts)
+			c.AddOmitted(entry.Time, entry.Region, entry.Counts)
 		}
 	}
-	return skipped, errs.Wrap(lines.Err(), "log")
+	return skipped, errs.Wrap(scanner.Err(), "log")
 }
 
 func (l logLine) endedRequest() EndedRequest {
