--- a/internal/client/command/accounts.go
+++ b/internal/client/command/accounts.go
@@ -11,13 +11,13 @@
 )
 
 type (
-	// SteeringAccountsArguments picks client accounts.
+	// SteeringAccountsArguments selects client accounts.
 	SteeringAccountsArguments struct {
 		Account string `help:"only this client account"`
-		Refused bool   `help:"only those of which requests were refused"`
+		Refused bool   `help:"only client accounts with rejected requests"`
 	}
 
-	// AccountUsage is a client account over all proxies that answered.
+	// AccountUsage is the usage of a client account summed over all proxies that answered.
 	AccountUsage struct {
 		Name           string   `json:"name"`
 		Keys           []string `json:"key-fingerprints"`
@@ -26,12 +26,12 @@
 		PerSecond      float64  `json:"per-second"`
 		Admitted       uint64   `json:"admitted"`
 		Refused        uint64   `json:"refused"`
-		// Proxies counts those that saw requests of the account of late.
+		// Proxies counts the proxies that admitted or rejected requests of the account.
 		Proxies int `json:"proxies"`
 	}
 
-	// AccountsOutput is what accounts prints as JSON. Use at proxies that did not answer
-	// is missing.
+	// AccountsOutput is the JSON output of steering accounts. It lacks the usage at proxies that
+	// did not answer.
 	AccountsOutput struct {
 		Accounts   []AccountUsage `json:"client-accounts"`
 		Unanswered []ProxyError   `json:"unanswered,omitempty"`
@@ -61,7 +61,7 @@
 	return Result{Text: text.String(), Data: output}, nil
 }
 
-// addUsage adds what one proxy knows of an account.
+// addUsage adds the usage of an account at one proxy.
 func addUsage(byName map[string]*AccountUsage, a steeringhttp.Account) {
 	u := byName[a.Name]
 	if u == nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// selectAccounts lists the accounts asked for, those refused most first.
+// selectAccounts returns the selected accounts, those with the most rejected requests first.
 func (a *SteeringAccountsArguments) selectAccounts(byName map[string]*AccountUsage) []AccountUsage {
 	var list []AccountUsage
 	for _, u := range slices.Collect(maps.Values(byName)) {
--- a/internal/client/command/bundle.go
+++ b/internal/client/command/bundle.go
@@ -24,18 +24,18 @@
 )
 
 type (
-	// BundleArguments works with bundles.
+	// BundleArguments holds the subcommands for bundles.
 	BundleArguments struct {
 		Check   *BundleFileArguments    `arg:"subcommand:check" help:"check a bundle file"`
 		Diff    *BundleFileArguments    `arg:"subcommand:diff" help:"show how a file differs from the bundle in force"`
 		Show    *BundleShowArguments    `arg:"subcommand:show" help:"print the bundle in force"`
 		List    *BundleShowArguments    `arg:"subcommand:list" help:"list proposed bundles"`
 		Propose *BundleProposeArguments `arg:"subcommand:propose" help:"sign a bundle file as its author and store it"`
-		Approve *BundleApproveArguments `arg:"subcommand:approve" help:"sign a proposed bundle as the second person"`
-		Rollout *BundleRolloutArguments `arg:"subcommand:rollout" help:"bring an approved bundle into force"`
+		Approve *BundleApproveArguments `arg:"subcommand:approve" help:"sign a proposed bundle as a second operator"`
+		Rollout *BundleRolloutArguments `arg:"subcommand:rollout" help:"put an approved bundle into force"`
 	}
 
-	// BundleFileArguments names a bundle file.
+	// BundleFileArguments selects a bundle file.
 	BundleFileArguments struct {
 		File string `arg:"positional,required"`
 	}
@@ -43,22 +43,22 @@
 	// BundleShowArguments has no fields.
 	BundleShowArguments struct{}
 
-	// BundleProposeArguments names a bundle file and the author's key.
+	// BundleProposeArguments selects a bundle file and the author's key.
 	BundleProposeArguments struct {
 		File string `arg:"positional,required"`
 		Key  string `arg:"--key,required" help:"the author's key file"`
 	}
 
-	// BundleApproveArguments names a proposal and the approver's key.
+	// BundleApproveArguments selects a proposal and the approver's key.
 	BundleApproveArguments struct {
-		Digest string `arg:"positional,required" help:"the proposal's digest, or its first letters"`
+		Digest string `arg:"positional,required" help:"the proposal's digest or a unique prefix of it"`
 		Key    string `arg:"--key,required" help:"the approver's key file"`
 	}
 
-	// BundleRolloutArguments names an approved proposal.
+	// BundleRolloutArguments selects an approved proposal.
 	BundleRolloutArguments struct {
-		Digest string        `arg:"positional,required" help:"the proposal's digest, or its first letters"`
-		Wait   time.Duration `arg:"--wait" default:"10s" help:"how long to wait until it is in force everywhere"`
+		Digest string        `arg:"positional,required" help:"the proposal's digest or a unique prefix of it"`
+		Wait   time.Duration `arg:"--wait" default:"10s" help:"maximum time to wait until all proxies use the bundle"`
 	}
 
 	proposalSummary struct {
@@ -94,10 +94,10 @@
 	case a.Rollout != nil:
 		return a.Rollout.run(s)
 	}
-	return Result{}, usageError("bundle: check, diff, show, list, propose, approve or rollout")
+	return Result{}, usageError("bundle: a subcommand is required: check, diff, show, list, propose, approve or rollout")
 }
 
-// readBundle reads and checks a file, the names of plug-ins included.
+// readBundle reads and validates a bundle file, including the names of balancer and planner.
 func readBundle(path string) (*operator.Bundle, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -135,7 +135,7 @@
 	}, nil
 }
 
-// currentBundle reads the bundle in force; nil when there is none yet.
+// currentBundle returns the bundle in force, or nil if there is none yet.
 func (s *session) currentBundle() (*operator.Bundle, error) {
 	e, err := s.client.Bundle(s.ctx)
 	if errors.Is(err, operatorhttp.ErrRejected) {
@@ -224,7 +224,7 @@
 	return proposeBundle(s, b, a.Key)
 }
 
-// proposeBundle signs a bundle and stores it for the second person.
+// proposeBundle signs a bundle and stores it for approval by a second operator.
 func proposeBundle(s *session, b *operator.Bundle, keyFile string) (Result, error) {
 	key, err := readKey(keyFile)
 	if err != nil {
@@ -248,7 +248,7 @@
 	}, nil
 }
 
-// findProposal finds the one proposal whose digest begins with the given letters.
+// findProposal returns the only proposal whose digest has the given prefix.
 func (s *session) findProposal(digest string) (*operator.Envelope, error) {
 	envelopes, err := s.client.Proposals(s.ctx)
 	if err != nil {
@@ -260,12 +260,12 @@
 			continue
 		}
 		if found != nil {
-			return nil, usageError("several proposals begin with " + digest)
+			return nil, usageError("several proposals have a digest that begins with " + digest)
 		}
 		found = &envelopes[i]
 	}
 	if found == nil {
-		return nil, usageError("no proposal begins with " + digest)
+		return nil, usageError("no proposal has a digest that begins with " + digest)
 	}
 	return found, nil
 }
@@ -305,8 +305,8 @@
 	if err != nil {
 		return Result{}, err
 	}
-	// The operation's name comes from what is rolled out, so a repeat after a
-	// lost answer, by whichever operator, is the same operation.
+	// The operation ID is derived from the bundle and its approval, so that a retry after a lost
+	// response, by any operator, is the same operation.
 	e.OperationID = "rollout-" + string(e.Digest) + "-" + e.Approver.Value
 	start := time.Now()
 	outcome, err := s.client.Rollout(s.ctx, e)
@@ -319,7 +319,7 @@
 	return s.waitInForce(outcome.CurrentVersion, start, a.Wait), nil
 }
 
-// waitInForce asks every proxy that runs until all use the version.
+// waitInForce polls all running proxies until each uses the version or the timeout has passed.
 func (s *session) waitInForce(version uint64, start time.Time, timeout time.Duration) Result {
 	summary := rolloutSummary{Version: version}
 	for {
--- a/internal/client/command/command.go
+++ b/internal/client/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the operators' command line. Each command returns its
-// result as a value; printing and exit codes are decided in one place.
+// Package command implements the operators' command line. Each command returns its result as a
+// value; Run prints it and determines the exit code.
 package command
 
 import (
@@ -21,41 +21,41 @@
 )
 
 const (
-	// ExitOK means that the command did what was asked.
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitFailure is any failure without a code of its own.
+	// ExitFailure covers failures without a specific exit code.
 	ExitFailure = 1
-	// ExitUsage means that the command line or a file is wrong.
+	// ExitUsage means that the command line or an input file is invalid.
 	ExitUsage = 2
-	// ExitRejected means that a proxy refused, for example a signature.
+	// ExitRejected means that the request was rejected, for example because of its signature.
 	ExitRejected = 3
-	// ExitLostRace means that another bundle took the version.
+	// ExitLostRace means that another bundle was rolled out under the same version first.
 	ExitLostRace = 4
-	// ExitUndecided means that the platform does not say yet; run it again.
+	// ExitUndecided means that the platform has not confirmed the result; the command can be repeated.
 	ExitUndecided = 5
 	// ExitNoProxy means that no proxy answered.
 	ExitNoProxy = 6
 )
 
 var (
-	errUsage     = errors.New("the command line or a file is wrong")
-	errLostRace  = errors.New("another bundle has taken this version; see `bundle show`, then propose the next one")
-	errUndecided = errors.New("the platform does not say whether the bundle is in force; run the same command again")
+	errUsage     = errors.New("invalid command line or input file")
+	errLostRace  = errors.New("another bundle already has this version; check it with `bundle show` and propose the next version")
+	errUndecided = errors.New("the platform has not confirmed that the bundle is in force; run the same command again")
 )
 
 type (
-	// Arguments is the whole command line.
+	// Arguments is the parsed command line.
 	Arguments struct {
 		Proxies   []netip.AddrPort `arg:"-p,--proxy,separate,env:GYPSUMQUAY_PROXIES" help:"operator address of a proxy; repeat for more (the variable takes them comma-separated)"`
 		Authority string           `arg:"--authority,env:GYPSUMQUAY_AUTHORITY" help:"PEM file of the proxies' certificate authority"`
 		JSON      bool             `arg:"--json" help:"print JSON"`
 
-		Keys     *KeysArguments     `arg:"subcommand:keys" help:"make and list operators' keys"`
+		Keys     *KeysArguments     `arg:"subcommand:keys" help:"create and list operators' keys"`
 		Bundle   *BundleArguments   `arg:"subcommand:bundle" help:"check, propose, approve and roll out bundles"`
 		Drain    *DrainArguments    `arg:"subcommand:drain" help:"plan, list and cancel drains"`
-		Status   *StatusArguments   `arg:"subcommand:status" help:"who is live, at which versions, headroom by region"`
-		Lookup   *LookupArguments   `arg:"subcommand:lookup" help:"explain a look-up answer"`
-		Events   *EventsArguments   `arg:"subcommand:events" help:"event log of all proxies, merged"`
+		Status   *StatusArguments   `arg:"subcommand:status" help:"state and versions of all proxies, headroom by region"`
+		Lookup   *LookupArguments   `arg:"subcommand:lookup" help:"explain a lookup response"`
+		Events   *EventsArguments   `arg:"subcommand:events" help:"merged event log of all proxies"`
 		Steering *SteeringArguments `arg:"subcommand:steering" help:"proxies on the platform: status, servers, routes, explain a request"`
 		Version  *VersionArguments  `arg:"subcommand:version" help:"print the version"`
 	}
@@ -63,13 +63,13 @@
 	// VersionArguments has no fields.
 	VersionArguments struct{}
 
-	// Result is what a command prints: Text for people, Data for --json.
+	// Result is the output of a command: Text is printed by default, Data with --json.
 	Result struct {
 		Text string
 		Data any
 	}
 
-	// usageError is a wrong command line or file; its text is the message.
+	// usageError is the message about an invalid command line or input file.
 	usageError string
 
 	session struct {
@@ -80,23 +80,24 @@
 	}
 )
 
-// Error implements error.
+// Error returns the message.
 func (e usageError) Error() string { return string(e) }
 
-// Is makes the message an errUsage, which decides the exit code.
+// Is reports every usageError as errUsage, which determines the exit code.
 func (e usageError) Is(target error) bool { return target == errUsage }
 
-// Description is shown by --help.
+// Description returns the first line of the help text.
 func (Arguments) Description() string {
-	return "gypsumquayctl is the operators' client of gypsumquay."
+	return "gypsumquayctl is the command-line client for operators of gypsumquay."
 }
 
-// Epilogue documents the exit codes.
+// Epilogue returns the end of the help text, which lists the exit codes.
 func (Arguments) Epilogue() string {
-	return "Exit codes: 0 done, 1 failure, 2 usage or a wrong file, 3 refused, 4 lost the race, 5 undecided (run again), 6 no proxy answers."
+	return "Exit codes: 0 success, 1 failure, 2 invalid command line or file, 3 rejected, 4 version already taken, 5 undecided (run again), 6 no proxy answers."
 }
 
-// Run carries the command line out and prints the result.
+// Run executes the command line, prints the result to out or the error to errOut, and returns the
+// exit code.
 func Run(ctx context.Context, a Arguments, out, errOut io.Writer) int {
 	result, err := dispatch(ctx, a)
 	if err != nil {
@@ -157,7 +158,7 @@
 	case a.Version != nil:
 		return Result{Text: "gypsumquay " + version, Data: map[string]string{"version": version}}, nil
 	}
-	return Result{}, usageError("name a command; --help lists them")
+	return Result{}, usageError("a command is required; --help lists all commands")
 }
 
 func loadTLSConfig(path string) (*tls.Config, error) {
@@ -170,7 +171,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, usageError(path + " holds no certificate")
+		return nil, usageError(path + " contains no certificate")
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool}, nil
 }
--- a/internal/client/command/drain.go
+++ b/internal/client/command/drain.go
@@ -12,11 +12,11 @@
 )
 
 type (
-	// DrainArguments plans, lists and cancels drains.
+	// DrainArguments holds the subcommands for drains.
 	DrainArguments struct {
-		Plan   *DrainPlanArguments   `arg:"subcommand:plan" help:"propose the next bundle with one drain more"`
+		Plan   *DrainPlanArguments   `arg:"subcommand:plan" help:"propose a new bundle with a drain added"`
 		List   *DrainListArguments   `arg:"subcommand:list" help:"list the drains in force"`
-		Cancel *DrainCancelArguments `arg:"subcommand:cancel" help:"propose the next bundle with one drain less"`
+		Cancel *DrainCancelArguments `arg:"subcommand:cancel" help:"propose a new bundle with a drain removed"`
 	}
 
 	// DrainPlanArguments describes one drain.
@@ -24,15 +24,15 @@
 		Name   string             `arg:"positional,required"`
 		Kind   operator.DrainKind `arg:"--kind,required" help:"backend-server, proxy or region"`
 		Target string             `arg:"--target,required"`
-		Start  time.Time          `arg:"--start" help:"RFC 3339; now if left out"`
-		End    time.Time          `arg:"--end" help:"RFC 3339; open if left out"`
+		Start  time.Time          `arg:"--start" help:"RFC 3339; default is now"`
+		End    time.Time          `arg:"--end" help:"RFC 3339; without an end if omitted"`
 		Key    string             `arg:"--key,required" help:"the author's key file"`
 	}
 
 	// DrainListArguments has no fields.
 	DrainListArguments struct{}
 
-	// DrainCancelArguments names a drain.
+	// DrainCancelArguments selects a drain.
 	DrainCancelArguments struct {
 		Name string `arg:"positional,required"`
 		Key  string `arg:"--key,required" help:"the author's key file"`
@@ -48,10 +48,10 @@
 	case a.Cancel != nil:
 		return a.Cancel.run(s)
 	}
-	return Result{}, usageError("drain: plan, list or cancel")
+	return Result{}, usageError("drain: a subcommand is required: plan, list or cancel")
 }
 
-// nextBundle is the bundle in force under the following version.
+// nextBundle returns a copy of the bundle in force with its version incremented.
 func (s *session) nextBundle() (*operator.Bundle, error) {
 	b, err := s.currentBundle()
 	if err != nil {
@@ -86,7 +86,7 @@
 	}
 	index := slices.IndexFunc(b.Drains, func(d operator.Drain) bool { return d.Name == a.Name })
 	if index < 0 {
-		return Result{}, usageError("no drain is named " + a.Name)
+		return Result{}, usageError("there is no drain named " + a.Name)
 	}
 	b.Drains = slices.Delete(b.Drains, index, index+1)
 	return proposeBundle(s, b, a.Key)
--- a/internal/client/command/keys.go
+++ b/internal/client/command/keys.go
@@ -17,19 +17,19 @@
 )
 
 type (
-	// KeysArguments makes and lists keys.
+	// KeysArguments holds the subcommands for keys.
 	KeysArguments struct {
-		New  *KeysNewArguments  `arg:"subcommand:new" help:"make a key file for one operator"`
-		List *KeysListArguments `arg:"subcommand:list" help:"print key files' public parts, as settings want them"`
+		New  *KeysNewArguments  `arg:"subcommand:new" help:"create a key file for an operator"`
+		List *KeysListArguments `arg:"subcommand:list" help:"print the public keys of key files in the format of the settings"`
 	}
 
-	// KeysNewArguments names a new key.
+	// KeysNewArguments describes a new key.
 	KeysNewArguments struct {
 		Operator string `arg:"positional,required" help:"the operator's name"`
 		Out      string `arg:"--out,required" help:"file to write; it must not exist"`
 	}
 
-	// KeysListArguments names key files.
+	// KeysListArguments selects key files.
 	KeysListArguments struct {
 		Files []string `arg:"positional,required"`
 	}
@@ -42,7 +42,7 @@
 	case a.List != nil:
 		return a.List.run()
 	}
-	return Result{}, usageError("keys: new or list")
+	return Result{}, usageError("keys: a subcommand is required: new or list")
 }
 
 func (a *KeysNewArguments) run() (Result, error) {
@@ -56,13 +56,13 @@
 	}
 	file, err := os.OpenFile(a.Out, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyFileMode)
 	if err != nil {
-		return Result{}, errors.Wrap(err, "key file")
+		return Result{}, errors.Wrap(err, "write key file")
 	}
 	if _, err := file.Write(append(data, '\n')); err != nil {
-		return Result{}, errors.Wrap(err, "key file")
+		return Result{}, errors.Wrap(err, "write key file")
 	}
 	if err := file.Close(); err != nil {
-		return Result{}, errors.Wrap(err, "key file")
+		return Result{}, errors.Wrap(err, "write key file")
 	}
 	return Result{
 		Text: fmt.Sprintf("key of %s written to %s; public key %s", a.Operator, a.Out, pair.PublicKey),
--- a/internal/client/command/losses.go
+++ b/internal/client/command/losses.go
@@ -15,17 +15,17 @@
 )
 
 type (
-	// SteeringLossesArguments names what to count.
+	// SteeringLossesArguments selects the source and the output of losses.
 	SteeringLossesArguments struct {
-		Files []string `arg:"positional" help:"log files of proxies, in any order; without any, the proxies are asked for what they keep"`
-		Plot  string   `help:"draw the losses of each second into this file, such as losses.svg"`
-		Most  int      `default:"12" help:"rows of each list"`
+		Files []string `arg:"positional" help:"log files of proxies, in any order; without files, the events retained by the proxies are used"`
+		Plot  string   `help:"plot the losses per second to this file, such as losses.svg"`
+		Most  int      `default:"12" help:"maximum rows of each list"`
 	}
 
-	// LossesOutput is what losses prints as JSON.
+	// LossesOutput is the JSON output of steering losses.
 	LossesOutput struct {
 		losses.Table
-		// Skipped counts the lines that could not be read.
+		// Skipped counts the log lines that could not be parsed.
 		Skipped    int          `json:"skipped-lines,omitempty"`
 		Unanswered []ProxyError `json:"unanswered,omitempty"`
 	}
@@ -71,7 +71,8 @@
 	return skipped, nil
 }
 
-// queryLosses counts what the proxies keep: their last few thousand events each.
+// queryLosses counts the losses among the events that the proxies retain, the last few thousand of
+// each.
 func queryLosses(s *session, c *steeringhttp.Client, counter *losses.Counter) ([]ProxyError, error) {
 	responses, err := queryAll(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
 		return c.Events(ctx, proxy, "")
--- a/internal/client/command/replay.go
+++ b/internal/client/command/replay.go
@@ -12,14 +12,14 @@
 )
 
 type (
-	// SteeringReplayArguments names a recording.
+	// SteeringReplayArguments selects a recording.
 	SteeringReplayArguments struct {
-		File    string `arg:"positional,required" help:"recording, as gypsumquayd --record writes it"`
-		Request string `help:"tell how servers were weighed for the request of this id"`
+		File    string `arg:"positional,required" help:"recording written by gypsumquayd --record"`
+		Request string `help:"show the server candidates for the request with this ID"`
 	}
 )
 
-// run replays a recording and tells which decisions differ from those recorded.
+// run replays a recording and reports the decisions that differ from the recorded ones.
 func (a *SteeringReplayArguments) run() (Result, error) {
 	file, err := os.Open(a.File)
 	if err != nil {
@@ -62,5 +62,5 @@
 	return string(v.Reason)
 }
 
-// roundDuration leaves out what nobody reads.
+// roundDuration rounds to 10 µs for display.
 func roundDuration(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
--- a/internal/client/command/signals.go
+++ b/internal/client/command/signals.go
@@ -11,23 +11,24 @@
 )
 
 type (
-	// SteeringSignalsArguments picks backend servers.
+	// SteeringSignalsArguments selects backend servers.
 	SteeringSignalsArguments struct {
-		Service string `help:"only this service's"`
+		Service string `help:"only backend servers of this service"`
 	}
 
-	// ServerSignals is what a backend server asks of its senders, over all proxies that
-	// answered.
+	// ServerSignals is the limit, pause or drain that a backend server has signaled to the proxies
+	// that answered.
 	ServerSignals struct {
 		Server  string `json:"server"`
 		Service string `json:"service"`
 		Domain  string `json:"failure-domain"`
-		// Limit is what it takes from all proxies together, the lowest that any knows of.
+		// Limit is the rate that the server accepts from all proxies together: the lowest that any
+		// proxy knows.
 		Limit string `json:"limit,omitempty"`
-		// Draining is set if it leaves by its own word.
+		// Draining is set if the server itself reports that it drains.
 		Draining bool `json:"leaving,omitempty"`
-		// Limited, Pausing and Known count the proxies that keep to a limit or a pause of
-		// it, and those that know of anything that it asks.
+		// Limited and Pausing count the proxies that enforce a limit or a pause of the server, Known
+		// those that know any of its signals.
 		Limited int `json:"limited-proxies"`
 		Pausing int `json:"pausing-proxies"`
 		Known   int `json:"proxies"`
@@ -35,8 +36,8 @@
 		limitPerSecond float64
 	}
 
-	// SignalsOutput is what signals prints as JSON. What proxies know that did not answer
-	// is missing.
+	// SignalsOutput is the JSON output of steering signals. It lacks the signals known only to
+	// proxies that did not answer.
 	SignalsOutput struct {
 		Servers    []ServerSignals `json:"backend-servers"`
 		Unanswered []ProxyError    `json:"unanswered,omitempty"`
@@ -68,7 +69,7 @@
 	return Result{Text: text.String(), Data: output}, nil
 }
 
-// addSignals adds what one proxy knows of a server.
+// addSignals adds the signals of a server that one proxy knows.
 func addSignals(byServer map[string]*ServerSignals, b steeringhttp.BackendServer) {
 	if b.Limit == nil && b.PausedFor == "" && !b.ReportsDraining {
 		return
@@ -91,7 +92,7 @@
 	}
 }
 
-// sortSignals lists servers by service, those known to the most proxies first.
+// sortSignals sorts servers by service, those known to the most proxies first.
 func sortSignals(byServer map[string]*ServerSignals) []ServerSignals {
 	list := make([]ServerSignals, 0, len(byServer))
 	for _, v := range slices.Collect(maps.Values(byServer)) {
--- a/internal/client/command/status.go
+++ b/internal/client/command/status.go
@@ -21,7 +21,7 @@
 	// StatusArguments has no fields.
 	StatusArguments struct{}
 
-	// LookupArguments asks why a client gets its answer.
+	// LookupArguments selects a lookup response to explain.
 	LookupArguments struct {
 		Service string     `arg:"positional,required"`
 		Client  netip.Addr `arg:"positional,required" help:"the client's IP address"`
@@ -29,11 +29,11 @@
 
 	// EventsArguments filters the event log.
 	EventsArguments struct {
-		Request string        `help:"only this request or token id"`
+		Request string        `help:"only this request or token ID"`
 		Service string        `help:"only this service"`
 		VM      string        `arg:"--vm" help:"only this proxy"`
 		Kind    string        `help:"only this kind of event"`
-		Since   time.Duration `help:"only events of the last such span"`
+		Since   time.Duration `help:"only events within this duration before now"`
 	}
 
 	proxyStatus struct {
@@ -121,7 +121,7 @@
 	return text.String()
 }
 
-// run asks one live proxy's callers' interface on behalf of the client.
+// run sends the client's lookup to the caller interface of the first live proxy that answers.
 func (a *LookupArguments) run(s *session) (Result, error) {
 	members, err := s.client.Members(s.ctx)
 	if err != nil {
@@ -138,7 +138,7 @@
 		}
 		return Result{Text: lookupText(m.Name, answer), Data: answer}, nil
 	}
-	return Result{}, errors.New("no live proxy answers for service " + a.Service)
+	return Result{}, errors.New("no live proxy answered the lookup for service " + a.Service)
 }
 
 type lookupAnswer struct {
--- a/internal/client/command/steering.go
+++ b/internal/client/command/steering.go
@@ -16,40 +16,40 @@
 )
 
 const (
-	// maxConcurrentQueries bounds the proxies asked at the same time.
+	// maxConcurrentQueries limits the proxies that are queried concurrently.
 	maxConcurrentQueries = 16
 )
 
 type (
-	// SteeringArguments are the commands for proxies on the platform.
+	// SteeringArguments holds the subcommands for proxies on the platform.
 	SteeringArguments struct {
-		Status   *SteeringStatusArguments   `arg:"subcommand:status" help:"who is alive, versions in force, age of the store's news"`
+		Status   *SteeringStatusArguments   `arg:"subcommand:status" help:"live proxies, versions in force, age of the data from the store"`
 		Servers  *SteeringServersArguments  `arg:"subcommand:servers" help:"backend servers as one proxy sees them"`
 		Routes   *SteeringRoutesArguments   `arg:"subcommand:routes" help:"routes in force at one proxy"`
-		Accounts *SteeringAccountsArguments `arg:"subcommand:accounts" help:"client accounts, their limits and their use over all proxies"`
-		Signals  *SteeringSignalsArguments  `arg:"subcommand:signals" help:"backend servers that name limits, pause or leave by their own word, over all proxies"`
-		Explain  *SteeringExplainArguments  `arg:"subcommand:explain" help:"all decisions on one request, over all proxies"`
-		Events   *SteeringEventsArguments   `arg:"subcommand:events" help:"decisions and changes of all proxies, merged"`
-		Losses   *SteeringLossesArguments   `arg:"subcommand:losses" help:"late, refused and failed requests by cause, route, region, server state and time"`
-		Replay   *SteeringReplayArguments   `arg:"subcommand:replay" help:"give a recording of a proxy to a new kernel and compare the decisions"`
+		Accounts *SteeringAccountsArguments `arg:"subcommand:accounts" help:"client accounts, their limits and their usage over all proxies"`
+		Signals  *SteeringSignalsArguments  `arg:"subcommand:signals" help:"backend servers that signal a limit, a pause or a drain, over all proxies"`
+		Explain  *SteeringExplainArguments  `arg:"subcommand:explain" help:"all decisions about a request, over all proxies"`
+		Events   *SteeringEventsArguments   `arg:"subcommand:events" help:"merged decisions and changes of all proxies"`
+		Losses   *SteeringLossesArguments   `arg:"subcommand:losses" help:"late, rejected and failed requests by cause, route, region, server state and time"`
+		Replay   *SteeringReplayArguments   `arg:"subcommand:replay" help:"replay a recording of a proxy with a new kernel and compare the decisions"`
 	}
 
 	// SteeringStatusArguments has no fields.
 	SteeringStatusArguments struct{}
 
-	// SteeringServersArguments picks servers.
+	// SteeringServersArguments selects backend servers.
 	SteeringServersArguments struct {
-		Service string `help:"only this service's"`
+		Service string `help:"only backend servers of this service"`
 	}
 
-	// SteeringRoutesArguments picks routes.
+	// SteeringRoutesArguments selects routes.
 	SteeringRoutesArguments struct {
-		Host string `help:"only this host's"`
+		Host string `help:"only routes of this host"`
 	}
 
-	// SteeringExplainArguments names the request.
+	// SteeringExplainArguments selects a request.
 	SteeringExplainArguments struct {
-		Request string `arg:"positional,required" help:"the request's id"`
+		Request string `arg:"positional,required" help:"the request ID"`
 	}
 
 	// SteeringEventsArguments filters events.
@@ -58,20 +58,20 @@
 		Server string `help:"only this backend server"`
 	}
 
-	// EventsOutput is what events and explain print as JSON: the events in order, and
-	// the proxies that did not answer, whose events are missing.
+	// EventsOutput is the JSON output of steering events and steering explain: the events in order
+	// of time, and the proxies that did not answer, whose events are missing.
 	EventsOutput struct {
 		Events     []steeringhttp.Event `json:"events"`
 		Unanswered []ProxyError         `json:"unanswered,omitempty"`
 	}
 
-	// ProxyError is a proxy that did not answer, and why.
+	// ProxyError is a proxy that did not answer and the reason.
 	ProxyError struct {
 		Proxy string `json:"proxy"`
 		Error string `json:"error"`
 	}
 
-	// proxyResponse is what one proxy said, or why it did not.
+	// proxyResponse is the answer of one proxy, or the error if it did not answer.
 	proxyResponse[T any] struct {
 		Proxy steeringhttp.Proxy `json:"proxy"`
 		Value T                  `json:"answer"`
@@ -101,16 +101,16 @@
 	case a.Replay != nil:
 		return a.Replay.run()
 	}
-	return Result{}, usageError("steering: needs status, servers, routes, accounts, signals, explain, events, losses or replay")
+	return Result{}, usageError("steering: a subcommand is required: status, servers, routes, accounts, signals, explain, events, losses or replay")
 }
 
 func (a *SteeringEventsArguments) match(e steeringhttp.Event) bool {
 	return (a.Kind == "" || a.Kind == e.Kind) && (a.Server == "" || a.Server == e.Server)
 }
 
-// firstStatus is the view of the first proxy that answers. It counts among those that it
-// lists: one whose entry was taken away still serves, and may be the one that a
-// caller complains about.
+// firstStatus returns the status of the first proxy that answers. That proxy is added to its own
+// list of proxies if it is missing there: a proxy whose registration was removed still serves, and
+// may be the one with the failed request.
 func firstStatus(s *session, c *steeringhttp.Client) (steeringhttp.Status, error) {
 	var lastErr error
 	for _, address := range s.proxies {
@@ -124,12 +124,12 @@
 		lastErr = err
 	}
 	if lastErr == nil {
-		return steeringhttp.Status{}, usageError("--proxy: name at least one")
+		return steeringhttp.Status{}, usageError("--proxy: at least one address is required")
 	}
 	return steeringhttp.Status{}, errors.Wrap(operatorhttp.ErrNoProxy, lastErr.Error())
 }
 
-// queryAll puts a question to all proxies that the first one knows.
+// queryAll sends a query to all proxies that the first answering proxy knows.
 func queryAll[T any](s *session, c *steeringhttp.Client, query func(context.Context, netip.AddrPort) (T, error)) ([]proxyResponse[T], error) {
 	status, err := firstStatus(s, c)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return responses, nil
 }
 
-// listFailed lists the proxies that did not answer, and says so in the text.
+// listFailed returns the proxies that did not answer and adds a line for each to the text.
 func listFailed[T any](text *strings.Builder, responses []proxyResponse[T]) (list []ProxyError) {
 	for _, a := range responses {
 		if a.Error != "" {
@@ -255,7 +255,7 @@
 	return Result{Text: text.String(), Data: EventsOutput{Events: events, Unanswered: failed}}, nil
 }
 
-// steeringEventText lists the fields that an event has, each with its name.
+// steeringEventText formats the non-empty fields of an event as name=value.
 func steeringEventText(e steeringhttp.Event) string {
 	var parts []string
 	for _, f := range []struct{ name, value string }{
@@ -277,7 +277,7 @@
 	return strings.Join(parts, " ")
 }
 
-// formatPressure is a queue's length as text, empty for none.
+// formatPressure formats a queue length; zero yields an empty string.
 func formatPressure(pressure float64) string {
 	if pressure == 0 {
 		return ""
--- a/internal/client/command/steering_test.go
+++ b/internal/client/command/steering_test.go
@@ -16,9 +16,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/adapter/steeringhttp"
 )
 
-// The store has taken a proxy's entry away, and the proxy serves on: it lists no
-// proxy, not even itself. An operator asks it about a request that it refused, and
-// was told that nothing is known, for only listed proxies were asked.
+// Guards against events being missed at a proxy that is not registered in the store: it still
+// serves but lists no proxies, not even itself, so a query of the listed proxies finds nothing.
 func TestExplainQueriesUnregisteredProxy(t *testing.T) {
 	s := steeringhttp.Server{
 		Status: func() steeringhttp.Status { return steeringhttp.Status{VM: "vm-1"} },
@@ -40,8 +39,8 @@
 	}
 }
 
-// A proxy does not answer while an operator asks for a request's cause by a script.
-// Printed without a word on it, an empty list would say that nothing is known.
+// If a proxy does not answer, the JSON output must list it: an empty list of events alone would
+// tell a script that the request is unknown.
 func TestJSONListsUnreachableProxies(t *testing.T) {
 	s := steeringhttp.Server{
 		Status: func() steeringhttp.Status {
@@ -66,8 +65,8 @@
 	}
 }
 
-// Guards against use of a limit that is told for one proxy as if it were all, and against
-// accounts of proxies that did not answer that pass for unused.
+// Guards against the usage at one proxy being reported as the total, and against accounts
+// appearing unused because a proxy did not answer.
 func TestAccountUsageIsSummedOverProxies(t *testing.T) {
 	newServer := func(admitted, refused uint64) steeringhttp.Server {
 		return steeringhttp.Server{Metrics: metrics.NewSet(), Status: func() steeringhttp.Status {
@@ -100,15 +99,14 @@
 		t.Fatal(err)
 	}
 	if code != ExitOK || len(got.Accounts) != 1 || got.Accounts[0].Admitted != 7 || got.Accounts[0].Refused != 1 || got.Accounts[0].PerSecond != 4 {
-		t.Errorf("exit code %d, got %s; want anna alone, 7 admitted and 1 refused", code, out.String())
+		t.Errorf("exit code %d, got %s; want only anna, 7 admitted and 1 rejected", code, out.String())
 	}
 	if len(got.Unanswered) != 1 || got.Unanswered[0].Proxy != "vm-3" {
 		t.Errorf("unanswered are %v, want vm-3", got.Unanswered)
 	}
 }
 
-// Guards against a limit that stands in the view of one proxy and is missed at the one that
-// happens to be asked.
+// Guards against missing a limit that only proxies other than the queried one know.
 func TestSignalsAreMergedOverProxies(t *testing.T) {
 	highLimit, lowLimit := 6.6, 4.0
 	newServer := func(servers ...steeringhttp.BackendServer) steeringhttp.Server {
@@ -143,8 +141,7 @@
 	}
 }
 
-// An engineer counts what callers lost from the logs of a bad minute, and misspells
-// a file's name. The count is printed, and the error names the file.
+// Losses are counted from log files; a missing file is a usage error that contains its name.
 func TestLossesReadsLogFiles(t *testing.T) {
 	log := filepath.Join("..", "losses", "testdata", "proxy.log")
 	var out, errOut strings.Builder
@@ -154,6 +151,6 @@
 	}
 	a.Steering.Losses.Files = []string{"nowhere.log"}
 	if code := Run(context.Background(), a, io.Discard, &errOut); code != ExitUsage || !strings.Contains(errOut.String(), "nowhere.log") {
-		t.Errorf("exit code %d, %q; want the file named", code, errOut.String())
+		t.Errorf("exit code %d, %q; want the file name", code, errOut.String())
 	}
 }
--- a/internal/client/losses/losses.go
+++ b/internal/client/losses/losses.go
@@ -1,5 +1,5 @@
-// Package losses counts the requests that callers lost: late, refused or failed,
-// by why and where. It reads what proxies log or keep of each.
+// Package losses counts requests that were late, rejected, failed or abandoned, by cause, route,
+// region and server state. Its input are proxy logs or the events that proxies retain.
 package losses
 
 import (
@@ -11,24 +11,24 @@
 )
 
 const (
-	// Late requests were answered after their route's target.
+	// Late requests were answered after the response time target of their route.
 	Late Kind = "late"
-	// Rejected requests have not run, and their callers were told to come back.
+	// Rejected requests were not run; their callers were told to retry later.
 	Rejected Kind = "refused"
-	// Failed requests got no answer and may have run, or a server's own failure.
+	// Failed requests got a server error, or no response and may have run.
 	Failed Kind = "failed"
-	// Abandoned requests were given up by their callers.
+	// Abandoned requests were canceled by their callers.
 	Abandoned Kind = "left"
 
-	// Unknown stands for what was counted without being told.
+	// Unknown replaces a value that the log does not contain.
 	Unknown = "not told"
 )
 
 type (
-	// Kind is what a caller lost.
+	// Kind classifies a loss.
 	Kind string
 
-	// EndedRequest is one request as a proxy tells of its end.
+	// EndedRequest is one finished request as a proxy reports it.
 	EndedRequest struct {
 		At      time.Time
 		Request string
@@ -42,7 +42,7 @@
 		Target  time.Duration
 	}
 
-	// Key is what losses are counted by.
+	// Key groups losses: requests with equal keys are counted together.
 	Key struct {
 		Kind   Kind   `json:"kind"`
 		Cause  string `json:"why"`
@@ -51,27 +51,27 @@
 		State  string `json:"server-state"`
 	}
 
-	// Row is one count.
+	// Row is the number of losses with one key.
 	Row struct {
 		Key
 		Count int `json:"count"`
 	}
 
-	// SecondCounts counts the losses that became known in one second.
+	// SecondCounts counts the losses reported within one second, by kind.
 	SecondCounts struct {
 		At     time.Time    `json:"at"`
 		Counts map[Kind]int `json:"counts"`
 	}
 
-	// Table is all that was counted.
+	// Table holds all counts.
 	Table struct {
 		Rows    []Row          `json:"rows"`
 		Seconds []SecondCounts `json:"seconds"`
-		// Lost is the sum of the rows.
+		// Lost is the total over all rows.
 		Lost int `json:"lost"`
 	}
 
-	// Counter counts ended requests.
+	// Counter counts lost requests, each request ID once.
 	Counter struct {
 		rows    map[Key]int
 		seconds map[time.Time]map[Kind]int
@@ -79,13 +79,13 @@
 	}
 )
 
-// NewCounter makes an empty counter.
+// NewCounter returns an empty Counter.
 func NewCounter() *Counter {
 	return &Counter{rows: make(map[Key]int), seconds: make(map[time.Time]map[Kind]int), seen: make(map[string]bool)}
 }
 
-// Add counts a request if its caller lost anything. One that is told twice, by a
-// log and by its proxy, counts once.
+// Add counts a request if it was lost. A request that is reported more than once, for example by
+// a log and by the proxy, is counted once.
 func (c *Counter) Add(e EndedRequest) {
 	kind, why := classify(e)
 	if kind == "" || e.Request != "" && c.seen[e.Request] {
@@ -96,7 +96,8 @@
 	c.addToSecond(e.At, kind, 1)
 }
 
-// AddOmitted counts requests of which a log tells only how many ended in a way.
+// AddOmitted counts requests that a proxy left out of its log: counts holds their number by
+// result only, so route and server state are Unknown.
 func (c *Counter) AddOmitted(at time.Time, region string, counts map[string]int) {
 	for result, n := range counts {
 		kind, why := Kind(""), result
@@ -121,7 +122,8 @@
 	c.seconds[second][kind] += n
 }
 
-// classify says what a caller lost and why; nothing for a good answer.
+// classify returns the kind of loss and its cause, or an empty kind for a request that succeeded
+// within its target.
 func classify(e EndedRequest) (Kind, string) {
 	switch steering.Reason(e.Reason) {
 	case steering.ReasonNone:
@@ -145,7 +147,7 @@
 	return Rejected, e.Reason
 }
 
-// Table lists the counts, the largest first.
+// Table returns all counts, the largest first.
 func (c *Counter) Table() Table {
 	t := Table{Rows: make([]Row, 0, len(c.rows)), Seconds: make([]SecondCounts, 0, len(c.seconds))}
 	for key, n := range c.rows {
@@ -163,7 +165,7 @@
 	return t
 }
 
-// SumBy adds the rows up by a part of their keys, the largest first.
+// SumBy sums the rows by kind and by the part of the key that keyOf selects, the largest first.
 func (t Table) SumBy(keyOf func(Key) string) []Row {
 	sums := make(map[Key]int)
 	for _, r := range t.Rows {
--- a/internal/client/losses/losses_test.go
+++ b/internal/client/losses/losses_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// A log of two proxies holds good, late, refused and failed requests, one of them
-// twice, one of another program, one cut short, and a count of those left out. Each
-// loss is counted once, with its cause, and the rest is not.
+// The log of two proxies contains successful, late, rejected and failed requests, a duplicate, a
+// line of another program, a truncated line and a count of omitted requests. Each loss must be
+// counted once, with its cause, and nothing else.
 func TestReadCountsEachLossOnce(t *testing.T) {
 	file, err := os.Open(filepath.Join("testdata", "proxy.log"))
 	if err != nil {
@@ -21,7 +21,7 @@
 	c := NewCounter()
 	skipped, err := c.Read(file)
 	if err != nil || skipped != 1 {
-		t.Fatalf("%d lines skipped (%v), want the one that is cut short", skipped, err)
+		t.Fatalf("%d lines skipped (%v), want only the truncated one", skipped, err)
 	}
 	table := c.Table()
 	want := []Row{
@@ -49,7 +49,7 @@
 func TestPlotWithoutLossesIsAnError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "losses.svg")
 	if err := NewCounter().Table().Plot(path); err == nil {
-		t.Error("nothing was lost, and a plot of it was drawn")
+		t.Error("Plot without losses returned no error")
 	}
 	c := NewCounter()
 	c.Add(EndedRequest{At: time.Unix(10, 0), Reason: "overload", Outcome: "not-run"})
@@ -58,6 +58,6 @@
 		t.Fatal(err)
 	}
 	if data, err := os.ReadFile(path); err != nil || !strings.Contains(string(data), "<svg") {
-		t.Errorf("the plot is no drawing (%v)", err)
+		t.Errorf("the plot is not an SVG file (%v)", err)
 	}
 }
--- a/internal/client/losses/plot.go
+++ b/internal/client/losses/plot.go
@@ -13,16 +13,16 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// Plot draws the losses of each second, a line a kind. The end of the file's name
-// says in which format.
+// Plot draws the losses per second with one line per kind. The file name extension selects the
+// image format.
 func (t Table) Plot(path string) error {
 	if len(t.Seconds) == 0 {
-		return errors.New("nothing was lost; there is nothing to draw")
+		return errors.New("no requests were lost; nothing to plot")
 	}
 	p := plot.New()
 	p.Title.Text = "requests lost"
 	p.X.Label.Text = "seconds from " + t.Seconds[0].At.Format("15:04:05")
-	p.Y.Label.Text = "requests a second"
+	p.Y.Label.Text = "requests per second"
 	var lines []any
 	for _, kind := range []Kind{Late, Rejected, Failed, Abandoned} {
 		lines = append(lines, string(kind), t.points(kind))
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// points are the counts of a kind, with zeros for seconds in which nothing was lost.
+// points returns the counts of a kind, with zeros for seconds without losses.
 func (t Table) points(kind Kind) plotter.XYs {
 	first, last := t.Seconds[0].At, t.Seconds[len(t.Seconds)-1].At
 	points := make(plotter.XYs, int(last.Sub(first).Seconds())+1)
--- a/internal/client/losses/read.go
+++ b/internal/client/losses/read.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// maxLineBytes bounds a line of a log, in bytes; the longest of ours have 2 KB.
+	// maxLineBytes limits the length of a log line; the longest lines of proxies are about 2 KB.
 	maxLineBytes = 1 << 20
-	// omittedMessage is the line that counts the requests left out.
+	// omittedMessage marks the log line with the counts of requests that were not logged one by one.
 	omittedMessage = "requests left out of the log"
 )
 
 type (
-	// logLine holds the fields that are read of a line of a proxy's log.
+	// logLine holds the fields of a proxy's log line that are evaluated.
 	logLine struct {
 		Time    time.Time      `json:"time"`
 		Message string         `json:"msg"`
@@ -37,9 +37,9 @@
 	}
 )
 
-// Read counts what a log tells. Lines of other programs, and what a collector has
-// put before a line, are passed over; a line of ours that is cut short is counted
-// in skipped.
+// Read counts the losses in a proxy log. It ignores lines without a JSON object, messages other
+// than the two about requests, and any prefix that a log collector puts before the object. Lines
+// that cannot be parsed, such as truncated ones, are counted in skipped.
 func (c *Counter) Read(log io.Reader) (skipped int, err error) {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -60,7 +60,7 @@
 			c.AddOmitted(entry.Time, entry.Region, entry.Counts)
 		}
 	}
-	return skipped, errs.Wrap(scanner.Err(), "log")
+	return skipped, errs.Wrap(scanner.Err(), "read log")
 }
 
 func (l logLine) endedRequest() EndedRequest {
@@ -70,7 +70,7 @@
 	}
 }
 
-// ParseDuration reads a time from a log; one that is not there is zero.
+// ParseDuration parses a duration from a log; a missing or invalid one is zero.
 func ParseDuration(text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
