--- a/Makefile
+++ b/Makefile
@@ -9,13 +9,13 @@
 	mkdir -p $(BIN)
 	$(GO) build -o $(BIN)/ ./cmd/...
 
-# KNOWN-RED.txt lists tests that fail for a fault that is known and not mended yet, a
-# line "test: NAME" each. Just these are passed over; CI prints the list.
+# KNOWN-RED.txt lists tests that fail because of a known fault that is not fixed yet, each in a line
+# "test: NAME". Only these tests are skipped; CI prints the list.
 KNOWN_RED := $(shell sed -n 's/^test: //p' KNOWN-RED.txt 2>/dev/null | paste -s -d '|')
 SKIP := $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$')
 
-# The runs in virtual time are single-threaded and many; the race detector
-# would find nothing there and take ten times as long.
+# The many simulations in virtual time are single-threaded: the race detector would find nothing
+# there and take ten times as long.
 test:
 	$(GO) test -race $(SKIP) $$($(GO) list ./... | grep -v /fake/simnet)
 	$(GO) test $(SKIP) ./internal/fake/simnet
@@ -23,14 +23,14 @@
 demo: build
 	./scripts/demo.sh
 
-# make soak FOR=10m runs random faults with fresh seeds.
+# make soak FOR=10m simulates random faults with new seeds.
 FOR ?= 1m
 soak: build
 	$(BIN)/gypsumquay-bench soak --for $(FOR)
 
-# make soak-processes FOR=10m runs real processes under faults from outside, with
-# the seeds of platform/testdata/soak-seeds.json first and fresh ones after;
-# SEED=n plays one, SOAK_PROXIES=n sets the number of proxies.
+# make soak-processes FOR=10m runs real processes under injected faults, first with the seeds of
+# platform/testdata/soak-seeds.json and then with new ones. SEED=n runs only one seed,
+# SOAK_PROXIES=n sets the number of proxies.
 soak-processes:
 	SOAK_FOR=$(FOR) SOAK_SEED=$(SEED) SOAK_EACH=$(EACH) $(GO) test -count=1 -timeout 2h -v -run TestSoak ./platform
 
--- a/cmd/gypsumquay-bench/ablate.go
+++ b/cmd/gypsumquay-bench/ablate.go
@@ -16,18 +16,18 @@
 
 type (
 	ablateArguments struct {
-		Loads      []string             `arg:"positional" help:"load files; all of the emulator's own if left out"`
-		Seeds      int                  `default:"5" help:"plays of each load"`
-		Parallel   int64                `default:"6" help:"plays at a time"`
-		Mechanisms []steering.Mechanism `arg:"--mechanism,separate" help:"mechanisms to switch off, one at a time; all if left out"`
+		Loads      []string             `arg:"positional" help:"load files; default is all load files of the emulator"`
+		Seeds      int                  `default:"5" help:"runs of each load"`
+		Parallel   int64                `default:"6" help:"concurrent runs"`
+		Mechanisms []steering.Mechanism `arg:"--mechanism,separate" help:"mechanisms to disable, one at a time; default is all"`
 	}
 
-	// shares are the parts answered within the target, by seed.
+	// shares holds the share of requests answered within the target, by seed.
 	shares []float64
 )
 
-// run plays loads with all mechanisms and with each of them off, and prints by how
-// much the share answered within the target changes.
+// run simulates loads with all mechanisms enabled and with each one disabled, and prints the change
+// in the share of requests answered within the target.
 func (a *ablateArguments) run() error {
 	loads, err := loadFiles(a.Loads)
 	if err != nil {
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// measureLoad prints one load: the share with all mechanisms on, and for each what switching
-// it off changes, with the standard error of the difference between equal seeds.
+// measureLoad prints the result of one load: the share with all mechanisms enabled, and for each
+// mechanism the change when it is disabled, with the standard error of the paired differences by seed.
 func (a *ablateArguments) measureLoad(name string, load warmnet.Load, off []steering.Mechanism) {
 	results := make([]shares, len(off)+1)
 	slots := semaphore.NewWeighted(a.Parallel)
@@ -94,7 +94,7 @@
 	return sum / float64(len(s))
 }
 
-// differenceFrom is the mean difference to the same seeds and its standard error.
+// differenceFrom returns the mean of the paired differences by seed and its standard error.
 func (s shares) differenceFrom(base shares) (mean, standardError float64) {
 	differences := make(shares, len(s))
 	for i := range s {
--- a/cmd/gypsumquay-bench/bench.go
+++ b/cmd/gypsumquay-bench/bench.go
@@ -30,19 +30,19 @@
 		Warm      time.Duration `default:"30s"`
 		Parallel  int           `default:"7"`
 		Seed      uint64        `default:"1"`
-		Loads     []int         `help:"percent of all slots; 50 80 95 120 if left out"`
-		Balancers []string      `help:"balancers to compare; all if left out"`
-		Repeats   int           `default:"10" help:"runs for the median and worst of drains and stops"`
-		Only      string        `help:"one deployment only"`
+		Loads     []int         `help:"percent of all slots; default is 50 80 95 120"`
+		Balancers []string      `help:"balancers to compare; default is all"`
+		Repeats   int           `default:"10" help:"runs for the median and the maximum of drains and stops"`
+		Only      string        `help:"run only this deployment"`
 	}
 
-	// results is the file of figures.
+	// results is the content of bench.json.
 	results struct {
 		Latency []latencyRow `json:"latency"`
 		Events  []eventRow   `json:"events"`
 	}
 
-	// latencyRow is one measured run.
+	// latencyRow is the result of one run.
 	latencyRow struct {
 		Deployment string  `json:"deployment"`
 		Load       int     `json:"load-percent"`
@@ -88,7 +88,7 @@
 	return a.writeCharts(rows)
 }
 
-// measureDeployment measures all loads and balancers of one installation.
+// measureDeployment runs all combinations of loads and balancers for one deployment.
 func (a *benchArguments) measureDeployment(name string, c simnet.Config) []latencyRow {
 	var mu sync.Mutex
 	var rows []latencyRow
@@ -119,7 +119,7 @@
 	return addBoundRatios(rows)
 }
 
-// slotLoad is a share of what all slots of each region can do.
+// slotLoad returns the request rate of each region that uses the given percentage of its slots.
 func slotLoad(c simnet.Config, percent int) []float64 {
 	load := make([]float64, len(c.Bundle.Regions))
 	for _, s := range c.Bundle.Services {
@@ -161,7 +161,7 @@
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// addBoundRatios fills in the ratios to the bound of the same load.
+// addBoundRatios sets the ratios of latency and goodput to the bound at the same load.
 func addBoundRatios(rows []latencyRow) []latencyRow {
 	slices.SortFunc(rows, func(a, b latencyRow) int {
 		if a.Load != b.Load {
@@ -191,14 +191,14 @@
 
 func (a *benchArguments) write(r results) error {
 	if err := os.MkdirAll(a.Out, 0o755); err != nil {
-		return errors.Wrap(err, "output directory")
+		return errors.Wrap(err, "create output directory")
 	}
 	data, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
-		return errors.Wrap(err, "encode")
+		return errors.Wrap(err, "encode results")
 	}
 	if err := os.WriteFile(filepath.Join(a.Out, "bench.json"), append(data, '\n'), 0o644); err != nil {
-		return errors.Wrap(err, "write figures")
+		return errors.Wrap(err, "write results")
 	}
 	return nil
 }
--- a/cmd/gypsumquay-bench/chart.go
+++ b/cmd/gypsumquay-bench/chart.go
@@ -13,12 +13,12 @@
 const (
 	chartWidth  = 6 * vg.Inch
 	chartHeight = 4 * vg.Inch
-	// maxChartLoad is left out of the chart: the bound fills its queues there, and
-	// its latency says nothing.
+	// maxChartLoad is the highest load, in percent, that charts include. Above it the bound's queues
+	// are full and its latency is meaningless.
 	maxChartLoad = 100
 )
 
-// writeCharts writes one chart a deployment: p99 against load, a line a balancer.
+// writeCharts writes one chart per deployment: p99 latency by load, one line per balancer.
 func (a *benchArguments) writeCharts(rows []latencyRow) error {
 	charts := make(map[string]*plot.Plot)
 	lines := make(map[string]map[string]plotter.XYs)
@@ -43,7 +43,7 @@
 			series = append(series, balancer, lines[name][balancer])
 		}
 		if err := plotutil.AddLinePoints(p, series...); err != nil {
-			return errors.Wrap(err, "chart")
+			return errors.Wrap(err, "plot chart")
 		}
 		p.Legend.Top = true
 		p.Legend.Left = true
--- a/cmd/gypsumquay-bench/crashes.go
+++ b/cmd/gypsumquay-bench/crashes.go
@@ -16,30 +16,32 @@
 )
 
 const (
-	// minThreshold and maxThreshold are the ends from which on work is refused in the
-	// plays.
+	// minThreshold and maxThreshold are the range of crash counts at which work is quarantined in
+	// the runs.
 	minThreshold = 2
 	maxThreshold = 6
 )
 
 type (
 	crashesArguments struct {
-		Loads []string `arg:"positional" help:"load files; those of the emulator in which servers end if left out"`
-		Seeds int      `default:"3" help:"plays of each load"`
-		Out   string   `help:"directory for charts; none if left out"`
+		Loads []string `arg:"positional" help:"load files; default is the load files of the emulator with server crashes"`
+		Seeds int      `default:"3" help:"runs of each load"`
+		Out   string   `help:"directory for charts; no charts if omitted"`
 	}
 
-	// crashesRow is what a number of ends that condemn work costs.
+	// crashesRow is the cost of one quarantine threshold: the crash count at which work is quarantined.
 	crashesRow struct {
 		threshold int
-		// serversLost is how many servers each deadly work ended, condemned how many sound
-		// works were refused, share the part answered within the target.
+		// serversLost is the mean number of servers that each crashing work item took down,
+		// falselyQuarantined the number of harmless work items that were quarantined, rejected the
+		// number of requests that this rejected, and inTarget the share of requests answered
+		// within the target.
 		serversLost, falselyQuarantined, rejected, inTarget float64
 	}
 )
 
-// run plays loads in which servers end against the number of ends that condemn work: a
-// small one refuses sound work, a large one loses servers.
+// run simulates loads with server crashes at several quarantine thresholds: a low threshold rejects
+// harmless work, a high one loses more servers.
 func (a *crashesArguments) run() error {
 	files := a.Loads
 	if len(files) == 0 {
@@ -93,19 +95,19 @@
 	return r
 }
 
-// writeChart writes a chart of both kinds of error over the number of ends that condemn.
+// writeChart writes a chart of both kinds of error by quarantine threshold.
 func (a *crashesArguments) writeChart(name string, rows []crashesRow) error {
 	p := plot.New()
-	p.Title.Text = name + ": what the number of ends that condemn work costs"
-	p.X.Label.Text = "ends"
-	p.Y.Label.Text = "servers, works"
+	p.Title.Text = name + ": cost of the quarantine threshold"
+	p.X.Label.Text = "crashes until quarantine"
+	p.Y.Label.Text = "number of servers or work items"
 	var serversLost, falselyQuarantined plotter.XYs
 	for _, r := range rows {
 		serversLost = append(serversLost, plotter.XY{X: float64(r.threshold), Y: r.serversLost})
 		falselyQuarantined = append(falselyQuarantined, plotter.XY{X: float64(r.threshold), Y: r.falselyQuarantined})
 	}
-	if err := plotutil.AddLinePoints(p, "servers lost to each deadly work", serversLost, "sound works condemned", falselyQuarantined); err != nil {
-		return errors.Wrap(err, "chart")
+	if err := plotutil.AddLinePoints(p, "servers lost per crashing work item", serversLost, "harmless work items quarantined", falselyQuarantined); err != nil {
+		return errors.Wrap(err, "plot chart")
 	}
 	p.Legend.Top = true
 	return errs.Wrap(p.Save(chartWidth, chartHeight, filepath.Join(a.Out, name+"-ends.png")), "save chart")
--- a/cmd/gypsumquay-bench/events.go
+++ b/cmd/gypsumquay-bench/events.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// regionLossLoad leaves room for a third of the traffic in two regions.
+	// regionLossLoad is the load in percent of the slots; two regions have room for the third of the
+	// traffic that the lost region leaves.
 	regionLossLoad = 55
 	bucketWidth    = 500 * time.Millisecond
-	// minServedShare of a home's requests done means that its traffic is served.
+	// minServedShare is the share of a home region's requests that must succeed for its traffic to
+	// count as served.
 	minServedShare = 0.99
 )
 
 type (
-	// eventRow is one deployment's times until an event has had its effect.
+	// eventRow holds the times from an event until it has taken effect in one deployment.
 	eventRow struct {
 		Deployment  string  `json:"deployment"`
 		LostSeconds float64 `json:"region-lost-until-99-percent-served-s"`
@@ -49,8 +51,8 @@
 	return r
 }
 
-// measureRegionLoss stops all backend servers of the first region, which come back
-// cold at the end of the run or not at all.
+// measureRegionLoss stops all backend servers of the first region until the end of the run, and
+// returns the time until 99% of the region's requests succeed again and the largest use of a region.
 func (a *benchArguments) measureRegionLoss(c simnet.Config) (seconds, used float64) {
 	c.Seed = a.Seed
 	c.Load = slotLoad(c, regionLossLoad)
@@ -63,7 +65,7 @@
 	return recoverySeconds(callers.Done[0], callers.Failed[0], lostAt, s.Now()), s.Checks().Used
 }
 
-// recoverySeconds is the time from which on each bucket has the wanted share done.
+// recoverySeconds returns the time after which every bucket reaches minServedShare.
 func recoverySeconds(done, failed []time.Time, from, to time.Time) float64 {
 	buckets := int(to.Sub(from) / bucketWidth)
 	doneCounts := make([]int, buckets+1)
@@ -86,8 +88,8 @@
 	return (time.Duration(last+1) * bucketWidth).Seconds()
 }
 
-// measureDrainAndStop drains one backend server by bundle and stops one proxy, at
-// half load, and times both.
+// measureDrainAndStop measures at half load how long the drain of a backend server by a bundle and
+// the planned stop of a proxy take.
 func (a *benchArguments) measureDrainAndStop(c simnet.Config, seed uint64) (force, drain, stop float64) {
 	config := c.Small()
 	config.Seed = seed
--- a/cmd/gypsumquay-bench/experiment.go
+++ b/cmd/gypsumquay-bench/experiment.go
@@ -12,13 +12,13 @@
 
 type (
 	experimentArguments struct {
-		Loads   []string `arg:"positional" help:"load files; all of the emulator's own if left out"`
-		Seeds   int      `default:"5" help:"plays of each load"`
-		Placers []string `arg:"--placer,separate" help:"placers to play; all if left out"`
+		Loads   []string `arg:"positional" help:"load files; default is all load files of the emulator"`
+		Seeds   int      `default:"5" help:"runs of each load"`
+		Placers []string `arg:"--placer,separate" help:"placers to compare; default is all"`
 	}
 )
 
-// run plays loads x placers x seeds and prints a table.
+// run simulates each combination of load, placer and seed, and prints a table.
 func (a *experimentArguments) run() error {
 	loads, err := loadFiles(a.Loads)
 	if err != nil {
@@ -41,13 +41,13 @@
 	return nil
 }
 
-// loadFiles are the files named, or all of the emulator's own.
+// loadFiles returns the given files, or all load files of the emulator if none are given.
 func loadFiles(named []string) ([]string, error) {
 	if len(named) > 0 {
 		return named, nil
 	}
 	found, err := filepath.Glob("internal/fake/warmnet/testdata/*.json")
-	return found, errs.Wrap(err, "loads")
+	return found, errs.Wrap(err, "list load files")
 }
 
 func (a *experimentArguments) measurePlacer(name string, load warmnet.Load, placer string) {
--- a/cmd/gypsumquay-bench/limits.go
+++ b/cmd/gypsumquay-bench/limits.go
@@ -18,12 +18,12 @@
 	limitsArguments struct {
 		Proxies  []int     `help:"numbers of proxies [default: 10 77 300]"`
 		Accounts []int     `help:"numbers of accounts [default: 81 1000]"`
-		Skew     []float64 `help:"how unlike accounts are [default: 0.7 1.2]"`
-		Seconds  int       `default:"10" help:"length of each play"`
-		Out      string    `help:"directory for a chart; none if left out"`
+		Skew     []float64 `help:"skew of the request rates of accounts [default: 0.7 1.2]"`
+		Seconds  int       `default:"10" help:"simulated seconds of each run"`
+		Out      string    `help:"directory for a chart; no chart if omitted"`
 	}
 
-	// limitsRow is one play.
+	// limitsRow is the result of one run.
 	limitsRow struct {
 		load    limitnet.Load
 		method  limitnet.Way
@@ -32,18 +32,18 @@
 )
 
 const (
-	// ratePerProxy is how many requests a second callers send for each proxy.
+	// ratePerProxy is the request rate of the callers, in requests per second, for each proxy.
 	ratePerProxy = 26
-	// clientsPerProxy is how many callers there are for each.
+	// clientsPerProxy is the number of callers for each proxy.
 	clientsPerProxy = 13
-	// proxiesPerRegion is about how many proxies a region has in a large fleet.
+	// proxiesPerRegion is the approximate number of proxies per region in a large fleet.
 	proxiesPerRegion = 60
 	minRegions       = 3
-	// limitFactor is the limit of each account over what it sends.
+	// limitFactor is the ratio of an account's limit to its request rate.
 	limitFactor = 1.6
 )
 
-// run plays fleets of several sizes against the ways to keep limits.
+// run simulates fleets of several sizes with each method of enforcing limits.
 func (a *limitsArguments) run() error {
 	a.setDefaults()
 	fmt.Printf("%8s %9s %5s %-6s %12s %12s %8s %8s %10s %7s\n", "PROXIES", "ACCOUNTS", "SKEW", "WAY", "REFUSED 1ST", "FOR GOOD", "EXCESS", "BROKEN", "REPORTS/S", "ASKS/S")
@@ -89,12 +89,12 @@
 	return rows
 }
 
-// writeChart writes a chart of what is refused for good over the number of proxies.
+// writeChart writes a chart of the share of requests that are finally rejected by number of proxies.
 func (a *limitsArguments) writeChart(rows []limitsRow) error {
 	p := plot.New()
-	p.Title.Text = "requests within a limit that are refused for good"
+	p.Title.Text = "requests within the limit that are finally rejected"
 	p.X.Label.Text = "proxies"
-	p.Y.Label.Text = "part of them"
+	p.Y.Label.Text = "share of requests"
 	lines := make(map[string]plotter.XYs)
 	var names []string
 	for _, r := range rows {
@@ -109,7 +109,7 @@
 		series = append(series, name, lines[name])
 	}
 	if err := plotutil.AddLinePoints(p, series...); err != nil {
-		return errors.Wrap(err, "chart")
+		return errors.Wrap(err, "plot chart")
 	}
 	p.Legend.Top = true
 	return errs.Wrap(p.Save(chartWidth, chartHeight, filepath.Join(a.Out, "limits.png")), "save chart")
--- a/cmd/gypsumquay-bench/main.go
+++ b/cmd/gypsumquay-bench/main.go
@@ -1,5 +1,5 @@
-// Command gypsumquay-bench measures the decisions on kernels in virtual time:
-// benchmarks against baselines, what servers that end cost, slopes for the capacity page, and soak runs.
+// Command gypsumquay-bench measures the decisions of kernels in virtual time: benchmarks against
+// baselines, the cost of server crashes, cost by fleet size for capacity planning, and soak tests.
 package main
 
 import (
@@ -12,14 +12,14 @@
 
 type (
 	arguments struct {
-		Bench      *benchArguments      `arg:"subcommand:bench" help:"latency and goodput against baselines and the bound"`
-		Slopes     *slopesArguments     `arg:"subcommand:slopes" help:"costs against size, for the capacity page"`
-		Experiment *experimentArguments `arg:"subcommand:experiment" help:"placers against loads with warm servers, as a table"`
-		Ablate     *ablateArguments     `arg:"subcommand:ablate" help:"each mechanism switched off in turn, against loads, as a table"`
-		Crashes    *crashesArguments    `arg:"subcommand:ends" help:"servers lost and sound work refused against the ends that condemn work"`
-		Limits     *limitsArguments     `arg:"subcommand:limits" help:"limits of client accounts: what is refused within them, over sizes and ways to keep them"`
-		Signals    *signalsArguments    `arg:"subcommand:signals" help:"limits that backend servers name: what they get and what callers get, over sizes"`
-		Soak       *soakArguments       `arg:"subcommand:soak" help:"randomised faults with fresh seeds until the time is over"`
+		Bench      *benchArguments      `arg:"subcommand:bench" help:"latency and goodput compared with baselines and the bound"`
+		Slopes     *slopesArguments     `arg:"subcommand:slopes" help:"costs by size, for capacity planning"`
+		Experiment *experimentArguments `arg:"subcommand:experiment" help:"table of placers by load, with warm servers"`
+		Ablate     *ablateArguments     `arg:"subcommand:ablate" help:"table of loads with each mechanism disabled in turn"`
+		Crashes    *crashesArguments    `arg:"subcommand:ends" help:"servers lost and harmless work rejected, by quarantine threshold"`
+		Limits     *limitsArguments     `arg:"subcommand:limits" help:"client account limits: requests rejected below the limit, by fleet size and enforcement method"`
+		Signals    *signalsArguments    `arg:"subcommand:signals" help:"limits signaled by backend servers: use of the limit and results for callers, by fleet size"`
+		Soak       *soakArguments       `arg:"subcommand:soak" help:"random faults with new seeds until the time is over"`
 	}
 )
 
@@ -49,7 +49,7 @@
 	case a.Slopes != nil:
 		err = a.Slopes.run()
 	default:
-		p.Fail("name a measurement")
+		p.Fail("a subcommand is required")
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/cmd/gypsumquay-bench/signals.go
+++ b/cmd/gypsumquay-bench/signals.go
@@ -9,16 +9,16 @@
 
 type (
 	signalsArguments struct {
-		Load    string    `arg:"positional" default:"internal/fake/warmnet/testdata/limited.json" help:"load file in which servers name limits"`
-		Proxies []int     `help:"numbers of proxies in each region [default: 3 25 100 433]"`
-		Limits  []float64 `help:"limits that servers name, in requests a second [default: 0.5 6.6 50]"`
-		Times   float64   `default:"1" help:"by how much more callers ask than the load says"`
-		Seeds   int       `default:"2" help:"plays of each"`
+		Load    string    `arg:"positional" default:"internal/fake/warmnet/testdata/limited.json" help:"load file in which servers signal limits"`
+		Proxies []int     `help:"numbers of proxies per region [default: 3 25 100 433]"`
+		Limits  []float64 `help:"limits that servers signal, in requests per second [default: 0.5 6.6 50]"`
+		Times   float64   `default:"1" help:"factor on the request rates of the load"`
+		Seeds   int       `default:"2" help:"runs of each combination"`
 	}
 )
 
-// run plays fleets of several sizes against servers that name limits: how much of a limit
-// they use, whether they pass it together, and what callers get.
+// run simulates fleets of several sizes with servers that signal limits, and prints the use of the
+// limit, whether the fleet exceeds it, and the results for callers.
 func (a *signalsArguments) run() error {
 	load, err := warmnet.ReadLoad(a.Load)
 	if err != nil {
--- a/cmd/gypsumquay-bench/slopes.go
+++ b/cmd/gypsumquay-bench/slopes.go
@@ -29,10 +29,11 @@
 
 type (
 	slopesArguments struct {
-		Proxies []int `help:"fleet sizes; 10 50 100 200 if left out"`
+		Proxies []int `help:"fleet sizes; default is 10 50 100 200"`
 	}
 
-	// fleetRow is one fleet size's measured costs, each per node.
+	// fleetRow holds the costs measured at one fleet size. Traffic, processor time and memory are per
+	// node.
 	fleetRow struct {
 		nodes, regions   int
 		idleBytes        float64
@@ -62,7 +63,8 @@
 	return nil
 }
 
-// measurePrefixTable measures the table of client prefixes at several sizes.
+// measurePrefixTable measures the memory and the lookup time of the client prefix table at several
+// sizes.
 func measurePrefixTable() {
 	fmt.Printf("%-10s %10s %10s %10s %12s %10s %8s\n", "PREFIXES", "RANGES", "MEMORY", "B/PREFIX", "BUILD", "LOOK-UP", "ALLOCS")
 	var xs, ys []float64
@@ -92,8 +94,8 @@
 	fmt.Printf("fit: %.0f bytes + %.2f bytes a prefix, error %.1f%%\n\n", intercept, slope, 100*deviation)
 }
 
-// randomPrefixes makes client prefixes as a routing table has them: mostly of
-// 20 to 24 bits, some nested in others.
+// randomPrefixes generates client prefixes similar to those of a routing table: mostly 20 to 24 bits
+// long, some nested in others.
 func randomPrefixes(n int) []caller.PrefixSite {
 	r := rand.New(rand.NewPCG(1, uint64(n)))
 	list := make([]caller.PrefixSite, n)
@@ -108,7 +110,7 @@
 	return list
 }
 
-// measureFleets measures control traffic and processor time at several sizes.
+// measureFleets measures control traffic, processor time and memory at several fleet sizes.
 func measureFleets(sizes []int) error {
 	fmt.Printf("%-6s %7s %9s %8s %10s %9s %9s %9s %9s %9s %11s %9s %9s\n", "NODES", "REGIONS", "REST B/S", "MSG/S",
 		"B/CHANGE", "US/CHANGE", "CPU", "KB/NODE", "CALLS/S", "IN FORCE", "RELAY DEAD", "BUNDLE", "ASSIGN")
@@ -138,8 +140,8 @@
 	return nil
 }
 
-// printFit prints the fit of a cost over a function of the fleet's size, the
-// exponent of its growth, and what the fit gives at the target and at twice it.
+// printFit prints the linear fit of a cost over a function of the fleet size, the exponent of its
+// growth, and the cost that the fit predicts at the target size and at twice the target size.
 func printFit(rows []fleetRow, name, unit string, transform func(float64) float64, value func(fleetRow) float64) {
 	var xs, ys, lx, ly []float64
 	for _, r := range rows {
@@ -154,7 +156,8 @@
 		100*deviation, exponent, targetNodes, intercept+slope*transform(targetNodes), 2*targetNodes, intercept+slope*transform(2*targetNodes))
 }
 
-// regionsFor grows regions like the target's: 22 for 1,300 nodes, 3 for 10.
+// regionsFor returns the number of regions for a fleet size, on a power law between 3 regions for 10
+// nodes and the target of 22 regions for 1,300 nodes.
 func regionsFor(nodes int) int {
 	exponent := math.Log(float64(targetRegions)/3) / math.Log(targetNodes/10.0)
 	return max(3, int(math.Round(3*math.Pow(float64(nodes)/10, exponent))))
@@ -198,8 +201,8 @@
 	row.idleCPU = (sim.KernelTime - cpuBefore).Seconds() / nodes / seconds
 	row.idleBytes = float64(bytes) / nodes / seconds
 	row.idleMessages = float64(messages) / nodes / seconds
-	// A waiting watch counts as a call each time that it is renewed; the run
-	// counts those that fire, so the renewals at rest are added by hand.
+	// Each renewal of a pending watch is a platform call. The simulation counts only watches that
+	// fire, so the renewals of an idle fleet are added here.
 	row.platformCalls = float64(sim.PlatformCalls()-callsBefore)/seconds + float64(sim.Relays()*watchesPerRelay)/watchRenewalSeconds
 
 	bytes = 0
@@ -234,7 +237,7 @@
 	return result
 }
 
-// measurePlanner measures one round of planning against the number of regions.
+// measurePlanner measures the time of one planning round by number of regions.
 func measurePlanner() {
 	planner, _ := region.FindPlanner(region.DefaultPlanner)
 	fmt.Printf("%-8s %12s\n", "REGIONS", "PLAN")
@@ -271,8 +274,7 @@
 	fmt.Printf("fit: %.0f ns + %.1f ns a pair of regions, error %.1f%%; twice a second\n", intercept, slope, 100*deviation)
 }
 
-// fitLine is the least-squares line, with the root mean square error as a share
-// of the mean.
+// fitLine returns the least-squares line and its root mean square error as a share of the mean.
 func fitLine(xs, ys []float64) (slope, intercept, deviation float64) {
 	n := float64(len(xs))
 	var sx, sy, sxx, sxy float64
--- a/cmd/gypsumquay-bench/soak.go
+++ b/cmd/gypsumquay-bench/soak.go
@@ -17,8 +17,8 @@
 
 type (
 	soakArguments struct {
-		For      time.Duration `default:"1m" help:"how long to run"`
-		Seed     uint64        `help:"first seed; the clock if left out"`
+		For      time.Duration `default:"1m" help:"duration of the soak test"`
+		Seed     uint64        `help:"first seed; default is the current time"`
 		Parallel int           `default:"4"`
 		Examples string        `default:"examples"`
 	}
@@ -48,7 +48,7 @@
 	group.Wait()
 	fmt.Printf("%d passed, %d failed\n", s.runs-s.failed, s.failed)
 	if s.failed > 0 {
-		return errors.New("invariants were broken")
+		return errors.New("invariants were violated")
 	}
 	return nil
 }
@@ -61,7 +61,8 @@
 	return s.next
 }
 
-// runSeed plays one seed and prints what failed with how to play it again.
+// runSeed runs the random scenario of the next seed. If invariants are violated, it prints them with
+// the seed and the scenario to reproduce the failure.
 func (s *soak) runSeed(examples string) {
 	seed := s.nextSeed()
 	deployments := simnet.Deployments()
@@ -96,7 +97,7 @@
 func loadConfig(examples string, d simnet.Deployment) (simnet.Config, error) {
 	data, err := os.ReadFile(filepath.Join(examples, d.Name+".json"))
 	if err != nil {
-		return simnet.Config{}, errors.Wrap(err, "bundle")
+		return simnet.Config{}, errors.Wrap(err, "read bundle")
 	}
 	b, err := operator.ParseBundle(data)
 	if err != nil {
--- a/cmd/gypsumquay-fake/main.go
+++ b/cmd/gypsumquay-fake/main.go
@@ -1,5 +1,5 @@
-// Command gypsumquay-fake runs the stand-ins for the systems around the
-// proxies: the platform, backend servers and callers.
+// Command gypsumquay-fake runs fakes of the systems around the proxies: the platform, backend
+// servers and callers.
 package main
 
 import (
@@ -27,20 +27,20 @@
 type (
 	platformArguments struct {
 		Listen netip.AddrPort `arg:"required" help:"address to listen on"`
-		Lag    time.Duration  `default:"2s" help:"how far the list of VMs lags"`
+		Lag    time.Duration  `default:"2s" help:"delay of updates to the list of VMs"`
 	}
 
 	backendArguments struct {
-		Bundle      string         `arg:"required" help:"bundle whose backend servers to run"`
-		Region      string         `help:"only the servers of this region"`
-		Control     netip.AddrPort `arg:"required" help:"address for stats and behaviour"`
+		Bundle      string         `arg:"required" help:"bundle that defines the backend servers to run"`
+		Region      string         `help:"only the backend servers of this region"`
+		Control     netip.AddrPort `arg:"required" help:"address for statistics and control of behaviour"`
 		ServiceTime time.Duration  `arg:"--service-time" default:"20ms"`
 		Queue       int            `default:"8"`
 		ReportLag   time.Duration  `arg:"--report-lag" default:"100ms"`
 	}
 
 	callerArguments struct {
-		Seeds     []netip.AddrPort `arg:"required" help:"callers' addresses of some proxies"`
+		Seeds     []netip.AddrPort `arg:"required" help:"caller addresses of one or more proxies"`
 		Callers   int              `default:"64"`
 		Rate      float64          `default:"300" help:"requests per second"`
 		Span      time.Duration    `default:"10s"`
@@ -72,7 +72,7 @@
 	case a.Caller != nil:
 		err = a.Caller.run(ctx)
 	default:
-		p.Fail("name a stand-in: platform, backend or caller")
+		p.Fail("a fake is required: platform, backend or caller")
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -96,7 +96,7 @@
 func (a *backendArguments) run(ctx context.Context) error {
 	data, err := os.ReadFile(a.Bundle)
 	if err != nil {
-		return errors.Wrap(err, "bundle")
+		return errors.Wrap(err, "read bundle")
 	}
 	b, err := operator.ParseBundle(data)
 	if err != nil {
@@ -127,7 +127,7 @@
 	report := fleet.Run(ctx)
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
-	return errs.Wrap(encoder.Encode(report), "report")
+	return errs.Wrap(encoder.Encode(report), "encode report")
 }
 
 func splitCommas(list []string) []string {
--- a/cmd/gypsumquayctl/main.go
+++ b/cmd/gypsumquayctl/main.go
@@ -1,4 +1,4 @@
-// Command gypsumquayctl is the operators' client.
+// Command gypsumquayctl is the command-line client for operators.
 package main
 
 import (
--- a/cmd/gypsumquayd/main.go
+++ b/cmd/gypsumquayd/main.go
@@ -1,5 +1,5 @@
-// Command gypsumquayd is the proxy daemon: it answers callers, steers their
-// requests to backend servers, and keeps company with its peers.
+// Command gypsumquayd is the proxy daemon: it accepts requests from callers, steers them to backend
+// servers, and exchanges state with its peers.
 package main
 
 import (
@@ -25,7 +25,7 @@
 const (
 	exitFailure  = 1
 	exitSettings = 2
-	// logBufferLines bounds the lines that wait for a slow reader of the log.
+	// logBufferLines limits the log lines that are buffered for a slow reader.
 	logBufferLines = 4096
 )
 
@@ -33,10 +33,10 @@
 	arguments struct {
 		Settings      string               `arg:"positional" help:"settings file (JSON)"`
 		CheckSettings bool                 `arg:"--check-settings" help:"check the settings and exit"`
-		OnPlatform    bool                 `arg:"--on-platform" help:"run on the platform, by the settings file that it names"`
-		Record        string               `arg:"--record" help:"directory for a recording of the kernel's calls, for gypsumquayctl steering replay (with --on-platform)"`
-		Off           []steering.Mechanism `arg:"--off,separate" help:"mechanism to do without, repeat for more; a wrong name lists them (with --on-platform)"`
-		Verbosity     int                  `arg:"-v,--verbosity" default:"0" help:"log detail, 0 to 2"`
+		OnPlatform    bool                 `arg:"--on-platform" help:"run on the platform, with the settings file that the platform names"`
+		Record        string               `arg:"--record" help:"directory for a recording of the kernel calls, for gypsumquayctl steering replay (with --on-platform)"`
+		Off           []steering.Mechanism `arg:"--off,separate" help:"mechanism to disable, repeat for more; an unknown name lists all (with --on-platform)"`
+		Verbosity     int                  `arg:"-v,--verbosity" default:"0" help:"log verbosity, 0 to 2"`
 	}
 )
 
@@ -48,7 +48,7 @@
 	var a arguments
 	parser := arg.MustParse(&a)
 	if !a.OnPlatform && a.Settings == "" {
-		parser.Fail("a settings file or --on-platform is needed")
+		parser.Fail("a settings file or --on-platform is required")
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
@@ -59,7 +59,7 @@
 	os.Exit(start(ctx, a))
 }
 
-// runStandalone runs a proxy with the product's own interface.
+// runStandalone runs a proxy with its own caller interface and the servers of a bundle.
 func runStandalone(ctx context.Context, a arguments) int {
 	s, err := settings.Load(a.Settings)
 	if err != nil {
@@ -79,8 +79,7 @@
 	return run(ctx, d.Run)
 }
 
-// runOnPlatform runs a proxy that takes its settings and its servers from the
-// platform.
+// runOnPlatform runs a proxy that gets its settings file and its servers from the platform.
 func runOnPlatform(ctx context.Context, a arguments) int {
 	reload := reloadSignals()
 	if a.Settings == "" {
@@ -119,11 +118,12 @@
 
 func closeRecording(f *recording.File) {
 	if err := f.Close(); err != nil {
-		klog.ErrorS(err, "end of the recording lost")
+		klog.ErrorS(err, "failed to close the recording; its end may be missing")
 	}
 }
 
-// reloadSignals tells of each hang-up signal; unhandled it would end the process.
+// reloadSignals returns a channel that receives SIGHUP as a request to reload. Unhandled, SIGHUP
+// would terminate the process.
 func reloadSignals() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The main job on loopback: platform, backend servers, ten proxies and callers
-# as separate processes; a bundle signed by two people, a drained backend
-# server, a proxy that stops as planned. Exits 0 only if the promises held.
+# Demonstrates the main use case on the loopback interface: a platform, backend servers, ten proxies
+# and callers run as separate processes. A bundle signed by two operators is rolled out, a backend
+# server is drained, and a proxy is stopped as planned. Exits with 0 only if all guarantees held.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -31,12 +31,12 @@
   PIDS+=($!)
 }
 
-say "keys of two operators"
+say "creating keys for two operators"
 $CTL keys new anna --out "$RUN/anna.key" >/dev/null
 $CTL keys new bruno --out "$RUN/bruno.key" >/dev/null
 KEYS=$($CTL --json keys list "$RUN/anna.key" "$RUN/bruno.key")
 
-say "platform, backend servers of three regions, ten proxies"
+say "starting platform, backend servers of three regions, ten proxies"
 start platform $BIN/gypsumquay-fake platform --listen $PLATFORM
 port=20010
 for region in palermo catania agrigento; do
@@ -59,22 +59,22 @@
 done
 sleep 1.5
 
-say "bundle: proposed by anna, approved by bruno, rolled out"
+say "rolling out a bundle: proposed by anna, approved by bruno"
 DIGEST=$($CTL --json bundle propose $EXAMPLE --key "$RUN/anna.key" | sed -n 's/.*"digest": "\(.*\)",/\1/p')
 $CTL bundle approve "$DIGEST" --key "$RUN/bruno.key" >/dev/null
 FORCE1=$($CTL bundle rollout "$DIGEST")
 say "$FORCE1"
-say "quota slots settle"
+say "waiting for the quota slots to settle"
 sleep 9
 $CTL status
 
-say "callers: 600 requests a second, one in ten a bid, for $SPAN"
+say "starting callers: 600 requests per second, one in ten a bid, for $SPAN"
 $BIN/gypsumquay-fake caller --seeds 127.0.0.1:20101 127.0.0.1:20105 127.0.0.1:20108 --rate 600 --span "$SPAN" \
   --browse notice-board specifications shortlists --book bid-ledger --book-permille 100 >"$RUN/report.json" 2>"$RUN/callers.log" &
 CALLER=$!
 sleep 4
 
-say "drain of backend server bid-ledger-2, planned by anna, approved by bruno"
+say "draining backend server bid-ledger-2: planned by anna, approved by bruno"
 DIGEST=$($CTL --json drain plan ledger-maintenance --kind backend-server --target bid-ledger-2 --key "$RUN/anna.key" | sed -n 's/.*"digest": "\(.*\)",/\1/p')
 $CTL bundle approve "$DIGEST" --key "$RUN/bruno.key" >/dev/null
 FORCE2=$($CTL bundle rollout "$DIGEST")
@@ -82,14 +82,14 @@
 say "$FORCE2"
 sleep 3
 
-say "planned stop of proxy-2, a minter of tokens in use"
+say "stopping proxy-2 as planned; it has issued tokens that are in use"
 STOP_AT=$(date +%s.%N)
 kill -TERM "${PROXY_PIDS[1]}"
 wait "${PROXY_PIDS[1]}" || { say "proxy-2 did not stop cleanly"; exit 1; }
 STOPPED=$(awk -v a="$STOP_AT" -v b="$(date +%s.%N)" 'BEGIN {printf "%.1f", b - a}')
-say "proxy-2 had stopped after $STOPPED s"
+say "proxy-2 stopped after $STOPPED s"
 wait $CALLER
-say "callers are done"
+say "callers have finished"
 sleep 0.5
 
 for p in 20010 20011 20012; do curl -s "http://127.0.0.1:$p/stats"; done >"$RUN/stats.json"
