--- a/cmd/gypsumquay-bench/ablate.go
+++ b/cmd/gypsumquay-bench/ablate.go
@@ -36,12 +36,12 @@
 	if a.Seeds < 1 {
 		return errors.New("--seeds: must be at least 1")
 	}
-	off := a.Mechanisms
-	if len(off) == 0 {
-		off = steering.Mechanisms()
+	mechanisms := a.Mechanisms
+	if len(mechanisms) == 0 {
+		mechanisms = steering.Mechanisms()
 	}
 	fmt.Printf("%-16s %7s", "LOAD", "ALL ON")
-	for _, m := range off {
+	for _, m := range mechanisms {
 		fmt.Printf(" %*s", columnWidth(m), m)
 	}
 	fmt.Println()
@@ -50,22 +50,22 @@
 		if err != nil {
 			return err
 		}
-		a.measureLoad(strings.TrimSuffix(filepath.Base(path), ".json"), load, off)
+		a.measureLoad(strings.TrimSuffix(filepath.Base(path), ".json"), load, mechanisms)
 	}
 	return nil
 }
 
 // measureLoad prints the result of one load: the share with all mechanisms enabled, and for each
 // mechanism the change when it is disabled, with the standard error of the paired differences by seed.
-func (a *ablateArguments) measureLoad(name string, load warmnet.Load, off []steering.Mechanism) {
-	results := make([]shares, len(off)+1)
+func (a *ablateArguments) measureLoad(name string, load warmnet.Load, mechanisms []steering.Mechanism) {
+	results := make([]shares, len(mechanisms)+1)
 	slots := semaphore.NewWeighted(a.Parallel)
 	var group sync.WaitGroup
 	for i := range results {
 		results[i] = make(shares, a.Seeds)
 		variant := load
 		if i > 0 {
-			variant.Off = []steering.Mechanism{off[i-1]}
+			variant.Off = []steering.Mechanism{mechanisms[i-1]}
 		}
 		for seed := range a.Seeds {
 			group.Go(func() {
@@ -77,7 +77,7 @@
 	}
 	group.Wait()
 	fmt.Printf("%-16s %7.3f", name, results[0].mean())
-	for i, m := range off {
+	for i, m := range mechanisms {
 		change, standardError := results[i+1].differenceFrom(results[0])
 		fmt.Printf(" %*s", columnWidth(m), fmt.Sprintf("%+.3f±%.3f", change, standardError))
 	}
--- a/internal/client/command/bundle.go
+++ b/internal/client/command/bundle.go
@@ -111,10 +111,10 @@
 		}
 		return nil, usageError(err.Error())
 	}
-	return b, checkPlugins(b)
+	return b, checkPluginNames(b)
 }
 
-func checkPlugins(b *operator.Bundle) error {
+func checkPluginNames(b *operator.Bundle) error {
 	if !slices.Contains(backend.Balancers(), b.Balancer) {
 		return &operator.FieldError{Field: "balancer", Want: "one of " + strings.Join(backend.Balancers(), ", "), Got: b.Balancer}
 	}
--- a/internal/client/losses/losses.go
+++ b/internal/client/losses/losses.go
@@ -1,5 +1,5 @@
 // Package losses counts requests that were late, rejected, failed or abandoned, by cause, route,
-// region and server state. Its input are proxy logs or the events that proxies retain.
+// region and server state. It reads proxy logs and the events that proxies retain.
 package losses
 
 import (
