--- a/cmd/gypsumquay-bench/ablate.go
+++ b/cmd/gypsumquay-bench/ablate.go
@@ -16,18 +16,18 @@
 
 type (
 	ablateArguments struct {
-		Loads      []string             `arg:"positional" help:"load files; all of the emulator's own if left out"`
-		Seeds      int                  `default:"5" help:"plays of each load"`
-		Parallel   int64                `default:"6" help:"plays at a time"`
-		Mechanisms []steering.Mechanism `arg:"--mechanism,separate" help:"mechanisms to switch off, one at a time; all if left out"`
+		Loads      []string             `arg:"positional" help:"load files; default is all load files of the emulator"`
+		Seeds      int                  `default:"5" help:"runs of each load"`
+		Parallel   int64                `default:"6" help:"concurrent runs"`
+		Mechanisms []steering.Mechanism `arg:"--mechanism,separate" help:"mechanisms to disable, one at a time; default is all"`
 	}
 
-	// shares are the parts answered within the target, by seed.
+	// shares holds the share of requests answered within the target, by seed.
 	shares []float64
 )
 
-// run plays loads with all mechanisms and with each of them off, and prints by how
-// much the share answered within the target changes.
+// run simulates loads with all mechanisms enabled and with each one disabled, and prints the change
+// in the share of requests answered within the target.
 func (a *ablateArguments) run() error {
 	loads, err := loadFiles(a.Loads)
 	if err != nil {
@@ -36,12 +36,12 @@
 	if a.Seeds < 1 {
 		return errors.New("--seeds: must be at least 1")
 	}
-	off := a.Mechanisms
-	if len(off) == 0 {
-		off = steering.Mechanisms()
+	mechanisms := a.Mechanisms
+	if len(mechanisms) == 0 {
+		mechanisms = steering.Mechanisms()
 	}
 	fmt.Printf("%-16s %7s", "LOAD", "ALL ON")
-	for _, m := range off {
+	for _, m := range mechanisms {
 		fmt.Printf(" %*s", columnWidth(m), m)
 	}
 	fmt.Println()
@@ -50,36 +50,36 @@
 		if err != nil {
 			return err
 		}
-		a.row(strings.TrimSuffix(filepath.Base(path), ".json"), load, off)
+		a.measureLoad(strings.TrimSuffix(filepath.Base(path), ".json"), load, mechanisms)
 	}
 	return nil
 }
 
-// row prints one load: the share with all mechanisms on, and for each what switching
-// it off changes, with the standard error of the difference between equal seeds.
-func (a *ablateArguments) row(name string, load warmnet.Scenario, off []steering.Mechanism) {
-	results := make([]shares, len(off)+1)
-	limit := semaphore.NewWeighted(a.Parallel)
+// measureLoad prints the result of one load: the share with all mechanisms enabled, and for each
+// mechanism the change when it is disabled, with the standard error of the paired differences by seed.
+func (a *ablateArguments) measureLoad(name string, load warmnet.Scenario, mechanisms []steering.Mechanism) {
+	results := make([]shares, len(mechanisms)+1)
+	slots := semaphore.NewWeighted(a.Parallel)
 	var group sync.WaitGroup
 	for i := range results {
 		results[i] = make(shares, a.Seeds)
-		played := load
+		variant := load
 		if i > 0 {
-			played.MechanismsOff = []steering.Mechanism{off[i-1]}
+			variant.MechanismsOff = []steering.Mechanism{mechanisms[i-1]}
 		}
 		for seed := range a.Seeds {
 			group.Go(func() {
-				_ = limit.Acquire(background, 1)
-				defer limit.Release(1)
-				results[i][seed] = warmnet.Simulate(played, steering.DefaultPlacer, uint64(seed)+1).ShareWithinTarget()
+				_ = slots.Acquire(background, 1)
+				defer slots.Release(1)
+				results[i][seed] = warmnet.Simulate(variant, steering.DefaultPlacer, uint64(seed)+1).ShareWithinTarget()
 			})
 		}
 	}
 	group.Wait()
 	fmt.Printf("%-16s %7.3f", name, results[0].mean())
-	for i, m := range off {
-		change, spread := results[i+1].against(results[0])
-		fmt.Printf(" %*s", columnWidth(m), fmt.Sprintf("%+.3f±%.3f", change, spread))
+	for i, m := range mechanisms {
+		change, standardError := results[i+1].differenceFrom(results[0])
+		fmt.Printf(" %*s", columnWidth(m), fmt.Sprintf("%+.3f±%.3f", change, standardError))
 	}
 	fmt.Println()
 }
@@ -94,8 +94,8 @@
 	return sum / float64(len(s))
 }
 
-// against is the mean difference to the same seeds and its standard error.
-func (s shares) against(base shares) (mean, standardError float64) {
+// differenceFrom returns the mean of the paired differences by seed and its standard error.
+func (s shares) differenceFrom(base shares) (mean, standardError float64) {
 	differences := make(shares, len(s))
 	for i := range s {
 		differences[i] = s[i] - base[i]
--- a/cmd/gypsumquay-bench/bench.go
+++ b/cmd/gypsumquay-bench/bench.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	boundName = "all-seeing"
+	boundBalancer = "all-seeing"
 )
 
 type (
@@ -30,20 +30,20 @@
 		Warm      time.Duration `default:"30s"`
 		Parallel  int           `default:"7"`
 		Seed      uint64        `default:"1"`
-		Loads     []int         `help:"percent of all slots; 50 80 95 120 if left out"`
-		Balancers []string      `help:"balancers to compare; all if left out"`
-		Repeats   int           `default:"10" help:"runs for the median and worst of drains and stops"`
-		Only      string        `help:"one deployment only"`
+		Loads     []int         `help:"percent of all slots; default is 50 80 95 120"`
+		Balancers []string      `help:"balancers to compare; default is all"`
+		Repeats   int           `default:"10" help:"runs for the median and the maximum of drains and stops"`
+		Only      string        `help:"run only this deployment"`
 	}
 
-	// results is the file of figures.
+	// results is the content of bench.json.
 	results struct {
-		Latency []row      `json:"latency"`
-		Events  []eventRow `json:"events"`
+		Latency []latencyRow `json:"latency"`
+		Events  []eventRow   `json:"events"`
 	}
 
-	// row is one measured run.
-	row struct {
+	// latencyRow is the result of one run.
+	latencyRow struct {
 		Deployment string  `json:"deployment"`
 		Load       int     `json:"load-percent"`
 		Balancer   string  `json:"balancer"`
@@ -67,7 +67,7 @@
 	if len(a.Balancers) == 0 {
 		a.Balancers = backend.Balancers()
 	}
-	var rows []row
+	var rows []latencyRow
 	var events []eventRow
 	for _, d := range simnet.Deployments() {
 		if a.Only != "" && d.Name != a.Only {
@@ -77,27 +77,27 @@
 		if err != nil {
 			return err
 		}
-		rows = append(rows, a.deployment(d.Name, c)...)
-		events = append(events, a.events(d.Name, c))
+		rows = append(rows, a.measureDeployment(d.Name, c)...)
+		events = append(events, a.measureEvents(d.Name, c))
 	}
 	printRows(rows)
 	printEvents(events)
 	if err := a.write(results{Latency: rows, Events: events}); err != nil {
 		return err
 	}
-	return a.draw(rows)
+	return a.writeCharts(rows)
 }
 
-// deployment measures all loads and balancers of one installation.
-func (a *benchArguments) deployment(name string, c simnet.Config) []row {
+// measureDeployment runs all combinations of loads and balancers for one deployment.
+func (a *benchArguments) measureDeployment(name string, c simnet.Config) []latencyRow {
 	var mu sync.Mutex
-	var rows []row
-	limit := semaphore.NewWeighted(int64(a.Parallel))
+	var rows []latencyRow
+	slots := semaphore.NewWeighted(int64(a.Parallel))
 	var group sync.WaitGroup
-	measure := func(f func() row) {
+	measure := func(f func() latencyRow) {
 		group.Go(func() {
-			_ = limit.Acquire(background, 1)
-			defer limit.Release(1)
+			_ = slots.Acquire(background, 1)
+			defer slots.Release(1)
 			r := f()
 			r.Deployment = name
 			mu.Lock()
@@ -106,20 +106,20 @@
 		})
 	}
 	for _, load := range a.Loads {
-		run := c
-		run.Seed = a.Seed
-		run.Warm = a.Warm
-		run.Load = slotLoad(c, load)
-		measure(func() row { return a.bound(run, load) })
+		config := c
+		config.Seed = a.Seed
+		config.Warm = a.Warm
+		config.Load = slotLoad(c, load)
+		measure(func() latencyRow { return a.measureBound(config, load) })
 		for _, balancer := range a.Balancers {
-			measure(func() row { return a.balancer(run, load, balancer) })
+			measure(func() latencyRow { return a.measureBalancer(config, load, balancer) })
 		}
 	}
 	group.Wait()
-	return compare(rows)
+	return addBoundRatios(rows)
 }
 
-// slotLoad is a share of what all slots of each region can do.
+// slotLoad returns the request rate of each region that uses the given percentage of its slots.
 func slotLoad(c simnet.Config, percent int) []float64 {
 	load := make([]float64, len(c.Bundle.Regions))
 	for _, s := range c.Bundle.Services {
@@ -134,15 +134,15 @@
 	return load
 }
 
-func (a *benchArguments) bound(c simnet.Config, load int) row {
+func (a *benchArguments) measureBound(c simnet.Config, load int) latencyRow {
 	b := simnet.RunBound(c, a.Span)
-	return row{
-		Load: load, Balancer: boundName, Done: len(b.Took), Refused: b.Refused,
+	return latencyRow{
+		Load: load, Balancer: boundBalancer, Done: len(b.Took), Refused: b.Refused,
 		P50: millis(b.Quantile(0.5)), P99: millis(b.Quantile(0.99)), P999: millis(b.Quantile(0.999)),
 	}
 }
 
-func (a *benchArguments) balancer(c simnet.Config, load int, name string) row {
+func (a *benchArguments) measureBalancer(c simnet.Config, load int, name string) latencyRow {
 	b := *c.Bundle
 	b.Balancer = name
 	c.Bundle = &b
@@ -151,7 +151,7 @@
 	sheds := s.Checks().Sheds()
 	s.Run(a.Span)
 	callers := s.Callers()
-	return row{
+	return latencyRow{
 		Load: load, Balancer: name, Done: len(callers.Took),
 		Refused: callers.Outcomes[caller.OutcomeNotRun], Unknown: callers.Outcomes[caller.OutcomeUnknown],
 		Sheds: s.Checks().Sheds() - sheds, Used: s.Checks().Used,
@@ -161,9 +161,9 @@
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// compare fills in the ratios to the bound of the same load.
-func compare(rows []row) []row {
-	slices.SortFunc(rows, func(a, b row) int {
+// addBoundRatios sets the ratios of latency and goodput to the bound at the same load.
+func addBoundRatios(rows []latencyRow) []latencyRow {
+	slices.SortFunc(rows, func(a, b latencyRow) int {
 		if a.Load != b.Load {
 			return a.Load - b.Load
 		}
@@ -171,7 +171,7 @@
 	})
 	for i := range rows {
 		for _, b := range rows {
-			if b.Balancer == boundName && b.Load == rows[i].Load {
+			if b.Balancer == boundBalancer && b.Load == rows[i].Load {
 				rows[i].Ratio = rows[i].P99 / b.P99
 				rows[i].Goodput = float64(rows[i].Done) / float64(b.Done)
 			}
@@ -180,7 +180,7 @@
 	return rows
 }
 
-func printRows(rows []row) {
+func printRows(rows []latencyRow) {
 	fmt.Printf("%-10s %5s %-16s %8s %8s %8s %7s %8s %7s %7s %6s %6s\n",
 		"DEPLOYMENT", "LOAD", "BALANCER", "P50", "P99", "P99.9", "/BOUND", "GOODPUT", "DONE", "REFUSED", "SHEDS", "USED")
 	for _, r := range rows {
@@ -191,14 +191,14 @@
 
 func (a *benchArguments) write(r results) error {
 	if err := os.MkdirAll(a.Out, 0o755); err != nil {
-		return errors.Wrap(err, "output directory")
+		return errors.Wrap(err, "create output directory")
 	}
 	data, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
-		return errors.Wrap(err, "encode")
+		return errors.Wrap(err, "encode results")
 	}
 	if err := os.WriteFile(filepath.Join(a.Out, "bench.json"), append(data, '\n'), 0o644); err != nil {
-		return errors.Wrap(err, "write figures")
+		return errors.Wrap(err, "write results")
 	}
 	return nil
 }
--- a/cmd/gypsumquay-bench/chart.go
+++ b/cmd/gypsumquay-bench/chart.go
@@ -13,17 +13,17 @@
 const (
 	chartWidth  = 6 * vg.Inch
 	chartHeight = 4 * vg.Inch
-	// overload is left out of the chart: the bound fills its queues there, and
-	// its latency says nothing.
-	overload = 100
+	// maxChartLoad is the highest load, in percent, that charts include. Above it the bound's queues
+	// are full and its latency is meaningless.
+	maxChartLoad = 100
 )
 
-// draw writes one chart a deployment: p99 against load, a line a balancer.
-func (a *benchArguments) draw(rows []row) error {
+// writeCharts writes one chart per deployment: p99 latency by load, one line per balancer.
+func (a *benchArguments) writeCharts(rows []latencyRow) error {
 	charts := make(map[string]*plot.Plot)
 	lines := make(map[string]map[string]plotter.XYs)
 	for _, r := range rows {
-		if r.Load > overload {
+		if r.Load > maxChartLoad {
 			continue
 		}
 		if charts[r.Deployment] == nil {
@@ -38,12 +38,12 @@
 		lines[r.Deployment][r.Balancer] = append(lines[r.Deployment][r.Balancer], point)
 	}
 	for name, p := range charts {
-		var arguments []any
-		for _, balancer := range append([]string{boundName}, a.Balancers...) {
-			arguments = append(arguments, balancer, lines[name][balancer])
+		var series []any
+		for _, balancer := range append([]string{boundBalancer}, a.Balancers...) {
+			series = append(series, balancer, lines[name][balancer])
 		}
-		if err := plotutil.AddLinePoints(p, arguments...); err != nil {
-			return errors.Wrap(err, "chart")
+		if err := plotutil.AddLinePoints(p, series...); err != nil {
+			return errors.Wrap(err, "plot chart")
 		}
 		p.Legend.Top = true
 		p.Legend.Left = true
--- a/cmd/gypsumquay-bench/events.go
+++ b/cmd/gypsumquay-bench/events.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// lostLoad leaves room for a third of the traffic in two regions.
-	lostLoad   = 55
-	lostBucket = 500 * time.Millisecond
-	// servedShare of a home's requests done means that its traffic is served.
-	servedShare = 0.99
+	// regionLossLoad is the load in percent of the slots; two regions have room for the third of the
+	// traffic that the lost region leaves.
+	regionLossLoad = 55
+	bucketWidth    = 500 * time.Millisecond
+	// minServedShare is the share of a home region's requests that must succeed for its traffic to
+	// count as served.
+	minServedShare = 0.99
 )
 
 type (
-	// eventRow is one deployment's times until an event has had its effect.
+	// eventRow holds the times from an event until it has taken effect in one deployment.
 	eventRow struct {
 		Deployment  string  `json:"deployment"`
 		LostSeconds float64 `json:"region-lost-until-99-percent-served-s"`
@@ -32,13 +34,13 @@
 	}
 )
 
-func (a *benchArguments) events(name string, c simnet.Config) eventRow {
+func (a *benchArguments) measureEvents(name string, c simnet.Config) eventRow {
 	c.Warm = a.Warm
 	r := eventRow{Deployment: name}
-	r.LostSeconds, r.LostUsed = a.lostRegion(c)
+	r.LostSeconds, r.LostUsed = a.measureRegionLoss(c)
 	var force, drain, stop []float64
 	for i := range a.Repeats {
-		f, d, s := a.drainAndStop(c, a.Seed+uint64(i))
+		f, d, s := a.measureDrainAndStop(c, a.Seed+uint64(i))
 		force = append(force, f)
 		drain = append(drain, d)
 		stop = append(stop, s)
@@ -49,65 +51,65 @@
 	return r
 }
 
-// lostRegion stops all backend servers of the first region, which come back
-// cold at the end of the run or not at all.
-func (a *benchArguments) lostRegion(c simnet.Config) (seconds, used float64) {
+// measureRegionLoss stops all backend servers of the first region until the end of the run, and
+// returns the time until 99% of the region's requests succeed again and the largest use of a region.
+func (a *benchArguments) measureRegionLoss(c simnet.Config) (seconds, used float64) {
 	c.Seed = a.Seed
-	c.Load = slotLoad(c, lostLoad)
+	c.Load = slotLoad(c, regionLossLoad)
 	s := simnet.New(c)
 	s.Run(c.Warm)
-	lost := s.Now()
+	lostAt := s.Now()
 	s.LoseRegion(c.Bundle.Regions[0].Name, true)
 	s.Run(2 * a.Span)
 	callers := s.Callers()
-	return servedAfter(callers.Done[0], callers.Failed[0], lost, s.Now()), s.Checks().Used
+	return recoverySeconds(callers.Done[0], callers.Failed[0], lostAt, s.Now()), s.Checks().Used
 }
 
-// servedAfter is the time from which on each bucket has the wanted share done.
-func servedAfter(done, failed []time.Time, from, to time.Time) float64 {
-	buckets := int(to.Sub(from) / lostBucket)
-	good := make([]int, buckets+1)
-	bad := make([]int, buckets+1)
+// recoverySeconds returns the time after which every bucket reaches minServedShare.
+func recoverySeconds(done, failed []time.Time, from, to time.Time) float64 {
+	buckets := int(to.Sub(from) / bucketWidth)
+	doneCounts := make([]int, buckets+1)
+	failedCounts := make([]int, buckets+1)
 	count := func(list []time.Time, into []int) {
 		for _, t := range list {
-			if at := int(t.Sub(from) / lostBucket); !t.Before(from) && at <= buckets {
-				into[at]++
+			if bucket := int(t.Sub(from) / bucketWidth); !t.Before(from) && bucket <= buckets {
+				into[bucket]++
 			}
 		}
 	}
-	count(done, good)
-	count(failed, bad)
+	count(done, doneCounts)
+	count(failed, failedCounts)
 	last := -1
-	for i := range good {
-		if total := good[i] + bad[i]; total > 0 && float64(good[i]) < servedShare*float64(total) {
+	for i := range doneCounts {
+		if total := doneCounts[i] + failedCounts[i]; total > 0 && float64(doneCounts[i]) < minServedShare*float64(total) {
 			last = i
 		}
 	}
-	return (time.Duration(last+1) * lostBucket).Seconds()
+	return (time.Duration(last+1) * bucketWidth).Seconds()
 }
 
-// drainAndStop drains one backend server by bundle and stops one proxy, at
-// half load, and times both.
-func (a *benchArguments) drainAndStop(c simnet.Config, seed uint64) (force, drain, stop float64) {
-	small := c.Small()
-	small.Seed = seed
-	small.Load = slotLoad(small, 50)
-	s := simnet.New(small)
-	s.Run(small.Warm)
-	target := small.Bundle.Services[1].Servers[0].Name
-	began := s.Now()
+// measureDrainAndStop measures at half load how long the drain of a backend server by a bundle and
+// the planned stop of a proxy take.
+func (a *benchArguments) measureDrainAndStop(c simnet.Config, seed uint64) (force, drain, stop float64) {
+	config := c.Small()
+	config.Seed = seed
+	config.Load = slotLoad(config, 50)
+	s := simnet.New(config)
+	s.Run(config.Warm)
+	target := config.Bundle.Services[1].Servers[0].Name
+	start := s.Now()
 	s.Inject(simnet.Fault{Kind: "drain-server", Target: target})
 	s.Run(3 * time.Second)
 	if n := len(s.Checks().InForce); n > 0 {
 		force = s.Checks().InForce[n-1].Seconds()
 	}
-	drain = max(0, s.Checks().LastWork[target].Sub(began).Seconds())
-	began = s.Now()
+	drain = max(0, s.Checks().LastWork[target].Sub(start).Seconds())
+	start = s.Now()
 	s.Inject(simnet.Fault{Kind: "stop-proxy", Target: "1", For: operator.Duration(time.Hour)})
-	for s.Checks().Stopped() == 0 && s.Now().Sub(began) < time.Minute {
-		s.Run(lostBucket)
+	for s.Checks().Stopped() == 0 && s.Now().Sub(start) < time.Minute {
+		s.Run(bucketWidth)
 	}
-	return force, drain, s.Now().Sub(began).Seconds()
+	return force, drain, s.Now().Sub(start).Seconds()
 }
 
 func medianWorst(list []float64) (median, worst float64) {
--- a/cmd/gypsumquay-bench/experiment.go
+++ b/cmd/gypsumquay-bench/experiment.go
@@ -12,13 +12,13 @@
 
 type (
 	experimentArguments struct {
-		Loads   []string `arg:"positional" help:"load files; all of the emulator's own if left out"`
-		Seeds   int      `default:"5" help:"plays of each load"`
-		Placers []string `arg:"--placer,separate" help:"placers to play; all if left out"`
+		Loads   []string `arg:"positional" help:"load files; default is all load files of the emulator"`
+		Seeds   int      `default:"5" help:"runs of each load"`
+		Placers []string `arg:"--placer,separate" help:"placers to compare; default is all"`
 	}
 )
 
-// run plays loads x placers x seeds and prints a table.
+// run simulates each combination of load, placer and seed, and prints a table.
 func (a *experimentArguments) run() error {
 	loads, err := loadFiles(a.Loads)
 	if err != nil {
@@ -35,33 +35,33 @@
 			return err
 		}
 		for _, placer := range placers {
-			a.row(strings.TrimSuffix(filepath.Base(path), ".json"), load, placer)
+			a.measurePlacer(strings.TrimSuffix(filepath.Base(path), ".json"), load, placer)
 		}
 	}
 	return nil
 }
 
-// loadFiles are the files named, or all of the emulator's own.
+// loadFiles returns the given files, or all load files of the emulator if none are given.
 func loadFiles(named []string) ([]string, error) {
 	if len(named) > 0 {
 		return named, nil
 	}
 	found, err := filepath.Glob("internal/fake/warmnet/testdata/*.json")
-	return found, errs.Wrap(err, "loads")
+	return found, errs.Wrap(err, "list load files")
 }
 
-func (a *experimentArguments) row(name string, load warmnet.Scenario, placer string) {
-	var share, worst, refused, first, p99 float64
+func (a *experimentArguments) measurePlacer(name string, load warmnet.Scenario, placer string) {
+	var share, worst, refused, firstRuns, p99 float64
 	n := float64(a.Seeds)
 	for seed := range a.Seeds {
-		o := warmnet.Simulate(load, placer, uint64(seed)+1)
-		share += o.ShareWithinTarget() / n
-		worst += o.WorstRegionShare() / n
-		refused += float64(o.Refused) / float64(max(1, o.Sent)) / n
-		first += float64(o.ColdRuns) / n
-		if len(o.Latencies) > 0 {
-			p99 += float64(o.Latencies[len(o.Latencies)*99/100].Milliseconds()) / n
+		outcome := warmnet.Simulate(load, placer, uint64(seed)+1)
+		share += outcome.ShareWithinTarget() / n
+		worst += outcome.WorstRegionShare() / n
+		refused += float64(outcome.Refused) / float64(max(1, outcome.Sent)) / n
+		firstRuns += float64(outcome.ColdRuns) / n
+		if len(outcome.Latencies) > 0 {
+			p99 += float64(outcome.Latencies[len(outcome.Latencies)*99/100].Milliseconds()) / n
 		}
 	}
-	fmt.Printf("%-12s %-16s %9.3f %12.3f %9.3f %9.0f %9.0f\n", name, placer, share, worst, refused, first, p99)
+	fmt.Printf("%-12s %-16s %9.3f %12.3f %9.3f %9.0f %9.0f\n", name, placer, share, worst, refused, firstRuns, p99)
 }
--- a/cmd/gypsumquay-bench/limits.go
+++ b/cmd/gypsumquay-bench/limits.go
@@ -18,50 +18,50 @@
 	limitsArguments struct {
 		Proxies  []int     `help:"numbers of proxies [default: 10 77 300]"`
 		Accounts []int     `help:"numbers of accounts [default: 81 1000]"`
-		Skew     []float64 `help:"how unlike accounts are [default: 0.7 1.2]"`
-		Seconds  int       `default:"10" help:"length of each play"`
-		Out      string    `help:"directory for a chart; none if left out"`
+		Skew     []float64 `help:"skew of the request rates of accounts [default: 0.7 1.2]"`
+		Seconds  int       `default:"10" help:"simulated seconds of each run"`
+		Out      string    `help:"directory for a chart; no chart if omitted"`
 	}
 
-	// limitsRow is one play.
+	// limitsRow is the result of one run.
 	limitsRow struct {
-		fleet   limitnet.Scenario
-		way     limitnet.Strategy
+		load    limitnet.Scenario
+		method  limitnet.Strategy
 		outcome limitnet.Result
 	}
 )
 
 const (
-	// ratePerProxy is how many requests a second callers send for each proxy.
+	// ratePerProxy is the request rate of the callers, in requests per second, for each proxy.
 	ratePerProxy = 26
-	// clientsPerProxy is how many callers there are for each.
+	// clientsPerProxy is the number of callers for each proxy.
 	clientsPerProxy = 13
-	// proxiesPerRegion is about how many proxies a region has in a large fleet.
+	// proxiesPerRegion is the approximate number of proxies per region in a large fleet.
 	proxiesPerRegion = 60
-	regionsLeast     = 3
-	// limitHeadroom is the limit of each account over what it sends.
-	limitHeadroom = 1.6
+	minRegions       = 3
+	// limitFactor is the ratio of an account's limit to its request rate.
+	limitFactor = 1.6
 )
 
-// run plays fleets of several sizes against the ways to keep limits.
+// run simulates fleets of several sizes with each method of enforcing limits.
 func (a *limitsArguments) run() error {
-	a.defaults()
+	a.setDefaults()
 	fmt.Printf("%8s %9s %5s %-6s %12s %12s %8s %8s %10s %7s\n", "PROXIES", "ACCOUNTS", "SKEW", "WAY", "REFUSED 1ST", "FOR GOOD", "EXCESS", "BROKEN", "REPORTS/S", "ASKS/S")
 	var rows []limitsRow
 	for _, accounts := range a.Accounts {
 		for _, skew := range a.Skew {
 			for _, proxies := range a.Proxies {
-				rows = append(rows, a.play(proxies, accounts, skew)...)
+				rows = append(rows, a.measureFleet(proxies, accounts, skew)...)
 			}
 		}
 	}
 	if a.Out == "" {
 		return nil
 	}
-	return a.draw(rows)
+	return a.writeChart(rows)
 }
 
-func (a *limitsArguments) defaults() {
+func (a *limitsArguments) setDefaults() {
 	if len(a.Proxies) == 0 {
 		a.Proxies = []int{10, 77, 300}
 	}
@@ -73,43 +73,43 @@
 	}
 }
 
-func (a *limitsArguments) play(proxies, accounts int, skew float64) []limitsRow {
-	l := limitnet.Scenario{
-		Regions: max(regionsLeast, proxies/proxiesPerRegion), Proxies: proxies, Accounts: accounts, Skew: skew,
-		Rate: float64(ratePerProxy * proxies), Clients: clientsPerProxy * proxies, Headroom: limitHeadroom,
+func (a *limitsArguments) measureFleet(proxies, accounts int, skew float64) []limitsRow {
+	load := limitnet.Scenario{
+		Regions: max(minRegions, proxies/proxiesPerRegion), Proxies: proxies, Accounts: accounts, Skew: skew,
+		Rate: float64(ratePerProxy * proxies), Clients: clientsPerProxy * proxies, Headroom: limitFactor,
 		For: time.Duration(a.Seconds) * time.Second,
 	}
 	var rows []limitsRow
-	for _, way := range []limitnet.Strategy{limitnet.RegionalPools, limitnet.CentralPool, limitnet.EqualShares} {
-		o := limitnet.Simulate(l, way, 1)
-		fmt.Printf("%8d %9d %5.1f %-6s %12.4f %12.4f %8.2f %8.2f %10.1f %7.1f\n", proxies, accounts, skew, way,
-			o.InitiallyRefusedShare(), o.RefusedShare(), o.MaxExcess, o.MaxViolation, o.ReportRate, o.TokenRequestRate)
-		rows = append(rows, limitsRow{fleet: l, way: way, outcome: o})
+	for _, method := range []limitnet.Strategy{limitnet.RegionalPools, limitnet.CentralPool, limitnet.EqualShares} {
+		outcome := limitnet.Simulate(load, method, 1)
+		fmt.Printf("%8d %9d %5.1f %-6s %12.4f %12.4f %8.2f %8.2f %10.1f %7.1f\n", proxies, accounts, skew, method,
+			outcome.InitiallyRefusedShare(), outcome.RefusedShare(), outcome.MaxExcess, outcome.MaxViolation, outcome.ReportRate, outcome.TokenRequestRate)
+		rows = append(rows, limitsRow{load: load, method: method, outcome: outcome})
 	}
 	return rows
 }
 
-// draw writes a chart of what is refused for good over the number of proxies.
-func (a *limitsArguments) draw(rows []limitsRow) error {
+// writeChart writes a chart of the share of requests that are finally rejected by number of proxies.
+func (a *limitsArguments) writeChart(rows []limitsRow) error {
 	p := plot.New()
-	p.Title.Text = "requests within a limit that are refused for good"
+	p.Title.Text = "requests within the limit that are finally rejected"
 	p.X.Label.Text = "proxies"
-	p.Y.Label.Text = "part of them"
+	p.Y.Label.Text = "share of requests"
 	lines := make(map[string]plotter.XYs)
 	var names []string
 	for _, r := range rows {
-		name := fmt.Sprintf("%s, %d accounts, skew %.1f", r.way, r.fleet.Accounts, r.fleet.Skew)
+		name := fmt.Sprintf("%s, %d accounts, skew %.1f", r.method, r.load.Accounts, r.load.Skew)
 		if lines[name] == nil {
 			names = append(names, name)
 		}
-		lines[name] = append(lines[name], plotter.XY{X: float64(r.fleet.Proxies), Y: r.outcome.RefusedShare()})
+		lines[name] = append(lines[name], plotter.XY{X: float64(r.load.Proxies), Y: r.outcome.RefusedShare()})
 	}
-	var arguments []any
+	var series []any
 	for _, name := range names {
-		arguments = append(arguments, name, lines[name])
+		series = append(series, name, lines[name])
 	}
-	if err := plotutil.AddLinePoints(p, arguments...); err != nil {
-		return errors.Wrap(err, "chart")
+	if err := plotutil.AddLinePoints(p, series...); err != nil {
+		return errors.Wrap(err, "plot chart")
 	}
 	p.Legend.Top = true
 	return errs.Wrap(p.Save(chartWidth, chartHeight, filepath.Join(a.Out, "limits.png")), "save chart")
--- a/cmd/gypsumquay-bench/signals.go
+++ b/cmd/gypsumquay-bench/signals.go
@@ -9,16 +9,16 @@
 
 type (
 	signalsArguments struct {
-		Load    string    `arg:"positional" default:"internal/fake/warmnet/testdata/limited.json" help:"load file in which servers name limits"`
-		Proxies []int     `help:"numbers of proxies in each region [default: 3 25 100 433]"`
-		Limits  []float64 `help:"limits that servers name, in requests a second [default: 0.5 6.6 50]"`
-		Times   float64   `default:"1" help:"by how much more callers ask than the load says"`
-		Seeds   int       `default:"2" help:"plays of each"`
+		Load    string    `arg:"positional" default:"internal/fake/warmnet/testdata/limited.json" help:"load file in which servers signal limits"`
+		Proxies []int     `help:"numbers of proxies per region [default: 3 25 100 433]"`
+		Limits  []float64 `help:"limits that servers signal, in requests per second [default: 0.5 6.6 50]"`
+		Times   float64   `default:"1" help:"factor on the request rates of the load"`
+		Seeds   int       `default:"2" help:"runs of each combination"`
 	}
 )
 
-// run plays fleets of several sizes against servers that name limits: how much of a limit
-// they use, whether they pass it together, and what callers get.
+// run simulates fleets of several sizes with servers that signal limits, and prints the use of the
+// limit, whether the fleet exceeds it, and the results for callers.
 func (a *signalsArguments) run() error {
 	load, err := warmnet.ReadScenario(a.Load)
 	if err != nil {
@@ -36,28 +36,28 @@
 	fmt.Printf("%8s %8s %12s %8s %8s %10s %8s %14s\n", "PROXIES", "LIMIT/S", "OF ALLOWED", "IN USE", "AFTER", "IN TARGET", "REFUSED", "REPORTS/PROXY/S")
 	for _, limit := range a.Limits {
 		for _, proxies := range a.Proxies {
-			a.row(load, limit, proxies)
+			a.measureFleet(load, limit, proxies)
 		}
 	}
 	return nil
 }
 
-func (a *signalsArguments) row(load warmnet.Scenario, limit float64, proxies int) {
+func (a *signalsArguments) measureFleet(load warmnet.Scenario, limit float64, proxies int) {
 	load.ProxiesPerRegion = proxies
 	load.RateLimits = append([]warmnet.RateLimit(nil), load.RateLimits...)
 	for i := range load.RateLimits {
 		load.RateLimits[i].PerSecond = limit
 	}
-	var most, use, after, share, refused, reports float64
-	n, all := float64(a.Seeds), float64(proxies*len(load.Regions))
+	var maxUse, use, after, share, refused, reports float64
+	n, totalProxies := float64(a.Seeds), float64(proxies*len(load.Regions))
 	for seed := range a.Seeds {
-		o := warmnet.Simulate(load, steering.DefaultPlacer, uint64(seed)+1)
-		most = max(most, o.RateLimits.MaxUtilization)
-		use += o.RateLimits.MeanUtilization / n
-		after += o.RateLimits.RecoveredRate / n
-		share += o.ShareWithinTarget() / n
-		refused += float64(o.Refused) / float64(max(1, o.Sent)) / n
-		reports += float64(o.RateLimits.Reports) / all / load.Duration.Std().Seconds() / n
-	}
-	fmt.Printf("%8.0f %8.1f %12.2f %8.2f %8.2f %10.3f %8.4f %14.2f\n", all, limit, most, use, after, share, refused, reports)
+		outcome := warmnet.Simulate(load, steering.DefaultPlacer, uint64(seed)+1)
+		maxUse = max(maxUse, outcome.RateLimits.MaxUtilization)
+		use += outcome.RateLimits.MeanUtilization / n
+		after += outcome.RateLimits.RecoveredRate / n
+		share += outcome.ShareWithinTarget() / n
+		refused += float64(outcome.Refused) / float64(max(1, outcome.Sent)) / n
+		reports += float64(outcome.RateLimits.Reports) / totalProxies / load.Duration.Std().Seconds() / n
+	}
+	fmt.Printf("%8.0f %8.1f %12.2f %8.2f %8.2f %10.3f %8.4f %14.2f\n", totalProxies, limit, maxUse, use, after, share, refused, reports)
 }
--- a/cmd/gypsumquay-bench/soak.go
+++ b/cmd/gypsumquay-bench/soak.go
@@ -17,8 +17,8 @@
 
 type (
 	soakArguments struct {
-		For      time.Duration `default:"1m" help:"how long to run"`
-		Seed     uint64        `help:"first seed; the clock if left out"`
+		For      time.Duration `default:"1m" help:"duration of the soak test"`
+		Seed     uint64        `help:"first seed; default is the current time"`
 		Parallel int           `default:"4"`
 		Examples string        `default:"examples"`
 	}
@@ -41,19 +41,19 @@
 	for range a.Parallel {
 		group.Go(func() {
 			for time.Now().Before(end) {
-				s.one(a.Examples)
+				s.runSeed(a.Examples)
 			}
 		})
 	}
 	group.Wait()
 	fmt.Printf("%d passed, %d failed\n", s.runs-s.failed, s.failed)
 	if s.failed > 0 {
-		return errors.New("invariants were broken")
+		return errors.New("invariants were violated")
 	}
 	return nil
 }
 
-func (s *soak) seed() uint64 {
+func (s *soak) nextSeed() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next++
@@ -61,42 +61,43 @@
 	return s.next
 }
 
-// one plays one seed and prints what failed with how to play it again.
-func (s *soak) one(examples string) {
-	seed := s.seed()
+// runSeed runs the random scenario of the next seed. If invariants are violated, it prints them with
+// the seed and the scenario to reproduce the failure.
+func (s *soak) runSeed(examples string) {
+	seed := s.nextSeed()
 	deployments := simnet.Deployments()
-	d := deployments[seed%uint64(len(deployments))]
-	c, err := loadConfig(examples, d)
+	deployment := deployments[seed%uint64(len(deployments))]
+	config, err := loadConfig(examples, deployment)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	c = c.Small()
-	sc := simnet.RandomScenario(c, simnet.DrawFrom(seed))
-	violations := play(c, sc)
+	config = config.Small()
+	scenario := simnet.RandomScenario(config, simnet.DrawFrom(seed))
+	violations := violationsOf(config, scenario)
 	if len(violations) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failed++
-	text, _ := json.Marshal(sc)
-	fmt.Printf("seed %d (%s) failed:\n%s\nscenario: %s\n", seed, d.Name, strings.Join(violations, "\n"), text)
+	text, _ := json.Marshal(scenario)
+	fmt.Printf("seed %d (%s) failed:\n%s\nscenario: %s\n", seed, deployment.Name, strings.Join(violations, "\n"), text)
 }
 
-func play(c simnet.Config, sc *simnet.Scenario) (violations []string) {
+func violationsOf(c simnet.Config, scenario *simnet.Scenario) (violations []string) {
 	defer func() {
 		if r := recover(); r != nil {
 			violations = append(violations, fmt.Sprint(r))
 		}
 	}()
-	return simnet.Play(c, sc).Checks().Violations()
+	return simnet.Play(c, scenario).Checks().Violations()
 }
 
 func loadConfig(examples string, d simnet.Deployment) (simnet.Config, error) {
 	data, err := os.ReadFile(filepath.Join(examples, d.Name+".json"))
 	if err != nil {
-		return simnet.Config{}, errors.Wrap(err, "bundle")
+		return simnet.Config{}, errors.Wrap(err, "read bundle")
 	}
 	b, err := operator.ParseBundle(data)
 	if err != nil {
@@ -106,9 +107,9 @@
 	if err != nil {
 		return simnet.Config{}, err
 	}
-	second, err := operator.NewKeyPair("bruno")
+	approver, err := operator.NewKeyPair("bruno")
 	if err != nil {
 		return simnet.Config{}, err
 	}
-	return d.Config(b, author, second), nil
+	return d.Config(b, author, approver), nil
 }
--- a/cmd/gypsumquayd/main.go
+++ b/cmd/gypsumquayd/main.go
@@ -1,5 +1,5 @@
-// Command gypsumquayd is the proxy daemon: it answers callers, steers their
-// requests to backend servers, and keeps company with its peers.
+// Command gypsumquayd is the proxy daemon: it accepts requests from callers, steers them to backend
+// servers, and exchanges state with its peers.
 package main
 
 import (
@@ -25,18 +25,18 @@
 const (
 	exitFailure  = 1
 	exitSettings = 2
-	// logLines bounds the lines that wait for a slow reader of the log.
-	logLines = 4096
+	// logBufferLines limits the log lines that are buffered for a slow reader.
+	logBufferLines = 4096
 )
 
 type (
 	arguments struct {
 		Settings      string               `arg:"positional" help:"settings file (JSON)"`
 		CheckSettings bool                 `arg:"--check-settings" help:"check the settings and exit"`
-		OnPlatform    bool                 `arg:"--on-platform" help:"run on the platform, by the settings file that it names"`
-		Record        string               `arg:"--record" help:"directory for a recording of the kernel's calls, for gypsumquayctl steering replay (with --on-platform)"`
-		Off           []steering.Mechanism `arg:"--off,separate" help:"mechanism to do without, repeat for more; a wrong name lists them (with --on-platform)"`
-		Verbosity     int                  `arg:"-v,--verbosity" default:"0" help:"log detail, 0 to 2"`
+		OnPlatform    bool                 `arg:"--on-platform" help:"run on the platform, with the settings file that the platform names"`
+		Record        string               `arg:"--record" help:"directory for a recording of the kernel calls, for gypsumquayctl steering replay (with --on-platform)"`
+		Off           []steering.Mechanism `arg:"--off,separate" help:"mechanism to disable, repeat for more; an unknown name lists all (with --on-platform)"`
+		Verbosity     int                  `arg:"-v,--verbosity" default:"0" help:"log verbosity, 0 to 2"`
 	}
 )
 
@@ -48,19 +48,19 @@
 	var a arguments
 	parser := arg.MustParse(&a)
 	if !a.OnPlatform && a.Settings == "" {
-		parser.Fail("a settings file or --on-platform is needed")
+		parser.Fail("a settings file or --on-platform is required")
 	}
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	program := standalone
+	start := runStandalone
 	if a.OnPlatform {
-		program = onPlatform
+		start = runOnPlatform
 	}
-	os.Exit(program(stop, a))
+	os.Exit(start(ctx, a))
 }
 
-// standalone runs a proxy with the product's own interface.
-func standalone(stop context.Context, a arguments) int {
+// runStandalone runs a proxy with its own caller interface and the servers of a bundle.
+func runStandalone(ctx context.Context, a arguments) int {
 	s, err := settings.Load(a.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -76,13 +76,12 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
-	return run(stop, d.Run)
+	return run(ctx, d.Run)
 }
 
-// onPlatform runs a proxy that takes its settings and its servers from the
-// platform.
-func onPlatform(stop context.Context, a arguments) int {
-	told := hangUps()
+// runOnPlatform runs a proxy that gets its settings file and its servers from the platform.
+func runOnPlatform(ctx context.Context, a arguments) int {
+	reload := reloadSignals()
 	if a.Settings == "" {
 		a.Settings = os.Getenv(platform.SettingsEnv)
 	}
@@ -95,11 +94,11 @@
 		fmt.Println("settings are in order")
 		return 0
 	}
-	buffer := logs.NewBuffer(os.Stdout, logLines)
+	buffer := logs.NewBuffer(os.Stdout, logBufferLines)
 	defer buffer.Close()
 	logs.Setup(buffer, a.Verbosity, "vm", s.Proxy.Name, "vm-region", s.Proxy.Region)
 	s.Proxy.DisabledMechanisms = a.Off
-	seams := platform.NewDependencies(a.Settings, s, buffer.Dropped)
+	deps := platform.NewDependencies(a.Settings, s, buffer.Dropped)
 	if a.Record != "" {
 		file, err := recording.Create(a.Record, s.Proxy.Name, time.Now())
 		if err != nil {
@@ -107,40 +106,41 @@
 			return exitSettings
 		}
 		defer closeRecording(file)
-		seams.Record = file.Write
+		deps.Record = file.Write
 	}
-	d, err := forward.New(&s.Proxy, seams)
+	d, err := forward.New(&s.Proxy, deps)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailure
 	}
-	return run(stop, func(stop context.Context) error { return d.Run(stop, told) })
+	return run(ctx, func(ctx context.Context) error { return d.Run(ctx, reload) })
 }
 
 func closeRecording(f *recording.File) {
 	if err := f.Close(); err != nil {
-		klog.ErrorS(err, "end of the recording lost")
+		klog.ErrorS(err, "failed to close the recording; its end may be missing")
 	}
 }
 
-// hangUps tells of each hang-up signal; unhandled it would end the process.
-func hangUps() <-chan struct{} {
+// reloadSignals returns a channel that receives SIGHUP as a request to reload. Unhandled, SIGHUP
+// would terminate the process.
+func reloadSignals() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
-	told := make(chan struct{}, 1)
+	reload := make(chan struct{}, 1)
 	go func() {
 		for range signals {
 			select {
-			case told <- struct{}{}:
+			case reload <- struct{}{}:
 			default:
 			}
 		}
 	}()
-	return told
+	return reload
 }
 
-func run(stop context.Context, serve func(context.Context) error) int {
-	if err := serve(stop); err != nil {
+func run(ctx context.Context, serve func(context.Context) error) int {
+	if err := serve(ctx); err != nil {
 		klog.ErrorS(err, "stopped")
 		return exitFailure
 	}
--- a/internal/client/command/accounts.go
+++ b/internal/client/command/accounts.go
@@ -11,14 +11,14 @@
 )
 
 type (
-	// SteeringAccountsArguments picks client accounts.
+	// SteeringAccountsArguments selects client accounts.
 	SteeringAccountsArguments struct {
 		Account string `help:"only this client account"`
-		Refused bool   `help:"only those of which requests were refused"`
+		Refused bool   `help:"only client accounts with rejected requests"`
 	}
 
-	// AccountUse is a client account over all proxies that answered.
-	AccountUse struct {
+	// AccountUsage is the usage of a client account summed over all proxies that answered.
+	AccountUsage struct {
 		Name           string   `json:"name"`
 		Keys           []string `json:"key-fingerprints"`
 		Regions        []string `json:"regions,omitempty"`
@@ -26,47 +26,47 @@
 		PerSecond      float64  `json:"per-second"`
 		Admitted       uint64   `json:"admitted"`
 		Refused        uint64   `json:"refused"`
-		// Proxies counts those that saw requests of the account of late.
+		// Proxies counts the proxies that admitted or rejected requests of the account.
 		Proxies int `json:"proxies"`
 	}
 
-	// AccountsAnswer is what accounts prints as JSON. Use at proxies that did not answer
-	// is missing.
-	AccountsAnswer struct {
-		Accounts   []AccountUse `json:"client-accounts"`
-		Unanswered []Unanswered `json:"unanswered,omitempty"`
+	// AccountsOutput is the JSON output of steering accounts. It lacks the usage at proxies that
+	// did not answer.
+	AccountsOutput struct {
+		Accounts   []AccountUsage `json:"client-accounts"`
+		Unanswered []ProxyError   `json:"unanswered,omitempty"`
 	}
 )
 
 func (a *SteeringAccountsArguments) run(s *session, c *steeringhttp.Client) (Result, error) {
-	answers, err := ask(s, c, c.Status)
+	responses, err := queryAll(s, c, c.Status)
 	if err != nil {
 		return Result{}, err
 	}
 	var text strings.Builder
-	var out AccountsAnswer
-	sums := make(map[string]*AccountUse)
-	out.Unanswered = unanswered(&text, answers)
-	for _, one := range answers {
-		for _, account := range one.Value.Accounts {
-			addUse(sums, account)
+	var output AccountsOutput
+	byName := make(map[string]*AccountUsage)
+	output.Unanswered = listFailed(&text, responses)
+	for _, response := range responses {
+		for _, account := range response.Value.Accounts {
+			addUsage(byName, account)
 		}
 	}
-	out.Accounts = a.pick(sums)
+	output.Accounts = a.selectAccounts(byName)
 	fmt.Fprintf(&text, "%-20s %10s %10s %10s %10s %8s %-20s %s\n", "ACCOUNT", "LIMIT/S", "USED/S", "ADMITTED", "REFUSED", "PROXIES", "REGIONS", "KEYS")
-	for _, u := range out.Accounts {
-		fmt.Fprintf(&text, "%-20s %10s %10.1f %10d %10d %8d %-20s %s\n", u.Name, limit(u.LimitPerSecond), u.PerSecond, u.Admitted, u.Refused, u.Proxies,
+	for _, u := range output.Accounts {
+		fmt.Fprintf(&text, "%-20s %10s %10.1f %10d %10d %8d %-20s %s\n", u.Name, formatLimit(u.LimitPerSecond), u.PerSecond, u.Admitted, u.Refused, u.Proxies,
 			cmp.Or(strings.Join(u.Regions, ","), "all"), strings.Join(u.Keys, ","))
 	}
-	return Result{Text: text.String(), Data: out}, nil
+	return Result{Text: text.String(), Data: output}, nil
 }
 
-// addUse adds what one proxy knows of an account.
-func addUse(sums map[string]*AccountUse, a steeringhttp.Account) {
-	u := sums[a.Name]
+// addUsage adds the usage of an account at one proxy.
+func addUsage(byName map[string]*AccountUsage, a steeringhttp.Account) {
+	u := byName[a.Name]
 	if u == nil {
-		u = &AccountUse{Name: a.Name, Keys: a.Keys, Regions: a.Regions, LimitPerSecond: a.LimitPerSecond}
-		sums[a.Name] = u
+		u = &AccountUsage{Name: a.Name, Keys: a.Keys, Regions: a.Regions, LimitPerSecond: a.LimitPerSecond}
+		byName[a.Name] = u
 	}
 	u.PerSecond += a.PerSecond
 	u.Admitted += a.Admitted
@@ -76,21 +76,21 @@
 	}
 }
 
-// pick lists the accounts asked for, those refused most first.
-func (a *SteeringAccountsArguments) pick(sums map[string]*AccountUse) []AccountUse {
-	var list []AccountUse
-	for _, u := range slices.Collect(maps.Values(sums)) {
+// selectAccounts returns the selected accounts, those with the most rejected requests first.
+func (a *SteeringAccountsArguments) selectAccounts(byName map[string]*AccountUsage) []AccountUsage {
+	var list []AccountUsage
+	for _, u := range slices.Collect(maps.Values(byName)) {
 		if (a.Account == "" || a.Account == u.Name) && (!a.Refused || u.Refused > 0) {
 			list = append(list, *u)
 		}
 	}
-	slices.SortFunc(list, func(a, b AccountUse) int {
+	slices.SortFunc(list, func(a, b AccountUsage) int {
 		return cmp.Or(cmp.Compare(b.Refused, a.Refused), cmp.Compare(a.Name, b.Name))
 	})
 	return list
 }
 
-func limit(perSecond float64) string {
+func formatLimit(perSecond float64) string {
 	if perSecond == 0 {
 		return "none"
 	}
--- a/internal/client/command/bundle.go
+++ b/internal/client/command/bundle.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	digestShown = 12
-	waitPoll    = 20 * time.Millisecond
+	shortDigestLength   = 12
+	rolloutPollInterval = 20 * time.Millisecond
 )
 
 type (
-	// BundleArguments works with bundles.
+	// BundleArguments holds the subcommands for bundles.
 	BundleArguments struct {
 		Check   *BundleFileArguments    `arg:"subcommand:check" help:"check a bundle file"`
 		Diff    *BundleFileArguments    `arg:"subcommand:diff" help:"show how a file differs from the bundle in force"`
 		Show    *BundleShowArguments    `arg:"subcommand:show" help:"print the bundle in force"`
 		List    *BundleShowArguments    `arg:"subcommand:list" help:"list proposed bundles"`
 		Propose *BundleProposeArguments `arg:"subcommand:propose" help:"sign a bundle file as its author and store it"`
-		Approve *BundleApproveArguments `arg:"subcommand:approve" help:"sign a proposed bundle as the second person"`
-		Rollout *BundleRolloutArguments `arg:"subcommand:rollout" help:"bring an approved bundle into force"`
+		Approve *BundleApproveArguments `arg:"subcommand:approve" help:"sign a proposed bundle as a second operator"`
+		Rollout *BundleRolloutArguments `arg:"subcommand:rollout" help:"put an approved bundle into force"`
 	}
 
-	// BundleFileArguments names a bundle file.
+	// BundleFileArguments selects a bundle file.
 	BundleFileArguments struct {
 		File string `arg:"positional,required"`
 	}
@@ -43,37 +43,37 @@
 	// BundleShowArguments has no fields.
 	BundleShowArguments struct{}
 
-	// BundleProposeArguments names a bundle file and the author's key.
+	// BundleProposeArguments selects a bundle file and the author's key.
 	BundleProposeArguments struct {
 		File string `arg:"positional,required"`
 		Key  string `arg:"--key,required" help:"the author's key file"`
 	}
 
-	// BundleApproveArguments names a proposal and the approver's key.
+	// BundleApproveArguments selects a proposal and the approver's key.
 	BundleApproveArguments struct {
-		Digest string `arg:"positional,required" help:"the proposal's digest, or its first letters"`
+		Digest string `arg:"positional,required" help:"the proposal's digest or a unique prefix of it"`
 		Key    string `arg:"--key,required" help:"the approver's key file"`
 	}
 
-	// BundleRolloutArguments names an approved proposal.
+	// BundleRolloutArguments selects an approved proposal.
 	BundleRolloutArguments struct {
-		Digest string        `arg:"positional,required" help:"the proposal's digest, or its first letters"`
-		Wait   time.Duration `arg:"--wait" default:"10s" help:"how long to wait until it is in force everywhere"`
+		Digest string        `arg:"positional,required" help:"the proposal's digest or a unique prefix of it"`
+		Wait   time.Duration `arg:"--wait" default:"10s" help:"maximum time to wait until all proxies use the bundle"`
 	}
 
-	proposed struct {
-		Digest  operator.Digest   `json:"digest"`
-		Version uint64            `json:"version"`
-		Author  string            `json:"author"`
-		Second  string            `json:"approver,omitempty"`
-		Changes []operator.Change `json:"changes"`
+	proposalSummary struct {
+		Digest   operator.Digest   `json:"digest"`
+		Version  uint64            `json:"version"`
+		Author   string            `json:"author"`
+		Approver string            `json:"approver,omitempty"`
+		Changes  []operator.Change `json:"changes"`
 	}
 
-	rolledOut struct {
-		Version uint64            `json:"version"`
-		Seconds float64           `json:"seconds-until-in-force"`
-		Entries map[string]uint64 `json:"bundle-versions"`
-		Behind  []string          `json:"behind,omitempty"`
+	rolloutSummary struct {
+		Version  uint64            `json:"version"`
+		Seconds  float64           `json:"seconds-until-in-force"`
+		Versions map[string]uint64 `json:"bundle-versions"`
+		Behind   []string          `json:"behind,omitempty"`
 	}
 )
 
@@ -84,9 +84,9 @@
 	case a.Diff != nil:
 		return a.Diff.diff(s)
 	case a.Show != nil:
-		return show(s)
+		return showBundle(s)
 	case a.List != nil:
-		return list(s)
+		return listProposals(s)
 	case a.Propose != nil:
 		return a.Propose.run(s)
 	case a.Approve != nil:
@@ -94,10 +94,10 @@
 	case a.Rollout != nil:
 		return a.Rollout.run(s)
 	}
-	return Result{}, usageError("bundle: check, diff, show, list, propose, approve or rollout")
+	return Result{}, usageError("bundle: a subcommand is required: check, diff, show, list, propose, approve or rollout")
 }
 
-// readBundle reads and checks a file, the names of plug-ins included.
+// readBundle reads and validates a bundle file, including the names of balancer and planner.
 func readBundle(path string) (*operator.Bundle, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -111,10 +111,10 @@
 		}
 		return nil, usageError(err.Error())
 	}
-	return b, checkPlugins(b)
+	return b, checkPluginNames(b)
 }
 
-func checkPlugins(b *operator.Bundle) error {
+func checkPluginNames(b *operator.Bundle) error {
 	if !slices.Contains(backend.Balancers(), b.Balancer) {
 		return &operator.FieldError{Field: "balancer", Want: "one of " + strings.Join(backend.Balancers(), ", "), Got: b.Balancer}
 	}
@@ -135,8 +135,8 @@
 	}, nil
 }
 
-// current reads the bundle in force; nil when there is none yet.
-func (s *session) current() (*operator.Bundle, error) {
+// currentBundle returns the bundle in force, or nil if there is none yet.
+func (s *session) currentBundle() (*operator.Bundle, error) {
 	e, err := s.client.Bundle(s.ctx)
 	if errors.Is(err, operatorhttp.ErrRejected) {
 		return nil, nil
@@ -152,11 +152,11 @@
 	if err != nil {
 		return Result{}, err
 	}
-	old, err := s.current()
+	current, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
-	changes := operator.Diff(old, b)
+	changes := operator.Diff(current, b)
 	return Result{Text: changesText(changes), Data: changes}, nil
 }
 
@@ -178,8 +178,8 @@
 	return text
 }
 
-func show(s *session) (Result, error) {
-	b, err := s.current()
+func showBundle(s *session) (Result, error) {
+	b, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
@@ -190,30 +190,30 @@
 	return Result{Text: string(data), Data: b}, errs.Wrap(err, "encode")
 }
 
-func list(s *session) (Result, error) {
+func listProposals(s *session) (Result, error) {
 	envelopes, err := s.client.Proposals(s.ctx)
 	if err != nil {
 		return Result{}, err
 	}
-	old, err := s.current()
+	current, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
 	var text strings.Builder
-	var all []proposed
+	var proposals []proposalSummary
 	for _, e := range envelopes {
 		b, err := operator.ParseBundle(e.Bundle)
-		if err != nil || old != nil && b.Version <= old.Version {
+		if err != nil || current != nil && b.Version <= current.Version {
 			continue
 		}
-		p := proposed{Digest: e.Digest, Version: b.Version, Author: e.Author.Operator, Second: e.Approver.Operator, Changes: operator.Diff(old, b)}
-		all = append(all, p)
-		fmt.Fprintf(&text, "%s version %d by %s, approved by %s, %d changes\n", p.Digest[:digestShown], p.Version, p.Author, orNone(p.Second), len(p.Changes))
+		p := proposalSummary{Digest: e.Digest, Version: b.Version, Author: e.Author.Operator, Approver: e.Approver.Operator, Changes: operator.Diff(current, b)}
+		proposals = append(proposals, p)
+		fmt.Fprintf(&text, "%s version %d by %s, approved by %s, %d changes\n", p.Digest[:shortDigestLength], p.Version, p.Author, orNone(p.Approver), len(p.Changes))
 	}
-	if len(all) == 0 {
+	if len(proposals) == 0 {
 		text.WriteString("no proposals")
 	}
-	return Result{Text: text.String(), Data: all}, nil
+	return Result{Text: text.String(), Data: proposals}, nil
 }
 
 func (a *BundleProposeArguments) run(s *session) (Result, error) {
@@ -221,16 +221,16 @@
 	if err != nil {
 		return Result{}, err
 	}
-	return propose(s, b, a.Key)
+	return proposeBundle(s, b, a.Key)
 }
 
-// propose signs a bundle and stores it for the second person.
-func propose(s *session, b *operator.Bundle, keyFile string) (Result, error) {
+// proposeBundle signs a bundle and stores it for approval by a second operator.
+func proposeBundle(s *session, b *operator.Bundle, keyFile string) (Result, error) {
 	key, err := readKey(keyFile)
 	if err != nil {
 		return Result{}, err
 	}
-	old, err := s.current()
+	current, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
@@ -241,15 +241,15 @@
 	if err := s.client.Propose(s.ctx, e); err != nil {
 		return Result{}, err
 	}
-	changes := operator.Diff(old, b)
+	changes := operator.Diff(current, b)
 	return Result{
 		Text: fmt.Sprintf("%sproposed version %d, digest %s", changesText(changes), b.Version, e.Digest),
-		Data: proposed{Digest: e.Digest, Version: b.Version, Author: key.Operator, Changes: changes},
+		Data: proposalSummary{Digest: e.Digest, Version: b.Version, Author: key.Operator, Changes: changes},
 	}, nil
 }
 
-// find finds the one proposal whose digest begins with the given letters.
-func (s *session) find(digest string) (*operator.Envelope, error) {
+// findProposal returns the only proposal whose digest has the given prefix.
+func (s *session) findProposal(digest string) (*operator.Envelope, error) {
 	envelopes, err := s.client.Proposals(s.ctx)
 	if err != nil {
 		return nil, err
@@ -260,12 +260,12 @@
 			continue
 		}
 		if found != nil {
-			return nil, usageError("several proposals begin with " + digest)
+			return nil, usageError("several proposals have a digest that begins with " + digest)
 		}
 		found = &envelopes[i]
 	}
 	if found == nil {
-		return nil, usageError("no proposal begins with " + digest)
+		return nil, usageError("no proposal has a digest that begins with " + digest)
 	}
 	return found, nil
 }
@@ -275,7 +275,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	e, err := s.find(a.Digest)
+	e, err := s.findProposal(a.Digest)
 	if err != nil {
 		return Result{}, err
 	}
@@ -283,7 +283,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	old, err := s.current()
+	current, err := s.currentBundle()
 	if err != nil {
 		return Result{}, err
 	}
@@ -293,56 +293,56 @@
 	if err := s.client.Propose(s.ctx, e); err != nil {
 		return Result{}, err
 	}
-	changes := operator.Diff(old, b)
+	changes := operator.Diff(current, b)
 	return Result{
 		Text: fmt.Sprintf("%sapproved version %d by %s", changesText(changes), b.Version, e.Author.Operator),
-		Data: proposed{Digest: e.Digest, Version: b.Version, Author: e.Author.Operator, Second: key.Operator, Changes: changes},
+		Data: proposalSummary{Digest: e.Digest, Version: b.Version, Author: e.Author.Operator, Approver: key.Operator, Changes: changes},
 	}, nil
 }
 
 func (a *BundleRolloutArguments) run(s *session) (Result, error) {
-	e, err := s.find(a.Digest)
+	e, err := s.findProposal(a.Digest)
 	if err != nil {
 		return Result{}, err
 	}
-	// The operation's name comes from what is rolled out, so a repeat after a
-	// lost answer, by whichever operator, is the same operation.
+	// The operation ID is derived from the bundle and its approval, so that a retry after a lost
+	// response, by any operator, is the same operation.
 	e.OperationID = "rollout-" + string(e.Digest) + "-" + e.Approver.Value
-	began := time.Now()
-	out, err := s.client.Rollout(s.ctx, e)
+	start := time.Now()
+	outcome, err := s.client.Rollout(s.ctx, e)
 	if err != nil {
 		return Result{}, err
 	}
-	if err := verdictError(out.Result); err != nil {
+	if err := rolloutError(outcome.Result); err != nil {
 		return Result{}, err
 	}
-	return s.waitInForce(out.CurrentVersion, began, a.Wait), nil
+	return s.waitInForce(outcome.CurrentVersion, start, a.Wait), nil
 }
 
-// waitInForce asks every proxy that runs until all use the version.
-func (s *session) waitInForce(version uint64, began time.Time, wait time.Duration) Result {
-	done := rolledOut{Version: version}
+// waitInForce polls all running proxies until each uses the version or the timeout has passed.
+func (s *session) waitInForce(version uint64, start time.Time, timeout time.Duration) Result {
+	summary := rolloutSummary{Version: version}
 	for {
-		done.Entries, done.Behind = s.versions(version)
-		done.Seconds = time.Since(began).Seconds()
-		if len(done.Behind) == 0 || time.Since(began) > wait {
+		summary.Versions, summary.Behind = s.bundleVersions(version)
+		summary.Seconds = time.Since(start).Seconds()
+		if len(summary.Behind) == 0 || time.Since(start) > timeout {
 			break
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(rolloutPollInterval)
 	}
-	text := fmt.Sprintf("version %d is in force on %d proxies after %.2f s", version, len(done.Entries)-len(done.Behind), done.Seconds)
-	if len(done.Behind) > 0 {
-		text += "; not yet on " + strings.Join(done.Behind, ", ")
+	text := fmt.Sprintf("version %d is in force on %d proxies after %.2f s", version, len(summary.Versions)-len(summary.Behind), summary.Seconds)
+	if len(summary.Behind) > 0 {
+		text += "; not yet on " + strings.Join(summary.Behind, ", ")
 	}
-	return Result{Text: text, Data: done}
+	return Result{Text: text, Data: summary}
 }
 
-func (s *session) versions(version uint64) (map[string]uint64, []string) {
-	entries := make(map[string]uint64)
+func (s *session) bundleVersions(version uint64) (map[string]uint64, []string) {
+	versions := make(map[string]uint64)
 	var behind []string
 	members, err := s.client.Members(s.ctx)
 	if err != nil {
-		return entries, []string{"all"}
+		return versions, []string{"all"}
 	}
 	for _, m := range members.Members {
 		if m.State == peer.StateGone || m.State == peer.StateSuspect {
@@ -352,7 +352,7 @@
 		if err != nil || status.Bundle < version {
 			behind = append(behind, m.Name)
 		}
-		entries[m.Name] = status.Bundle
+		versions[m.Name] = status.Bundle
 	}
-	return entries, behind
+	return versions, behind
 }
--- a/internal/client/command/losses.go
+++ b/internal/client/command/losses.go
@@ -15,19 +15,19 @@
 )
 
 type (
-	// SteeringLossesArguments names what to count.
+	// SteeringLossesArguments selects the source and the output of losses.
 	SteeringLossesArguments struct {
-		Files []string `arg:"positional" help:"log files of proxies, in any order; without any, the proxies are asked for what they keep"`
-		Plot  string   `help:"draw the losses of each second into this file, such as losses.svg"`
-		Most  int      `default:"12" help:"rows of each list"`
+		Files []string `arg:"positional" help:"log files of proxies, in any order; without files, the events retained by the proxies are used"`
+		Plot  string   `help:"plot the losses per second to this file, such as losses.svg"`
+		Most  int      `default:"12" help:"maximum rows of each list"`
 	}
 
-	// LossesAnswer is what losses prints as JSON.
-	LossesAnswer struct {
+	// LossesOutput is the JSON output of steering losses.
+	LossesOutput struct {
 		losses.Table
-		// Skipped counts the lines that could not be read.
+		// Skipped counts the log lines that could not be parsed.
 		Skipped    int          `json:"skipped-lines,omitempty"`
-		Unanswered []Unanswered `json:"unanswered,omitempty"`
+		Unanswered []ProxyError `json:"unanswered,omitempty"`
 	}
 )
 
@@ -36,23 +36,23 @@
 		return Result{}, usageError("--most: must be at least 1")
 	}
 	counter := losses.NewCounter()
-	var answer LossesAnswer
+	var output LossesOutput
 	var err error
 	if len(a.Files) > 0 {
-		answer.Skipped, err = readLogs(counter, a.Files)
+		output.Skipped, err = readLogs(counter, a.Files)
 	} else {
-		answer.Unanswered, err = askLosses(s, c, counter)
+		output.Unanswered, err = queryLosses(s, c, counter)
 	}
 	if err != nil {
 		return Result{}, err
 	}
-	answer.Table = counter.Table()
+	output.Table = counter.Table()
 	if a.Plot != "" {
-		if err := answer.Plot(a.Plot); err != nil {
+		if err := output.Plot(a.Plot); err != nil {
 			return Result{}, usageError("--plot: " + err.Error())
 		}
 	}
-	return Result{Text: a.text(answer), Data: answer}, nil
+	return Result{Text: a.text(output), Data: output}, nil
 }
 
 func readLogs(counter *losses.Counter, files []string) (skipped int, err error) {
@@ -71,60 +71,61 @@
 	return skipped, nil
 }
 
-// askLosses counts what the proxies keep: their last few thousand events each.
-func askLosses(s *session, c *steeringhttp.Client, counter *losses.Counter) ([]Unanswered, error) {
-	answers, err := ask(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
+// queryLosses counts the losses among the events that the proxies retain, the last few thousand of
+// each.
+func queryLosses(s *session, c *steeringhttp.Client, counter *losses.Counter) ([]ProxyError, error) {
+	responses, err := queryAll(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
 		return c.Events(ctx, proxy, "")
 	})
 	if err != nil {
 		return nil, err
 	}
-	var unanswered []Unanswered
-	for _, a := range answers {
+	var failed []ProxyError
+	for _, a := range responses {
 		if a.Error != "" {
-			unanswered = append(unanswered, Unanswered{Proxy: a.Proxy.Name, Error: a.Error})
+			failed = append(failed, ProxyError{Proxy: a.Proxy.Name, Error: a.Error})
 		}
 		for _, e := range a.Value {
 			if e.Kind != string(steering.EventRequestEnded) {
 				continue
 			}
-			counter.Add(losses.Ended{
+			counter.Add(losses.EndedRequest{
 				At: e.At, Request: e.Request, Route: e.Route, Region: a.Proxy.Region, Outcome: e.Outcome, Reason: e.Reason,
-				Cause: e.Cause, State: e.ServerState, Took: losses.ParseSpan(e.Duration), Target: losses.ParseSpan(e.Target),
+				Cause: e.Cause, State: e.ServerState, Took: losses.ParseDuration(e.Duration), Target: losses.ParseDuration(e.Target),
 			})
 		}
 	}
-	return unanswered, nil
+	return failed, nil
 }
 
-func (a *SteeringLossesArguments) text(answer LossesAnswer) string {
+func (a *SteeringLossesArguments) text(output LossesOutput) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%d requests lost\n", answer.Lost)
-	for _, u := range answer.Unanswered {
+	fmt.Fprintf(&text, "%d requests lost\n", output.Lost)
+	for _, u := range output.Unanswered {
 		fmt.Fprintf(&text, "%s did not answer: %s\n", u.Proxy, u.Error)
 	}
-	if answer.Skipped > 0 {
-		fmt.Fprintf(&text, "%d lines could not be read\n", answer.Skipped)
+	if output.Skipped > 0 {
+		fmt.Fprintf(&text, "%d lines could not be read\n", output.Skipped)
 	}
 	for _, list := range []struct {
 		title string
 		part  func(losses.Key) string
 	}{
-		{"WHY", func(k losses.Key) string { return k.Why }},
+		{"WHY", func(k losses.Key) string { return k.Cause }},
 		{"ROUTE", func(k losses.Key) string { return k.Route }},
 		{"REGION OF THE PROXY", func(k losses.Key) string { return k.Region }},
 		{"SERVER", func(k losses.Key) string { return k.State }},
 	} {
 		fmt.Fprintf(&text, "\n%8s  %-8s %s\n", "COUNT", "LOSS", list.title)
-		rows := answer.Sum(list.part)
+		rows := output.SumBy(list.part)
 		for _, r := range rows[:min(len(rows), a.Most)] {
-			fmt.Fprintf(&text, "%8d  %-8s %s\n", r.Count, r.Kind, r.Why)
+			fmt.Fprintf(&text, "%8d  %-8s %s\n", r.Count, r.Kind, r.Cause)
 		}
 	}
-	fmt.Fprintf(&text, "\n%-10s %8s %8s %8s %8s\n", "SECOND", losses.Late, losses.Refused, losses.Failed, losses.Left)
-	for _, s := range answer.Seconds {
+	fmt.Fprintf(&text, "\n%-10s %8s %8s %8s %8s\n", "SECOND", losses.Late, losses.Rejected, losses.Failed, losses.Abandoned)
+	for _, s := range output.Seconds {
 		fmt.Fprintf(&text, "%-10s %8d %8d %8d %8d\n", s.At.Format("15:04:05"), s.Counts[losses.Late],
-			s.Counts[losses.Refused], s.Counts[losses.Failed], s.Counts[losses.Left])
+			s.Counts[losses.Rejected], s.Counts[losses.Failed], s.Counts[losses.Abandoned])
 	}
 	return text.String()
 }
--- a/internal/client/command/replay.go
+++ b/internal/client/command/replay.go
@@ -12,47 +12,47 @@
 )
 
 type (
-	// SteeringReplayArguments names a recording.
+	// SteeringReplayArguments selects a recording.
 	SteeringReplayArguments struct {
-		File    string `arg:"positional,required" help:"recording, as gypsumquayd --record writes it"`
-		Request string `help:"tell how servers were weighed for the request of this id"`
+		File    string `arg:"positional,required" help:"recording written by gypsumquayd --record"`
+		Request string `help:"show the server candidates for the request with this ID"`
 	}
 )
 
-// run replays a recording and tells which decisions differ from those recorded.
+// run replays a recording and reports the decisions that differ from the recorded ones.
 func (a *SteeringReplayArguments) run() (Result, error) {
 	file, err := os.Open(a.File)
 	if err != nil {
 		return Result{}, usageError(err.Error())
 	}
 	defer func() { _ = file.Close() }()
-	r, err := steering.ReplayCalls(file, a.Request)
+	result, err := steering.ReplayCalls(file, a.Request)
 	if err != nil {
 		return Result{}, usageError(errors.Wrap(err, a.File).Error())
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "%d calls, %d decisions, %d differ\n", r.Calls, r.Decisions, r.DifferenceCount)
-	if r.Truncated {
+	fmt.Fprintf(&text, "%d calls, %d decisions, %d differ\n", result.Calls, result.Decisions, result.DifferenceCount)
+	if result.Truncated {
 		text.WriteString("the last call is cut short: the process was killed\n")
 	}
-	for _, d := range r.Differences {
-		fmt.Fprintf(&text, "%s request %s: recorded %s, now %s\n", d.At.Format("15:04:05.000"), d.Request, verdictText(d.Recorded), verdictText(d.Now))
+	for _, d := range result.Differences {
+		fmt.Fprintf(&text, "%s request %s: recorded %s, now %s\n", d.At.Format("15:04:05.000"), d.Request, decisionText(d.Recorded), decisionText(d.Now))
 	}
-	if len(r.Candidates) > 0 {
+	if len(result.Candidates) > 0 {
 		fmt.Fprintf(&text, "%-12s %7s %-20s %6s %5s %5s %4s %6s %6s %9s %12s\n", "AT", "ATTEMPT", "SERVER", "USABLE", "COLD", "WARM", "HOME", "LOAD", "SPEED", "EXPECTED", "COST")
 	}
-	for _, w := range r.Candidates {
+	for _, w := range result.Candidates {
 		mark := ""
 		if w.Chosen {
 			mark = " chosen"
 		}
 		fmt.Fprintf(&text, "%-12s %7d %-20s %6t %5t %5t %4d %6.1f %6.2f %9s %12s%s\n", w.At.Format("15:04:05.000"), w.Attempt, w.Server,
-			w.Usable, w.Cold, w.Warm, w.HomeRank, w.Load, w.Slowdown, rounded(w.Expected), rounded(w.Cost), mark)
+			w.Usable, w.Cold, w.Warm, w.HomeRank, w.Load, w.Slowdown, roundDuration(w.Expected), roundDuration(w.Cost), mark)
 	}
-	return Result{Text: text.String(), Data: r}, nil
+	return Result{Text: text.String(), Data: result}, nil
 }
 
-func verdictText(v steering.RecordedDecision) string {
+func decisionText(v steering.RecordedDecision) string {
 	switch {
 	case v.Server != "":
 		return "to " + v.Server
@@ -62,5 +62,5 @@
 	return string(v.Reason)
 }
 
-// rounded leaves out what nobody reads.
-func rounded(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
+// roundDuration rounds to 10 µs for display.
+func roundDuration(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
--- a/internal/client/command/signals.go
+++ b/internal/client/command/signals.go
@@ -11,90 +11,91 @@
 )
 
 type (
-	// SteeringSignalsArguments picks backend servers.
+	// SteeringSignalsArguments selects backend servers.
 	SteeringSignalsArguments struct {
-		Service string `help:"only this service's"`
+		Service string `help:"only backend servers of this service"`
 	}
 
-	// ServerSignals is what a backend server asks of its senders, over all proxies that
-	// answered.
+	// ServerSignals is the limit, pause or drain that a backend server has signaled to the proxies
+	// that answered.
 	ServerSignals struct {
 		Server  string `json:"server"`
 		Service string `json:"service"`
 		Domain  string `json:"failure-domain"`
-		// Limit is what it takes from all proxies together, the lowest that any knows of.
+		// Limit is the rate that the server accepts from all proxies together: the lowest that any
+		// proxy knows.
 		Limit string `json:"limit,omitempty"`
-		// Leaving is set if it leaves by its own word.
-		Leaving bool `json:"leaving,omitempty"`
-		// Limited, Pausing and Known count the proxies that keep to a limit or a pause of
-		// it, and those that know of anything that it asks.
+		// Draining is set if the server itself reports that it drains.
+		Draining bool `json:"leaving,omitempty"`
+		// Limited and Pausing count the proxies that enforce a limit or a pause of the server, Known
+		// those that know any of its signals.
 		Limited int `json:"limited-proxies"`
 		Pausing int `json:"pausing-proxies"`
 		Known   int `json:"proxies"`
 
-		perSecond float64
+		limitPerSecond float64
 	}
 
-	// SignalsAnswer is what signals prints as JSON. What proxies know that did not answer
-	// is missing.
-	SignalsAnswer struct {
+	// SignalsOutput is the JSON output of steering signals. It lacks the signals known only to
+	// proxies that did not answer.
+	SignalsOutput struct {
 		Servers    []ServerSignals `json:"backend-servers"`
-		Unanswered []Unanswered    `json:"unanswered,omitempty"`
+		Unanswered []ProxyError    `json:"unanswered,omitempty"`
 	}
 )
 
 func (a *SteeringSignalsArguments) run(s *session, c *steeringhttp.Client) (Result, error) {
-	answers, err := ask(s, c, c.Status)
+	responses, err := queryAll(s, c, c.Status)
 	if err != nil {
 		return Result{}, err
 	}
 	var text strings.Builder
-	var out SignalsAnswer
-	asking := make(map[string]*ServerSignals)
-	out.Unanswered = unanswered(&text, answers)
-	for _, one := range answers {
-		for _, b := range one.Value.Servers {
+	var output SignalsOutput
+	byServer := make(map[string]*ServerSignals)
+	output.Unanswered = listFailed(&text, responses)
+	for _, response := range responses {
+		for _, b := range response.Value.Servers {
 			if a.Service == "" || a.Service == b.Service {
-				addSignals(asking, b)
+				addSignals(byServer, b)
 			}
 		}
 	}
-	out.Servers = pickSignals(asking)
-	fmt.Fprintf(&text, "of %d proxies that answered\n%-16s %-16s %-16s %10s %8s %8s %8s %8s\n", len(answers)-len(out.Unanswered),
+	output.Servers = sortSignals(byServer)
+	fmt.Fprintf(&text, "of %d proxies that answered\n%-16s %-16s %-16s %10s %8s %8s %8s %8s\n", len(responses)-len(output.Unanswered),
 		"SERVER", "SERVICE", "DOMAIN", "LIMIT", "LIMITED", "PAUSING", "LEAVES", "KNOWN BY")
-	for _, v := range out.Servers {
-		fmt.Fprintf(&text, "%-16s %-16s %-16s %10s %8d %8d %8t %8d\n", v.Server, v.Service, v.Domain, cmp.Or(v.Limit, "none"), v.Limited, v.Pausing, v.Leaving, v.Known)
+	for _, v := range output.Servers {
+		fmt.Fprintf(&text, "%-16s %-16s %-16s %10s %8d %8d %8t %8d\n", v.Server, v.Service, v.Domain, cmp.Or(v.Limit, "none"), v.Limited, v.Pausing, v.Draining, v.Known)
 	}
-	return Result{Text: text.String(), Data: out}, nil
+	return Result{Text: text.String(), Data: output}, nil
 }
 
-// addSignals adds what one proxy knows of a server.
-func addSignals(asking map[string]*ServerSignals, b steeringhttp.BackendServer) {
+// addSignals adds the signals of a server that one proxy knows.
+func addSignals(byServer map[string]*ServerSignals, b steeringhttp.BackendServer) {
 	if b.Limit == nil && b.PausedFor == "" && !b.ReportsDraining {
 		return
 	}
-	v := asking[b.ID]
+	v := byServer[b.ID]
 	if v == nil {
 		v = &ServerSignals{Server: b.ID, Service: b.Service, Domain: b.Domain}
-		asking[b.ID] = v
+		byServer[b.ID] = v
 	}
 	v.Known++
-	v.Leaving = v.Leaving || b.ReportsDraining
+	v.Draining = v.Draining || b.ReportsDraining
 	if b.PausedFor != "" {
 		v.Pausing++
 	}
 	if b.Limit == nil {
 		return
 	}
-	if v.Limited++; v.Limited == 1 || *b.Limit < v.perSecond {
-		v.perSecond, v.Limit = *b.Limit, fmt.Sprintf("%.1f/s", *b.Limit)
+	if v.Limited++; v.Limited == 1 || *b.Limit < v.limitPerSecond {
+		v.limitPerSecond, v.Limit = *b.Limit, fmt.Sprintf("%.1f/s", *b.Limit)
 	}
 }
 
-// pickSignals lists servers by service, those known to the most proxies first.
-func pickSignals(asking map[string]*ServerSignals) []ServerSignals {
-	list := make([]ServerSignals, 0, len(asking))
-	for _, v := range slices.Collect(maps.Values(asking)) {
+// sortSignals sorts servers by service, those known to the most proxies first.
+func sortSignals(byServer map[string]*ServerSignals) []ServerSignals {
+	list := make([]ServerSignals, 0, len(byServer))
+	for _, v := range slices.Collect(maps.Values(byServer)) {
 		list = append(list, *v)
 	}
 	slices.SortFunc(list, func(a, b ServerSignals) int {
--- a/internal/client/command/status.go
+++ b/internal/client/command/status.go
@@ -21,7 +21,7 @@
 	// StatusArguments has no fields.
 	StatusArguments struct{}
 
-	// LookupArguments asks why a client gets its answer.
+	// LookupArguments selects a lookup response to explain.
 	LookupArguments struct {
 		Service string     `arg:"positional,required"`
 		Client  netip.Addr `arg:"positional,required" help:"the client's IP address"`
@@ -29,11 +29,11 @@
 
 	// EventsArguments filters the event log.
 	EventsArguments struct {
-		Request string        `help:"only this request or token id"`
+		Request string        `help:"only this request or token ID"`
 		Service string        `help:"only this service"`
 		VM      string        `arg:"--vm" help:"only this proxy"`
 		Kind    string        `help:"only this kind of event"`
-		Since   time.Duration `help:"only events of the last such span"`
+		Since   time.Duration `help:"only events within this duration before now"`
 	}
 
 	proxyStatus struct {
@@ -71,11 +71,11 @@
 		}
 		report.Proxies = append(report.Proxies, p)
 	}
-	report.Regions = totals(report.Proxies)
+	report.Regions = sumRegions(report.Proxies)
 	return Result{Text: report.text(), Data: report}, nil
 }
 
-func totals(proxies []proxyStatus) []regionTotal {
+func sumRegions(proxies []proxyStatus) []regionTotal {
 	var list []regionTotal
 	index := make(map[string]int)
 	for _, p := range proxies {
@@ -121,7 +121,7 @@
 	return text.String()
 }
 
-// run asks one live proxy's callers' interface on behalf of the client.
+// run sends the client's lookup to the caller interface of the first live proxy that answers.
 func (a *LookupArguments) run(s *session) (Result, error) {
 	members, err := s.client.Members(s.ctx)
 	if err != nil {
@@ -132,13 +132,13 @@
 			continue
 		}
 		query := url.Values{"service": {a.Service}, "client": {a.Client.String()}, "explain": {""}}
-		answer, err := askLookup(s, "http://"+m.Address.String()+"/v1/lookup?"+query.Encode())
+		answer, err := queryLookup(s, "http://"+m.Address.String()+"/v1/lookup?"+query.Encode())
 		if err != nil {
 			continue
 		}
 		return Result{Text: lookupText(m.Name, answer), Data: answer}, nil
 	}
-	return Result{}, errors.New("no live proxy answers for service " + a.Service)
+	return Result{}, errors.New("no live proxy answered the lookup for service " + a.Service)
 }
 
 type lookupAnswer struct {
@@ -152,7 +152,7 @@
 	} `json:"proxies"`
 }
 
-func askLookup(s *session, target string) (lookupAnswer, error) {
+func queryLookup(s *session, target string) (lookupAnswer, error) {
 	var answer lookupAnswer
 	request, err := http.NewRequestWithContext(s.ctx, http.MethodGet, target, nil)
 	if err != nil {
@@ -169,9 +169,9 @@
 	return answer, errs.Wrap(json.NewDecoder(response.Body).Decode(&answer), "lookup")
 }
 
-func lookupText(from string, a lookupAnswer) string {
+func lookupText(proxy string, a lookupAnswer) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "answer of %s, valid for %s\n", from, a.Lifetime)
+	fmt.Fprintf(&text, "answer of %s, valid for %s\n", proxy, a.Lifetime)
 	for i, p := range a.Proxies {
 		fmt.Fprintf(&text, "%d. %-12s %-21s %s\n", i+1, p.Name, p.Address, p.Region)
 	}
@@ -201,7 +201,7 @@
 	sort.SliceStable(all, func(i, j int) bool { return all[i].Stamp.Less(all[j].Stamp) })
 	var text strings.Builder
 	for _, e := range all {
-		fmt.Fprintf(&text, "%s %-10s %-24s %s\n", e.Stamp.Time().Format("15:04:05.000000"), e.VM, e.Kind, eventDetail(e))
+		fmt.Fprintf(&text, "%s %-10s %-24s %s\n", e.Stamp.Time().Format("15:04:05.000000"), e.VM, e.Kind, eventText(e))
 	}
 	return Result{Text: text.String(), Data: all}, nil
 }
@@ -218,7 +218,7 @@
 	return true
 }
 
-func eventDetail(e core.Event) string {
+func eventText(e core.Event) string {
 	var parts []string
 	for _, p := range []string{e.Service, e.Request, e.Target, string(e.Reason), e.Detail} {
 		if p != "" {
--- a/internal/client/command/steering.go
+++ b/internal/client/command/steering.go
@@ -16,40 +16,40 @@
 )
 
 const (
-	// asksAtOnce bounds the proxies asked at the same time.
-	asksAtOnce = 16
+	// maxConcurrentQueries limits the proxies that are queried concurrently.
+	maxConcurrentQueries = 16
 )
 
 type (
-	// SteeringArguments are the commands for proxies on the platform.
+	// SteeringArguments holds the subcommands for proxies on the platform.
 	SteeringArguments struct {
-		Status   *SteeringStatusArguments   `arg:"subcommand:status" help:"who is alive, versions in force, age of the store's news"`
+		Status   *SteeringStatusArguments   `arg:"subcommand:status" help:"live proxies, versions in force, age of the data from the store"`
 		Servers  *SteeringServersArguments  `arg:"subcommand:servers" help:"backend servers as one proxy sees them"`
 		Routes   *SteeringRoutesArguments   `arg:"subcommand:routes" help:"routes in force at one proxy"`
-		Accounts *SteeringAccountsArguments `arg:"subcommand:accounts" help:"client accounts, their limits and their use over all proxies"`
-		Signals  *SteeringSignalsArguments  `arg:"subcommand:signals" help:"backend servers that name limits, pause or leave by their own word, over all proxies"`
-		Explain  *SteeringExplainArguments  `arg:"subcommand:explain" help:"all decisions on one request, over all proxies"`
-		Events   *SteeringEventsArguments   `arg:"subcommand:events" help:"decisions and changes of all proxies, merged"`
-		Losses   *SteeringLossesArguments   `arg:"subcommand:losses" help:"late, refused and failed requests by cause, route, region, server state and time"`
-		Replay   *SteeringReplayArguments   `arg:"subcommand:replay" help:"give a recording of a proxy to a new kernel and compare the decisions"`
+		Accounts *SteeringAccountsArguments `arg:"subcommand:accounts" help:"client accounts, their limits and their usage over all proxies"`
+		Signals  *SteeringSignalsArguments  `arg:"subcommand:signals" help:"backend servers that signal a limit, a pause or a drain, over all proxies"`
+		Explain  *SteeringExplainArguments  `arg:"subcommand:explain" help:"all decisions about a request, over all proxies"`
+		Events   *SteeringEventsArguments   `arg:"subcommand:events" help:"merged decisions and changes of all proxies"`
+		Losses   *SteeringLossesArguments   `arg:"subcommand:losses" help:"late, rejected and failed requests by cause, route, region, server state and time"`
+		Replay   *SteeringReplayArguments   `arg:"subcommand:replay" help:"replay a recording of a proxy with a new kernel and compare the decisions"`
 	}
 
 	// SteeringStatusArguments has no fields.
 	SteeringStatusArguments struct{}
 
-	// SteeringServersArguments picks servers.
+	// SteeringServersArguments selects backend servers.
 	SteeringServersArguments struct {
-		Service string `help:"only this service's"`
+		Service string `help:"only backend servers of this service"`
 	}
 
-	// SteeringRoutesArguments picks routes.
+	// SteeringRoutesArguments selects routes.
 	SteeringRoutesArguments struct {
-		Host string `help:"only this host's"`
+		Host string `help:"only routes of this host"`
 	}
 
-	// SteeringExplainArguments names the request.
+	// SteeringExplainArguments selects a request.
 	SteeringExplainArguments struct {
-		Request string `arg:"positional,required" help:"the request's id"`
+		Request string `arg:"positional,required" help:"the request ID"`
 	}
 
 	// SteeringEventsArguments filters events.
@@ -58,21 +58,21 @@
 		Server string `help:"only this backend server"`
 	}
 
-	// EventsAnswer is what events and explain print as JSON: the events in order, and
-	// the proxies that did not answer, whose events are missing.
-	EventsAnswer struct {
+	// EventsOutput is the JSON output of steering events and steering explain: the events in order
+	// of time, and the proxies that did not answer, whose events are missing.
+	EventsOutput struct {
 		Events     []steeringhttp.Event `json:"events"`
-		Unanswered []Unanswered         `json:"unanswered,omitempty"`
+		Unanswered []ProxyError         `json:"unanswered,omitempty"`
 	}
 
-	// Unanswered is a proxy that did not answer, and why.
-	Unanswered struct {
+	// ProxyError is a proxy that did not answer and the reason.
+	ProxyError struct {
 		Proxy string `json:"proxy"`
 		Error string `json:"error"`
 	}
 
-	// answer is what one proxy said, or why it did not.
-	answer[T any] struct {
+	// proxyResponse is the answer of one proxy, or the error if it did not answer.
+	proxyResponse[T any] struct {
 		Proxy steeringhttp.Proxy `json:"proxy"`
 		Value T                  `json:"answer"`
 		Error string             `json:"error,omitempty"`
@@ -101,18 +101,18 @@
 	case a.Replay != nil:
 		return a.Replay.run()
 	}
-	return Result{}, usageError("steering: needs status, servers, routes, accounts, signals, explain, events, losses or replay")
+	return Result{}, usageError("steering: a subcommand is required: status, servers, routes, accounts, signals, explain, events, losses or replay")
 }
 
 func (a *SteeringEventsArguments) match(e steeringhttp.Event) bool {
 	return (a.Kind == "" || a.Kind == e.Kind) && (a.Server == "" || a.Server == e.Server)
 }
 
-// first is the view of the first proxy that answers. It counts among those that it
-// lists: one whose entry was taken away still serves, and may be the one that a
-// caller complains about.
-func first(s *session, c *steeringhttp.Client) (steeringhttp.Status, error) {
-	var failed error
+// firstStatus returns the status of the first proxy that answers. That proxy is added to its own
+// list of proxies if it is missing there: a proxy whose registration was removed still serves, and
+// may be the one with the failed request.
+func firstStatus(s *session, c *steeringhttp.Client) (steeringhttp.Status, error) {
+	var lastErr error
 	for _, address := range s.proxies {
 		status, err := c.Status(s.ctx, address)
 		if err == nil {
@@ -121,58 +121,58 @@
 			}
 			return status, nil
 		}
-		failed = err
+		lastErr = err
 	}
-	if failed == nil {
-		return steeringhttp.Status{}, usageError("--proxy: name at least one")
+	if lastErr == nil {
+		return steeringhttp.Status{}, usageError("--proxy: at least one address is required")
 	}
-	return steeringhttp.Status{}, errors.Wrap(operatorhttp.ErrNoProxy, failed.Error())
+	return steeringhttp.Status{}, errors.Wrap(operatorhttp.ErrNoProxy, lastErr.Error())
 }
 
-// ask puts a question to all proxies that the first one knows.
-func ask[T any](s *session, c *steeringhttp.Client, question func(context.Context, netip.AddrPort) (T, error)) ([]answer[T], error) {
-	view, err := first(s, c)
+// queryAll sends a query to all proxies that the first answering proxy knows.
+func queryAll[T any](s *session, c *steeringhttp.Client, query func(context.Context, netip.AddrPort) (T, error)) ([]proxyResponse[T], error) {
+	status, err := firstStatus(s, c)
 	if err != nil {
 		return nil, err
 	}
-	answers := make([]answer[T], len(view.Proxies))
-	places := make(chan struct{}, asksAtOnce)
-	var all sync.WaitGroup
-	for i, p := range view.Proxies {
-		all.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
-			answers[i].Proxy = p
-			value, err := question(s.ctx, p.OperatorAddress)
-			answers[i].Value = value
+	responses := make([]proxyResponse[T], len(status.Proxies))
+	semaphore := make(chan struct{}, maxConcurrentQueries)
+	var group sync.WaitGroup
+	for i, p := range status.Proxies {
+		group.Go(func() {
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			responses[i].Proxy = p
+			value, err := query(s.ctx, p.OperatorAddress)
+			responses[i].Value = value
 			if err != nil {
-				answers[i].Error = err.Error()
+				responses[i].Error = err.Error()
 			}
 		})
 	}
-	all.Wait()
-	return answers, nil
+	group.Wait()
+	return responses, nil
 }
 
-// unanswered lists the proxies that did not answer, and says so in the text.
-func unanswered[T any](text *strings.Builder, answers []answer[T]) (list []Unanswered) {
-	for _, a := range answers {
+// listFailed returns the proxies that did not answer and adds a line for each to the text.
+func listFailed[T any](text *strings.Builder, responses []proxyResponse[T]) (list []ProxyError) {
+	for _, a := range responses {
 		if a.Error != "" {
 			fmt.Fprintf(text, "%s did not answer: %s\n", a.Proxy.Name, a.Error)
-			list = append(list, Unanswered{Proxy: a.Proxy.Name, Error: a.Error})
+			list = append(list, ProxyError{Proxy: a.Proxy.Name, Error: a.Error})
 		}
 	}
 	return list
 }
 
 func steeringStatus(s *session, c *steeringhttp.Client) (Result, error) {
-	answers, err := ask(s, c, c.Status)
+	responses, err := queryAll(s, c, c.Status)
 	if err != nil {
 		return Result{}, err
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-24s %-16s %-12s %7s %9s %8s %9s %8s\n", "PROXY", "DOMAIN", "REGION", "CONFIG", "REVISION", "AGE", "IN-FLIGHT", "SERVERS")
-	for _, a := range answers {
+	for _, a := range responses {
 		if a.Error != "" {
 			fmt.Fprintf(&text, "%-24s %-16s %-12s no answer: %s\n", a.Proxy.Name, a.Proxy.Domain, a.Proxy.Region, a.Error)
 			continue
@@ -193,75 +193,75 @@
 			fmt.Fprintf(&text, "%24s without proxies: %s\n", "", strings.Join(v.RegionsWithoutProxies, ", "))
 		}
 	}
-	return Result{Text: text.String(), Data: answers}, nil
+	return Result{Text: text.String(), Data: responses}, nil
 }
 
 func (a *SteeringServersArguments) run(s *session, c *steeringhttp.Client) (Result, error) {
-	view, err := first(s, c)
+	status, err := firstStatus(s, c)
 	if err != nil {
 		return Result{}, err
 	}
-	list := slices.DeleteFunc(view.Servers, func(b steeringhttp.BackendServer) bool { return a.Service != "" && b.Service != a.Service })
+	servers := slices.DeleteFunc(status.Servers, func(b steeringhttp.BackendServer) bool { return a.Service != "" && b.Service != a.Service })
 	var text strings.Builder
-	fmt.Fprintf(&text, "as %s sees them\n%-16s %-12s %-16s %-20s %9s %6s %6s %6s\n", view.VM, "SERVER", "SERVICE", "DOMAIN", "STATE", "IN-FLIGHT", "LOAD", "SPEED", "FAILED")
-	for _, b := range list {
+	fmt.Fprintf(&text, "as %s sees them\n%-16s %-12s %-16s %-20s %9s %6s %6s %6s\n", status.VM, "SERVER", "SERVICE", "DOMAIN", "STATE", "IN-FLIGHT", "LOAD", "SPEED", "FAILED")
+	for _, b := range servers {
 		fmt.Fprintf(&text, "%-16s %-12s %-16s %-20s %5d/%-3d %6.1f %6.2f %6.2f\n", b.ID, b.Service, b.Domain, b.State, b.InFlight, b.Slots, b.Load, b.Slowdown, b.FailureShare)
 	}
-	return Result{Text: text.String(), Data: list}, nil
+	return Result{Text: text.String(), Data: servers}, nil
 }
 
 func (a *SteeringRoutesArguments) run(s *session, c *steeringhttp.Client) (Result, error) {
-	view, err := first(s, c)
+	status, err := firstStatus(s, c)
 	if err != nil {
 		return Result{}, err
 	}
-	list := slices.DeleteFunc(view.Routes, func(r steeringhttp.Route) bool { return a.Host != "" && r.Host != a.Host })
+	routes := slices.DeleteFunc(status.Routes, func(r steeringhttp.Route) bool { return a.Host != "" && r.Host != a.Host })
 	var text strings.Builder
-	fmt.Fprintf(&text, "version %d at %s\n", view.ConfigurationVersion, view.VM)
-	for _, r := range list {
+	fmt.Fprintf(&text, "version %d at %s\n", status.ConfigurationVersion, status.VM)
+	for _, r := range routes {
 		kind := "once"
 		if r.Idempotent {
 			kind = "idempotent"
 		}
 		fmt.Fprintf(&text, "%-12s %-24s %-16s %-10s %8s %s\n", r.Name, r.Host, r.Prefix, kind, r.Timeout, strings.Join(r.Services, ", "))
 	}
-	return Result{Text: text.String(), Data: list}, nil
+	return Result{Text: text.String(), Data: routes}, nil
 }
 
 func steeringEvents(s *session, c *steeringhttp.Client, request string, match func(steeringhttp.Event) bool) (Result, error) {
-	answers, err := ask(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
+	responses, err := queryAll(s, c, func(ctx context.Context, proxy netip.AddrPort) ([]steeringhttp.Event, error) {
 		return c.Events(ctx, proxy, request)
 	})
 	if err != nil {
 		return Result{}, err
 	}
-	all := []steeringhttp.Event{}
+	events := []steeringhttp.Event{}
 	var text strings.Builder
-	missing := unanswered(&text, answers)
-	for _, a := range answers {
+	failed := listFailed(&text, responses)
+	for _, a := range responses {
 		for _, e := range a.Value {
 			if match(e) {
-				all = append(all, e)
+				events = append(events, e)
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b steeringhttp.Event) int { return a.At.Compare(b.At) })
-	if len(all) == 0 {
+	slices.SortStableFunc(events, func(a, b steeringhttp.Event) int { return a.At.Compare(b.At) })
+	if len(events) == 0 {
 		text.WriteString("nothing kept; requests that ended well are sampled, and a restarted proxy has forgotten: search the logs\n")
 	}
-	for _, e := range all {
-		fmt.Fprintf(&text, "%s %-22s %-22s %s\n", e.At.Format("15:04:05.000"), e.VM, e.Kind, steeringDetail(e))
+	for _, e := range events {
+		fmt.Fprintf(&text, "%s %-22s %-22s %s\n", e.At.Format("15:04:05.000"), e.VM, e.Kind, steeringEventText(e))
 	}
-	return Result{Text: text.String(), Data: EventsAnswer{Events: all, Unanswered: missing}}, nil
+	return Result{Text: text.String(), Data: EventsOutput{Events: events, Unanswered: failed}}, nil
 }
 
-// steeringDetail lists the fields that an event has, each with its name.
-func steeringDetail(e steeringhttp.Event) string {
+// steeringEventText formats the non-empty fields of an event as name=value.
+func steeringEventText(e steeringhttp.Event) string {
 	var parts []string
 	for _, f := range []struct{ name, value string }{
 		{"request", e.Request}, {"route", e.Route}, {"account", e.Account}, {"service", e.Service}, {"server", e.Server}, {"object", e.Object},
 		{"failure-domain", e.Domain}, {"result", e.Result}, {"outcome", e.Outcome}, {"reason", e.Reason},
-		{"expected", e.Expected}, {"took", e.Duration}, {"load-age", e.LoadAge}, {"come-back", e.RetryAfter}, {"pressure", level(e.Pressure)},
+		{"expected", e.Expected}, {"took", e.Duration}, {"load-age", e.LoadAge}, {"come-back", e.RetryAfter}, {"pressure", formatPressure(e.Pressure)},
 		{"cause", e.Cause}, {"server-state", e.ServerState}, {"wait", e.ExpectedWait}, {"target", e.Target}, {"limit", e.Limit}, {"error", e.Error},
 	} {
 		if f.value != "" {
@@ -277,8 +277,8 @@
 	return strings.Join(parts, " ")
 }
 
-// level is a queue's length as text, empty for none.
-func level(pressure float64) string {
+// formatPressure formats a queue length; zero yields an empty string.
+func formatPressure(pressure float64) string {
 	if pressure == 0 {
 		return ""
 	}
--- a/internal/client/command/steering_test.go
+++ b/internal/client/command/steering_test.go
@@ -16,10 +16,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/adapter/steeringhttp"
 )
 
-// The store has taken a proxy's entry away, and the proxy serves on: it lists no
-// proxy, not even itself. An operator asks it about a request that it refused, and
-// was told that nothing is known, for only listed proxies were asked.
-func TestProxyWithoutAnEntryIsAskedToo(t *testing.T) {
+// Guards against events being missed at a proxy that is not registered in the store: it still
+// serves but lists no proxies, not even itself, so a query of the listed proxies finds nothing.
+func TestExplainQueriesUnregisteredProxy(t *testing.T) {
 	s := steeringhttp.Server{
 		Status: func() steeringhttp.Status { return steeringhttp.Status{VM: "vm-1"} },
 		Events: func(id string) []steeringhttp.Event {
@@ -40,9 +39,9 @@
 	}
 }
 
-// A proxy does not answer while an operator asks for a request's cause by a script.
-// Printed without a word on it, an empty list would say that nothing is known.
-func TestJSONNamesProxiesThatDidNotAnswer(t *testing.T) {
+// If a proxy does not answer, the JSON output must list it: an empty list of events alone would
+// tell a script that the request is unknown.
+func TestJSONListsUnreachableProxies(t *testing.T) {
 	s := steeringhttp.Server{
 		Status: func() steeringhttp.Status {
 			return steeringhttp.Status{VM: "vm-1", Proxies: []steeringhttp.Proxy{{Name: "vm-2", OperatorAddress: netip.MustParseAddrPort("127.0.0.1:1")}}}
@@ -57,7 +56,7 @@
 		JSON: true, Proxies: []netip.AddrPort{netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))},
 		Steering: &SteeringArguments{Explain: &SteeringExplainArguments{Request: "r-1"}},
 	}, &out, io.Discard)
-	var got EventsAnswer
+	var got EventsOutput
 	if err := json.Unmarshal([]byte(out.String()), &got); err != nil {
 		t.Fatal(err)
 	}
@@ -66,17 +65,17 @@
 	}
 }
 
-// Guards against use of a limit that is told for one proxy as if it were all, and against
-// accounts of proxies that did not answer that pass for unused.
-func TestAccountsAreSummedOverProxies(t *testing.T) {
-	use := func(admitted, refused uint64) steeringhttp.Server {
+// Guards against the usage at one proxy being reported as the total, and against accounts
+// appearing unused because a proxy did not answer.
+func TestAccountUsageIsSummedOverProxies(t *testing.T) {
+	newServer := func(admitted, refused uint64) steeringhttp.Server {
 		return steeringhttp.Server{Metrics: metrics.NewSet(), Status: func() steeringhttp.Status {
 			return steeringhttp.Status{Accounts: []steeringhttp.Account{
 				{Name: "anna", Keys: []string{"0badc0de"}, LimitPerSecond: 5, PerSecond: 2, Admitted: admitted, Refused: refused}, {Name: "bruno"},
 			}}
 		}}
 	}
-	one, two := use(3, 1), use(4, 0)
+	one, two := newServer(3, 1), newServer(4, 0)
 	second := httptest.NewServer(two.HTTPServer().Handler)
 	defer second.Close()
 	status := one.Status()
@@ -95,27 +94,26 @@
 		JSON: true, Proxies: []netip.AddrPort{netip.MustParseAddrPort(strings.TrimPrefix(first.URL, "http://"))},
 		Steering: &SteeringArguments{Accounts: &SteeringAccountsArguments{Refused: true}},
 	}, &out, io.Discard)
-	var got AccountsAnswer
+	var got AccountsOutput
 	if err := json.Unmarshal([]byte(out.String()), &got); err != nil {
 		t.Fatal(err)
 	}
 	if code != ExitOK || len(got.Accounts) != 1 || got.Accounts[0].Admitted != 7 || got.Accounts[0].Refused != 1 || got.Accounts[0].PerSecond != 4 {
-		t.Errorf("exit code %d, got %s; want anna alone, 7 admitted and 1 refused", code, out.String())
+		t.Errorf("exit code %d, got %s; want only anna, 7 admitted and 1 rejected", code, out.String())
 	}
 	if len(got.Unanswered) != 1 || got.Unanswered[0].Proxy != "vm-3" {
 		t.Errorf("unanswered are %v, want vm-3", got.Unanswered)
 	}
 }
 
-// Guards against a limit that stands in the view of one proxy and is missed at the one that
-// happens to be asked.
+// Guards against missing a limit that only proxies other than the queried one know.
 func TestSignalsAreMergedOverProxies(t *testing.T) {
-	slow, slower := 6.6, 4.0
-	view := func(servers ...steeringhttp.BackendServer) steeringhttp.Server {
+	highLimit, lowLimit := 6.6, 4.0
+	newServer := func(servers ...steeringhttp.BackendServer) steeringhttp.Server {
 		return steeringhttp.Server{Metrics: metrics.NewSet(), Status: func() steeringhttp.Status { return steeringhttp.Status{Servers: servers} }}
 	}
-	one := view(steeringhttp.BackendServer{ID: "a", Service: "x", Limit: &slow}, steeringhttp.BackendServer{ID: "b", Service: "x"}, steeringhttp.BackendServer{ID: "c", Service: "y", ReportsDraining: true})
-	two := view(steeringhttp.BackendServer{ID: "a", Service: "x", Limit: &slower, PausedFor: "1s"}, steeringhttp.BackendServer{ID: "b", Service: "x", PausedFor: "2s"})
+	one := newServer(steeringhttp.BackendServer{ID: "a", Service: "x", Limit: &highLimit}, steeringhttp.BackendServer{ID: "b", Service: "x"}, steeringhttp.BackendServer{ID: "c", Service: "y", ReportsDraining: true})
+	two := newServer(steeringhttp.BackendServer{ID: "a", Service: "x", Limit: &lowLimit, PausedFor: "1s"}, steeringhttp.BackendServer{ID: "b", Service: "x", PausedFor: "2s"})
 	second := httptest.NewServer(two.HTTPServer().Handler)
 	defer second.Close()
 	status := one.Status()
@@ -130,7 +128,7 @@
 		Steering: &SteeringArguments{Signals: &SteeringSignalsArguments{Service: "x"}},
 	}
 	code := Run(context.Background(), a, &out, io.Discard)
-	var got SignalsAnswer
+	var got SignalsOutput
 	if err := json.Unmarshal([]byte(out.String()), &got); err != nil {
 		t.Fatal(err)
 	}
@@ -143,17 +141,16 @@
 	}
 }
 
-// An engineer counts what callers lost from the logs of a bad minute, and misspells
-// a file's name. The count is printed, and the error names the file.
-func TestLossesFromLogFiles(t *testing.T) {
+// Losses are counted from log files; a missing file is a usage error that contains its name.
+func TestLossesReadsLogFiles(t *testing.T) {
 	log := filepath.Join("..", "losses", "testdata", "proxy.log")
-	var out, complaints strings.Builder
+	var out, errOut strings.Builder
 	a := Arguments{Steering: &SteeringArguments{Losses: &SteeringLossesArguments{Files: []string{log}, Most: 3}}}
-	if code := Run(context.Background(), a, &out, &complaints); code != ExitOK || !strings.HasPrefix(out.String(), "14 requests lost\n1 lines could not be read\n") {
+	if code := Run(context.Background(), a, &out, &errOut); code != ExitOK || !strings.HasPrefix(out.String(), "14 requests lost\n1 lines could not be read\n") {
 		t.Errorf("exit code %d, %q", code, out.String())
 	}
 	a.Steering.Losses.Files = []string{"nowhere.log"}
-	if code := Run(context.Background(), a, io.Discard, &complaints); code != ExitUsage || !strings.Contains(complaints.String(), "nowhere.log") {
-		t.Errorf("exit code %d, %q; want the file named", code, complaints.String())
+	if code := Run(context.Background(), a, io.Discard, &errOut); code != ExitUsage || !strings.Contains(errOut.String(), "nowhere.log") {
+		t.Errorf("exit code %d, %q; want the file name", code, errOut.String())
 	}
 }
--- a/internal/client/losses/losses.go
+++ b/internal/client/losses/losses.go
@@ -1,5 +1,5 @@
-// Package losses counts the requests that callers lost: late, refused or failed,
-// by why and where. It reads what proxies log or keep of each.
+// Package losses counts requests that were late, rejected, failed or abandoned, by cause, route,
+// region and server state. It reads proxy logs and the events that proxies retain.
 package losses
 
 import (
@@ -11,25 +11,25 @@
 )
 
 const (
-	// Late requests were answered after their route's target.
+	// Late requests were answered after the response time target of their route.
 	Late Kind = "late"
-	// Refused requests have not run, and their callers were told to come back.
-	Refused Kind = "refused"
-	// Failed requests got no answer and may have run, or a server's own failure.
+	// Rejected requests were not run; their callers were told to retry later.
+	Rejected Kind = "refused"
+	// Failed requests got a server error, or no response and may have run.
 	Failed Kind = "failed"
-	// Left requests were given up by their callers.
-	Left Kind = "left"
+	// Abandoned requests were canceled by their callers.
+	Abandoned Kind = "left"
 
-	// Unknown stands for what was counted without being told.
+	// Unknown replaces a value that the log does not contain.
 	Unknown = "not told"
 )
 
 type (
-	// Kind is what a caller lost.
+	// Kind classifies a loss.
 	Kind string
 
-	// Ended is one request as a proxy tells of its end.
-	Ended struct {
+	// EndedRequest is one finished request as a proxy reports it.
+	EndedRequest struct {
 		At      time.Time
 		Request string
 		Route   string
@@ -42,36 +42,36 @@
 		Target  time.Duration
 	}
 
-	// Key is what losses are counted by.
+	// Key groups losses: requests with equal keys are counted together.
 	Key struct {
 		Kind   Kind   `json:"kind"`
-		Why    string `json:"why"`
+		Cause  string `json:"why"`
 		Route  string `json:"route"`
 		Region string `json:"region"`
 		State  string `json:"server-state"`
 	}
 
-	// Row is one count.
+	// Row is the number of losses with one key.
 	Row struct {
 		Key
 		Count int `json:"count"`
 	}
 
-	// Second counts the losses that became known in one second.
-	Second struct {
+	// SecondCounts counts the losses reported within one second, by kind.
+	SecondCounts struct {
 		At     time.Time    `json:"at"`
 		Counts map[Kind]int `json:"counts"`
 	}
 
-	// Table is all that was counted.
+	// Table holds all counts.
 	Table struct {
-		Rows    []Row    `json:"rows"`
-		Seconds []Second `json:"seconds"`
-		// Lost is the sum of the rows.
+		Rows    []Row          `json:"rows"`
+		Seconds []SecondCounts `json:"seconds"`
+		// Lost is the total over all rows.
 		Lost int `json:"lost"`
 	}
 
-	// Counter counts ended requests.
+	// Counter counts lost requests, each request ID once.
 	Counter struct {
 		rows    map[Key]int
 		seconds map[time.Time]map[Kind]int
@@ -79,41 +79,42 @@
 	}
 )
 
-// NewCounter makes an empty counter.
+// NewCounter returns an empty Counter.
 func NewCounter() *Counter {
 	return &Counter{rows: make(map[Key]int), seconds: make(map[time.Time]map[Kind]int), seen: make(map[string]bool)}
 }
 
-// Add counts a request if its caller lost anything. One that is told twice, by a
-// log and by its proxy, counts once.
-func (c *Counter) Add(e Ended) {
-	kind, why := judge(e)
+// Add counts a request if it was lost. A request that is reported more than once, for example by
+// a log and by the proxy, is counted once.
+func (c *Counter) Add(e EndedRequest) {
+	kind, why := classify(e)
 	if kind == "" || e.Request != "" && c.seen[e.Request] {
 		return
 	}
 	c.seen[e.Request] = true
-	c.rows[Key{Kind: kind, Why: why, Route: e.Route, Region: e.Region, State: e.State}]++
-	c.count(e.At, kind, 1)
+	c.rows[Key{Kind: kind, Cause: why, Route: e.Route, Region: e.Region, State: e.State}]++
+	c.addToSecond(e.At, kind, 1)
 }
 
-// AddLeftOut counts requests of which a log tells only how many ended in a way.
-func (c *Counter) AddLeftOut(at time.Time, region string, endings map[string]int) {
-	for ending, n := range endings {
-		kind, why := Kind(""), ending
-		switch ending {
+// AddOmitted counts requests that a proxy left out of its log: counts holds their number by
+// result only, so route and server state are Unknown.
+func (c *Counter) AddOmitted(at time.Time, region string, counts map[string]int) {
+	for result, n := range counts {
+		kind, why := Kind(""), result
+		switch result {
 		case steering.OutcomeDone.String():
 			continue
 		case string(Late):
 			kind, why = Late, Unknown
 		default:
-			kind, _ = judge(Ended{Reason: ending, Outcome: steering.OutcomeNotRun.String()})
+			kind, _ = classify(EndedRequest{Reason: result, Outcome: steering.OutcomeNotRun.String()})
 		}
-		c.rows[Key{Kind: kind, Why: why, Route: Unknown, Region: region, State: Unknown}] += n
-		c.count(at, kind, n)
+		c.rows[Key{Kind: kind, Cause: why, Route: Unknown, Region: region, State: Unknown}] += n
+		c.addToSecond(at, kind, n)
 	}
 }
 
-func (c *Counter) count(at time.Time, kind Kind, n int) {
+func (c *Counter) addToSecond(at time.Time, kind Kind, n int) {
 	second := at.Truncate(time.Second)
 	if c.seconds[second] == nil {
 		c.seconds[second] = make(map[Kind]int)
@@ -121,8 +122,9 @@
 	c.seconds[second][kind] += n
 }
 
-// judge says what a caller lost and why; nothing for a good answer.
-func judge(e Ended) (Kind, string) {
+// classify returns the kind of loss and its cause, or an empty kind for a request that succeeded
+// within its target.
+func classify(e EndedRequest) (Kind, string) {
 	switch steering.Reason(e.Reason) {
 	case steering.ReasonNone:
 		if e.Target <= 0 || e.Took <= e.Target {
@@ -130,7 +132,7 @@
 		}
 		return Late, cmp.Or(e.Cause, Unknown)
 	case steering.ReasonCallerGone:
-		return Left, e.Reason
+		return Abandoned, e.Reason
 	case steering.ReasonServerError, steering.ReasonConnectionLost:
 		return Failed, e.Reason
 	case steering.ReasonTimeout:
@@ -142,39 +144,39 @@
 	if e.Outcome == steering.OutcomeMayHaveRun.String() {
 		return Failed, e.Reason
 	}
-	return Refused, e.Reason
+	return Rejected, e.Reason
 }
 
-// Table lists the counts, the largest first.
+// Table returns all counts, the largest first.
 func (c *Counter) Table() Table {
-	t := Table{Rows: make([]Row, 0, len(c.rows)), Seconds: make([]Second, 0, len(c.seconds))}
+	t := Table{Rows: make([]Row, 0, len(c.rows)), Seconds: make([]SecondCounts, 0, len(c.seconds))}
 	for key, n := range c.rows {
 		t.Rows = append(t.Rows, Row{Key: key, Count: n})
 		t.Lost += n
 	}
 	slices.SortFunc(t.Rows, func(a, b Row) int {
-		return cmp.Or(b.Count-a.Count, cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Why, b.Why),
+		return cmp.Or(b.Count-a.Count, cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Cause, b.Cause),
 			cmp.Compare(a.Route, b.Route), cmp.Compare(a.Region, b.Region), cmp.Compare(a.State, b.State))
 	})
 	for at, counts := range c.seconds {
-		t.Seconds = append(t.Seconds, Second{At: at, Counts: counts})
+		t.Seconds = append(t.Seconds, SecondCounts{At: at, Counts: counts})
 	}
-	slices.SortFunc(t.Seconds, func(a, b Second) int { return a.At.Compare(b.At) })
+	slices.SortFunc(t.Seconds, func(a, b SecondCounts) int { return a.At.Compare(b.At) })
 	return t
 }
 
-// Sum adds the rows up by a part of their keys, the largest first.
-func (t Table) Sum(part func(Key) string) []Row {
+// SumBy sums the rows by kind and by the part of the key that keyOf selects, the largest first.
+func (t Table) SumBy(keyOf func(Key) string) []Row {
 	sums := make(map[Key]int)
 	for _, r := range t.Rows {
-		sums[Key{Kind: r.Kind, Why: part(r.Key)}] += r.Count
+		sums[Key{Kind: r.Kind, Cause: keyOf(r.Key)}] += r.Count
 	}
-	list := make([]Row, 0, len(sums))
+	rows := make([]Row, 0, len(sums))
 	for key, n := range sums {
-		list = append(list, Row{Key: key, Count: n})
+		rows = append(rows, Row{Key: key, Count: n})
 	}
-	slices.SortFunc(list, func(a, b Row) int {
-		return cmp.Or(b.Count-a.Count, cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Why, b.Why))
+	slices.SortFunc(rows, func(a, b Row) int {
+		return cmp.Or(b.Count-a.Count, cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Cause, b.Cause))
 	})
-	return list
+	return rows
 }
--- a/internal/client/losses/read.go
+++ b/internal/client/losses/read.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// lineMost bounds a line of a log, in bytes; the longest of ours have 2 KB.
-	lineMost = 1 << 20
-	// messageLeftOut is the line that counts the requests left out.
-	messageLeftOut = "requests left out of the log"
+	// maxLineBytes limits the length of a log line; the longest lines of proxies are about 2 KB.
+	maxLineBytes = 1 << 20
+	// omittedMessage marks the log line with the counts of requests that were not logged one by one.
+	omittedMessage = "requests left out of the log"
 )
 
 type (
-	// line holds the fields that are read of a line of a proxy's log.
-	line struct {
+	// logLine holds the fields of a proxy's log line that are evaluated.
+	logLine struct {
 		Time    time.Time      `json:"time"`
 		Message string         `json:"msg"`
 		Region  string         `json:"vm-region"`
@@ -37,41 +37,41 @@
 	}
 )
 
-// Read counts what a log tells. Lines of other programs, and what a collector has
-// put before a line, are passed over; a line of ours that is cut short is counted
-// in skipped.
+// Read counts the losses in a proxy log. It ignores lines without a JSON object, messages other
+// than the two about requests, and any prefix that a log collector puts before the object. Lines
+// that cannot be parsed, such as truncated ones, are counted in skipped.
 func (c *Counter) Read(log io.Reader) (skipped int, err error) {
-	lines := bufio.NewScanner(log)
-	lines.Buffer(make([]byte, 0, 64<<10), lineMost)
-	for lines.Scan() {
-		start := bytes.IndexByte(lines.Bytes(), '{')
+	scanner := bufio.NewScanner(log)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
+	for scanner.Scan() {
+		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
 			continue
 		}
-		var l line
-		if err := json.Unmarshal(lines.Bytes()[start:], &l); err != nil {
+		var entry logLine
+		if err := json.Unmarshal(scanner.Bytes()[start:], &entry); err != nil {
 			skipped++
 			continue
 		}
-		switch l.Message {
+		switch entry.Message {
 		case string(steering.EventRequestEnded):
-			c.Add(l.ended())
-		case messageLeftOut:
-			c.AddLeftOut(l.Time, l.Region, l.Counts)
+			c.Add(entry.endedRequest())
+		case omittedMessage:
+			c.AddOmitted(entry.Time, entry.Region, entry.Counts)
 		}
 	}
-	return skipped, errs.Wrap(lines.Err(), "log")
+	return skipped, errs.Wrap(scanner.Err(), "read log")
 }
 
-func (l line) ended() Ended {
-	return Ended{
+func (l logLine) endedRequest() EndedRequest {
+	return EndedRequest{
 		At: l.Time, Request: l.Request, Route: l.Route, Region: l.Region, Outcome: l.Outcome, Reason: l.Reason,
-		Cause: l.Cause, State: l.State, Took: ParseSpan(l.Took), Target: ParseSpan(l.Target),
+		Cause: l.Cause, State: l.State, Took: ParseDuration(l.Took), Target: ParseDuration(l.Target),
 	}
 }
 
-// ParseSpan reads a time from a log; one that is not there is zero.
-func ParseSpan(text string) time.Duration {
+// ParseDuration parses a duration from a log; a missing or invalid one is zero.
+func ParseDuration(text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		return 0
