--- a/cmd/gypsumquay-bench/bench.go
+++ b/cmd/gypsumquay-bench/bench.go
@@ -108,7 +108,7 @@
 	for _, load := range a.Loads {
 		run := c
 		run.Seed = a.Seed
-		run.Warm = a.Warm
+		run.WarmUp = a.Warm
 		run.Load = slotLoad(c, load)
 		measure(func() row { return a.bound(run, load) })
 		for _, balancer := range a.Balancers {
@@ -135,9 +135,9 @@
 }
 
 func (a *benchArguments) bound(c simnet.Config, load int) row {
-	b := simnet.RunBound(c, a.Span)
+	b := simnet.RunIdealScheduler(c, a.Span)
 	return row{
-		Load: load, Balancer: boundName, Done: len(b.Took), Refused: b.Refused,
+		Load: load, Balancer: boundName, Done: len(b.Latencies), Refused: b.Rejected,
 		P50: millis(b.Quantile(0.5)), P99: millis(b.Quantile(0.99)), P999: millis(b.Quantile(0.999)),
 	}
 }
@@ -147,14 +147,14 @@
 	b.Balancer = name
 	c.Bundle = &b
 	s := simnet.New(c)
-	s.Run(c.Warm)
-	sheds := s.Checks().Sheds()
+	s.Run(c.WarmUp)
+	sheds := s.Checks().ShedRequests()
 	s.Run(a.Span)
 	callers := s.Callers()
 	return row{
-		Load: load, Balancer: name, Done: len(callers.Took),
+		Load: load, Balancer: name, Done: len(callers.Latencies),
 		Refused: callers.Outcomes[caller.OutcomeNotRun], Unknown: callers.Outcomes[caller.OutcomeUnknown],
-		Sheds: s.Checks().Sheds() - sheds, Used: s.Checks().Used,
+		Sheds: s.Checks().ShedRequests() - sheds, Used: s.Checks().PeakUtilization,
 		P50: millis(callers.Quantile(0.5)), P99: millis(callers.Quantile(0.99)), P999: millis(callers.Quantile(0.999)),
 	}
 }
--- a/cmd/gypsumquay-bench/events.go
+++ b/cmd/gypsumquay-bench/events.go
@@ -33,7 +33,7 @@
 )
 
 func (a *benchArguments) events(name string, c simnet.Config) eventRow {
-	c.Warm = a.Warm
+	c.WarmUp = a.Warm
 	r := eventRow{Deployment: name}
 	r.LostSeconds, r.LostUsed = a.lostRegion(c)
 	var force, drain, stop []float64
@@ -55,12 +55,12 @@
 	c.Seed = a.Seed
 	c.Load = slotLoad(c, lostLoad)
 	s := simnet.New(c)
-	s.Run(c.Warm)
+	s.Run(c.WarmUp)
 	lost := s.Now()
-	s.LoseRegion(c.Bundle.Regions[0].Name, true)
+	s.SetRegionDown(c.Bundle.Regions[0].Name, true)
 	s.Run(2 * a.Span)
 	callers := s.Callers()
-	return servedAfter(callers.Done[0], callers.Failed[0], lost, s.Now()), s.Checks().Used
+	return servedAfter(callers.DoneAt[0], callers.FailedAt[0], lost, s.Now()), s.Checks().PeakUtilization
 }
 
 // servedAfter is the time from which on each bucket has the wanted share done.
@@ -89,22 +89,22 @@
 // drainAndStop drains one backend server by bundle and stops one proxy, at
 // half load, and times both.
 func (a *benchArguments) drainAndStop(c simnet.Config, seed uint64) (force, drain, stop float64) {
-	small := c.Small()
+	small := c.ScaledDown()
 	small.Seed = seed
 	small.Load = slotLoad(small, 50)
 	s := simnet.New(small)
-	s.Run(small.Warm)
+	s.Run(small.WarmUp)
 	target := small.Bundle.Services[1].Servers[0].Name
 	began := s.Now()
 	s.Inject(simnet.Fault{Kind: "drain-server", Target: target})
 	s.Run(3 * time.Second)
-	if n := len(s.Checks().InForce); n > 0 {
-		force = s.Checks().InForce[n-1].Seconds()
+	if n := len(s.Checks().RolloutTimes); n > 0 {
+		force = s.Checks().RolloutTimes[n-1].Seconds()
 	}
-	drain = max(0, s.Checks().LastWork[target].Sub(began).Seconds())
+	drain = max(0, s.Checks().LastDispatch[target].Sub(began).Seconds())
 	began = s.Now()
-	s.Inject(simnet.Fault{Kind: "stop-proxy", Target: "1", For: operator.Duration(time.Hour)})
-	for s.Checks().Stopped() == 0 && s.Now().Sub(began) < time.Minute {
+	s.Inject(simnet.Fault{Kind: "stop-proxy", Target: "1", Duration: operator.Duration(time.Hour)})
+	for s.Checks().PlannedStops() == 0 && s.Now().Sub(began) < time.Minute {
 		s.Run(lostBucket)
 	}
 	return force, drain, s.Now().Sub(began).Seconds()
--- a/cmd/gypsumquay-bench/slopes.go
+++ b/cmd/gypsumquay-bench/slopes.go
@@ -162,7 +162,7 @@
 
 func fleet(n int) (fleetRow, error) {
 	row := fleetRow{nodes: n, regions: regionsFor(n)}
-	b := simnet.Synthetic(n, row.regions)
+	b := simnet.SyntheticBundle(n, row.regions)
 	author, err := operator.NewKeyPair("anna")
 	if err != nil {
 		return row, err
@@ -176,7 +176,7 @@
 	c.Seed = 1
 	c.Load = make([]float64, row.regions)
 	bytes, messages := 0, 0
-	c.Exchanged = func(asked, answer peer.Exchange) {
+	c.OnExchange = func(asked, answer peer.Exchange) {
 		bytes += 2 * (peerdrpc.ExchangeBytes(asked) + peerdrpc.ExchangeBytes(answer))
 		messages += 4
 	}
@@ -205,17 +205,17 @@
 	bytes = 0
 	used = s.KernelTime
 	for range drainsPerRun {
-		s.Inject(simnet.Fault{Kind: "steer", Target: "region-0", Second: "region-1", Amount: rand.IntN(500)})
+		s.Inject(simnet.Fault{Kind: "steer", Target: "region-0", SecondTarget: "region-1", Amount: rand.IntN(500)})
 		s.Run(restSpan / drainsPerRun)
 	}
 	row.changeBytes = max(0, float64(bytes)/nodes-row.restBytes*seconds) / drainsPerRun
 	row.changeCPU = max(0, (s.KernelTime-used).Seconds()/nodes-row.restCPU*seconds) / drainsPerRun
-	row.inForce = worst(s.Checks().InForce)
+	row.inForce = worst(s.Checks().RolloutTimes)
 
-	s.Inject(simnet.Fault{Kind: "steer", Target: "region-0", Second: "region-1", Amount: 7})
-	s.Kill(s.FirstRelay())
+	s.Inject(simnet.Fault{Kind: "steer", Target: "region-0", SecondTarget: "region-1", Amount: 7})
+	s.KillProxy(s.FirstRelay())
 	s.Run(restSpan)
-	row.inForceRelayDead = s.Checks().InForce[len(s.Checks().InForce)-1]
+	row.inForceRelayDead = s.Checks().RolloutTimes[len(s.Checks().RolloutTimes)-1]
 	row.bundleBytes = len(s.Envelope())
 	row.assignmentBytes = s.AssignmentBytes()
 	return row, nil
--- a/cmd/gypsumquay-bench/soak.go
+++ b/cmd/gypsumquay-bench/soak.go
@@ -71,8 +71,8 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	c = c.Small()
-	sc := simnet.RandomScenario(c, simnet.DrawFrom(seed))
+	c = c.ScaledDown()
+	sc := simnet.RandomScenario(c, simnet.SeededDraw(seed))
 	violations := play(c, sc)
 	if len(violations) == 0 {
 		return
@@ -90,7 +90,7 @@
 			violations = append(violations, fmt.Sprint(r))
 		}
 	}()
-	return simnet.Play(c, sc).Checks().Violations()
+	return simnet.RunScenario(c, sc).Checks().Violations()
 }
 
 func loadConfig(examples string, d simnet.Deployment) (simnet.Config, error) {
--- a/cmd/gypsumquay-fake/main.go
+++ b/cmd/gypsumquay-fake/main.go
@@ -104,7 +104,7 @@
 	}
 	servers := make(map[string]*backendfake.Server)
 	failed := make(chan error, 1)
-	behaviour := backendfake.Behaviour{ServiceTime: a.ServiceTime, Queue: a.Queue, ReportLag: a.ReportLag}
+	behaviour := backendfake.Behaviour{ServiceTime: a.ServiceTime, QueueLength: a.Queue, ReportLag: a.ReportLag}
 	for _, s := range b.Services {
 		for _, c := range s.Servers {
 			if a.Region != "" && c.Region != a.Region {
@@ -115,14 +115,14 @@
 			go func() { failed <- serve(ctx, c.Address, server) }()
 		}
 	}
-	go func() { failed <- serve(ctx, a.Control, backendfake.Control(servers)) }()
+	go func() { failed <- serve(ctx, a.Control, backendfake.ControlHandler(servers)) }()
 	return <-failed
 }
 
 func (a *callerArguments) run(ctx context.Context) error {
-	fleet := callerfake.NewFleet(callerfake.Plan{
-		Seeds: a.Seeds, Callers: a.Callers, Rate: a.Rate, Span: a.Span,
-		Browse: splitAll(a.Browse), Book: a.Book, BookShare: a.BookShare, Name: a.Name,
+	fleet := callerfake.NewLoadGenerator(callerfake.Config{
+		Seeds: a.Seeds, Callers: a.Callers, Rate: a.Rate, Duration: a.Span,
+		BrowseServices: splitAll(a.Browse), BookingService: a.Book, BookingPermille: a.BookShare, KeyPrefix: a.Name,
 	})
 	report := fleet.Run(ctx)
 	encoder := json.NewEncoder(os.Stdout)
--- a/internal/fake/backendfake/server.go
+++ b/internal/fake/backendfake/server.go
@@ -20,22 +20,22 @@
 	// Behaviour is how a server works and fails.
 	Behaviour struct {
 		ServiceTime time.Duration `json:"service-time"`
-		// ColdFactor multiplies the service time at the start; it falls to one
+		// ColdStartFactor multiplies the service time at the start; it falls to one
 		// over ColdFor.
-		ColdFactor float64       `json:"cold-factor"`
-		ColdFor    time.Duration `json:"cold-for"`
-		// Queue is how many requests wait for a slot before shedding.
-		Queue int `json:"queue"`
+		ColdStartFactor   float64       `json:"cold-factor"`
+		ColdStartDuration time.Duration `json:"cold-for"`
+		// QueueLength is how many requests wait for a slot before shedding.
+		QueueLength int `json:"queue"`
 		// ReportLag is how old the reported load is.
 		ReportLag time.Duration `json:"report-lag"`
-		// Shed refuses everything, Leaving says so too.
-		Shed    bool `json:"shed"`
+		// ShedAll refuses everything, Leaving says so too.
+		ShedAll bool `json:"shed"`
 		Leaving bool `json:"leaving"`
-		// Truncate breaks that many of a thousand answers off half way.
-		Truncate int `json:"truncate-permille"`
-		// Reset breaks the connection of that many of a thousand requests
+		// TruncatePermille breaks that many of a thousand answers off half way.
+		TruncatePermille int `json:"truncate-permille"`
+		// ResetPermille breaks the connection of that many of a thousand requests
 		// after they have run.
-		Reset int `json:"reset-permille"`
+		ResetPermille int `json:"reset-permille"`
 	}
 
 	// Server is one backend server.
@@ -55,12 +55,12 @@
 	Stats struct {
 		Name string `json:"name"`
 		// Runs counts runs by the caller's own key, or by request id.
-		Runs     map[string]int `json:"runs"`
-		Served   int            `json:"served"`
-		Shed     int            `json:"shed"`
-		Late     int            `json:"refused-after-deadline"`
-		MostBusy int            `json:"most-in-flight"`
-		LastWork time.Time      `json:"last-new-work"`
+		Runs         map[string]int `json:"runs"`
+		Served       int            `json:"served"`
+		Shed         int            `json:"shed"`
+		Expired      int            `json:"refused-after-deadline"`
+		MaxInFlight  int            `json:"most-in-flight"`
+		LastAccepted time.Time      `json:"last-new-work"`
 	}
 )
 
@@ -72,8 +72,8 @@
 	}
 }
 
-// Set replaces the behaviour.
-func (s *Server) Set(b Behaviour) {
+// SetBehaviour replaces the behaviour.
+func (s *Server) SetBehaviour(b Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.b = b
@@ -128,11 +128,11 @@
 func (s *Server) enter(w http.ResponseWriter) (Behaviour, bool) {
 	s.mu.Lock()
 	b := s.b
-	full := s.busy >= cap(s.slots)+b.Queue
-	if !b.Shed && !full {
+	full := s.busy >= cap(s.slots)+b.QueueLength
+	if !b.ShedAll && !full {
 		s.busy++
-		s.stats.MostBusy = max(s.stats.MostBusy, s.busy)
-		s.stats.LastWork = time.Now()
+		s.stats.MaxInFlight = max(s.stats.MaxInFlight, s.busy)
+		s.stats.LastAccepted = time.Now()
 		s.mu.Unlock()
 		return b, true
 	}
@@ -163,7 +163,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stats.Late++
+	s.stats.Expired++
 	return true
 }
 
@@ -179,8 +179,8 @@
 
 func (s *Server) serviceTime(b Behaviour) time.Duration {
 	factor := 1.0
-	if age := time.Since(s.began); b.ColdFactor > 1 && age < b.ColdFor {
-		factor = b.ColdFactor - (b.ColdFactor-1)*float64(age)/float64(b.ColdFor)
+	if age := time.Since(s.began); b.ColdStartFactor > 1 && age < b.ColdStartDuration {
+		factor = b.ColdStartFactor - (b.ColdStartFactor-1)*float64(age)/float64(b.ColdStartDuration)
 	}
 	spread := 0.5 + rand.Float64()
 	return time.Duration(float64(b.ServiceTime) * factor * spread)
@@ -201,21 +201,21 @@
 }
 
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, b Behaviour, received int) {
-	if rand.IntN(1000) < b.Reset {
+	if rand.IntN(1000) < b.ResetPermille {
 		panic(http.ErrAbortHandler)
 	}
 	s.report(w)
 	text := fmt.Sprintf("%s %s %s received %d\n", s.name, r.Method, r.URL.RequestURI(), received)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if rand.IntN(1000) < b.Truncate {
+	if rand.IntN(1000) < b.TruncatePermille {
 		_, _ = io.WriteString(w, text[:len(text)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(w, text)
 }
 
-// Control serves one process's servers: their stats and behaviour.
-func Control(servers map[string]*Server) http.Handler {
+// ControlHandler serves one process's servers: their stats and behaviour.
+func ControlHandler(servers map[string]*Server) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
 		all := make([]Stats, 0, len(servers))
@@ -235,7 +235,7 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		s.Set(b)
+		s.SetBehaviour(b)
 	})
 	return mux
 }
--- a/internal/fake/callerfake/caller.go
+++ b/internal/fake/callerfake/caller.go
@@ -30,45 +30,45 @@
 )
 
 type (
-	// Plan is the load to make.
-	Plan struct {
-		Seeds   []netip.AddrPort
-		Callers int
-		Rate    float64
-		Span    time.Duration
-		Browse  []string
-		Book    string
-		// BookShare of the requests are non-idempotent, in thousandths.
-		BookShare int
-		Name      string
+	// Config is the load to make.
+	Config struct {
+		Seeds          []netip.AddrPort
+		Callers        int
+		Rate           float64
+		Duration       time.Duration
+		BrowseServices []string
+		BookingService string
+		// BookingPermille of the requests are non-idempotent, in thousandths.
+		BookingPermille int
+		KeyPrefix       string
 		// Timeout is how long a caller waits for an answer.
 		Timeout time.Duration
 	}
 
 	// Report is what the callers saw.
 	Report struct {
-		Outcomes  map[string]int `json:"outcomes"`
-		Reasons   map[string]int `json:"reasons"`
-		Booked    int            `json:"booked"`
-		BookLost  int            `json:"bookings-never-settled"`
-		Repeats   int            `json:"repeats"`
-		Cut       int            `json:"cut"`
-		Wrong     int            `json:"wrong-answers"`
-		Truncated int            `json:"truncated"`
-		P50       float64        `json:"p50-ms"`
-		P99       float64        `json:"p99-ms"`
-		P999      float64        `json:"p99.9-ms"`
-		Worst     float64        `json:"worst-ms"`
+		Outcomes           map[string]int `json:"outcomes"`
+		Reasons            map[string]int `json:"reasons"`
+		BookingsDone       int            `json:"booked"`
+		BookingsUnresolved int            `json:"bookings-never-settled"`
+		Retries            int            `json:"repeats"`
+		ConnectionsFailed  int            `json:"cut"`
+		WrongAnswers       int            `json:"wrong-answers"`
+		Truncated          int            `json:"truncated"`
+		P50                float64        `json:"p50-ms"`
+		P99                float64        `json:"p99-ms"`
+		P999               float64        `json:"p99.9-ms"`
+		Max                float64        `json:"worst-ms"`
 	}
 
-	// Fleet is a number of callers.
-	Fleet struct {
-		plan   Plan
+	// LoadGenerator is a number of callers.
+	LoadGenerator struct {
+		plan   Config
 		http   *http.Client
 		mu     sync.Mutex
 		r      Report
 		took   []time.Duration
-		cache  map[cacheKey]cached
+		cache  map[cacheKey]cachedLookup
 		serial int
 	}
 
@@ -78,7 +78,7 @@
 		service string
 	}
 
-	cached struct {
+	cachedLookup struct {
 		proxies []netip.AddrPort
 		until   time.Time
 	}
@@ -93,22 +93,22 @@
 	}
 )
 
-// NewFleet makes callers.
-func NewFleet(p Plan) *Fleet {
-	return &Fleet{
+// NewLoadGenerator makes callers.
+func NewLoadGenerator(p Config) *LoadGenerator {
+	return &LoadGenerator{
 		plan: p,
 		http: &http.Client{
 			Timeout:   cmp.Or(p.Timeout, requestTimeout),
 			Transport: &http.Transport{MaxIdleConnsPerHost: p.Callers, IdleConnTimeout: time.Minute},
 		},
-		cache: make(map[cacheKey]cached),
+		cache: make(map[cacheKey]cachedLookup),
 		r:     Report{Outcomes: make(map[string]int), Reasons: make(map[string]int)},
 	}
 }
 
 // Run makes the load until its span is over and returns the report.
-func (f *Fleet) Run(ctx context.Context) Report {
-	ctx, cancel := context.WithTimeout(ctx, f.plan.Span)
+func (f *LoadGenerator) Run(ctx context.Context) Report {
+	ctx, cancel := context.WithTimeout(ctx, f.plan.Duration)
 	defer cancel()
 	var group sync.WaitGroup
 	for id := range f.plan.Callers {
@@ -119,7 +119,7 @@
 }
 
 // caller sends requests at its part of the rate with exponential gaps.
-func (f *Fleet) caller(ctx context.Context, id int) {
+func (f *LoadGenerator) caller(ctx context.Context, id int) {
 	mean := float64(f.plan.Callers) / f.plan.Rate
 	for {
 		gap := time.Duration(rand.ExpFloat64() * mean * float64(time.Second))
@@ -128,7 +128,7 @@
 			return
 		case <-time.After(gap):
 		}
-		if rand.IntN(1000) < f.plan.BookShare {
+		if rand.IntN(1000) < f.plan.BookingPermille {
 			f.book(id)
 		} else {
 			f.browse(id)
@@ -136,8 +136,8 @@
 	}
 }
 
-func (f *Fleet) browse(id int) {
-	service := f.plan.Browse[rand.IntN(len(f.plan.Browse))]
+func (f *LoadGenerator) browse(id int) {
+	service := f.plan.BrowseServices[rand.IntN(len(f.plan.BrowseServices))]
 	path := "/item/" + strconv.Itoa(rand.IntN(1_000_000))
 	began := time.Now()
 	r, err := f.send(id, http.MethodGet, service, path, "", "")
@@ -147,23 +147,23 @@
 // book sends one non-idempotent request and repeats it with the same token
 // until its outcome is final: done, or not run with a token that can no longer
 // be used, after which a fresh one is safe.
-func (f *Fleet) book(id int) {
+func (f *LoadGenerator) book(id int) {
 	f.mu.Lock()
 	f.serial++
-	key := f.plan.Name + "-" + strconv.Itoa(f.serial)
+	key := f.plan.KeyPrefix + "-" + strconv.Itoa(f.serial)
 	f.mu.Unlock()
 	path := "/bids/" + key
 	token := ""
 	began := time.Now()
 	for try := range repeatsMost {
-		r, err := f.send(id, http.MethodPost, f.plan.Book, path, token, key)
+		r, err := f.send(id, http.MethodPost, f.plan.BookingService, path, token, key)
 		if try == 0 || err != nil || r.reason != string(caller.ReasonTokenRequired) {
 			f.note(r, err, time.Since(began), http.MethodPost, path)
 		}
 		switch {
 		case err != nil:
 		case r.outcome == caller.OutcomeDone:
-			f.count(func(p *Report) { p.Booked++ })
+			f.count(func(p *Report) { p.BookingsDone++ })
 			return
 		case r.token != "":
 			token = r.token
@@ -171,13 +171,13 @@
 		case r.outcome == caller.OutcomeNotRun && caller.Reason(r.reason).GuaranteesNotRun():
 			token = ""
 		case hopeless(r.reason):
-			f.count(func(p *Report) { p.BookLost++ })
+			f.count(func(p *Report) { p.BookingsUnresolved++ })
 			return
 		}
-		f.count(func(p *Report) { p.Repeats++ })
+		f.count(func(p *Report) { p.Retries++ })
 		time.Sleep(max(r.after, repeatPause))
 	}
-	f.count(func(p *Report) { p.BookLost++ })
+	f.count(func(p *Report) { p.BookingsUnresolved++ })
 }
 
 // hopeless reports whether nobody will ever know more of a token.
@@ -185,13 +185,13 @@
 	return reason == string(caller.ReasonMinterGone) || reason == string(caller.ReasonTokenRecordExpired)
 }
 
-func (f *Fleet) count(change func(*Report)) {
+func (f *LoadGenerator) count(change func(*Report)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(&f.r)
 }
 
-func (f *Fleet) note(r reply, err error, took time.Duration, method, path string) {
+func (f *LoadGenerator) note(r reply, err error, took time.Duration, method, path string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -200,7 +200,7 @@
 		f.r.Outcomes["broken-off"]++
 		return
 	case err != nil:
-		f.r.Cut++
+		f.r.ConnectionsFailed++
 		f.r.Outcomes["connection-failed"]++
 		return
 	}
@@ -213,13 +213,13 @@
 	}
 	f.took = append(f.took, took)
 	if r.status == http.StatusOK && !strings.Contains(r.body, method+" "+path+" ") {
-		f.r.Wrong++
+		f.r.WrongAnswers++
 	}
 }
 
 // send tries the cached proxies in order; the next one only if no connection
 // to the one before could be made.
-func (f *Fleet) send(id int, method, service, path, token, key string) (reply, error) {
+func (f *LoadGenerator) send(id int, method, service, path, token, key string) (reply, error) {
 	proxies, err := f.lookup(id, service)
 	if err != nil {
 		return reply{}, err
@@ -235,7 +235,7 @@
 	return reply{}, err
 }
 
-func (f *Fleet) one(method string, address netip.AddrPort, service, path, token, key string) (reply, error) {
+func (f *LoadGenerator) one(method string, address netip.AddrPort, service, path, token, key string) (reply, error) {
 	var body io.Reader
 	if method == http.MethodPost {
 		body = strings.NewReader("bid " + key)
@@ -273,13 +273,13 @@
 	}, nil
 }
 
-func (f *Fleet) forget(id int, service string) {
+func (f *LoadGenerator) forget(id int, service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.cache, cacheKey{id, service})
 }
 
-func (f *Fleet) lookup(id int, service string) ([]netip.AddrPort, error) {
+func (f *LoadGenerator) lookup(id int, service string) ([]netip.AddrPort, error) {
 	f.mu.Lock()
 	c, ok := f.cache[cacheKey{id, service}]
 	f.mu.Unlock()
@@ -303,10 +303,10 @@
 	return nil, errors.Wrap(last, "lookup")
 }
 
-func (f *Fleet) ask(id int, seed netip.AddrPort, service string) (cached, error) {
+func (f *LoadGenerator) ask(id int, seed netip.AddrPort, service string) (cachedLookup, error) {
 	response, err := f.http.Get(fmt.Sprintf("http://%s/v1/lookup?service=%s&client=127.0.%d.%d", seed, service, id>>8, id&255))
 	if err != nil {
-		return cached{}, errors.Wrap(err, "lookup")
+		return cachedLookup{}, errors.Wrap(err, "lookup")
 	}
 	defer func() { _ = response.Body.Close() }()
 	var answer struct {
@@ -316,17 +316,17 @@
 		Lifetime string `json:"lifetime"`
 	}
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || len(answer.Proxies) == 0 {
-		return cached{}, errors.Errorf("lookup: status %d", response.StatusCode)
+		return cachedLookup{}, errors.Errorf("lookup: status %d", response.StatusCode)
 	}
 	lifetime, _ := time.ParseDuration(answer.Lifetime)
-	c := cached{until: time.Now().Add(lifetime)}
+	c := cachedLookup{until: time.Now().Add(lifetime)}
 	for _, p := range answer.Proxies {
 		c.proxies = append(c.proxies, p.Address)
 	}
 	return c, nil
 }
 
-func (f *Fleet) report() Report {
+func (f *LoadGenerator) report() Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	sort.Slice(f.took, func(i, j int) bool { return f.took[i] < f.took[j] })
@@ -336,6 +336,6 @@
 		}
 		return float64(f.took[int(q*float64(len(f.took)-1))].Microseconds()) / 1000
 	}
-	f.r.P50, f.r.P99, f.r.P999, f.r.Worst = at(0.5), at(0.99), at(0.999), at(1)
+	f.r.P50, f.r.P99, f.r.P999, f.r.Max = at(0.5), at(0.99), at(0.999), at(1)
 	return f.r
 }
--- a/internal/fake/kvfake/server.go
+++ b/internal/fake/kvfake/server.go
@@ -20,11 +20,11 @@
 	Faults struct {
 		// Outage refuses every call for this long.
 		Outage time.Duration `json:"outage"`
-		// Slow delays every call by this much.
-		Slow time.Duration `json:"slow"`
-		// LoseAnswers drops the answers of that many writes after they have
+		// Delay delays every call by this much.
+		Delay time.Duration `json:"slow"`
+		// DropWriteResponses drops the answers of that many writes after they have
 		// taken effect.
-		LoseAnswers int `json:"lose-answers"`
+		DropWriteResponses int `json:"lose-answers"`
 	}
 
 	// Server serves a Store over HTTP.
@@ -82,8 +82,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.until = time.Now().Add(f.Outage)
-	s.slow = f.Slow
-	s.lose = f.LoseAnswers
+	s.slow = f.Delay
+	s.lose = f.DropWriteResponses
 }
 
 func (s *Server) count(w http.ResponseWriter, _ *http.Request) {
--- a/internal/fake/limitnet/play.go
+++ b/internal/fake/limitnet/play.go
@@ -90,7 +90,7 @@
 		w.account(i, rate)
 	}
 	w.faults()
-	for w.Next() && w.Now < lead+l.For {
+	for w.RunNext() && w.Now < lead+l.For {
 	}
 	seconds := (lead + l.For).Seconds() * float64(l.Proxies)
 	w.out.Reports, w.out.Asks = float64(w.reports)/seconds, float64(w.asks)/seconds
--- a/internal/fake/schedule/schedule.go
+++ b/internal/fake/schedule/schedule.go
@@ -30,8 +30,8 @@
 	heap.Push(&s.queue, event{at: s.Now + d, order: s.order, do: do})
 }
 
-// Next runs the next function, and reports false if there is none.
-func (s *Schedule) Next() bool {
+// RunNext runs the next function, and reports false if there is none.
+func (s *Schedule) RunNext() bool {
 	if len(s.queue) == 0 {
 		return false
 	}
--- a/internal/fake/seeds/seeds.go
+++ b/internal/fake/seeds/seeds.go
@@ -5,10 +5,10 @@
 	"flag"
 )
 
-// Fix sets the randomised tests' flags that the command line leaves open: a
+// SetRapidDefaults sets the randomised tests' flags that the command line leaves open: a
 // fixed seed, no files of failures, and little time for shrinking. Fresh seeds
 // are for `make soak` and for -rapid.seed by hand.
-func Fix(checks string) {
+func SetRapidDefaults(checks string) {
 	flag.Parse()
 	given := make(map[string]bool)
 	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
--- a/internal/fake/simnet/bound.go
+++ b/internal/fake/simnet/bound.go
@@ -7,27 +7,27 @@
 )
 
 type (
-	// Bound is what a scheduler reaches that sees every slot and every
+	// IdealResult is what a scheduler reaches that sees every slot and every
 	// request at once, and whose decisions cost nothing. No real system can:
 	// it serves as the bound for comparisons.
-	Bound struct {
-		Took    []time.Duration
-		Refused int
+	IdealResult struct {
+		Latencies []time.Duration
+		Rejected  int
 	}
 
-	boundPool struct {
-		free Heap[time.Time]
+	slotPool struct {
+		freeAt Heap[time.Time]
 	}
 )
 
-// RunBound plays the same arrivals and service times for a span after the
+// RunIdealScheduler plays the same arrivals and service times for a span after the
 // warm-up, over one queue for each service and region.
-func RunBound(c Config, span time.Duration) *Bound {
+func RunIdealScheduler(c Config, span time.Duration) *IdealResult {
 	r := rand.New(rand.NewPCG(c.Seed, 1))
-	b := &Bound{}
+	b := &IdealResult{}
 	start := time.Unix(0, 0)
-	pools := boundPools(c, start)
-	end := start.Add(c.Warm + span)
+	pools := newSlotPools(c, start)
+	end := start.Add(c.WarmUp + span)
 	next := make([]time.Time, len(c.Load))
 	for i := range next {
 		next[i] = start
@@ -45,30 +45,30 @@
 		}
 		next[home] = now.Add(time.Duration(r.ExpFloat64() / c.Load[home] * float64(time.Second)))
 		service := r.IntN(len(c.Bundle.Services))
-		took, ok := boundServe(c, pools[service], home, now, spread(r, c.ServiceTime), c.Bundle.Services[service].Deadline.Std())
+		took, ok := scheduleIdeally(c, pools[service], home, now, spread(r, c.ServiceTime), c.Bundle.Services[service].Deadline.Std())
 		switch {
-		case now.Before(start.Add(c.Warm)):
+		case now.Before(start.Add(c.WarmUp)):
 		case ok:
-			b.Took = append(b.Took, took)
+			b.Latencies = append(b.Latencies, took)
 		default:
-			b.Refused++
+			b.Rejected++
 		}
 	}
 }
 
-func boundPools(c Config, start time.Time) [][]*boundPool {
-	var pools [][]*boundPool
+func newSlotPools(c Config, start time.Time) [][]*slotPool {
+	var pools [][]*slotPool
 	for i := range c.Bundle.Services {
-		var byRegion []*boundPool
+		var byRegion []*slotPool
 		for _, region := range c.Bundle.Regions {
-			p := &boundPool{}
-			p.free.less = func(a, b *time.Time) bool { return a.Before(*b) }
+			p := &slotPool{}
+			p.freeAt.less = func(a, b *time.Time) bool { return a.Before(*b) }
 			for _, s := range c.Bundle.Services[i].Servers {
 				if s.Region != region.Name {
 					continue
 				}
 				for range s.Slots {
-					p.free.Push(start)
+					p.freeAt.Push(start)
 				}
 			}
 			byRegion = append(byRegion, p)
@@ -78,20 +78,20 @@
 	return pools
 }
 
-// boundServe sends a request where it begins soonest, as far as the mean time
+// scheduleIdeally sends a request where it begins soonest, as far as the mean time
 // on the way counts. How long it will run is not known beforehand, or the bound
 // would gain throughput by turning long requests away.
-func boundServe(c Config, pools []*boundPool, home int, now time.Time, service, deadline time.Duration) (time.Duration, bool) {
+func scheduleIdeally(c Config, pools []*slotPool, home int, now time.Time, service, deadline time.Duration) (time.Duration, bool) {
 	best := -1
 	var bestBegin, bestExpected time.Time
 	var bestBack time.Duration
 	for i, p := range pools {
 		way := c.Net.Client + (c.Net.SameDomain+c.Net.SameRegion)/2
 		if i != home {
-			way = c.Net.Client + c.Net.Regions
+			way = c.Net.Client + c.Net.BetweenRegions
 		}
 		begin := now.Add(way)
-		if free := p.free.items[0]; free.After(begin) {
+		if free := p.freeAt.items[0]; free.After(begin) {
 			begin = free
 		}
 		expected := begin.Add(c.ServiceTime + way)
@@ -102,17 +102,17 @@
 	if bestExpected.Sub(now) > deadline {
 		return 0, false
 	}
-	pools[best].free.Pop()
+	pools[best].freeAt.Pop()
 	end := bestBegin.Add(service)
-	pools[best].free.Push(end)
+	pools[best].freeAt.Push(end)
 	return end.Add(bestBack).Sub(now), true
 }
 
 // Quantile is a latency quantile.
-func (b *Bound) Quantile(q float64) time.Duration {
-	if len(b.Took) == 0 {
+func (b *IdealResult) Quantile(q float64) time.Duration {
+	if len(b.Latencies) == 0 {
 		return 0
 	}
-	sort.Slice(b.Took, func(i, j int) bool { return b.Took[i] < b.Took[j] })
-	return b.Took[int(q*float64(len(b.Took)-1))]
+	sort.Slice(b.Latencies, func(i, j int) bool { return b.Latencies[i] < b.Latencies[j] })
+	return b.Latencies[int(q*float64(len(b.Latencies)-1))]
 }
--- a/internal/fake/simnet/callers.go
+++ b/internal/fake/simnet/callers.go
@@ -33,30 +33,30 @@
 	// that share one cached look-up answer each.
 	Callers struct {
 		sim    *Sim
-		groups [][]*group
+		groups [][]*callerGroup
 		serial uint64
-		// Took holds the latency of each done request, by home region.
-		Took      []time.Duration
-		Outcomes  map[caller.Outcome]int
-		Reasons   map[caller.Reason]int
-		Lost      int
-		Booked    int
-		Unsettled int
-		// Done and Failed hold when requests ended, by home region.
-		Done, Failed [][]time.Time
+		// Latencies holds the latency of each done request, by home region.
+		Latencies          []time.Duration
+		Outcomes           map[caller.Outcome]int
+		Reasons            map[caller.Reason]int
+		ResponsesLost      int
+		BookingsDone       int
+		BookingsUnresolved int
+		// DoneAt and Failed hold when requests ended, by home region.
+		DoneAt, FailedAt [][]time.Time
 	}
 
-	group struct {
+	callerGroup struct {
 		callers *Callers
 		home    int
-		place   place
+		place   location
 		address netip.Addr
 		proxies []peer.Member
 		until   time.Time
 	}
 
 	booking struct {
-		group   *group
+		group   *callerGroup
 		service string
 		key     string
 		token   string
@@ -72,16 +72,16 @@
 		sim:      s,
 		Outcomes: make(map[caller.Outcome]int),
 		Reasons:  make(map[caller.Reason]int),
-		Done:     make([][]time.Time, len(s.config.Bundle.Regions)),
-		Failed:   make([][]time.Time, len(s.config.Bundle.Regions)),
+		DoneAt:   make([][]time.Time, len(s.config.Bundle.Regions)),
+		FailedAt: make([][]time.Time, len(s.config.Bundle.Regions)),
 	}
 	for home, r := range s.config.Bundle.Regions {
-		var list []*group
+		var list []*callerGroup
 		for i := range groupsPerRegion {
-			list = append(list, &group{
+			list = append(list, &callerGroup{
 				callers: c,
 				home:    home,
-				place:   place{r.Name, r.Domains[i%len(r.Domains)]},
+				place:   location{r.Name, r.Domains[i%len(r.Domains)]},
 				address: netip.AddrFrom4([4]byte{10, byte(10 + home), byte(i), 1}),
 			})
 		}
@@ -103,7 +103,7 @@
 		g := c.groups[home][c.sim.random.IntN(groupsPerRegion)]
 		b := c.sim.config.Bundle
 		service := b.Services[c.sim.random.IntN(len(b.Services))].Name
-		if c.sim.random.IntN(1000) < c.sim.config.BookShare {
+		if c.sim.random.IntN(1000) < c.sim.config.BookingPermille {
 			c.serial++
 			(&booking{group: g, service: service, key: fmt.Sprint("bid-", c.serial), began: c.sim.now}).try()
 			return
@@ -121,7 +121,7 @@
 	}
 }
 
-func (g *group) browse(service string) {
+func (g *callerGroup) browse(service string) {
 	began := g.callers.sim.now
 	key := fmt.Sprint("get-", g.callers.sim.serial)
 	item := quarantine.NewFingerprint("GET", service, fmt.Sprint("/item/", g.callers.sim.serial%itemsAsked), "", nil)
@@ -154,7 +154,7 @@
 		}
 		switch {
 		case ok && result.Outcome == caller.OutcomeDone:
-			c.Booked++
+			c.BookingsDone++
 			c.sim.checks.booked(b.key)
 			return
 		case ok && token != "":
@@ -182,7 +182,7 @@
 
 func (c *Callers) unsettled() {
 	if !c.sim.now.Before(c.sim.checks.from) {
-		c.Unsettled++
+		c.BookingsUnresolved++
 	}
 }
 
@@ -190,15 +190,15 @@
 	return r == caller.ReasonMinterGone || r == caller.ReasonTokenRecordExpired || r == caller.ReasonConnectionLost
 }
 
-func (c *Callers) note(g *group, began time.Time, result caller.Result, ok bool, key string) {
+func (c *Callers) note(g *callerGroup, began time.Time, result caller.Result, ok bool, key string) {
 	if c.sim.now.Before(c.sim.checks.from) {
 		return
 	}
 	if !ok || result.Outcome != caller.OutcomeDone {
-		c.Failed[g.home] = append(c.Failed[g.home], c.sim.now)
+		c.FailedAt[g.home] = append(c.FailedAt[g.home], c.sim.now)
 	}
 	if !ok {
-		c.Lost++
+		c.ResponsesLost++
 		return
 	}
 	c.Outcomes[result.Outcome]++
@@ -211,21 +211,21 @@
 	if result.Response != nil && string(result.Response.Body) != key {
 		c.sim.checks.violate("caller of %s got the answer of %s", key, result.Response.Body)
 	}
-	c.Took = append(c.Took, c.sim.now.Sub(began))
-	c.Done[g.home] = append(c.Done[g.home], c.sim.now)
+	c.Latencies = append(c.Latencies, c.sim.now.Sub(began))
+	c.DoneAt[g.home] = append(c.DoneAt[g.home], c.sim.now)
 }
 
 // Quantile is a latency quantile over all done requests.
 func (c *Callers) Quantile(q float64) time.Duration {
-	if len(c.Took) == 0 {
+	if len(c.Latencies) == 0 {
 		return 0
 	}
-	sort.Slice(c.Took, func(i, j int) bool { return c.Took[i] < c.Took[j] })
-	return c.Took[int(q*float64(len(c.Took)-1))]
+	sort.Slice(c.Latencies, func(i, j int) bool { return c.Latencies[i] < c.Latencies[j] })
+	return c.Latencies[int(q*float64(len(c.Latencies)-1))]
 }
 
 // lookup refreshes the cached answer through any proxy that answers.
-func (g *group) lookup(service string) bool {
+func (g *callerGroup) lookup(service string) bool {
 	s := g.callers.sim
 	if s.now.Before(g.until) && len(g.proxies) > 0 {
 		return true
@@ -247,7 +247,7 @@
 
 // send passes a request to the first cached proxy that takes connections. ok
 // is false when the answer was lost.
-func (g *group) send(r core.Request, key string, done func(caller.Result, string, bool)) {
+func (g *callerGroup) send(r core.Request, key string, done func(caller.Result, string, bool)) {
 	s := g.callers.sim
 	if !g.lookup(r.Service) {
 		s.After(repeatPause, func() { done(caller.Result{}, "", false) })
@@ -256,7 +256,7 @@
 	g.sendTo(g.proxies, r, key, done)
 }
 
-func (g *group) sendTo(list []peer.Member, r core.Request, key string, done func(caller.Result, string, bool)) {
+func (g *callerGroup) sendTo(list []peer.Member, r core.Request, key string, done func(caller.Result, string, bool)) {
 	s := g.callers.sim
 	if len(list) == 0 {
 		g.until = time.Time{}
@@ -266,7 +266,7 @@
 	p := s.byAddress(list[0].Address)
 	there := s.config.Net.Client
 	if p.place.region != g.place.region {
-		there += s.config.Net.Regions
+		there += s.config.Net.BetweenRegions
 	}
 	settled := false
 	settle := func(result caller.Result, token string, ok bool) {
--- a/internal/fake/simnet/checks.go
+++ b/internal/fake/simnet/checks.go
@@ -51,13 +51,13 @@
 		// pauses are what servers have asked processes for.
 		pauses map[pauseKey]*pauseCheck
 		// Headroom is the largest share of a region's capacity ever used.
-		Used float64
-		// InForce is the time from each roll-out until all proxies used it.
-		InForce []time.Duration
-		// LastWork is the last dispatch to each backend server.
-		LastWork map[string]time.Time
-		// Dispatched counts dispatches by region and second.
-		Dispatched map[string]map[int64]int
+		PeakUtilization float64
+		// RolloutTimes is the time from each roll-out until all proxies used it.
+		RolloutTimes []time.Duration
+		// LastDispatch is the last dispatch to each backend server.
+		LastDispatch map[string]time.Time
+		// DispatchesPerSecond counts dispatches by region and second.
+		DispatchesPerSecond map[string]map[int64]int
 	}
 
 	pastVersion struct {
@@ -66,9 +66,9 @@
 	}
 )
 
-// DeadlyEnds counts the servers that deadly requests have ended, and those after the
+// CrashCounts counts the servers that deadly requests have ended, and those after the
 // third end and a bound for the news of it.
-func (c *Checks) DeadlyEnds(known int, bound time.Duration) (all, after int) {
+func (c *Checks) CrashCounts(known int, bound time.Duration) (all, after int) {
 	for _, at := range c.deadlyEnds {
 		if len(c.deadlyEnds) >= known && at.After(c.deadlyEnds[known-1].Add(bound)) {
 			after++
@@ -79,42 +79,42 @@
 
 func newChecks(s *Sim) *Checks {
 	return &Checks{
-		sim:        s,
-		from:       s.now.Add(s.config.Warm),
-		runs:       make(map[string]int),
-		sendRan:    make(map[uint64]bool),
-		sendNotRun: make(map[uint64]string),
-		windows:    make(map[string]*peer.SlidingWindow),
-		versions:   make(map[string]uint64),
-		isolated:   make(map[string]bool),
-		live:       make(map[string]bool),
-		rollouts:   make(map[uint64]time.Time),
-		bundles:    make(map[uint64]*operator.Bundle),
-		lostAt:     make(map[string]time.Time),
-		limits:     make(map[string]*limitCheck),
-		pauses:     make(map[pauseKey]*pauseCheck),
-		LastWork:   make(map[string]time.Time),
-		Dispatched: make(map[string]map[int64]int),
+		sim:                 s,
+		from:                s.now.Add(s.config.WarmUp),
+		runs:                make(map[string]int),
+		sendRan:             make(map[uint64]bool),
+		sendNotRun:          make(map[uint64]string),
+		windows:             make(map[string]*peer.SlidingWindow),
+		versions:            make(map[string]uint64),
+		isolated:            make(map[string]bool),
+		live:                make(map[string]bool),
+		rollouts:            make(map[uint64]time.Time),
+		bundles:             make(map[uint64]*operator.Bundle),
+		lostAt:              make(map[string]time.Time),
+		limits:              make(map[string]*limitCheck),
+		pauses:              make(map[pauseKey]*pauseCheck),
+		LastDispatch:        make(map[string]time.Time),
+		DispatchesPerSecond: make(map[string]map[int64]int),
 	}
 }
 
 // Violations lists broken promises, first to last.
 func (c *Checks) Violations() []string { return c.violations }
 
-// Notes lists what was done to the system, for a report of a broken run.
-func (c *Checks) Notes() []string { return c.notes }
+// EventLog lists what was done to the system, for a report of a broken run.
+func (c *Checks) EventLog() []string { return c.notes }
 
-// Sheds counts refusals by backend servers.
-func (c *Checks) Sheds() int { return c.sheds }
+// ShedRequests counts refusals by backend servers.
+func (c *Checks) ShedRequests() int { return c.sheds }
 
-// Late counts dispatches that a backend server refused after their deadline.
-func (c *Checks) Late() int { return c.late }
+// ExpiredDispatches counts dispatches that a backend server refused after their deadline.
+func (c *Checks) ExpiredDispatches() int { return c.late }
 
-// Stopped counts planned stops that came to their end.
-func (c *Checks) Stopped() int { return c.stopped }
+// PlannedStops counts planned stops that came to their end.
+func (c *Checks) PlannedStops() int { return c.stopped }
 
-// SetResets breaks that many of a thousand connections to backend servers.
-func (c *Checks) SetResets(permille int) { c.resets = permille }
+// SetConnectionResets breaks that many of a thousand connections to backend servers.
+func (c *Checks) SetConnectionResets(permille int) { c.resets = permille }
 
 func (c *Checks) since() string { return fmt.Sprintf("%8.3fs ", c.sim.now.Sub(c.from).Seconds()) }
 
@@ -131,7 +131,7 @@
 }
 
 // ran counts a run: promises "at most once" and "not run is true".
-func (c *Checks) ran(d dispatch, w *Worker) {
+func (c *Checks) ran(d dispatch, w *BackendServer) {
 	if reason, told := c.sendNotRun[d.send]; told {
 		c.violate("%s ran on %s after its caller was told not-run (%s)", d.key, w.config.Name, reason)
 	}
@@ -165,26 +165,26 @@
 // dispatched counts a steering decision: capacity and leaving. One whose
 // deadline has passed already, since the proxy's clock was stopped, reaches no
 // backend server that would run it.
-func (c *Checks) dispatched(p *Proxy, w *Worker, deadline time.Time) {
+func (c *Checks) dispatched(p *Proxy, w *BackendServer, deadline time.Time) {
 	now := c.sim.now
 	if !now.Before(deadline) {
 		return
 	}
-	c.LastWork[w.config.Name] = now
+	c.LastDispatch[w.config.Name] = now
 	name := w.config.Region
 	window := c.windows[name]
 	if window == nil {
 		window = &peer.SlidingWindow{}
 		c.windows[name] = window
-		c.Dispatched[name] = make(map[int64]int)
+		c.DispatchesPerSecond[name] = make(map[int64]int)
 	}
-	c.Dispatched[name][now.Unix()]++
+	c.DispatchesPerSecond[name][now.Unix()]++
 	capacity := c.capacity(name)
 	if !window.Admit(now, capacity) {
 		c.violate("region %s got more than %d requests within a second, last from %s", name, capacity, p.name)
 	}
 	if !now.Before(c.from) {
-		c.Used = max(c.Used, float64(window.Used(now))/float64(capacity))
+		c.PeakUtilization = max(c.PeakUtilization, float64(window.Used(now))/float64(capacity))
 	}
 	c.link(p, w)
 	c.leaving(p, w)
@@ -193,7 +193,7 @@
 }
 
 // link counts requests over a link between regions.
-func (c *Checks) link(p *Proxy, w *Worker) {
+func (c *Checks) link(p *Proxy, w *BackendServer) {
 	limit := 0
 	for version, b := range c.bundles {
 		for _, l := range b.Links {
@@ -242,7 +242,7 @@
 	return most
 }
 
-func (c *Checks) leaving(p *Proxy, w *Worker) {
+func (c *Checks) leaving(p *Proxy, w *BackendServer) {
 	if c.isolated[p.name] || p.behind > 0 {
 		return
 	}
@@ -289,8 +289,8 @@
 			return
 		}
 	}
-	if len(c.InForce) < int(newest) {
-		c.InForce = append(c.InForce, c.sim.now.Sub(began))
+	if len(c.RolloutTimes) < int(newest) {
+		c.RolloutTimes = append(c.RolloutTimes, c.sim.now.Sub(began))
 	}
 }
 
@@ -322,13 +322,13 @@
 }
 
 func (c *Checks) exchanged(asked, answer peer.Exchange) {
-	if c.sim.config.Exchanged != nil {
-		c.sim.config.Exchanged(asked, answer)
+	if c.sim.config.OnExchange != nil {
+		c.sim.config.OnExchange(asked, answer)
 	}
 }
 
-// Finish asserts what must hold at the end: counts that add up.
-func (c *Checks) Finish() {
+// CheckFinalState asserts what must hold at the end: counts that add up.
+func (c *Checks) CheckFinalState() {
 	for _, p := range c.sim.proxies {
 		if !p.alive || p.frozen {
 			continue
--- a/internal/fake/simnet/deployment.go
+++ b/internal/fake/simnet/deployment.go
@@ -26,11 +26,11 @@
 	return []Deployment{
 		{Name: "trinacria", Proxies: 10, Net: Delays{
 			SameDomain: 250 * time.Microsecond, SameRegion: time.Millisecond,
-			Regions: 35 * time.Millisecond, Client: time.Millisecond,
+			BetweenRegions: 35 * time.Millisecond, Client: time.Millisecond,
 		}},
 		{Name: "hokkaido", Proxies: 9, Net: Delays{
 			SameDomain: 250 * time.Microsecond, SameRegion: 500 * time.Microsecond,
-			Regions: 55 * time.Millisecond, Client: 8 * time.Millisecond,
+			BetweenRegions: 55 * time.Millisecond, Client: 8 * time.Millisecond,
 		}},
 	}
 }
@@ -38,22 +38,22 @@
 // Config is a run of the installation with its bundle at full size.
 func (d Deployment) Config(b *operator.Bundle, author, second *operator.KeyPair) Config {
 	return Config{
-		Bundle:      b,
-		Author:      author,
-		Second:      second,
-		Proxies:     d.Proxies,
-		Net:         d.Net,
-		ServiceTime: 20 * time.Millisecond,
-		Queue:       8,
-		ReportLag:   100 * time.Millisecond,
-		ColdFactor:  3,
-		ColdFor:     10 * time.Second,
-		ListLag:     2 * time.Second,
+		Bundle:            b,
+		Author:            author,
+		Approver:          second,
+		Proxies:           d.Proxies,
+		Net:               d.Net,
+		ServiceTime:       20 * time.Millisecond,
+		QueueLength:       8,
+		ReportLag:         100 * time.Millisecond,
+		ColdStartFactor:   3,
+		ColdStartDuration: 10 * time.Second,
+		MachineListLag:    2 * time.Second,
 	}
 }
 
-// Small is the same at a fraction of the rate, with longer service times.
-func (c Config) Small() Config {
+// ScaledDown is the same at a fraction of the rate, with longer service times.
+func (c Config) ScaledDown() Config {
 	b := *c.Bundle
 	b.Regions = append([]operator.Region(nil), c.Bundle.Regions...)
 	for i := range b.Regions {
--- a/internal/fake/simnet/limits.go
+++ b/internal/fake/simnet/limits.go
@@ -42,7 +42,7 @@
 )
 
 // heard notes what a process hears of what a server asks.
-func (c *Checks) heard(p *Proxy, w *Worker, r *backend.Report) {
+func (c *Checks) heard(p *Proxy, w *BackendServer, r *backend.Report) {
 	if r == nil {
 		return
 	}
@@ -62,7 +62,7 @@
 }
 
 // pause asserts that a server gets hardly anything in a pause that it has asked for.
-func (c *Checks) pause(p *Proxy, w *Worker) {
+func (c *Checks) pause(p *Proxy, w *BackendServer) {
 	now, asked := c.sim.now, c.pauses[pauseKey{w.config.Name, p.id()}]
 	if asked == nil || p.behind > 0 || now.Before(asked.from) || !now.Before(asked.until) {
 		return
@@ -73,7 +73,7 @@
 }
 
 // limit asserts that a server gets no more than it has asked for from those who know.
-func (c *Checks) limit(p *Proxy, w *Worker) {
+func (c *Checks) limit(p *Proxy, w *BackendServer) {
 	l := c.limits[w.config.Name]
 	if l == nil {
 		return
--- a/internal/fake/simnet/platform.go
+++ b/internal/fake/simnet/platform.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// SetDown begins or ends an outage.
-func (s *Sim) SetDown(down bool) {
+// SetPlatformDown begins or ends an outage.
+func (s *Sim) SetPlatformDown(down bool) {
 	s.platform.down = down
 	s.trace("platform down %v", down)
 	if !down {
@@ -51,8 +51,8 @@
 	}
 }
 
-// LoseAnswers drops the answers of the next writes.
-func (s *Sim) LoseAnswers(n int) { s.platform.lose = n }
+// DropWriteResponses drops the answers of the next writes.
+func (s *Sim) DropWriteResponses(n int) { s.platform.lose = n }
 
 // SavePlatform keeps a copy of the values.
 func (s *Sim) SavePlatform() {
@@ -100,7 +100,7 @@
 
 // SetMachine changes the list of VMs after its lag.
 func (s *Sim) SetMachine(name string, state kv.MachineState) {
-	s.After(s.config.ListLag, func() { s.platform.setMachine(name, state) })
+	s.After(s.config.MachineListLag, func() { s.platform.setMachine(name, state) })
 }
 
 func (p *Platform) setMachine(name string, state kv.MachineState) {
--- a/internal/fake/simnet/proxy.go
+++ b/internal/fake/simnet/proxy.go
@@ -29,7 +29,7 @@
 		sim    *Sim
 		name   string
 		index  int
-		place  place
+		place  location
 		kernel *core.Kernel
 		life   int
 		alive  bool
@@ -66,7 +66,7 @@
 		sim:   s,
 		name:  fmt.Sprintf("proxy-%d", i+1),
 		index: i,
-		place: place{r.Name, r.Domains[n%len(r.Domains)]},
+		place: location{r.Name, r.Domains[n%len(r.Domains)]},
 	}
 	s.proxies = append(s.proxies, p)
 	p.start()
@@ -97,7 +97,7 @@
 			Domain: p.place.domain, Incarnation: uint64(p.sim.now.UnixMilli())<<8 | uint64(p.life),
 		},
 		Trust:  p.sim.trust,
-		Faults: p.sim.config.Break,
+		Faults: p.sim.config.KernelFaults,
 	}
 	binary.BigEndian.PutUint64(c.Seed[:], p.sim.random.Uint64())
 	binary.BigEndian.PutUint64(c.TokenKey[:], p.sim.random.Uint64())
@@ -142,8 +142,8 @@
 	})
 }
 
-// Kill ends a process at once.
-func (s *Sim) Kill(i int) {
+// KillProxy ends a process at once.
+func (s *Sim) KillProxy(i int) {
 	p := s.proxies[i]
 	if !p.alive {
 		return
@@ -167,17 +167,17 @@
 	p.sim.SetMachine(p.name, "")
 }
 
-// Restart begins a new incarnation on the VM.
-func (s *Sim) Restart(i int) {
+// RestartProxy begins a new incarnation on the VM.
+func (s *Sim) RestartProxy(i int) {
 	if p := s.proxies[i]; !p.alive {
 		s.trace("restart %s", p.name)
 		p.start()
 	}
 }
 
-// Freeze stops a process; with a stopped clock it does not know afterwards,
+// FreezeProxy stops a process; with a stopped clock it does not know afterwards,
 // until its VM's clock is set right.
-func (s *Sim) Freeze(i int, d time.Duration, clockToo bool) {
+func (s *Sim) FreezeProxy(i int, d time.Duration, clockToo bool) {
 	p := s.proxies[i]
 	if !p.alive || p.frozen {
 		return
--- a/internal/fake/simnet/random.go
+++ b/internal/fake/simnet/random.go
@@ -14,46 +14,46 @@
 )
 
 type (
-	// Draw picks a whole number from low to high, inclusive. The randomised
+	// DrawInt picks a whole number from low to high, inclusive. The randomised
 	// tests draw from their library, the soak run from its seed.
-	Draw func(label string, low, high int) int
+	DrawInt func(label string, low, high int) int
 )
 
-// DrawFrom draws from a seed.
-func DrawFrom(seed uint64) Draw {
+// SeededDraw draws from a seed.
+func SeededDraw(seed uint64) DrawInt {
 	r := rand.New(rand.NewPCG(seed, 2))
 	return func(_ string, low, high int) int { return low + r.IntN(high-low+1) }
 }
 
 // RandomScenario draws a run with several faults, which may come at any moment,
 // together or twice.
-func RandomScenario(c Config, draw Draw) *Scenario {
+func RandomScenario(c Config, draw DrawInt) *Scenario {
 	s := &Scenario{
-		Seed:        uint64(draw("seed", 1, 1<<30)),
-		LoadPercent: draw("load", 20, 130),
-		BookShare:   draw("book", 50, 500),
-		Warm:        operator.Duration(randomWarm),
-		Span:        operator.Duration(randomSpan),
+		Seed:            uint64(draw("seed", 1, 1<<30)),
+		LoadPercent:     draw("load", 20, 130),
+		BookingPermille: draw("book", 50, 500),
+		WarmUp:          operator.Duration(randomWarm),
+		Duration:        operator.Duration(randomSpan),
 	}
-	kinds := Faults()
+	kinds := FaultKinds()
 	for range draw("faults", 1, 8) {
 		s.Faults = append(s.Faults, randomFault(c, draw, kinds[draw("kind", 0, len(kinds)-1)]))
 	}
 	return s
 }
 
-func randomFault(c Config, draw Draw, kind string) Fault {
+func randomFault(c Config, draw DrawInt, kind string) Fault {
 	f := Fault{
-		Kind: kind,
-		At:   operator.Duration(time.Duration(draw("at", 0, 10000)) * time.Millisecond),
-		For:  operator.Duration(time.Duration(draw("for", 100, 8000)) * time.Millisecond),
+		Kind:     kind,
+		At:       operator.Duration(time.Duration(draw("at", 0, 10000)) * time.Millisecond),
+		Duration: operator.Duration(time.Duration(draw("for", 100, 8000)) * time.Millisecond),
 	}
 	region := func() string { return c.Bundle.Regions[draw("region", 0, len(c.Bundle.Regions)-1)].Name }
 	switch kind {
 	case "cut-regions", "steer":
-		f.Target, f.Second, f.Amount = region(), region(), draw("amount", 0, 1000)
-		if f.Target == f.Second {
-			f.Kind, f.Target, f.Second = "resets", "", ""
+		f.Target, f.SecondTarget, f.Amount = region(), region(), draw("amount", 0, 1000)
+		if f.Target == f.SecondTarget {
+			f.Kind, f.Target, f.SecondTarget = "resets", "", ""
 			f.Amount = draw("amount", 0, 100)
 		}
 	case "lose-region", "drain-region", "capacity":
--- a/internal/fake/simnet/random_test.go
+++ b/internal/fake/simnet/random_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestMain(m *testing.M) {
-	seeds.Fix("40")
+	seeds.SetRapidDefaults("40")
 	os.Exit(m.Run())
 }
 
@@ -27,7 +27,7 @@
 		s, panicked := playGuarded(base, sc)
 		if got := strings.Join(s.Checks().Violations(), "\n") + panicked; got != "" {
 			text, _ := json.Marshal(sc)
-			t.Fatalf("got violations, want none:\n%s\n%s\nwhat was done:\n%s", got, text, strings.Join(s.Checks().Notes(), "\n"))
+			t.Fatalf("got violations, want none:\n%s\n%s\nwhat was done:\n%s", got, text, strings.Join(s.Checks().EventLog(), "\n"))
 		}
 	})
 }
--- a/internal/fake/simnet/scenario.go
+++ b/internal/fake/simnet/scenario.go
@@ -22,8 +22,8 @@
 	// faults maps a fault's name in a scenario file to what it does.
 	faults = map[string]func(s *Sim, f Fault){
 		"kill-proxy":         killProxy,
-		"freeze-proxy":       func(s *Sim, f Fault) { s.Freeze(f.index(), f.For.Std(), false) },
-		"freeze-proxy-clock": func(s *Sim, f Fault) { s.Freeze(f.index(), f.For.Std(), true) },
+		"freeze-proxy":       func(s *Sim, f Fault) { s.FreezeProxy(f.index(), f.Duration.Std(), false) },
+		"freeze-proxy-clock": func(s *Sim, f Fault) { s.FreezeProxy(f.index(), f.Duration.Std(), true) },
 		"stop-proxy":         stopProxy,
 		"cut-regions":        cutRegions,
 		"lose-region":        loseRegion,
@@ -34,15 +34,15 @@
 		"pause-server":       pauseServer,
 		"leave-server":       leaveServer,
 		"platform-outage":    platformOutage,
-		"lose-answers":       func(s *Sim, f Fault) { s.LoseAnswers(f.Amount) },
+		"lose-answers":       func(s *Sim, f Fault) { s.DropWriteResponses(f.Amount) },
 		"save-platform":      func(s *Sim, _ Fault) { s.SavePlatform() },
 		"restore-platform":   func(s *Sim, _ Fault) { s.RestorePlatform() },
-		"resets":             func(s *Sim, f Fault) { s.checks.SetResets(f.Amount) },
+		"resets":             func(s *Sim, f Fault) { s.checks.SetConnectionResets(f.Amount) },
 		"load":               func(s *Sim, f Fault) { s.scaleLoad(f.Amount) },
 		"drain-server":       func(s *Sim, f Fault) { s.drain(operator.DrainServer, f.Target) },
 		"drain-proxy":        func(s *Sim, f Fault) { s.drain(operator.DrainProxy, f.Target) },
 		"drain-region":       func(s *Sim, f Fault) { s.drain(operator.DrainRegion, f.Target) },
-		"steer":              func(s *Sim, f Fault) { s.steer(f.Target, f.Second, f.Amount) },
+		"steer":              func(s *Sim, f Fault) { s.steer(f.Target, f.SecondTarget, f.Amount) },
 		"capacity":           func(s *Sim, f Fault) { s.capacity(f.Target, f.Amount) },
 		"old-bundle":         func(s *Sim, _ Fault) { s.offerOldBundle() },
 		"unlist-proxy":       func(s *Sim, f Fault) { s.SetMachine(s.proxies[f.index()].name, "") },
@@ -52,25 +52,25 @@
 type (
 	// Fault is one thing done to the system at a moment after the warm-up.
 	Fault struct {
-		At     operator.Duration `json:"at"`
-		Kind   string            `json:"kind"`
-		Target string            `json:"target,omitempty"`
-		Second string            `json:"second,omitempty"`
-		For    operator.Duration `json:"for,omitempty"`
-		Amount int               `json:"amount,omitempty"`
+		At           operator.Duration `json:"at"`
+		Kind         string            `json:"kind"`
+		Target       string            `json:"target,omitempty"`
+		SecondTarget string            `json:"second,omitempty"`
+		Duration     operator.Duration `json:"for,omitempty"`
+		Amount       int               `json:"amount,omitempty"`
 	}
 
 	// Scenario is a scripted run, read from a data file.
 	Scenario struct {
-		Story       []string          `json:"story"`
-		Seed        uint64            `json:"seed"`
-		LoadPercent int               `json:"load-percent"`
-		BookShare   int               `json:"book-permille"`
-		Warm        operator.Duration `json:"warm"`
-		Span        operator.Duration `json:"span"`
-		Faults      []Fault           `json:"faults"`
-		Break       string            `json:"break,omitempty"`
-		Expect      Expect            `json:"expect"`
+		Description     []string          `json:"story"`
+		Seed            uint64            `json:"seed"`
+		LoadPercent     int               `json:"load-percent"`
+		BookingPermille int               `json:"book-permille"`
+		WarmUp          operator.Duration `json:"warm"`
+		Duration        operator.Duration `json:"span"`
+		Faults          []Fault           `json:"faults"`
+		KernelFault     string            `json:"break,omitempty"`
+		Expect          Expect            `json:"expect"`
 	}
 
 	// Expect is the stated outcome. Zero bounds are not checked.
@@ -78,25 +78,25 @@
 		// Violation is a part of the violation that the run must show; empty
 		// means that there must be none.
 		Violation string `json:"violation,omitempty"`
-		// DonePercent is the least share of requests that are done.
-		DonePercent float64 `json:"done-percent,omitempty"`
-		// Unsettled is the most bookings that nobody can tell the outcome of.
-		Unsettled int `json:"unsettled"`
-		// InForce bounds the time until the last bundle is in force.
-		InForce operator.Duration `json:"in-force,omitempty"`
-		// Stopped is how many planned stops come to their end.
-		Stopped int `json:"stopped,omitempty"`
-		// LastWork bounds the time from the first fault to the last new work
+		// MinDonePercent is the least share of requests that are done.
+		MinDonePercent float64 `json:"done-percent,omitempty"`
+		// MaxUnresolvedBookings is the most bookings that nobody can tell the outcome of.
+		MaxUnresolvedBookings int `json:"unsettled"`
+		// MaxRolloutTime bounds the time until the last bundle is in force.
+		MaxRolloutTime operator.Duration `json:"in-force,omitempty"`
+		// MinPlannedStops is how many planned stops come to their end.
+		MinPlannedStops int `json:"stopped,omitempty"`
+		// MaxLastDispatchDelay bounds the time from the first fault to the last new work
 		// of the backend server that it names.
-		LastWork operator.Duration `json:"last-work,omitempty"`
-		// WorksAgain names a backend server that must have new work in the last ten seconds.
-		WorksAgain string `json:"works-again,omitempty"`
-		// EndsAfter is the most servers that a deadly request ends after all proxies must
-		// know of it, EndsAtAll in all; checked if EndsAtAll is given.
-		EndsAfter int `json:"ends-after,omitempty"`
-		EndsAtAll int `json:"ends-at-all,omitempty"`
-		// Late is the least number of dispatches refused after their deadline.
-		Late int `json:"late,omitempty"`
+		MaxLastDispatchDelay operator.Duration `json:"last-work,omitempty"`
+		// ServerUsedAgain names a backend server that must have new work in the last ten seconds.
+		ServerUsedAgain string `json:"works-again,omitempty"`
+		// MaxCrashesAfterDetection is the most servers that a deadly request ends after all proxies must
+		// know of it, MaxCrashes in all; checked if MaxCrashes is given.
+		MaxCrashesAfterDetection int `json:"ends-after,omitempty"`
+		MaxCrashes               int `json:"ends-at-all,omitempty"`
+		// MinExpiredDispatches is the least number of dispatches refused after their deadline.
+		MinExpiredDispatches int `json:"late,omitempty"`
 	}
 )
 
@@ -114,8 +114,8 @@
 	return s, nil
 }
 
-// Faults lists the names of all faults, for randomised runs.
-func Faults() []string {
+// FaultKinds lists the names of all faults, for randomised runs.
+func FaultKinds() []string {
 	names := make([]string, 0, len(faults))
 	for name := range faults {
 		names = append(names, name)
@@ -124,8 +124,8 @@
 	return names
 }
 
-// Breakages maps names in scenario files to guards taken out.
-func Breakages() map[string]core.InjectedFaults {
+// KernelFaults maps names in scenario files to guards taken out.
+func KernelFaults() map[string]core.InjectedFaults {
 	return map[string]core.InjectedFaults{
 		"":                {},
 		"token-reuse":     {TokenReuse: true},
@@ -141,24 +141,24 @@
 // Inject does a fault now.
 func (s *Sim) Inject(f Fault) { faults[f.Kind](s, f) }
 
-// Play runs a scenario over a base configuration.
-func Play(c Config, sc *Scenario) *Sim {
+// RunScenario runs a scenario over a base configuration.
+func RunScenario(c Config, sc *Scenario) *Sim {
 	c.Seed = sc.Seed
-	c.BookShare = sc.BookShare
-	c.Warm = sc.Warm.Std()
-	c.Break = Breakages()[sc.Break]
-	c.Load = LoadOf(c.Bundle, sc.LoadPercent)
+	c.BookingPermille = sc.BookingPermille
+	c.WarmUp = sc.WarmUp.Std()
+	c.KernelFaults = KernelFaults()[sc.KernelFault]
+	c.Load = LoadAtPercent(c.Bundle, sc.LoadPercent)
 	s := New(c)
 	for _, f := range sc.Faults {
-		s.After(c.Warm+f.At.Std(), func() { s.Inject(f) })
+		s.After(c.WarmUp+f.At.Std(), func() { s.Inject(f) })
 	}
-	s.Run(c.Warm + sc.Span.Std())
-	s.checks.Finish()
+	s.Run(c.WarmUp + sc.Duration.Std())
+	s.checks.CheckFinalState()
 	return s
 }
 
-// LoadOf is a share of each region's capacity.
-func LoadOf(b *operator.Bundle, percent int) []float64 {
+// LoadAtPercent is a share of each region's capacity.
+func LoadAtPercent(b *operator.Bundle, percent int) []float64 {
 	load := make([]float64, len(b.Regions))
 	for i, r := range b.Regions {
 		load[i] = float64(r.Capacity) * float64(percent) / 100
@@ -173,29 +173,29 @@
 
 // lasting undoes a fault after its time, if it has one.
 func (s *Sim) lasting(f Fault, undo func()) {
-	if f.For > 0 {
-		s.After(f.For.Std(), undo)
+	if f.Duration > 0 {
+		s.After(f.Duration.Std(), undo)
 	}
 }
 
 func killProxy(s *Sim, f Fault) {
-	s.Kill(f.index())
-	s.lasting(f, func() { s.Restart(f.index()) })
+	s.KillProxy(f.index())
+	s.lasting(f, func() { s.RestartProxy(f.index()) })
 }
 
 func stopProxy(s *Sim, f Fault) {
-	s.Stop(f.index())
-	s.lasting(f, func() { s.Restart(f.index()) })
+	s.StopProxy(f.index())
+	s.lasting(f, func() { s.RestartProxy(f.index()) })
 }
 
 func cutRegions(s *Sim, f Fault) {
-	s.Cut(f.Target, f.Second, true)
-	s.lasting(f, func() { s.Cut(f.Target, f.Second, false) })
+	s.SetPartitioned(f.Target, f.SecondTarget, true)
+	s.lasting(f, func() { s.SetPartitioned(f.Target, f.SecondTarget, false) })
 }
 
 func loseRegion(s *Sim, f Fault) {
-	s.LoseRegion(f.Target, true)
-	s.lasting(f, func() { s.LoseRegion(f.Target, false) })
+	s.SetRegionDown(f.Target, true)
+	s.lasting(f, func() { s.SetRegionDown(f.Target, false) })
 }
 
 func killServer(s *Sim, f Fault) {
@@ -206,7 +206,7 @@
 // deadlyRequest has callers of all regions ask a service for what ends its servers,
 // Amount times in ten seconds.
 func deadlyRequest(s *Sim, f Fault) {
-	until := s.now.Add(f.For.Std())
+	until := s.now.Add(f.Duration.Std())
 	gap := 10 * time.Second / time.Duration(max(1, f.Amount))
 	var next func()
 	next = func() {
@@ -250,12 +250,12 @@
 }
 
 func platformOutage(s *Sim, f Fault) {
-	s.SetDown(true)
-	s.lasting(f, func() { s.SetDown(false) })
+	s.SetPlatformDown(true)
+	s.lasting(f, func() { s.SetPlatformDown(false) })
 }
 
 func (s *Sim) scaleLoad(percent int) {
-	for i, rate := range LoadOf(s.config.Bundle, percent) {
+	for i, rate := range LoadAtPercent(s.config.Bundle, percent) {
 		s.SetLoad(i, rate)
 	}
 }
@@ -310,7 +310,7 @@
 func (s *Sim) offerOldBundle() {
 	e, err := s.config.Author.Propose(s.config.Bundle)
 	if err == nil {
-		err = s.config.Second.Approve(e)
+		err = s.config.Approver.Approve(e)
 	}
 	if err != nil {
 		panic("simnet: " + err.Error())
--- a/internal/fake/simnet/serve.go
+++ b/internal/fake/simnet/serve.go
@@ -83,8 +83,8 @@
 	p.sim.After(left+core.AnswerGracePeriod, func() { end(backend.Abandoned, nil) })
 }
 
-func (p *Proxy) sendToWorker(w *Worker, r request, d core.Decision, end func(backend.Result, *backend.Report)) {
-	j := &job{dispatch: dispatch{
+func (p *Proxy) sendToWorker(w *BackendServer, r request, d core.Decision, end func(backend.Result, *backend.Report)) {
+	j := &queuedRequest{dispatch: dispatch{
 		key: r.key, send: r.send, attempt: d.ID, deadline: d.Deadline, book: !d.Idempotent,
 	}}
 	j.reply = func(result backend.Result, report *backend.Report) {
@@ -112,7 +112,7 @@
 
 // reset breaks the connection: half of the times before the request is read,
 // half after it has run.
-func (p *Proxy) reset(w *Worker, j *job, end func(backend.Result, *backend.Report)) {
+func (p *Proxy) reset(w *BackendServer, j *queuedRequest, end func(backend.Result, *backend.Report)) {
 	if p.sim.random.IntN(2) == 0 {
 		end(backend.Interrupted, nil)
 		return
--- a/internal/fake/simnet/sim.go
+++ b/internal/fake/simnet/sim.go
@@ -13,35 +13,35 @@
 type (
 	// Config describes one run.
 	Config struct {
-		Bundle  *operator.Bundle
-		Author  *operator.KeyPair
-		Second  *operator.KeyPair
-		Proxies int
-		Seed    uint64
+		Bundle   *operator.Bundle
+		Author   *operator.KeyPair
+		Approver *operator.KeyPair
+		Proxies  int
+		Seed     uint64
 		// Net holds one-way delays.
 		Net Delays
 		// ServiceTime is the mean; each request's varies by half either way.
-		ServiceTime time.Duration
-		Queue       int
-		ReportLag   time.Duration
-		ColdFactor  float64
-		ColdFor     time.Duration
-		// ListLag is how far the platform's list of VMs lags.
-		ListLag time.Duration
+		ServiceTime       time.Duration
+		QueueLength       int
+		ReportLag         time.Duration
+		ColdStartFactor   float64
+		ColdStartDuration time.Duration
+		// MachineListLag is how far the platform's list of VMs lags.
+		MachineListLag time.Duration
 		// Load is requests per second by home region.
 		Load []float64
-		// BookShare of the requests are non-idempotent, in thousandths.
-		BookShare int
-		Break     core.InjectedFaults
-		// Warm is how long after the start measuring begins.
-		Warm time.Duration
-		// Exchanged sees every exchange between proxies; nil for none.
-		Exchanged func(asked, answer peer.Exchange)
+		// BookingPermille of the requests are non-idempotent, in thousandths.
+		BookingPermille int
+		KernelFaults    core.InjectedFaults
+		// WarmUp is how long after the start measuring begins.
+		WarmUp time.Duration
+		// OnExchange sees every exchange between proxies; nil for none.
+		OnExchange func(asked, answer peer.Exchange)
 	}
 
 	// Delays are one-way delays of the network.
 	Delays struct {
-		SameDomain, SameRegion, Regions, Client time.Duration
+		SameDomain, SameRegion, BetweenRegions, Client time.Duration
 	}
 
 	// Sim is one run.
@@ -51,7 +51,7 @@
 		random   *rand.Rand
 		trust    operator.TrustedKeys
 		proxies  []*Proxy
-		workers  map[string]*Worker
+		workers  map[string]*BackendServer
 		platform *Platform
 		cuts     map[[2]string]bool
 		lost     map[string]bool
@@ -64,7 +64,7 @@
 		KernelTime time.Duration
 	}
 
-	place struct {
+	location struct {
 		region, domain string
 	}
 )
@@ -75,8 +75,8 @@
 		Clock:   newClock(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)),
 		config:  c,
 		random:  rand.New(rand.NewPCG(c.Seed, 1)),
-		trust:   operator.TrustedKeys{c.Author.TrustedKey(), c.Second.TrustedKey()},
-		workers: make(map[string]*Worker),
+		trust:   operator.TrustedKeys{c.Author.TrustedKey(), c.Approver.TrustedKey()},
+		workers: make(map[string]*BackendServer),
 		cuts:    make(map[[2]string]bool),
 		lost:    make(map[string]bool),
 	}
@@ -109,7 +109,7 @@
 func (s *Sim) Rollout(b *operator.Bundle) {
 	e, err := s.config.Author.Propose(b)
 	if err == nil {
-		err = s.config.Second.Approve(e)
+		err = s.config.Approver.Approve(e)
 	}
 	if err != nil {
 		panic("simnet: " + err.Error())
@@ -120,11 +120,11 @@
 }
 
 // delay is the network's delay between two places, or false when cut.
-func (s *Sim) delay(a, b place) (time.Duration, bool) {
+func (s *Sim) delay(a, b location) (time.Duration, bool) {
 	if s.cuts[[2]string{a.region, b.region}] || s.cuts[[2]string{b.region, a.region}] {
 		return 0, false
 	}
-	base := s.config.Net.Regions
+	base := s.config.Net.BetweenRegions
 	switch {
 	case a.domain == b.domain:
 		base = s.config.Net.SameDomain
@@ -134,14 +134,14 @@
 	return base + time.Duration(s.random.Int64N(int64(base)/10+1)), true
 }
 
-// Cut ends or restores all traffic between two regions.
-func (s *Sim) Cut(a, b string, on bool) {
+// SetPartitioned ends or restores all traffic between two regions.
+func (s *Sim) SetPartitioned(a, b string, on bool) {
 	s.cuts[[2]string{a, b}] = on
 	s.trace("cut %s %s %v", a, b, on)
 }
 
-// LoseRegion stops or restarts all backend servers of a region.
-func (s *Sim) LoseRegion(name string, on bool) {
+// SetRegionDown stops or restarts all backend servers of a region.
+func (s *Sim) SetRegionDown(name string, on bool) {
 	s.lost[name] = on
 	if on {
 		s.checks.regionLost(name)
@@ -156,8 +156,8 @@
 
 // workersInOrder lists the backend servers in the bundle's order, for a
 // map's order would make runs differ.
-func (s *Sim) workersInOrder() []*Worker {
-	var list []*Worker
+func (s *Sim) workersInOrder() []*BackendServer {
+	var list []*BackendServer
 	for i := range s.config.Bundle.Services {
 		for k := range s.config.Bundle.Services[i].Servers {
 			list = append(list, s.workers[s.config.Bundle.Services[i].Servers[k].Name])
--- a/internal/fake/simnet/sim_test.go
+++ b/internal/fake/simnet/sim_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d.Config(b, author, second).Small()
+	return d.Config(b, author, second).ScaledDown()
 }
 
 // TestScenarios plays every file in testdata; the stories are in the files.
@@ -67,7 +67,7 @@
 	got := strings.Join(s.Checks().Violations(), "\n") + panicked
 	switch want := sc.Expect.Violation; {
 	case want == "" && got != "":
-		t.Errorf("got violations, want none:\n%s\nwhat was done:\n%s", got, strings.Join(s.Checks().Notes(), "\n"))
+		t.Errorf("got violations, want none:\n%s\nwhat was done:\n%s", got, strings.Join(s.Checks().EventLog(), "\n"))
 	case !strings.Contains(got, want):
 		t.Errorf("got violations %q, want one with %q", got, want)
 	}
@@ -75,12 +75,12 @@
 		return
 	}
 	checkOutcome(t, s, sc.Expect)
-	if name := sc.Expect.WorksAgain; name != "" && s.now.Sub(s.checks.LastWork[name]) > 10*time.Second {
-		t.Errorf("got the last new work of %s %s before the end, want it to have some again", name, s.now.Sub(s.checks.LastWork[name]))
+	if name := sc.Expect.ServerUsedAgain; name != "" && s.now.Sub(s.checks.LastDispatch[name]) > 10*time.Second {
+		t.Errorf("got the last new work of %s %s before the end, want it to have some again", name, s.now.Sub(s.checks.LastDispatch[name]))
 	}
-	if want := sc.Expect.LastWork.Std(); want > 0 {
+	if want := sc.Expect.MaxLastDispatchDelay.Std(); want > 0 {
 		began := s.checks.from.Add(sc.Faults[0].At.Std())
-		if got := s.checks.LastWork[sc.Faults[0].Target].Sub(began); got > want {
+		if got := s.checks.LastDispatch[sc.Faults[0].Target].Sub(began); got > want {
 			t.Errorf("got the last new work of %s after %s, want at most %s", sc.Faults[0].Target, got, want)
 		}
 	}
@@ -98,44 +98,44 @@
 		}
 	}()
 	s = &Sim{checks: &Checks{}}
-	s = Play(c, sc)
+	s = RunScenario(c, sc)
 	return s, ""
 }
 
 func checkOutcome(t *testing.T, s *Sim, want Expect) {
 	t.Helper()
 	c := s.Callers()
-	total := c.Lost
+	total := c.ResponsesLost
 	for _, n := range c.Outcomes {
 		total += n
 	}
-	done := 100 * float64(len(c.Took)) / float64(total)
+	done := 100 * float64(len(c.Latencies)) / float64(total)
 	t.Logf("%d requests, %.2f%% done, outcomes %v, lost %d, reasons %v, booked %d, unsettled %d, used %.3f, in force %v, sheds %d, late %d, p50 %v p99 %v",
-		total, done, c.Outcomes, c.Lost, c.Reasons, c.Booked, c.Unsettled, s.checks.Used, s.checks.InForce, s.checks.sheds, s.checks.late, c.Quantile(0.5), c.Quantile(0.99))
-	if done < want.DonePercent {
-		t.Errorf("got %.2f%% done, want at least %.2f%%", done, want.DonePercent)
+		total, done, c.Outcomes, c.ResponsesLost, c.Reasons, c.BookingsDone, c.BookingsUnresolved, s.checks.PeakUtilization, s.checks.RolloutTimes, s.checks.sheds, s.checks.late, c.Quantile(0.5), c.Quantile(0.99))
+	if done < want.MinDonePercent {
+		t.Errorf("got %.2f%% done, want at least %.2f%%", done, want.MinDonePercent)
 	}
-	if c.Unsettled > want.Unsettled {
-		t.Errorf("got %d unsettled bookings, want at most %d", c.Unsettled, want.Unsettled)
+	if c.BookingsUnresolved > want.MaxUnresolvedBookings {
+		t.Errorf("got %d unsettled bookings, want at most %d", c.BookingsUnresolved, want.MaxUnresolvedBookings)
 	}
-	if got := s.checks.Stopped(); got < want.Stopped {
-		t.Errorf("got %d planned stops finished, want %d", got, want.Stopped)
+	if got := s.checks.PlannedStops(); got < want.MinPlannedStops {
+		t.Errorf("got %d planned stops finished, want %d", got, want.MinPlannedStops)
 	}
-	if got := s.checks.Late(); got < want.Late {
-		t.Errorf("got %d late dispatches refused, want at least %d", got, want.Late)
+	if got := s.checks.ExpiredDispatches(); got < want.MinExpiredDispatches {
+		t.Errorf("got %d late dispatches refused, want at least %d", got, want.MinExpiredDispatches)
 	}
-	if want.EndsAtAll > 0 {
-		all, after := c.sim.checks.DeadlyEnds(endsToKnow, newsBound)
+	if want.MaxCrashes > 0 {
+		all, after := c.sim.checks.CrashCounts(endsToKnow, newsBound)
 		t.Logf("deadly requests ended %d servers, %d after the bound for news", all, after)
-		if all > want.EndsAtAll || all < endsToKnow || after > want.EndsAfter {
-			t.Errorf("deadly requests ended %d servers and %d after the bound for news, want %d to %d and %d at most", all, after, endsToKnow, want.EndsAtAll, want.EndsAfter)
+		if all > want.MaxCrashes || all < endsToKnow || after > want.MaxCrashesAfterDetection {
+			t.Errorf("deadly requests ended %d servers and %d after the bound for news, want %d to %d and %d at most", all, after, endsToKnow, want.MaxCrashes, want.MaxCrashesAfterDetection)
 		}
 	}
-	if want.InForce > 0 {
-		if n := len(s.checks.InForce); n != int(s.current.Version) {
+	if want.MaxRolloutTime > 0 {
+		if n := len(s.checks.RolloutTimes); n != int(s.current.Version) {
 			t.Errorf("got %d bundles in force everywhere, want %d", n, s.current.Version)
-		} else if got := s.checks.InForce[n-1]; got > want.InForce.Std() {
-			t.Errorf("got the last bundle in force after %s, want at most %s", got, want.InForce.Std())
+		} else if got := s.checks.RolloutTimes[n-1]; got > want.MaxRolloutTime.Std() {
+			t.Errorf("got the last bundle in force after %s, want at most %s", got, want.MaxRolloutTime.Std())
 		}
 	}
 }
--- a/internal/fake/simnet/stop.go
+++ b/internal/fake/simnet/stop.go
@@ -6,8 +6,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/peer"
 )
 
-// Stop is the planned stop, as the daemon does it.
-func (s *Sim) Stop(i int) {
+// StopProxy is the planned stop, as the daemon does it.
+func (s *Sim) StopProxy(i int) {
 	p := s.proxies[i]
 	if !p.alive {
 		return
--- a/internal/fake/simnet/synthetic.go
+++ b/internal/fake/simnet/synthetic.go
@@ -13,9 +13,9 @@
 	domainsPerRegion  = 2
 )
 
-// Synthetic is a bundle for a fleet of any size: proxies spread evenly over
+// SyntheticBundle is a bundle for a fleet of any size: proxies spread evenly over
 // regions of two failure domains, one service with a backend server in each.
-func Synthetic(proxies, regions int) *operator.Bundle {
+func SyntheticBundle(proxies, regions int) *operator.Bundle {
 	b := &operator.Bundle{
 		Version:  1,
 		Balancer: "spare-slots",
--- a/internal/fake/simnet/worker.go
+++ b/internal/fake/simnet/worker.go
@@ -9,16 +9,16 @@
 )
 
 type (
-	// Worker is one backend server.
-	Worker struct {
+	// BackendServer is one backend server.
+	BackendServer struct {
 		sim    *Sim
 		config operator.Server
-		place  place
+		place  location
 		down   bool
 		life   int
 		began  time.Time
 		busy   int
-		queue  []*job
+		queue  []*queuedRequest
 		shed   bool
 		leaves bool
 		// limit is what it names, in requests a second.
@@ -29,7 +29,7 @@
 		at     time.Time
 	}
 
-	job struct {
+	queuedRequest struct {
 		dispatch
 		reply func(backend.Result, *backend.Report)
 	}
@@ -43,12 +43,12 @@
 	}
 )
 
-func newWorker(s *Sim, c operator.Server) *Worker {
-	return &Worker{sim: s, config: c, place: place{c.Region, c.Domain}, began: s.now.Add(-time.Hour)}
+func newWorker(s *Sim, c operator.Server) *BackendServer {
+	return &BackendServer{sim: s, config: c, place: location{c.Region, c.Domain}, began: s.now.Add(-time.Hour)}
 }
 
 // setDown kills or restarts the process. What it held is lost.
-func (w *Worker) setDown(down bool) {
+func (w *BackendServer) setDown(down bool) {
 	if w.down == down {
 		return
 	}
@@ -66,11 +66,11 @@
 }
 
 // accept takes a request in that has arrived.
-func (w *Worker) accept(j *job) {
+func (w *BackendServer) accept(j *queuedRequest) {
 	switch {
 	case w.down:
 		j.reply(backend.Unreachable, nil)
-	case w.shed || w.leaves || w.busy >= w.config.Slots && len(w.queue) >= w.sim.config.Queue:
+	case w.shed || w.leaves || w.busy >= w.config.Slots && len(w.queue) >= w.sim.config.QueueLength:
 		w.sim.checks.sheds++
 		report := w.load()
 		report.Signal.Pause = w.pause
@@ -84,7 +84,7 @@
 
 // start runs a request unless its deadline has passed by the server's own
 // clock, which is the guard against dispatches that thaw late.
-func (w *Worker) start(j *job) {
+func (w *BackendServer) start(j *queuedRequest) {
 	if !w.sim.now.Before(j.deadline) {
 		w.sim.checks.late++
 		j.reply(backend.Rejected, w.load())
@@ -110,7 +110,7 @@
 }
 
 // endBy ends the server under a deadly request, and has it back some time later.
-func (w *Worker) endBy(j *job, life int) {
+func (w *BackendServer) endBy(j *queuedRequest, life int) {
 	j.reply(backend.Interrupted, nil)
 	if w.life != life {
 		return
@@ -120,7 +120,7 @@
 	w.sim.After(deadlyBack, func() { w.setDown(false) })
 }
 
-func (w *Worker) next() {
+func (w *BackendServer) next() {
 	if len(w.queue) == 0 || w.busy >= w.config.Slots || w.down {
 		return
 	}
@@ -129,17 +129,17 @@
 	w.start(j)
 }
 
-func (w *Worker) serviceTime() time.Duration {
+func (w *BackendServer) serviceTime() time.Duration {
 	c := w.sim.config
 	d := float64(spread(w.sim.random, c.ServiceTime))
-	if age := w.sim.now.Sub(w.began); c.ColdFactor > 1 && age < c.ColdFor {
-		d *= c.ColdFactor - (c.ColdFactor-1)*float64(age)/float64(c.ColdFor)
+	if age := w.sim.now.Sub(w.began); c.ColdStartFactor > 1 && age < c.ColdStartDuration {
+		d *= c.ColdStartFactor - (c.ColdStartFactor-1)*float64(age)/float64(c.ColdStartDuration)
 	}
 	return time.Duration(d)
 }
 
 // load is the server's own report, as old as the configured lag.
-func (w *Worker) load() *backend.Report {
+func (w *BackendServer) load() *backend.Report {
 	if w.sim.now.Sub(w.at) >= w.sim.config.ReportLag {
 		w.report = w.busy + len(w.queue)
 		w.at = w.sim.now
--- a/internal/fake/warmnet/play.go
+++ b/internal/fake/warmnet/play.go
@@ -111,7 +111,7 @@
 	if len(l.Stranded) > 0 || l.Knee > 0 || l.hasEnds() || l.asksOfSenders() {
 		w.After(tickEvery, w.tick)
 	}
-	for w.Next() {
+	for w.RunNext() {
 	}
 	w.out.ByRegion = make(map[string]float64)
 	for region, n := range w.asked {
--- a/internal/kernel/caller/main_test.go
+++ b/internal/kernel/caller/main_test.go
@@ -8,6 +8,6 @@
 )
 
 func TestMain(m *testing.M) {
-	seeds.Fix("500")
+	seeds.SetRapidDefaults("500")
 	os.Exit(m.Run())
 }
--- a/internal/kernel/peer/main_test.go
+++ b/internal/kernel/peer/main_test.go
@@ -8,6 +8,6 @@
 )
 
 func TestMain(m *testing.M) {
-	seeds.Fix("4000")
+	seeds.SetRapidDefaults("4000")
 	os.Exit(m.Run())
 }
--- a/internal/kernel/region/shifter_test.go
+++ b/internal/kernel/region/shifter_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestMain(m *testing.M) {
-	seeds.Fix("500")
+	seeds.SetRapidDefaults("500")
 	os.Exit(m.Run())
 }
 
--- a/internal/proxy/daemon/process_test.go
+++ b/internal/proxy/daemon/process_test.go
@@ -211,9 +211,9 @@
 // load makes callers that browse and book, and returns their report.
 func (f *fleet) load(name string, span, timeout time.Duration) <-chan callerfake.Report {
 	seeds := []netip.AddrPort{f.callers[0], f.callers[2], f.callers[3]}
-	callers := callerfake.NewFleet(callerfake.Plan{
-		Seeds: seeds, Callers: 48, Rate: 200, Span: span, Browse: []string{"notice-board"}, Book: "bid-ledger",
-		BookShare: 400, Name: name, Timeout: timeout,
+	callers := callerfake.NewLoadGenerator(callerfake.Config{
+		Seeds: seeds, Callers: 48, Rate: 200, Duration: span, BrowseServices: []string{"notice-board"}, BookingService: "bid-ledger",
+		BookingPermille: 400, KeyPrefix: name, Timeout: timeout,
 	})
 	out := make(chan callerfake.Report, 1)
 	go func() { out <- callers.Run(context.Background()) }()
@@ -249,16 +249,16 @@
 			f.t.Errorf("%s: got %d runs, want at most 1", key, n)
 		}
 	}
-	if r.Booked > len(runs) {
-		f.t.Errorf("got %d bookings confirmed and %d run, want none confirmed that did not run", r.Booked, len(runs))
+	if r.BookingsDone > len(runs) {
+		f.t.Errorf("got %d bookings confirmed and %d run, want none confirmed that did not run", r.BookingsDone, len(runs))
 	}
-	if r.Wrong != 0 || r.Truncated != 0 {
-		f.t.Errorf("got %d wrong and %d truncated answers, want none", r.Wrong, r.Truncated)
+	if r.WrongAnswers != 0 || r.Truncated != 0 {
+		f.t.Errorf("got %d wrong and %d truncated answers, want none", r.WrongAnswers, r.Truncated)
 	}
-	if r.Booked == 0 {
+	if r.BookingsDone == 0 {
 		f.t.Error("got no bookings, want some")
 	}
-	f.t.Logf("outcomes %v, reasons %v, booked %d, run %d, cut %d, repeats %d", r.Outcomes, r.Reasons, r.Booked, len(runs), r.Cut, r.Repeats)
+	f.t.Logf("outcomes %v, reasons %v, booked %d, run %d, cut %d, repeats %d", r.Outcomes, r.Reasons, r.BookingsDone, len(runs), r.ConnectionsFailed, r.Retries)
 }
 
 // TestRealProcesses does to real processes what the runs in virtual time
@@ -293,8 +293,8 @@
 			t.Errorf("got exit %v of the stopped proxy, want a clean one", err)
 		}
 		f.checkOnce(r)
-		if r.Cut != 0 || r.BookLost != 0 {
-			t.Errorf("got %d requests cut and %d bookings unsettled, want none", r.Cut, r.BookLost)
+		if r.ConnectionsFailed != 0 || r.BookingsUnresolved != 0 {
+			t.Errorf("got %d requests cut and %d bookings unsettled, want none", r.ConnectionsFailed, r.BookingsUnresolved)
 		}
 	})
 
