--- a/internal/fake/backendfake/server.go
+++ b/internal/fake/backendfake/server.go
@@ -40,15 +40,15 @@
 
 	// Server is one backend server.
 	Server struct {
-		name  string
-		slots chan struct{}
-		mu    sync.Mutex
-		b     Behaviour
-		began time.Time
-		busy  int
-		old   int
-		oldAt time.Time
-		stats Stats
+		name         string
+		slots        chan struct{}
+		mu           sync.Mutex
+		behaviour    Behaviour
+		startedAt    time.Time
+		inFlight     int
+		reportedLoad int
+		reportedAt   time.Time
+		stats        Stats
 	}
 
 	// Stats is what a server has seen.
@@ -67,7 +67,7 @@
 // New makes a server.
 func New(name string, slots int, b Behaviour) *Server {
 	return &Server{
-		name: name, slots: make(chan struct{}, slots), b: b, began: time.Now(),
+		name: name, slots: make(chan struct{}, slots), behaviour: b, startedAt: time.Now(),
 		stats: Stats{Name: name, Runs: make(map[string]int)},
 	}
 }
@@ -76,14 +76,14 @@
 func (s *Server) SetBehaviour(b Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.b = b
+	s.behaviour = b
 }
 
 // Behaviour reads the behaviour.
 func (s *Server) Behaviour() Behaviour {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b
+	return s.behaviour
 }
 
 // Stats reads what the server has seen.
@@ -101,62 +101,62 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/health" {
-		s.report(w)
+		s.setLoadHeaders(w)
 		return
 	}
-	b, ok := s.enter(w)
+	b, ok := s.admit(w)
 	if !ok {
 		return
 	}
-	defer s.leave()
+	defer s.release()
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	if s.tooLate(r) {
-		s.refuse(w)
+	if s.isExpired(r) {
+		s.reject(w)
 		return
 	}
-	s.ran(r)
+	s.recordRun(r)
 	time.Sleep(s.serviceTime(b))
-	s.answer(w, r, b, len(body))
+	s.respond(w, r, b, len(body))
 }
 
-// enter admits a request or sheds it before anything ran.
-func (s *Server) enter(w http.ResponseWriter) (Behaviour, bool) {
+// admit admits a request or sheds it before anything ran.
+func (s *Server) admit(w http.ResponseWriter) (Behaviour, bool) {
 	s.mu.Lock()
-	b := s.b
-	full := s.busy >= cap(s.slots)+b.QueueLength
+	b := s.behaviour
+	full := s.inFlight >= cap(s.slots)+b.QueueLength
 	if !b.ShedAll && !full {
-		s.busy++
-		s.stats.MaxInFlight = max(s.stats.MaxInFlight, s.busy)
+		s.inFlight++
+		s.stats.MaxInFlight = max(s.stats.MaxInFlight, s.inFlight)
 		s.stats.LastAccepted = time.Now()
 		s.mu.Unlock()
 		return b, true
 	}
 	s.stats.Shed++
 	s.mu.Unlock()
-	s.refuse(w)
+	s.reject(w)
 	return b, false
 }
 
-func (s *Server) leave() {
+func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.busy--
+	s.inFlight--
 }
 
-func (s *Server) refuse(w http.ResponseWriter) {
-	s.report(w)
+func (s *Server) reject(w http.ResponseWriter) {
+	s.setLoadHeaders(w)
 	w.Header().Set(caller.HeaderOutcome, caller.OutcomeNotRun.String())
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// tooLate is the guard against a dispatch that was held up in a frozen proxy:
+// isExpired is the guard against a dispatch that was held up in a frozen proxy:
 // past the deadline its caller has been told "unknown" and nobody waits.
-func (s *Server) tooLate(r *http.Request) bool {
+func (s *Server) isExpired(r *http.Request) bool {
 	micros, err := strconv.ParseInt(r.Header.Get(caller.HeaderDeadline), 10, 64)
 	if err != nil || time.Now().Before(time.UnixMicro(micros)) {
 		return false
@@ -167,7 +167,7 @@
 	return true
 }
 
-func (s *Server) ran(r *http.Request) {
+func (s *Server) recordRun(r *http.Request) {
 	key := r.Header.Get("Idempotency-Key")
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,32 +179,32 @@
 
 func (s *Server) serviceTime(b Behaviour) time.Duration {
 	factor := 1.0
-	if age := time.Since(s.began); b.ColdStartFactor > 1 && age < b.ColdStartDuration {
+	if age := time.Since(s.startedAt); b.ColdStartFactor > 1 && age < b.ColdStartDuration {
 		factor = b.ColdStartFactor - (b.ColdStartFactor-1)*float64(age)/float64(b.ColdStartDuration)
 	}
 	spread := 0.5 + rand.Float64()
 	return time.Duration(float64(b.ServiceTime) * factor * spread)
 }
 
-// report sets the load header, as old as the behaviour says.
-func (s *Server) report(w http.ResponseWriter) {
+// setLoadHeaders sets the load header, as old as the behaviour says.
+func (s *Server) setLoadHeaders(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := time.Now(); now.Sub(s.oldAt) >= s.b.ReportLag {
-		s.old = s.busy
-		s.oldAt = now
+	if now := time.Now(); now.Sub(s.reportedAt) >= s.behaviour.ReportLag {
+		s.reportedLoad = s.inFlight
+		s.reportedAt = now
 	}
-	w.Header().Set(caller.HeaderLoad, strconv.Itoa(s.old))
-	if s.b.Leaving {
+	w.Header().Set(caller.HeaderLoad, strconv.Itoa(s.reportedLoad))
+	if s.behaviour.Leaving {
 		w.Header().Set(caller.HeaderLeaving, "true")
 	}
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, b Behaviour, received int) {
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, b Behaviour, received int) {
 	if rand.IntN(1000) < b.ResetPermille {
 		panic(http.ErrAbortHandler)
 	}
-	s.report(w)
+	s.setLoadHeaders(w)
 	text := fmt.Sprintf("%s %s %s received %d\n", s.name, r.Method, r.URL.RequestURI(), received)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	if rand.IntN(1000) < b.TruncatePermille {
--- a/internal/fake/callerfake/caller.go
+++ b/internal/fake/callerfake/caller.go
@@ -25,8 +25,8 @@
 
 const (
 	requestTimeout = 2500 * time.Millisecond
-	repeatsMost    = 40
-	repeatPause    = 250 * time.Millisecond
+	maxAttempts    = 40
+	minRetryDelay  = 250 * time.Millisecond
 )
 
 type (
@@ -63,64 +63,64 @@
 
 	// LoadGenerator is a number of callers.
 	LoadGenerator struct {
-		plan   Config
-		http   *http.Client
-		mu     sync.Mutex
-		r      Report
-		took   []time.Duration
-		cache  map[cacheKey]cachedLookup
-		serial int
+		config      Config
+		client      *http.Client
+		mu          sync.Mutex
+		results     Report
+		latencies   []time.Duration
+		lookups     map[lookupKey]cachedLookup
+		lastBooking int
 	}
 
-	// cacheKey is one caller's answer for one service.
-	cacheKey struct {
+	// lookupKey is one caller's answer for one service.
+	lookupKey struct {
 		caller  int
 		service string
 	}
 
 	cachedLookup struct {
-		proxies []netip.AddrPort
-		until   time.Time
+		proxies   []netip.AddrPort
+		expiresAt time.Time
 	}
 
 	reply struct {
-		outcome caller.Outcome
-		reason  string
-		status  int
-		token   string
-		after   time.Duration
-		body    string
+		outcome    caller.Outcome
+		reason     string
+		status     int
+		token      string
+		retryAfter time.Duration
+		body       string
 	}
 )
 
 // NewLoadGenerator makes callers.
 func NewLoadGenerator(p Config) *LoadGenerator {
 	return &LoadGenerator{
-		plan: p,
-		http: &http.Client{
+		config: p,
+		client: &http.Client{
 			Timeout:   cmp.Or(p.Timeout, requestTimeout),
 			Transport: &http.Transport{MaxIdleConnsPerHost: p.Callers, IdleConnTimeout: time.Minute},
 		},
-		cache: make(map[cacheKey]cachedLookup),
-		r:     Report{Outcomes: make(map[string]int), Reasons: make(map[string]int)},
+		lookups: make(map[lookupKey]cachedLookup),
+		results: Report{Outcomes: make(map[string]int), Reasons: make(map[string]int)},
 	}
 }
 
 // Run makes the load until its span is over and returns the report.
 func (f *LoadGenerator) Run(ctx context.Context) Report {
-	ctx, cancel := context.WithTimeout(ctx, f.plan.Duration)
+	ctx, cancel := context.WithTimeout(ctx, f.config.Duration)
 	defer cancel()
 	var group sync.WaitGroup
-	for id := range f.plan.Callers {
-		group.Go(func() { f.caller(ctx, id) })
+	for id := range f.config.Callers {
+		group.Go(func() { f.runCaller(ctx, id) })
 	}
 	group.Wait()
 	return f.report()
 }
 
-// caller sends requests at its part of the rate with exponential gaps.
-func (f *LoadGenerator) caller(ctx context.Context, id int) {
-	mean := float64(f.plan.Callers) / f.plan.Rate
+// runCaller sends requests at its part of the rate with exponential gaps.
+func (f *LoadGenerator) runCaller(ctx context.Context, id int) {
+	mean := float64(f.config.Callers) / f.config.Rate
 	for {
 		gap := time.Duration(rand.ExpFloat64() * mean * float64(time.Second))
 		select {
@@ -128,7 +128,7 @@
 			return
 		case <-time.After(gap):
 		}
-		if rand.IntN(1000) < f.plan.BookingPermille {
+		if rand.IntN(1000) < f.config.BookingPermille {
 			f.book(id)
 		} else {
 			f.browse(id)
@@ -137,11 +137,11 @@
 }
 
 func (f *LoadGenerator) browse(id int) {
-	service := f.plan.BrowseServices[rand.IntN(len(f.plan.BrowseServices))]
+	service := f.config.BrowseServices[rand.IntN(len(f.config.BrowseServices))]
 	path := "/item/" + strconv.Itoa(rand.IntN(1_000_000))
-	began := time.Now()
+	startedAt := time.Now()
 	r, err := f.send(id, http.MethodGet, service, path, "", "")
-	f.note(r, err, time.Since(began), http.MethodGet, path)
+	f.recordResult(r, err, time.Since(startedAt), http.MethodGet, path)
 }
 
 // book sends one non-idempotent request and repeats it with the same token
@@ -149,71 +149,71 @@
 // be used, after which a fresh one is safe.
 func (f *LoadGenerator) book(id int) {
 	f.mu.Lock()
-	f.serial++
-	key := f.plan.KeyPrefix + "-" + strconv.Itoa(f.serial)
+	f.lastBooking++
+	key := f.config.KeyPrefix + "-" + strconv.Itoa(f.lastBooking)
 	f.mu.Unlock()
 	path := "/bids/" + key
 	token := ""
-	began := time.Now()
-	for try := range repeatsMost {
-		r, err := f.send(id, http.MethodPost, f.plan.BookingService, path, token, key)
-		if try == 0 || err != nil || r.reason != string(caller.ReasonTokenRequired) {
-			f.note(r, err, time.Since(began), http.MethodPost, path)
+	startedAt := time.Now()
+	for attempt := range maxAttempts {
+		r, err := f.send(id, http.MethodPost, f.config.BookingService, path, token, key)
+		if attempt == 0 || err != nil || r.reason != string(caller.ReasonTokenRequired) {
+			f.recordResult(r, err, time.Since(startedAt), http.MethodPost, path)
 		}
 		switch {
 		case err != nil:
 		case r.outcome == caller.OutcomeDone:
-			f.count(func(p *Report) { p.BookingsDone++ })
+			f.updateReport(func(p *Report) { p.BookingsDone++ })
 			return
 		case r.token != "":
 			token = r.token
 			continue
 		case r.outcome == caller.OutcomeNotRun && caller.Reason(r.reason).GuaranteesNotRun():
 			token = ""
-		case hopeless(r.reason):
-			f.count(func(p *Report) { p.BookingsUnresolved++ })
+		case isFinalUnknown(r.reason):
+			f.updateReport(func(p *Report) { p.BookingsUnresolved++ })
 			return
 		}
-		f.count(func(p *Report) { p.Retries++ })
-		time.Sleep(max(r.after, repeatPause))
+		f.updateReport(func(p *Report) { p.Retries++ })
+		time.Sleep(max(r.retryAfter, minRetryDelay))
 	}
-	f.count(func(p *Report) { p.BookingsUnresolved++ })
+	f.updateReport(func(p *Report) { p.BookingsUnresolved++ })
 }
 
-// hopeless reports whether nobody will ever know more of a token.
-func hopeless(reason string) bool {
+// isFinalUnknown reports whether nobody will ever know more of a token.
+func isFinalUnknown(reason string) bool {
 	return reason == string(caller.ReasonMinterGone) || reason == string(caller.ReasonTokenRecordExpired)
 }
 
-func (f *LoadGenerator) count(change func(*Report)) {
+func (f *LoadGenerator) updateReport(change func(*Report)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	change(&f.r)
+	change(&f.results)
 }
 
-func (f *LoadGenerator) note(r reply, err error, took time.Duration, method, path string) {
+func (f *LoadGenerator) recordResult(r reply, err error, latency time.Duration, method, path string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		f.r.Truncated++
-		f.r.Outcomes["broken-off"]++
+		f.results.Truncated++
+		f.results.Outcomes["broken-off"]++
 		return
 	case err != nil:
-		f.r.ConnectionsFailed++
-		f.r.Outcomes["connection-failed"]++
+		f.results.ConnectionsFailed++
+		f.results.Outcomes["connection-failed"]++
 		return
 	}
-	f.r.Outcomes[r.outcome.String()]++
+	f.results.Outcomes[r.outcome.String()]++
 	if r.reason != "" {
-		f.r.Reasons[r.reason]++
+		f.results.Reasons[r.reason]++
 	}
 	if r.outcome != caller.OutcomeDone {
 		return
 	}
-	f.took = append(f.took, took)
+	f.latencies = append(f.latencies, latency)
 	if r.status == http.StatusOK && !strings.Contains(r.body, method+" "+path+" ") {
-		f.r.WrongAnswers++
+		f.results.WrongAnswers++
 	}
 }
 
@@ -226,16 +226,16 @@
 	}
 	for _, address := range proxies {
 		var r reply
-		r, err = f.one(method, address, service, path, token, key)
+		r, err = f.sendTo(method, address, service, path, token, key)
 		if err == nil || !strings.Contains(err.Error(), "connection refused") {
 			return r, err
 		}
-		f.forget(id, service)
+		f.invalidateLookup(id, service)
 	}
 	return reply{}, err
 }
 
-func (f *LoadGenerator) one(method string, address netip.AddrPort, service, path, token, key string) (reply, error) {
+func (f *LoadGenerator) sendTo(method string, address netip.AddrPort, service, path, token, key string) (reply, error) {
 	var body io.Reader
 	if method == http.MethodPost {
 		body = strings.NewReader("bid " + key)
@@ -252,7 +252,7 @@
 	if key != "" {
 		request.Header["idempotency-key"] = []string{key}
 	}
-	response, err := f.http.Do(request)
+	response, err := f.client.Do(request)
 	if err != nil {
 		return reply{}, errors.Wrap(err, "send")
 	}
@@ -264,47 +264,47 @@
 	outcome, _ := caller.ParseOutcome(response.Header.Get(caller.HeaderOutcome))
 	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After"))
 	return reply{
-		outcome: outcome,
-		reason:  response.Header.Get(caller.HeaderReason),
-		status:  response.StatusCode,
-		token:   response.Header.Get(caller.HeaderToken),
-		after:   time.Duration(seconds) * time.Second,
-		body:    string(data),
+		outcome:    outcome,
+		reason:     response.Header.Get(caller.HeaderReason),
+		status:     response.StatusCode,
+		token:      response.Header.Get(caller.HeaderToken),
+		retryAfter: time.Duration(seconds) * time.Second,
+		body:       string(data),
 	}, nil
 }
 
-func (f *LoadGenerator) forget(id int, service string) {
+func (f *LoadGenerator) invalidateLookup(id int, service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.cache, cacheKey{id, service})
+	delete(f.lookups, lookupKey{id, service})
 }
 
 func (f *LoadGenerator) lookup(id int, service string) ([]netip.AddrPort, error) {
 	f.mu.Lock()
-	c, ok := f.cache[cacheKey{id, service}]
+	c, ok := f.lookups[lookupKey{id, service}]
 	f.mu.Unlock()
-	if ok && time.Now().Before(c.until) {
+	if ok && time.Now().Before(c.expiresAt) {
 		return c.proxies, nil
 	}
-	seeds := append([]netip.AddrPort(nil), f.plan.Seeds...)
+	seeds := append([]netip.AddrPort(nil), f.config.Seeds...)
 	rand.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
 	var last error
 	for _, seed := range seeds {
-		fresh, err := f.ask(id, seed, service)
+		fresh, err := f.fetchLookup(id, seed, service)
 		if err != nil {
 			last = err
 			continue
 		}
 		f.mu.Lock()
-		f.cache[cacheKey{id, service}] = fresh
+		f.lookups[lookupKey{id, service}] = fresh
 		f.mu.Unlock()
 		return fresh.proxies, nil
 	}
 	return nil, errors.Wrap(last, "lookup")
 }
 
-func (f *LoadGenerator) ask(id int, seed netip.AddrPort, service string) (cachedLookup, error) {
-	response, err := f.http.Get(fmt.Sprintf("http://%s/v1/lookup?service=%s&client=127.0.%d.%d", seed, service, id>>8, id&255))
+func (f *LoadGenerator) fetchLookup(id int, seed netip.AddrPort, service string) (cachedLookup, error) {
+	response, err := f.client.Get(fmt.Sprintf("http://%s/v1/lookup?service=%s&client=127.0.%d.%d", seed, service, id>>8, id&255))
 	if err != nil {
 		return cachedLookup{}, errors.Wrap(err, "lookup")
 	}
@@ -319,7 +319,7 @@
 		return cachedLookup{}, errors.Errorf("lookup: status %d", response.StatusCode)
 	}
 	lifetime, _ := time.ParseDuration(answer.Lifetime)
-	c := cachedLookup{until: time.Now().Add(lifetime)}
+	c := cachedLookup{expiresAt: time.Now().Add(lifetime)}
 	for _, p := range answer.Proxies {
 		c.proxies = append(c.proxies, p.Address)
 	}
@@ -329,13 +329,13 @@
 func (f *LoadGenerator) report() Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	sort.Slice(f.took, func(i, j int) bool { return f.took[i] < f.took[j] })
-	at := func(q float64) float64 {
-		if len(f.took) == 0 {
+	sort.Slice(f.latencies, func(i, j int) bool { return f.latencies[i] < f.latencies[j] })
+	quantileMillis := func(q float64) float64 {
+		if len(f.latencies) == 0 {
 			return 0
 		}
-		return float64(f.took[int(q*float64(len(f.took)-1))].Microseconds()) / 1000
+		return float64(f.latencies[int(q*float64(len(f.latencies)-1))].Microseconds()) / 1000
 	}
-	f.r.P50, f.r.P99, f.r.P999, f.r.Max = at(0.5), at(0.99), at(0.999), at(1)
-	return f.r
+	f.results.P50, f.results.P99, f.results.P999, f.results.Max = quantileMillis(0.5), quantileMillis(0.99), quantileMillis(0.999), quantileMillis(1)
+	return f.results
 }
--- a/internal/fake/kvfake/server.go
+++ b/internal/fake/kvfake/server.go
@@ -29,12 +29,12 @@
 
 	// Server serves a Store over HTTP.
 	Server struct {
-		store *Store
-		mu    sync.Mutex
-		until time.Time
-		slow  time.Duration
-		lose  int
-		calls map[string]int
+		store           *Store
+		mu              sync.Mutex
+		outageUntil     time.Time
+		delay           time.Duration
+		responsesToDrop int
+		calls           map[string]int
 	}
 )
 
@@ -44,28 +44,28 @@
 // Handler routes requests.
 func (s *Server) Handler() http.Handler {
 	router := mux.NewRouter().UseEncodedPath()
-	router.HandleFunc("/v1/keys/{key}", s.guard("get", s.get)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/keys/{key}", s.guard("swap", s.swap)).Methods(http.MethodPut)
-	router.HandleFunc("/v1/keys", s.guard("list", s.list)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/machines", s.guard("machines", s.machines)).Methods(http.MethodGet)
-	router.HandleFunc("/control/faults", s.faults).Methods(http.MethodPost)
+	router.HandleFunc("/v1/keys/{key}", s.withFaults("get", s.get)).Methods(http.MethodGet)
+	router.HandleFunc("/v1/keys/{key}", s.withFaults("swap", s.swap)).Methods(http.MethodPut)
+	router.HandleFunc("/v1/keys", s.withFaults("list", s.list)).Methods(http.MethodGet)
+	router.HandleFunc("/v1/machines", s.withFaults("machines", s.machines)).Methods(http.MethodGet)
+	router.HandleFunc("/control/faults", s.setFaults).Methods(http.MethodPost)
 	router.HandleFunc("/control/machines/{name}/{state}", s.setMachine).Methods(http.MethodPost)
 	router.HandleFunc("/control/save", func(http.ResponseWriter, *http.Request) { s.store.Save() }).Methods(http.MethodPost)
 	router.HandleFunc("/control/restore", func(http.ResponseWriter, *http.Request) { s.store.Restore() }).Methods(http.MethodPost)
-	router.HandleFunc("/control/calls", s.count).Methods(http.MethodGet)
+	router.HandleFunc("/control/calls", s.getCallCounts).Methods(http.MethodGet)
 	return router
 }
 
-// guard applies the faults in force before a call.
-func (s *Server) guard(operation string, next http.HandlerFunc) http.HandlerFunc {
+// withFaults applies the faults in force before a call.
+func (s *Server) withFaults(operation string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.calls[operation]++
-		out := time.Now().Before(s.until)
-		slow := s.slow
+		outage := time.Now().Before(s.outageUntil)
+		delay := s.delay
 		s.mu.Unlock()
-		time.Sleep(slow)
-		if out {
+		time.Sleep(delay)
+		if outage {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -73,7 +73,7 @@
 	}
 }
 
-func (s *Server) faults(w http.ResponseWriter, r *http.Request) {
+func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -81,12 +81,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until = time.Now().Add(f.Outage)
-	s.slow = f.Delay
-	s.lose = f.DropWriteResponses
+	s.outageUntil = time.Now().Add(f.Outage)
+	s.delay = f.Delay
+	s.responsesToDrop = f.DropWriteResponses
 }
 
-func (s *Server) count(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) getCallCounts(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(s.calls)
@@ -109,8 +109,8 @@
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for {
 		value, ok, changed := s.store.Get(keyOf(r))
 		if wait == 0 || uint64(value.Revision) != after {
@@ -119,7 +119,7 @@
 		}
 		select {
 		case <-changed:
-		case <-limit.C:
+		case <-timer.C:
 			writeValue(w, value, ok)
 			return
 		case <-r.Context().Done():
@@ -144,8 +144,8 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	revision, ok := s.store.Swap(keyOf(r), kv.Revision(expect), data)
-	if ok && s.loseAnswer() {
+	revision, ok := s.store.CompareAndSwap(keyOf(r), kv.Revision(expect), data)
+	if ok && s.takeResponseDrop() {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(kvhttp.HeaderRevision, strconv.FormatUint(uint64(revision), 10))
@@ -154,13 +154,13 @@
 	}
 }
 
-func (s *Server) loseAnswer() bool {
+func (s *Server) takeResponseDrop() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lose == 0 {
+	if s.responsesToDrop == 0 {
 		return false
 	}
-	s.lose--
+	s.responsesToDrop--
 	return true
 }
 
@@ -171,8 +171,8 @@
 func (s *Server) machines(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for {
 		list, changed := s.store.Machines()
 		if wait == 0 || list.Version != after {
@@ -181,7 +181,7 @@
 		}
 		select {
 		case <-changed:
-		case <-limit.C:
+		case <-timer.C:
 			_, _ = w.Write(list.Encode())
 			return
 		case <-r.Context().Done():
--- a/internal/fake/kvfake/store.go
+++ b/internal/fake/kvfake/store.go
@@ -19,7 +19,7 @@
 		changed  chan struct{}
 		machines kv.MachineList
 		lag      time.Duration
-		saved    map[kv.Key]kv.Value
+		snapshot map[kv.Key]kv.Value
 	}
 )
 
@@ -28,8 +28,8 @@
 	return &Store{values: make(map[kv.Key]kv.Value), changed: make(chan struct{}), lag: lag}
 }
 
-// wake tells all watchers. It is called with the lock held.
-func (s *Store) wake() {
+// notifyWatchers tells all watchers. It is called with the lock held.
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -42,8 +42,8 @@
 	return value, ok, s.changed
 }
 
-// Swap writes a value at an expected revision.
-func (s *Store) Swap(key kv.Key, expect kv.Revision, data []byte) (kv.Revision, bool) {
+// CompareAndSwap writes a value at an expected revision.
+func (s *Store) CompareAndSwap(key kv.Key, expect kv.Revision, data []byte) (kv.Revision, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.values[key].Revision != expect {
@@ -51,7 +51,7 @@
 	}
 	s.revision++
 	s.values[key] = kv.Value{Revision: s.revision, Data: data}
-	s.wake()
+	s.notifyWatchers()
 	return s.revision, true
 }
 
@@ -72,9 +72,9 @@
 func (s *Store) Save() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.saved = make(map[kv.Key]kv.Value)
+	s.snapshot = make(map[kv.Key]kv.Value)
 	for key, value := range s.values {
-		s.saved[key] = value
+		s.snapshot[key] = value
 	}
 }
 
@@ -83,12 +83,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.values = make(map[kv.Key]kv.Value)
-	for key, value := range s.saved {
+	for key, value := range s.snapshot {
 		s.revision++
 		value.Revision = s.revision
 		s.values[key] = value
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
 // Machines reads the list of VMs and the channel that closes at a change.
@@ -109,5 +109,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.machines = s.machines.WithState(name, state)
-	s.wake()
+	s.notifyWatchers()
 }
--- a/internal/fake/ports/ports.go
+++ b/internal/fake/ports/ports.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	first = 22000
-	end   = 32000
-	// stride spreads the test processes, whose ids are mostly neighbours.
-	stride = 397
+	firstPort = 22000
+	endPort   = 32000
+	// pidStride spreads the test processes, whose ids are mostly neighbours.
+	pidStride = 397
 )
 
 var (
-	mu   sync.Mutex
-	next = first + os.Getpid()*stride%(end-first)
+	mu       sync.Mutex
+	nextPort = firstPort + os.Getpid()*pidStride%(endPort-firstPort)
 )
 
 // Free finds a number of ports that nobody listens on and that this process
@@ -31,14 +31,14 @@
 	mu.Lock()
 	defer mu.Unlock()
 	var list []netip.AddrPort
-	for range end - first {
+	for range endPort - firstPort {
 		if len(list) == n {
 			return list, nil
 		}
-		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(next))
-		next++
-		if next >= end {
-			next = first
+		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(nextPort))
+		nextPort++
+		if nextPort >= endPort {
+			nextPort = firstPort
 		}
 		l, err := net.Listen("tcp", address.String())
 		if err != nil {
--- a/internal/fake/schedule/schedule.go
+++ b/internal/fake/schedule/schedule.go
@@ -9,15 +9,15 @@
 type (
 	// Schedule is what is still to run. The zero value is at the beginning of time.
 	Schedule struct {
-		Now   time.Duration
-		queue events
-		order int
+		Now          time.Duration
+		queue        events
+		lastSequence int
 	}
 
 	event struct {
-		at    time.Duration
-		order int
-		do    func()
+		at       time.Duration
+		sequence int
+		run      func()
 	}
 
 	events []event
@@ -25,9 +25,9 @@
 
 // After runs a function some time from now. Functions of the same moment run in the order
 // in which they were added.
-func (s *Schedule) After(d time.Duration, do func()) {
-	s.order++
-	heap.Push(&s.queue, event{at: s.Now + d, order: s.order, do: do})
+func (s *Schedule) After(d time.Duration, run func()) {
+	s.lastSequence++
+	heap.Push(&s.queue, event{at: s.Now + d, sequence: s.lastSequence, run: run})
 }
 
 // RunNext runs the next function, and reports false if there is none.
@@ -37,14 +37,14 @@
 	}
 	e := heap.Pop(&s.queue).(event)
 	s.Now = e.at
-	e.do()
+	e.run()
 	return true
 }
 
 func (e events) Len() int      { return len(e) }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 
 // Push implements heap.Interface.
--- a/internal/fake/seeds/seeds.go
+++ b/internal/fake/seeds/seeds.go
@@ -10,15 +10,15 @@
 // are for `make soak` and for -rapid.seed by hand.
 func SetRapidDefaults(checks string) {
 	flag.Parse()
-	given := make(map[string]bool)
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
+	setByUser := make(map[string]bool)
+	flag.Visit(func(f *flag.Flag) { setByUser[f.Name] = true })
 	for name, value := range map[string]string{
 		"rapid.seed":       "20261202",
 		"rapid.checks":     checks,
 		"rapid.nofailfile": "true",
 		"rapid.shrinktime": "5s",
 	} {
-		if !given[name] {
+		if !setByUser[name] {
 			_ = flag.Set(name, value)
 		}
 	}
--- a/internal/fake/simnet/callers.go
+++ b/internal/fake/simnet/callers.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// itemsAsked is how many different items callers ask each service for.
-	itemsAsked = 50
-	// deadlyPath ends the server that runs it, deadlyAfter after it has begun, and
-	// deadlyBack later the server is back.
-	deadlyPath  = "/deadly"
-	deadlyAfter = 20 * time.Millisecond
-	deadlyBack  = 2 * time.Second
+	// itemsPerService is how many different items callers ask each service for.
+	itemsPerService = 50
+	// crashPath ends the server that runs it, crashDelay after it has begun, and
+	// crashRestartDelay later the server is back.
+	crashPath         = "/deadly"
+	crashDelay        = 20 * time.Millisecond
+	crashRestartDelay = 2 * time.Second
 
-	groupsPerRegion = 32
-	callerTimeout   = 4 * time.Second
-	repeatPause     = 250 * time.Millisecond
-	repeatsMost     = 60
-	hopelessMost    = 3
+	groupsPerRegion  = 32
+	callerTimeout    = 4 * time.Second
+	minRetryDelay    = 250 * time.Millisecond
+	maxAttempts      = 60
+	maxFinalUnknowns = 3
 )
 
 type (
 	// Callers is everybody who sends requests: per home region some groups
 	// that share one cached look-up answer each.
 	Callers struct {
-		sim    *Sim
-		groups [][]*callerGroup
-		serial uint64
+		sim         *Sim
+		groups      [][]*callerGroup
+		lastBooking uint64
 		// Latencies holds the latency of each done request, by home region.
 		Latencies          []time.Duration
 		Outcomes           map[caller.Outcome]int
@@ -47,23 +47,23 @@
 	}
 
 	callerGroup struct {
-		callers *Callers
-		home    int
-		place   location
-		address netip.Addr
-		proxies []peer.Member
-		until   time.Time
+		callers         *Callers
+		home            int
+		location        location
+		address         netip.Addr
+		proxies         []peer.Member
+		lookupExpiresAt time.Time
 	}
 
 	booking struct {
-		group   *callerGroup
-		service string
-		key     string
-		token   string
-		tries   int
-		began   time.Time
-		// hopeless counts answers that will not change any more.
-		hopeless int
+		group     *callerGroup
+		service   string
+		key       string
+		token     string
+		attempts  int
+		startedAt time.Time
+		// finalUnknowns counts answers that will not change any more.
+		finalUnknowns int
 	}
 )
 
@@ -79,33 +79,33 @@
 		var list []*callerGroup
 		for i := range groupsPerRegion {
 			list = append(list, &callerGroup{
-				callers: c,
-				home:    home,
-				place:   location{r.Name, r.Domains[i%len(r.Domains)]},
-				address: netip.AddrFrom4([4]byte{10, byte(10 + home), byte(i), 1}),
+				callers:  c,
+				home:     home,
+				location: location{r.Name, r.Domains[i%len(r.Domains)]},
+				address:  netip.AddrFrom4([4]byte{10, byte(10 + home), byte(i), 1}),
 			})
 		}
 		c.groups = append(c.groups, list)
-		c.arrive(home)
+		c.scheduleArrival(home)
 	}
 	return c
 }
 
-// arrive makes one request after an exponential gap, and the next.
-func (c *Callers) arrive(home int) {
+// scheduleArrival makes one request after an exponential gap, and the next.
+func (c *Callers) scheduleArrival(home int) {
 	rate := c.sim.config.Load[home]
 	if rate <= 0 {
 		return
 	}
 	gap := time.Duration(c.sim.random.ExpFloat64() / rate * float64(time.Second))
 	c.sim.After(gap, func() {
-		c.arrive(home)
+		c.scheduleArrival(home)
 		g := c.groups[home][c.sim.random.IntN(groupsPerRegion)]
 		b := c.sim.config.Bundle
 		service := b.Services[c.sim.random.IntN(len(b.Services))].Name
 		if c.sim.random.IntN(1000) < c.sim.config.BookingPermille {
-			c.serial++
-			(&booking{group: g, service: service, key: fmt.Sprint("bid-", c.serial), began: c.sim.now}).try()
+			c.lastBooking++
+			(&booking{group: g, service: service, key: fmt.Sprint("bid-", c.lastBooking), startedAt: c.sim.now}).send()
 			return
 		}
 		g.browse(service)
@@ -117,81 +117,81 @@
 	idle := s.config.Load[home] <= 0
 	s.config.Load[home] = rate
 	if idle {
-		s.callers.arrive(home)
+		s.callers.scheduleArrival(home)
 	}
 }
 
 func (g *callerGroup) browse(service string) {
-	began := g.callers.sim.now
-	key := fmt.Sprint("get-", g.callers.sim.serial)
-	item := quarantine.NewFingerprint("GET", service, fmt.Sprint("/item/", g.callers.sim.serial%itemsAsked), "", nil)
+	startedAt := g.callers.sim.now
+	key := fmt.Sprint("get-", g.callers.sim.lastID)
+	item := quarantine.NewFingerprint("GET", service, fmt.Sprint("/item/", g.callers.sim.lastID%itemsPerService), "", nil)
 	r := core.Request{Service: service, Method: "GET", Path: "/item", Client: g.address, Work: item}
 	g.send(r, key, func(result caller.Result, _ string, ok bool) {
-		g.callers.note(g, began, result, ok, key)
+		g.callers.recordResult(g, startedAt, result, ok, key)
 	})
 }
 
-// askDeadly asks a service for what ends the server that runs it.
-func (c *Callers) askDeadly(service string) {
-	list := c.groups[c.sim.random.IntN(len(c.groups))]
+// sendCrashingRequest asks a service for what ends the server that runs it.
+func (c *Callers) sendCrashingRequest(service string) {
+	groups := c.groups[c.sim.random.IntN(len(c.groups))]
 	r := core.Request{
-		Service: service, Method: "GET", Path: deadlyPath, Client: list[c.sim.random.IntN(len(list))].address,
-		Work: quarantine.NewFingerprint("GET", service, deadlyPath, "", nil),
+		Service: service, Method: "GET", Path: crashPath, Client: groups[c.sim.random.IntN(len(groups))].address,
+		Work: quarantine.NewFingerprint("GET", service, crashPath, "", nil),
 	}
-	list[c.sim.random.IntN(len(list))].send(r, deadlyPath, func(caller.Result, string, bool) {})
+	groups[c.sim.random.IntN(len(groups))].send(r, crashPath, func(caller.Result, string, bool) {})
 }
 
-// try sends the booking with its token. It repeats until the outcome is final,
+// send sends the booking with its token. It repeats until the outcome is final,
 // with the same token, or a fresh one once that can never run.
-func (b *booking) try() {
+func (b *booking) send() {
 	c := b.group.callers
-	b.tries++
+	b.attempts++
 	r := core.Request{Service: b.service, Method: "POST", Path: "/book", Client: b.group.address, Token: b.token}
-	sent := c.sim.now
+	sentAt := c.sim.now
 	b.group.send(r, b.key, func(result caller.Result, token string, ok bool) {
 		if result.Reason != caller.ReasonTokenRequired || !ok {
-			c.note(b.group, sent, result, ok, b.key)
+			c.recordResult(b.group, sentAt, result, ok, b.key)
 		}
 		switch {
 		case ok && result.Outcome == caller.OutcomeDone:
 			c.BookingsDone++
-			c.sim.checks.booked(b.key)
+			c.sim.checks.checkBookingRan(b.key)
 			return
 		case ok && token != "":
 			b.token = token
-			b.try()
+			b.send()
 			return
 		case ok && result.Outcome == caller.OutcomeNotRun && result.Reason.GuaranteesNotRun():
 			b.token = ""
-		case ok && final(result.Reason):
+		case ok && isFinalUnknown(result.Reason):
 			// Nobody can say. A caller asks a few times all the same, then a
 			// person has to look.
-			b.hopeless++
-			if b.hopeless >= hopelessMost {
-				c.unsettled()
+			b.finalUnknowns++
+			if b.finalUnknowns >= maxFinalUnknowns {
+				c.recordUnresolvedBooking()
 				return
 			}
 		}
-		if b.tries >= repeatsMost {
-			c.unsettled()
+		if b.attempts >= maxAttempts {
+			c.recordUnresolvedBooking()
 			return
 		}
-		c.sim.After(max(result.RetryAfter, repeatPause), b.try)
+		c.sim.After(max(result.RetryAfter, minRetryDelay), b.send)
 	})
 }
 
-func (c *Callers) unsettled() {
-	if !c.sim.now.Before(c.sim.checks.from) {
+func (c *Callers) recordUnresolvedBooking() {
+	if !c.sim.now.Before(c.sim.checks.measureFrom) {
 		c.BookingsUnresolved++
 	}
 }
 
-func final(r caller.Reason) bool {
+func isFinalUnknown(r caller.Reason) bool {
 	return r == caller.ReasonMinterGone || r == caller.ReasonTokenRecordExpired || r == caller.ReasonConnectionLost
 }
 
-func (c *Callers) note(g *callerGroup, began time.Time, result caller.Result, ok bool, key string) {
-	if c.sim.now.Before(c.sim.checks.from) {
+func (c *Callers) recordResult(g *callerGroup, startedAt time.Time, result caller.Result, ok bool, key string) {
+	if c.sim.now.Before(c.sim.checks.measureFrom) {
 		return
 	}
 	if !ok || result.Outcome != caller.OutcomeDone {
@@ -211,7 +211,7 @@
 	if result.Response != nil && string(result.Response.Body) != key {
 		c.sim.checks.violate("caller of %s got the answer of %s", key, result.Response.Body)
 	}
-	c.Latencies = append(c.Latencies, c.sim.now.Sub(began))
+	c.Latencies = append(c.Latencies, c.sim.now.Sub(startedAt))
 	c.DoneAt[g.home] = append(c.DoneAt[g.home], c.sim.now)
 }
 
@@ -227,18 +227,18 @@
 // lookup refreshes the cached answer through any proxy that answers.
 func (g *callerGroup) lookup(service string) bool {
 	s := g.callers.sim
-	if s.now.Before(g.until) && len(g.proxies) > 0 {
+	if s.now.Before(g.lookupExpiresAt) && len(g.proxies) > 0 {
 		return true
 	}
 	offset := s.random.IntN(len(s.proxies))
 	for i := range s.proxies {
 		p := s.proxies[(offset+i)%len(s.proxies)]
-		if !p.alive || p.frozen || !p.serving {
+		if !p.alive || p.frozen || !p.acceptsConnections {
 			continue
 		}
 		if answer, ok := p.kernel.Lookup(p.now(), service, g.address); ok {
 			g.proxies = answer.Proxies
-			g.until = s.now.Add(answer.TTL)
+			g.lookupExpiresAt = s.now.Add(answer.TTL)
 			return true
 		}
 	}
@@ -250,52 +250,52 @@
 func (g *callerGroup) send(r core.Request, key string, done func(caller.Result, string, bool)) {
 	s := g.callers.sim
 	if !g.lookup(r.Service) {
-		s.After(repeatPause, func() { done(caller.Result{}, "", false) })
+		s.After(minRetryDelay, func() { done(caller.Result{}, "", false) })
 		return
 	}
-	g.sendTo(g.proxies, r, key, done)
+	g.sendToFirst(g.proxies, r, key, done)
 }
 
-func (g *callerGroup) sendTo(list []peer.Member, r core.Request, key string, done func(caller.Result, string, bool)) {
+func (g *callerGroup) sendToFirst(proxies []peer.Member, r core.Request, key string, done func(caller.Result, string, bool)) {
 	s := g.callers.sim
-	if len(list) == 0 {
-		g.until = time.Time{}
-		s.After(repeatPause, func() { done(caller.Result{}, "", false) })
+	if len(proxies) == 0 {
+		g.lookupExpiresAt = time.Time{}
+		s.After(minRetryDelay, func() { done(caller.Result{}, "", false) })
 		return
 	}
-	p := s.byAddress(list[0].Address)
-	there := s.config.Net.Client
-	if p.place.region != g.place.region {
-		there += s.config.Net.BetweenRegions
+	p := s.proxyByAddress(proxies[0].Address)
+	oneWay := s.config.Net.Client
+	if p.location.region != g.location.region {
+		oneWay += s.config.Net.BetweenRegions
 	}
-	settled := false
-	settle := func(result caller.Result, token string, ok bool) {
-		if !settled {
-			settled = true
+	finished := false
+	finish := func(result caller.Result, token string, ok bool) {
+		if !finished {
+			finished = true
 			done(result, token, ok)
 		}
 	}
-	s.After(there, func() {
-		if !p.alive || !p.serving {
-			g.until = time.Time{}
-			s.After(there, func() {
-				if !settled {
-					settled = true
-					g.sendTo(list[1:], r, key, done)
+	s.After(oneWay, func() {
+		if !p.alive || !p.acceptsConnections {
+			g.lookupExpiresAt = time.Time{}
+			s.After(oneWay, func() {
+				if !finished {
+					finished = true
+					g.sendToFirst(proxies[1:], r, key, done)
 				}
 			})
 			return
 		}
-		s.serial++
-		id := s.serial
-		p.open[id] = func() { s.After(there, func() { settle(caller.Result{}, "", false) }) }
-		p.do(p.life, func() {
-			p.serve(request{Request: r, send: id, key: key, reply: func(result caller.Result, token string) {
-				delete(p.open, id)
-				s.checks.told(id, key, result)
-				s.After(there, func() { settle(result, token, true) })
+		s.lastID++
+		id := s.lastID
+		p.openConnections[id] = func() { s.After(oneWay, func() { finish(caller.Result{}, "", false) }) }
+		p.runInProcess(p.incarnation, func() {
+			p.serve(request{Request: r, sendID: id, key: key, respond: func(result caller.Result, token string) {
+				delete(p.openConnections, id)
+				s.checks.recordResult(id, key, result)
+				s.After(oneWay, func() { finish(result, token, true) })
 			}})
 		})
 	})
-	s.After(callerTimeout, func() { settle(caller.Result{}, "", false) })
+	s.After(callerTimeout, func() { finish(caller.Result{}, "", false) })
 }
--- a/internal/fake/simnet/checks.go
+++ b/internal/fake/simnet/checks.go
@@ -10,46 +10,46 @@
 )
 
 const (
-	// leavingGrace is how long after the start of a drain new work may still
+	// drainGracePeriod is how long after the start of a drain new work may still
 	// come: the spread of the bundle and one look-up of the clock.
-	leavingGrace = 3 * time.Second
-	// capacityGrace is how long admissions under an older bundle still count.
-	capacityGrace = peer.WindowLength + 100*time.Millisecond
+	drainGracePeriod = 3 * time.Second
+	// capacityGracePeriod is how long admissions under an older bundle still count.
+	capacityGracePeriod = peer.WindowLength + 100*time.Millisecond
 	// maxViolations bounds what a broken run prints.
 	maxViolations = 20
-	maxNotes      = 200
+	maxLogEntries = 200
 )
 
 type (
 	// Checks asserts the promises while a run goes on, and measures.
 	Checks struct {
-		sim        *Sim
-		from       time.Time
-		violations []string
-		notes      []string
-		runs       map[string]int
-		sendRan    map[uint64]bool
-		sendNotRun map[uint64]string
-		windows    map[string]*peer.SlidingWindow
-		versions   map[string]uint64
-		isolated   map[string]bool
-		live       map[string]bool
-		rollouts   map[uint64]time.Time
-		bundles    map[uint64]*operator.Bundle
-		// oldest is the lowest bundle version in use, past those before it.
-		oldest  uint64
-		past    []pastVersion
-		lostAt  map[string]time.Time
-		resets  int
-		sheds   int
-		late    int
-		stopped int
-		// deadlyEnds are the moments at which deadly requests have ended servers.
-		deadlyEnds []time.Time
-		// limits are those of the servers that name one.
-		limits map[string]*limitCheck
-		// pauses are what servers have asked processes for.
-		pauses map[pauseKey]*pauseCheck
+		sim            *Sim
+		measureFrom    time.Time
+		violations     []string
+		eventLog       []string
+		runsByKey      map[string]int
+		bookingRan     map[uint64]bool
+		notRunReasons  map[uint64]string
+		windows        map[string]*peer.SlidingWindow
+		bundleVersions map[string]uint64
+		isolated       map[string]bool
+		startedServing map[string]bool
+		rolloutStarts  map[uint64]time.Time
+		bundles        map[uint64]*operator.Bundle
+		// oldestVersion is the lowest bundle version in use, past those before it.
+		oldestVersion     uint64
+		pastVersions      []pastVersion
+		regionDownSince   map[string]time.Time
+		resetPermille     int
+		shedRequests      int
+		expiredDispatches int
+		plannedStops      int
+		// crashTimes are the moments at which deadly requests have ended servers.
+		crashTimes []time.Time
+		// serverLimits are those of the servers that name one.
+		serverLimits map[string]*limitCheck
+		// serverPauses are what servers have asked processes for.
+		serverPauses map[pauseKey]*pauseCheck
 		// Headroom is the largest share of a region's capacity ever used.
 		PeakUtilization float64
 		// RolloutTimes is the time from each roll-out until all proxies used it.
@@ -69,30 +69,30 @@
 // CrashCounts counts the servers that deadly requests have ended, and those after the
 // third end and a bound for the news of it.
 func (c *Checks) CrashCounts(known int, bound time.Duration) (all, after int) {
-	for _, at := range c.deadlyEnds {
-		if len(c.deadlyEnds) >= known && at.After(c.deadlyEnds[known-1].Add(bound)) {
+	for _, at := range c.crashTimes {
+		if len(c.crashTimes) >= known && at.After(c.crashTimes[known-1].Add(bound)) {
 			after++
 		}
 	}
-	return len(c.deadlyEnds), after
+	return len(c.crashTimes), after
 }
 
 func newChecks(s *Sim) *Checks {
 	return &Checks{
 		sim:                 s,
-		from:                s.now.Add(s.config.WarmUp),
-		runs:                make(map[string]int),
-		sendRan:             make(map[uint64]bool),
-		sendNotRun:          make(map[uint64]string),
+		measureFrom:         s.now.Add(s.config.WarmUp),
+		runsByKey:           make(map[string]int),
+		bookingRan:          make(map[uint64]bool),
+		notRunReasons:       make(map[uint64]string),
 		windows:             make(map[string]*peer.SlidingWindow),
-		versions:            make(map[string]uint64),
+		bundleVersions:      make(map[string]uint64),
 		isolated:            make(map[string]bool),
-		live:                make(map[string]bool),
-		rollouts:            make(map[uint64]time.Time),
+		startedServing:      make(map[string]bool),
+		rolloutStarts:       make(map[uint64]time.Time),
 		bundles:             make(map[uint64]*operator.Bundle),
-		lostAt:              make(map[string]time.Time),
-		limits:              make(map[string]*limitCheck),
-		pauses:              make(map[pauseKey]*pauseCheck),
+		regionDownSince:     make(map[string]time.Time),
+		serverLimits:        make(map[string]*limitCheck),
+		serverPauses:        make(map[pauseKey]*pauseCheck),
 		LastDispatch:        make(map[string]time.Time),
 		DispatchesPerSecond: make(map[string]map[int64]int),
 	}
@@ -102,70 +102,72 @@
 func (c *Checks) Violations() []string { return c.violations }
 
 // EventLog lists what was done to the system, for a report of a broken run.
-func (c *Checks) EventLog() []string { return c.notes }
+func (c *Checks) EventLog() []string { return c.eventLog }
 
 // ShedRequests counts refusals by backend servers.
-func (c *Checks) ShedRequests() int { return c.sheds }
+func (c *Checks) ShedRequests() int { return c.shedRequests }
 
 // ExpiredDispatches counts dispatches that a backend server refused after their deadline.
-func (c *Checks) ExpiredDispatches() int { return c.late }
+func (c *Checks) ExpiredDispatches() int { return c.expiredDispatches }
 
 // PlannedStops counts planned stops that came to their end.
-func (c *Checks) PlannedStops() int { return c.stopped }
+func (c *Checks) PlannedStops() int { return c.plannedStops }
 
 // SetConnectionResets breaks that many of a thousand connections to backend servers.
-func (c *Checks) SetConnectionResets(permille int) { c.resets = permille }
+func (c *Checks) SetConnectionResets(permille int) { c.resetPermille = permille }
 
-func (c *Checks) since() string { return fmt.Sprintf("%8.3fs ", c.sim.now.Sub(c.from).Seconds()) }
+func (c *Checks) timestamp() string {
+	return fmt.Sprintf("%8.3fs ", c.sim.now.Sub(c.measureFrom).Seconds())
+}
 
 func (c *Checks) violate(format string, values ...any) {
 	if len(c.violations) < maxViolations {
-		c.violations = append(c.violations, c.since()+fmt.Sprintf(format, values...))
+		c.violations = append(c.violations, c.timestamp()+fmt.Sprintf(format, values...))
 	}
 }
 
-func (c *Checks) note(text string) {
-	if len(c.notes) < maxNotes {
-		c.notes = append(c.notes, c.since()+text)
+func (c *Checks) logEvent(text string) {
+	if len(c.eventLog) < maxLogEntries {
+		c.eventLog = append(c.eventLog, c.timestamp()+text)
 	}
 }
 
-// ran counts a run: promises "at most once" and "not run is true".
-func (c *Checks) ran(d dispatch, w *BackendServer) {
-	if reason, told := c.sendNotRun[d.send]; told {
+// recordRun counts a run: promises "at most once" and "not run is true".
+func (c *Checks) recordRun(d dispatch, w *BackendServer) {
+	if reason, reported := c.notRunReasons[d.sendID]; reported {
 		c.violate("%s ran on %s after its caller was told not-run (%s)", d.key, w.config.Name, reason)
 	}
-	if !d.book {
+	if !d.booking {
 		return
 	}
-	c.sendRan[d.send] = true
-	c.runs[d.key]++
-	if c.runs[d.key] > 1 {
-		c.violate("%s ran %d times, last on %s under %s", d.key, c.runs[d.key], w.config.Name, d.attempt)
+	c.bookingRan[d.sendID] = true
+	c.runsByKey[d.key]++
+	if c.runsByKey[d.key] > 1 {
+		c.violate("%s ran %d times, last on %s under %s", d.key, c.runsByKey[d.key], w.config.Name, d.attempt)
 	}
 }
 
-// told notes what a caller was told of one send.
-func (c *Checks) told(send uint64, key string, result caller.Result) {
+// recordResult notes what a caller was told of one send.
+func (c *Checks) recordResult(send uint64, key string, result caller.Result) {
 	if result.Outcome != caller.OutcomeNotRun {
 		return
 	}
-	c.sendNotRun[send] = string(result.Reason)
-	if c.sendRan[send] {
+	c.notRunReasons[send] = string(result.Reason)
+	if c.bookingRan[send] {
 		c.violate("%s had run, and its caller was told not-run (%s)", key, result.Reason)
 	}
 }
 
-func (c *Checks) booked(key string) {
-	if c.runs[key] == 0 {
+func (c *Checks) checkBookingRan(key string) {
+	if c.runsByKey[key] == 0 {
 		c.violate("%s was confirmed but never ran", key)
 	}
 }
 
-// dispatched counts a steering decision: capacity and leaving. One whose
+// checkDispatch counts a steering decision: capacity and leaving. One whose
 // deadline has passed already, since the proxy's clock was stopped, reaches no
 // backend server that would run it.
-func (c *Checks) dispatched(p *Proxy, w *BackendServer, deadline time.Time) {
+func (c *Checks) checkDispatch(p *Proxy, w *BackendServer, deadline time.Time) {
 	now := c.sim.now
 	if !now.Before(deadline) {
 		return
@@ -179,25 +181,25 @@
 		c.DispatchesPerSecond[name] = make(map[int64]int)
 	}
 	c.DispatchesPerSecond[name][now.Unix()]++
-	capacity := c.capacity(name)
+	capacity := c.maxCapacity(name)
 	if !window.Admit(now, capacity) {
 		c.violate("region %s got more than %d requests within a second, last from %s", name, capacity, p.name)
 	}
-	if !now.Before(c.from) {
+	if !now.Before(c.measureFrom) {
 		c.PeakUtilization = max(c.PeakUtilization, float64(window.Used(now))/float64(capacity))
 	}
-	c.link(p, w)
-	c.leaving(p, w)
-	c.limit(p, w)
-	c.pause(p, w)
+	c.checkLinkLimit(p, w)
+	c.checkDrain(p, w)
+	c.checkServerLimit(p, w)
+	c.checkServerPause(p, w)
 }
 
-// link counts requests over a link between regions.
-func (c *Checks) link(p *Proxy, w *BackendServer) {
+// checkLinkLimit counts requests over a link between regions.
+func (c *Checks) checkLinkLimit(p *Proxy, w *BackendServer) {
 	limit := 0
 	for version, b := range c.bundles {
 		for _, l := range b.Links {
-			if version >= c.oldest && l.From == p.place.region && l.To == w.config.Region {
+			if version >= c.oldestVersion && l.From == p.location.region && l.To == w.config.Region {
 				limit = max(limit, l.Limit)
 			}
 		}
@@ -205,7 +207,7 @@
 	if limit == 0 {
 		return
 	}
-	name := p.place.region + ">" + w.config.Region
+	name := p.location.region + ">" + w.config.Region
 	if c.windows[name] == nil {
 		c.windows[name] = &peer.SlidingWindow{}
 	}
@@ -214,116 +216,116 @@
 	}
 }
 
-// capacity is the largest capacity of a region that a proxy may still go by:
+// maxCapacity is the largest capacity of a region that a proxy may still go by:
 // of the bundles not older than the oldest in use within the last window.
-func (c *Checks) capacity(name string) int {
-	oldest := c.sim.current.Version
+func (c *Checks) maxCapacity(name string) int {
+	oldest := c.sim.currentBundle.Version
 	for _, p := range c.sim.proxies {
 		if v := p.kernel.BundleVersion(); p.alive && v > 0 && v < oldest {
 			oldest = v
 		}
 	}
-	if oldest != c.oldest {
-		c.past = append(c.past, pastVersion{c.oldest, c.sim.now})
-		c.oldest = oldest
+	if oldest != c.oldestVersion {
+		c.pastVersions = append(c.pastVersions, pastVersion{c.oldestVersion, c.sim.now})
+		c.oldestVersion = oldest
 	}
-	for _, p := range c.past {
-		if c.sim.now.Sub(p.until) <= capacityGrace {
+	for _, p := range c.pastVersions {
+		if c.sim.now.Sub(p.until) <= capacityGracePeriod {
 			oldest = min(oldest, p.version)
 		}
 	}
-	most := 0
+	largest := 0
 	for version, b := range c.bundles {
 		if version >= oldest {
 			r, _ := b.Region(name)
-			most = max(most, r.Capacity)
+			largest = max(largest, r.Capacity)
 		}
 	}
-	return most
+	return largest
 }
 
-func (c *Checks) leaving(p *Proxy, w *BackendServer) {
-	if c.isolated[p.name] || p.behind > 0 {
+func (c *Checks) checkDrain(p *Proxy, w *BackendServer) {
+	if c.isolated[p.name] || p.clockLag > 0 {
 		return
 	}
-	b := c.sim.current
+	b := c.sim.currentBundle
 	for i := range b.Drains {
 		d := &b.Drains[i]
 		if d.Kind != operator.DrainServer || d.Target != w.config.Name || !d.Active(c.sim.now) {
 			continue
 		}
 		start := d.Start
-		if at := c.rollouts[b.Version]; at.After(start) {
+		if at := c.rolloutStarts[b.Version]; at.After(start) {
 			start = at
 		}
-		if c.sim.now.Sub(start) > leavingGrace {
+		if c.sim.now.Sub(start) > drainGracePeriod {
 			c.violate("%s got new work from %s %s after its drain began", w.config.Name, p.name, c.sim.now.Sub(start))
 		}
 	}
 }
 
-func (c *Checks) rolledOut(b *operator.Bundle) {
-	c.rollouts[b.Version] = c.sim.now
+func (c *Checks) recordRollout(b *operator.Bundle) {
+	c.rolloutStarts[b.Version] = c.sim.now
 	c.bundles[b.Version] = b
 }
 
-func (c *Checks) regionLost(name string) { c.lostAt[name] = c.sim.now }
+func (c *Checks) recordRegionDown(name string) { c.regionDownSince[name] = c.sim.now }
 
-// proxyTicked asserts that versions never fall and measures when a bundle is
+// checkProxyState asserts that versions never fall and measures when a bundle is
 // in force everywhere.
-func (c *Checks) proxyTicked(p *Proxy) {
-	id := p.id()
+func (c *Checks) checkProxyState(p *Proxy) {
+	id := p.incarnationID()
 	version := p.kernel.BundleVersion()
-	if version < c.versions[id] {
-		c.violate("%s went from bundle %d back to %d", p.name, c.versions[id], version)
-	}
-	c.versions[id] = version
-	c.joined(p, id)
-	newest := c.sim.current.Version
-	began, open := c.rollouts[newest]
-	if !open || version != newest {
+	if version < c.bundleVersions[id] {
+		c.violate("%s went from bundle %d back to %d", p.name, c.bundleVersions[id], version)
+	}
+	c.bundleVersions[id] = version
+	c.checkInitialRow(p, id)
+	currentVersion := c.sim.currentBundle.Version
+	startedAt, known := c.rolloutStarts[currentVersion]
+	if !known || version != currentVersion {
 		return
 	}
 	for _, other := range c.sim.proxies {
-		if other.alive && !other.frozen && other.kernel.BundleVersion() != newest {
+		if other.alive && !other.frozen && other.kernel.BundleVersion() != currentVersion {
 			return
 		}
 	}
-	if len(c.RolloutTimes) < int(newest) {
-		c.RolloutTimes = append(c.RolloutTimes, c.sim.now.Sub(began))
+	if len(c.RolloutTimes) < int(currentVersion) {
+		c.RolloutTimes = append(c.RolloutTimes, c.sim.now.Sub(startedAt))
 	}
 }
 
-// joined asserts that a proxy that begins to serve while others do spreads its
+// checkInitialRow asserts that a proxy that begins to serve while others do spreads its
 // traffic like one of them, within one step: else its part of the traffic would
 // shift at once.
-func (c *Checks) joined(p *Proxy, id string) {
-	if c.live[id] || p.kernel.Self().State != peer.StateLive {
+func (c *Checks) checkInitialRow(p *Proxy, id string) {
+	if c.startedServing[id] || p.kernel.Self().State != peer.StateLive {
 		return
 	}
-	c.live[id] = true
-	own := p.kernel.Status(p.now()).Regions
-	planned := c.sim.current.Shift.CapPermille
-	for i := range own {
+	c.startedServing[id] = true
+	ownRegions := p.kernel.Status(p.now()).Regions
+	maxDistance := c.sim.currentBundle.Shift.CapPermille
+	for i := range ownRegions {
 		nearest := -1
 		for _, other := range c.sim.proxies {
 			if other == p || !other.alive || other.frozen || other.kernel.Self().State != peer.StateLive {
 				continue
 			}
 			rows := other.kernel.Status(other.now()).Regions
-			if d := rows[i].Row.Distance(own[i].Row); nearest < 0 || d < nearest {
+			if d := rows[i].Row.Distance(ownRegions[i].Row); nearest < 0 || d < nearest {
 				nearest = d
 			}
 		}
-		if nearest > planned {
-			c.violate("%s began to serve with a row of %s that is %d permille from any other's", p.name, own[i].Name, nearest)
+		if nearest > maxDistance {
+			c.violate("%s began to serve with a row of %s that is %d permille from any other's", p.name, ownRegions[i].Name, nearest)
 		}
 	}
 }
 
-func (c *Checks) exchanged(asked, answer peer.Exchange) {
+func (c *Checks) observeExchange(request, answer peer.Exchange) {
 	if c.sim.config.OnExchange != nil {
-		c.sim.config.OnExchange(asked, answer)
+		c.sim.config.OnExchange(request, answer)
 	}
 }
 
--- a/internal/fake/simnet/queue.go
+++ b/internal/fake/simnet/clock.go
@@ -12,9 +12,9 @@
 
 type (
 	event struct {
-		at     time.Time
-		serial uint64
-		run    func()
+		at       time.Time
+		sequence uint64
+		run      func()
 	}
 
 	// Heap is a binary heap of items in the order of a function.
@@ -25,9 +25,9 @@
 
 	// Clock is virtual time with events.
 	Clock struct {
-		now    time.Time
-		serial uint64
-		queue  Heap[event]
+		now          time.Time
+		lastSequence uint64
+		queue        Heap[event]
 	}
 )
 
@@ -53,23 +53,23 @@
 	var zero T
 	h.items[last] = zero
 	h.items = h.items[:last]
-	h.sink(0)
+	h.siftDown(0)
 	return top
 }
 
-func (h *Heap[T]) sink(at int) {
+func (h *Heap[T]) siftDown(index int) {
 	for {
-		least := at
-		for _, down := range [2]int{2*at + 1, 2*at + 2} {
+		least := index
+		for _, down := range [2]int{2*index + 1, 2*index + 2} {
 			if down < len(h.items) && h.less(&h.items[down], &h.items[least]) {
 				least = down
 			}
 		}
-		if least == at {
+		if least == index {
 			return
 		}
-		h.items[at], h.items[least] = h.items[least], h.items[at]
-		at = least
+		h.items[index], h.items[least] = h.items[least], h.items[index]
+		index = least
 	}
 }
 
@@ -82,7 +82,7 @@
 	c := &Clock{now: start}
 	c.queue.less = func(a, b *event) bool {
 		if a.at.Equal(b.at) {
-			return a.serial < b.serial
+			return a.sequence < b.sequence
 		}
 		return a.at.Before(b.at)
 	}
@@ -91,8 +91,8 @@
 
 // After runs a function after a span of virtual time.
 func (c *Clock) After(d time.Duration, run func()) {
-	c.serial++
-	c.queue.Push(event{at: c.now.Add(max(0, d)), serial: c.serial, run: run})
+	c.lastSequence++
+	c.queue.Push(event{at: c.now.Add(max(0, d)), sequence: c.lastSequence, run: run})
 }
 
 // RunUntil runs events up to a moment.
@@ -105,8 +105,8 @@
 	c.now = end
 }
 
-// spread varies a span by half of itself either way.
-func spread(r *rand.Rand, d time.Duration) time.Duration {
+// randomizeSpan varies a span by half of itself either way.
+func randomizeSpan(r *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + r.Float64()))
 }
 
--- a/internal/fake/simnet/deployment.go
+++ b/internal/fake/simnet/deployment.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// smallScale stretches service times and shrinks rates alike, so that a
+	// scaleDownFactor stretches service times and shrinks rates alike, so that a
 	// test needs a fraction of the events for the same utilisation.
-	smallScale = 5
+	scaleDownFactor = 5
 )
 
 type (
@@ -57,9 +57,9 @@
 	b := *c.Bundle
 	b.Regions = append([]operator.Region(nil), c.Bundle.Regions...)
 	for i := range b.Regions {
-		b.Regions[i].Capacity /= smallScale
+		b.Regions[i].Capacity /= scaleDownFactor
 	}
 	c.Bundle = &b
-	c.ServiceTime *= smallScale
+	c.ServiceTime *= scaleDownFactor
 	return c
 }
--- a/internal/fake/simnet/bound.go
+++ b/internal/fake/simnet/ideal.go
@@ -24,34 +24,34 @@
 // warm-up, over one queue for each service and region.
 func RunIdealScheduler(c Config, span time.Duration) *IdealResult {
 	r := rand.New(rand.NewPCG(c.Seed, 1))
-	b := &IdealResult{}
+	result := &IdealResult{}
 	start := time.Unix(0, 0)
 	pools := newSlotPools(c, start)
 	end := start.Add(c.WarmUp + span)
-	next := make([]time.Time, len(c.Load))
-	for i := range next {
-		next[i] = start
+	nextArrival := make([]time.Time, len(c.Load))
+	for i := range nextArrival {
+		nextArrival[i] = start
 	}
 	for {
-		home := 0
-		for i := range next {
-			if next[i].Before(next[home]) {
-				home = i
+		homeRegion := 0
+		for i := range nextArrival {
+			if nextArrival[i].Before(nextArrival[homeRegion]) {
+				homeRegion = i
 			}
 		}
-		now := next[home]
+		now := nextArrival[homeRegion]
 		if now.After(end) {
-			return b
+			return result
 		}
-		next[home] = now.Add(time.Duration(r.ExpFloat64() / c.Load[home] * float64(time.Second)))
+		nextArrival[homeRegion] = now.Add(time.Duration(r.ExpFloat64() / c.Load[homeRegion] * float64(time.Second)))
 		service := r.IntN(len(c.Bundle.Services))
-		took, ok := scheduleIdeally(c, pools[service], home, now, spread(r, c.ServiceTime), c.Bundle.Services[service].Deadline.Std())
+		latency, ok := scheduleIdeally(c, pools[service], homeRegion, now, randomizeSpan(r, c.ServiceTime), c.Bundle.Services[service].Deadline.Std())
 		switch {
 		case now.Before(start.Add(c.WarmUp)):
 		case ok:
-			b.Latencies = append(b.Latencies, took)
+			result.Latencies = append(result.Latencies, latency)
 		default:
-			b.Rejected++
+			result.Rejected++
 		}
 	}
 }
@@ -61,17 +61,17 @@
 	for i := range c.Bundle.Services {
 		var byRegion []*slotPool
 		for _, region := range c.Bundle.Regions {
-			p := &slotPool{}
-			p.freeAt.less = func(a, b *time.Time) bool { return a.Before(*b) }
+			pool := &slotPool{}
+			pool.freeAt.less = func(a, b *time.Time) bool { return a.Before(*b) }
 			for _, s := range c.Bundle.Services[i].Servers {
 				if s.Region != region.Name {
 					continue
 				}
 				for range s.Slots {
-					p.freeAt.Push(start)
+					pool.freeAt.Push(start)
 				}
 			}
-			byRegion = append(byRegion, p)
+			byRegion = append(byRegion, pool)
 		}
 		pools = append(pools, byRegion)
 	}
@@ -81,31 +81,31 @@
 // scheduleIdeally sends a request where it begins soonest, as far as the mean time
 // on the way counts. How long it will run is not known beforehand, or the bound
 // would gain throughput by turning long requests away.
-func scheduleIdeally(c Config, pools []*slotPool, home int, now time.Time, service, deadline time.Duration) (time.Duration, bool) {
+func scheduleIdeally(c Config, pools []*slotPool, homeRegion int, now time.Time, serviceTime, deadline time.Duration) (time.Duration, bool) {
 	best := -1
 	var bestBegin, bestExpected time.Time
-	var bestBack time.Duration
+	var bestReturn time.Duration
 	for i, p := range pools {
-		way := c.Net.Client + (c.Net.SameDomain+c.Net.SameRegion)/2
-		if i != home {
-			way = c.Net.Client + c.Net.BetweenRegions
+		oneWay := c.Net.Client + (c.Net.SameDomain+c.Net.SameRegion)/2
+		if i != homeRegion {
+			oneWay = c.Net.Client + c.Net.BetweenRegions
 		}
-		begin := now.Add(way)
+		begin := now.Add(oneWay)
 		if free := p.freeAt.items[0]; free.After(begin) {
 			begin = free
 		}
-		expected := begin.Add(c.ServiceTime + way)
+		expected := begin.Add(c.ServiceTime + oneWay)
 		if best < 0 || expected.Before(bestExpected) {
-			best, bestBegin, bestExpected, bestBack = i, begin, expected, way
+			best, bestBegin, bestExpected, bestReturn = i, begin, expected, oneWay
 		}
 	}
 	if bestExpected.Sub(now) > deadline {
 		return 0, false
 	}
 	pools[best].freeAt.Pop()
-	end := bestBegin.Add(service)
+	end := bestBegin.Add(serviceTime)
 	pools[best].freeAt.Push(end)
-	return end.Add(bestBack).Sub(now), true
+	return end.Add(bestReturn).Sub(now), true
 }
 
 // Quantile is a latency quantile.
--- a/internal/fake/simnet/message.go
+++ b/internal/fake/simnet/message.go
@@ -9,41 +9,41 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/kv"
 )
 
-// call sends a message to a peer and its answer back. lost runs in the caller
+// callPeer sends a message to a peer and its answer back. lost runs in the caller
 // when no answer came in time, or at once when nobody listens.
-func (p *Proxy) call(to netip.AddrPort, timeout time.Duration, serve func(*Proxy, func(answer func())), lost func()) {
-	life := p.life
-	settled := false
-	settle := func(f func()) func() {
+func (p *Proxy) callPeer(to netip.AddrPort, timeout time.Duration, handle func(*Proxy, func(answer func())), onFailure func()) {
+	incarnation := p.incarnation
+	finished := false
+	finishOnce := func(f func()) func() {
 		return func() {
-			p.do(life, func() {
-				if !settled {
-					settled = true
+			p.runInProcess(incarnation, func() {
+				if !finished {
+					finished = true
 					f()
 				}
 			})
 		}
 	}
-	p.sim.After(timeout, settle(lost))
-	target := p.sim.byAddress(to)
+	p.sim.After(timeout, finishOnce(onFailure))
+	target := p.sim.proxyByAddress(to)
 	if target == nil {
 		return
 	}
-	there, ok := p.sim.delay(p.place, target.place)
+	outboundDelay, ok := p.sim.delay(p.location, target.location)
 	if !ok {
 		return
 	}
 	// A message decided just before a freeze leaves at the thaw.
 	p.after(0, func() {
-		p.sim.After(there, func() {
+		p.sim.After(outboundDelay, func() {
 			if !target.alive {
-				p.sim.After(there, settle(lost))
+				p.sim.After(outboundDelay, finishOnce(onFailure))
 				return
 			}
-			target.do(target.life, func() {
-				serve(target, func(answer func()) {
-					if back, ok := p.sim.delay(target.place, p.place); ok {
-						p.sim.After(back, settle(answer))
+			target.runInProcess(target.incarnation, func() {
+				handle(target, func(answer func()) {
+					if returnDelay, ok := p.sim.delay(target.location, p.location); ok {
+						p.sim.After(returnDelay, finishOnce(answer))
 					}
 				})
 			})
@@ -51,45 +51,45 @@
 	})
 }
 
-func (p *Proxy) exchange(a core.SendExchange) {
-	asked := p.now()
-	p.call(a.To.PeerAddress, callTimeout, func(target *Proxy, reply func(func())) {
+func (p *Proxy) sendExchange(a core.SendExchange) {
+	sentAt := p.now()
+	p.callPeer(a.To.PeerAddress, peerCallTimeout, func(target *Proxy, reply func(func())) {
 		began := time.Now()
 		answer := target.kernel.HandleExchange(target.now(), a.Message)
 		p.sim.KernelTime += time.Since(began)
-		p.sim.checks.exchanged(a.Message, answer)
+		p.sim.checks.observeExchange(a.Message, answer)
 		reply(func() {
 			began := time.Now()
-			p.kernel.HandleExchangeReply(p.now(), asked, answer)
+			p.kernel.HandleExchangeReply(p.now(), sentAt, answer)
 			p.sim.KernelTime += time.Since(began)
 		})
 	}, func() { p.kernel.HandleExchangeFailure(p.now(), a.To.Name) })
 }
 
-func (p *Proxy) borrow(a core.SendBorrow) {
-	p.call(a.To.PeerAddress, callTimeout, func(target *Proxy, reply func(func())) {
+func (p *Proxy) sendBorrow(a core.SendBorrow) {
+	p.callPeer(a.To.PeerAddress, peerCallTimeout, func(target *Proxy, reply func(func())) {
 		answer := target.kernel.HandleBorrow(target.now(), a.Message)
 		reply(func() { p.kernel.HandleBorrowReply(p.now(), a, &answer) })
 	}, func() { p.kernel.HandleBorrowReply(p.now(), a, nil) })
 }
 
-func (p *Proxy) probe(a core.SendProbe) {
-	w := p.sim.workers[a.Server]
-	d, ok := p.sim.delay(p.place, w.place)
+func (p *Proxy) sendProbe(a core.SendProbe) {
+	w := p.sim.servers[a.Server]
+	d, ok := p.sim.delay(p.location, w.location)
 	if !ok {
-		p.after(callTimeout, func() { p.kernel.HandleProbeResult(p.now(), a.Server, backend.Health{}) })
+		p.after(peerCallTimeout, func() { p.kernel.HandleProbeResult(p.now(), a.Server, backend.Health{}) })
 		return
 	}
 	p.sim.After(d, func() {
 		up := !w.down
-		report := w.load()
+		report := w.loadReport()
 		p.after(d, func() {
 			p.kernel.HandleProbeResult(p.now(), a.Server, backend.Health{OK: up, ConnectionRefused: !up, Report: report})
 		})
 	})
 }
 
-func (p *Proxy) store(a core.StoreAssignment) {
+func (p *Proxy) storeAssignment(a core.StoreAssignment) {
 	p.after(platformDelay, func() {
 		value, up := p.sim.platform.get(keyAssignment)
 		if !up {
@@ -101,45 +101,45 @@
 			return
 		}
 		p.after(platformDelay, func() {
-			if ok, answered := p.sim.platform.swap(keyAssignment, value.Revision, a.Value.Encode()); ok && answered {
+			if ok, answered := p.sim.platform.compareAndSwap(keyAssignment, value.Revision, a.Value.Encode()); ok && answered {
 				p.kernel.ApplyAssignment(p.now(), a.Value)
 			}
 		})
 	})
 }
 
-// poll makes up for watches that fired during an outage or a freeze.
-func (p *Proxy) poll(life int) {
-	p.do(life, func() {
-		p.watchFires(keyBundle)
-		p.watchFires(keyAssignment)
-		p.machinesFire()
-		p.after(platformPoll, func() { p.poll(life) })
+// pollPlatform makes up for watches that fired during an outage or a freeze.
+func (p *Proxy) pollPlatform(incarnation int) {
+	p.runInProcess(incarnation, func() {
+		p.onValueChanged(keyBundle)
+		p.onValueChanged(keyAssignment)
+		p.onMachineListChanged()
+		p.after(platformPollInterval, func() { p.pollPlatform(incarnation) })
 	})
 }
 
-func (p *Proxy) watchFires(key kv.Key) {
+func (p *Proxy) onValueChanged(key kv.Key) {
 	if !p.alive || p.sim.platform.down {
 		return
 	}
-	p.after(platformDelay, func() { p.read(key) })
+	p.after(platformDelay, func() { p.readValue(key) })
 }
 
-func (p *Proxy) read(key kv.Key) {
+func (p *Proxy) readValue(key kv.Key) {
 	if !p.kernel.IsRelay() || p.sim.platform.down {
 		return
 	}
-	asked := p.now()
+	sentAt := p.now()
 	value := p.sim.platform.values[key]
-	if value.Revision == p.watching[key] {
+	if value.Revision == p.watchedRevisions[key] {
 		return
 	}
 	p.sim.platform.Calls++
-	p.watching[key] = value.Revision
-	p.after(platformDelay, func() { p.hear(key, value, asked) })
+	p.watchedRevisions[key] = value.Revision
+	p.after(platformDelay, func() { p.applyValue(key, value, sentAt) })
 }
 
-func (p *Proxy) hear(key kv.Key, value kv.Value, asked time.Time) {
+func (p *Proxy) applyValue(key kv.Key, value kv.Value, sentAt time.Time) {
 	var repair []byte
 	if key == keyBundle {
 		p.kernel.ApplyBundle(p.now(), value.Data)
@@ -149,24 +149,24 @@
 		if err == nil {
 			p.kernel.ApplyAssignment(p.now(), a)
 		}
-		p.kernel.HandlePlatformReply(p.now(), asked)
+		p.kernel.HandlePlatformReply(p.now(), sentAt)
 		repair = p.kernel.RepairAssignment(a)
 	}
 	if repair != nil {
-		p.sim.platform.swap(key, value.Revision, repair)
+		p.sim.platform.compareAndSwap(key, value.Revision, repair)
 	}
 }
 
-func (p *Proxy) machinesFire() {
+func (p *Proxy) onMachineListChanged() {
 	if !p.alive || p.sim.platform.down {
 		return
 	}
 	p.after(platformDelay, func() {
 		list := p.sim.platform.machines
-		if list.Version == p.listSeen || !p.kernel.IsRelay() {
+		if list.Version == p.machineListVersion || !p.kernel.IsRelay() {
 			return
 		}
-		p.listSeen = list.Version
+		p.machineListVersion = list.Version
 		p.sim.platform.Calls++
 		list.Machines = append([]kv.Machine(nil), list.Machines...)
 		p.kernel.ApplyMachines(p.now(), &list)
--- a/internal/fake/simnet/platform.go
+++ b/internal/fake/simnet/platform.go
@@ -15,13 +15,13 @@
 type (
 	// Platform is the key-value service and the list of VMs.
 	Platform struct {
-		sim      *Sim
-		values   map[kv.Key]kv.Value
-		saved    map[kv.Key]kv.Value
-		revision kv.Revision
-		machines kv.MachineList
-		down     bool
-		lose     int
+		sim             *Sim
+		values          map[kv.Key]kv.Value
+		snapshot        map[kv.Key]kv.Value
+		revision        kv.Revision
+		machines        kv.MachineList
+		down            bool
+		responsesToDrop int
 		// Calls counts calls, a watch that ends as one.
 		Calls int
 	}
@@ -35,49 +35,49 @@
 	p.revision++
 	p.values[key] = kv.Value{Revision: p.revision, Data: data}
 	for _, proxy := range p.sim.proxies {
-		proxy.watchFires(key)
+		proxy.onValueChanged(key)
 	}
 }
 
 // SetPlatformDown begins or ends an outage.
 func (s *Sim) SetPlatformDown(down bool) {
 	s.platform.down = down
-	s.trace("platform down %v", down)
+	s.logEvent("platform down %v", down)
 	if !down {
 		for _, proxy := range s.proxies {
-			proxy.watchFires(keyBundle)
-			proxy.watchFires(keyAssignment)
+			proxy.onValueChanged(keyBundle)
+			proxy.onValueChanged(keyAssignment)
 		}
 	}
 }
 
 // DropWriteResponses drops the answers of the next writes.
-func (s *Sim) DropWriteResponses(n int) { s.platform.lose = n }
+func (s *Sim) DropWriteResponses(n int) { s.platform.responsesToDrop = n }
 
 // SavePlatform keeps a copy of the values.
 func (s *Sim) SavePlatform() {
-	s.platform.saved = make(map[kv.Key]kv.Value)
+	s.platform.snapshot = make(map[kv.Key]kv.Value)
 	for key, value := range s.platform.values {
-		s.platform.saved[key] = value
+		s.platform.snapshot[key] = value
 	}
 }
 
 // RestorePlatform puts the copy back, as from a backup.
 func (s *Sim) RestorePlatform() {
-	if s.platform.saved == nil {
+	if s.platform.snapshot == nil {
 		return
 	}
-	s.trace("platform restored to an older value")
+	s.logEvent("platform restored to an older value")
 	for _, key := range []kv.Key{keyBundle, keyAssignment} {
-		if value, ok := s.platform.saved[key]; ok {
+		if value, ok := s.platform.snapshot[key]; ok {
 			s.platform.put(key, value.Data)
 		}
 	}
 }
 
-// swap is a compare-and-swap on the version inside the value; the answer may
+// compareAndSwap is a compare-and-swap on the version inside the value; the answer may
 // be lost after the write.
-func (p *Platform) swap(key kv.Key, expect kv.Revision, data []byte) (ok, answered bool) {
+func (p *Platform) compareAndSwap(key kv.Key, expect kv.Revision, data []byte) (ok, answered bool) {
 	p.Calls++
 	if p.down {
 		return false, false
@@ -86,8 +86,8 @@
 		return false, true
 	}
 	p.put(key, data)
-	if p.lose > 0 {
-		p.lose--
+	if p.responsesToDrop > 0 {
+		p.responsesToDrop--
 		return true, false
 	}
 	return true, true
@@ -106,6 +106,6 @@
 func (p *Platform) setMachine(name string, state kv.MachineState) {
 	p.machines = p.machines.WithState(name, state)
 	for _, proxy := range p.sim.proxies {
-		proxy.machinesFire()
+		proxy.onMachineListChanged()
 	}
 }
--- a/internal/fake/simnet/proxy.go
+++ b/internal/fake/simnet/proxy.go
@@ -14,43 +14,43 @@
 )
 
 const (
-	callTimeout    = time.Second
-	dialTimeout    = time.Second
-	platformPoll   = 2 * time.Second
-	clockCorrected = 3 * time.Second
-	stopPoll       = 50 * time.Millisecond
-	releaseLimit   = time.Second
-	forwardMinimum = time.Millisecond
+	peerCallTimeout      = time.Second
+	dialTimeout          = time.Second
+	platformPollInterval = 2 * time.Second
+	clockCorrectionDelay = 3 * time.Second
+	stopPollInterval     = 50 * time.Millisecond
+	slotReleaseTimeout   = time.Second
+	minForwardTimeout    = time.Millisecond
 )
 
 type (
 	// Proxy is one proxy process: a kernel with its driver's part.
 	Proxy struct {
-		sim    *Sim
-		name   string
-		index  int
-		place  location
-		kernel *core.Kernel
-		life   int
-		alive  bool
-		frozen bool
-		// waiting holds what reached a frozen process.
-		waiting []func()
-		// behind is how much its clock lost in freezes with a stopped clock.
-		behind  time.Duration
-		serving bool
-		pending int
-		// open holds, by send, what breaks a caller's connection.
-		open     map[uint64]func()
-		watching map[kv.Key]kv.Revision
-		listSeen uint64
+		sim         *Sim
+		name        string
+		index       int
+		location    location
+		kernel      *core.Kernel
+		incarnation int
+		alive       bool
+		frozen      bool
+		// deferred holds what reached a frozen process.
+		deferred []func()
+		// clockLag is how much its clock lost in freezes with a stopped clock.
+		clockLag           time.Duration
+		acceptsConnections bool
+		pendingRequests    int
+		// openConnections holds, by send, what breaks a caller's connection.
+		openConnections    map[uint64]func()
+		watchedRevisions   map[kv.Key]kv.Revision
+		machineListVersion uint64
 	}
 
 	request struct {
 		core.Request
-		send  uint64
-		key   string
-		reply func(caller.Result, string)
+		sendID  uint64
+		key     string
+		respond func(caller.Result, string)
 	}
 )
 
@@ -63,10 +63,10 @@
 	}
 	r := s.config.Bundle.Regions[at]
 	p := &Proxy{
-		sim:   s,
-		name:  fmt.Sprintf("proxy-%d", i+1),
-		index: i,
-		place: location{r.Name, r.Domains[n%len(r.Domains)]},
+		sim:      s,
+		name:     fmt.Sprintf("proxy-%d", i+1),
+		index:    i,
+		location: location{r.Name, r.Domains[n%len(r.Domains)]},
 	}
 	s.proxies = append(s.proxies, p)
 	p.start()
@@ -76,25 +76,25 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 255, byte(p.index >> 8), byte(p.index)}), 1)
 }
 
-// id names this incarnation.
-func (p *Proxy) id() string { return fmt.Sprint(p.name, "/", p.life) }
+// incarnationID names this incarnation.
+func (p *Proxy) incarnationID() string { return fmt.Sprint(p.name, "/", p.incarnation) }
 
 // start begins a new incarnation.
 func (p *Proxy) start() {
-	p.life++
+	p.incarnation++
 	p.alive = true
 	p.frozen = false
-	p.serving = true
-	p.behind = 0
-	p.waiting = nil
-	p.pending = 0
-	p.open = make(map[uint64]func())
-	p.watching = make(map[kv.Key]kv.Revision)
-	p.listSeen = 0
+	p.acceptsConnections = true
+	p.clockLag = 0
+	p.deferred = nil
+	p.pendingRequests = 0
+	p.openConnections = make(map[uint64]func())
+	p.watchedRevisions = make(map[kv.Key]kv.Revision)
+	p.machineListVersion = 0
 	c := core.Config{
 		Self: peer.Member{
-			Name: p.name, Address: p.address(), PeerAddress: p.address(), Region: p.place.region,
-			Domain: p.place.domain, Incarnation: uint64(p.sim.now.UnixMilli())<<8 | uint64(p.life),
+			Name: p.name, Address: p.address(), PeerAddress: p.address(), Region: p.location.region,
+			Domain: p.location.domain, Incarnation: uint64(p.sim.now.UnixMilli())<<8 | uint64(p.incarnation),
 		},
 		Trust:  p.sim.trust,
 		Faults: p.sim.config.KernelFaults,
@@ -106,39 +106,39 @@
 	}
 	p.kernel = core.New(c, p.now())
 	p.sim.setMachineNow(p.name)
-	p.tick(p.life)
-	p.poll(p.life)
+	p.tick(p.incarnation)
+	p.pollPlatform(p.incarnation)
 }
 
 func (s *Sim) setMachineNow(name string) { s.platform.setMachine(name, kv.MachineLive) }
 
 // now is the process's own clock.
-func (p *Proxy) now() time.Time { return p.sim.now.Add(-p.behind) }
+func (p *Proxy) now() time.Time { return p.sim.now.Add(-p.clockLag) }
 
-// do runs a function in the process: now, at its thaw, or never.
-func (p *Proxy) do(life int, f func()) {
+// runInProcess runs a function in the process: now, at its thaw, or never.
+func (p *Proxy) runInProcess(incarnation int, f func()) {
 	switch {
-	case !p.alive || p.life != life:
+	case !p.alive || p.incarnation != incarnation:
 	case p.frozen:
-		p.waiting = append(p.waiting, f)
+		p.deferred = append(p.deferred, f)
 	default:
 		f()
 	}
 }
 
 func (p *Proxy) after(d time.Duration, f func()) {
-	life := p.life
-	p.sim.After(d, func() { p.do(life, f) })
+	incarnation := p.incarnation
+	p.sim.After(d, func() { p.runInProcess(incarnation, f) })
 }
 
-func (p *Proxy) tick(life int) {
-	p.do(life, func() {
+func (p *Proxy) tick(incarnation int) {
+	p.runInProcess(incarnation, func() {
 		began := time.Now()
 		actions := p.kernel.Tick(p.now())
 		p.sim.KernelTime += time.Since(began)
 		p.perform(actions)
-		p.sim.checks.proxyTicked(p)
-		p.after(core.TickInterval, func() { p.tick(life) })
+		p.sim.checks.checkProxyState(p)
+		p.after(core.TickInterval, func() { p.tick(incarnation) })
 	})
 }
 
@@ -148,21 +148,21 @@
 	if !p.alive {
 		return
 	}
-	s.trace("kill %s", p.name)
-	p.end()
+	s.logEvent("kill %s", p.name)
+	p.exit()
 }
 
-// end is the end of the process; connections to it break.
-func (p *Proxy) end() {
+// exit is the end of the process; connections to it break.
+func (p *Proxy) exit() {
 	p.alive = false
-	p.life++
-	ids := make([]uint64, 0, len(p.open))
-	for id := range p.open {
+	p.incarnation++
+	ids := make([]uint64, 0, len(p.openConnections))
+	for id := range p.openConnections {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		p.open[id]()
+		p.openConnections[id]()
 	}
 	p.sim.SetMachine(p.name, "")
 }
@@ -170,7 +170,7 @@
 // RestartProxy begins a new incarnation on the VM.
 func (s *Sim) RestartProxy(i int) {
 	if p := s.proxies[i]; !p.alive {
-		s.trace("restart %s", p.name)
+		s.logEvent("restart %s", p.name)
 		p.start()
 	}
 }
@@ -182,26 +182,26 @@
 	if !p.alive || p.frozen {
 		return
 	}
-	s.trace("freeze %s for %s, clock stopped %v", p.name, d, clockToo)
+	s.logEvent("freeze %s for %s, clock stopped %v", p.name, d, clockToo)
 	p.frozen = true
-	life := p.life
+	life := p.incarnation
 	s.After(d, func() {
-		if p.life != life || !p.alive {
+		if p.incarnation != life || !p.alive {
 			return
 		}
 		if clockToo {
-			p.behind += d
-			s.After(clockCorrected, func() {
-				if p.life == life && p.behind > core.ClockTolerance {
-					p.behind = 0
+			p.clockLag += d
+			s.After(clockCorrectionDelay, func() {
+				if p.incarnation == life && p.clockLag > core.ClockTolerance {
+					p.clockLag = 0
 				}
 			})
 		}
 		p.frozen = false
-		waiting := p.waiting
-		p.waiting = nil
+		waiting := p.deferred
+		p.deferred = nil
 		for _, f := range waiting {
-			p.do(life, f)
+			p.runInProcess(life, f)
 		}
 	})
 }
@@ -210,18 +210,18 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case core.SendExchange:
-			p.exchange(a)
+			p.sendExchange(a)
 		case core.SendBorrow:
-			p.borrow(a)
+			p.sendBorrow(a)
 		case core.SendProbe:
-			p.probe(a)
+			p.sendProbe(a)
 		case core.StoreAssignment:
-			p.store(a)
+			p.storeAssignment(a)
 		}
 	}
 }
 
-func (s *Sim) byAddress(a netip.AddrPort) *Proxy {
+func (s *Sim) proxyByAddress(a netip.AddrPort) *Proxy {
 	for _, p := range s.proxies {
 		if p.address() == a {
 			return p
--- a/internal/fake/simnet/random.go
+++ b/internal/fake/simnet/random.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	randomSpan = 15 * time.Second
-	randomWarm = 12 * time.Second
+	randomDuration = 15 * time.Second
+	randomWarmUp   = 12 * time.Second
 )
 
 type (
@@ -32,8 +32,8 @@
 		Seed:            uint64(draw("seed", 1, 1<<30)),
 		LoadPercent:     draw("load", 20, 130),
 		BookingPermille: draw("book", 50, 500),
-		WarmUp:          operator.Duration(randomWarm),
-		Duration:        operator.Duration(randomSpan),
+		WarmUp:          operator.Duration(randomWarmUp),
+		Duration:        operator.Duration(randomDuration),
 	}
 	kinds := FaultKinds()
 	for range draw("faults", 1, 8) {
--- a/internal/fake/simnet/random_test.go
+++ b/internal/fake/simnet/random_test.go
@@ -24,7 +24,7 @@
 		sc := RandomScenario(base, func(label string, low, high int) int {
 			return rapid.IntRange(low, high).Draw(t, label)
 		})
-		s, panicked := playGuarded(base, sc)
+		s, panicked := runRecoveringPanics(base, sc)
 		if got := strings.Join(s.Checks().Violations(), "\n") + panicked; got != "" {
 			text, _ := json.Marshal(sc)
 			t.Fatalf("got violations, want none:\n%s\n%s\nwhat was done:\n%s", got, text, strings.Join(s.Checks().EventLog(), "\n"))
--- a/internal/fake/simnet/scenario.go
+++ b/internal/fake/simnet/scenario.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	operatorRetry = 500 * time.Millisecond
+	rolloutRetryInterval = 500 * time.Millisecond
 )
 
 var (
-	// faults maps a fault's name in a scenario file to what it does.
-	faults = map[string]func(s *Sim, f Fault){
+	// faultHandlers maps a fault's name in a scenario file to what it does.
+	faultHandlers = map[string]func(s *Sim, f Fault){
 		"kill-proxy":         killProxy,
 		"freeze-proxy":       func(s *Sim, f Fault) { s.FreezeProxy(f.index(), f.Duration.Std(), false) },
 		"freeze-proxy-clock": func(s *Sim, f Fault) { s.FreezeProxy(f.index(), f.Duration.Std(), true) },
 		"stop-proxy":         stopProxy,
 		"cut-regions":        cutRegions,
-		"lose-region":        loseRegion,
+		"lose-region":        failRegion,
 		"kill-server":        killServer,
-		"deadly-request":     deadlyRequest,
+		"deadly-request":     sendCrashingRequests,
 		"shed-server":        shedServer,
 		"limit-server":       limitServer,
 		"pause-server":       pauseServer,
-		"leave-server":       leaveServer,
+		"leave-server":       reportServerLeaving,
 		"platform-outage":    platformOutage,
 		"lose-answers":       func(s *Sim, f Fault) { s.DropWriteResponses(f.Amount) },
 		"save-platform":      func(s *Sim, _ Fault) { s.SavePlatform() },
 		"restore-platform":   func(s *Sim, _ Fault) { s.RestorePlatform() },
 		"resets":             func(s *Sim, f Fault) { s.checks.SetConnectionResets(f.Amount) },
 		"load":               func(s *Sim, f Fault) { s.scaleLoad(f.Amount) },
-		"drain-server":       func(s *Sim, f Fault) { s.drain(operator.DrainServer, f.Target) },
-		"drain-proxy":        func(s *Sim, f Fault) { s.drain(operator.DrainProxy, f.Target) },
-		"drain-region":       func(s *Sim, f Fault) { s.drain(operator.DrainRegion, f.Target) },
-		"steer":              func(s *Sim, f Fault) { s.steer(f.Target, f.SecondTarget, f.Amount) },
-		"capacity":           func(s *Sim, f Fault) { s.capacity(f.Target, f.Amount) },
-		"old-bundle":         func(s *Sim, _ Fault) { s.offerOldBundle() },
+		"drain-server":       func(s *Sim, f Fault) { s.addDrain(operator.DrainServer, f.Target) },
+		"drain-proxy":        func(s *Sim, f Fault) { s.addDrain(operator.DrainProxy, f.Target) },
+		"drain-region":       func(s *Sim, f Fault) { s.addDrain(operator.DrainRegion, f.Target) },
+		"steer":              func(s *Sim, f Fault) { s.setSteeringRule(f.Target, f.SecondTarget, f.Amount) },
+		"capacity":           func(s *Sim, f Fault) { s.setCapacity(f.Target, f.Amount) },
+		"old-bundle":         func(s *Sim, _ Fault) { s.restoreFirstBundle() },
 		"unlist-proxy":       func(s *Sim, f Fault) { s.SetMachine(s.proxies[f.index()].name, "") },
 	}
 )
@@ -107,7 +107,7 @@
 		return nil, errors.Wrap(err, "scenario")
 	}
 	for _, f := range s.Faults {
-		if faults[f.Kind] == nil {
+		if faultHandlers[f.Kind] == nil {
 			return nil, errors.Errorf("scenario: no fault is named %q", f.Kind)
 		}
 	}
@@ -116,8 +116,8 @@
 
 // FaultKinds lists the names of all faults, for randomised runs.
 func FaultKinds() []string {
-	names := make([]string, 0, len(faults))
-	for name := range faults {
+	names := make([]string, 0, len(faultHandlers))
+	for name := range faultHandlers {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -139,7 +139,7 @@
 }
 
 // Inject does a fault now.
-func (s *Sim) Inject(f Fault) { faults[f.Kind](s, f) }
+func (s *Sim) Inject(f Fault) { faultHandlers[f.Kind](s, f) }
 
 // RunScenario runs a scenario over a base configuration.
 func RunScenario(c Config, sc *Scenario) *Sim {
@@ -171,8 +171,8 @@
 	return i
 }
 
-// lasting undoes a fault after its time, if it has one.
-func (s *Sim) lasting(f Fault, undo func()) {
+// undoLater undoes a fault after its time, if it has one.
+func (s *Sim) undoLater(f Fault, undo func()) {
 	if f.Duration > 0 {
 		s.After(f.Duration.Std(), undo)
 	}
@@ -180,32 +180,32 @@
 
 func killProxy(s *Sim, f Fault) {
 	s.KillProxy(f.index())
-	s.lasting(f, func() { s.RestartProxy(f.index()) })
+	s.undoLater(f, func() { s.RestartProxy(f.index()) })
 }
 
 func stopProxy(s *Sim, f Fault) {
 	s.StopProxy(f.index())
-	s.lasting(f, func() { s.RestartProxy(f.index()) })
+	s.undoLater(f, func() { s.RestartProxy(f.index()) })
 }
 
 func cutRegions(s *Sim, f Fault) {
 	s.SetPartitioned(f.Target, f.SecondTarget, true)
-	s.lasting(f, func() { s.SetPartitioned(f.Target, f.SecondTarget, false) })
+	s.undoLater(f, func() { s.SetPartitioned(f.Target, f.SecondTarget, false) })
 }
 
-func loseRegion(s *Sim, f Fault) {
+func failRegion(s *Sim, f Fault) {
 	s.SetRegionDown(f.Target, true)
-	s.lasting(f, func() { s.SetRegionDown(f.Target, false) })
+	s.undoLater(f, func() { s.SetRegionDown(f.Target, false) })
 }
 
 func killServer(s *Sim, f Fault) {
-	s.workers[f.Target].setDown(true)
-	s.lasting(f, func() { s.workers[f.Target].setDown(false) })
+	s.servers[f.Target].setDown(true)
+	s.undoLater(f, func() { s.servers[f.Target].setDown(false) })
 }
 
-// deadlyRequest has callers of all regions ask a service for what ends its servers,
+// sendCrashingRequests has callers of all regions ask a service for what ends its servers,
 // Amount times in ten seconds.
-func deadlyRequest(s *Sim, f Fault) {
+func sendCrashingRequests(s *Sim, f Fault) {
 	until := s.now.Add(f.Duration.Std())
 	gap := 10 * time.Second / time.Duration(max(1, f.Amount))
 	var next func()
@@ -213,45 +213,45 @@
 		if s.now.After(until) {
 			return
 		}
-		s.callers.askDeadly(f.Target)
+		s.callers.sendCrashingRequest(f.Target)
 		s.After(gap, next)
 	}
 	next()
 }
 
 func shedServer(s *Sim, f Fault) {
-	s.workers[f.Target].shed = true
-	s.lasting(f, func() { s.workers[f.Target].shed = false })
+	s.servers[f.Target].shedAll = true
+	s.undoLater(f, func() { s.servers[f.Target].shedAll = false })
 }
 
 // pauseServer has a server refuse all requests and ask for a pause with each refusal, Amount
 // tenths of a second.
 func pauseServer(s *Sim, f Fault) {
-	w := s.workers[f.Target]
-	w.shed, w.pause = true, time.Duration(f.Amount)*100*time.Millisecond
-	s.lasting(f, func() { w.shed, w.pause = false, 0 })
+	w := s.servers[f.Target]
+	w.shedAll, w.pause = true, time.Duration(f.Amount)*100*time.Millisecond
+	s.undoLater(f, func() { w.shedAll, w.pause = false, 0 })
 }
 
-// leaveServer has a server say that it leaves, for good or for a while.
-func leaveServer(s *Sim, f Fault) {
-	s.workers[f.Target].leaves = true
-	s.lasting(f, func() { s.workers[f.Target].leaves = false })
+// reportServerLeaving has a server say that it leaves, for good or for a while.
+func reportServerLeaving(s *Sim, f Fault) {
+	s.servers[f.Target].reportsLeaving = true
+	s.undoLater(f, func() { s.servers[f.Target].reportsLeaving = false })
 }
 
 // limitServer has a server name a limit, Amount requests in ten seconds.
 func limitServer(s *Sim, f Fault) {
-	w := s.workers[f.Target]
+	w := s.servers[f.Target]
 	w.limit = backpressure.Limit{Set: true, PerSecond: float64(f.Amount) / 10}
-	s.checks.limits[f.Target] = &limitCheck{named: s.now, told: make(map[string]time.Time)}
-	s.lasting(f, func() {
+	s.checks.serverLimits[f.Target] = &limitCheck{announcedAt: s.now, knownSince: make(map[string]time.Time)}
+	s.undoLater(f, func() {
 		w.limit = backpressure.Limit{}
-		delete(s.checks.limits, f.Target)
+		delete(s.checks.serverLimits, f.Target)
 	})
 }
 
 func platformOutage(s *Sim, f Fault) {
 	s.SetPlatformDown(true)
-	s.lasting(f, func() { s.SetPlatformDown(false) })
+	s.undoLater(f, func() { s.SetPlatformDown(false) })
 }
 
 func (s *Sim) scaleLoad(percent int) {
@@ -260,54 +260,54 @@
 	}
 }
 
-// change has an operator roll the next bundle out. Without the platform it is
+// rollOutChange has an operator roll the next bundle out. Without the platform it is
 // not accepted, and the operator tries again. The proxy that it goes through
 // hears of it at once.
-func (s *Sim) change(edit func(b *operator.Bundle)) {
-	through := s.proxies[s.random.IntN(len(s.proxies))]
-	if s.platform.down || !through.alive || through.frozen {
-		s.After(operatorRetry, func() { s.change(edit) })
+func (s *Sim) rollOutChange(modify func(b *operator.Bundle)) {
+	proxy := s.proxies[s.random.IntN(len(s.proxies))]
+	if s.platform.down || !proxy.alive || proxy.frozen {
+		s.After(rolloutRetryInterval, func() { s.rollOutChange(modify) })
 		return
 	}
 	var b operator.Bundle
-	if err := json.Unmarshal(s.current.Encode(), &b); err != nil {
+	if err := json.Unmarshal(s.currentBundle.Encode(), &b); err != nil {
 		panic("simnet: " + err.Error())
 	}
 	b.Version++
-	edit(&b)
+	modify(&b)
 	s.Rollout(&b)
 	data := s.platform.values[keyBundle].Data
-	through.after(platformDelay, func() { through.kernel.ApplyBundle(through.now(), data) })
+	proxy.after(platformDelay, func() { proxy.kernel.ApplyBundle(proxy.now(), data) })
 }
 
-func (s *Sim) drain(kind operator.DrainKind, target string) {
-	s.change(func(b *operator.Bundle) {
+func (s *Sim) addDrain(kind operator.DrainKind, target string) {
+	s.rollOutChange(func(b *operator.Bundle) {
 		b.Drains = append(b.Drains, operator.Drain{
 			Name: "drain-" + strconv.Itoa(len(b.Drains)), Kind: kind, Target: target, Start: s.now,
 		})
-		s.trace("drain %s %s", kind, target)
+		s.logEvent("drain %s %s", kind, target)
 	})
 }
 
-func (s *Sim) steer(from, to string, permille int) {
-	s.change(func(b *operator.Bundle) {
+func (s *Sim) setSteeringRule(from, to string, permille int) {
+	s.rollOutChange(func(b *operator.Bundle) {
 		b.Steering = []operator.SteeringRule{{From: from, To: to, Permille: permille}}
-		s.trace("steer %d from %s to %s", permille, from, to)
+		s.logEvent("steer %d from %s to %s", permille, from, to)
 	})
 }
 
-// capacity changes a region's capacity.
-func (s *Sim) capacity(name string, amount int) {
-	s.change(func(b *operator.Bundle) {
+// setCapacity changes a region's capacity.
+func (s *Sim) setCapacity(name string, amount int) {
+	s.rollOutChange(func(b *operator.Bundle) {
 		r, _ := b.Region(name)
 		r.Capacity = amount
-		s.trace("capacity of %s to %d", name, amount)
+		s.logEvent("capacity of %s to %d", name, amount)
 	})
 }
 
-// offerOldBundle has a platform restored by hand to the first version, still
+// restoreFirstBundle has a platform restored by hand to the first version, still
 // properly signed.
-func (s *Sim) offerOldBundle() {
+func (s *Sim) restoreFirstBundle() {
 	e, err := s.config.Author.Propose(s.config.Bundle)
 	if err == nil {
 		err = s.config.Approver.Approve(e)
@@ -315,6 +315,6 @@
 	if err != nil {
 		panic("simnet: " + err.Error())
 	}
-	s.trace("the first bundle is put back on the platform")
+	s.logEvent("the first bundle is put back on the platform")
 	s.platform.put(kv.KeyBundle, e.Encode())
 }
--- a/internal/fake/simnet/sim.go
+++ b/internal/fake/simnet/sim.go
@@ -47,18 +47,18 @@
 	// Sim is one run.
 	Sim struct {
 		*Clock
-		config   Config
-		random   *rand.Rand
-		trust    operator.TrustedKeys
-		proxies  []*Proxy
-		workers  map[string]*BackendServer
-		platform *Platform
-		cuts     map[[2]string]bool
-		lost     map[string]bool
-		callers  *Callers
-		checks   *Checks
-		current  *operator.Bundle
-		serial   uint64
+		config        Config
+		random        *rand.Rand
+		trust         operator.TrustedKeys
+		proxies       []*Proxy
+		servers       map[string]*BackendServer
+		platform      *Platform
+		partitions    map[[2]string]bool
+		regionsDown   map[string]bool
+		callers       *Callers
+		checks        *Checks
+		currentBundle *operator.Bundle
+		lastID        uint64
 		// KernelTime is the real time spent in the kernels' own work, ticks and
 		// exchanges, without the fakes and checks around them.
 		KernelTime time.Duration
@@ -72,20 +72,20 @@
 // New builds a run whose bundle is already on the platform.
 func New(c Config) *Sim {
 	s := &Sim{
-		Clock:   newClock(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)),
-		config:  c,
-		random:  rand.New(rand.NewPCG(c.Seed, 1)),
-		trust:   operator.TrustedKeys{c.Author.TrustedKey(), c.Approver.TrustedKey()},
-		workers: make(map[string]*BackendServer),
-		cuts:    make(map[[2]string]bool),
-		lost:    make(map[string]bool),
+		Clock:       newClock(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)),
+		config:      c,
+		random:      rand.New(rand.NewPCG(c.Seed, 1)),
+		trust:       operator.TrustedKeys{c.Author.TrustedKey(), c.Approver.TrustedKey()},
+		servers:     make(map[string]*BackendServer),
+		partitions:  make(map[[2]string]bool),
+		regionsDown: make(map[string]bool),
 	}
 	s.checks = newChecks(s)
 	s.platform = newPlatform(s)
 	for i := range c.Bundle.Services {
 		for k := range c.Bundle.Services[i].Servers {
-			w := newWorker(s, c.Bundle.Services[i].Servers[k])
-			s.workers[w.config.Name] = w
+			w := newBackendServer(s, c.Bundle.Services[i].Servers[k])
+			s.servers[w.config.Name] = w
 		}
 	}
 	s.Rollout(c.Bundle)
@@ -114,14 +114,14 @@
 	if err != nil {
 		panic("simnet: " + err.Error())
 	}
-	s.current = b
-	s.checks.rolledOut(b)
+	s.currentBundle = b
+	s.checks.recordRollout(b)
 	s.platform.put(keyBundle, e.Encode())
 }
 
 // delay is the network's delay between two places, or false when cut.
 func (s *Sim) delay(a, b location) (time.Duration, bool) {
-	if s.cuts[[2]string{a.region, b.region}] || s.cuts[[2]string{b.region, a.region}] {
+	if s.partitions[[2]string{a.region, b.region}] || s.partitions[[2]string{b.region, a.region}] {
 		return 0, false
 	}
 	base := s.config.Net.BetweenRegions
@@ -136,38 +136,38 @@
 
 // SetPartitioned ends or restores all traffic between two regions.
 func (s *Sim) SetPartitioned(a, b string, on bool) {
-	s.cuts[[2]string{a, b}] = on
-	s.trace("cut %s %s %v", a, b, on)
+	s.partitions[[2]string{a, b}] = on
+	s.logEvent("cut %s %s %v", a, b, on)
 }
 
 // SetRegionDown stops or restarts all backend servers of a region.
 func (s *Sim) SetRegionDown(name string, on bool) {
-	s.lost[name] = on
+	s.regionsDown[name] = on
 	if on {
-		s.checks.regionLost(name)
+		s.checks.recordRegionDown(name)
 	}
-	for _, w := range s.workersInOrder() {
+	for _, w := range s.serversInOrder() {
 		if w.config.Region == name {
 			w.setDown(on)
 		}
 	}
-	s.trace("region %s lost %v", name, on)
+	s.logEvent("region %s lost %v", name, on)
 }
 
-// workersInOrder lists the backend servers in the bundle's order, for a
+// serversInOrder lists the backend servers in the bundle's order, for a
 // map's order would make runs differ.
-func (s *Sim) workersInOrder() []*BackendServer {
+func (s *Sim) serversInOrder() []*BackendServer {
 	var list []*BackendServer
 	for i := range s.config.Bundle.Services {
 		for k := range s.config.Bundle.Services[i].Servers {
-			list = append(list, s.workers[s.config.Bundle.Services[i].Servers[k].Name])
+			list = append(list, s.servers[s.config.Bundle.Services[i].Servers[k].Name])
 		}
 	}
 	return list
 }
 
-func (s *Sim) trace(format string, values ...any) {
-	s.checks.note(fmt.Sprintf(format, values...))
+func (s *Sim) logEvent(format string, values ...any) {
+	s.checks.logEvent(fmt.Sprintf(format, values...))
 }
 
 // PlatformCalls counts calls to the platform so far.
--- a/internal/fake/simnet/sim_test.go
+++ b/internal/fake/simnet/sim_test.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// endsToKnow is how many servers a request may end before it must be known, newsBound
+	// crashesToDetect is how many servers a request may end before it must be known, newsBound
 	// the bound for news.
-	endsToKnow = 3
-	newsBound  = 4 * time.Second
+	crashesToDetect  = 3
+	detectionTimeout = 4 * time.Second
 )
 
 func baseConfig(t *testing.T, deployment int) Config {
@@ -56,14 +56,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			playAndCheck(t, sc)
+			runAndCheckScenario(t, sc)
 		})
 	}
 }
 
-func playAndCheck(t *testing.T, sc *Scenario) {
+func runAndCheckScenario(t *testing.T, sc *Scenario) {
 	t.Helper()
-	s, panicked := playGuarded(baseConfig(t, 0), sc)
+	s, panicked := runRecoveringPanics(baseConfig(t, 0), sc)
 	got := strings.Join(s.Checks().Violations(), "\n") + panicked
 	switch want := sc.Expect.Violation; {
 	case want == "" && got != "":
@@ -74,20 +74,20 @@
 	if sc.Expect.Violation != "" {
 		return
 	}
-	checkOutcome(t, s, sc.Expect)
+	checkExpectations(t, s, sc.Expect)
 	if name := sc.Expect.ServerUsedAgain; name != "" && s.now.Sub(s.checks.LastDispatch[name]) > 10*time.Second {
 		t.Errorf("got the last new work of %s %s before the end, want it to have some again", name, s.now.Sub(s.checks.LastDispatch[name]))
 	}
 	if want := sc.Expect.MaxLastDispatchDelay.Std(); want > 0 {
-		began := s.checks.from.Add(sc.Faults[0].At.Std())
+		began := s.checks.measureFrom.Add(sc.Faults[0].At.Std())
 		if got := s.checks.LastDispatch[sc.Faults[0].Target].Sub(began); got > want {
 			t.Errorf("got the last new work of %s after %s, want at most %s", sc.Faults[0].Target, got, want)
 		}
 	}
 }
 
-// playGuarded turns a broken invariant inside a kernel into text.
-func playGuarded(c Config, sc *Scenario) (s *Sim, panicked string) {
+// runRecoveringPanics turns a broken invariant inside a kernel into text.
+func runRecoveringPanics(c Config, sc *Scenario) (s *Sim, panicked string) {
 	defer func() {
 		if r := recover(); r != nil {
 			text, ok := r.(string)
@@ -102,7 +102,7 @@
 	return s, ""
 }
 
-func checkOutcome(t *testing.T, s *Sim, want Expect) {
+func checkExpectations(t *testing.T, s *Sim, want Expect) {
 	t.Helper()
 	c := s.Callers()
 	total := c.ResponsesLost
@@ -111,7 +111,7 @@
 	}
 	done := 100 * float64(len(c.Latencies)) / float64(total)
 	t.Logf("%d requests, %.2f%% done, outcomes %v, lost %d, reasons %v, booked %d, unsettled %d, used %.3f, in force %v, sheds %d, late %d, p50 %v p99 %v",
-		total, done, c.Outcomes, c.ResponsesLost, c.Reasons, c.BookingsDone, c.BookingsUnresolved, s.checks.PeakUtilization, s.checks.RolloutTimes, s.checks.sheds, s.checks.late, c.Quantile(0.5), c.Quantile(0.99))
+		total, done, c.Outcomes, c.ResponsesLost, c.Reasons, c.BookingsDone, c.BookingsUnresolved, s.checks.PeakUtilization, s.checks.RolloutTimes, s.checks.shedRequests, s.checks.expiredDispatches, c.Quantile(0.5), c.Quantile(0.99))
 	if done < want.MinDonePercent {
 		t.Errorf("got %.2f%% done, want at least %.2f%%", done, want.MinDonePercent)
 	}
@@ -125,15 +125,15 @@
 		t.Errorf("got %d late dispatches refused, want at least %d", got, want.MinExpiredDispatches)
 	}
 	if want.MaxCrashes > 0 {
-		all, after := c.sim.checks.CrashCounts(endsToKnow, newsBound)
+		all, after := c.sim.checks.CrashCounts(crashesToDetect, detectionTimeout)
 		t.Logf("deadly requests ended %d servers, %d after the bound for news", all, after)
-		if all > want.MaxCrashes || all < endsToKnow || after > want.MaxCrashesAfterDetection {
-			t.Errorf("deadly requests ended %d servers and %d after the bound for news, want %d to %d and %d at most", all, after, endsToKnow, want.MaxCrashes, want.MaxCrashesAfterDetection)
+		if all > want.MaxCrashes || all < crashesToDetect || after > want.MaxCrashesAfterDetection {
+			t.Errorf("deadly requests ended %d servers and %d after the bound for news, want %d to %d and %d at most", all, after, crashesToDetect, want.MaxCrashes, want.MaxCrashesAfterDetection)
 		}
 	}
 	if want.MaxRolloutTime > 0 {
-		if n := len(s.checks.RolloutTimes); n != int(s.current.Version) {
-			t.Errorf("got %d bundles in force everywhere, want %d", n, s.current.Version)
+		if n := len(s.checks.RolloutTimes); n != int(s.currentBundle.Version) {
+			t.Errorf("got %d bundles in force everywhere, want %d", n, s.currentBundle.Version)
 		} else if got := s.checks.RolloutTimes[n-1]; got > want.MaxRolloutTime.Std() {
 			t.Errorf("got the last bundle in force after %s, want at most %s", got, want.MaxRolloutTime.Std())
 		}
--- a/internal/fake/simnet/stop.go
+++ b/internal/fake/simnet/stop.go
@@ -12,55 +12,55 @@
 	if !p.alive {
 		return
 	}
-	s.trace("planned stop %s", p.name)
+	s.logEvent("planned stop %s", p.name)
 	p.kernel.BeginStop(p.now())
-	p.until(func() bool { return p.kernel.MayStopServing(p.now()) }, func() {
-		p.serving = false
-		p.until(func() bool { return p.pending == 0 && p.kernel.Drained() }, p.handOver)
+	p.pollUntil(func() bool { return p.kernel.MayStopServing(p.now()) }, func() {
+		p.acceptsConnections = false
+		p.pollUntil(func() bool { return p.pendingRequests == 0 && p.kernel.Drained() }, p.handOverRecords)
 	})
 }
 
-func (p *Proxy) until(done func() bool, then func()) {
+func (p *Proxy) pollUntil(done func() bool, then func()) {
 	if done() {
 		then()
 		return
 	}
-	p.after(stopPoll, func() { p.until(done, then) })
+	p.after(stopPollInterval, func() { p.pollUntil(done, then) })
 }
 
-func (p *Proxy) handOver() {
-	records, heirs := p.kernel.CloseRecords()
-	p.leaveTo(records, heirs)
+func (p *Proxy) handOverRecords() {
+	records, owners := p.kernel.CloseRecords()
+	p.handOverTo(records, owners)
 }
 
-func (p *Proxy) leaveTo(records []caller.Handover, heirs []peer.Member) {
-	if len(heirs) == 0 {
-		p.release()
+func (p *Proxy) handOverTo(records []caller.Handover, owners []peer.Member) {
+	if len(owners) == 0 {
+		p.releaseSlots()
 		return
 	}
-	p.call(heirs[0].PeerAddress, callTimeout, func(target *Proxy, reply func(func())) {
+	p.callPeer(owners[0].PeerAddress, peerCallTimeout, func(target *Proxy, reply func(func())) {
 		target.kernel.HandleHandover(target.now(), p.name, p.kernel.Stamp(p.now()), records)
 		reply(func() {
-			p.perform(p.kernel.FinishHandover(p.now(), heirs[0].Name))
-			p.release()
+			p.perform(p.kernel.FinishHandover(p.now(), owners[0].Name))
+			p.releaseSlots()
 		})
-	}, func() { p.leaveTo(records, heirs[1:]) })
+	}, func() { p.handOverTo(records, owners[1:]) })
 }
 
-func (p *Proxy) release() {
-	limit := p.now().Add(releaseLimit)
-	p.until(func() bool {
+func (p *Proxy) releaseSlots() {
+	limit := p.now().Add(slotReleaseTimeout)
+	p.pollUntil(func() bool {
 		next := p.kernel.ReleaseSlots(p.now())
 		if next != nil {
-			p.store(core.StoreAssignment{ExpectedVersion: next.Version - 1, Value: next})
+			p.storeAssignment(core.StoreAssignment{ExpectedVersion: next.Version - 1, Value: next})
 		}
 		return next == nil || p.now().After(limit)
 	}, func() {
-		p.sim.trace("stopped %s", p.name)
-		p.sim.checks.stopped++
-		if len(p.open) > 0 {
-			p.sim.checks.violate("planned stop of %s cut %d requests", p.name, len(p.open))
+		p.sim.logEvent("stopped %s", p.name)
+		p.sim.checks.plannedStops++
+		if len(p.openConnections) > 0 {
+			p.sim.checks.violate("planned stop of %s cut %d requests", p.name, len(p.openConnections))
 		}
-		p.end()
+		p.exit()
 	})
 }
