--- a/internal/fake/kvfake/server.go
+++ b/internal/fake/kvfake/server.go
@@ -74,16 +74,16 @@
 }
 
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
-	var f Faults
-	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
+	var faults Faults
+	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outageUntil = time.Now().Add(f.Outage)
-	s.delay = f.Delay
-	s.responsesToDrop = f.DropWriteResponses
+	s.outageUntil = time.Now().Add(faults.Outage)
+	s.delay = faults.Delay
+	s.responsesToDrop = faults.DropWriteResponses
 }
 
 func (s *Server) getCallCounts(w http.ResponseWriter, _ *http.Request) {
@@ -108,12 +108,12 @@
 // get reads a value, or waits until its revision is no longer the given one.
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
-	timer := time.NewTimer(wait)
+	timeout, _ := time.ParseDuration(r.URL.Query().Get("wait"))
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		value, ok, changed := s.store.Get(keyOf(r))
-		if wait == 0 || uint64(value.Revision) != after {
+		if timeout == 0 || uint64(value.Revision) != after {
 			writeValue(w, value, ok)
 			return
 		}
@@ -170,12 +170,12 @@
 
 func (s *Server) machines(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
-	timer := time.NewTimer(wait)
+	timeout, _ := time.ParseDuration(r.URL.Query().Get("wait"))
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		list, changed := s.store.Machines()
-		if wait == 0 || list.Version != after {
+		if timeout == 0 || list.Version != after {
 			_, _ = w.Write(list.Encode())
 			return
 		}
--- a/internal/fake/schedule/schedule.go
+++ b/internal/fake/schedule/schedule.go
@@ -25,9 +25,9 @@
 
 // After runs a function some time from now. Functions of the same moment run in the order
 // in which they were added.
-func (s *Schedule) After(d time.Duration, run func()) {
+func (s *Schedule) After(delay time.Duration, run func()) {
 	s.lastSequence++
-	heap.Push(&s.queue, event{at: s.Now + d, sequence: s.lastSequence, run: run})
+	heap.Push(&s.queue, event{at: s.Now + delay, sequence: s.lastSequence, run: run})
 }
 
 // RunNext runs the next function, and reports false if there is none.
--- a/internal/fake/simnet/callers.go
+++ b/internal/fake/simnet/callers.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// itemsPerService is how many different items callers ask each service for.
+	// itemsPerService is the number of different items that callers request from each service.
 	itemsPerService = 50
-	// crashPath ends the server that runs it, crashDelay after it has begun, and
-	// crashRestartDelay later the server is back.
+	// crashPath is the path of a request that crashes the server: crashDelay after it starts, with
+	// a restart crashRestartDelay later.
 	crashPath         = "/deadly"
 	crashDelay        = 20 * time.Millisecond
 	crashRestartDelay = 2 * time.Second
@@ -29,23 +29,24 @@
 )
 
 type (
-	// Callers is everybody who sends requests: per home region some groups
-	// that share one cached look-up answer each.
+	// Callers simulates the callers: per home region, a number of groups that each share one cached
+	// lookup answer.
 	Callers struct {
 		sim         *Sim
 		groups      [][]*callerGroup
 		lastBooking uint64
-		// Latencies holds the latency of each done request, by home region.
+		// Latencies holds the latency of each request that was done.
 		Latencies          []time.Duration
 		Outcomes           map[caller.Outcome]int
 		Reasons            map[caller.Reason]int
 		ResponsesLost      int
 		BookingsDone       int
 		BookingsUnresolved int
-		// DoneAt and Failed hold when requests ended, by home region.
+		// DoneAt and FailedAt hold the completion times of requests by home region.
 		DoneAt, FailedAt [][]time.Time
 	}
 
+	// callerGroup is a group of callers with one address and one cached lookup answer.
 	callerGroup struct {
 		callers         *Callers
 		home            int
@@ -55,6 +56,7 @@
 		lookupExpiresAt time.Time
 	}
 
+	// booking is a non-idempotent request with its retries.
 	booking struct {
 		group     *callerGroup
 		service   string
@@ -62,7 +64,7 @@
 		token     string
 		attempts  int
 		startedAt time.Time
-		// finalUnknowns counts answers that will not change any more.
+		// finalUnknowns counts responses with a reason that repeating the request cannot change.
 		finalUnknowns int
 	}
 )
@@ -91,7 +93,8 @@
 	return c
 }
 
-// scheduleArrival makes one request after an exponential gap, and the next.
+// scheduleArrival schedules the next request of a home region after an exponentially distributed
+// gap, which in turn schedules the one after it.
 func (c *Callers) scheduleArrival(home int) {
 	rate := c.sim.config.Load[home]
 	if rate <= 0 {
@@ -112,7 +115,7 @@
 	})
 }
 
-// SetLoad changes the requests per second of a home region.
+// SetLoad sets the request rate of a home region, in requests per second.
 func (s *Sim) SetLoad(home int, rate float64) {
 	idle := s.config.Load[home] <= 0
 	s.config.Load[home] = rate
@@ -131,7 +134,7 @@
 	})
 }
 
-// sendCrashingRequest asks a service for what ends the server that runs it.
+// sendCrashingRequest sends a service a request that crashes the server that runs it.
 func (c *Callers) sendCrashingRequest(service string) {
 	groups := c.groups[c.sim.random.IntN(len(c.groups))]
 	r := core.Request{
@@ -141,8 +144,8 @@
 	groups[c.sim.random.IntN(len(groups))].send(r, crashPath, func(caller.Result, string, bool) {})
 }
 
-// send sends the booking with its token. It repeats until the outcome is final,
-// with the same token, or a fresh one once that can never run.
+// send sends the booking with its current token and retries until the outcome is final. A retry
+// uses the same token, or a new one once the old token can never run.
 func (b *booking) send() {
 	c := b.group.callers
 	b.attempts++
@@ -164,8 +167,8 @@
 		case ok && result.Outcome == caller.OutcomeNotRun && result.Reason.GuaranteesNotRun():
 			b.token = ""
 		case ok && isFinalUnknown(result.Reason):
-			// Nobody can say. A caller asks a few times all the same, then a
-			// person has to look.
+			// The outcome can no longer be determined. A caller retries a few times all the same;
+			// after that, the booking has to be resolved by hand.
 			b.finalUnknowns++
 			if b.finalUnknowns >= maxFinalUnknowns {
 				c.recordUnresolvedBooking()
@@ -180,16 +183,19 @@
 	})
 }
 
+// recordUnresolvedBooking counts a booking that the caller gave up on, once measuring has begun.
 func (c *Callers) recordUnresolvedBooking() {
 	if !c.sim.now.Before(c.sim.checks.measureFrom) {
 		c.BookingsUnresolved++
 	}
 }
 
+// isFinalUnknown reports whether the outcome stays unknown however often the request is repeated.
 func isFinalUnknown(r caller.Reason) bool {
 	return r == caller.ReasonMinterGone || r == caller.ReasonTokenRecordExpired || r == caller.ReasonConnectionLost
 }
 
+// recordResult records the result of one request and checks that the response belongs to it.
 func (c *Callers) recordResult(g *callerGroup, startedAt time.Time, result caller.Result, ok bool, key string) {
 	if c.sim.now.Before(c.sim.checks.measureFrom) {
 		return
@@ -209,13 +215,13 @@
 		return
 	}
 	if result.Response != nil && string(result.Response.Body) != key {
-		c.sim.checks.violate("caller of %s got the answer of %s", key, result.Response.Body)
+		c.sim.checks.violate("caller of %s received the response to %s", key, result.Response.Body)
 	}
 	c.Latencies = append(c.Latencies, c.sim.now.Sub(startedAt))
 	c.DoneAt[g.home] = append(c.DoneAt[g.home], c.sim.now)
 }
 
-// Quantile is a latency quantile over all done requests.
+// Quantile returns the latency quantile q over all requests that were done.
 func (c *Callers) Quantile(q float64) time.Duration {
 	if len(c.Latencies) == 0 {
 		return 0
@@ -224,7 +230,8 @@
 	return c.Latencies[int(q*float64(len(c.Latencies)-1))]
 }
 
-// lookup refreshes the cached answer through any proxy that answers.
+// lookup refreshes the cached lookup answer from the first available proxy, starting at a random
+// one, and reports whether there is a valid answer.
 func (g *callerGroup) lookup(service string) bool {
 	s := g.callers.sim
 	if s.now.Before(g.lookupExpiresAt) && len(g.proxies) > 0 {
@@ -245,8 +252,8 @@
 	return false
 }
 
-// send passes a request to the first cached proxy that takes connections. ok
-// is false when the answer was lost.
+// send sends a request to the first cached proxy that accepts connections. The ok argument of done
+// is false if the response was lost.
 func (g *callerGroup) send(r core.Request, key string, done func(caller.Result, string, bool)) {
 	s := g.callers.sim
 	if !g.lookup(r.Service) {
@@ -256,6 +263,8 @@
 	g.sendToFirst(g.proxies, r, key, done)
 }
 
+// sendToFirst sends a request to the first of the proxies; if it refuses the connection, the next
+// one is tried.
 func (g *callerGroup) sendToFirst(proxies []peer.Member, r core.Request, key string, done func(caller.Result, string, bool)) {
 	s := g.callers.sim
 	if len(proxies) == 0 {
--- a/internal/fake/simnet/checks.go
+++ b/internal/fake/simnet/checks.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// drainGracePeriod is how long after the start of a drain new work may still
-	// come: the spread of the bundle and one look-up of the clock.
+	// drainGracePeriod is how long after the start of a drain a server may still receive new
+	// requests: the time for the bundle to propagate plus one check of the clock.
 	drainGracePeriod = 3 * time.Second
-	// capacityGracePeriod is how long admissions under an older bundle still count.
+	// capacityGracePeriod is how long requests admitted under an older bundle still count.
 	capacityGracePeriod = peer.WindowLength + 100*time.Millisecond
-	// maxViolations bounds what a broken run prints.
+	// maxViolations limits the output of a failed run.
 	maxViolations = 20
 	maxLogEntries = 200
 )
 
 type (
-	// Checks asserts the promises while a run goes on, and measures.
+	// Checks verifies the guarantees of the system during a run and collects measurements.
 	Checks struct {
 		sim            *Sim
 		measureFrom    time.Time
@@ -36,7 +36,8 @@
 		startedServing map[string]bool
 		rolloutStarts  map[uint64]time.Time
 		bundles        map[uint64]*operator.Bundle
-		// oldestVersion is the lowest bundle version in use, past those before it.
+		// oldestVersion is the lowest bundle version in use, pastVersions the previous values of
+		// it.
 		oldestVersion     uint64
 		pastVersions      []pastVersion
 		regionDownSince   map[string]time.Time
@@ -44,37 +45,39 @@
 		shedRequests      int
 		expiredDispatches int
 		plannedStops      int
-		// crashTimes are the moments at which deadly requests have ended servers.
+		// crashTimes are the times at which a crashing request ended a server.
 		crashTimes []time.Time
-		// serverLimits are those of the servers that name one.
+		// serverLimits holds the checks of the servers that announce a request limit.
 		serverLimits map[string]*limitCheck
-		// serverPauses are what servers have asked processes for.
+		// serverPauses holds the pauses that servers have requested from processes.
 		serverPauses map[pauseKey]*pauseCheck
-		// Headroom is the largest share of a region's capacity ever used.
+		// PeakUtilization is the highest used share of any region's capacity.
 		PeakUtilization float64
-		// RolloutTimes is the time from each roll-out until all proxies used it.
+		// RolloutTimes is the time from the start of each rollout until all proxies used the
+		// bundle.
 		RolloutTimes []time.Duration
-		// LastDispatch is the last dispatch to each backend server.
+		// LastDispatch is the time of the last dispatch to each backend server.
 		LastDispatch map[string]time.Time
 		// DispatchesPerSecond counts dispatches by region and second.
 		DispatchesPerSecond map[string]map[int64]int
 	}
 
+	// pastVersion is a bundle version that was the oldest in use until the given time.
 	pastVersion struct {
 		version uint64
 		until   time.Time
 	}
 )
 
-// CrashCounts counts the servers that deadly requests have ended, and those after the
-// third end and a bound for the news of it.
-func (c *Checks) CrashCounts(known int, bound time.Duration) (all, after int) {
+// CrashCounts returns how many servers were crashed by requests, in total and after the request
+// must have been detected: later than detectionTime after crash number detectedAfter.
+func (c *Checks) CrashCounts(detectedAfter int, detectionTime time.Duration) (total, afterDetection int) {
 	for _, at := range c.crashTimes {
-		if len(c.crashTimes) >= known && at.After(c.crashTimes[known-1].Add(bound)) {
-			after++
+		if len(c.crashTimes) >= detectedAfter && at.After(c.crashTimes[detectedAfter-1].Add(detectionTime)) {
+			afterDetection++
 		}
 	}
-	return len(c.crashTimes), after
+	return len(c.crashTimes), afterDetection
 }
 
 func newChecks(s *Sim) *Checks {
@@ -98,22 +101,22 @@
 	}
 }
 
-// Violations lists broken promises, first to last.
+// Violations lists the violated guarantees in order of time.
 func (c *Checks) Violations() []string { return c.violations }
 
-// EventLog lists what was done to the system, for a report of a broken run.
+// EventLog lists the faults and operator actions of the run, for the report of a failure.
 func (c *Checks) EventLog() []string { return c.eventLog }
 
-// ShedRequests counts refusals by backend servers.
+// ShedRequests counts the requests that backend servers rejected.
 func (c *Checks) ShedRequests() int { return c.shedRequests }
 
-// ExpiredDispatches counts dispatches that a backend server refused after their deadline.
+// ExpiredDispatches counts the dispatches that backend servers rejected after their deadline.
 func (c *Checks) ExpiredDispatches() int { return c.expiredDispatches }
 
-// PlannedStops counts planned stops that came to their end.
+// PlannedStops counts the planned stops that completed.
 func (c *Checks) PlannedStops() int { return c.plannedStops }
 
-// SetConnectionResets breaks that many of a thousand connections to backend servers.
+// SetConnectionResets sets how many of a thousand connections to backend servers break.
 func (c *Checks) SetConnectionResets(permille int) { c.resetPermille = permille }
 
 func (c *Checks) timestamp() string {
@@ -132,10 +135,11 @@
 	}
 }
 
-// recordRun counts a run: promises "at most once" and "not run is true".
-func (c *Checks) recordRun(d dispatch, w *BackendServer) {
+// recordRun counts a run of a request. It verifies that a booking runs at most once and that no
+// request runs whose caller was told that it did not.
+func (c *Checks) recordRun(d dispatch, server *BackendServer) {
 	if reason, reported := c.notRunReasons[d.sendID]; reported {
-		c.violate("%s ran on %s after its caller was told not-run (%s)", d.key, w.config.Name, reason)
+		c.violate("%s ran on %s after its caller was told not-run (%s)", d.key, server.config.Name, reason)
 	}
 	if !d.booking {
 		return
@@ -143,63 +147,64 @@
 	c.bookingRan[d.sendID] = true
 	c.runsByKey[d.key]++
 	if c.runsByKey[d.key] > 1 {
-		c.violate("%s ran %d times, last on %s under %s", d.key, c.runsByKey[d.key], w.config.Name, d.attempt)
+		c.violate("%s ran %d times, last on %s under %s", d.key, c.runsByKey[d.key], server.config.Name, d.attempt)
 	}
 }
 
-// recordResult notes what a caller was told of one send.
-func (c *Checks) recordResult(send uint64, key string, result caller.Result) {
+// recordResult records the result that a caller received for one send.
+func (c *Checks) recordResult(sendID uint64, key string, result caller.Result) {
 	if result.Outcome != caller.OutcomeNotRun {
 		return
 	}
-	c.notRunReasons[send] = string(result.Reason)
-	if c.bookingRan[send] {
-		c.violate("%s had run, and its caller was told not-run (%s)", key, result.Reason)
+	c.notRunReasons[sendID] = string(result.Reason)
+	if c.bookingRan[sendID] {
+		c.violate("%s had run when its caller was told not-run (%s)", key, result.Reason)
 	}
 }
 
+// checkBookingRan verifies that a booking that its caller got confirmed has run.
 func (c *Checks) checkBookingRan(key string) {
 	if c.runsByKey[key] == 0 {
 		c.violate("%s was confirmed but never ran", key)
 	}
 }
 
-// checkDispatch counts a steering decision: capacity and leaving. One whose
-// deadline has passed already, since the proxy's clock was stopped, reaches no
-// backend server that would run it.
-func (c *Checks) checkDispatch(p *Proxy, w *BackendServer, deadline time.Time) {
+// checkDispatch verifies a dispatch against the capacity of the region, the limit of the link,
+// drains, and the limit and pause of the server. A dispatch past its deadline, which a proxy makes
+// whose clock was stopped, does not count: no backend server would run it.
+func (c *Checks) checkDispatch(p *Proxy, server *BackendServer, deadline time.Time) {
 	now := c.sim.now
 	if !now.Before(deadline) {
 		return
 	}
-	c.LastDispatch[w.config.Name] = now
-	name := w.config.Region
-	window := c.windows[name]
+	c.LastDispatch[server.config.Name] = now
+	region := server.config.Region
+	window := c.windows[region]
 	if window == nil {
 		window = &peer.SlidingWindow{}
-		c.windows[name] = window
-		c.DispatchesPerSecond[name] = make(map[int64]int)
+		c.windows[region] = window
+		c.DispatchesPerSecond[region] = make(map[int64]int)
 	}
-	c.DispatchesPerSecond[name][now.Unix()]++
-	capacity := c.maxCapacity(name)
+	c.DispatchesPerSecond[region][now.Unix()]++
+	capacity := c.maxCapacity(region)
 	if !window.Admit(now, capacity) {
-		c.violate("region %s got more than %d requests within a second, last from %s", name, capacity, p.name)
+		c.violate("region %s got more than %d requests within a second, last from %s", region, capacity, p.name)
 	}
 	if !now.Before(c.measureFrom) {
 		c.PeakUtilization = max(c.PeakUtilization, float64(window.Used(now))/float64(capacity))
 	}
-	c.checkLinkLimit(p, w)
-	c.checkDrain(p, w)
-	c.checkServerLimit(p, w)
-	c.checkServerPause(p, w)
+	c.checkLinkLimit(p, server)
+	c.checkDrain(p, server)
+	c.checkServerLimit(p, server)
+	c.checkServerPause(p, server)
 }
 
-// checkLinkLimit counts requests over a link between regions.
-func (c *Checks) checkLinkLimit(p *Proxy, w *BackendServer) {
+// checkLinkLimit verifies the request limit of a link between regions.
+func (c *Checks) checkLinkLimit(p *Proxy, server *BackendServer) {
 	limit := 0
 	for version, b := range c.bundles {
 		for _, l := range b.Links {
-			if version >= c.oldestVersion && l.From == p.location.region && l.To == w.config.Region {
+			if version >= c.oldestVersion && l.From == p.location.region && l.To == server.config.Region {
 				limit = max(limit, l.Limit)
 			}
 		}
@@ -207,18 +212,18 @@
 	if limit == 0 {
 		return
 	}
-	name := p.location.region + ">" + w.config.Region
-	if c.windows[name] == nil {
-		c.windows[name] = &peer.SlidingWindow{}
+	link := p.location.region + ">" + server.config.Region
+	if c.windows[link] == nil {
+		c.windows[link] = &peer.SlidingWindow{}
 	}
-	if !c.windows[name].Admit(c.sim.now, limit) {
-		c.violate("link %s got more than %d requests within a second, last from %s", name, limit, p.name)
+	if !c.windows[link].Admit(c.sim.now, limit) {
+		c.violate("link %s got more than %d requests within a second, last from %s", link, limit, p.name)
 	}
 }
 
-// maxCapacity is the largest capacity of a region that a proxy may still go by:
-// of the bundles not older than the oldest in use within the last window.
-func (c *Checks) maxCapacity(name string) int {
+// maxCapacity returns the largest capacity of a region that a proxy may still apply: the maximum
+// over the bundles not older than the oldest one in use within the last window.
+func (c *Checks) maxCapacity(region string) int {
 	oldest := c.sim.currentBundle.Version
 	for _, p := range c.sim.proxies {
 		if v := p.kernel.BundleVersion(); p.alive && v > 0 && v < oldest {
@@ -237,21 +242,22 @@
 	largest := 0
 	for version, b := range c.bundles {
 		if version >= oldest {
-			r, _ := b.Region(name)
+			r, _ := b.Region(region)
 			largest = max(largest, r.Capacity)
 		}
 	}
 	return largest
 }
 
-func (c *Checks) checkDrain(p *Proxy, w *BackendServer) {
+// checkDrain verifies that a server receives no new requests once its drain has taken effect.
+func (c *Checks) checkDrain(p *Proxy, server *BackendServer) {
 	if c.isolated[p.name] || p.clockLag > 0 {
 		return
 	}
 	b := c.sim.currentBundle
 	for i := range b.Drains {
 		d := &b.Drains[i]
-		if d.Kind != operator.DrainServer || d.Target != w.config.Name || !d.Active(c.sim.now) {
+		if d.Kind != operator.DrainServer || d.Target != server.config.Name || !d.Active(c.sim.now) {
 			continue
 		}
 		start := d.Start
@@ -259,7 +265,7 @@
 			start = at
 		}
 		if c.sim.now.Sub(start) > drainGracePeriod {
-			c.violate("%s got new work from %s %s after its drain began", w.config.Name, p.name, c.sim.now.Sub(start))
+			c.violate("%s got new work from %s %s after its drain began", server.config.Name, p.name, c.sim.now.Sub(start))
 		}
 	}
 }
@@ -269,10 +275,10 @@
 	c.bundles[b.Version] = b
 }
 
-func (c *Checks) recordRegionDown(name string) { c.regionDownSince[name] = c.sim.now }
+func (c *Checks) recordRegionDown(region string) { c.regionDownSince[region] = c.sim.now }
 
-// checkProxyState asserts that versions never fall and measures when a bundle is
-// in force everywhere.
+// checkProxyState verifies that the bundle version of a proxy never decreases, and measures when
+// all proxies use the current bundle.
 func (c *Checks) checkProxyState(p *Proxy) {
 	id := p.incarnationID()
 	version := p.kernel.BundleVersion()
@@ -296,9 +302,9 @@
 	}
 }
 
-// checkInitialRow asserts that a proxy that begins to serve while others do spreads its
-// traffic like one of them, within one step: else its part of the traffic would
-// shift at once.
+// checkInitialRow verifies a proxy that starts serving while others already serve: each row of its
+// traffic shares must be within one shift step of the same row of another proxy. Otherwise its part
+// of the traffic would shift all at once.
 func (c *Checks) checkInitialRow(p *Proxy, id string) {
 	if c.startedServing[id] || p.kernel.Self().State != peer.StateLive {
 		return
@@ -318,25 +324,26 @@
 			}
 		}
 		if nearest > maxDistance {
-			c.violate("%s began to serve with a row of %s that is %d permille from any other's", p.name, ownRegions[i].Name, nearest)
+			c.violate("%s started serving with a row for %s that is %d permille away from the nearest row of another proxy", p.name, ownRegions[i].Name, nearest)
 		}
 	}
 }
 
-func (c *Checks) observeExchange(request, answer peer.Exchange) {
+func (c *Checks) observeExchange(request, response peer.Exchange) {
 	if c.sim.config.OnExchange != nil {
-		c.sim.config.OnExchange(request, answer)
+		c.sim.config.OnExchange(request, response)
 	}
 }
 
-// CheckFinalState asserts what must hold at the end: counts that add up.
+// CheckFinalState verifies what must hold at the end of a run: no proxy counts a negative number of
+// requests in flight.
 func (c *Checks) CheckFinalState() {
 	for _, p := range c.sim.proxies {
 		if !p.alive || p.frozen {
 			continue
 		}
 		if n := p.kernel.Status(p.now()).InFlight; n < 0 {
-			c.violate("%s counts %d requests in flight", p.name, n)
+			c.violate("%s reports %d requests in flight at the end", p.name, n)
 		}
 	}
 }
--- a/internal/fake/simnet/clock.go
+++ b/internal/fake/simnet/clock.go
@@ -1,8 +1,7 @@
-// Package simnet runs several kernels in one process and in virtual time,
-// joined by a small in-memory network with delay, loss, cuts and freezes, next
-// to small fakes of the platform, backend servers and callers. It asserts the
-// promises while it runs. The same code carries the randomised tests and the
-// benchmarks.
+// Package simnet simulates a system of several kernels in one process and in virtual time: an
+// in-memory network with delays, loss, partitions and frozen processes connects them with each
+// other and with simulated callers, backend servers and the platform. The simulation verifies the
+// guarantees of the system while it runs. The randomised tests and the benchmarks share its code.
 package simnet
 
 import (
@@ -11,19 +10,20 @@
 )
 
 type (
+	// event is a function scheduled for a moment.
 	event struct {
 		at       time.Time
 		sequence uint64
 		run      func()
 	}
 
-	// Heap is a binary heap of items in the order of a function.
+	// Heap is a binary heap ordered by a comparison function.
 	Heap[T any] struct {
 		items []T
 		less  func(a, b *T) bool
 	}
 
-	// Clock is virtual time with events.
+	// Clock is a virtual clock with a queue of scheduled events.
 	Clock struct {
 		now          time.Time
 		lastSequence uint64
@@ -34,18 +34,18 @@
 // Push adds an item.
 func (h *Heap[T]) Push(item T) {
 	h.items = append(h.items, item)
-	at := len(h.items) - 1
-	for at > 0 {
-		up := (at - 1) / 2
-		if !h.less(&h.items[at], &h.items[up]) {
+	index := len(h.items) - 1
+	for index > 0 {
+		parent := (index - 1) / 2
+		if !h.less(&h.items[index], &h.items[parent]) {
 			return
 		}
-		h.items[at], h.items[up] = h.items[up], h.items[at]
-		at = up
+		h.items[index], h.items[parent] = h.items[parent], h.items[index]
+		index = parent
 	}
 }
 
-// Pop removes the least item.
+// Pop removes and returns the least item.
 func (h *Heap[T]) Pop() T {
 	top := h.items[0]
 	last := len(h.items) - 1
@@ -60,9 +60,9 @@
 func (h *Heap[T]) siftDown(index int) {
 	for {
 		least := index
-		for _, down := range [2]int{2*index + 1, 2*index + 2} {
-			if down < len(h.items) && h.less(&h.items[down], &h.items[least]) {
-				least = down
+		for _, child := range [2]int{2*index + 1, 2*index + 2} {
+			if child < len(h.items) && h.less(&h.items[child], &h.items[least]) {
+				least = child
 			}
 		}
 		if least == index {
@@ -73,11 +73,11 @@
 	}
 }
 
-// Len counts the items.
+// Len returns the number of items.
 func (h *Heap[T]) Len() int { return len(h.items) }
 
-// newClock starts virtual time. Events at one moment run in the order in
-// which they were asked for, so that a run depends on its seed alone.
+// newClock returns a clock that starts at the given time. Events at the same time run in the order
+// in which they were scheduled, so that a run depends on its seed alone.
 func newClock(start time.Time) *Clock {
 	c := &Clock{now: start}
 	c.queue.less = func(a, b *event) bool {
@@ -89,13 +89,13 @@
 	return c
 }
 
-// After runs a function after a span of virtual time.
-func (c *Clock) After(d time.Duration, run func()) {
+// After schedules a function after a span of virtual time.
+func (c *Clock) After(delay time.Duration, run func()) {
 	c.lastSequence++
-	c.queue.Push(event{at: c.now.Add(max(0, d)), sequence: c.lastSequence, run: run})
+	c.queue.Push(event{at: c.now.Add(max(0, delay)), sequence: c.lastSequence, run: run})
 }
 
-// RunUntil runs events up to a moment.
+// RunUntil runs the events up to and including the given time and sets the clock to it.
 func (c *Clock) RunUntil(end time.Time) {
 	for c.queue.Len() > 0 && !c.queue.items[0].at.After(end) {
 		e := c.queue.Pop()
@@ -105,10 +105,10 @@
 	c.now = end
 }
 
-// randomizeSpan varies a span by half of itself either way.
-func randomizeSpan(r *rand.Rand, d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.5 + r.Float64()))
+// jitter returns a random span between half and one and a half times the mean.
+func jitter(random *rand.Rand, mean time.Duration) time.Duration {
+	return time.Duration(float64(mean) * (0.5 + random.Float64()))
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (c *Clock) Now() time.Time { return c.now }
--- a/internal/fake/simnet/deployment.go
+++ b/internal/fake/simnet/deployment.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// scaleDownFactor stretches service times and shrinks rates alike, so that a
-	// test needs a fraction of the events for the same utilisation.
+	// scaleDownFactor multiplies service times and divides capacities, so that a test needs a
+	// fraction of the events for the same utilisation.
 	scaleDownFactor = 5
 )
 
 type (
-	// Deployment is one of the users' installations.
+	// Deployment describes one of the users' installations.
 	Deployment struct {
 		Name    string
 		Proxies int
@@ -21,7 +21,7 @@
 	}
 )
 
-// Deployments lists both users' installations with the brief's delays.
+// Deployments lists both installations of the users with the network delays stated in their brief.
 func Deployments() []Deployment {
 	return []Deployment{
 		{Name: "trinacria", Proxies: 10, Net: Delays{
@@ -35,12 +35,13 @@
 	}
 }
 
-// Config is a run of the installation with its bundle at full size.
-func (d Deployment) Config(b *operator.Bundle, author, second *operator.KeyPair) Config {
+// Config returns the configuration of a run of the installation at full size with the given bundle,
+// signed by author and approver.
+func (d Deployment) Config(b *operator.Bundle, author, approver *operator.KeyPair) Config {
 	return Config{
 		Bundle:            b,
 		Author:            author,
-		Approver:          second,
+		Approver:          approver,
 		Proxies:           d.Proxies,
 		Net:               d.Net,
 		ServiceTime:       20 * time.Millisecond,
@@ -52,7 +53,8 @@
 	}
 }
 
-// ScaledDown is the same at a fraction of the rate, with longer service times.
+// ScaledDown returns the same configuration at a fraction of the capacity, with longer service
+// times.
 func (c Config) ScaledDown() Config {
 	b := *c.Bundle
 	b.Regions = append([]operator.Region(nil), c.Bundle.Regions...)
--- a/internal/fake/simnet/ideal.go
+++ b/internal/fake/simnet/ideal.go
@@ -7,21 +7,22 @@
 )
 
 type (
-	// IdealResult is what a scheduler reaches that sees every slot and every
-	// request at once, and whose decisions cost nothing. No real system can:
-	// it serves as the bound for comparisons.
+	// IdealResult is the outcome of an ideal scheduler, which knows the state of every slot and
+	// request at once and decides at no cost. No real system can do this; it is the bound that real
+	// balancers are compared with.
 	IdealResult struct {
 		Latencies []time.Duration
 		Rejected  int
 	}
 
+	// slotPool is all slots of one service in one region.
 	slotPool struct {
 		freeAt Heap[time.Time]
 	}
 )
 
-// RunIdealScheduler plays the same arrivals and service times for a span after the
-// warm-up, over one queue for each service and region.
+// RunIdealScheduler simulates the given span after the warm-up with one queue per service and
+// region, using the same arrivals and service times as a run of Sim.
 func RunIdealScheduler(c Config, span time.Duration) *IdealResult {
 	r := rand.New(rand.NewPCG(c.Seed, 1))
 	result := &IdealResult{}
@@ -45,7 +46,7 @@
 		}
 		nextArrival[homeRegion] = now.Add(time.Duration(r.ExpFloat64() / c.Load[homeRegion] * float64(time.Second)))
 		service := r.IntN(len(c.Bundle.Services))
-		latency, ok := scheduleIdeally(c, pools[service], homeRegion, now, randomizeSpan(r, c.ServiceTime), c.Bundle.Services[service].Deadline.Std())
+		latency, ok := scheduleIdeally(c, pools[service], homeRegion, now, jitter(r, c.ServiceTime), c.Bundle.Services[service].Deadline.Std())
 		switch {
 		case now.Before(start.Add(c.WarmUp)):
 		case ok:
@@ -56,6 +57,7 @@
 	}
 }
 
+// newSlotPools returns the slot pools by service and region.
 func newSlotPools(c Config, start time.Time) [][]*slotPool {
 	var pools [][]*slotPool
 	for i := range c.Bundle.Services {
@@ -78,9 +80,9 @@
 	return pools
 }
 
-// scheduleIdeally sends a request where it begins soonest, as far as the mean time
-// on the way counts. How long it will run is not known beforehand, or the bound
-// would gain throughput by turning long requests away.
+// scheduleIdeally runs a request in the region where it is expected to finish first, given mean
+// network delays and the mean service time. The actual service time is not taken into account:
+// otherwise the bound would gain throughput by rejecting long requests.
 func scheduleIdeally(c Config, pools []*slotPool, homeRegion int, now time.Time, serviceTime, deadline time.Duration) (time.Duration, bool) {
 	best := -1
 	var bestBegin, bestExpected time.Time
@@ -108,7 +110,7 @@
 	return end.Add(bestReturn).Sub(now), true
 }
 
-// Quantile is a latency quantile.
+// Quantile returns the latency quantile q.
 func (b *IdealResult) Quantile(q float64) time.Duration {
 	if len(b.Latencies) == 0 {
 		return 0
--- a/internal/fake/simnet/message.go
+++ b/internal/fake/simnet/message.go
@@ -9,8 +9,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/kv"
 )
 
-// callPeer sends a message to a peer and its answer back. lost runs in the caller
-// when no answer came in time, or at once when nobody listens.
+// callPeer sends a message to a peer and delivers the answer to the caller. onFailure runs in the
+// caller if no answer arrives within the timeout, or once the refusal returns if the peer is not
+// running.
 func (p *Proxy) callPeer(to netip.AddrPort, timeout time.Duration, handle func(*Proxy, func(answer func())), onFailure func()) {
 	incarnation := p.incarnation
 	finished := false
@@ -33,7 +34,7 @@
 	if !ok {
 		return
 	}
-	// A message decided just before a freeze leaves at the thaw.
+	// A message decided on just before a freeze leaves the process when it resumes.
 	p.after(0, func() {
 		p.sim.After(outboundDelay, func() {
 			if !target.alive {
@@ -54,14 +55,14 @@
 func (p *Proxy) sendExchange(a core.SendExchange) {
 	sentAt := p.now()
 	p.callPeer(a.To.PeerAddress, peerCallTimeout, func(target *Proxy, reply func(func())) {
-		began := time.Now()
+		start := time.Now()
 		answer := target.kernel.HandleExchange(target.now(), a.Message)
-		p.sim.KernelTime += time.Since(began)
+		p.sim.KernelTime += time.Since(start)
 		p.sim.checks.observeExchange(a.Message, answer)
 		reply(func() {
-			began := time.Now()
+			start := time.Now()
 			p.kernel.HandleExchangeReply(p.now(), sentAt, answer)
-			p.sim.KernelTime += time.Since(began)
+			p.sim.KernelTime += time.Since(start)
 		})
 	}, func() { p.kernel.HandleExchangeFailure(p.now(), a.To.Name) })
 }
@@ -73,22 +74,24 @@
 	}, func() { p.kernel.HandleBorrowReply(p.now(), a, nil) })
 }
 
-func (p *Proxy) sendProbe(a core.SendProbe) {
-	w := p.sim.servers[a.Server]
-	d, ok := p.sim.delay(p.location, w.location)
+func (p *Proxy) sendProbe(probe core.SendProbe) {
+	server := p.sim.servers[probe.Server]
+	delay, ok := p.sim.delay(p.location, server.location)
 	if !ok {
-		p.after(peerCallTimeout, func() { p.kernel.HandleProbeResult(p.now(), a.Server, backend.Health{}) })
+		p.after(peerCallTimeout, func() { p.kernel.HandleProbeResult(p.now(), probe.Server, backend.Health{}) })
 		return
 	}
-	p.sim.After(d, func() {
-		up := !w.down
-		report := w.loadReport()
-		p.after(d, func() {
-			p.kernel.HandleProbeResult(p.now(), a.Server, backend.Health{OK: up, ConnectionRefused: !up, Report: report})
+	p.sim.After(delay, func() {
+		up := !server.down
+		report := server.loadReport()
+		p.after(delay, func() {
+			p.kernel.HandleProbeResult(p.now(), probe.Server, backend.Health{OK: up, ConnectionRefused: !up, Report: report})
 		})
 	})
 }
 
+// storeAssignment writes an assignment to the platform unless another version than the expected one
+// is stored; in that case it applies the stored one.
 func (p *Proxy) storeAssignment(a core.StoreAssignment) {
 	p.after(platformDelay, func() {
 		value, up := p.sim.platform.get(keyAssignment)
@@ -108,7 +111,8 @@
 	})
 }
 
-// pollPlatform makes up for watches that fired during an outage or a freeze.
+// pollPlatform reads the platform at intervals, to catch up on watch events missed during an outage
+// or a freeze.
 func (p *Proxy) pollPlatform(incarnation int) {
 	p.runInProcess(incarnation, func() {
 		p.onValueChanged(keyBundle)
@@ -118,6 +122,7 @@
 	})
 }
 
+// onValueChanged handles a watch event for a platform value.
 func (p *Proxy) onValueChanged(key kv.Key) {
 	if !p.alive || p.sim.platform.down {
 		return
@@ -125,6 +130,7 @@
 	p.after(platformDelay, func() { p.readValue(key) })
 }
 
+// readValue reads a value from the platform if this proxy is a relay and the revision is new to it.
 func (p *Proxy) readValue(key kv.Key) {
 	if !p.kernel.IsRelay() || p.sim.platform.down {
 		return
@@ -139,6 +145,7 @@
 	p.after(platformDelay, func() { p.applyValue(key, value, sentAt) })
 }
 
+// applyValue passes a value to the kernel and writes back the repaired value if the kernel has one.
 func (p *Proxy) applyValue(key kv.Key, value kv.Value, sentAt time.Time) {
 	var repair []byte
 	if key == keyBundle {
@@ -157,6 +164,7 @@
 	}
 }
 
+// onMachineListChanged handles a watch event for the list of VMs.
 func (p *Proxy) onMachineListChanged() {
 	if !p.alive || p.sim.platform.down {
 		return
--- a/internal/fake/simnet/platform.go
+++ b/internal/fake/simnet/platform.go
@@ -13,7 +13,7 @@
 )
 
 type (
-	// Platform is the key-value service and the list of VMs.
+	// Platform simulates the key-value service and the list of VMs.
 	Platform struct {
 		sim             *Sim
 		values          map[kv.Key]kv.Value
@@ -22,7 +22,8 @@
 		machines        kv.MachineList
 		down            bool
 		responsesToDrop int
-		// Calls counts calls, a watch that ends as one.
+		// Calls counts the calls to the platform; a watch counts as one call when it delivers a
+		// change.
 		Calls int
 	}
 )
@@ -39,7 +40,7 @@
 	}
 }
 
-// SetPlatformDown begins or ends an outage.
+// SetPlatformDown starts or ends a platform outage.
 func (s *Sim) SetPlatformDown(down bool) {
 	s.platform.down = down
 	s.logEvent("platform down %v", down)
@@ -51,10 +52,10 @@
 	}
 }
 
-// DropWriteResponses drops the answers of the next writes.
+// DropWriteResponses drops the responses of the next n successful writes.
 func (s *Sim) DropWriteResponses(n int) { s.platform.responsesToDrop = n }
 
-// SavePlatform keeps a copy of the values.
+// SavePlatform takes a snapshot of the stored values.
 func (s *Sim) SavePlatform() {
 	s.platform.snapshot = make(map[kv.Key]kv.Value)
 	for key, value := range s.platform.values {
@@ -62,12 +63,12 @@
 	}
 }
 
-// RestorePlatform puts the copy back, as from a backup.
+// RestorePlatform writes the values of the snapshot back, as a restore from a backup does.
 func (s *Sim) RestorePlatform() {
 	if s.platform.snapshot == nil {
 		return
 	}
-	s.logEvent("platform restored to an older value")
+	s.logEvent("platform restored from an older snapshot")
 	for _, key := range []kv.Key{keyBundle, keyAssignment} {
 		if value, ok := s.platform.snapshot[key]; ok {
 			s.platform.put(key, value.Data)
@@ -75,8 +76,8 @@
 	}
 }
 
-// compareAndSwap is a compare-and-swap on the version inside the value; the answer may
-// be lost after the write.
+// compareAndSwap writes a value if the stored revision is the expected one. The write may take
+// effect and its response be lost: ok is then true and answered false.
 func (p *Platform) compareAndSwap(key kv.Key, expect kv.Revision, data []byte) (ok, answered bool) {
 	p.Calls++
 	if p.down {
@@ -98,7 +99,7 @@
 	return p.values[key], !p.down
 }
 
-// SetMachine changes the list of VMs after its lag.
+// SetMachine changes the list of VMs after the configured lag.
 func (s *Sim) SetMachine(name string, state kv.MachineState) {
 	s.After(s.config.MachineListLag, func() { s.platform.setMachine(name, state) })
 }
--- a/internal/fake/simnet/proxy.go
+++ b/internal/fake/simnet/proxy.go
@@ -24,7 +24,7 @@
 )
 
 type (
-	// Proxy is one proxy process: a kernel with its driver's part.
+	// Proxy is one proxy process: a kernel with a simulated driver that carries out its actions.
 	Proxy struct {
 		sim         *Sim
 		name        string
@@ -34,18 +34,20 @@
 		incarnation int
 		alive       bool
 		frozen      bool
-		// deferred holds what reached a frozen process.
+		// deferred holds the functions that were due while the process was frozen.
 		deferred []func()
-		// clockLag is how much its clock lost in freezes with a stopped clock.
+		// clockLag is how far the clock of the process is behind after freezes that also stopped
+		// the clock.
 		clockLag           time.Duration
 		acceptsConnections bool
 		pendingRequests    int
-		// openConnections holds, by send, what breaks a caller's connection.
+		// openConnections holds, by send ID, the function that breaks the caller's connection.
 		openConnections    map[uint64]func()
 		watchedRevisions   map[kv.Key]kv.Revision
 		machineListVersion uint64
 	}
 
+	// request is a caller's request as a proxy handles it.
 	request struct {
 		core.Request
 		sendID  uint64
@@ -54,19 +56,21 @@
 	}
 )
 
+// addProxy starts proxy number i; each region gets as many proxies as it has quota slots, spread
+// over its failure domains, and the last region gets the rest.
 func (s *Sim) addProxy(i int) {
-	at := 0
-	n := i
-	for at < len(s.config.Bundle.Regions)-1 && n >= s.config.Bundle.Regions[at].QuotaSlots {
-		n -= s.config.Bundle.Regions[at].QuotaSlots
-		at++
+	region := 0
+	slot := i
+	for region < len(s.config.Bundle.Regions)-1 && slot >= s.config.Bundle.Regions[region].QuotaSlots {
+		slot -= s.config.Bundle.Regions[region].QuotaSlots
+		region++
 	}
-	r := s.config.Bundle.Regions[at]
+	r := s.config.Bundle.Regions[region]
 	p := &Proxy{
 		sim:      s,
 		name:     fmt.Sprintf("proxy-%d", i+1),
 		index:    i,
-		location: location{r.Name, r.Domains[n%len(r.Domains)]},
+		location: location{r.Name, r.Domains[slot%len(r.Domains)]},
 	}
 	s.proxies = append(s.proxies, p)
 	p.start()
@@ -76,10 +80,10 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 255, byte(p.index >> 8), byte(p.index)}), 1)
 }
 
-// incarnationID names this incarnation.
+// incarnationID identifies the current incarnation of the process.
 func (p *Proxy) incarnationID() string { return fmt.Sprint(p.name, "/", p.incarnation) }
 
-// start begins a new incarnation.
+// start starts a new incarnation with a new kernel.
 func (p *Proxy) start() {
 	p.incarnation++
 	p.alive = true
@@ -112,10 +116,11 @@
 
 func (s *Sim) setMachineNow(name string) { s.platform.setMachine(name, kv.MachineLive) }
 
-// now is the process's own clock.
+// now returns the time by the process's own clock.
 func (p *Proxy) now() time.Time { return p.sim.now.Add(-p.clockLag) }
 
-// runInProcess runs a function in the process: now, at its thaw, or never.
+// runInProcess runs a function in the given incarnation of the process: at once, when a frozen
+// process resumes, or not at all if that incarnation has ended.
 func (p *Proxy) runInProcess(incarnation int, f func()) {
 	switch {
 	case !p.alive || p.incarnation != incarnation:
@@ -126,6 +131,7 @@
 	}
 }
 
+// after schedules a function in the current incarnation of the process.
 func (p *Proxy) after(d time.Duration, f func()) {
 	incarnation := p.incarnation
 	p.sim.After(d, func() { p.runInProcess(incarnation, f) })
@@ -133,16 +139,16 @@
 
 func (p *Proxy) tick(incarnation int) {
 	p.runInProcess(incarnation, func() {
-		began := time.Now()
+		start := time.Now()
 		actions := p.kernel.Tick(p.now())
-		p.sim.KernelTime += time.Since(began)
+		p.sim.KernelTime += time.Since(start)
 		p.perform(actions)
 		p.sim.checks.checkProxyState(p)
 		p.after(core.TickInterval, func() { p.tick(incarnation) })
 	})
 }
 
-// KillProxy ends a process at once.
+// KillProxy ends a process without a planned stop.
 func (s *Sim) KillProxy(i int) {
 	p := s.proxies[i]
 	if !p.alive {
@@ -152,7 +158,7 @@
 	p.exit()
 }
 
-// exit is the end of the process; connections to it break.
+// exit ends the process and breaks the connections to it.
 func (p *Proxy) exit() {
 	p.alive = false
 	p.incarnation++
@@ -167,7 +173,7 @@
 	p.sim.SetMachine(p.name, "")
 }
 
-// RestartProxy begins a new incarnation on the VM.
+// RestartProxy starts a new incarnation on the same VM if the process has ended.
 func (s *Sim) RestartProxy(i int) {
 	if p := s.proxies[i]; !p.alive {
 		s.logEvent("restart %s", p.name)
@@ -175,21 +181,21 @@
 	}
 }
 
-// FreezeProxy stops a process; with a stopped clock it does not know afterwards,
-// until its VM's clock is set right.
-func (s *Sim) FreezeProxy(i int, d time.Duration, clockToo bool) {
+// FreezeProxy suspends a process for a time. If the clock stops too, the process cannot tell that
+// it was suspended until its VM's clock is corrected.
+func (s *Sim) FreezeProxy(i int, d time.Duration, stopClock bool) {
 	p := s.proxies[i]
 	if !p.alive || p.frozen {
 		return
 	}
-	s.logEvent("freeze %s for %s, clock stopped %v", p.name, d, clockToo)
+	s.logEvent("freeze %s for %s, clock stopped %v", p.name, d, stopClock)
 	p.frozen = true
 	life := p.incarnation
 	s.After(d, func() {
 		if p.incarnation != life || !p.alive {
 			return
 		}
-		if clockToo {
+		if stopClock {
 			p.clockLag += d
 			s.After(clockCorrectionDelay, func() {
 				if p.incarnation == life && p.clockLag > core.ClockTolerance {
@@ -198,14 +204,15 @@
 			})
 		}
 		p.frozen = false
-		waiting := p.deferred
+		deferred := p.deferred
 		p.deferred = nil
-		for _, f := range waiting {
+		for _, f := range deferred {
 			p.runInProcess(life, f)
 		}
 	})
 }
 
+// perform carries out the actions that the kernel returned.
 func (p *Proxy) perform(actions []core.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
--- a/internal/fake/simnet/random.go
+++ b/internal/fake/simnet/random.go
@@ -14,19 +14,19 @@
 )
 
 type (
-	// DrawInt picks a whole number from low to high, inclusive. The randomised
-	// tests draw from their library, the soak run from its seed.
+	// DrawInt picks an integer from low to high, inclusive. The randomised tests draw from their
+	// library, the soak run from its seed.
 	DrawInt func(label string, low, high int) int
 )
 
-// SeededDraw draws from a seed.
+// SeededDraw returns a DrawInt that draws from a generator with the given seed.
 func SeededDraw(seed uint64) DrawInt {
 	r := rand.New(rand.NewPCG(seed, 2))
 	return func(_ string, low, high int) int { return low + r.IntN(high-low+1) }
 }
 
-// RandomScenario draws a run with several faults, which may come at any moment,
-// together or twice.
+// RandomScenario draws a run with one to eight faults, which may come at any moment, overlap and
+// repeat.
 func RandomScenario(c Config, draw DrawInt) *Scenario {
 	s := &Scenario{
 		Seed:            uint64(draw("seed", 1, 1<<30)),
@@ -42,6 +42,7 @@
 	return s
 }
 
+// randomFault draws the time, duration, target and amount of a fault of the given kind.
 func randomFault(c Config, draw DrawInt, kind string) Fault {
 	f := Fault{
 		Kind:     kind,
--- a/internal/fake/simnet/random_test.go
+++ b/internal/fake/simnet/random_test.go
@@ -16,8 +16,8 @@
 	os.Exit(m.Run())
 }
 
-// TestRandomFaults lets faults of all kinds happen at any moment, together or
-// twice, and asserts every promise that the checks know.
+// TestRandomFaults injects faults of all kinds at any moment, also overlapping or repeated, and
+// verifies that no guarantee is violated.
 func TestRandomFaults(t *testing.T) {
 	base := baseConfig(t, 0)
 	rapid.Check(t, func(t *rapid.T) {
@@ -27,7 +27,7 @@
 		s, panicked := runRecoveringPanics(base, sc)
 		if got := strings.Join(s.Checks().Violations(), "\n") + panicked; got != "" {
 			text, _ := json.Marshal(sc)
-			t.Fatalf("got violations, want none:\n%s\n%s\nwhat was done:\n%s", got, text, strings.Join(s.Checks().EventLog(), "\n"))
+			t.Fatalf("got violations, want none:\n%s\n%s\nevents:\n%s", got, text, strings.Join(s.Checks().EventLog(), "\n"))
 		}
 	})
 }
--- a/internal/fake/simnet/scenario.go
+++ b/internal/fake/simnet/scenario.go
@@ -19,7 +19,8 @@
 )
 
 var (
-	// faultHandlers maps a fault's name in a scenario file to what it does.
+	// faultHandlers maps the kinds of faults, as named in scenario files, to the functions that
+	// inject them.
 	faultHandlers = map[string]func(s *Sim, f Fault){
 		"kill-proxy":         killProxy,
 		"freeze-proxy":       func(s *Sim, f Fault) { s.FreezeProxy(f.index(), f.Duration.Std(), false) },
@@ -50,7 +51,7 @@
 )
 
 type (
-	// Fault is one thing done to the system at a moment after the warm-up.
+	// Fault is a fault or an operator action, injected at a time after the warm-up.
 	Fault struct {
 		At           operator.Duration `json:"at"`
 		Kind         string            `json:"kind"`
@@ -60,7 +61,7 @@
 		Amount       int               `json:"amount,omitempty"`
 	}
 
-	// Scenario is a scripted run, read from a data file.
+	// Scenario is a scripted run, read from a JSON file.
 	Scenario struct {
 		Description     []string          `json:"story"`
 		Seed            uint64            `json:"seed"`
@@ -73,34 +74,38 @@
 		Expect          Expect            `json:"expect"`
 	}
 
-	// Expect is the stated outcome. Zero bounds are not checked.
+	// Expect holds the expected outcome. Bounds that are zero are not checked, except for
+	// MaxUnresolvedBookings.
 	Expect struct {
-		// Violation is a part of the violation that the run must show; empty
-		// means that there must be none.
+		// Violation is a substring of the violations that the run must report; if it is empty,
+		// there must be none.
 		Violation string `json:"violation,omitempty"`
-		// MinDonePercent is the least share of requests that are done.
+		// MinDonePercent is the minimum share of requests that are done.
 		MinDonePercent float64 `json:"done-percent,omitempty"`
-		// MaxUnresolvedBookings is the most bookings that nobody can tell the outcome of.
+		// MaxUnresolvedBookings is the maximum number of bookings whose outcome stays unknown.
 		MaxUnresolvedBookings int `json:"unsettled"`
-		// MaxRolloutTime bounds the time until the last bundle is in force.
+		// MaxRolloutTime limits the time until all proxies use the last bundle.
 		MaxRolloutTime operator.Duration `json:"in-force,omitempty"`
-		// MinPlannedStops is how many planned stops come to their end.
+		// MinPlannedStops is the minimum number of planned stops that complete.
 		MinPlannedStops int `json:"stopped,omitempty"`
-		// MaxLastDispatchDelay bounds the time from the first fault to the last new work
-		// of the backend server that it names.
+		// MaxLastDispatchDelay limits the time from the first fault to the last dispatch to the
+		// backend server that the fault targets.
 		MaxLastDispatchDelay operator.Duration `json:"last-work,omitempty"`
-		// ServerUsedAgain names a backend server that must have new work in the last ten seconds.
+		// ServerUsedAgain names a backend server that must receive requests in the last ten
+		// seconds.
 		ServerUsedAgain string `json:"works-again,omitempty"`
-		// MaxCrashesAfterDetection is the most servers that a deadly request ends after all proxies must
-		// know of it, MaxCrashes in all; checked if MaxCrashes is given.
+		// MaxCrashesAfterDetection is the maximum number of servers that a crashing request ends
+		// after all proxies must know of it, MaxCrashes the maximum in total. Both are checked only
+		// if MaxCrashes is set.
 		MaxCrashesAfterDetection int `json:"ends-after,omitempty"`
 		MaxCrashes               int `json:"ends-at-all,omitempty"`
-		// MinExpiredDispatches is the least number of dispatches refused after their deadline.
+		// MinExpiredDispatches is the minimum number of dispatches that servers reject after their
+		// deadline.
 		MinExpiredDispatches int `json:"late,omitempty"`
 	}
 )
 
-// ParseScenario reads a scenario file.
+// ParseScenario parses a scenario file.
 func ParseScenario(data []byte) (*Scenario, error) {
 	s := &Scenario{}
 	if err := operator.DecodeStrict(data, s); err != nil {
@@ -108,13 +113,13 @@
 	}
 	for _, f := range s.Faults {
 		if faultHandlers[f.Kind] == nil {
-			return nil, errors.Errorf("scenario: no fault is named %q", f.Kind)
+			return nil, errors.Errorf("scenario: unknown fault kind %q", f.Kind)
 		}
 	}
 	return s, nil
 }
 
-// FaultKinds lists the names of all faults, for randomised runs.
+// FaultKinds returns the sorted names of all kinds of faults, for randomised runs.
 func FaultKinds() []string {
 	names := make([]string, 0, len(faultHandlers))
 	for name := range faultHandlers {
@@ -124,7 +129,8 @@
 	return names
 }
 
-// KernelFaults maps names in scenario files to guards taken out.
+// KernelFaults maps the names in scenario files to faults of the kernel that each disable one
+// safeguard.
 func KernelFaults() map[string]core.InjectedFaults {
 	return map[string]core.InjectedFaults{
 		"":                {},
@@ -138,10 +144,10 @@
 	}
 }
 
-// Inject does a fault now.
+// Inject injects a fault now.
 func (s *Sim) Inject(f Fault) { faultHandlers[f.Kind](s, f) }
 
-// RunScenario runs a scenario over a base configuration.
+// RunScenario runs a scenario to its end over a base configuration.
 func RunScenario(c Config, sc *Scenario) *Sim {
 	c.Seed = sc.Seed
 	c.BookingPermille = sc.BookingPermille
@@ -157,7 +163,7 @@
 	return s
 }
 
-// LoadAtPercent is a share of each region's capacity.
+// LoadAtPercent returns the request rates of the regions at a percentage of their capacity.
 func LoadAtPercent(b *operator.Bundle, percent int) []float64 {
 	load := make([]float64, len(b.Regions))
 	for i, r := range b.Regions {
@@ -166,12 +172,13 @@
 	return load
 }
 
+// index returns the index of the proxy that the fault targets.
 func (f Fault) index() int {
 	i, _ := strconv.Atoi(f.Target)
 	return i
 }
 
-// undoLater undoes a fault after its time, if it has one.
+// undoLater reverts a fault after its duration, if it has one.
 func (s *Sim) undoLater(f Fault, undo func()) {
 	if f.Duration > 0 {
 		s.After(f.Duration.Std(), undo)
@@ -203,8 +210,8 @@
 	s.undoLater(f, func() { s.servers[f.Target].setDown(false) })
 }
 
-// sendCrashingRequests has callers of all regions ask a service for what ends its servers,
-// Amount times in ten seconds.
+// sendCrashingRequests makes callers of all regions send a service requests that crash its servers,
+// Amount of them per ten seconds.
 func sendCrashingRequests(s *Sim, f Fault) {
 	until := s.now.Add(f.Duration.Std())
 	gap := 10 * time.Second / time.Duration(max(1, f.Amount))
@@ -224,27 +231,28 @@
 	s.undoLater(f, func() { s.servers[f.Target].shedAll = false })
 }
 
-// pauseServer has a server refuse all requests and ask for a pause with each refusal, Amount
+// pauseServer makes a server reject all requests and request a pause with each rejection, of Amount
 // tenths of a second.
 func pauseServer(s *Sim, f Fault) {
-	w := s.servers[f.Target]
-	w.shedAll, w.pause = true, time.Duration(f.Amount)*100*time.Millisecond
-	s.undoLater(f, func() { w.shedAll, w.pause = false, 0 })
+	server := s.servers[f.Target]
+	server.shedAll, server.pause = true, time.Duration(f.Amount)*100*time.Millisecond
+	s.undoLater(f, func() { server.shedAll, server.pause = false, 0 })
 }
 
-// reportServerLeaving has a server say that it leaves, for good or for a while.
+// reportServerLeaving makes a server report that it is leaving, for the fault's duration or for
+// good.
 func reportServerLeaving(s *Sim, f Fault) {
 	s.servers[f.Target].reportsLeaving = true
 	s.undoLater(f, func() { s.servers[f.Target].reportsLeaving = false })
 }
 
-// limitServer has a server name a limit, Amount requests in ten seconds.
+// limitServer makes a server announce a limit of Amount requests per ten seconds.
 func limitServer(s *Sim, f Fault) {
-	w := s.servers[f.Target]
-	w.limit = backpressure.Limit{Set: true, PerSecond: float64(f.Amount) / 10}
+	server := s.servers[f.Target]
+	server.limit = backpressure.Limit{Set: true, PerSecond: float64(f.Amount) / 10}
 	s.checks.serverLimits[f.Target] = &limitCheck{announcedAt: s.now, knownSince: make(map[string]time.Time)}
 	s.undoLater(f, func() {
-		w.limit = backpressure.Limit{}
+		server.limit = backpressure.Limit{}
 		delete(s.checks.serverLimits, f.Target)
 	})
 }
@@ -254,15 +262,16 @@
 	s.undoLater(f, func() { s.SetPlatformDown(false) })
 }
 
+// scaleLoad sets the request rates to a percentage of the capacities.
 func (s *Sim) scaleLoad(percent int) {
 	for i, rate := range LoadAtPercent(s.config.Bundle, percent) {
 		s.SetLoad(i, rate)
 	}
 }
 
-// rollOutChange has an operator roll the next bundle out. Without the platform it is
-// not accepted, and the operator tries again. The proxy that it goes through
-// hears of it at once.
+// rollOutChange rolls out the next bundle, as an operator does through a random proxy. While the
+// platform is down or that proxy is not running, the rollout is rejected and the operator retries.
+// The proxy that it goes through applies the bundle at once.
 func (s *Sim) rollOutChange(modify func(b *operator.Bundle)) {
 	proxy := s.proxies[s.random.IntN(len(s.proxies))]
 	if s.platform.down || !proxy.alive || proxy.frozen {
@@ -280,6 +289,7 @@
 	proxy.after(platformDelay, func() { proxy.kernel.ApplyBundle(proxy.now(), data) })
 }
 
+// addDrain rolls out a drain that starts now.
 func (s *Sim) addDrain(kind operator.DrainKind, target string) {
 	s.rollOutChange(func(b *operator.Bundle) {
 		b.Drains = append(b.Drains, operator.Drain{
@@ -289,6 +299,7 @@
 	})
 }
 
+// setSteeringRule rolls out a bundle with this steering rule as its only one.
 func (s *Sim) setSteeringRule(from, to string, permille int) {
 	s.rollOutChange(func(b *operator.Bundle) {
 		b.Steering = []operator.SteeringRule{{From: from, To: to, Permille: permille}}
@@ -296,7 +307,7 @@
 	})
 }
 
-// setCapacity changes a region's capacity.
+// setCapacity rolls out a new capacity of a region.
 func (s *Sim) setCapacity(name string, amount int) {
 	s.rollOutChange(func(b *operator.Bundle) {
 		r, _ := b.Region(name)
@@ -305,8 +316,8 @@
 	})
 }
 
-// restoreFirstBundle has a platform restored by hand to the first version, still
-// properly signed.
+// restoreFirstBundle stores the first bundle on the platform again, with valid signatures, as a
+// manual restore does.
 func (s *Sim) restoreFirstBundle() {
 	e, err := s.config.Author.Propose(s.config.Bundle)
 	if err == nil {
@@ -315,6 +326,6 @@
 	if err != nil {
 		panic("simnet: " + err.Error())
 	}
-	s.logEvent("the first bundle is put back on the platform")
+	s.logEvent("first bundle stored on the platform again")
 	s.platform.put(kv.KeyBundle, e.Encode())
 }
--- a/internal/fake/simnet/serve.go
+++ b/internal/fake/simnet/serve.go
@@ -6,15 +6,15 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/core"
 )
 
-// serve takes a caller's request through the kernel's decisions.
+// serve runs a caller's request through the decisions of the kernel and responds to it once.
 func (p *Proxy) serve(r request) {
 	p.pendingRequests++
 	incarnation := p.incarnation
 	reply := r.respond
-	answered := false
+	responded := false
 	r.respond = func(result caller.Result, token string) {
-		if p.incarnation == incarnation && !answered {
-			answered = true
+		if p.incarnation == incarnation && !responded {
+			responded = true
 			p.pendingRequests--
 			reply(result, token)
 		}
@@ -22,6 +22,7 @@
 	p.applyDecision(r, p.kernel.BeginRequest(p.now(), r.Request))
 }
 
+// applyDecision carries out a decision of the kernel: respond, forward or dispatch.
 func (p *Proxy) applyDecision(r request, d core.Decision) {
 	switch d.Step {
 	case core.StepFinish:
@@ -33,13 +34,14 @@
 	}
 }
 
+// forward passes a request to a peer and returns the peer's result.
 func (p *Proxy) forward(r request, d core.Decision) {
-	inner := r.Request
-	inner.Deadline = d.Deadline
-	inner.Forwarded = true
+	forwarded := r.Request
+	forwarded.Deadline = d.Deadline
+	forwarded.Forwarded = true
 	timeout := max(minForwardTimeout, d.Deadline.Sub(p.now()))
 	p.callPeer(d.Peer.PeerAddress, timeout, func(target *Proxy, reply func(func())) {
-		target.serve(request{Request: inner, sendID: r.sendID, key: r.key, respond: func(result caller.Result, _ string) {
+		target.serve(request{Request: forwarded, sendID: r.sendID, key: r.key, respond: func(result caller.Result, _ string) {
 			reply(func() { r.respond(result, "") })
 		}})
 	}, func() {
@@ -47,82 +49,86 @@
 	})
 }
 
-// dispatch sends one attempt to a backend server and brings its end back, once.
+// dispatch sends one attempt to a backend server and reports its end to the kernel exactly once.
+// Past the deadline, an idempotent attempt is abandoned at once, any other after the grace period
+// for the answer.
 func (p *Proxy) dispatch(r request, d core.Decision) {
-	w := p.sim.servers[d.Server.Name]
+	server := p.sim.servers[d.Server.Name]
 	incarnation := p.incarnation
-	ended := false
-	p.sim.checks.checkDispatch(p, w, d.Deadline)
-	end := func(result backend.Result, report *backend.Report) {
+	finished := false
+	p.sim.checks.checkDispatch(p, server, d.Deadline)
+	finish := func(result backend.Result, report *backend.Report) {
 		p.runInProcess(incarnation, func() {
-			if ended {
+			if finished {
 				return
 			}
-			ended = true
-			p.sim.checks.recordReport(p, w, report)
+			finished = true
+			p.sim.checks.recordReport(p, server, report)
 			var answer *caller.Response
 			if result == backend.Answered {
 				answer = &caller.Response{Status: 200, Body: []byte(r.key)}
 			}
 			p.applyDecision(r, p.kernel.EndAttempt(p.now(), core.AttemptEnd{
-				Attempt: d.Attempt, Result: result, Answer: answer, Report: report, ConnectionRefused: result == backend.Unreachable && w.down,
+				Attempt: d.Attempt, Result: result, Answer: answer, Report: report, ConnectionRefused: result == backend.Unreachable && server.down,
 			}))
 		})
 	}
-	p.sendToServer(w, r, d, end)
-	left := d.Deadline.Sub(p.now())
+	p.sendToServer(server, r, d, finish)
+	remaining := d.Deadline.Sub(p.now())
 	if d.Idempotent {
-		p.sim.After(left, func() { end(backend.Abandoned, nil) })
+		p.sim.After(remaining, func() { finish(backend.Abandoned, nil) })
 		return
 	}
-	p.after(left, func() {
-		if !ended {
+	p.after(remaining, func() {
+		if !finished {
 			r.respond(p.kernel.HandleDeadlineExceeded(p.now(), d.Attempt), "")
 		}
 	})
-	p.sim.After(left+core.AnswerGracePeriod, func() { end(backend.Abandoned, nil) })
+	p.sim.After(remaining+core.AnswerGracePeriod, func() { finish(backend.Abandoned, nil) })
 }
 
-func (p *Proxy) sendToServer(w *BackendServer, r request, d core.Decision, end func(backend.Result, *backend.Report)) {
-	j := &queuedRequest{dispatch: dispatch{
+// sendToServer delivers one attempt over the simulated network, on which the connection may fail or
+// break.
+func (p *Proxy) sendToServer(server *BackendServer, r request, d core.Decision, finish func(backend.Result, *backend.Report)) {
+	req := &serverRequest{dispatch: dispatch{
 		key: r.key, sendID: r.sendID, attempt: d.ID, deadline: d.Deadline, booking: !d.Idempotent,
 	}}
-	j.respond = func(result backend.Result, report *backend.Report) {
-		if returnDelay, ok := p.sim.delay(w.location, p.location); ok {
-			p.sim.After(returnDelay, func() { end(result, report) })
+	req.respond = func(result backend.Result, report *backend.Report) {
+		if returnDelay, ok := p.sim.delay(server.location, p.location); ok {
+			p.sim.After(returnDelay, func() { finish(result, report) })
 		}
 	}
-	// The bytes leave the process a moment after the decision; a freeze in
-	// between holds them until the thaw.
+	// The bytes leave the process a moment after the decision; a freeze in between delays them
+	// until the process resumes.
 	p.after(0, func() {
-		outboundDelay, ok := p.sim.delay(p.location, w.location)
+		outboundDelay, ok := p.sim.delay(p.location, server.location)
 		if !ok {
-			p.sim.After(dialTimeout, func() { end(backend.Unreachable, nil) })
+			p.sim.After(dialTimeout, func() { finish(backend.Unreachable, nil) })
 			return
 		}
 		p.sim.After(outboundDelay, func() {
 			if p.sim.random.IntN(1000) < p.sim.checks.resetPermille {
-				p.breakConnection(w, j, end)
+				p.breakConnection(server, req, finish)
 				return
 			}
-			w.accept(j)
+			server.accept(req)
 		})
 	})
 }
 
-// breakConnection breaks the connection: half of the times before the request is read,
-// half after it has run.
-func (p *Proxy) breakConnection(w *BackendServer, j *queuedRequest, end func(backend.Result, *backend.Report)) {
+// breakConnection breaks the connection to a server: in half of the cases before the server reads
+// the request, in the other half after it has run.
+func (p *Proxy) breakConnection(server *BackendServer, req *serverRequest, finish func(backend.Result, *backend.Report)) {
 	if p.sim.random.IntN(2) == 0 {
-		end(backend.Interrupted, nil)
+		finish(backend.Interrupted, nil)
 		return
 	}
-	answer := j.respond
-	j.respond = func(result backend.Result, report *backend.Report) {
+	respond := req.respond
+	req.respond = func(result backend.Result, report *backend.Report) {
 		if result == backend.Answered {
 			result = backend.Interrupted
 		}
-		answer(result, report)
+		respond(result, report)
 	}
-	w.accept(j)
+	server.accept(req)
 }
--- a/internal/fake/simnet/server.go
+++ b/internal/fake/simnet/server.go
@@ -9,7 +9,8 @@
 )
 
 type (
-	// BackendServer is one backend server.
+	// BackendServer simulates one backend server: slots, a short queue, cold starts and a lagging
+	// load report.
 	BackendServer struct {
 		sim            *Sim
 		config         operator.Server
@@ -18,22 +19,24 @@
 		incarnation    int
 		startedAt      time.Time
 		running        int
-		queue          []*queuedRequest
+		queue          []*serverRequest
 		shedAll        bool
 		reportsLeaving bool
-		// limit is what it names, in requests a second.
+		// limit is the request rate that the server announces as its limit.
 		limit backpressure.Limit
-		// pause is what it asks for with each refusal.
+		// pause is the pause that the server requests with each rejection.
 		pause        time.Duration
 		reportedLoad int
 		reportedAt   time.Time
 	}
 
-	queuedRequest struct {
+	// serverRequest is a dispatched request with the function that responds to it.
+	serverRequest struct {
 		dispatch
 		respond func(backend.Result, *backend.Report)
 	}
 
+	// dispatch is one attempt to run a request on a backend server.
 	dispatch struct {
 		key      string
 		sendID   uint64
@@ -47,102 +50,106 @@
 	return &BackendServer{sim: s, config: c, location: location{c.Region, c.Domain}, startedAt: s.now.Add(-time.Hour)}
 }
 
-// setDown kills or restarts the process. What it held is lost.
-func (w *BackendServer) setDown(down bool) {
-	if w.down == down {
+// setDown kills or restarts the process. Running and queued requests are lost.
+func (b *BackendServer) setDown(down bool) {
+	if b.down == down {
 		return
 	}
-	w.down = down
-	w.incarnation++
-	w.running = 0
-	queued := w.queue
-	w.queue = nil
+	b.down = down
+	b.incarnation++
+	b.running = 0
+	queued := b.queue
+	b.queue = nil
 	if !down {
-		w.startedAt = w.sim.now
+		b.startedAt = b.sim.now
 	}
-	for _, j := range queued {
-		j.respond(backend.Interrupted, nil)
+	for _, req := range queued {
+		req.respond(backend.Interrupted, nil)
 	}
 }
 
-// accept takes a request in that has arrived.
-func (w *BackendServer) accept(j *queuedRequest) {
+// accept runs, queues or rejects a request that has arrived.
+func (b *BackendServer) accept(req *serverRequest) {
 	switch {
-	case w.down:
-		j.respond(backend.Unreachable, nil)
-	case w.shedAll || w.reportsLeaving || w.running >= w.config.Slots && len(w.queue) >= w.sim.config.QueueLength:
-		w.sim.checks.shedRequests++
-		report := w.loadReport()
-		report.Signal.Pause = w.pause
-		j.respond(backend.Rejected, report)
-	case w.running >= w.config.Slots:
-		w.queue = append(w.queue, j)
+	case b.down:
+		req.respond(backend.Unreachable, nil)
+	case b.shedAll || b.reportsLeaving || b.running >= b.config.Slots && len(b.queue) >= b.sim.config.QueueLength:
+		b.sim.checks.shedRequests++
+		report := b.loadReport()
+		report.Signal.Pause = b.pause
+		req.respond(backend.Rejected, report)
+	case b.running >= b.config.Slots:
+		b.queue = append(b.queue, req)
 	default:
-		w.start(j)
+		b.start(req)
 	}
 }
 
-// start runs a request unless its deadline has passed by the server's own
-// clock, which is the guard against dispatches that thaw late.
-func (w *BackendServer) start(j *queuedRequest) {
-	if !w.sim.now.Before(j.deadline) {
-		w.sim.checks.expiredDispatches++
-		j.respond(backend.Rejected, w.loadReport())
-		w.startNext()
+// start runs a request unless its deadline has passed by the server's own clock. This rejects
+// dispatches that a frozen proxy sent late.
+func (b *BackendServer) start(req *serverRequest) {
+	if !b.sim.now.Before(req.deadline) {
+		b.sim.checks.expiredDispatches++
+		req.respond(backend.Rejected, b.loadReport())
+		b.startNext()
 		return
 	}
-	w.running++
-	w.sim.checks.recordRun(j.dispatch, w)
-	incarnation := w.incarnation
-	if j.key == crashPath {
-		w.sim.After(crashDelay, func() { w.crash(j, incarnation) })
+	b.running++
+	b.sim.checks.recordRun(req.dispatch, b)
+	incarnation := b.incarnation
+	if req.key == crashPath {
+		b.sim.After(crashDelay, func() { b.crash(req, incarnation) })
 		return
 	}
-	w.sim.After(w.serviceTime(), func() {
-		if w.incarnation != incarnation {
-			j.respond(backend.Interrupted, nil)
+	b.sim.After(b.serviceTime(), func() {
+		if b.incarnation != incarnation {
+			req.respond(backend.Interrupted, nil)
 			return
 		}
-		w.running--
-		j.respond(backend.Answered, w.loadReport())
-		w.startNext()
+		b.running--
+		req.respond(backend.Answered, b.loadReport())
+		b.startNext()
 	})
 }
 
-// crash ends the server under a deadly request, and has it back some time later.
-func (w *BackendServer) crash(j *queuedRequest, incarnation int) {
-	j.respond(backend.Interrupted, nil)
-	if w.incarnation != incarnation {
+// crash ends the server that runs a crashing request and restarts it after crashRestartDelay.
+func (b *BackendServer) crash(req *serverRequest, incarnation int) {
+	req.respond(backend.Interrupted, nil)
+	if b.incarnation != incarnation {
 		return
 	}
-	w.sim.checks.crashTimes = append(w.sim.checks.crashTimes, w.sim.now)
-	w.setDown(true)
-	w.sim.After(crashRestartDelay, func() { w.setDown(false) })
+	b.sim.checks.crashTimes = append(b.sim.checks.crashTimes, b.sim.now)
+	b.setDown(true)
+	b.sim.After(crashRestartDelay, func() { b.setDown(false) })
 }
 
-func (w *BackendServer) startNext() {
-	if len(w.queue) == 0 || w.running >= w.config.Slots || w.down {
+// startNext starts the next queued request if a slot is free.
+func (b *BackendServer) startNext() {
+	if len(b.queue) == 0 || b.running >= b.config.Slots || b.down {
 		return
 	}
-	j := w.queue[0]
-	w.queue = w.queue[1:]
-	w.start(j)
+	req := b.queue[0]
+	b.queue = b.queue[1:]
+	b.start(req)
 }
 
-func (w *BackendServer) serviceTime() time.Duration {
-	c := w.sim.config
-	d := float64(randomizeSpan(w.sim.random, c.ServiceTime))
-	if age := w.sim.now.Sub(w.startedAt); c.ColdStartFactor > 1 && age < c.ColdStartDuration {
+// serviceTime returns the duration of one run. After a start it is longer by ColdStartFactor, which
+// falls linearly to one over ColdStartDuration.
+func (b *BackendServer) serviceTime() time.Duration {
+	c := b.sim.config
+	d := float64(jitter(b.sim.random, c.ServiceTime))
+	if age := b.sim.now.Sub(b.startedAt); c.ColdStartFactor > 1 && age < c.ColdStartDuration {
 		d *= c.ColdStartFactor - (c.ColdStartFactor-1)*float64(age)/float64(c.ColdStartDuration)
 	}
 	return time.Duration(d)
 }
 
-// loadReport is the server's own report, as old as the configured lag.
-func (w *BackendServer) loadReport() *backend.Report {
-	if w.sim.now.Sub(w.reportedAt) >= w.sim.config.ReportLag {
-		w.reportedLoad = w.running + len(w.queue)
-		w.reportedAt = w.sim.now
+// loadReport returns the load that the server reports, which is out of date by up to the configured
+// lag.
+func (b *BackendServer) loadReport() *backend.Report {
+	if b.sim.now.Sub(b.reportedAt) >= b.sim.config.ReportLag {
+		b.reportedLoad = b.running + len(b.queue)
+		b.reportedAt = b.sim.now
 	}
-	return &backend.Report{Running: w.reportedLoad, Leaving: w.reportsLeaving, Signal: backpressure.Signal{Limit: w.limit}, At: w.sim.now}
+	return &backend.Report{Running: b.reportedLoad, Leaving: b.reportsLeaving, Signal: backpressure.Signal{Limit: b.limit}, At: b.sim.now}
 }
--- a/internal/fake/simnet/sim.go
+++ b/internal/fake/simnet/sim.go
@@ -18,25 +18,26 @@
 		Approver *operator.KeyPair
 		Proxies  int
 		Seed     uint64
-		// Net holds one-way delays.
+		// Net holds the one-way delays of the network.
 		Net Delays
-		// ServiceTime is the mean; each request's varies by half either way.
+		// ServiceTime is the mean service time; that of each request is between half and one and a
+		// half times the mean.
 		ServiceTime       time.Duration
 		QueueLength       int
 		ReportLag         time.Duration
 		ColdStartFactor   float64
 		ColdStartDuration time.Duration
-		// MachineListLag is how far the platform's list of VMs lags.
+		// MachineListLag is the delay until a change appears in the platform's list of VMs.
 		MachineListLag time.Duration
-		// Load is requests per second by home region.
+		// Load is the request rate of each home region, in requests per second.
 		Load []float64
-		// BookingPermille of the requests are non-idempotent, in thousandths.
+		// BookingPermille is the share of non-idempotent requests, in thousandths.
 		BookingPermille int
 		KernelFaults    core.InjectedFaults
-		// WarmUp is how long after the start measuring begins.
+		// WarmUp is the time from the start of the run until measuring begins.
 		WarmUp time.Duration
-		// OnExchange sees every exchange between proxies; nil for none.
-		OnExchange func(asked, answer peer.Exchange)
+		// OnExchange is called for every exchange between proxies, if not nil.
+		OnExchange func(request, response peer.Exchange)
 	}
 
 	// Delays are one-way delays of the network.
@@ -44,7 +45,7 @@
 		SameDomain, SameRegion, BetweenRegions, Client time.Duration
 	}
 
-	// Sim is one run.
+	// Sim is one simulation run.
 	Sim struct {
 		*Clock
 		config        Config
@@ -59,17 +60,18 @@
 		checks        *Checks
 		currentBundle *operator.Bundle
 		lastID        uint64
-		// KernelTime is the real time spent in the kernels' own work, ticks and
-		// exchanges, without the fakes and checks around them.
+		// KernelTime is the real time spent in ticks and exchanges of the kernels, without the
+		// simulated systems and checks around them.
 		KernelTime time.Duration
 	}
 
+	// location is a region and a failure domain in it.
 	location struct {
 		region, domain string
 	}
 )
 
-// New builds a run whose bundle is already on the platform.
+// New creates a run with its bundle already stored on the platform.
 func New(c Config) *Sim {
 	s := &Sim{
 		Clock:       newClock(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)),
@@ -84,8 +86,8 @@
 	s.platform = newPlatform(s)
 	for i := range c.Bundle.Services {
 		for k := range c.Bundle.Services[i].Servers {
-			w := newBackendServer(s, c.Bundle.Services[i].Servers[k])
-			s.servers[w.config.Name] = w
+			server := newBackendServer(s, c.Bundle.Services[i].Servers[k])
+			s.servers[server.config.Name] = server
 		}
 	}
 	s.Rollout(c.Bundle)
@@ -96,16 +98,16 @@
 	return s
 }
 
-// Run goes on for a span of virtual time.
+// Run advances the run by a span of virtual time.
 func (s *Sim) Run(d time.Duration) { s.RunUntil(s.now.Add(d)) }
 
-// Checks gives what the run has asserted and measured.
+// Checks returns the violations and measurements of the run.
 func (s *Sim) Checks() *Checks { return s.checks }
 
-// Callers gives what callers saw.
+// Callers returns the callers with the results they received.
 func (s *Sim) Callers() *Callers { return s.callers }
 
-// Rollout signs a bundle and stores it on the platform as operators do.
+// Rollout signs a bundle with both keys and stores it on the platform, as operators do.
 func (s *Sim) Rollout(b *operator.Bundle) {
 	e, err := s.config.Author.Propose(b)
 	if err == nil {
@@ -119,7 +121,7 @@
 	s.platform.put(keyBundle, e.Encode())
 }
 
-// delay is the network's delay between two places, or false when cut.
+// delay returns the network delay between two locations, or false if their regions are partitioned.
 func (s *Sim) delay(a, b location) (time.Duration, bool) {
 	if s.partitions[[2]string{a.region, b.region}] || s.partitions[[2]string{b.region, a.region}] {
 		return 0, false
@@ -134,28 +136,28 @@
 	return base + time.Duration(s.random.Int64N(int64(base)/10+1)), true
 }
 
-// SetPartitioned ends or restores all traffic between two regions.
-func (s *Sim) SetPartitioned(a, b string, on bool) {
-	s.partitions[[2]string{a, b}] = on
-	s.logEvent("cut %s %s %v", a, b, on)
+// SetPartitioned cuts or restores all traffic between two regions.
+func (s *Sim) SetPartitioned(a, b string, partitioned bool) {
+	s.partitions[[2]string{a, b}] = partitioned
+	s.logEvent("partition between %s and %s: %v", a, b, partitioned)
 }
 
 // SetRegionDown stops or restarts all backend servers of a region.
-func (s *Sim) SetRegionDown(name string, on bool) {
-	s.regionsDown[name] = on
-	if on {
-		s.checks.recordRegionDown(name)
-	}
-	for _, w := range s.serversInOrder() {
-		if w.config.Region == name {
-			w.setDown(on)
+func (s *Sim) SetRegionDown(region string, down bool) {
+	s.regionsDown[region] = down
+	if down {
+		s.checks.recordRegionDown(region)
+	}
+	for _, server := range s.serversInOrder() {
+		if server.config.Region == region {
+			server.setDown(down)
 		}
 	}
-	s.logEvent("region %s lost %v", name, on)
+	s.logEvent("region %s down: %v", region, down)
 }
 
-// serversInOrder lists the backend servers in the bundle's order, for a
-// map's order would make runs differ.
+// serversInOrder returns the backend servers in the order of the bundle: the random order of a map
+// would make runs with the same seed differ.
 func (s *Sim) serversInOrder() []*BackendServer {
 	var list []*BackendServer
 	for i := range s.config.Bundle.Services {
@@ -170,10 +172,10 @@
 	s.checks.logEvent(fmt.Sprintf(format, values...))
 }
 
-// PlatformCalls counts calls to the platform so far.
+// PlatformCalls returns the number of calls to the platform so far.
 func (s *Sim) PlatformCalls() int { return s.platform.Calls }
 
-// Relays counts the proxies that watch the platform.
+// Relays returns the number of proxies that watch the platform.
 func (s *Sim) Relays() int {
 	relays := 0
 	for _, p := range s.proxies {
@@ -184,7 +186,7 @@
 	return relays
 }
 
-// FirstRelay is the number of the first proxy that watches the platform.
+// FirstRelay returns the index of the first proxy that watches the platform.
 func (s *Sim) FirstRelay() int {
 	for i, p := range s.proxies {
 		if p.alive && p.kernel.IsRelay() {
@@ -194,8 +196,8 @@
 	return 0
 }
 
-// Envelope is the signed bundle on the platform.
+// Envelope returns the signed bundle as stored on the platform.
 func (s *Sim) Envelope() []byte { return s.platform.values[keyBundle].Data }
 
-// AssignmentBytes is the size of the stored assignment.
+// AssignmentBytes returns the size of the stored assignment.
 func (s *Sim) AssignmentBytes() int { return len(s.platform.values[keyAssignment].Data) }
--- a/internal/fake/simnet/sim_test.go
+++ b/internal/fake/simnet/sim_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// crashesToDetect is how many servers a request may end before it must be known, newsBound
-	// the bound for news.
+	// crashesToDetect is how many servers a request may crash before the proxies must know of it,
+	// detectionTimeout how long that knowledge may take to reach all of them.
 	crashesToDetect  = 3
 	detectionTimeout = 4 * time.Second
 )
@@ -39,7 +39,7 @@
 	return d.Config(b, author, second).ScaledDown()
 }
 
-// TestScenarios plays every file in testdata; the stories are in the files.
+// TestScenarios runs every scenario file in testdata; each file describes its scenario.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(files) == 0 {
@@ -67,7 +67,7 @@
 	got := strings.Join(s.Checks().Violations(), "\n") + panicked
 	switch want := sc.Expect.Violation; {
 	case want == "" && got != "":
-		t.Errorf("got violations, want none:\n%s\nwhat was done:\n%s", got, strings.Join(s.Checks().EventLog(), "\n"))
+		t.Errorf("got violations, want none:\n%s\nevents:\n%s", got, strings.Join(s.Checks().EventLog(), "\n"))
 	case !strings.Contains(got, want):
 		t.Errorf("got violations %q, want one with %q", got, want)
 	}
@@ -76,17 +76,18 @@
 	}
 	checkExpectations(t, s, sc.Expect)
 	if name := sc.Expect.ServerUsedAgain; name != "" && s.now.Sub(s.checks.LastDispatch[name]) > 10*time.Second {
-		t.Errorf("got the last new work of %s %s before the end, want it to have some again", name, s.now.Sub(s.checks.LastDispatch[name]))
+		t.Errorf("got the last dispatch to %s %s before the end, want one in the last 10s", name, s.now.Sub(s.checks.LastDispatch[name]))
 	}
 	if want := sc.Expect.MaxLastDispatchDelay.Std(); want > 0 {
 		began := s.checks.measureFrom.Add(sc.Faults[0].At.Std())
 		if got := s.checks.LastDispatch[sc.Faults[0].Target].Sub(began); got > want {
-			t.Errorf("got the last new work of %s after %s, want at most %s", sc.Faults[0].Target, got, want)
+			t.Errorf("got the last dispatch to %s after %s, want at most %s", sc.Faults[0].Target, got, want)
 		}
 	}
 }
 
-// runRecoveringPanics turns a broken invariant inside a kernel into text.
+// runRecoveringPanics runs a scenario and returns the text of a panic, which a kernel raises when
+// one of its invariants is violated.
 func runRecoveringPanics(c Config, sc *Scenario) (s *Sim, panicked string) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -110,32 +111,32 @@
 		total += n
 	}
 	done := 100 * float64(len(c.Latencies)) / float64(total)
-	t.Logf("%d requests, %.2f%% done, outcomes %v, lost %d, reasons %v, booked %d, unsettled %d, used %.3f, in force %v, sheds %d, late %d, p50 %v p99 %v",
+	t.Logf("%d requests, %.2f%% done, outcomes %v, responses lost %d, reasons %v, bookings done %d, unresolved %d, peak utilization %.3f, rollout times %v, shed %d, expired %d, p50 %v p99 %v",
 		total, done, c.Outcomes, c.ResponsesLost, c.Reasons, c.BookingsDone, c.BookingsUnresolved, s.checks.PeakUtilization, s.checks.RolloutTimes, s.checks.shedRequests, s.checks.expiredDispatches, c.Quantile(0.5), c.Quantile(0.99))
 	if done < want.MinDonePercent {
 		t.Errorf("got %.2f%% done, want at least %.2f%%", done, want.MinDonePercent)
 	}
 	if c.BookingsUnresolved > want.MaxUnresolvedBookings {
-		t.Errorf("got %d unsettled bookings, want at most %d", c.BookingsUnresolved, want.MaxUnresolvedBookings)
+		t.Errorf("got %d unresolved bookings, want at most %d", c.BookingsUnresolved, want.MaxUnresolvedBookings)
 	}
 	if got := s.checks.PlannedStops(); got < want.MinPlannedStops {
-		t.Errorf("got %d planned stops finished, want %d", got, want.MinPlannedStops)
+		t.Errorf("got %d planned stops completed, want at least %d", got, want.MinPlannedStops)
 	}
 	if got := s.checks.ExpiredDispatches(); got < want.MinExpiredDispatches {
-		t.Errorf("got %d late dispatches refused, want at least %d", got, want.MinExpiredDispatches)
+		t.Errorf("got %d dispatches rejected after their deadline, want at least %d", got, want.MinExpiredDispatches)
 	}
 	if want.MaxCrashes > 0 {
 		all, after := c.sim.checks.CrashCounts(crashesToDetect, detectionTimeout)
-		t.Logf("deadly requests ended %d servers, %d after the bound for news", all, after)
+		t.Logf("requests crashed %d servers, %d after the detection timeout", all, after)
 		if all > want.MaxCrashes || all < crashesToDetect || after > want.MaxCrashesAfterDetection {
-			t.Errorf("deadly requests ended %d servers and %d after the bound for news, want %d to %d and %d at most", all, after, crashesToDetect, want.MaxCrashes, want.MaxCrashesAfterDetection)
+			t.Errorf("requests crashed %d servers and %d after the detection timeout, want %d to %d and at most %d", all, after, crashesToDetect, want.MaxCrashes, want.MaxCrashesAfterDetection)
 		}
 	}
 	if want.MaxRolloutTime > 0 {
 		if n := len(s.checks.RolloutTimes); n != int(s.currentBundle.Version) {
-			t.Errorf("got %d bundles in force everywhere, want %d", n, s.currentBundle.Version)
+			t.Errorf("got %d bundles used by all proxies, want %d", n, s.currentBundle.Version)
 		} else if got := s.checks.RolloutTimes[n-1]; got > want.MaxRolloutTime.Std() {
-			t.Errorf("got the last bundle in force after %s, want at most %s", got, want.MaxRolloutTime.Std())
+			t.Errorf("got the last bundle used by all proxies after %s, want at most %s", got, want.MaxRolloutTime.Std())
 		}
 	}
 }
--- a/internal/fake/simnet/stop.go
+++ b/internal/fake/simnet/stop.go
@@ -6,7 +6,7 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/peer"
 )
 
-// StopProxy is the planned stop, as the daemon does it.
+// StopProxy performs a planned stop in the same steps as the daemon.
 func (s *Sim) StopProxy(i int) {
 	p := s.proxies[i]
 	if !p.alive {
@@ -20,19 +20,22 @@
 	})
 }
 
-func (p *Proxy) pollUntil(done func() bool, then func()) {
-	if done() {
+// pollUntil calls then once the condition holds.
+func (p *Proxy) pollUntil(condition func() bool, then func()) {
+	if condition() {
 		then()
 		return
 	}
-	p.after(stopPollInterval, func() { p.pollUntil(done, then) })
+	p.after(stopPollInterval, func() { p.pollUntil(condition, then) })
 }
 
+// handOverRecords closes the token records and hands them over to their next owner.
 func (p *Proxy) handOverRecords() {
 	records, owners := p.kernel.CloseRecords()
 	p.handOverTo(records, owners)
 }
 
+// handOverTo hands the records over to the first of the owners that answers.
 func (p *Proxy) handOverTo(records []caller.Handover, owners []peer.Member) {
 	if len(owners) == 0 {
 		p.releaseSlots()
@@ -47,19 +50,20 @@
 	}, func() { p.handOverTo(records, owners[1:]) })
 }
 
+// releaseSlots gives up the quota slots, waiting for at most slotReleaseTimeout, and ends the process.
 func (p *Proxy) releaseSlots() {
-	limit := p.now().Add(slotReleaseTimeout)
+	deadline := p.now().Add(slotReleaseTimeout)
 	p.pollUntil(func() bool {
 		next := p.kernel.ReleaseSlots(p.now())
 		if next != nil {
 			p.storeAssignment(core.StoreAssignment{ExpectedVersion: next.Version - 1, Value: next})
 		}
-		return next == nil || p.now().After(limit)
+		return next == nil || p.now().After(deadline)
 	}, func() {
 		p.sim.logEvent("stopped %s", p.name)
 		p.sim.checks.plannedStops++
 		if len(p.openConnections) > 0 {
-			p.sim.checks.violate("planned stop of %s cut %d requests", p.name, len(p.openConnections))
+			p.sim.checks.violate("planned stop of %s interrupted %d requests", p.name, len(p.openConnections))
 		}
 		p.exit()
 	})
--- a/internal/fake/simnet/synthetic.go
+++ b/internal/fake/simnet/synthetic.go
@@ -13,8 +13,8 @@
 	domainsPerRegion  = 2
 )
 
-// SyntheticBundle is a bundle for a fleet of any size: proxies spread evenly over
-// regions of two failure domains, one service with a backend server in each.
+// SyntheticBundle returns a bundle for a fleet of any size: proxies spread evenly over regions of
+// two failure domains each, and one service with one backend server per region.
 func SyntheticBundle(proxies, regions int) *operator.Bundle {
 	b := &operator.Bundle{
 		Version:  1,
