--- a/internal/fake/backendfake/server.go
+++ b/internal/fake/backendfake/server.go
@@ -1,6 +1,6 @@
-// Package backendfake stands in for backend servers: slots, a short queue, a
-// service time, cold starts, load reports that lag or lie, and failures on
-// command. It counts how often each request ran.
+// Package backendfake provides fake backend servers with slots, a short queue, a service time, cold
+// starts, lagging load reports and configurable failures. Each counts how often it ran each
+// request.
 package backendfake
 
 import (
@@ -17,28 +17,30 @@
 )
 
 type (
-	// Behaviour is how a server works and fails.
+	// Behaviour configures how a server performs and fails.
 	Behaviour struct {
 		ServiceTime time.Duration `json:"service-time"`
-		// ColdStartFactor multiplies the service time at the start; it falls to one
-		// over ColdFor.
+		// ColdStartFactor multiplies the service time after the start; it falls linearly to one
+		// over ColdStartDuration.
 		ColdStartFactor   float64       `json:"cold-factor"`
 		ColdStartDuration time.Duration `json:"cold-for"`
-		// QueueLength is how many requests wait for a slot before shedding.
+		// QueueLength is the number of requests that may wait for a slot; further requests are
+		// shed.
 		QueueLength int `json:"queue"`
-		// ReportLag is how old the reported load is.
+		// ReportLag is the age up to which the server keeps reporting an old load.
 		ReportLag time.Duration `json:"report-lag"`
-		// ShedAll refuses everything, Leaving says so too.
+		// ShedAll rejects every request. Leaving reports in the load headers that the server is
+		// leaving.
 		ShedAll bool `json:"shed"`
 		Leaving bool `json:"leaving"`
-		// TruncatePermille breaks that many of a thousand answers off half way.
+		// TruncatePermille is the share of responses cut off half way, in thousandths.
 		TruncatePermille int `json:"truncate-permille"`
-		// ResetPermille breaks the connection of that many of a thousand requests
-		// after they have run.
+		// ResetPermille is the share of requests whose connection is reset after they have run, in
+		// thousandths.
 		ResetPermille int `json:"reset-permille"`
 	}
 
-	// Server is one backend server.
+	// Server is one fake backend server.
 	Server struct {
 		name         string
 		slots        chan struct{}
@@ -51,10 +53,10 @@
 		stats        Stats
 	}
 
-	// Stats is what a server has seen.
+	// Stats holds the counters of a server.
 	Stats struct {
 		Name string `json:"name"`
-		// Runs counts runs by the caller's own key, or by request id.
+		// Runs counts the runs by Idempotency-Key header.
 		Runs         map[string]int `json:"runs"`
 		Served       int            `json:"served"`
 		Shed         int            `json:"shed"`
@@ -64,7 +66,7 @@
 	}
 )
 
-// New makes a server.
+// New returns a server with the given number of slots.
 func New(name string, slots int, b Behaviour) *Server {
 	return &Server{
 		name: name, slots: make(chan struct{}, slots), behaviour: b, startedAt: time.Now(),
@@ -72,21 +74,21 @@
 	}
 }
 
-// SetBehaviour replaces the behaviour.
+// SetBehaviour replaces the behaviour of the server.
 func (s *Server) SetBehaviour(b Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behaviour = b
 }
 
-// Behaviour reads the behaviour.
+// Behaviour returns the current behaviour.
 func (s *Server) Behaviour() Behaviour {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.behaviour
 }
 
-// Stats reads what the server has seen.
+// Stats returns a copy of the counters.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +126,7 @@
 	s.respond(w, r, b, len(body))
 }
 
-// admit admits a request or sheds it before anything ran.
+// admit counts a request as in flight, or sheds it before any of it has run.
 func (s *Server) admit(w http.ResponseWriter) (Behaviour, bool) {
 	s.mu.Lock()
 	b := s.behaviour
@@ -148,14 +150,16 @@
 	s.inFlight--
 }
 
+// reject responds that the request did not run.
 func (s *Server) reject(w http.ResponseWriter) {
 	s.setLoadHeaders(w)
 	w.Header().Set(caller.HeaderOutcome, caller.OutcomeNotRun.String())
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// isExpired is the guard against a dispatch that was held up in a frozen proxy:
-// past the deadline its caller has been told "unknown" and nobody waits.
+// isExpired reports whether the deadline of a request has passed. It guards against dispatches that
+// were delayed in a frozen proxy: after the deadline the caller has received the outcome "unknown"
+// and no longer waits.
 func (s *Server) isExpired(r *http.Request) bool {
 	micros, err := strconv.ParseInt(r.Header.Get(caller.HeaderDeadline), 10, 64)
 	if err != nil || time.Now().Before(time.UnixMicro(micros)) {
@@ -167,6 +171,7 @@
 	return true
 }
 
+// recordRun counts a run of a request.
 func (s *Server) recordRun(r *http.Request) {
 	key := r.Header.Get("Idempotency-Key")
 	s.mu.Lock()
@@ -177,16 +182,17 @@
 	}
 }
 
+// serviceTime returns a random duration between half and one and a half times the mean.
 func (s *Server) serviceTime(b Behaviour) time.Duration {
 	factor := 1.0
 	if age := time.Since(s.startedAt); b.ColdStartFactor > 1 && age < b.ColdStartDuration {
 		factor = b.ColdStartFactor - (b.ColdStartFactor-1)*float64(age)/float64(b.ColdStartDuration)
 	}
-	spread := 0.5 + rand.Float64()
-	return time.Duration(float64(b.ServiceTime) * factor * spread)
+	jitter := 0.5 + rand.Float64()
+	return time.Duration(float64(b.ServiceTime) * factor * jitter)
 }
 
-// setLoadHeaders sets the load header, as old as the behaviour says.
+// setLoadHeaders sets the load header, which lags by up to ReportLag, and the leaving header.
 func (s *Server) setLoadHeaders(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,21 +206,22 @@
 	}
 }
 
-func (s *Server) respond(w http.ResponseWriter, r *http.Request, b Behaviour, received int) {
+// respond writes the response, unless the behaviour resets or truncates this one.
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, b Behaviour, bodyBytes int) {
 	if rand.IntN(1000) < b.ResetPermille {
 		panic(http.ErrAbortHandler)
 	}
 	s.setLoadHeaders(w)
-	text := fmt.Sprintf("%s %s %s received %d\n", s.name, r.Method, r.URL.RequestURI(), received)
-	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	body := fmt.Sprintf("%s %s %s received %d\n", s.name, r.Method, r.URL.RequestURI(), bodyBytes)
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if rand.IntN(1000) < b.TruncatePermille {
-		_, _ = io.WriteString(w, text[:len(text)/2])
+		_, _ = io.WriteString(w, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = io.WriteString(w, text)
+	_, _ = io.WriteString(w, body)
 }
 
-// ControlHandler serves one process's servers: their stats and behaviour.
+// ControlHandler serves the stats of the given servers and lets clients change their behaviour.
 func ControlHandler(servers map[string]*Server) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/fake/callerfake/caller.go
+++ b/internal/fake/callerfake/caller.go
@@ -1,6 +1,6 @@
-// Package callerfake stands in for callers: it asks which proxy to use, caches
-// the answer for its lifetime, sends requests there, and repeats as a careful
-// caller would. It reports outcomes, latency and what should never happen.
+// Package callerfake provides fake callers: they look up which proxies to use, cache the answer
+// until it expires, send requests there, and retry the way a careful caller does. They report
+// outcomes, latencies and responses that must never occur.
 package callerfake
 
 import (
@@ -30,7 +30,7 @@
 )
 
 type (
-	// Config is the load to make.
+	// Config describes the load to generate.
 	Config struct {
 		Seeds          []netip.AddrPort
 		Callers        int
@@ -38,14 +38,14 @@
 		Duration       time.Duration
 		BrowseServices []string
 		BookingService string
-		// BookingPermille of the requests are non-idempotent, in thousandths.
+		// BookingPermille is the share of non-idempotent requests, in thousandths.
 		BookingPermille int
 		KeyPrefix       string
-		// Timeout is how long a caller waits for an answer.
+		// Timeout is how long a caller waits for a response.
 		Timeout time.Duration
 	}
 
-	// Report is what the callers saw.
+	// Report summarises the results that the callers received.
 	Report struct {
 		Outcomes           map[string]int `json:"outcomes"`
 		Reasons            map[string]int `json:"reasons"`
@@ -61,28 +61,30 @@
 		Max                float64        `json:"worst-ms"`
 	}
 
-	// LoadGenerator is a number of callers.
+	// LoadGenerator runs a number of callers that send requests at a given total rate.
 	LoadGenerator struct {
 		config      Config
 		client      *http.Client
 		mu          sync.Mutex
-		results     Report
+		report      Report
 		latencies   []time.Duration
 		lookups     map[lookupKey]cachedLookup
 		lastBooking int
 	}
 
-	// lookupKey is one caller's answer for one service.
+	// lookupKey identifies the lookup answer of one caller for one service.
 	lookupKey struct {
 		caller  int
 		service string
 	}
 
+	// cachedLookup is a lookup answer and its expiry.
 	cachedLookup struct {
 		proxies   []netip.AddrPort
 		expiresAt time.Time
 	}
 
+	// reply is a response of a proxy.
 	reply struct {
 		outcome    caller.Outcome
 		reason     string
@@ -93,77 +95,77 @@
 	}
 )
 
-// NewLoadGenerator makes callers.
-func NewLoadGenerator(p Config) *LoadGenerator {
+// NewLoadGenerator returns a load generator that has sent no requests yet.
+func NewLoadGenerator(c Config) *LoadGenerator {
 	return &LoadGenerator{
-		config: p,
+		config: c,
 		client: &http.Client{
-			Timeout:   cmp.Or(p.Timeout, requestTimeout),
-			Transport: &http.Transport{MaxIdleConnsPerHost: p.Callers, IdleConnTimeout: time.Minute},
+			Timeout:   cmp.Or(c.Timeout, requestTimeout),
+			Transport: &http.Transport{MaxIdleConnsPerHost: c.Callers, IdleConnTimeout: time.Minute},
 		},
 		lookups: make(map[lookupKey]cachedLookup),
-		results: Report{Outcomes: make(map[string]int), Reasons: make(map[string]int)},
+		report:  Report{Outcomes: make(map[string]int), Reasons: make(map[string]int)},
 	}
 }
 
-// Run makes the load until its span is over and returns the report.
-func (f *LoadGenerator) Run(ctx context.Context) Report {
-	ctx, cancel := context.WithTimeout(ctx, f.config.Duration)
+// Run generates load for the configured duration and returns the report.
+func (g *LoadGenerator) Run(ctx context.Context) Report {
+	ctx, cancel := context.WithTimeout(ctx, g.config.Duration)
 	defer cancel()
-	var group sync.WaitGroup
-	for id := range f.config.Callers {
-		group.Go(func() { f.runCaller(ctx, id) })
+	var callers sync.WaitGroup
+	for id := range g.config.Callers {
+		callers.Go(func() { g.runCaller(ctx, id) })
 	}
-	group.Wait()
-	return f.report()
+	callers.Wait()
+	return g.finishReport()
 }
 
-// runCaller sends requests at its part of the rate with exponential gaps.
-func (f *LoadGenerator) runCaller(ctx context.Context, id int) {
-	mean := float64(f.config.Callers) / f.config.Rate
+// runCaller sends requests at one caller's part of the rate, with exponentially distributed gaps.
+func (g *LoadGenerator) runCaller(ctx context.Context, id int) {
+	meanGap := float64(g.config.Callers) / g.config.Rate
 	for {
-		gap := time.Duration(rand.ExpFloat64() * mean * float64(time.Second))
+		gap := time.Duration(rand.ExpFloat64() * meanGap * float64(time.Second))
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(gap):
 		}
-		if rand.IntN(1000) < f.config.BookingPermille {
-			f.book(id)
+		if rand.IntN(1000) < g.config.BookingPermille {
+			g.book(id)
 		} else {
-			f.browse(id)
+			g.browse(id)
 		}
 	}
 }
 
-func (f *LoadGenerator) browse(id int) {
-	service := f.config.BrowseServices[rand.IntN(len(f.config.BrowseServices))]
+func (g *LoadGenerator) browse(id int) {
+	service := g.config.BrowseServices[rand.IntN(len(g.config.BrowseServices))]
 	path := "/item/" + strconv.Itoa(rand.IntN(1_000_000))
 	startedAt := time.Now()
-	r, err := f.send(id, http.MethodGet, service, path, "", "")
-	f.recordResult(r, err, time.Since(startedAt), http.MethodGet, path)
+	r, err := g.send(id, http.MethodGet, service, path, "", "")
+	g.recordResult(r, err, time.Since(startedAt), http.MethodGet, path)
 }
 
-// book sends one non-idempotent request and repeats it with the same token
-// until its outcome is final: done, or not run with a token that can no longer
-// be used, after which a fresh one is safe.
-func (f *LoadGenerator) book(id int) {
-	f.mu.Lock()
-	f.lastBooking++
-	key := f.config.KeyPrefix + "-" + strconv.Itoa(f.lastBooking)
-	f.mu.Unlock()
+// book sends one non-idempotent request and retries it with the same token until its outcome is
+// final: done, or not run with a token that can no longer be used. In the latter case it is safe to
+// retry with a new token.
+func (g *LoadGenerator) book(id int) {
+	g.mu.Lock()
+	g.lastBooking++
+	key := g.config.KeyPrefix + "-" + strconv.Itoa(g.lastBooking)
+	g.mu.Unlock()
 	path := "/bids/" + key
 	token := ""
 	startedAt := time.Now()
 	for attempt := range maxAttempts {
-		r, err := f.send(id, http.MethodPost, f.config.BookingService, path, token, key)
+		r, err := g.send(id, http.MethodPost, g.config.BookingService, path, token, key)
 		if attempt == 0 || err != nil || r.reason != string(caller.ReasonTokenRequired) {
-			f.recordResult(r, err, time.Since(startedAt), http.MethodPost, path)
+			g.recordResult(r, err, time.Since(startedAt), http.MethodPost, path)
 		}
 		switch {
 		case err != nil:
 		case r.outcome == caller.OutcomeDone:
-			f.updateReport(func(p *Report) { p.BookingsDone++ })
+			g.updateReport(func(p *Report) { p.BookingsDone++ })
 			return
 		case r.token != "":
 			token = r.token
@@ -171,80 +173,82 @@
 		case r.outcome == caller.OutcomeNotRun && caller.Reason(r.reason).GuaranteesNotRun():
 			token = ""
 		case isFinalUnknown(r.reason):
-			f.updateReport(func(p *Report) { p.BookingsUnresolved++ })
+			g.updateReport(func(p *Report) { p.BookingsUnresolved++ })
 			return
 		}
-		f.updateReport(func(p *Report) { p.Retries++ })
+		g.updateReport(func(p *Report) { p.Retries++ })
 		time.Sleep(max(r.retryAfter, minRetryDelay))
 	}
-	f.updateReport(func(p *Report) { p.BookingsUnresolved++ })
+	g.updateReport(func(p *Report) { p.BookingsUnresolved++ })
 }
 
-// isFinalUnknown reports whether nobody will ever know more of a token.
+// isFinalUnknown reports whether the outcome of a token can no longer be determined.
 func isFinalUnknown(reason string) bool {
 	return reason == string(caller.ReasonMinterGone) || reason == string(caller.ReasonTokenRecordExpired)
 }
 
-func (f *LoadGenerator) updateReport(change func(*Report)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	change(&f.results)
+func (g *LoadGenerator) updateReport(update func(*Report)) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	update(&g.report)
 }
 
-func (f *LoadGenerator) recordResult(r reply, err error, latency time.Duration, method, path string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// recordResult adds the result of one request to the report.
+func (g *LoadGenerator) recordResult(r reply, err error, latency time.Duration, method, path string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	switch {
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		f.results.Truncated++
-		f.results.Outcomes["broken-off"]++
+		g.report.Truncated++
+		g.report.Outcomes["broken-off"]++
 		return
 	case err != nil:
-		f.results.ConnectionsFailed++
-		f.results.Outcomes["connection-failed"]++
+		g.report.ConnectionsFailed++
+		g.report.Outcomes["connection-failed"]++
 		return
 	}
-	f.results.Outcomes[r.outcome.String()]++
+	g.report.Outcomes[r.outcome.String()]++
 	if r.reason != "" {
-		f.results.Reasons[r.reason]++
+		g.report.Reasons[r.reason]++
 	}
 	if r.outcome != caller.OutcomeDone {
 		return
 	}
-	f.latencies = append(f.latencies, latency)
+	g.latencies = append(g.latencies, latency)
 	if r.status == http.StatusOK && !strings.Contains(r.body, method+" "+path+" ") {
-		f.results.WrongAnswers++
+		g.report.WrongAnswers++
 	}
 }
 
-// send tries the cached proxies in order; the next one only if no connection
-// to the one before could be made.
-func (f *LoadGenerator) send(id int, method, service, path, token, key string) (reply, error) {
-	proxies, err := f.lookup(id, service)
+// send tries the cached proxies in order. It moves on to the next one only if the connection to the
+// previous one was refused.
+func (g *LoadGenerator) send(id int, method, service, path, token, key string) (reply, error) {
+	proxies, err := g.lookup(id, service)
 	if err != nil {
 		return reply{}, err
 	}
 	for _, address := range proxies {
 		var r reply
-		r, err = f.sendTo(method, address, service, path, token, key)
+		r, err = g.sendTo(method, address, service, path, token, key)
 		if err == nil || !strings.Contains(err.Error(), "connection refused") {
 			return r, err
 		}
-		f.invalidateLookup(id, service)
+		g.invalidateLookup(id, service)
 	}
 	return reply{}, err
 }
 
-func (f *LoadGenerator) sendTo(method string, address netip.AddrPort, service, path, token, key string) (reply, error) {
+// sendTo sends one request to one proxy.
+func (g *LoadGenerator) sendTo(method string, address netip.AddrPort, service, path, token, key string) (reply, error) {
 	var body io.Reader
 	if method == http.MethodPost {
 		body = strings.NewReader("bid " + key)
 	}
 	request, err := http.NewRequest(method, fmt.Sprintf("http://%s/services/%s%s", address, service, path), body)
 	if err != nil {
-		return reply{}, errors.Wrap(err, "request")
+		return reply{}, errors.Wrap(err, "create request")
 	}
-	// Without this a POST that broke could be sent again behind our back.
+	// With GetBody set, the HTTP client could resend a POST by itself after a broken connection.
 	request.GetBody = nil
 	if token != "" {
 		request.Header.Set(caller.HeaderToken, token)
@@ -252,14 +256,14 @@
 	if key != "" {
 		request.Header["idempotency-key"] = []string{key}
 	}
-	response, err := f.client.Do(request)
+	response, err := g.client.Do(request)
 	if err != nil {
-		return reply{}, errors.Wrap(err, "send")
+		return reply{}, errors.Wrap(err, "send request")
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		return reply{}, errors.Wrap(err, "read")
+		return reply{}, errors.Wrap(err, "read response")
 	}
 	outcome, _ := caller.ParseOutcome(response.Header.Get(caller.HeaderOutcome))
 	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After"))
@@ -273,69 +277,73 @@
 	}, nil
 }
 
-func (f *LoadGenerator) invalidateLookup(id int, service string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.lookups, lookupKey{id, service})
+func (g *LoadGenerator) invalidateLookup(id int, service string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.lookups, lookupKey{id, service})
 }
 
-func (f *LoadGenerator) lookup(id int, service string) ([]netip.AddrPort, error) {
-	f.mu.Lock()
-	c, ok := f.lookups[lookupKey{id, service}]
-	f.mu.Unlock()
-	if ok && time.Now().Before(c.expiresAt) {
-		return c.proxies, nil
+// lookup returns the proxies for a service from the cache or, if the answer has expired, from the
+// first seed in random order that answers.
+func (g *LoadGenerator) lookup(id int, service string) ([]netip.AddrPort, error) {
+	g.mu.Lock()
+	cached, ok := g.lookups[lookupKey{id, service}]
+	g.mu.Unlock()
+	if ok && time.Now().Before(cached.expiresAt) {
+		return cached.proxies, nil
 	}
-	seeds := append([]netip.AddrPort(nil), f.config.Seeds...)
+	seeds := append([]netip.AddrPort(nil), g.config.Seeds...)
 	rand.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
-	var last error
+	var lastErr error
 	for _, seed := range seeds {
-		fresh, err := f.fetchLookup(id, seed, service)
+		fresh, err := g.fetchLookup(id, seed, service)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		f.mu.Lock()
-		f.lookups[lookupKey{id, service}] = fresh
-		f.mu.Unlock()
+		g.mu.Lock()
+		g.lookups[lookupKey{id, service}] = fresh
+		g.mu.Unlock()
 		return fresh.proxies, nil
 	}
-	return nil, errors.Wrap(last, "lookup")
+	return nil, errors.Wrap(lastErr, "lookup")
 }
 
-func (f *LoadGenerator) fetchLookup(id int, seed netip.AddrPort, service string) (cachedLookup, error) {
-	response, err := f.client.Get(fmt.Sprintf("http://%s/v1/lookup?service=%s&client=127.0.%d.%d", seed, service, id>>8, id&255))
+// fetchLookup asks a seed for the proxies of a service. Each caller has a client address of its own.
+func (g *LoadGenerator) fetchLookup(id int, seed netip.AddrPort, service string) (cachedLookup, error) {
+	response, err := g.client.Get(fmt.Sprintf("http://%s/v1/lookup?service=%s&client=127.0.%d.%d", seed, service, id>>8, id&255))
 	if err != nil {
 		return cachedLookup{}, errors.Wrap(err, "lookup")
 	}
 	defer func() { _ = response.Body.Close() }()
-	var answer struct {
+	var body struct {
 		Proxies []struct {
 			Address netip.AddrPort `json:"address"`
 		} `json:"proxies"`
 		Lifetime string `json:"lifetime"`
 	}
-	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || len(answer.Proxies) == 0 {
+	if err := json.NewDecoder(response.Body).Decode(&body); err != nil || len(body.Proxies) == 0 {
 		return cachedLookup{}, errors.Errorf("lookup: status %d", response.StatusCode)
 	}
-	lifetime, _ := time.ParseDuration(answer.Lifetime)
-	c := cachedLookup{expiresAt: time.Now().Add(lifetime)}
-	for _, p := range answer.Proxies {
+	ttl, _ := time.ParseDuration(body.Lifetime)
+	c := cachedLookup{expiresAt: time.Now().Add(ttl)}
+	for _, p := range body.Proxies {
 		c.proxies = append(c.proxies, p.Address)
 	}
 	return c, nil
 }
 
-func (f *LoadGenerator) report() Report {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	sort.Slice(f.latencies, func(i, j int) bool { return f.latencies[i] < f.latencies[j] })
+// finishReport fills in the latency quantiles and returns the report.
+func (g *LoadGenerator) finishReport() Report {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	sort.Slice(g.latencies, func(i, j int) bool { return g.latencies[i] < g.latencies[j] })
 	quantileMillis := func(q float64) float64 {
-		if len(f.latencies) == 0 {
+		if len(g.latencies) == 0 {
 			return 0
 		}
-		return float64(f.latencies[int(q*float64(len(f.latencies)-1))].Microseconds()) / 1000
+		return float64(g.latencies[int(q*float64(len(g.latencies)-1))].Microseconds()) / 1000
 	}
-	f.results.P50, f.results.P99, f.results.P999, f.results.Max = quantileMillis(0.5), quantileMillis(0.99), quantileMillis(0.999), quantileMillis(1)
-	return f.results
+	g.report.P50, g.report.P99, g.report.P999, g.report.Max = quantileMillis(0.5), quantileMillis(0.99), quantileMillis(0.999), quantileMillis(1)
+	return g.report
 }
--- a/internal/fake/kvfake/server.go
+++ b/internal/fake/kvfake/server.go
@@ -16,18 +16,18 @@
 )
 
 type (
-	// Faults are the failures in force. Durations count from now.
+	// Faults are the failures to inject.
 	Faults struct {
-		// Outage refuses every call for this long.
+		// Outage is how long from now on every call is rejected.
 		Outage time.Duration `json:"outage"`
-		// Delay delays every call by this much.
+		// Delay is added to every call.
 		Delay time.Duration `json:"slow"`
-		// DropWriteResponses drops the answers of that many writes after they have
-		// taken effect.
+		// DropWriteResponses is the number of successful writes whose response is dropped after the
+		// write has taken effect.
 		DropWriteResponses int `json:"lose-answers"`
 	}
 
-	// Server serves a Store over HTTP.
+	// Server serves a Store over HTTP and injects faults.
 	Server struct {
 		store           *Store
 		mu              sync.Mutex
@@ -38,25 +38,25 @@
 	}
 )
 
-// NewServer wraps a store.
+// NewServer returns a server for a store.
 func NewServer(s *Store) *Server { return &Server{store: s, calls: make(map[string]int)} }
 
-// Handler routes requests.
+// Handler returns the handler of the service's API and of the endpoints under /control.
 func (s *Server) Handler() http.Handler {
 	router := mux.NewRouter().UseEncodedPath()
 	router.HandleFunc("/v1/keys/{key}", s.withFaults("get", s.get)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/keys/{key}", s.withFaults("swap", s.swap)).Methods(http.MethodPut)
+	router.HandleFunc("/v1/keys/{key}", s.withFaults("swap", s.compareAndSwap)).Methods(http.MethodPut)
 	router.HandleFunc("/v1/keys", s.withFaults("list", s.list)).Methods(http.MethodGet)
 	router.HandleFunc("/v1/machines", s.withFaults("machines", s.machines)).Methods(http.MethodGet)
 	router.HandleFunc("/control/faults", s.setFaults).Methods(http.MethodPost)
 	router.HandleFunc("/control/machines/{name}/{state}", s.setMachine).Methods(http.MethodPost)
 	router.HandleFunc("/control/save", func(http.ResponseWriter, *http.Request) { s.store.Save() }).Methods(http.MethodPost)
 	router.HandleFunc("/control/restore", func(http.ResponseWriter, *http.Request) { s.store.Restore() }).Methods(http.MethodPost)
-	router.HandleFunc("/control/calls", s.getCallCounts).Methods(http.MethodGet)
+	router.HandleFunc("/control/calls", s.writeCallCounts).Methods(http.MethodGet)
 	return router
 }
 
-// withFaults applies the faults in force before a call.
+// withFaults counts a call and applies the current faults before it.
 func (s *Server) withFaults(operation string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
@@ -86,12 +86,13 @@
 	s.responsesToDrop = faults.DropWriteResponses
 }
 
-func (s *Server) getCallCounts(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) writeCallCounts(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(s.calls)
 }
 
+// setMachine changes the state of a VM in the list; the state "gone" removes it.
 func (s *Server) setMachine(_ http.ResponseWriter, r *http.Request) {
 	state := kv.MachineState(mux.Vars(r)["state"])
 	if state == "gone" {
@@ -105,7 +106,8 @@
 	return kv.Key(key)
 }
 
-// get reads a value, or waits until its revision is no longer the given one.
+// get returns a value. With a wait, it blocks until the revision of the value differs from the
+// given one or the wait is over.
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	timeout, _ := time.ParseDuration(r.URL.Query().Get("wait"))
@@ -137,7 +139,8 @@
 	_, _ = w.Write(value.Data)
 }
 
-func (s *Server) swap(w http.ResponseWriter, r *http.Request) {
+// compareAndSwap writes a value if its revision is the expected one.
+func (s *Server) compareAndSwap(w http.ResponseWriter, r *http.Request) {
 	expect, err := strconv.ParseUint(r.Header.Get(kvhttp.HeaderExpectedRevision), 10, 64)
 	data, readErr := io.ReadAll(http.MaxBytesReader(w, r.Body, kvhttp.MaxValueBytes))
 	if err != nil || readErr != nil {
@@ -145,7 +148,7 @@
 		return
 	}
 	revision, ok := s.store.CompareAndSwap(keyOf(r), kv.Revision(expect), data)
-	if ok && s.takeResponseDrop() {
+	if ok && s.shouldDropResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(kvhttp.HeaderRevision, strconv.FormatUint(uint64(revision), 10))
@@ -154,7 +157,8 @@
 	}
 }
 
-func (s *Server) takeResponseDrop() bool {
+// shouldDropResponse reports whether to drop the response of a write, and counts it.
+func (s *Server) shouldDropResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.responsesToDrop == 0 {
@@ -168,6 +172,8 @@
 	_ = json.NewEncoder(w).Encode(s.store.List(kv.Key(r.URL.Query().Get("prefix"))))
 }
 
+// machines returns the list of VMs. With a wait, it blocks until the version of the list differs from
+// the given one or the wait is over.
 func (s *Server) machines(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	timeout, _ := time.ParseDuration(r.URL.Query().Get("wait"))
--- a/internal/fake/kvfake/store.go
+++ b/internal/fake/kvfake/store.go
@@ -1,5 +1,5 @@
-// Package kvfake stands in for the platform: a key-value service with
-// compare-and-swap and watches, a lagging list of VMs, and failures on command.
+// Package kvfake provides a fake platform: a key-value service with compare-and-swap and watches, a
+// list of VMs that lags behind, and configurable failures.
 package kvfake
 
 import (
@@ -11,7 +11,7 @@
 )
 
 type (
-	// Store is the service's state.
+	// Store holds the values and the list of VMs.
 	Store struct {
 		mu       sync.Mutex
 		values   map[kv.Key]kv.Value
@@ -23,18 +23,19 @@
 	}
 )
 
-// NewStore makes an empty store whose list of VMs lags by lag.
+// NewStore returns an empty store whose list of VMs changes only after the given lag.
 func NewStore(lag time.Duration) *Store {
 	return &Store{values: make(map[kv.Key]kv.Value), changed: make(chan struct{}), lag: lag}
 }
 
-// notifyWatchers tells all watchers. It is called with the lock held.
+// notifyWatchers notifies all watchers of a change. The caller must hold the lock.
 func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Get reads a value and the channel that closes at the next change.
+// Get returns a value, whether it exists, and a channel that is closed at the next change of the
+// store.
 func (s *Store) Get(key kv.Key) (kv.Value, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +43,8 @@
 	return value, ok, s.changed
 }
 
-// CompareAndSwap writes a value at an expected revision.
+// CompareAndSwap writes a value if its revision is the expected one. It returns the revision that
+// is stored then, and whether it wrote the value.
 func (s *Store) CompareAndSwap(key kv.Key, expect kv.Revision, data []byte) (kv.Revision, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +57,7 @@
 	return s.revision, true
 }
 
-// List reads all values under a prefix.
+// List returns all values whose key has the given prefix.
 func (s *Store) List(prefix kv.Key) map[kv.Key]kv.Value {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +70,7 @@
 	return found
 }
 
-// Save keeps a copy of all values, for Restore.
+// Save takes a snapshot of all values for Restore.
 func (s *Store) Save() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +80,8 @@
 	}
 }
 
-// Restore puts the saved values back, as an operator would from a backup.
+// Restore replaces the values by those of the snapshot under new revisions, as an operator does
+// from a backup.
 func (s *Store) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +94,7 @@
 	s.notifyWatchers()
 }
 
-// Machines reads the list of VMs and the channel that closes at a change.
+// Machines returns the list of VMs and a channel that is closed at the next change of the store.
 func (s *Store) Machines() (kv.MachineList, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +103,7 @@
 	return list, s.changed
 }
 
-// SetMachine changes the list after the lag. An empty state removes the VM.
+// SetMachine sets the state of a VM after the lag. An empty state removes the VM from the list.
 func (s *Store) SetMachine(name string, state kv.MachineState) {
 	time.AfterFunc(s.lag, func() { s.setMachineNow(name, state) })
 }
--- a/internal/fake/ports/ports.go
+++ b/internal/fake/ports/ports.go
@@ -1,7 +1,6 @@
-// Package ports finds loopback ports for processes that a test starts. They
-// lie below the range from which the system numbers outgoing connections, so
-// that no connection can take one between the search and the process's start,
-// and each test process begins its search elsewhere.
+// Package ports finds free loopback ports for processes that a test starts. The ports lie below the
+// ephemeral range of the system, so that no outgoing connection can take one between the search and
+// the start of the process. Each test process starts its search at a different port.
 package ports
 
 import (
@@ -16,7 +15,7 @@
 const (
 	firstPort = 22000
 	endPort   = 32000
-	// pidStride spreads the test processes, whose ids are mostly neighbours.
+	// pidStride spreads the start ports of test processes, whose process IDs are mostly adjacent.
 	pidStride = 397
 )
 
@@ -25,8 +24,8 @@
 	nextPort = firstPort + os.Getpid()*pidStride%(endPort-firstPort)
 )
 
-// Free finds a number of ports that nobody listens on and that this process
-// has not been given before.
+// Free returns n addresses with ports that nobody listens on and that this process has not returned
+// before.
 func Free(n int) ([]netip.AddrPort, error) {
 	mu.Lock()
 	defer mu.Unlock()
@@ -52,5 +51,5 @@
 	if len(list) == n {
 		return list, nil
 	}
-	return nil, errors.Errorf("%d free ports wanted, %d found", n, len(list))
+	return nil, errors.Errorf("need %d free ports, found %d", n, len(list))
 }
--- a/internal/fake/schedule/schedule.go
+++ b/internal/fake/schedule/schedule.go
@@ -1,4 +1,4 @@
-// Package schedule runs functions in virtual time, in the order of their moments.
+// Package schedule runs functions in virtual time, ordered by the time they are scheduled for.
 package schedule
 
 import (
@@ -7,7 +7,8 @@
 )
 
 type (
-	// Schedule is what is still to run. The zero value is at the beginning of time.
+	// Schedule is a queue of scheduled functions with a virtual clock. The zero value is an empty
+	// queue at time zero.
 	Schedule struct {
 		Now          time.Duration
 		queue        events
@@ -23,14 +24,14 @@
 	events []event
 )
 
-// After runs a function some time from now. Functions of the same moment run in the order
+// After schedules a function after a delay. Functions scheduled for the same time run in the order
 // in which they were added.
 func (s *Schedule) After(delay time.Duration, run func()) {
 	s.lastSequence++
 	heap.Push(&s.queue, event{at: s.Now + delay, sequence: s.lastSequence, run: run})
 }
 
-// RunNext runs the next function, and reports false if there is none.
+// RunNext advances the clock to the next function and runs it. It reports false if there is none.
 func (s *Schedule) RunNext() bool {
 	if len(s.queue) == 0 {
 		return false
--- a/internal/fake/seeds/seeds.go
+++ b/internal/fake/seeds/seeds.go
@@ -1,20 +1,20 @@
-// Package seeds makes randomised tests give the same verdict every time.
+// Package seeds makes randomised tests reproducible.
 package seeds
 
 import (
 	"flag"
 )
 
-// SetRapidDefaults sets the randomised tests' flags that the command line leaves open: a
-// fixed seed, no files of failures, and little time for shrinking. Fresh seeds
-// are for `make soak` and for -rapid.seed by hand.
-func SetRapidDefaults(checks string) {
+// SetRapidDefaults sets the flags of the rapid library that the command line does not set: a fixed
+// seed, the number of checks, no failure files, and a short time for shrinking. `make soak` and
+// -rapid.seed run with other seeds.
+func SetRapidDefaults(checkCount string) {
 	flag.Parse()
 	setByUser := make(map[string]bool)
 	flag.Visit(func(f *flag.Flag) { setByUser[f.Name] = true })
 	for name, value := range map[string]string{
 		"rapid.seed":       "20261202",
-		"rapid.checks":     checks,
+		"rapid.checks":     checkCount,
 		"rapid.nofailfile": "true",
 		"rapid.shrinktime": "5s",
 	} {
