--- a/internal/fake/simnet/ideal.go
+++ b/internal/fake/simnet/ideal.go
@@ -22,7 +22,7 @@
 )
 
 // RunIdealScheduler simulates the given span after the warm-up with one queue per service and
-// region, using the same arrivals and service times as a run of Sim.
+// region. Arrivals and service times are drawn from the same distributions as in a run of Sim.
 func RunIdealScheduler(c Config, span time.Duration) *IdealResult {
 	r := rand.New(rand.NewPCG(c.Seed, 1))
 	result := &IdealResult{}
