--- a/cmd/gypsumquay-bench/events.go
+++ b/cmd/gypsumquay-bench/events.go
@@ -35,7 +35,7 @@
 )
 
 func (a *benchArguments) measureEvents(name string, c simnet.Config) eventRow {
-	c.Warm = a.Warm
+	c.WarmUp = a.Warm
 	r := eventRow{Deployment: name}
 	r.LostSeconds, r.LostUsed = a.measureRegionLoss(c)
 	var force, drain, stop []float64
@@ -57,12 +57,12 @@
 	c.Seed = a.Seed
 	c.Load = slotLoad(c, regionLossLoad)
 	s := simnet.New(c)
-	s.Run(c.Warm)
+	s.Run(c.WarmUp)
 	lostAt := s.Now()
-	s.LoseRegion(c.Bundle.Regions[0].Name, true)
+	s.SetRegionDown(c.Bundle.Regions[0].Name, true)
 	s.Run(2 * a.Span)
 	callers := s.Callers()
-	return recoverySeconds(callers.Done[0], callers.Failed[0], lostAt, s.Now()), s.Checks().Used
+	return recoverySeconds(callers.DoneAt[0], callers.FailedAt[0], lostAt, s.Now()), s.Checks().PeakUtilization
 }
 
 // recoverySeconds returns the time after which every bucket reaches minServedShare.
@@ -91,22 +91,22 @@
 // measureDrainAndStop measures at half load how long the drain of a backend server by a bundle and
 // the planned stop of a proxy take.
 func (a *benchArguments) measureDrainAndStop(c simnet.Config, seed uint64) (force, drain, stop float64) {
-	config := c.Small()
+	config := c.ScaledDown()
 	config.Seed = seed
 	config.Load = slotLoad(config, 50)
 	s := simnet.New(config)
-	s.Run(config.Warm)
+	s.Run(config.WarmUp)
 	target := config.Bundle.Services[1].Servers[0].Name
 	start := s.Now()
 	s.Inject(simnet.Fault{Kind: "drain-server", Target: target})
 	s.Run(3 * time.Second)
-	if n := len(s.Checks().InForce); n > 0 {
-		force = s.Checks().InForce[n-1].Seconds()
+	if n := len(s.Checks().RolloutTimes); n > 0 {
+		force = s.Checks().RolloutTimes[n-1].Seconds()
 	}
-	drain = max(0, s.Checks().LastWork[target].Sub(start).Seconds())
+	drain = max(0, s.Checks().LastDispatch[target].Sub(start).Seconds())
 	start = s.Now()
-	s.Inject(simnet.Fault{Kind: "stop-proxy", Target: "1", For: operator.Duration(time.Hour)})
-	for s.Checks().Stopped() == 0 && s.Now().Sub(start) < time.Minute {
+	s.Inject(simnet.Fault{Kind: "stop-proxy", Target: "1", Duration: operator.Duration(time.Hour)})
+	for s.Checks().PlannedStops() == 0 && s.Now().Sub(start) < time.Minute {
 		s.Run(bucketWidth)
 	}
 	return force, drain, s.Now().Sub(start).Seconds()
--- a/cmd/gypsumquay-bench/slopes.go
+++ b/cmd/gypsumquay-bench/slopes.go
@@ -165,7 +165,7 @@
 
 func measureFleet(n int) (fleetRow, error) {
 	row := fleetRow{nodes: n, regions: regionsFor(n)}
-	bundle := simnet.Synthetic(n, row.regions)
+	bundle := simnet.SyntheticBundle(n, row.regions)
 	author, err := operator.NewKeyPair("anna")
 	if err != nil {
 		return row, err
@@ -179,7 +179,7 @@
 	config.Seed = 1
 	config.Load = make([]float64, row.regions)
 	bytes, messages := 0, 0
-	config.Exchanged = func(request, response peer.Exchange) {
+	config.OnExchange = func(request, response peer.Exchange) {
 		bytes += 2 * (peerdrpc.ExchangeSize(request) + peerdrpc.ExchangeSize(response))
 		messages += 4
 	}
@@ -208,17 +208,17 @@
 	bytes = 0
 	cpuBefore = sim.KernelTime
 	for range changesPerRun {
-		sim.Inject(simnet.Fault{Kind: "steer", Target: "region-0", Second: "region-1", Amount: rand.IntN(500)})
+		sim.Inject(simnet.Fault{Kind: "steer", Target: "region-0", SecondTarget: "region-1", Amount: rand.IntN(500)})
 		sim.Run(idleDuration / changesPerRun)
 	}
 	row.changeBytes = max(0, float64(bytes)/nodes-row.idleBytes*seconds) / changesPerRun
 	row.changeCPU = max(0, (sim.KernelTime-cpuBefore).Seconds()/nodes-row.idleCPU*seconds) / changesPerRun
-	row.inForce = longest(sim.Checks().InForce)
+	row.inForce = longest(sim.Checks().RolloutTimes)
 
-	sim.Inject(simnet.Fault{Kind: "steer", Target: "region-0", Second: "region-1", Amount: 7})
-	sim.Kill(sim.FirstRelay())
+	sim.Inject(simnet.Fault{Kind: "steer", Target: "region-0", SecondTarget: "region-1", Amount: 7})
+	sim.KillProxy(sim.FirstRelay())
 	sim.Run(idleDuration)
-	row.inForceRelayDead = sim.Checks().InForce[len(sim.Checks().InForce)-1]
+	row.inForceRelayDead = sim.Checks().RolloutTimes[len(sim.Checks().RolloutTimes)-1]
 	row.bundleBytes = len(sim.Envelope())
 	row.assignmentBytes = sim.AssignmentBytes()
 	return row, nil
--- a/cmd/gypsumquay-bench/soak.go
+++ b/cmd/gypsumquay-bench/soak.go
@@ -72,8 +72,8 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	config = config.Small()
-	scenario := simnet.RandomScenario(config, simnet.DrawFrom(seed))
+	config = config.ScaledDown()
+	scenario := simnet.RandomScenario(config, simnet.SeededDraw(seed))
 	violations := violationsOf(config, scenario)
 	if len(violations) == 0 {
 		return
@@ -91,7 +91,7 @@
 			violations = append(violations, fmt.Sprint(r))
 		}
 	}()
-	return simnet.Play(c, scenario).Checks().Violations()
+	return simnet.RunScenario(c, scenario).Checks().Violations()
 }
 
 func loadConfig(examples string, d simnet.Deployment) (simnet.Config, error) {
--- a/internal/fake/backendfake/server.go
+++ b/internal/fake/backendfake/server.go
@@ -1,6 +1,6 @@
-// Package backendfake stands in for backend servers: slots, a short queue, a
-// service time, cold starts, load reports that lag or lie, and failures on
-// command. It counts how often each request ran.
+// Package backendfake provides fake backend servers with slots, a short queue, a service time, cold
+// starts, lagging load reports and configurable failures. Each counts how often it ran each
+// request.
 package backendfake
 
 import (
@@ -17,76 +17,78 @@
 )
 
 type (
-	// Behaviour is how a server works and fails.
+	// Behaviour configures how a server performs and fails.
 	Behaviour struct {
 		ServiceTime time.Duration `json:"service-time"`
-		// ColdFactor multiplies the service time at the start; it falls to one
-		// over ColdFor.
-		ColdFactor float64       `json:"cold-factor"`
-		ColdFor    time.Duration `json:"cold-for"`
-		// Queue is how many requests wait for a slot before shedding.
-		Queue int `json:"queue"`
-		// ReportLag is how old the reported load is.
+		// ColdStartFactor multiplies the service time after the start; it falls linearly to one
+		// over ColdStartDuration.
+		ColdStartFactor   float64       `json:"cold-factor"`
+		ColdStartDuration time.Duration `json:"cold-for"`
+		// QueueLength is the number of requests that may wait for a slot; further requests are
+		// shed.
+		QueueLength int `json:"queue"`
+		// ReportLag is the age up to which the server keeps reporting an old load.
 		ReportLag time.Duration `json:"report-lag"`
-		// Shed refuses everything, Leaving says so too.
-		Shed    bool `json:"shed"`
+		// ShedAll rejects every request. Leaving reports in the load headers that the server is
+		// leaving.
+		ShedAll bool `json:"shed"`
 		Leaving bool `json:"leaving"`
-		// Truncate breaks that many of a thousand answers off half way.
-		Truncate int `json:"truncate-permille"`
-		// Reset breaks the connection of that many of a thousand requests
-		// after they have run.
-		Reset int `json:"reset-permille"`
+		// TruncatePermille is the share of responses cut off half way, in thousandths.
+		TruncatePermille int `json:"truncate-permille"`
+		// ResetPermille is the share of requests whose connection is reset after they have run, in
+		// thousandths.
+		ResetPermille int `json:"reset-permille"`
 	}
 
-	// Server is one backend server.
+	// Server is one fake backend server.
 	Server struct {
-		name  string
-		slots chan struct{}
-		mu    sync.Mutex
-		b     Behaviour
-		began time.Time
-		busy  int
-		old   int
-		oldAt time.Time
-		stats Stats
-	}
-
-	// Stats is what a server has seen.
+		name         string
+		slots        chan struct{}
+		mu           sync.Mutex
+		behaviour    Behaviour
+		startedAt    time.Time
+		inFlight     int
+		reportedLoad int
+		reportedAt   time.Time
+		stats        Stats
+	}
+
+	// Stats holds the counters of a server.
 	Stats struct {
 		Name string `json:"name"`
-		// Runs counts runs by the caller's own key, or by request id.
-		Runs     map[string]int `json:"runs"`
-		Served   int            `json:"served"`
-		Shed     int            `json:"shed"`
-		Late     int            `json:"refused-after-deadline"`
-		MostBusy int            `json:"most-in-flight"`
-		LastWork time.Time      `json:"last-new-work"`
+		// Runs counts the runs by Idempotency-Key header.
+		Runs         map[string]int `json:"runs"`
+		Served       int            `json:"served"`
+		Shed         int            `json:"shed"`
+		Expired      int            `json:"refused-after-deadline"`
+		MaxInFlight  int            `json:"most-in-flight"`
+		LastAccepted time.Time      `json:"last-new-work"`
 	}
 )
 
-// New makes a server.
+// New returns a server with the given number of slots.
 func New(name string, slots int, b Behaviour) *Server {
 	return &Server{
-		name: name, slots: make(chan struct{}, slots), b: b, began: time.Now(),
+		name: name, slots: make(chan struct{}, slots), behaviour: b, startedAt: time.Now(),
 		stats: Stats{Name: name, Runs: make(map[string]int)},
 	}
 }
 
-// Set replaces the behaviour.
-func (s *Server) Set(b Behaviour) {
+// SetBehaviour replaces the behaviour of the server.
+func (s *Server) SetBehaviour(b Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.b = b
+	s.behaviour = b
 }
 
-// Behaviour reads the behaviour.
+// Behaviour returns the current behaviour.
 func (s *Server) Behaviour() Behaviour {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b
+	return s.behaviour
 }
 
-// Stats reads what the server has seen.
+// Stats returns a copy of the counters.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,73 +103,76 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/health" {
-		s.report(w)
+		s.setLoadHeaders(w)
 		return
 	}
-	b, ok := s.enter(w)
+	b, ok := s.admit(w)
 	if !ok {
 		return
 	}
-	defer s.leave()
+	defer s.release()
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	if s.tooLate(r) {
-		s.refuse(w)
+	if s.isExpired(r) {
+		s.reject(w)
 		return
 	}
-	s.ran(r)
+	s.recordRun(r)
 	time.Sleep(s.serviceTime(b))
-	s.answer(w, r, b, len(body))
+	s.respond(w, r, b, len(body))
 }
 
-// enter admits a request or sheds it before anything ran.
-func (s *Server) enter(w http.ResponseWriter) (Behaviour, bool) {
+// admit counts a request as in flight, or sheds it before any of it has run.
+func (s *Server) admit(w http.ResponseWriter) (Behaviour, bool) {
 	s.mu.Lock()
-	b := s.b
-	full := s.busy >= cap(s.slots)+b.Queue
-	if !b.Shed && !full {
-		s.busy++
-		s.stats.MostBusy = max(s.stats.MostBusy, s.busy)
-		s.stats.LastWork = time.Now()
+	b := s.behaviour
+	full := s.inFlight >= cap(s.slots)+b.QueueLength
+	if !b.ShedAll && !full {
+		s.inFlight++
+		s.stats.MaxInFlight = max(s.stats.MaxInFlight, s.inFlight)
+		s.stats.LastAccepted = time.Now()
 		s.mu.Unlock()
 		return b, true
 	}
 	s.stats.Shed++
 	s.mu.Unlock()
-	s.refuse(w)
+	s.reject(w)
 	return b, false
 }
 
-func (s *Server) leave() {
+func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.busy--
+	s.inFlight--
 }
 
-func (s *Server) refuse(w http.ResponseWriter) {
-	s.report(w)
+// reject responds that the request did not run.
+func (s *Server) reject(w http.ResponseWriter) {
+	s.setLoadHeaders(w)
 	w.Header().Set(caller.HeaderOutcome, caller.OutcomeNotRun.String())
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// tooLate is the guard against a dispatch that was held up in a frozen proxy:
-// past the deadline its caller has been told "unknown" and nobody waits.
-func (s *Server) tooLate(r *http.Request) bool {
+// isExpired reports whether the deadline of a request has passed. It guards against dispatches that
+// were delayed in a frozen proxy: after the deadline the caller has received the outcome "unknown"
+// and no longer waits.
+func (s *Server) isExpired(r *http.Request) bool {
 	micros, err := strconv.ParseInt(r.Header.Get(caller.HeaderDeadline), 10, 64)
 	if err != nil || time.Now().Before(time.UnixMicro(micros)) {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stats.Late++
+	s.stats.Expired++
 	return true
 }
 
-func (s *Server) ran(r *http.Request) {
+// recordRun counts a run of a request.
+func (s *Server) recordRun(r *http.Request) {
 	key := r.Header.Get("Idempotency-Key")
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,45 +182,47 @@
 	}
 }
 
+// serviceTime returns a random duration between half and one and a half times the mean.
 func (s *Server) serviceTime(b Behaviour) time.Duration {
 	factor := 1.0
-	if age := time.Since(s.began); b.ColdFactor > 1 && age < b.ColdFor {
-		factor = b.ColdFactor - (b.ColdFactor-1)*float64(age)/float64(b.ColdFor)
+	if age := time.Since(s.startedAt); b.ColdStartFactor > 1 && age < b.ColdStartDuration {
+		factor = b.ColdStartFactor - (b.ColdStartFactor-1)*float64(age)/float64(b.ColdStartDuration)
 	}
-	spread := 0.5 + rand.Float64()
-	return time.Duration(float64(b.ServiceTime) * factor * spread)
+	jitter := 0.5 + rand.Float64()
+	return time.Duration(float64(b.ServiceTime) * factor * jitter)
 }
 
-// report sets the load header, as old as the behaviour says.
-func (s *Server) report(w http.ResponseWriter) {
+// setLoadHeaders sets the load header, which lags by up to ReportLag, and the leaving header.
+func (s *Server) setLoadHeaders(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := time.Now(); now.Sub(s.oldAt) >= s.b.ReportLag {
-		s.old = s.busy
-		s.oldAt = now
+	if now := time.Now(); now.Sub(s.reportedAt) >= s.behaviour.ReportLag {
+		s.reportedLoad = s.inFlight
+		s.reportedAt = now
 	}
-	w.Header().Set(caller.HeaderLoad, strconv.Itoa(s.old))
-	if s.b.Leaving {
+	w.Header().Set(caller.HeaderLoad, strconv.Itoa(s.reportedLoad))
+	if s.behaviour.Leaving {
 		w.Header().Set(caller.HeaderLeaving, "true")
 	}
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, b Behaviour, received int) {
-	if rand.IntN(1000) < b.Reset {
+// respond writes the response, unless the behaviour resets or truncates this one.
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, b Behaviour, bodyBytes int) {
+	if rand.IntN(1000) < b.ResetPermille {
 		panic(http.ErrAbortHandler)
 	}
-	s.report(w)
-	text := fmt.Sprintf("%s %s %s received %d\n", s.name, r.Method, r.URL.RequestURI(), received)
-	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if rand.IntN(1000) < b.Truncate {
-		_, _ = io.WriteString(w, text[:len(text)/2])
+	s.setLoadHeaders(w)
+	body := fmt.Sprintf("%s %s %s received %d\n", s.name, r.Method, r.URL.RequestURI(), bodyBytes)
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	if rand.IntN(1000) < b.TruncatePermille {
+		_, _ = io.WriteString(w, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = io.WriteString(w, text)
+	_, _ = io.WriteString(w, body)
 }
 
-// Control serves one process's servers: their stats and behaviour.
-func Control(servers map[string]*Server) http.Handler {
+// ControlHandler serves the stats of the given servers and lets clients change their behaviour.
+func ControlHandler(servers map[string]*Server) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
 		all := make([]Stats, 0, len(servers))
@@ -235,7 +242,7 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		s.Set(b)
+		s.SetBehaviour(b)
 	})
 	return mux
 }
--- a/internal/fake/kvfake/server.go
+++ b/internal/fake/kvfake/server.go
@@ -16,56 +16,56 @@
 )
 
 type (
-	// Faults are the failures in force. Durations count from now.
+	// Faults are the failures to inject.
 	Faults struct {
-		// Outage refuses every call for this long.
+		// Outage is how long from now on every call is rejected.
 		Outage time.Duration `json:"outage"`
-		// Slow delays every call by this much.
-		Slow time.Duration `json:"slow"`
-		// LoseAnswers drops the answers of that many writes after they have
-		// taken effect.
-		LoseAnswers int `json:"lose-answers"`
+		// Delay is added to every call.
+		Delay time.Duration `json:"slow"`
+		// DropWriteResponses is the number of successful writes whose response is dropped after the
+		// write has taken effect.
+		DropWriteResponses int `json:"lose-answers"`
 	}
 
-	// Server serves a Store over HTTP.
+	// Server serves a Store over HTTP and injects faults.
 	Server struct {
-		store *Store
-		mu    sync.Mutex
-		until time.Time
-		slow  time.Duration
-		lose  int
-		calls map[string]int
+		store           *Store
+		mu              sync.Mutex
+		outageUntil     time.Time
+		delay           time.Duration
+		responsesToDrop int
+		calls           map[string]int
 	}
 )
 
-// NewServer wraps a store.
+// NewServer returns a server for a store.
 func NewServer(s *Store) *Server { return &Server{store: s, calls: make(map[string]int)} }
 
-// Handler routes requests.
+// Handler returns the handler of the service's API and of the endpoints under /control.
 func (s *Server) Handler() http.Handler {
 	router := mux.NewRouter().UseEncodedPath()
-	router.HandleFunc("/v1/keys/{key}", s.guard("get", s.get)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/keys/{key}", s.guard("swap", s.swap)).Methods(http.MethodPut)
-	router.HandleFunc("/v1/keys", s.guard("list", s.list)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/machines", s.guard("machines", s.machines)).Methods(http.MethodGet)
-	router.HandleFunc("/control/faults", s.faults).Methods(http.MethodPost)
+	router.HandleFunc("/v1/keys/{key}", s.withFaults("get", s.get)).Methods(http.MethodGet)
+	router.HandleFunc("/v1/keys/{key}", s.withFaults("swap", s.compareAndSwap)).Methods(http.MethodPut)
+	router.HandleFunc("/v1/keys", s.withFaults("list", s.list)).Methods(http.MethodGet)
+	router.HandleFunc("/v1/machines", s.withFaults("machines", s.machines)).Methods(http.MethodGet)
+	router.HandleFunc("/control/faults", s.setFaults).Methods(http.MethodPost)
 	router.HandleFunc("/control/machines/{name}/{state}", s.setMachine).Methods(http.MethodPost)
 	router.HandleFunc("/control/save", func(http.ResponseWriter, *http.Request) { s.store.Save() }).Methods(http.MethodPost)
 	router.HandleFunc("/control/restore", func(http.ResponseWriter, *http.Request) { s.store.Restore() }).Methods(http.MethodPost)
-	router.HandleFunc("/control/calls", s.count).Methods(http.MethodGet)
+	router.HandleFunc("/control/calls", s.writeCallCounts).Methods(http.MethodGet)
 	return router
 }
 
-// guard applies the faults in force before a call.
-func (s *Server) guard(operation string, next http.HandlerFunc) http.HandlerFunc {
+// withFaults counts a call and applies the current faults before it.
+func (s *Server) withFaults(operation string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.calls[operation]++
-		out := time.Now().Before(s.until)
-		slow := s.slow
+		outage := time.Now().Before(s.outageUntil)
+		delay := s.delay
 		s.mu.Unlock()
-		time.Sleep(slow)
-		if out {
+		time.Sleep(delay)
+		if outage {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -73,25 +73,26 @@
 	}
 }
 
-func (s *Server) faults(w http.ResponseWriter, r *http.Request) {
-	var f Faults
-	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
+func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
+	var faults Faults
+	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until = time.Now().Add(f.Outage)
-	s.slow = f.Slow
-	s.lose = f.LoseAnswers
+	s.outageUntil = time.Now().Add(faults.Outage)
+	s.delay = faults.Delay
+	s.responsesToDrop = faults.DropWriteResponses
 }
 
-func (s *Server) count(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) writeCallCounts(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(s.calls)
 }
 
+// setMachine changes the state of a VM in the list; the state "gone" removes it.
 func (s *Server) setMachine(_ http.ResponseWriter, r *http.Request) {
 	state := kv.MachineState(mux.Vars(r)["state"])
 	if state == "gone" {
@@ -105,21 +106,22 @@
 	return kv.Key(key)
 }
 
-// get reads a value, or waits until its revision is no longer the given one.
+// get returns a value. With a wait, it blocks until the revision of the value differs from the
+// given one or the wait is over.
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+	timeout, _ := time.ParseDuration(r.URL.Query().Get("wait"))
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for {
 		value, ok, changed := s.store.Get(keyOf(r))
-		if wait == 0 || uint64(value.Revision) != after {
+		if timeout == 0 || uint64(value.Revision) != after {
 			writeValue(w, value, ok)
 			return
 		}
 		select {
 		case <-changed:
-		case <-limit.C:
+		case <-timer.C:
 			writeValue(w, value, ok)
 			return
 		case <-r.Context().Done():
@@ -137,15 +139,16 @@
 	_, _ = w.Write(value.Data)
 }
 
-func (s *Server) swap(w http.ResponseWriter, r *http.Request) {
+// compareAndSwap writes a value if its revision is the expected one.
+func (s *Server) compareAndSwap(w http.ResponseWriter, r *http.Request) {
 	expect, err := strconv.ParseUint(r.Header.Get(kvhttp.HeaderExpectedRevision), 10, 64)
 	data, readErr := io.ReadAll(http.MaxBytesReader(w, r.Body, kvhttp.MaxValueBytes))
 	if err != nil || readErr != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	revision, ok := s.store.Swap(keyOf(r), kv.Revision(expect), data)
-	if ok && s.loseAnswer() {
+	revision, ok := s.store.CompareAndSwap(keyOf(r), kv.Revision(expect), data)
+	if ok && s.shouldDropResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(kvhttp.HeaderRevision, strconv.FormatUint(uint64(revision), 10))
@@ -154,13 +157,14 @@
 	}
 }
 
-func (s *Server) loseAnswer() bool {
+// shouldDropResponse reports whether to drop the response of a write, and counts it.
+func (s *Server) shouldDropResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lose == 0 {
+	if s.responsesToDrop == 0 {
 		return false
 	}
-	s.lose--
+	s.responsesToDrop--
 	return true
 }
 
@@ -168,20 +172,22 @@
 	_ = json.NewEncoder(w).Encode(s.store.List(kv.Key(r.URL.Query().Get("prefix"))))
 }
 
+// machines returns the list of VMs. With a wait, it blocks until the version of the list differs from
+// the given one or the wait is over.
 func (s *Server) machines(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+	timeout, _ := time.ParseDuration(r.URL.Query().Get("wait"))
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for {
 		list, changed := s.store.Machines()
-		if wait == 0 || list.Version != after {
+		if timeout == 0 || list.Version != after {
 			_, _ = w.Write(list.Encode())
 			return
 		}
 		select {
 		case <-changed:
-		case <-limit.C:
+		case <-timer.C:
 			_, _ = w.Write(list.Encode())
 			return
 		case <-r.Context().Done():
--- a/internal/fake/limitnet/simulation.go
+++ b/internal/fake/limitnet/simulation.go
@@ -91,7 +91,7 @@
 		w.addAccount(i, rate)
 	}
 	w.scheduleFaults()
-	for w.Next() && w.Now < warmUp+scenario.For {
+	for w.RunNext() && w.Now < warmUp+scenario.For {
 	}
 	seconds := (warmUp + scenario.For).Seconds() * float64(scenario.Proxies)
 	w.result.ReportRate, w.result.TokenRequestRate = float64(w.reportCount)/seconds, float64(w.tokenRequestCount)/seconds
--- a/internal/fake/ports/ports.go
+++ b/internal/fake/ports/ports.go
@@ -1,7 +1,6 @@
-// Package ports finds loopback ports for processes that a test starts. They
-// lie below the range from which the system numbers outgoing connections, so
-// that no connection can take one between the search and the process's start,
-// and each test process begins its search elsewhere.
+// Package ports finds free loopback ports for processes that a test starts. The ports lie below the
+// ephemeral range of the system, so that no outgoing connection can take one between the search and
+// the start of the process. Each test process starts its search at a different port.
 package ports
 
 import (
@@ -14,31 +13,31 @@
 )
 
 const (
-	first = 22000
-	end   = 32000
-	// stride spreads the test processes, whose ids are mostly neighbours.
-	stride = 397
+	firstPort = 22000
+	endPort   = 32000
+	// pidStride spreads the start ports of test processes, whose process IDs are mostly adjacent.
+	pidStride = 397
 )
 
 var (
-	mu   sync.Mutex
-	next = first + os.Getpid()*stride%(end-first)
+	mu       sync.Mutex
+	nextPort = firstPort + os.Getpid()*pidStride%(endPort-firstPort)
 )
 
-// Free finds a number of ports that nobody listens on and that this process
-// has not been given before.
+// Free returns n addresses with ports that nobody listens on and that this process has not returned
+// before.
 func Free(n int) ([]netip.AddrPort, error) {
 	mu.Lock()
 	defer mu.Unlock()
 	var list []netip.AddrPort
-	for range end - first {
+	for range endPort - firstPort {
 		if len(list) == n {
 			return list, nil
 		}
-		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(next))
-		next++
-		if next >= end {
-			next = first
+		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(nextPort))
+		nextPort++
+		if nextPort >= endPort {
+			nextPort = firstPort
 		}
 		l, err := net.Listen("tcp", address.String())
 		if err != nil {
@@ -52,5 +51,5 @@
 	if len(list) == n {
 		return list, nil
 	}
-	return nil, errors.Errorf("%d free ports wanted, %d found", n, len(list))
+	return nil, errors.Errorf("need %d free ports, found %d", n, len(list))
 }
--- a/internal/fake/schedule/schedule.go
+++ b/internal/fake/schedule/schedule.go
@@ -1,4 +1,4 @@
-// Package schedule runs functions in virtual time, in the order of their moments.
+// Package schedule runs functions in virtual time, ordered by the time they are scheduled for.
 package schedule
 
 import (
@@ -7,44 +7,45 @@
 )
 
 type (
-	// Schedule is what is still to run. The zero value is at the beginning of time.
+	// Schedule is a queue of scheduled functions with a virtual clock. The zero value is an empty
+	// queue at time zero.
 	Schedule struct {
-		Now   time.Duration
-		queue events
-		order int
+		Now          time.Duration
+		queue        events
+		lastSequence int
 	}
 
 	event struct {
-		at    time.Duration
-		order int
-		do    func()
+		at       time.Duration
+		sequence int
+		run      func()
 	}
 
 	events []event
 )
 
-// After runs a function some time from now. Functions of the same moment run in the order
+// After schedules a function after a delay. Functions scheduled for the same time run in the order
 // in which they were added.
-func (s *Schedule) After(d time.Duration, do func()) {
-	s.order++
-	heap.Push(&s.queue, event{at: s.Now + d, order: s.order, do: do})
+func (s *Schedule) After(delay time.Duration, run func()) {
+	s.lastSequence++
+	heap.Push(&s.queue, event{at: s.Now + delay, sequence: s.lastSequence, run: run})
 }
 
-// Next runs the next function, and reports false if there is none.
-func (s *Schedule) Next() bool {
+// RunNext advances the clock to the next function and runs it. It reports false if there is none.
+func (s *Schedule) RunNext() bool {
 	if len(s.queue) == 0 {
 		return false
 	}
 	e := heap.Pop(&s.queue).(event)
 	s.Now = e.at
-	e.do()
+	e.run()
 	return true
 }
 
 func (e events) Len() int      { return len(e) }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 
 // Push implements heap.Interface.
--- a/internal/fake/simnet/callers.go
+++ b/internal/fake/simnet/callers.go
@@ -13,57 +13,59 @@
 )
 
 const (
-	// itemsAsked is how many different items callers ask each service for.
-	itemsAsked = 50
-	// deadlyPath ends the server that runs it, deadlyAfter after it has begun, and
-	// deadlyBack later the server is back.
-	deadlyPath  = "/deadly"
-	deadlyAfter = 20 * time.Millisecond
-	deadlyBack  = 2 * time.Second
+	// itemsPerService is the number of different items that callers request from each service.
+	itemsPerService = 50
+	// crashPath is the path of a request that crashes the server: crashDelay after it starts, with
+	// a restart crashRestartDelay later.
+	crashPath         = "/deadly"
+	crashDelay        = 20 * time.Millisecond
+	crashRestartDelay = 2 * time.Second
 
-	groupsPerRegion = 32
-	callerTimeout   = 4 * time.Second
-	repeatPause     = 250 * time.Millisecond
-	repeatsMost     = 60
-	hopelessMost    = 3
+	groupsPerRegion  = 32
+	callerTimeout    = 4 * time.Second
+	minRetryDelay    = 250 * time.Millisecond
+	maxAttempts      = 60
+	maxFinalUnknowns = 3
 )
 
 type (
-	// Callers is everybody who sends requests: per home region some groups
-	// that share one cached look-up answer each.
+	// Callers simulates the callers: per home region, a number of groups that each share one cached
+	// lookup answer.
 	Callers struct {
-		sim    *Sim
-		groups [][]*group
-		serial uint64
-		// Took holds the latency of each done request, by home region.
-		Took      []time.Duration
-		Outcomes  map[caller.Outcome]int
-		Reasons   map[caller.Reason]int
-		Lost      int
-		Booked    int
-		Unsettled int
-		// Done and Failed hold when requests ended, by home region.
-		Done, Failed [][]time.Time
+		sim         *Sim
+		groups      [][]*callerGroup
+		lastBooking uint64
+		// Latencies holds the latency of each request that was done.
+		Latencies          []time.Duration
+		Outcomes           map[caller.Outcome]int
+		Reasons            map[caller.Reason]int
+		ResponsesLost      int
+		BookingsDone       int
+		BookingsUnresolved int
+		// DoneAt and FailedAt hold the completion times of requests by home region.
+		DoneAt, FailedAt [][]time.Time
 	}
 
-	group struct {
-		callers *Callers
-		home    int
-		place   place
-		address netip.Addr
-		proxies []peer.Member
-		until   time.Time
+	// callerGroup is a group of callers with one address and one cached lookup answer.
+	callerGroup struct {
+		callers         *Callers
+		home            int
+		location        location
+		address         netip.Addr
+		proxies         []peer.Member
+		lookupExpiresAt time.Time
 	}
 
+	// booking is a non-idempotent request with its retries.
 	booking struct {
-		group   *group
-		service string
-		key     string
-		token   string
-		tries   int
-		began   time.Time
-		// hopeless counts answers that will not change any more.
-		hopeless int
+		group     *callerGroup
+		service   string
+		key       string
+		token     string
+		attempts  int
+		startedAt time.Time
+		// finalUnknowns counts responses with a reason that repeating the request cannot change.
+		finalUnknowns int
 	}
 )
 
@@ -72,133 +74,137 @@
 		sim:      s,
 		Outcomes: make(map[caller.Outcome]int),
 		Reasons:  make(map[caller.Reason]int),
-		Done:     make([][]time.Time, len(s.config.Bundle.Regions)),
-		Failed:   make([][]time.Time, len(s.config.Bundle.Regions)),
+		DoneAt:   make([][]time.Time, len(s.config.Bundle.Regions)),
+		FailedAt: make([][]time.Time, len(s.config.Bundle.Regions)),
 	}
 	for home, r := range s.config.Bundle.Regions {
-		var list []*group
+		var list []*callerGroup
 		for i := range groupsPerRegion {
-			list = append(list, &group{
-				callers: c,
-				home:    home,
-				place:   place{r.Name, r.Domains[i%len(r.Domains)]},
-				address: netip.AddrFrom4([4]byte{10, byte(10 + home), byte(i), 1}),
+			list = append(list, &callerGroup{
+				callers:  c,
+				home:     home,
+				location: location{r.Name, r.Domains[i%len(r.Domains)]},
+				address:  netip.AddrFrom4([4]byte{10, byte(10 + home), byte(i), 1}),
 			})
 		}
 		c.groups = append(c.groups, list)
-		c.arrive(home)
+		c.scheduleArrival(home)
 	}
 	return c
 }
 
-// arrive makes one request after an exponential gap, and the next.
-func (c *Callers) arrive(home int) {
+// scheduleArrival schedules the next request of a home region after an exponentially distributed
+// gap, which in turn schedules the one after it.
+func (c *Callers) scheduleArrival(home int) {
 	rate := c.sim.config.Load[home]
 	if rate <= 0 {
 		return
 	}
 	gap := time.Duration(c.sim.random.ExpFloat64() / rate * float64(time.Second))
 	c.sim.After(gap, func() {
-		c.arrive(home)
+		c.scheduleArrival(home)
 		g := c.groups[home][c.sim.random.IntN(groupsPerRegion)]
 		b := c.sim.config.Bundle
 		service := b.Services[c.sim.random.IntN(len(b.Services))].Name
-		if c.sim.random.IntN(1000) < c.sim.config.BookShare {
-			c.serial++
-			(&booking{group: g, service: service, key: fmt.Sprint("bid-", c.serial), began: c.sim.now}).try()
+		if c.sim.random.IntN(1000) < c.sim.config.BookingPermille {
+			c.lastBooking++
+			(&booking{group: g, service: service, key: fmt.Sprint("bid-", c.lastBooking), startedAt: c.sim.now}).send()
 			return
 		}
 		g.browse(service)
 	})
 }
 
-// SetLoad changes the requests per second of a home region.
+// SetLoad sets the request rate of a home region, in requests per second.
 func (s *Sim) SetLoad(home int, rate float64) {
 	idle := s.config.Load[home] <= 0
 	s.config.Load[home] = rate
 	if idle {
-		s.callers.arrive(home)
+		s.callers.scheduleArrival(home)
 	}
 }
 
-func (g *group) browse(service string) {
-	began := g.callers.sim.now
-	key := fmt.Sprint("get-", g.callers.sim.serial)
-	item := quarantine.NewFingerprint("GET", service, fmt.Sprint("/item/", g.callers.sim.serial%itemsAsked), "", nil)
+func (g *callerGroup) browse(service string) {
+	startedAt := g.callers.sim.now
+	key := fmt.Sprint("get-", g.callers.sim.lastID)
+	item := quarantine.NewFingerprint("GET", service, fmt.Sprint("/item/", g.callers.sim.lastID%itemsPerService), "", nil)
 	r := core.Request{Service: service, Method: "GET", Path: "/item", Client: g.address, Work: item}
 	g.send(r, key, func(result caller.Result, _ string, ok bool) {
-		g.callers.note(g, began, result, ok, key)
+		g.callers.recordResult(g, startedAt, result, ok, key)
 	})
 }
 
-// askDeadly asks a service for what ends the server that runs it.
-func (c *Callers) askDeadly(service string) {
-	list := c.groups[c.sim.random.IntN(len(c.groups))]
+// sendCrashingRequest sends a service a request that crashes the server that runs it.
+func (c *Callers) sendCrashingRequest(service string) {
+	groups := c.groups[c.sim.random.IntN(len(c.groups))]
 	r := core.Request{
-		Service: service, Method: "GET", Path: deadlyPath, Client: list[c.sim.random.IntN(len(list))].address,
-		Work: quarantine.NewFingerprint("GET", service, deadlyPath, "", nil),
+		Service: service, Method: "GET", Path: crashPath, Client: groups[c.sim.random.IntN(len(groups))].address,
+		Work: quarantine.NewFingerprint("GET", service, crashPath, "", nil),
 	}
-	list[c.sim.random.IntN(len(list))].send(r, deadlyPath, func(caller.Result, string, bool) {})
+	groups[c.sim.random.IntN(len(groups))].send(r, crashPath, func(caller.Result, string, bool) {})
 }
 
-// try sends the booking with its token. It repeats until the outcome is final,
-// with the same token, or a fresh one once that can never run.
-func (b *booking) try() {
+// send sends the booking with its current token and retries until the outcome is final. A retry
+// uses the same token, or a new one once the old token can never run.
+func (b *booking) send() {
 	c := b.group.callers
-	b.tries++
+	b.attempts++
 	r := core.Request{Service: b.service, Method: "POST", Path: "/book", Client: b.group.address, Token: b.token}
-	sent := c.sim.now
+	sentAt := c.sim.now
 	b.group.send(r, b.key, func(result caller.Result, token string, ok bool) {
 		if result.Reason != caller.ReasonTokenRequired || !ok {
-			c.note(b.group, sent, result, ok, b.key)
+			c.recordResult(b.group, sentAt, result, ok, b.key)
 		}
 		switch {
 		case ok && result.Outcome == caller.OutcomeDone:
-			c.Booked++
-			c.sim.checks.booked(b.key)
+			c.BookingsDone++
+			c.sim.checks.checkBookingRan(b.key)
 			return
 		case ok && token != "":
 			b.token = token
-			b.try()
+			b.send()
 			return
 		case ok && result.Outcome == caller.OutcomeNotRun && result.Reason.GuaranteesNotRun():
 			b.token = ""
-		case ok && final(result.Reason):
-			// Nobody can say. A caller asks a few times all the same, then a
-			// person has to look.
-			b.hopeless++
-			if b.hopeless >= hopelessMost {
-				c.unsettled()
+		case ok && isFinalUnknown(result.Reason):
+			// The outcome can no longer be determined. A caller retries a few times all the same;
+			// after that, the booking has to be resolved by hand.
+			b.finalUnknowns++
+			if b.finalUnknowns >= maxFinalUnknowns {
+				c.recordUnresolvedBooking()
 				return
 			}
 		}
-		if b.tries >= repeatsMost {
-			c.unsettled()
+		if b.attempts >= maxAttempts {
+			c.recordUnresolvedBooking()
 			return
 		}
-		c.sim.After(max(result.RetryAfter, repeatPause), b.try)
+		c.sim.After(max(result.RetryAfter, minRetryDelay), b.send)
 	})
 }
 
-func (c *Callers) unsettled() {
-	if !c.sim.now.Before(c.sim.checks.from) {
-		c.Unsettled++
+// recordUnresolvedBooking counts a booking that the caller gave up on, once measuring has begun.
+func (c *Callers) recordUnresolvedBooking() {
+	if !c.sim.now.Before(c.sim.checks.measureFrom) {
+		c.BookingsUnresolved++
 	}
 }
 
-func final(r caller.Reason) bool {
+// isFinalUnknown reports whether the outcome stays unknown however often the request is repeated.
+func isFinalUnknown(r caller.Reason) bool {
 	return r == caller.ReasonMinterGone || r == caller.ReasonTokenRecordExpired || r == caller.ReasonConnectionLost
 }
 
-func (c *Callers) note(g *group, began time.Time, result caller.Result, ok bool, key string) {
-	if c.sim.now.Before(c.sim.checks.from) {
+// recordResult records the result of one request and checks that the response belongs to it.
+func (c *Callers) recordResult(g *callerGroup, startedAt time.Time, result caller.Result, ok bool, key string) {
+	if c.sim.now.Before(c.sim.checks.measureFrom) {
 		return
 	}
 	if !ok || result.Outcome != caller.OutcomeDone {
-		c.Failed[g.home] = append(c.Failed[g.home], c.sim.now)
+		c.FailedAt[g.home] = append(c.FailedAt[g.home], c.sim.now)
 	}
 	if !ok {
-		c.Lost++
+		c.ResponsesLost++
 		return
 	}
 	c.Outcomes[result.Outcome]++
@@ -209,93 +215,96 @@
 		return
 	}
 	if result.Response != nil && string(result.Response.Body) != key {
-		c.sim.checks.violate("caller of %s got the answer of %s", key, result.Response.Body)
+		c.sim.checks.violate("caller of %s received the response to %s", key, result.Response.Body)
 	}
-	c.Took = append(c.Took, c.sim.now.Sub(began))
-	c.Done[g.home] = append(c.Done[g.home], c.sim.now)
+	c.Latencies = append(c.Latencies, c.sim.now.Sub(startedAt))
+	c.DoneAt[g.home] = append(c.DoneAt[g.home], c.sim.now)
 }
 
-// Quantile is a latency quantile over all done requests.
+// Quantile returns the latency quantile q over all requests that were done.
 func (c *Callers) Quantile(q float64) time.Duration {
-	if len(c.Took) == 0 {
+	if len(c.Latencies) == 0 {
 		return 0
 	}
-	sort.Slice(c.Took, func(i, j int) bool { return c.Took[i] < c.Took[j] })
-	return c.Took[int(q*float64(len(c.Took)-1))]
+	sort.Slice(c.Latencies, func(i, j int) bool { return c.Latencies[i] < c.Latencies[j] })
+	return c.Latencies[int(q*float64(len(c.Latencies)-1))]
 }
 
-// lookup refreshes the cached answer through any proxy that answers.
-func (g *group) lookup(service string) bool {
+// lookup refreshes the cached lookup answer from the first available proxy, starting at a random
+// one, and reports whether there is a valid answer.
+func (g *callerGroup) lookup(service string) bool {
 	s := g.callers.sim
-	if s.now.Before(g.until) && len(g.proxies) > 0 {
+	if s.now.Before(g.lookupExpiresAt) && len(g.proxies) > 0 {
 		return true
 	}
 	offset := s.random.IntN(len(s.proxies))
 	for i := range s.proxies {
 		p := s.proxies[(offset+i)%len(s.proxies)]
-		if !p.alive || p.frozen || !p.serving {
+		if !p.alive || p.frozen || !p.acceptsConnections {
 			continue
 		}
 		if answer, ok := p.kernel.Lookup(p.now(), service, g.address); ok {
 			g.proxies = answer.Proxies
-			g.until = s.now.Add(answer.TTL)
+			g.lookupExpiresAt = s.now.Add(answer.TTL)
 			return true
 		}
 	}
 	return false
 }
 
-// send passes a request to the first cached proxy that takes connections. ok
-// is false when the answer was lost.
-func (g *group) send(r core.Request, key string, done func(caller.Result, string, bool)) {
+// send sends a request to the first cached proxy that accepts connections. The ok argument of done
+// is false if the response was lost.
+func (g *callerGroup) send(r core.Request, key string, done func(caller.Result, string, bool)) {
 	s := g.callers.sim
 	if !g.lookup(r.Service) {
-		s.After(repeatPause, func() { done(caller.Result{}, "", false) })
+		s.After(minRetryDelay, func() { done(caller.Result{}, "", false) })
 		return
 	}
-	g.sendTo(g.proxies, r, key, done)
+	g.sendToFirst(g.proxies, r, key, done)
 }
 
-func (g *group) sendTo(list []peer.Member, r core.Request, key string, done func(caller.Result, string, bool)) {
+// sendToFirst sends a request to the first of the proxies; if it refuses the connection, the next
+// one is tried.
+func (g *callerGroup) sendToFirst(proxies []peer.Member, r core.Request, key string, done func(caller.Result, string, bool)) {
 	s := g.callers.sim
-	if len(list) == 0 {
-		g.until = time.Time{}
-		s.After(repeatPause, func() { done(caller.Result{}, "", false) })
+	if len(proxies) == 0 {
+		g.lookupExpiresAt = time.Time{}
+		s.After(minRetryDelay, func() { done(caller.Result{}, "", false) })
 		return
 	}
-	p := s.byAddress(list[0].Address)
-	there := s.config.Net.Client
-	if p.place.region != g.place.region {
-		there += s.config.Net.Regions
+	p := s.proxyByAddress(proxies[0].Address)
+	oneWay := s.config.Net.Client
+	if p.location.region != g.location.region {
+		oneWay += s.config.Net.BetweenRegions
 	}
-	settled := false
-	settle := func(result caller.Result, token string, ok bool) {
-		if !settled {
-			settled = true
+	finished := false
+	finish := func(result caller.Result, token string, ok bool) {
+		if !finished {
+			finished = true
 			done(result, token, ok)
 		}
 	}
-	s.After(there, func() {
-		if !p.alive || !p.serving {
-			g.until = time.Time{}
-			s.After(there, func() {
-				if !settled {
-					settled = true
-					g.sendTo(list[1:], r, key, done)
+	s.After(oneWay, func() {
+		if !p.alive || !p.acceptsConnections {
+			g.lookupExpiresAt = time.Time{}
+			s.After(oneWay, func() {
+				if !finished {
+					finished = true
+					g.sendToFirst(proxies[1:], r, key, done)
 				}
 			})
 			return
 		}
-		s.serial++
-		id := s.serial
-		p.open[id] = func() { s.After(there, func() { settle(caller.Result{}, "", false) }) }
-		p.do(p.life, func() {
-			p.serve(request{Request: r, send: id, key: key, reply: func(result caller.Result, token string) {
-				delete(p.open, id)
-				s.checks.told(id, key, result)
-				s.After(there, func() { settle(result, token, true) })
+		s.lastID++
+		id := s.lastID
+		p.openConnections[id] = func() { s.After(oneWay, func() { finish(caller.Result{}, "", false) }) }
+		p.runInProcess(p.incarnation, func() {
+			p.serve(request{Request: r, sendID: id, key: key, respond: func(result caller.Result, token string) {
+				delete(p.openConnections, id)
+				s.checks.recordResult(id, key, result)
+				s.After(oneWay, func() { finish(result, token, true) })
 			}})
 		})
 	})
-	s.After(callerTimeout, func() { settle(caller.Result{}, "", false) })
+	s.After(callerTimeout, func() { finish(caller.Result{}, "", false) })
 }
--- a/internal/fake/simnet/checks.go
+++ b/internal/fake/simnet/checks.go
@@ -10,194 +10,201 @@
 )
 
 const (
-	// leavingGrace is how long after the start of a drain new work may still
-	// come: the spread of the bundle and one look-up of the clock.
-	leavingGrace = 3 * time.Second
-	// capacityGrace is how long admissions under an older bundle still count.
-	capacityGrace = peer.WindowLength + 100*time.Millisecond
-	// maxViolations bounds what a broken run prints.
+	// drainGracePeriod is how long after the start of a drain a server may still receive new
+	// requests: the time for the bundle to propagate plus one check of the clock.
+	drainGracePeriod = 3 * time.Second
+	// capacityGracePeriod is how long requests admitted under an older bundle still count.
+	capacityGracePeriod = peer.WindowLength + 100*time.Millisecond
+	// maxViolations limits the output of a failed run.
 	maxViolations = 20
-	maxNotes      = 200
+	maxLogEntries = 200
 )
 
 type (
-	// Checks asserts the promises while a run goes on, and measures.
+	// Checks verifies the guarantees of the system during a run and collects measurements.
 	Checks struct {
-		sim        *Sim
-		from       time.Time
-		violations []string
-		notes      []string
-		runs       map[string]int
-		sendRan    map[uint64]bool
-		sendNotRun map[uint64]string
-		windows    map[string]*peer.SlidingWindow
-		versions   map[string]uint64
-		isolated   map[string]bool
-		live       map[string]bool
-		rollouts   map[uint64]time.Time
-		bundles    map[uint64]*operator.Bundle
-		// oldest is the lowest bundle version in use, past those before it.
-		oldest  uint64
-		past    []pastVersion
-		lostAt  map[string]time.Time
-		resets  int
-		sheds   int
-		late    int
-		stopped int
-		// deadlyEnds are the moments at which deadly requests have ended servers.
-		deadlyEnds []time.Time
-		// limits are those of the servers that name one.
-		limits map[string]*limitCheck
-		// pauses are what servers have asked processes for.
-		pauses map[pauseKey]*pauseCheck
-		// Headroom is the largest share of a region's capacity ever used.
-		Used float64
-		// InForce is the time from each roll-out until all proxies used it.
-		InForce []time.Duration
-		// LastWork is the last dispatch to each backend server.
-		LastWork map[string]time.Time
-		// Dispatched counts dispatches by region and second.
-		Dispatched map[string]map[int64]int
+		sim            *Sim
+		measureFrom    time.Time
+		violations     []string
+		eventLog       []string
+		runsByKey      map[string]int
+		bookingRan     map[uint64]bool
+		notRunReasons  map[uint64]string
+		windows        map[string]*peer.SlidingWindow
+		bundleVersions map[string]uint64
+		isolated       map[string]bool
+		startedServing map[string]bool
+		rolloutStarts  map[uint64]time.Time
+		bundles        map[uint64]*operator.Bundle
+		// oldestVersion is the lowest bundle version in use, pastVersions the previous values of
+		// it.
+		oldestVersion     uint64
+		pastVersions      []pastVersion
+		regionDownSince   map[string]time.Time
+		resetPermille     int
+		shedRequests      int
+		expiredDispatches int
+		plannedStops      int
+		// crashTimes are the times at which a crashing request ended a server.
+		crashTimes []time.Time
+		// serverLimits holds the checks of the servers that announce a request limit.
+		serverLimits map[string]*limitCheck
+		// serverPauses holds the pauses that servers have requested from processes.
+		serverPauses map[pauseKey]*pauseCheck
+		// PeakUtilization is the highest used share of any region's capacity.
+		PeakUtilization float64
+		// RolloutTimes is the time from the start of each rollout until all proxies used the
+		// bundle.
+		RolloutTimes []time.Duration
+		// LastDispatch is the time of the last dispatch to each backend server.
+		LastDispatch map[string]time.Time
+		// DispatchesPerSecond counts dispatches by region and second.
+		DispatchesPerSecond map[string]map[int64]int
 	}
 
+	// pastVersion is a bundle version that was the oldest in use until the given time.
 	pastVersion struct {
 		version uint64
 		until   time.Time
 	}
 )
 
-// DeadlyEnds counts the servers that deadly requests have ended, and those after the
-// third end and a bound for the news of it.
-func (c *Checks) DeadlyEnds(known int, bound time.Duration) (all, after int) {
-	for _, at := range c.deadlyEnds {
-		if len(c.deadlyEnds) >= known && at.After(c.deadlyEnds[known-1].Add(bound)) {
-			after++
+// CrashCounts returns how many servers were crashed by requests, in total and after the request
+// must have been detected: later than detectionTime after crash number detectedAfter.
+func (c *Checks) CrashCounts(detectedAfter int, detectionTime time.Duration) (total, afterDetection int) {
+	for _, at := range c.crashTimes {
+		if len(c.crashTimes) >= detectedAfter && at.After(c.crashTimes[detectedAfter-1].Add(detectionTime)) {
+			afterDetection++
 		}
 	}
-	return len(c.deadlyEnds), after
+	return len(c.crashTimes), afterDetection
 }
 
 func newChecks(s *Sim) *Checks {
 	return &Checks{
-		sim:        s,
-		from:       s.now.Add(s.config.Warm),
-		runs:       make(map[string]int),
-		sendRan:    make(map[uint64]bool),
-		sendNotRun: make(map[uint64]string),
-		windows:    make(map[string]*peer.SlidingWindow),
-		versions:   make(map[string]uint64),
-		isolated:   make(map[string]bool),
-		live:       make(map[string]bool),
-		rollouts:   make(map[uint64]time.Time),
-		bundles:    make(map[uint64]*operator.Bundle),
-		lostAt:     make(map[string]time.Time),
-		limits:     make(map[string]*limitCheck),
-		pauses:     make(map[pauseKey]*pauseCheck),
-		LastWork:   make(map[string]time.Time),
-		Dispatched: make(map[string]map[int64]int),
+		sim:                 s,
+		measureFrom:         s.now.Add(s.config.WarmUp),
+		runsByKey:           make(map[string]int),
+		bookingRan:          make(map[uint64]bool),
+		notRunReasons:       make(map[uint64]string),
+		windows:             make(map[string]*peer.SlidingWindow),
+		bundleVersions:      make(map[string]uint64),
+		isolated:            make(map[string]bool),
+		startedServing:      make(map[string]bool),
+		rolloutStarts:       make(map[uint64]time.Time),
+		bundles:             make(map[uint64]*operator.Bundle),
+		regionDownSince:     make(map[string]time.Time),
+		serverLimits:        make(map[string]*limitCheck),
+		serverPauses:        make(map[pauseKey]*pauseCheck),
+		LastDispatch:        make(map[string]time.Time),
+		DispatchesPerSecond: make(map[string]map[int64]int),
 	}
 }
 
-// Violations lists broken promises, first to last.
+// Violations lists the violated guarantees in order of time.
 func (c *Checks) Violations() []string { return c.violations }
 
-// Notes lists what was done to the system, for a report of a broken run.
-func (c *Checks) Notes() []string { return c.notes }
+// EventLog lists the faults and operator actions of the run, for the report of a failure.
+func (c *Checks) EventLog() []string { return c.eventLog }
 
-// Sheds counts refusals by backend servers.
-func (c *Checks) Sheds() int { return c.sheds }
+// ShedRequests counts the requests that backend servers rejected.
+func (c *Checks) ShedRequests() int { return c.shedRequests }
 
-// Late counts dispatches that a backend server refused after their deadline.
-func (c *Checks) Late() int { return c.late }
+// ExpiredDispatches counts the dispatches that backend servers rejected after their deadline.
+func (c *Checks) ExpiredDispatches() int { return c.expiredDispatches }
 
-// Stopped counts planned stops that came to their end.
-func (c *Checks) Stopped() int { return c.stopped }
+// PlannedStops counts the planned stops that completed.
+func (c *Checks) PlannedStops() int { return c.plannedStops }
 
-// SetResets breaks that many of a thousand connections to backend servers.
-func (c *Checks) SetResets(permille int) { c.resets = permille }
+// SetConnectionResets sets how many of a thousand connections to backend servers break.
+func (c *Checks) SetConnectionResets(permille int) { c.resetPermille = permille }
 
-func (c *Checks) since() string { return fmt.Sprintf("%8.3fs ", c.sim.now.Sub(c.from).Seconds()) }
+func (c *Checks) timestamp() string {
+	return fmt.Sprintf("%8.3fs ", c.sim.now.Sub(c.measureFrom).Seconds())
+}
 
 func (c *Checks) violate(format string, values ...any) {
 	if len(c.violations) < maxViolations {
-		c.violations = append(c.violations, c.since()+fmt.Sprintf(format, values...))
+		c.violations = append(c.violations, c.timestamp()+fmt.Sprintf(format, values...))
 	}
 }
 
-func (c *Checks) note(text string) {
-	if len(c.notes) < maxNotes {
-		c.notes = append(c.notes, c.since()+text)
+func (c *Checks) logEvent(text string) {
+	if len(c.eventLog) < maxLogEntries {
+		c.eventLog = append(c.eventLog, c.timestamp()+text)
 	}
 }
 
-// ran counts a run: promises "at most once" and "not run is true".
-func (c *Checks) ran(d dispatch, w *Worker) {
-	if reason, told := c.sendNotRun[d.send]; told {
-		c.violate("%s ran on %s after its caller was told not-run (%s)", d.key, w.config.Name, reason)
+// recordRun counts a run of a request. It verifies that a booking runs at most once and that no
+// request runs whose caller was told that it did not.
+func (c *Checks) recordRun(d dispatch, server *BackendServer) {
+	if reason, reported := c.notRunReasons[d.sendID]; reported {
+		c.violate("%s ran on %s after its caller was told not-run (%s)", d.key, server.config.Name, reason)
 	}
-	if !d.book {
+	if !d.booking {
 		return
 	}
-	c.sendRan[d.send] = true
-	c.runs[d.key]++
-	if c.runs[d.key] > 1 {
-		c.violate("%s ran %d times, last on %s under %s", d.key, c.runs[d.key], w.config.Name, d.attempt)
+	c.bookingRan[d.sendID] = true
+	c.runsByKey[d.key]++
+	if c.runsByKey[d.key] > 1 {
+		c.violate("%s ran %d times, last on %s under %s", d.key, c.runsByKey[d.key], server.config.Name, d.attempt)
 	}
 }
 
-// told notes what a caller was told of one send.
-func (c *Checks) told(send uint64, key string, result caller.Result) {
+// recordResult records the result that a caller received for one send.
+func (c *Checks) recordResult(sendID uint64, key string, result caller.Result) {
 	if result.Outcome != caller.OutcomeNotRun {
 		return
 	}
-	c.sendNotRun[send] = string(result.Reason)
-	if c.sendRan[send] {
-		c.violate("%s had run, and its caller was told not-run (%s)", key, result.Reason)
+	c.notRunReasons[sendID] = string(result.Reason)
+	if c.bookingRan[sendID] {
+		c.violate("%s had run when its caller was told not-run (%s)", key, result.Reason)
 	}
 }
 
-func (c *Checks) booked(key string) {
-	if c.runs[key] == 0 {
+// checkBookingRan verifies that a booking that its caller got confirmed has run.
+func (c *Checks) checkBookingRan(key string) {
+	if c.runsByKey[key] == 0 {
 		c.violate("%s was confirmed but never ran", key)
 	}
 }
 
-// dispatched counts a steering decision: capacity and leaving. One whose
-// deadline has passed already, since the proxy's clock was stopped, reaches no
-// backend server that would run it.
-func (c *Checks) dispatched(p *Proxy, w *Worker, deadline time.Time) {
+// checkDispatch verifies a dispatch against the capacity of the region, the limit of the link,
+// drains, and the limit and pause of the server. A dispatch past its deadline, which a proxy makes
+// whose clock was stopped, does not count: no backend server would run it.
+func (c *Checks) checkDispatch(p *Proxy, server *BackendServer, deadline time.Time) {
 	now := c.sim.now
 	if !now.Before(deadline) {
 		return
 	}
-	c.LastWork[w.config.Name] = now
-	name := w.config.Region
-	window := c.windows[name]
+	c.LastDispatch[server.config.Name] = now
+	region := server.config.Region
+	window := c.windows[region]
 	if window == nil {
 		window = &peer.SlidingWindow{}
-		c.windows[name] = window
-		c.Dispatched[name] = make(map[int64]int)
+		c.windows[region] = window
+		c.DispatchesPerSecond[region] = make(map[int64]int)
 	}
-	c.Dispatched[name][now.Unix()]++
-	capacity := c.capacity(name)
+	c.DispatchesPerSecond[region][now.Unix()]++
+	capacity := c.maxCapacity(region)
 	if !window.Admit(now, capacity) {
-		c.violate("region %s got more than %d requests within a second, last from %s", name, capacity, p.name)
+		c.violate("region %s got more than %d requests within a second, last from %s", region, capacity, p.name)
 	}
-	if !now.Before(c.from) {
-		c.Used = max(c.Used, float64(window.Used(now))/float64(capacity))
+	if !now.Before(c.measureFrom) {
+		c.PeakUtilization = max(c.PeakUtilization, float64(window.Used(now))/float64(capacity))
 	}
-	c.link(p, w)
-	c.leaving(p, w)
-	c.limit(p, w)
-	c.pause(p, w)
+	c.checkLinkLimit(p, server)
+	c.checkDrain(p, server)
+	c.checkServerLimit(p, server)
+	c.checkServerPause(p, server)
 }
 
-// link counts requests over a link between regions.
-func (c *Checks) link(p *Proxy, w *Worker) {
+// checkLinkLimit verifies the request limit of a link between regions.
+func (c *Checks) checkLinkLimit(p *Proxy, server *BackendServer) {
 	limit := 0
 	for version, b := range c.bundles {
 		for _, l := range b.Links {
-			if version >= c.oldest && l.From == p.place.region && l.To == w.config.Region {
+			if version >= c.oldestVersion && l.From == p.location.region && l.To == server.config.Region {
 				limit = max(limit, l.Limit)
 			}
 		}
@@ -205,136 +212,138 @@
 	if limit == 0 {
 		return
 	}
-	name := p.place.region + ">" + w.config.Region
-	if c.windows[name] == nil {
-		c.windows[name] = &peer.SlidingWindow{}
+	link := p.location.region + ">" + server.config.Region
+	if c.windows[link] == nil {
+		c.windows[link] = &peer.SlidingWindow{}
 	}
-	if !c.windows[name].Admit(c.sim.now, limit) {
-		c.violate("link %s got more than %d requests within a second, last from %s", name, limit, p.name)
+	if !c.windows[link].Admit(c.sim.now, limit) {
+		c.violate("link %s got more than %d requests within a second, last from %s", link, limit, p.name)
 	}
 }
 
-// capacity is the largest capacity of a region that a proxy may still go by:
-// of the bundles not older than the oldest in use within the last window.
-func (c *Checks) capacity(name string) int {
-	oldest := c.sim.current.Version
+// maxCapacity returns the largest capacity of a region that a proxy may still apply: the maximum
+// over the bundles not older than the oldest one in use within the last window.
+func (c *Checks) maxCapacity(region string) int {
+	oldest := c.sim.currentBundle.Version
 	for _, p := range c.sim.proxies {
 		if v := p.kernel.BundleVersion(); p.alive && v > 0 && v < oldest {
 			oldest = v
 		}
 	}
-	if oldest != c.oldest {
-		c.past = append(c.past, pastVersion{c.oldest, c.sim.now})
-		c.oldest = oldest
+	if oldest != c.oldestVersion {
+		c.pastVersions = append(c.pastVersions, pastVersion{c.oldestVersion, c.sim.now})
+		c.oldestVersion = oldest
 	}
-	for _, p := range c.past {
-		if c.sim.now.Sub(p.until) <= capacityGrace {
+	for _, p := range c.pastVersions {
+		if c.sim.now.Sub(p.until) <= capacityGracePeriod {
 			oldest = min(oldest, p.version)
 		}
 	}
-	most := 0
+	largest := 0
 	for version, b := range c.bundles {
 		if version >= oldest {
-			r, _ := b.Region(name)
-			most = max(most, r.Capacity)
+			r, _ := b.Region(region)
+			largest = max(largest, r.Capacity)
 		}
 	}
-	return most
+	return largest
 }
 
-func (c *Checks) leaving(p *Proxy, w *Worker) {
-	if c.isolated[p.name] || p.behind > 0 {
+// checkDrain verifies that a server receives no new requests once its drain has taken effect.
+func (c *Checks) checkDrain(p *Proxy, server *BackendServer) {
+	if c.isolated[p.name] || p.clockLag > 0 {
 		return
 	}
-	b := c.sim.current
+	b := c.sim.currentBundle
 	for i := range b.Drains {
 		d := &b.Drains[i]
-		if d.Kind != operator.DrainServer || d.Target != w.config.Name || !d.Active(c.sim.now) {
+		if d.Kind != operator.DrainServer || d.Target != server.config.Name || !d.Active(c.sim.now) {
 			continue
 		}
 		start := d.Start
-		if at := c.rollouts[b.Version]; at.After(start) {
+		if at := c.rolloutStarts[b.Version]; at.After(start) {
 			start = at
 		}
-		if c.sim.now.Sub(start) > leavingGrace {
-			c.violate("%s got new work from %s %s after its drain began", w.config.Name, p.name, c.sim.now.Sub(start))
+		if c.sim.now.Sub(start) > drainGracePeriod {
+			c.violate("%s got new work from %s %s after its drain began", server.config.Name, p.name, c.sim.now.Sub(start))
 		}
 	}
 }
 
-func (c *Checks) rolledOut(b *operator.Bundle) {
-	c.rollouts[b.Version] = c.sim.now
+func (c *Checks) recordRollout(b *operator.Bundle) {
+	c.rolloutStarts[b.Version] = c.sim.now
 	c.bundles[b.Version] = b
 }
 
-func (c *Checks) regionLost(name string) { c.lostAt[name] = c.sim.now }
+func (c *Checks) recordRegionDown(region string) { c.regionDownSince[region] = c.sim.now }
 
-// proxyTicked asserts that versions never fall and measures when a bundle is
-// in force everywhere.
-func (c *Checks) proxyTicked(p *Proxy) {
-	id := p.id()
+// checkProxyState verifies that the bundle version of a proxy never decreases, and measures when
+// all proxies use the current bundle.
+func (c *Checks) checkProxyState(p *Proxy) {
+	id := p.incarnationID()
 	version := p.kernel.BundleVersion()
-	if version < c.versions[id] {
-		c.violate("%s went from bundle %d back to %d", p.name, c.versions[id], version)
-	}
-	c.versions[id] = version
-	c.joined(p, id)
-	newest := c.sim.current.Version
-	began, open := c.rollouts[newest]
-	if !open || version != newest {
+	if version < c.bundleVersions[id] {
+		c.violate("%s went from bundle %d back to %d", p.name, c.bundleVersions[id], version)
+	}
+	c.bundleVersions[id] = version
+	c.checkInitialRow(p, id)
+	currentVersion := c.sim.currentBundle.Version
+	startedAt, known := c.rolloutStarts[currentVersion]
+	if !known || version != currentVersion {
 		return
 	}
 	for _, other := range c.sim.proxies {
-		if other.alive && !other.frozen && other.kernel.BundleVersion() != newest {
+		if other.alive && !other.frozen && other.kernel.BundleVersion() != currentVersion {
 			return
 		}
 	}
-	if len(c.InForce) < int(newest) {
-		c.InForce = append(c.InForce, c.sim.now.Sub(began))
+	if len(c.RolloutTimes) < int(currentVersion) {
+		c.RolloutTimes = append(c.RolloutTimes, c.sim.now.Sub(startedAt))
 	}
 }
 
-// joined asserts that a proxy that begins to serve while others do spreads its
-// traffic like one of them, within one step: else its part of the traffic would
-// shift at once.
-func (c *Checks) joined(p *Proxy, id string) {
-	if c.live[id] || p.kernel.Self().State != peer.StateLive {
+// checkInitialRow verifies a proxy that starts serving while others already serve: each row of its
+// traffic shares must be within one shift step of the same row of another proxy. Otherwise its part
+// of the traffic would shift all at once.
+func (c *Checks) checkInitialRow(p *Proxy, id string) {
+	if c.startedServing[id] || p.kernel.Self().State != peer.StateLive {
 		return
 	}
-	c.live[id] = true
-	own := p.kernel.Status(p.now()).Regions
-	planned := c.sim.current.Shift.CapPermille
-	for i := range own {
+	c.startedServing[id] = true
+	ownRegions := p.kernel.Status(p.now()).Regions
+	maxDistance := c.sim.currentBundle.Shift.CapPermille
+	for i := range ownRegions {
 		nearest := -1
 		for _, other := range c.sim.proxies {
 			if other == p || !other.alive || other.frozen || other.kernel.Self().State != peer.StateLive {
 				continue
 			}
 			rows := other.kernel.Status(other.now()).Regions
-			if d := rows[i].Row.Distance(own[i].Row); nearest < 0 || d < nearest {
+			if d := rows[i].Row.Distance(ownRegions[i].Row); nearest < 0 || d < nearest {
 				nearest = d
 			}
 		}
-		if nearest > planned {
-			c.violate("%s began to serve with a row of %s that is %d permille from any other's", p.name, own[i].Name, nearest)
+		if nearest > maxDistance {
+			c.violate("%s started serving with a row for %s that is %d permille away from the nearest row of another proxy", p.name, ownRegions[i].Name, nearest)
 		}
 	}
 }
 
-func (c *Checks) exchanged(asked, answer peer.Exchange) {
-	if c.sim.config.Exchanged != nil {
-		c.sim.config.Exchanged(asked, answer)
+func (c *Checks) observeExchange(request, response peer.Exchange) {
+	if c.sim.config.OnExchange != nil {
+		c.sim.config.OnExchange(request, response)
 	}
 }
 
-// Finish asserts what must hold at the end: counts that add up.
-func (c *Checks) Finish() {
+// CheckFinalState verifies what must hold at the end of a run: no proxy counts a negative number of
+// requests in flight.
+func (c *Checks) CheckFinalState() {
 	for _, p := range c.sim.proxies {
 		if !p.alive || p.frozen {
 			continue
 		}
 		if n := p.kernel.Status(p.now()).InFlight; n < 0 {
-			c.violate("%s counts %d requests in flight", p.name, n)
+			c.violate("%s reports %d requests in flight at the end", p.name, n)
 		}
 	}
 }
--- a/internal/fake/simnet/limits.go
+++ b/internal/fake/simnet/limits.go
@@ -7,86 +7,90 @@
 )
 
 const (
-	// limitSpan is the window in which a server's limit is judged, limitFactor and
-	// limitSlack what is allowed there beyond it.
-	limitSpan   = 4 * time.Second
-	limitFactor = 1.5
-	limitSlack  = 5
-	// limitGrace is how long after it is first named a limit is not judged, heedWithin how
-	// long a proxy may take to heed an answer.
-	limitGrace = 4 * time.Second
-	heedWithin = 500 * time.Millisecond
-	// inPauseMost is how many requests of a process may reach a server in a pause.
-	inPauseMost = 2
+	// limitWindow is the window in which the requests to a server are counted against its limit;
+	// limitFactor and limitAllowance are what is tolerated beyond the limit.
+	limitWindow    = 4 * time.Second
+	limitFactor    = 1.5
+	limitAllowance = 5
+	// limitGracePeriod is how long a limit is not enforced by the check after the server first
+	// announces it, reactionTime how long a proxy may take to act on a response.
+	limitGracePeriod = 4 * time.Second
+	reactionTime     = 500 * time.Millisecond
+	// maxRequestsInPause is the number of requests that one process may still send to a server
+	// during a pause.
+	maxRequestsInPause = 2
 )
 
 type (
-	// limitCheck is what a server got since it names a limit.
+	// limitCheck tracks what a server receives since it announced a limit.
 	limitCheck struct {
-		named time.Time
-		// told is when each process has heard of it.
-		told map[string]time.Time
-		// sent are the moments of the requests from processes that knew.
-		sent []time.Time
+		announcedAt time.Time
+		// knownSince is when each process first received the limit.
+		knownSince map[string]time.Time
+		// sentAt are the times of the requests from processes that knew the limit.
+		sentAt []time.Time
 	}
 
 	pauseKey struct {
 		server, process string
 	}
 
-	// pauseCheck is a pause that a server has asked a process for, and what came in it.
+	// pauseCheck tracks a pause that a server requested from a process, and the requests sent
+	// during it.
 	pauseCheck struct {
 		from, until time.Time
-		sent        int
+		requests    int
 	}
 )
 
-// heard notes what a process hears of what a server asks.
-func (c *Checks) heard(p *Proxy, w *Worker, r *backend.Report) {
-	if r == nil {
+// recordReport records the limit and the pause that a process learns from a server's report.
+func (c *Checks) recordReport(p *Proxy, server *BackendServer, report *backend.Report) {
+	if report == nil {
 		return
 	}
-	if pause := r.Signal.Pause; pause > 0 {
-		key, now := pauseKey{w.config.Name, p.id()}, c.sim.now
-		if known := c.pauses[key]; known == nil || now.After(known.until) {
-			c.pauses[key] = &pauseCheck{from: now.Add(heedWithin), until: now.Add(pause)}
+	if pause := report.Signal.Pause; pause > 0 {
+		key, now := pauseKey{server.config.Name, p.incarnationID()}, c.sim.now
+		if known := c.serverPauses[key]; known == nil || now.After(known.until) {
+			c.serverPauses[key] = &pauseCheck{from: now.Add(reactionTime), until: now.Add(pause)}
 		}
 	}
-	l := c.limits[w.config.Name]
-	if l == nil || !r.Signal.Limit.Set {
+	check := c.serverLimits[server.config.Name]
+	if check == nil || !report.Signal.Limit.Set {
 		return
 	}
-	if _, known := l.told[p.id()]; !known {
-		l.told[p.id()] = c.sim.now
+	if _, known := check.knownSince[p.incarnationID()]; !known {
+		check.knownSince[p.incarnationID()] = c.sim.now
 	}
 }
 
-// pause asserts that a server gets hardly anything in a pause that it has asked for.
-func (c *Checks) pause(p *Proxy, w *Worker) {
-	now, asked := c.sim.now, c.pauses[pauseKey{w.config.Name, p.id()}]
-	if asked == nil || p.behind > 0 || now.Before(asked.from) || !now.Before(asked.until) {
+// checkServerPause verifies that a server receives at most maxRequestsInPause requests from a
+// process during a pause that it requested.
+func (c *Checks) checkServerPause(p *Proxy, server *BackendServer) {
+	now, pause := c.sim.now, c.serverPauses[pauseKey{server.config.Name, p.incarnationID()}]
+	if pause == nil || p.clockLag > 0 || now.Before(pause.from) || !now.Before(pause.until) {
 		return
 	}
-	if asked.sent++; asked.sent > inPauseMost {
-		c.violate("%s got %d requests from %s in a pause that it had asked for", w.config.Name, asked.sent, p.name)
+	if pause.requests++; pause.requests > maxRequestsInPause {
+		c.violate("%s received %d requests from %s during a pause that it had requested", server.config.Name, pause.requests, p.name)
 	}
 }
 
-// limit asserts that a server gets no more than it has asked for from those who know.
-func (c *Checks) limit(p *Proxy, w *Worker) {
-	l := c.limits[w.config.Name]
-	if l == nil {
+// checkServerLimit verifies that a server receives no more than its limit from the processes that
+// know it, within the tolerance.
+func (c *Checks) checkServerLimit(p *Proxy, server *BackendServer) {
+	check := c.serverLimits[server.config.Name]
+	if check == nil {
 		return
 	}
 	now := c.sim.now
-	if at, told := l.told[p.id()]; told && now.Sub(at) >= heedWithin {
-		l.sent = append(l.sent, now)
+	if since, known := check.knownSince[p.incarnationID()]; known && now.Sub(since) >= reactionTime {
+		check.sentAt = append(check.sentAt, now)
 	}
-	for len(l.sent) > 0 && now.Sub(l.sent[0]) >= limitSpan {
-		l.sent = l.sent[1:]
+	for len(check.sentAt) > 0 && now.Sub(check.sentAt[0]) >= limitWindow {
+		check.sentAt = check.sentAt[1:]
 	}
-	allowed := limitFactor*limitSpan.Seconds()*w.limit.PerSecond + limitSlack
-	if now.Sub(l.named) >= limitGrace && float64(len(l.sent)) > allowed {
-		c.violate("%s names a limit of %.1f a second and got %d requests in %s, %.1f are allowed", w.config.Name, w.limit.PerSecond, len(l.sent), limitSpan, allowed)
+	allowed := limitFactor*limitWindow.Seconds()*server.limit.PerSecond + limitAllowance
+	if now.Sub(check.announcedAt) >= limitGracePeriod && float64(len(check.sentAt)) > allowed {
+		c.violate("%s announces a limit of %.1f requests per second and received %d in %s, %.1f are allowed", server.config.Name, server.limit.PerSecond, len(check.sentAt), limitWindow, allowed)
 	}
 }
--- a/internal/fake/simnet/platform.go
+++ b/internal/fake/simnet/platform.go
@@ -13,16 +13,17 @@
 )
 
 type (
-	// Platform is the key-value service and the list of VMs.
+	// Platform simulates the key-value service and the list of VMs.
 	Platform struct {
-		sim      *Sim
-		values   map[kv.Key]kv.Value
-		saved    map[kv.Key]kv.Value
-		revision kv.Revision
-		machines kv.MachineList
-		down     bool
-		lose     int
-		// Calls counts calls, a watch that ends as one.
+		sim             *Sim
+		values          map[kv.Key]kv.Value
+		snapshot        map[kv.Key]kv.Value
+		revision        kv.Revision
+		machines        kv.MachineList
+		down            bool
+		responsesToDrop int
+		// Calls counts the calls to the platform; a watch counts as one call when it delivers a
+		// change.
 		Calls int
 	}
 )
@@ -35,49 +36,49 @@
 	p.revision++
 	p.values[key] = kv.Value{Revision: p.revision, Data: data}
 	for _, proxy := range p.sim.proxies {
-		proxy.watchFires(key)
+		proxy.onValueChanged(key)
 	}
 }
 
-// SetDown begins or ends an outage.
-func (s *Sim) SetDown(down bool) {
+// SetPlatformDown starts or ends a platform outage.
+func (s *Sim) SetPlatformDown(down bool) {
 	s.platform.down = down
-	s.trace("platform down %v", down)
+	s.logEvent("platform down %v", down)
 	if !down {
 		for _, proxy := range s.proxies {
-			proxy.watchFires(keyBundle)
-			proxy.watchFires(keyAssignment)
+			proxy.onValueChanged(keyBundle)
+			proxy.onValueChanged(keyAssignment)
 		}
 	}
 }
 
-// LoseAnswers drops the answers of the next writes.
-func (s *Sim) LoseAnswers(n int) { s.platform.lose = n }
+// DropWriteResponses drops the responses of the next n successful writes.
+func (s *Sim) DropWriteResponses(n int) { s.platform.responsesToDrop = n }
 
-// SavePlatform keeps a copy of the values.
+// SavePlatform takes a snapshot of the stored values.
 func (s *Sim) SavePlatform() {
-	s.platform.saved = make(map[kv.Key]kv.Value)
+	s.platform.snapshot = make(map[kv.Key]kv.Value)
 	for key, value := range s.platform.values {
-		s.platform.saved[key] = value
+		s.platform.snapshot[key] = value
 	}
 }
 
-// RestorePlatform puts the copy back, as from a backup.
+// RestorePlatform writes the values of the snapshot back, as a restore from a backup does.
 func (s *Sim) RestorePlatform() {
-	if s.platform.saved == nil {
+	if s.platform.snapshot == nil {
 		return
 	}
-	s.trace("platform restored to an older value")
+	s.logEvent("platform restored from an older snapshot")
 	for _, key := range []kv.Key{keyBundle, keyAssignment} {
-		if value, ok := s.platform.saved[key]; ok {
+		if value, ok := s.platform.snapshot[key]; ok {
 			s.platform.put(key, value.Data)
 		}
 	}
 }
 
-// swap is a compare-and-swap on the version inside the value; the answer may
-// be lost after the write.
-func (p *Platform) swap(key kv.Key, expect kv.Revision, data []byte) (ok, answered bool) {
+// compareAndSwap writes a value if the stored revision is the expected one. The write may take
+// effect and its response be lost: ok is then true and answered false.
+func (p *Platform) compareAndSwap(key kv.Key, expect kv.Revision, data []byte) (ok, answered bool) {
 	p.Calls++
 	if p.down {
 		return false, false
@@ -86,8 +87,8 @@
 		return false, true
 	}
 	p.put(key, data)
-	if p.lose > 0 {
-		p.lose--
+	if p.responsesToDrop > 0 {
+		p.responsesToDrop--
 		return true, false
 	}
 	return true, true
@@ -98,14 +99,14 @@
 	return p.values[key], !p.down
 }
 
-// SetMachine changes the list of VMs after its lag.
+// SetMachine changes the list of VMs after the configured lag.
 func (s *Sim) SetMachine(name string, state kv.MachineState) {
-	s.After(s.config.ListLag, func() { s.platform.setMachine(name, state) })
+	s.After(s.config.MachineListLag, func() { s.platform.setMachine(name, state) })
 }
 
 func (p *Platform) setMachine(name string, state kv.MachineState) {
 	p.machines = p.machines.WithState(name, state)
 	for _, proxy := range p.sim.proxies {
-		proxy.machinesFire()
+		proxy.onMachineListChanged()
 	}
 }
--- a/internal/fake/simnet/scenario.go
+++ b/internal/fake/simnet/scenario.go
@@ -15,117 +15,123 @@
 )
 
 const (
-	operatorRetry = 500 * time.Millisecond
+	rolloutRetryInterval = 500 * time.Millisecond
 )
 
 var (
-	// faults maps a fault's name in a scenario file to what it does.
-	faults = map[string]func(s *Sim, f Fault){
+	// faultHandlers maps the kinds of faults, as named in scenario files, to the functions that
+	// inject them.
+	faultHandlers = map[string]func(s *Sim, f Fault){
 		"kill-proxy":         killProxy,
-		"freeze-proxy":       func(s *Sim, f Fault) { s.Freeze(f.index(), f.For.Std(), false) },
-		"freeze-proxy-clock": func(s *Sim, f Fault) { s.Freeze(f.index(), f.For.Std(), true) },
+		"freeze-proxy":       func(s *Sim, f Fault) { s.FreezeProxy(f.index(), f.Duration.Std(), false) },
+		"freeze-proxy-clock": func(s *Sim, f Fault) { s.FreezeProxy(f.index(), f.Duration.Std(), true) },
 		"stop-proxy":         stopProxy,
 		"cut-regions":        cutRegions,
-		"lose-region":        loseRegion,
+		"lose-region":        failRegion,
 		"kill-server":        killServer,
-		"deadly-request":     deadlyRequest,
+		"deadly-request":     sendCrashingRequests,
 		"shed-server":        shedServer,
 		"limit-server":       limitServer,
 		"pause-server":       pauseServer,
-		"leave-server":       leaveServer,
+		"leave-server":       reportServerLeaving,
 		"platform-outage":    platformOutage,
-		"lose-answers":       func(s *Sim, f Fault) { s.LoseAnswers(f.Amount) },
+		"lose-answers":       func(s *Sim, f Fault) { s.DropWriteResponses(f.Amount) },
 		"save-platform":      func(s *Sim, _ Fault) { s.SavePlatform() },
 		"restore-platform":   func(s *Sim, _ Fault) { s.RestorePlatform() },
-		"resets":             func(s *Sim, f Fault) { s.checks.SetResets(f.Amount) },
+		"resets":             func(s *Sim, f Fault) { s.checks.SetConnectionResets(f.Amount) },
 		"load":               func(s *Sim, f Fault) { s.scaleLoad(f.Amount) },
-		"drain-server":       func(s *Sim, f Fault) { s.drain(operator.DrainServer, f.Target) },
-		"drain-proxy":        func(s *Sim, f Fault) { s.drain(operator.DrainProxy, f.Target) },
-		"drain-region":       func(s *Sim, f Fault) { s.drain(operator.DrainRegion, f.Target) },
-		"steer":              func(s *Sim, f Fault) { s.steer(f.Target, f.Second, f.Amount) },
-		"capacity":           func(s *Sim, f Fault) { s.capacity(f.Target, f.Amount) },
-		"old-bundle":         func(s *Sim, _ Fault) { s.offerOldBundle() },
+		"drain-server":       func(s *Sim, f Fault) { s.addDrain(operator.DrainServer, f.Target) },
+		"drain-proxy":        func(s *Sim, f Fault) { s.addDrain(operator.DrainProxy, f.Target) },
+		"drain-region":       func(s *Sim, f Fault) { s.addDrain(operator.DrainRegion, f.Target) },
+		"steer":              func(s *Sim, f Fault) { s.setSteeringRule(f.Target, f.SecondTarget, f.Amount) },
+		"capacity":           func(s *Sim, f Fault) { s.setCapacity(f.Target, f.Amount) },
+		"old-bundle":         func(s *Sim, _ Fault) { s.restoreFirstBundle() },
 		"unlist-proxy":       func(s *Sim, f Fault) { s.SetMachine(s.proxies[f.index()].name, "") },
 	}
 )
 
 type (
-	// Fault is one thing done to the system at a moment after the warm-up.
+	// Fault is a fault or an operator action, injected at a time after the warm-up.
 	Fault struct {
-		At     operator.Duration `json:"at"`
-		Kind   string            `json:"kind"`
-		Target string            `json:"target,omitempty"`
-		Second string            `json:"second,omitempty"`
-		For    operator.Duration `json:"for,omitempty"`
-		Amount int               `json:"amount,omitempty"`
+		At           operator.Duration `json:"at"`
+		Kind         string            `json:"kind"`
+		Target       string            `json:"target,omitempty"`
+		SecondTarget string            `json:"second,omitempty"`
+		Duration     operator.Duration `json:"for,omitempty"`
+		Amount       int               `json:"amount,omitempty"`
 	}
 
-	// Scenario is a scripted run, read from a data file.
+	// Scenario is a scripted run, read from a JSON file.
 	Scenario struct {
-		Story       []string          `json:"story"`
-		Seed        uint64            `json:"seed"`
-		LoadPercent int               `json:"load-percent"`
-		BookShare   int               `json:"book-permille"`
-		Warm        operator.Duration `json:"warm"`
-		Span        operator.Duration `json:"span"`
-		Faults      []Fault           `json:"faults"`
-		Break       string            `json:"break,omitempty"`
-		Expect      Expect            `json:"expect"`
+		Description     []string          `json:"story"`
+		Seed            uint64            `json:"seed"`
+		LoadPercent     int               `json:"load-percent"`
+		BookingPermille int               `json:"book-permille"`
+		WarmUp          operator.Duration `json:"warm"`
+		Duration        operator.Duration `json:"span"`
+		Faults          []Fault           `json:"faults"`
+		KernelFault     string            `json:"break,omitempty"`
+		Expect          Expect            `json:"expect"`
 	}
 
-	// Expect is the stated outcome. Zero bounds are not checked.
+	// Expect holds the expected outcome. Bounds that are zero are not checked, except for
+	// MaxUnresolvedBookings.
 	Expect struct {
-		// Violation is a part of the violation that the run must show; empty
-		// means that there must be none.
+		// Violation is a substring of the violations that the run must report; if it is empty,
+		// there must be none.
 		Violation string `json:"violation,omitempty"`
-		// DonePercent is the least share of requests that are done.
-		DonePercent float64 `json:"done-percent,omitempty"`
-		// Unsettled is the most bookings that nobody can tell the outcome of.
-		Unsettled int `json:"unsettled"`
-		// InForce bounds the time until the last bundle is in force.
-		InForce operator.Duration `json:"in-force,omitempty"`
-		// Stopped is how many planned stops come to their end.
-		Stopped int `json:"stopped,omitempty"`
-		// LastWork bounds the time from the first fault to the last new work
-		// of the backend server that it names.
-		LastWork operator.Duration `json:"last-work,omitempty"`
-		// WorksAgain names a backend server that must have new work in the last ten seconds.
-		WorksAgain string `json:"works-again,omitempty"`
-		// EndsAfter is the most servers that a deadly request ends after all proxies must
-		// know of it, EndsAtAll in all; checked if EndsAtAll is given.
-		EndsAfter int `json:"ends-after,omitempty"`
-		EndsAtAll int `json:"ends-at-all,omitempty"`
-		// Late is the least number of dispatches refused after their deadline.
-		Late int `json:"late,omitempty"`
+		// MinDonePercent is the minimum share of requests that are done.
+		MinDonePercent float64 `json:"done-percent,omitempty"`
+		// MaxUnresolvedBookings is the maximum number of bookings whose outcome stays unknown.
+		MaxUnresolvedBookings int `json:"unsettled"`
+		// MaxRolloutTime limits the time until all proxies use the last bundle.
+		MaxRolloutTime operator.Duration `json:"in-force,omitempty"`
+		// MinPlannedStops is the minimum number of planned stops that complete.
+		MinPlannedStops int `json:"stopped,omitempty"`
+		// MaxLastDispatchDelay limits the time from the first fault to the last dispatch to the
+		// backend server that the fault targets.
+		MaxLastDispatchDelay operator.Duration `json:"last-work,omitempty"`
+		// ServerUsedAgain names a backend server that must receive requests in the last ten
+		// seconds.
+		ServerUsedAgain string `json:"works-again,omitempty"`
+		// MaxCrashesAfterDetection is the maximum number of servers that a crashing request ends
+		// after all proxies must know of it, MaxCrashes the maximum in total. Both are checked only
+		// if MaxCrashes is set.
+		MaxCrashesAfterDetection int `json:"ends-after,omitempty"`
+		MaxCrashes               int `json:"ends-at-all,omitempty"`
+		// MinExpiredDispatches is the minimum number of dispatches that servers reject after their
+		// deadline.
+		MinExpiredDispatches int `json:"late,omitempty"`
 	}
 )
 
-// ParseScenario reads a scenario file.
+// ParseScenario parses a scenario file.
 func ParseScenario(data []byte) (*Scenario, error) {
 	s := &Scenario{}
 	if err := operator.DecodeStrict(data, s); err != nil {
 		return nil, errors.Wrap(err, "scenario")
 	}
 	for _, f := range s.Faults {
-		if faults[f.Kind] == nil {
-			return nil, errors.Errorf("scenario: no fault is named %q", f.Kind)
+		if faultHandlers[f.Kind] == nil {
+			return nil, errors.Errorf("scenario: unknown fault kind %q", f.Kind)
 		}
 	}
 	return s, nil
 }
 
-// Faults lists the names of all faults, for randomised runs.
-func Faults() []string {
-	names := make([]string, 0, len(faults))
-	for name := range faults {
+// FaultKinds returns the sorted names of all kinds of faults, for randomised runs.
+func FaultKinds() []string {
+	names := make([]string, 0, len(faultHandlers))
+	for name := range faultHandlers {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// Breakages maps names in scenario files to guards taken out.
-func Breakages() map[string]core.InjectedFaults {
+// KernelFaults maps the names in scenario files to faults of the kernel that each disable one
+// safeguard.
+func KernelFaults() map[string]core.InjectedFaults {
 	return map[string]core.InjectedFaults{
 		"":                {},
 		"token-reuse":     {TokenReuse: true},
@@ -138,27 +144,27 @@
 	}
 }
 
-// Inject does a fault now.
-func (s *Sim) Inject(f Fault) { faults[f.Kind](s, f) }
+// Inject injects a fault now.
+func (s *Sim) Inject(f Fault) { faultHandlers[f.Kind](s, f) }
 
-// Play runs a scenario over a base configuration.
-func Play(c Config, sc *Scenario) *Sim {
+// RunScenario runs a scenario to its end over a base configuration.
+func RunScenario(c Config, sc *Scenario) *Sim {
 	c.Seed = sc.Seed
-	c.BookShare = sc.BookShare
-	c.Warm = sc.Warm.Std()
-	c.Break = Breakages()[sc.Break]
-	c.Load = LoadOf(c.Bundle, sc.LoadPercent)
+	c.BookingPermille = sc.BookingPermille
+	c.WarmUp = sc.WarmUp.Std()
+	c.KernelFaults = KernelFaults()[sc.KernelFault]
+	c.Load = LoadAtPercent(c.Bundle, sc.LoadPercent)
 	s := New(c)
 	for _, f := range sc.Faults {
-		s.After(c.Warm+f.At.Std(), func() { s.Inject(f) })
+		s.After(c.WarmUp+f.At.Std(), func() { s.Inject(f) })
 	}
-	s.Run(c.Warm + sc.Span.Std())
-	s.checks.Finish()
+	s.Run(c.WarmUp + sc.Duration.Std())
+	s.checks.CheckFinalState()
 	return s
 }
 
-// LoadOf is a share of each region's capacity.
-func LoadOf(b *operator.Bundle, percent int) []float64 {
+// LoadAtPercent returns the request rates of the regions at a percentage of their capacity.
+func LoadAtPercent(b *operator.Bundle, percent int) []float64 {
 	load := make([]float64, len(b.Regions))
 	for i, r := range b.Regions {
 		load[i] = float64(r.Capacity) * float64(percent) / 100
@@ -166,155 +172,160 @@
 	return load
 }
 
+// index returns the index of the proxy that the fault targets.
 func (f Fault) index() int {
 	i, _ := strconv.Atoi(f.Target)
 	return i
 }
 
-// lasting undoes a fault after its time, if it has one.
-func (s *Sim) lasting(f Fault, undo func()) {
-	if f.For > 0 {
-		s.After(f.For.Std(), undo)
+// undoLater reverts a fault after its duration, if it has one.
+func (s *Sim) undoLater(f Fault, undo func()) {
+	if f.Duration > 0 {
+		s.After(f.Duration.Std(), undo)
 	}
 }
 
 func killProxy(s *Sim, f Fault) {
-	s.Kill(f.index())
-	s.lasting(f, func() { s.Restart(f.index()) })
+	s.KillProxy(f.index())
+	s.undoLater(f, func() { s.RestartProxy(f.index()) })
 }
 
 func stopProxy(s *Sim, f Fault) {
-	s.Stop(f.index())
-	s.lasting(f, func() { s.Restart(f.index()) })
+	s.StopProxy(f.index())
+	s.undoLater(f, func() { s.RestartProxy(f.index()) })
 }
 
 func cutRegions(s *Sim, f Fault) {
-	s.Cut(f.Target, f.Second, true)
-	s.lasting(f, func() { s.Cut(f.Target, f.Second, false) })
+	s.SetPartitioned(f.Target, f.SecondTarget, true)
+	s.undoLater(f, func() { s.SetPartitioned(f.Target, f.SecondTarget, false) })
 }
 
-func loseRegion(s *Sim, f Fault) {
-	s.LoseRegion(f.Target, true)
-	s.lasting(f, func() { s.LoseRegion(f.Target, false) })
+func failRegion(s *Sim, f Fault) {
+	s.SetRegionDown(f.Target, true)
+	s.undoLater(f, func() { s.SetRegionDown(f.Target, false) })
 }
 
 func killServer(s *Sim, f Fault) {
-	s.workers[f.Target].setDown(true)
-	s.lasting(f, func() { s.workers[f.Target].setDown(false) })
+	s.servers[f.Target].setDown(true)
+	s.undoLater(f, func() { s.servers[f.Target].setDown(false) })
 }
 
-// deadlyRequest has callers of all regions ask a service for what ends its servers,
-// Amount times in ten seconds.
-func deadlyRequest(s *Sim, f Fault) {
-	until := s.now.Add(f.For.Std())
+// sendCrashingRequests makes callers of all regions send a service requests that crash its servers,
+// Amount of them per ten seconds.
+func sendCrashingRequests(s *Sim, f Fault) {
+	until := s.now.Add(f.Duration.Std())
 	gap := 10 * time.Second / time.Duration(max(1, f.Amount))
 	var next func()
 	next = func() {
 		if s.now.After(until) {
 			return
 		}
-		s.callers.askDeadly(f.Target)
+		s.callers.sendCrashingRequest(f.Target)
 		s.After(gap, next)
 	}
 	next()
 }
 
 func shedServer(s *Sim, f Fault) {
-	s.workers[f.Target].shed = true
-	s.lasting(f, func() { s.workers[f.Target].shed = false })
+	s.servers[f.Target].shedAll = true
+	s.undoLater(f, func() { s.servers[f.Target].shedAll = false })
 }
 
-// pauseServer has a server refuse all requests and ask for a pause with each refusal, Amount
+// pauseServer makes a server reject all requests and request a pause with each rejection, of Amount
 // tenths of a second.
 func pauseServer(s *Sim, f Fault) {
-	w := s.workers[f.Target]
-	w.shed, w.pause = true, time.Duration(f.Amount)*100*time.Millisecond
-	s.lasting(f, func() { w.shed, w.pause = false, 0 })
+	server := s.servers[f.Target]
+	server.shedAll, server.pause = true, time.Duration(f.Amount)*100*time.Millisecond
+	s.undoLater(f, func() { server.shedAll, server.pause = false, 0 })
 }
 
-// leaveServer has a server say that it leaves, for good or for a while.
-func leaveServer(s *Sim, f Fault) {
-	s.workers[f.Target].leaves = true
-	s.lasting(f, func() { s.workers[f.Target].leaves = false })
+// reportServerLeaving makes a server report that it is leaving, for the fault's duration or for
+// good.
+func reportServerLeaving(s *Sim, f Fault) {
+	s.servers[f.Target].reportsLeaving = true
+	s.undoLater(f, func() { s.servers[f.Target].reportsLeaving = false })
 }
 
-// limitServer has a server name a limit, Amount requests in ten seconds.
+// limitServer makes a server announce a limit of Amount requests per ten seconds.
 func limitServer(s *Sim, f Fault) {
-	w := s.workers[f.Target]
-	w.limit = backpressure.Limit{Set: true, PerSecond: float64(f.Amount) / 10}
-	s.checks.limits[f.Target] = &limitCheck{named: s.now, told: make(map[string]time.Time)}
-	s.lasting(f, func() {
-		w.limit = backpressure.Limit{}
-		delete(s.checks.limits, f.Target)
+	server := s.servers[f.Target]
+	server.limit = backpressure.Limit{Set: true, PerSecond: float64(f.Amount) / 10}
+	s.checks.serverLimits[f.Target] = &limitCheck{announcedAt: s.now, knownSince: make(map[string]time.Time)}
+	s.undoLater(f, func() {
+		server.limit = backpressure.Limit{}
+		delete(s.checks.serverLimits, f.Target)
 	})
 }
 
 func platformOutage(s *Sim, f Fault) {
-	s.SetDown(true)
-	s.lasting(f, func() { s.SetDown(false) })
+	s.SetPlatformDown(true)
+	s.undoLater(f, func() { s.SetPlatformDown(false) })
 }
 
+// scaleLoad sets the request rates to a percentage of the capacities.
 func (s *Sim) scaleLoad(percent int) {
-	for i, rate := range LoadOf(s.config.Bundle, percent) {
+	for i, rate := range LoadAtPercent(s.config.Bundle, percent) {
 		s.SetLoad(i, rate)
 	}
 }
 
-// change has an operator roll the next bundle out. Without the platform it is
-// not accepted, and the operator tries again. The proxy that it goes through
-// hears of it at once.
-func (s *Sim) change(edit func(b *operator.Bundle)) {
-	through := s.proxies[s.random.IntN(len(s.proxies))]
-	if s.platform.down || !through.alive || through.frozen {
-		s.After(operatorRetry, func() { s.change(edit) })
+// rollOutChange rolls out the next bundle, as an operator does through a random proxy. While the
+// platform is down or that proxy is not running, the rollout is rejected and the operator retries.
+// The proxy that it goes through applies the bundle at once.
+func (s *Sim) rollOutChange(modify func(b *operator.Bundle)) {
+	proxy := s.proxies[s.random.IntN(len(s.proxies))]
+	if s.platform.down || !proxy.alive || proxy.frozen {
+		s.After(rolloutRetryInterval, func() { s.rollOutChange(modify) })
 		return
 	}
 	var b operator.Bundle
-	if err := json.Unmarshal(s.current.Encode(), &b); err != nil {
+	if err := json.Unmarshal(s.currentBundle.Encode(), &b); err != nil {
 		panic("simnet: " + err.Error())
 	}
 	b.Version++
-	edit(&b)
+	modify(&b)
 	s.Rollout(&b)
 	data := s.platform.values[keyBundle].Data
-	through.after(platformDelay, func() { through.kernel.ApplyBundle(through.now(), data) })
+	proxy.after(platformDelay, func() { proxy.kernel.ApplyBundle(proxy.now(), data) })
 }
 
-func (s *Sim) drain(kind operator.DrainKind, target string) {
-	s.change(func(b *operator.Bundle) {
+// addDrain rolls out a drain that starts now.
+func (s *Sim) addDrain(kind operator.DrainKind, target string) {
+	s.rollOutChange(func(b *operator.Bundle) {
 		b.Drains = append(b.Drains, operator.Drain{
 			Name: "drain-" + strconv.Itoa(len(b.Drains)), Kind: kind, Target: target, Start: s.now,
 		})
-		s.trace("drain %s %s", kind, target)
+		s.logEvent("drain %s %s", kind, target)
 	})
 }
 
-func (s *Sim) steer(from, to string, permille int) {
-	s.change(func(b *operator.Bundle) {
+// setSteeringRule rolls out a bundle with this steering rule as its only one.
+func (s *Sim) setSteeringRule(from, to string, permille int) {
+	s.rollOutChange(func(b *operator.Bundle) {
 		b.Steering = []operator.SteeringRule{{From: from, To: to, Permille: permille}}
-		s.trace("steer %d from %s to %s", permille, from, to)
+		s.logEvent("steer %d from %s to %s", permille, from, to)
 	})
 }
 
-// capacity changes a region's capacity.
-func (s *Sim) capacity(name string, amount int) {
-	s.change(func(b *operator.Bundle) {
+// setCapacity rolls out a new capacity of a region.
+func (s *Sim) setCapacity(name string, amount int) {
+	s.rollOutChange(func(b *operator.Bundle) {
 		r, _ := b.Region(name)
 		r.Capacity = amount
-		s.trace("capacity of %s to %d", name, amount)
+		s.logEvent("capacity of %s to %d", name, amount)
 	})
 }
 
-// offerOldBundle has a platform restored by hand to the first version, still
-// properly signed.
-func (s *Sim) offerOldBundle() {
+// restoreFirstBundle stores the first bundle on the platform again, with valid signatures, as a
+// manual restore does.
+func (s *Sim) restoreFirstBundle() {
 	e, err := s.config.Author.Propose(s.config.Bundle)
 	if err == nil {
-		err = s.config.Second.Approve(e)
+		err = s.config.Approver.Approve(e)
 	}
 	if err != nil {
 		panic("simnet: " + err.Error())
 	}
-	s.trace("the first bundle is put back on the platform")
+	s.logEvent("first bundle stored on the platform again")
 	s.platform.put(kv.KeyBundle, e.Encode())
 }
--- a/internal/fake/simnet/sim.go
+++ b/internal/fake/simnet/sim.go
@@ -13,79 +13,81 @@
 type (
 	// Config describes one run.
 	Config struct {
-		Bundle  *operator.Bundle
-		Author  *operator.KeyPair
-		Second  *operator.KeyPair
-		Proxies int
-		Seed    uint64
-		// Net holds one-way delays.
+		Bundle   *operator.Bundle
+		Author   *operator.KeyPair
+		Approver *operator.KeyPair
+		Proxies  int
+		Seed     uint64
+		// Net holds the one-way delays of the network.
 		Net Delays
-		// ServiceTime is the mean; each request's varies by half either way.
-		ServiceTime time.Duration
-		Queue       int
-		ReportLag   time.Duration
-		ColdFactor  float64
-		ColdFor     time.Duration
-		// ListLag is how far the platform's list of VMs lags.
-		ListLag time.Duration
-		// Load is requests per second by home region.
+		// ServiceTime is the mean service time; that of each request is between half and one and a
+		// half times the mean.
+		ServiceTime       time.Duration
+		QueueLength       int
+		ReportLag         time.Duration
+		ColdStartFactor   float64
+		ColdStartDuration time.Duration
+		// MachineListLag is the delay until a change appears in the platform's list of VMs.
+		MachineListLag time.Duration
+		// Load is the request rate of each home region, in requests per second.
 		Load []float64
-		// BookShare of the requests are non-idempotent, in thousandths.
-		BookShare int
-		Break     core.InjectedFaults
-		// Warm is how long after the start measuring begins.
-		Warm time.Duration
-		// Exchanged sees every exchange between proxies; nil for none.
-		Exchanged func(asked, answer peer.Exchange)
+		// BookingPermille is the share of non-idempotent requests, in thousandths.
+		BookingPermille int
+		KernelFaults    core.InjectedFaults
+		// WarmUp is the time from the start of the run until measuring begins.
+		WarmUp time.Duration
+		// OnExchange is called for every exchange between proxies, if not nil.
+		OnExchange func(request, response peer.Exchange)
 	}
 
 	// Delays are one-way delays of the network.
 	Delays struct {
-		SameDomain, SameRegion, Regions, Client time.Duration
+		SameDomain, SameRegion, BetweenRegions, Client time.Duration
 	}
 
-	// Sim is one run.
+	// Sim is one simulation run.
 	Sim struct {
 		*Clock
-		config   Config
-		random   *rand.Rand
-		trust    operator.TrustedKeys
-		proxies  []*Proxy
-		workers  map[string]*Worker
-		platform *Platform
-		cuts     map[[2]string]bool
-		lost     map[string]bool
-		callers  *Callers
-		checks   *Checks
-		current  *operator.Bundle
-		serial   uint64
-		// KernelTime is the real time spent in the kernels' own work, ticks and
-		// exchanges, without the fakes and checks around them.
+		config        Config
+		random        *rand.Rand
+		trust         operator.TrustedKeys
+		proxies       []*Proxy
+		servers       map[string]*BackendServer
+		platform      *Platform
+		partitions    map[[2]string]bool
+		regionsDown   map[string]bool
+		callers       *Callers
+		checks        *Checks
+		currentBundle *operator.Bundle
+		lastID        uint64
+		// KernelTime is the real time spent in ticks and exchanges of the kernels, without the
+		// simulated systems and checks around them.
 		KernelTime time.Duration
 	}
 
-	place struct {
+	// location is a region and a failure domain in it.
+	location struct {
 		region, domain string
 	}
 )
 
-// New builds a run whose bundle is already on the platform.
+// New creates a run with its bundle already stored on the platform.
 func New(c Config) *Sim {
 	s := &Sim{
-		Clock:   newClock(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)),
-		config:  c,
-		random:  rand.New(rand.NewPCG(c.Seed, 1)),
-		trust:   operator.TrustedKeys{c.Author.TrustedKey(), c.Second.TrustedKey()},
-		workers: make(map[string]*Worker),
-		cuts:    make(map[[2]string]bool),
-		lost:    make(map[string]bool),
+		Clock:       newClock(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)),
+		config:      c,
+		random:      rand.New(rand.NewPCG(c.Seed, 1)),
+		trust:       operator.TrustedKeys{c.Author.TrustedKey(), c.Approver.TrustedKey()},
+		servers:     make(map[string]*BackendServer),
+		partitions:  make(map[[2]string]bool),
+		regionsDown: make(map[string]bool),
 	}
 	s.checks = newChecks(s)
 	s.platform = newPlatform(s)
 	for i := range c.Bundle.Services {
 		for k := range c.Bundle.Services[i].Servers {
-			w := newWorker(s, c.Bundle.Services[i].Servers[k])
-			s.workers[w.config.Name] = w
+			server := newBackendServer(s, c.Bundle.Services[i].Servers[k])
+			s.servers[server.config.Name] = server
 		}
 	}
 	s.Rollout(c.Bundle)
@@ -96,35 +98,35 @@
 	return s
 }
 
-// Run goes on for a span of virtual time.
+// Run advances the run by a span of virtual time.
 func (s *Sim) Run(d time.Duration) { s.RunUntil(s.now.Add(d)) }
 
-// Checks gives what the run has asserted and measured.
+// Checks returns the violations and measurements of the run.
 func (s *Sim) Checks() *Checks { return s.checks }
 
-// Callers gives what callers saw.
+// Callers returns the callers with the results they received.
 func (s *Sim) Callers() *Callers { return s.callers }
 
-// Rollout signs a bundle and stores it on the platform as operators do.
+// Rollout signs a bundle with both keys and stores it on the platform, as operators do.
 func (s *Sim) Rollout(b *operator.Bundle) {
 	e, err := s.config.Author.Propose(b)
 	if err == nil {
-		err = s.config.Second.Approve(e)
+		err = s.config.Approver.Approve(e)
 	}
 	if err != nil {
 		panic("simnet: " + err.Error())
 	}
-	s.current = b
-	s.checks.rolledOut(b)
+	s.currentBundle = b
+	s.checks.recordRollout(b)
 	s.platform.put(keyBundle, e.Encode())
 }
 
-// delay is the network's delay between two places, or false when cut.
-func (s *Sim) delay(a, b place) (time.Duration, bool) {
-	if s.cuts[[2]string{a.region, b.region}] || s.cuts[[2]string{b.region, a.region}] {
+// delay returns the network delay between two locations, or false if their regions are partitioned.
+func (s *Sim) delay(a, b location) (time.Duration, bool) {
+	if s.partitions[[2]string{a.region, b.region}] || s.partitions[[2]string{b.region, a.region}] {
 		return 0, false
 	}
-	base := s.config.Net.Regions
+	base := s.config.Net.BetweenRegions
 	switch {
 	case a.domain == b.domain:
 		base = s.config.Net.SameDomain
@@ -134,46 +136,46 @@
 	return base + time.Duration(s.random.Int64N(int64(base)/10+1)), true
 }
 
-// Cut ends or restores all traffic between two regions.
-func (s *Sim) Cut(a, b string, on bool) {
-	s.cuts[[2]string{a, b}] = on
-	s.trace("cut %s %s %v", a, b, on)
+// SetPartitioned cuts or restores all traffic between two regions.
+func (s *Sim) SetPartitioned(a, b string, partitioned bool) {
+	s.partitions[[2]string{a, b}] = partitioned
+	s.logEvent("partition between %s and %s: %v", a, b, partitioned)
 }
 
-// LoseRegion stops or restarts all backend servers of a region.
-func (s *Sim) LoseRegion(name string, on bool) {
-	s.lost[name] = on
-	if on {
-		s.checks.regionLost(name)
+// SetRegionDown stops or restarts all backend servers of a region.
+func (s *Sim) SetRegionDown(region string, down bool) {
+	s.regionsDown[region] = down
+	if down {
+		s.checks.recordRegionDown(region)
 	}
-	for _, w := range s.workersInOrder() {
-		if w.config.Region == name {
-			w.setDown(on)
+	for _, server := range s.serversInOrder() {
+		if server.config.Region == region {
+			server.setDown(down)
 		}
 	}
-	s.trace("region %s lost %v", name, on)
+	s.logEvent("region %s down: %v", region, down)
 }
 
-// workersInOrder lists the backend servers in the bundle's order, for a
-// map's order would make runs differ.
-func (s *Sim) workersInOrder() []*Worker {
-	var list []*Worker
+// serversInOrder returns the backend servers in the order of the bundle: the random order of a map
+// would make runs with the same seed differ.
+func (s *Sim) serversInOrder() []*BackendServer {
+	var list []*BackendServer
 	for i := range s.config.Bundle.Services {
 		for k := range s.config.Bundle.Services[i].Servers {
-			list = append(list, s.workers[s.config.Bundle.Services[i].Servers[k].Name])
+			list = append(list, s.servers[s.config.Bundle.Services[i].Servers[k].Name])
 		}
 	}
 	return list
 }
 
-func (s *Sim) trace(format string, values ...any) {
-	s.checks.note(fmt.Sprintf(format, values...))
+func (s *Sim) logEvent(format string, values ...any) {
+	s.checks.logEvent(fmt.Sprintf(format, values...))
 }
 
-// PlatformCalls counts calls to the platform so far.
+// PlatformCalls returns the number of calls to the platform so far.
 func (s *Sim) PlatformCalls() int { return s.platform.Calls }
 
-// Relays counts the proxies that watch the platform.
+// Relays returns the number of proxies that watch the platform.
 func (s *Sim) Relays() int {
 	relays := 0
 	for _, p := range s.proxies {
@@ -184,7 +186,7 @@
 	return relays
 }
 
-// FirstRelay is the number of the first proxy that watches the platform.
+// FirstRelay returns the index of the first proxy that watches the platform.
 func (s *Sim) FirstRelay() int {
 	for i, p := range s.proxies {
 		if p.alive && p.kernel.IsRelay() {
@@ -194,8 +196,8 @@
 	return 0
 }
 
-// Envelope is the signed bundle on the platform.
+// Envelope returns the signed bundle as stored on the platform.
 func (s *Sim) Envelope() []byte { return s.platform.values[keyBundle].Data }
 
-// AssignmentBytes is the size of the stored assignment.
+// AssignmentBytes returns the size of the stored assignment.
 func (s *Sim) AssignmentBytes() int { return len(s.platform.values[keyAssignment].Data) }
--- a/internal/fake/warmnet/simulation.go
+++ b/internal/fake/warmnet/simulation.go
@@ -113,7 +113,7 @@
 	if len(scenario.ProxyLossRegions) > 0 || scenario.Knee > 0 || scenario.hasCrashes() || scenario.hasBackpressure() {
 		w.After(tickInterval, w.tick)
 	}
-	for w.Next() {
+	for w.RunNext() {
 	}
 	w.result.WithinTargetByRegion = make(map[string]float64)
 	for region, n := range w.sentByRegion {
