--- a/internal/adapter/backendhttp/client.go
+++ b/internal/adapter/backendhttp/client.go
@@ -168,11 +168,11 @@
 	}
 	header := make(http.Header)
 	serverhttp.CopyHeader(header, response.Header)
-	for _, name := range []string{caller.HeaderLoad, caller.HeaderLeaving, caller.HeaderLimit} {
+	for _, name := range []string{caller.HeaderLoad, caller.HeaderDraining, caller.HeaderLimit} {
 		header.Del(name)
 	}
 	answer := &caller.Response{Status: response.StatusCode, Header: header, Body: buffered}
-	result := Response{Result: backend.Answered, Answer: answer, Report: report}
+	result := Response{Result: backend.Completed, Answer: answer, Report: report}
 	if len(buffered) < ResponseBufferSize {
 		_ = response.Body.Close()
 		return result
@@ -183,12 +183,12 @@
 
 func (c *Client) parseReport(r *http.Response, server string) *backend.Report {
 	running, err := strconv.Atoi(r.Header.Get(caller.HeaderLoad))
-	leaving := r.Header.Get(caller.HeaderLeaving) == "true"
+	leaving := r.Header.Get(caller.HeaderDraining) == "true"
 	signal := serverhttp.ParseSignal(r, backpressureHeaders, server)
 	if err != nil && !leaving && signal.IsEmpty() {
 		return nil
 	}
-	return &backend.Report{Running: max(0, running), Leaving: leaving, Signal: signal, At: c.now()}
+	return &backend.Report{Running: max(0, running), Draining: leaving, Signal: signal, At: c.now()}
 }
 
 // Probe sends a health check to a server.
--- a/internal/adapter/backendhttp/client_test.go
+++ b/internal/adapter/backendhttp/client_test.go
@@ -108,13 +108,13 @@
 	}{
 		{"connection refused", unused, backend.Unreachable},
 		{"closed after reading", closed.address, backend.Interrupted},
-		{"complete response", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")).address, backend.Answered},
+		{"complete response", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")).address, backend.Completed},
 		{"truncated body", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")).address, backend.Interrupted},
 		{"truncated chunked body", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")).address, backend.Interrupted},
 		{"truncated header", startRawServer(t, writeAndClose("HTTP/1.1 200 OK\r\nContent-Le")).address, backend.Interrupted},
 		{"garbage", startRawServer(t, writeAndClose("SSH-2.0-x\r\n")).address, backend.Interrupted},
 		{"not-run response", startRawServer(t, writeAndClose("HTTP/1.1 503 X\r\nGypsumquay-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")).address, backend.Rejected},
-		{"plain 503", startRawServer(t, writeAndClose("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")).address, backend.Answered},
+		{"plain 503", startRawServer(t, writeAndClose("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")).address, backend.Completed},
 		{"no response", startRawServer(t, func(int, net.Conn) bool { time.Sleep(time.Second); return false }).address, backend.Abandoned},
 	}
 	for _, c := range cases {
@@ -140,8 +140,8 @@
 	client := NewClient(1, time.Now)
 	header := http.Header{"Idempotency-Key": {"bid-7"}}
 	ctx := context.Background()
-	if got := sendWith(ctx, client, s.address, http.MethodPost, header).Result; got != backend.Answered {
-		t.Fatalf("first request: got result %d, want %d", got, backend.Answered)
+	if got := sendWith(ctx, client, s.address, http.MethodPost, header).Result; got != backend.Completed {
+		t.Fatalf("first request: got result %d, want %d", got, backend.Completed)
 	}
 	if got := sendWith(ctx, client, s.address, http.MethodPost, header).Result; got != backend.Interrupted {
 		t.Errorf("second request: got result %d, want %d", got, backend.Interrupted)
--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -147,7 +147,7 @@
 		}
 		client = address
 	}
-	var result core.LookupAnswer
+	var result core.LookupResponse
 	var found bool
 	var explanation []string
 	s.withKernel(func(k *core.Kernel, now time.Time) {
@@ -205,12 +205,12 @@
 	defer body.Release()
 	q := Request{
 		Request: core.Request{
-			Service: service,
-			Method:  r.Method,
-			Path:    backendPath(r, service),
-			Client:  clientAddress(r),
-			Work:    WorkFingerprint(service, r.Method, backendPath(r, service), r.Header, body.Bytes),
-			Token:   r.Header.Get(caller.HeaderToken),
+			Service:     service,
+			Method:      r.Method,
+			Path:        backendPath(r, service),
+			Client:      clientAddress(r),
+			Fingerprint: WorkFingerprint(service, r.Method, backendPath(r, service), r.Header, body.Bytes),
+			Token:       r.Header.Get(caller.HeaderToken),
 		},
 		Header: r.Header,
 		Body:   body.Bytes,
--- a/internal/adapter/kvhttp/client.go
+++ b/internal/adapter/kvhttp/client.go
@@ -74,7 +74,7 @@
 
 // WatchMachines waits until the list of VMs has a later version than after, or the timeout, and
 // returns it.
-func (c *Client) WatchMachines(ctx context.Context, after uint64) (*kv.MachineList, error) {
+func (c *Client) WatchMachines(ctx context.Context, after uint64) (*kv.VMList, error) {
 	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+watchTimeoutMargin)
 	defer cancel()
 	query := url.Values{"after": {fmt.Sprint(after)}, "wait": {WatchTimeout.String()}}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return kv.ParseMachineList(value.Data)
+	return kv.ParseVMList(value.Data)
 }
 
 // CompareAndSwap writes a value if it is still at the expected revision; zero means that there is
--- a/internal/adapter/peerdrpc/convert.go
+++ b/internal/adapter/peerdrpc/convert.go
@@ -66,14 +66,14 @@
 		Versions: &peerpb.Versions{
 			Bundle:     e.Versions.Bundle,
 			Assignment: e.Versions.Assignment,
-			Machines:   e.Versions.Machines,
+			Machines:   e.Versions.VMList,
 			Members:    e.Versions.Members,
 			Prefixes:   e.Versions.Prefixes,
 			Known:      uint32(e.Versions.MemberCount),
 		},
 		Bundle:     e.Bundle,
 		Assignment: e.Assignment,
-		Machines:   e.Machines,
+		Machines:   e.VMList,
 	}
 	for _, m := range e.Members {
 		out.Members = append(out.Members, encodeMember(m))
@@ -97,14 +97,14 @@
 		Versions: peer.Versions{
 			Bundle:      v.GetBundle(),
 			Assignment:  v.GetAssignment(),
-			Machines:    v.GetMachines(),
+			VMList:      v.GetMachines(),
 			Members:     v.GetMembers(),
 			Prefixes:    v.GetPrefixes(),
 			MemberCount: int(v.GetKnown()),
 		},
 		Bundle:     e.GetBundle(),
 		Assignment: e.GetAssignment(),
-		Machines:   e.GetMachines(),
+		VMList:     e.GetMachines(),
 	}
 	for _, m := range e.GetMembers() {
 		in.Members = append(in.Members, decodeMember(m))
--- a/internal/adapter/peerdrpc/peerdrpc_test.go
+++ b/internal/adapter/peerdrpc/peerdrpc_test.go
@@ -125,13 +125,13 @@
 	return peer.Exchange{
 		From:     "proxy-1",
 		Stamp:    peer.Stamp{Wall: 5, Count: 6},
-		Versions: peer.Versions{Bundle: 1, Assignment: 2, Machines: 3, Members: 4, Prefixes: 5, MemberCount: 6},
+		Versions: peer.Versions{Bundle: 1, Assignment: 2, VMList: 3, Members: 4, Prefixes: 5, MemberCount: 6},
 		Members: []peer.Member{{
 			Name: "proxy-1", Address: netip.MustParseAddrPort("10.0.0.1:80"), PeerAddress: netip.MustParseAddrPort("10.0.0.1:81"),
 			OperatorAddress: netip.MustParseAddrPort("10.0.0.1:82"), Region: "r", Domain: "d", Incarnation: 7, Sequence: 8,
 			State: peer.StateLeaving, Successor: "proxy-2", CapacityBundle: 9,
 		}},
-		Bundle: []byte("b"), Assignment: []byte("a"), Machines: []byte("m"), Rows: [][]int{{400, 600}, {0, 1000}},
+		Bundle: []byte("b"), Assignment: []byte("a"), VMList: []byte("m"), Rows: [][]int{{400, 600}, {0, 1000}},
 	}
 }
 
--- a/internal/client/command/accounts.go
+++ b/internal/client/command/accounts.go
@@ -25,7 +25,7 @@
 		LimitPerSecond float64  `json:"limit-per-second"`
 		PerSecond      float64  `json:"per-second"`
 		Admitted       uint64   `json:"admitted"`
-		Refused        uint64   `json:"refused"`
+		Rejected       uint64   `json:"refused"`
 		// Proxies counts the proxies that admitted or rejected requests of the account.
 		Proxies int `json:"proxies"`
 	}
@@ -55,7 +55,7 @@
 	output.Accounts = a.selectAccounts(byName)
 	fmt.Fprintf(&text, "%-20s %10s %10s %10s %10s %8s %-20s %s\n", "ACCOUNT", "LIMIT/S", "USED/S", "ADMITTED", "REFUSED", "PROXIES", "REGIONS", "KEYS")
 	for _, u := range output.Accounts {
-		fmt.Fprintf(&text, "%-20s %10s %10.1f %10d %10d %8d %-20s %s\n", u.Name, formatLimit(u.LimitPerSecond), u.PerSecond, u.Admitted, u.Refused, u.Proxies,
+		fmt.Fprintf(&text, "%-20s %10s %10.1f %10d %10d %8d %-20s %s\n", u.Name, formatLimit(u.LimitPerSecond), u.PerSecond, u.Admitted, u.Rejected, u.Proxies,
 			cmp.Or(strings.Join(u.Regions, ","), "all"), strings.Join(u.Keys, ","))
 	}
 	return Result{Text: text.String(), Data: output}, nil
@@ -70,7 +70,7 @@
 	}
 	u.PerSecond += a.PerSecond
 	u.Admitted += a.Admitted
-	u.Refused += a.Refused
+	u.Rejected += a.Refused
 	if a.Admitted+a.Refused > 0 {
 		u.Proxies++
 	}
@@ -80,12 +80,12 @@
 func (a *SteeringAccountsArguments) selectAccounts(byName map[string]*AccountUsage) []AccountUsage {
 	var list []AccountUsage
 	for _, u := range slices.Collect(maps.Values(byName)) {
-		if (a.Account == "" || a.Account == u.Name) && (!a.Refused || u.Refused > 0) {
+		if (a.Account == "" || a.Account == u.Name) && (!a.Refused || u.Rejected > 0) {
 			list = append(list, *u)
 		}
 	}
 	slices.SortFunc(list, func(a, b AccountUsage) int {
-		return cmp.Or(cmp.Compare(b.Refused, a.Refused), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.Rejected, a.Rejected), cmp.Compare(a.Name, b.Name))
 	})
 	return list
 }
--- a/internal/client/command/command.go
+++ b/internal/client/command/command.go
@@ -176,8 +176,8 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool}, nil
 }
 
-func rolloutError(v kv.RolloutResult) error {
-	switch v {
+func rolloutError(result kv.RolloutResult) error {
+	switch result {
 	case kv.RolloutAccepted:
 		return nil
 	case kv.RolloutLostRace:
--- a/internal/client/command/losses.go
+++ b/internal/client/command/losses.go
@@ -81,16 +81,16 @@
 		return nil, err
 	}
 	var failed []ProxyError
-	for _, a := range responses {
-		if a.Error != "" {
-			failed = append(failed, ProxyError{Proxy: a.Proxy.Name, Error: a.Error})
+	for _, response := range responses {
+		if response.Error != "" {
+			failed = append(failed, ProxyError{Proxy: response.Proxy.Name, Error: response.Error})
 		}
-		for _, e := range a.Value {
+		for _, e := range response.Value {
 			if e.Kind != string(steering.EventRequestEnded) {
 				continue
 			}
 			counter.Add(losses.EndedRequest{
-				At: e.At, Request: e.Request, Route: e.Route, Region: a.Proxy.Region, Outcome: e.Outcome, Reason: e.Reason,
+				At: e.At, Request: e.Request, Route: e.Route, Region: response.Proxy.Region, Outcome: e.Outcome, Reason: e.Reason,
 				Cause: e.Cause, State: e.ServerState, Took: losses.ParseDuration(e.Duration), Target: losses.ParseDuration(e.Target),
 			})
 		}
--- a/internal/client/command/replay.go
+++ b/internal/client/command/replay.go
@@ -52,14 +52,14 @@
 	return Result{Text: text.String(), Data: result}, nil
 }
 
-func decisionText(v steering.RecordedDecision) string {
+func decisionText(decision steering.RecordedDecision) string {
 	switch {
-	case v.Server != "":
-		return "to " + v.Server
-	case v.ReturnResponse:
+	case decision.Server != "":
+		return "to " + decision.Server
+	case decision.ReturnResponse:
 		return "answered"
 	}
-	return string(v.Reason)
+	return string(decision.Reason)
 }
 
 // roundDuration rounds to 10 µs for display.
--- a/internal/client/command/status.go
+++ b/internal/client/command/status.go
@@ -43,11 +43,11 @@
 	}
 
 	regionTotal struct {
-		Region   string  `json:"region"`
-		Capacity int     `json:"capacity-per-second"`
-		Used     int     `json:"used-per-second"`
-		Headroom float64 `json:"headroom"`
-		LostFor  int     `json:"proxies-that-find-it-lost"`
+		Region               string  `json:"region"`
+		Capacity             int     `json:"capacity-per-second"`
+		Used                 int     `json:"used-per-second"`
+		Headroom             float64 `json:"headroom"`
+		ProxiesReportingLoss int     `json:"proxies-that-find-it-lost"`
 	}
 
 	statusReport struct {
@@ -91,7 +91,7 @@
 			}
 			list[at].Used += r.Used
 			if r.Lost {
-				list[at].LostFor++
+				list[at].ProxiesReportingLoss++
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 	}
 	fmt.Fprintf(&text, "\n%-12s %9s %9s %9s %s\n", "REGION", "CAPACITY", "USED", "HEADROOM", "LOST FOR")
 	for _, t := range r.Regions {
-		fmt.Fprintf(&text, "%-12s %9d %9d %8.1f%% %d proxies\n", t.Region, t.Capacity, t.Used, 100*t.Headroom, t.LostFor)
+		fmt.Fprintf(&text, "%-12s %9d %9d %8.1f%% %d proxies\n", t.Region, t.Capacity, t.Used, 100*t.Headroom, t.ProxiesReportingLoss)
 	}
 	return text.String()
 }
@@ -132,16 +132,16 @@
 			continue
 		}
 		query := url.Values{"service": {a.Service}, "client": {a.Client.String()}, "explain": {""}}
-		answer, err := queryLookup(s, "http://"+m.Address.String()+"/v1/lookup?"+query.Encode())
+		response, err := queryLookup(s, "http://"+m.Address.String()+"/v1/lookup?"+query.Encode())
 		if err != nil {
 			continue
 		}
-		return Result{Text: lookupText(m.Name, answer), Data: answer}, nil
+		return Result{Text: lookupText(m.Name, response), Data: response}, nil
 	}
 	return Result{}, errors.New("no live proxy answered the lookup for service " + a.Service)
 }
 
-type lookupAnswer struct {
+type lookupResponse struct {
 	Home     string   `json:"home-region"`
 	Lifetime string   `json:"lifetime"`
 	Why      []string `json:"why"`
@@ -152,30 +152,30 @@
 	} `json:"proxies"`
 }
 
-func queryLookup(s *session, target string) (lookupAnswer, error) {
-	var answer lookupAnswer
+func queryLookup(s *session, target string) (lookupResponse, error) {
+	var result lookupResponse
 	request, err := http.NewRequestWithContext(s.ctx, http.MethodGet, target, nil)
 	if err != nil {
-		return answer, errors.Wrap(err, "request")
+		return result, errors.Wrap(err, "request")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return answer, errors.Wrap(err, "lookup")
+		return result, errors.Wrap(err, "lookup")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return answer, errors.Errorf("lookup: status %d", response.StatusCode)
+		return result, errors.Errorf("lookup: status %d", response.StatusCode)
 	}
-	return answer, errs.Wrap(json.NewDecoder(response.Body).Decode(&answer), "lookup")
+	return result, errs.Wrap(json.NewDecoder(response.Body).Decode(&result), "lookup")
 }
 
-func lookupText(proxy string, a lookupAnswer) string {
+func lookupText(proxy string, response lookupResponse) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "answer of %s, valid for %s\n", proxy, a.Lifetime)
-	for i, p := range a.Proxies {
+	fmt.Fprintf(&text, "answer of %s, valid for %s\n", proxy, response.Lifetime)
+	for i, p := range response.Proxies {
 		fmt.Fprintf(&text, "%d. %-12s %-21s %s\n", i+1, p.Name, p.Address, p.Region)
 	}
-	for _, why := range a.Why {
+	for _, why := range response.Why {
 		fmt.Fprintf(&text, "   %s\n", why)
 	}
 	return text.String()
--- a/internal/client/command/steering.go
+++ b/internal/client/command/steering.go
@@ -156,10 +156,10 @@
 
 // listFailed returns the proxies that did not answer and adds a line for each to the text.
 func listFailed[T any](text *strings.Builder, responses []proxyResponse[T]) (list []ProxyError) {
-	for _, a := range responses {
-		if a.Error != "" {
-			fmt.Fprintf(text, "%s did not answer: %s\n", a.Proxy.Name, a.Error)
-			list = append(list, ProxyError{Proxy: a.Proxy.Name, Error: a.Error})
+	for _, response := range responses {
+		if response.Error != "" {
+			fmt.Fprintf(text, "%s did not answer: %s\n", response.Proxy.Name, response.Error)
+			list = append(list, ProxyError{Proxy: response.Proxy.Name, Error: response.Error})
 		}
 	}
 	return list
--- a/internal/client/command/steering_test.go
+++ b/internal/client/command/steering_test.go
@@ -98,7 +98,7 @@
 	if err := json.Unmarshal([]byte(out.String()), &got); err != nil {
 		t.Fatal(err)
 	}
-	if code != ExitOK || len(got.Accounts) != 1 || got.Accounts[0].Admitted != 7 || got.Accounts[0].Refused != 1 || got.Accounts[0].PerSecond != 4 {
+	if code != ExitOK || len(got.Accounts) != 1 || got.Accounts[0].Admitted != 7 || got.Accounts[0].Rejected != 1 || got.Accounts[0].PerSecond != 4 {
 		t.Errorf("exit code %d, got %s; want only anna, 7 admitted and 1 rejected", code, out.String())
 	}
 	if len(got.Unanswered) != 1 || got.Unanswered[0].Proxy != "vm-3" {
--- a/internal/fake/backendfake/server.go
+++ b/internal/fake/backendfake/server.go
@@ -202,7 +202,7 @@
 	}
 	w.Header().Set(caller.HeaderLoad, strconv.Itoa(s.reportedLoad))
 	if s.behaviour.Leaving {
-		w.Header().Set(caller.HeaderLeaving, "true")
+		w.Header().Set(caller.HeaderDraining, "true")
 	}
 }
 
--- a/internal/fake/kvfake/server.go
+++ b/internal/fake/kvfake/server.go
@@ -94,7 +94,7 @@
 
 // setMachine changes the state of a VM in the list; the state "gone" removes it.
 func (s *Server) setMachine(_ http.ResponseWriter, r *http.Request) {
-	state := kv.MachineState(mux.Vars(r)["state"])
+	state := kv.VMState(mux.Vars(r)["state"])
 	if state == "gone" {
 		state = ""
 	}
--- a/internal/fake/kvfake/store.go
+++ b/internal/fake/kvfake/store.go
@@ -17,7 +17,7 @@
 		values   map[kv.Key]kv.Value
 		revision kv.Revision
 		changed  chan struct{}
-		machines kv.MachineList
+		machines kv.VMList
 		lag      time.Duration
 		snapshot map[kv.Key]kv.Value
 	}
@@ -95,20 +95,20 @@
 }
 
 // Machines returns the list of VMs and a channel that is closed at the next change of the store.
-func (s *Store) Machines() (kv.MachineList, <-chan struct{}) {
+func (s *Store) Machines() (kv.VMList, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.machines
-	list.Machines = append([]kv.Machine(nil), s.machines.Machines...)
+	list.VMs = append([]kv.VM(nil), s.machines.VMs...)
 	return list, s.changed
 }
 
 // SetMachine sets the state of a VM after the lag. An empty state removes the VM from the list.
-func (s *Store) SetMachine(name string, state kv.MachineState) {
+func (s *Store) SetMachine(name string, state kv.VMState) {
 	time.AfterFunc(s.lag, func() { s.setMachineNow(name, state) })
 }
 
-func (s *Store) setMachineNow(name string, state kv.MachineState) {
+func (s *Store) setMachineNow(name string, state kv.VMState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.machines = s.machines.WithState(name, state)
--- a/internal/fake/simnet/callers.go
+++ b/internal/fake/simnet/callers.go
@@ -128,7 +128,7 @@
 	startedAt := g.callers.sim.now
 	key := fmt.Sprint("get-", g.callers.sim.lastID)
 	item := quarantine.NewFingerprint("GET", service, fmt.Sprint("/item/", g.callers.sim.lastID%itemsPerService), "", nil)
-	r := core.Request{Service: service, Method: "GET", Path: "/item", Client: g.address, Work: item}
+	r := core.Request{Service: service, Method: "GET", Path: "/item", Client: g.address, Fingerprint: item}
 	g.send(r, key, func(result caller.Result, _ string, ok bool) {
 		g.callers.recordResult(g, startedAt, result, ok, key)
 	})
@@ -139,7 +139,7 @@
 	groups := c.groups[c.sim.random.IntN(len(c.groups))]
 	r := core.Request{
 		Service: service, Method: "GET", Path: crashPath, Client: groups[c.sim.random.IntN(len(groups))].address,
-		Work: quarantine.NewFingerprint("GET", service, crashPath, "", nil),
+		Fingerprint: quarantine.NewFingerprint("GET", service, crashPath, "", nil),
 	}
 	groups[c.sim.random.IntN(len(groups))].send(r, crashPath, func(caller.Result, string, bool) {})
 }
--- a/internal/fake/simnet/message.go
+++ b/internal/fake/simnet/message.go
@@ -176,7 +176,7 @@
 		}
 		p.machineListVersion = list.Version
 		p.sim.platform.Calls++
-		list.Machines = append([]kv.Machine(nil), list.Machines...)
-		p.kernel.ApplyMachines(p.now(), &list)
+		list.VMs = append([]kv.VM(nil), list.VMs...)
+		p.kernel.ApplyVMList(p.now(), &list)
 	})
 }
--- a/internal/fake/simnet/platform.go
+++ b/internal/fake/simnet/platform.go
@@ -19,7 +19,7 @@
 		values          map[kv.Key]kv.Value
 		snapshot        map[kv.Key]kv.Value
 		revision        kv.Revision
-		machines        kv.MachineList
+		machines        kv.VMList
 		down            bool
 		responsesToDrop int
 		// Calls counts the calls to the platform; a watch counts as one call when it delivers a
@@ -100,11 +100,11 @@
 }
 
 // SetMachine changes the list of VMs after the configured lag.
-func (s *Sim) SetMachine(name string, state kv.MachineState) {
+func (s *Sim) SetMachine(name string, state kv.VMState) {
 	s.After(s.config.MachineListLag, func() { s.platform.setMachine(name, state) })
 }
 
-func (p *Platform) setMachine(name string, state kv.MachineState) {
+func (p *Platform) setMachine(name string, state kv.VMState) {
 	p.machines = p.machines.WithState(name, state)
 	for _, proxy := range p.sim.proxies {
 		proxy.onMachineListChanged()
--- a/internal/fake/simnet/proxy.go
+++ b/internal/fake/simnet/proxy.go
@@ -114,7 +114,7 @@
 	p.pollPlatform(p.incarnation)
 }
 
-func (s *Sim) setMachineNow(name string) { s.platform.setMachine(name, kv.MachineLive) }
+func (s *Sim) setMachineNow(name string) { s.platform.setMachine(name, kv.VMLive) }
 
 // now returns the time by the process's own clock.
 func (p *Proxy) now() time.Time { return p.sim.now.Add(-p.clockLag) }
--- a/internal/fake/simnet/scenario.go
+++ b/internal/fake/simnet/scenario.go
@@ -138,7 +138,7 @@
 		"loan-doubled":    {LoanCountedTwice: true},
 		"shift-uncapped":  {ShiftUncapped: true},
 		"bundle-revert":   {BundleRollback: true},
-		"leaving-serves":  {LeavingServerUsed: true},
+		"leaving-serves":  {DrainingServerUsed: true},
 		"fence-off":       {FenceDisabled: true},
 		"no-region-quota": {QuotaDisabled: true},
 	}
--- a/internal/fake/simnet/serve.go
+++ b/internal/fake/simnet/serve.go
@@ -65,11 +65,11 @@
 			finished = true
 			p.sim.checks.recordReport(p, server, report)
 			var answer *caller.Response
-			if result == backend.Answered {
+			if result == backend.Completed {
 				answer = &caller.Response{Status: 200, Body: []byte(r.key)}
 			}
 			p.applyDecision(r, p.kernel.EndAttempt(p.now(), core.AttemptEnd{
-				Attempt: d.Attempt, Result: result, Answer: answer, Report: report, ConnectionRefused: result == backend.Unreachable && server.down,
+				Attempt: d.Attempt, Result: result, Response: answer, Report: report, ConnectionRefused: result == backend.Unreachable && server.down,
 			}))
 		})
 	}
@@ -84,7 +84,7 @@
 			r.respond(p.kernel.HandleDeadlineExceeded(p.now(), d.Attempt), "")
 		}
 	})
-	p.sim.After(remaining+core.AnswerGracePeriod, func() { finish(backend.Abandoned, nil) })
+	p.sim.After(remaining+core.ResponseGracePeriod, func() { finish(backend.Abandoned, nil) })
 }
 
 // sendToServer delivers one attempt over the simulated network, on which the connection may fail or
@@ -125,7 +125,7 @@
 	}
 	respond := req.respond
 	req.respond = func(result backend.Result, report *backend.Report) {
-		if result == backend.Answered {
+		if result == backend.Completed {
 			result = backend.Interrupted
 		}
 		respond(result, report)
--- a/internal/fake/simnet/server.go
+++ b/internal/fake/simnet/server.go
@@ -107,7 +107,7 @@
 			return
 		}
 		b.running--
-		req.respond(backend.Answered, b.loadReport())
+		req.respond(backend.Completed, b.loadReport())
 		b.startNext()
 	})
 }
@@ -151,5 +151,5 @@
 		b.reportedLoad = b.running + len(b.queue)
 		b.reportedAt = b.sim.now
 	}
-	return &backend.Report{Running: b.reportedLoad, Leaving: b.reportsLeaving, Signal: backpressure.Signal{Limit: b.limit}, At: b.sim.now}
+	return &backend.Report{Running: b.reportedLoad, Draining: b.reportsLeaving, Signal: backpressure.Signal{Limit: b.limit}, At: b.sim.now}
 }
--- a/internal/kernel/backend/server.go
+++ b/internal/kernel/backend/server.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	// Answered means that a complete answer was received.
-	Answered Result = iota + 1
+	// Completed means that a complete answer was received.
+	Completed Result = iota + 1
 	// Rejected means that the server shed the request before running it.
 	Rejected
 	// Unreachable means that no byte of the request was sent.
@@ -53,8 +53,8 @@
 	// Report is the load that a server reports about itself. It lags and may be wrong, so it only
 	// influences the choice among servers and never permits a request.
 	Report struct {
-		Running int
-		Leaving bool
+		Running  int
+		Draining bool
 		// Signal is the backpressure signal of the server.
 		Signal backpressure.Signal
 		At     time.Time
@@ -69,19 +69,19 @@
 		Slots       int
 		Connections int
 
-		inFlight       int
-		otherLoad      float64
-		reportedAt     time.Time
-		latency        time.Duration
-		failures       int
-		ejections      int
-		unusableUntil  time.Time
-		reportsLeaving bool
-		drained        bool
-		listed         bool
-		warmupStart    time.Time
-		slowStart      time.Duration
-		nextProbe      time.Time
+		inFlight        int
+		otherLoad       float64
+		reportedAt      time.Time
+		latency         time.Duration
+		failures        int
+		ejections       int
+		unusableUntil   time.Time
+		reportsDraining bool
+		drained         bool
+		listed          bool
+		warmupStart     time.Time
+		slowStart       time.Duration
+		nextProbe       time.Time
 	}
 )
 
@@ -117,19 +117,19 @@
 	s.listed = listed
 }
 
-// Leaving reports whether the server must get no new requests, because of a drain in the bundle,
+// Draining reports whether the server must get no new requests, because of a drain in the bundle,
 // the VM list or its own report.
-func (s *Server) Leaving() bool {
-	return s.drained || !s.listed || s.reportsLeaving
+func (s *Server) Draining() bool {
+	return s.drained || !s.listed || s.reportsDraining
 }
 
-// ReportsLeaving reports whether the server has announced that it is leaving. This holds until a
+// ReportsDraining reports whether the server has announced that it is leaving. This holds until a
 // health probe finds otherwise, since the server keeps its name across restarts.
-func (s *Server) ReportsLeaving() bool { return s.reportsLeaving }
+func (s *Server) ReportsDraining() bool { return s.reportsDraining }
 
 // Usable reports whether the server may be chosen.
 func (s *Server) Usable(now time.Time) bool {
-	return !s.Leaving() && !now.Before(s.unusableUntil)
+	return !s.Draining() && !now.Before(s.unusableUntil)
 }
 
 // Start counts a request as in flight.
@@ -139,7 +139,7 @@
 func (s *Server) End(r Result, elapsed time.Duration, now time.Time) {
 	s.inFlight--
 	switch r {
-	case Answered:
+	case Completed:
 		s.recordSuccess(elapsed, now)
 	case Rejected:
 		s.failures = 0
@@ -181,8 +181,8 @@
 
 // ApplyReport updates the state with a load report.
 func (s *Server) ApplyReport(r Report) {
-	if r.Leaving {
-		s.reportsLeaving = true
+	if r.Draining {
+		s.reportsDraining = true
 	}
 	if r.At.Before(s.reportedAt) {
 		return
@@ -230,13 +230,13 @@
 // leaving. A failed probe counts like a failed request.
 func (s *Server) ApplyProbe(h Health, now time.Time) {
 	if !h.OK {
-		if !s.reportsLeaving {
+		if !s.reportsDraining {
 			s.recordFailure(now)
 		}
 		return
 	}
-	if s.reportsLeaving && (h.Report == nil || !h.Report.Leaving) {
-		s.reportsLeaving = false
+	if s.reportsDraining && (h.Report == nil || !h.Report.Draining) {
+		s.reportsDraining = false
 		s.warmupStart = now
 	}
 	if s.ejections > 0 {
--- a/internal/kernel/caller/header.go
+++ b/internal/kernel/caller/header.go
@@ -21,8 +21,8 @@
 	HeaderDeadline = "Gypsumquay-Deadline"
 	// HeaderLoad is the number of requests that a backend server is running.
 	HeaderLoad = "Gypsumquay-Load"
-	// HeaderLeaving is "true" in responses of a backend server that is draining.
-	HeaderLeaving = "Gypsumquay-Leaving"
+	// HeaderDraining is "true" in responses of a backend server that is draining.
+	HeaderDraining = "Gypsumquay-Leaving"
 	// HeaderLimit is the rate, in requests per second, that a backend server accepts from all
 	// proxies together.
 	HeaderLimit = "Gypsumquay-Limit"
--- a/internal/kernel/core/action.go
+++ b/internal/kernel/core/action.go
@@ -37,10 +37,10 @@
 		Method  string
 		Path    string
 		Client  netip.Addr
-		// Work identifies what a backend server would run for the request.
-		Work     quarantine.Fingerprint
-		Token    string
-		Deadline time.Time
+		// Fingerprint identifies what a backend server would run for the request.
+		Fingerprint quarantine.Fingerprint
+		Token       string
+		Deadline    time.Time
 		// Forwarded is set for a request received from a peer. It is not forwarded again, since two
 		// proxies with different membership views could otherwise forward it in a loop.
 		Forwarded bool
@@ -63,10 +63,10 @@
 
 	// AttemptEnd reports how a dispatch ended.
 	AttemptEnd struct {
-		Attempt Attempt
-		Result  backend.Result
-		Answer  *caller.Response
-		Report  *backend.Report
+		Attempt  Attempt
+		Result   backend.Result
+		Response *caller.Response
+		Report   *backend.Report
 		// NoRetry is set if no further attempt may follow, because the caller has received part of
 		// this answer or has disconnected.
 		NoRetry bool
--- a/internal/kernel/core/assign.go
+++ b/internal/kernel/core/assign.go
@@ -112,7 +112,7 @@
 		Region:               k.config.Self.Region,
 		Bundle:               k.bundle,
 		Assignment:           k.assignment,
-		Machines:             k.machines,
+		VMList:               k.vmList,
 		CapacityBundle:       k.capacityBundleOf,
 		HasPeerWithoutSlots:  peerWithoutSlots,
 		MayClaimMoreSlots:    k.mayClaimMoreSlots(now),
--- a/internal/kernel/core/backpressure.go
+++ b/internal/kernel/core/backpressure.go
@@ -112,7 +112,7 @@
 }
 
 // logSignalChange logs a change of the limit that a server sends. Leaving is logged by
-// applyLeaving, together with the other reasons for it.
+// applyDraining, together with the other reasons for it.
 func (k *Kernel) logSignalChange(n backpressure.Event) {
 	if n.Type != backpressure.EventLimit {
 		return
--- a/internal/kernel/core/bench_test.go
+++ b/internal/kernel/core/bench_test.go
@@ -68,7 +68,7 @@
 		if d.Step != StepDispatch {
 			b.Fatalf("got step %d (%s), want a dispatch", d.Step, d.Result.Reason)
 		}
-		k.EndAttempt(now, AttemptEnd{Attempt: d.Attempt, Result: backend.Answered})
+		k.EndAttempt(now, AttemptEnd{Attempt: d.Attempt, Result: backend.Completed})
 	}
 }
 
--- a/internal/kernel/core/bundle.go
+++ b/internal/kernel/core/bundle.go
@@ -72,7 +72,7 @@
 	k.reconfigureQuotas(now, b, previous)
 	k.prefixes = clientPrefixTable(b)
 	k.applyQuota(now)
-	k.applyLeaving(now)
+	k.applyDraining(now)
 }
 
 func (k *Kernel) serversByName() map[string]*backend.Server {
@@ -100,7 +100,7 @@
 		} else {
 			// A proxy that has just started, or whose regions have changed, has no previous row to
 			// shift from. It starts with the row that its peers shift towards.
-			state.mover = region.NewShifter(rows[i])
+			state.shifter = region.NewShifter(rows[i])
 		}
 		state.Region = b.Regions[i]
 		k.regions[i] = state
--- a/internal/kernel/core/event.go
+++ b/internal/kernel/core/event.go
@@ -17,8 +17,8 @@
 	// EventOverdue marks a request that is still running at its deadline, and whose caller is told
 	// "unknown".
 	EventOverdue EventKind = "request-overdue"
-	// EventRefused marks a request or an attempt that was rejected before its dispatch.
-	EventRefused EventKind = "request-refused"
+	// EventRejected marks a request or an attempt that was rejected before its dispatch.
+	EventRejected EventKind = "request-refused"
 	// EventForwarded marks a request forwarded to the minter of its token.
 	EventForwarded EventKind = "request-forwarded"
 	// EventTokenMinted marks a new idempotency token.
@@ -41,8 +41,8 @@
 	EventServerLimit EventKind = "backend-server-limit"
 	// EventServerEjected marks a backend server ejected after failures.
 	EventServerEjected EventKind = "backend-server-out"
-	// EventServerLeaving marks a backend server that gets no new requests.
-	EventServerLeaving EventKind = "backend-server-leaving"
+	// EventServerDraining marks a backend server that gets no new requests.
+	EventServerDraining EventKind = "backend-server-leaving"
 	// EventBorrowed marks quota borrowed from a peer.
 	EventBorrowed EventKind = "quota-borrowed"
 	// EventFenced marks a proxy that stopped using its quota after a pause of its process.
--- a/internal/kernel/core/gossip.go
+++ b/internal/kernel/core/gossip.go
@@ -37,8 +37,8 @@
 	if k.assignment != nil {
 		v.Assignment = k.assignment.Version
 	}
-	if k.machines != nil {
-		v.Machines = k.machines.Version
+	if k.vmList != nil {
+		v.VMList = k.vmList.Version
 	}
 	return v
 }
@@ -142,8 +142,8 @@
 	if reply.Versions.Assignment > m.Versions.Assignment {
 		reply.Assignment = k.assignment.Encode()
 	}
-	if reply.Versions.Machines > m.Versions.Machines {
-		reply.Machines = k.machines.Encode()
+	if reply.Versions.VMList > m.Versions.VMList {
+		reply.VMList = k.vmList.Encode()
 	}
 	return reply
 }
@@ -164,7 +164,7 @@
 // isBehind reports whether the versions include a newer document than this proxy has.
 func (k *Kernel) isBehind(v peer.Versions) bool {
 	own := k.documentVersions()
-	return v.Bundle > own.Bundle || v.Assignment > own.Assignment || v.Machines > own.Machines
+	return v.Bundle > own.Bundle || v.Assignment > own.Assignment || v.VMList > own.VMList
 }
 
 // HandleExchangeReply processes the reply to an exchange sent at sentAt. Documents are applied
@@ -172,9 +172,9 @@
 // its slots.
 func (k *Kernel) HandleExchangeReply(now, sentAt time.Time, m peer.Exchange) {
 	k.members.RecordSuccess(m.From)
-	if len(m.Machines) > 0 {
-		if list, err := kv.ParseMachineList(m.Machines); err == nil {
-			k.ApplyMachines(now, list)
+	if len(m.VMList) > 0 {
+		if list, err := kv.ParseVMList(m.VMList); err == nil {
+			k.ApplyVMList(now, list)
 		}
 	}
 	if len(m.Bundle) > 0 {
@@ -216,12 +216,12 @@
 	}
 }
 
-// ApplyMachines applies a version of the platform's VM list. Older versions are ignored.
-func (k *Kernel) ApplyMachines(now time.Time, list *kv.MachineList) {
-	if k.machines != nil && list.Version <= k.machines.Version {
+// ApplyVMList applies a version of the platform's VM list. Older versions are ignored.
+func (k *Kernel) ApplyVMList(now time.Time, list *kv.VMList) {
+	if k.vmList != nil && list.Version <= k.vmList.Version {
 		return
 	}
-	k.machines = list
+	k.vmList = list
 	k.scheduleGossip(now)
 }
 
--- a/internal/kernel/core/invariant.go
+++ b/internal/kernel/core/invariant.go
@@ -19,10 +19,10 @@
 	onServers := 0
 	planned, failover := k.shiftPaces()
 	for _, r := range k.regions {
-		if r.mover.Row().Sum() != region.FullShare {
+		if r.shifter.Row().Sum() != region.FullShare {
 			k.invariantViolated("row of region " + r.Name + " does not sum to 1000")
 		}
-		p, f := r.mover.RecentShifts(now, planned, failover)
+		p, f := r.shifter.RecentShifts(now, planned, failover)
 		if settled := k.shiftCapsSettled(now); settled && (p > planned.Cap || f > failover.Cap) {
 			k.invariantViolated("region " + r.Name + " shifted more than its cap")
 		}
--- a/internal/kernel/core/kernel.go
+++ b/internal/kernel/core/kernel.go
@@ -56,13 +56,13 @@
 	// InjectedFaults selects safeguards that a test disables, to show that a violation of the
 	// invariant they protect is detected.
 	InjectedFaults struct {
-		TokenReuse        bool
-		LoanCountedTwice  bool
-		ShiftUncapped     bool
-		BundleRollback    bool
-		LeavingServerUsed bool
-		FenceDisabled     bool
-		QuotaDisabled     bool
+		TokenReuse         bool
+		LoanCountedTwice   bool
+		ShiftUncapped      bool
+		BundleRollback     bool
+		DrainingServerUsed bool
+		FenceDisabled      bool
+		QuotaDisabled      bool
 	}
 
 	// Executor runs a function with exclusive access to a kernel.
@@ -81,7 +81,7 @@
 		quotaSlots int
 		envelope   []byte
 		assignment *kv.Assignment
-		machines   *kv.MachineList
+		vmList     *kv.VMList
 		prefixes   *caller.PrefixTable
 
 		services map[string]*service
@@ -155,13 +155,13 @@
 	// regionState is a region of the bundle with its quota, traffic shift and rates.
 	regionState struct {
 		operator.Region
-		quota    peer.Quota
-		mover    *region.Shifter
-		spreader region.WeightedRoundRobin
-		servers  []*backend.Server
-		lost     bool
-		demand   rateMeter
-		rejected rateMeter
+		quota      peer.Quota
+		shifter    *region.Shifter
+		roundRobin region.WeightedRoundRobin
+		servers    []*backend.Server
+		lost       bool
+		demand     rateMeter
+		rejected   rateMeter
 	}
 )
 
@@ -186,7 +186,7 @@
 		incarnations: make(map[string]quarantine.InstanceID),
 		backpressure: backpressure.NewTracker(),
 	}
-	k.quarantine.OnEvent, k.quarantine.TrialRank = k.logWorkChange, k.trialRank
+	k.quarantine.OnEvent, k.quarantine.TrialRank = k.logQuarantineEvent, k.trialRank
 	k.backpressure.OnEvent = k.logSignalChange
 	return k
 }
@@ -203,7 +203,7 @@
 	}
 	if k.bundle != nil {
 		k.joinIfReady(now)
-		k.applyLeaving(now)
+		k.applyDraining(now)
 		if k.members.Self().State != peer.StateJoining {
 			k.advanceShifts(now)
 		}
--- a/internal/kernel/core/lookup.go
+++ b/internal/kernel/core/lookup.go
@@ -18,9 +18,9 @@
 		hash uint64
 	}
 
-	// LookupAnswer lists the proxies that a caller may use, in order of preference. It may be
+	// LookupResponse lists the proxies that a caller may use, in order of preference. It may be
 	// cached for TTL.
-	LookupAnswer struct {
+	LookupResponse struct {
 		Service    string
 		HomeRegion string
 		Proxies    []peer.Member
@@ -36,25 +36,25 @@
 // applies those itself, immediately and to every request. If lookups applied them too, a shift
 // would count twice, the second time delayed by the TTL of cached answers, and a request could
 // cross between regions and back.
-func (k *Kernel) Lookup(now time.Time, service string, client netip.Addr) (LookupAnswer, bool) {
+func (k *Kernel) Lookup(now time.Time, service string, client netip.Addr) (LookupResponse, bool) {
 	if k.bundle == nil || k.services[service] == nil {
-		return LookupAnswer{}, false
+		return LookupResponse{}, false
 	}
 	home := k.homeRegion(client)
-	answer := LookupAnswer{
+	response := LookupResponse{
 		Service:    service,
 		HomeRegion: k.regions[home].Name,
 		TTL:        k.bundle.Lookup.TTL.Std(),
 	}
 	key := xxhash.Sum64(client.AsSlice())
 	candidates := k.candidates(now)
-	answer.Proxies = appendHighestRanked(nil, candidates[answer.HomeRegion], key, k.bundle.Lookup.MaxProxies)
+	response.Proxies = appendHighestRanked(nil, candidates[response.HomeRegion], key, k.bundle.Lookup.MaxProxies)
 	for _, r := range k.regions {
-		if r.Name != answer.HomeRegion && len(answer.Proxies) < k.bundle.Lookup.MaxProxies {
-			answer.Proxies = appendHighestRanked(answer.Proxies, candidates[r.Name], key, k.bundle.Lookup.MaxProxies)
+		if r.Name != response.HomeRegion && len(response.Proxies) < k.bundle.Lookup.MaxProxies {
+			response.Proxies = appendHighestRanked(response.Proxies, candidates[r.Name], key, k.bundle.Lookup.MaxProxies)
 		}
 	}
-	return answer, len(answer.Proxies) > 0
+	return response, len(response.Proxies) > 0
 }
 
 // candidates returns the proxies that lookups may return, by region. The result is cached and
@@ -114,7 +114,7 @@
 	}
 	home := k.homeRegion(client)
 	lines := []string{"home region " + k.regions[home].Name + ": its proxies come first"}
-	for i, share := range k.regions[home].mover.Row() {
+	for i, share := range k.regions[home].shifter.Row() {
 		if share == 0 {
 			continue
 		}
@@ -133,8 +133,8 @@
 	if name == k.config.Self.Name && k.stopping {
 		return true
 	}
-	state, listed := k.machines.State(name)
-	if listed && state != kv.MachineLive {
+	state, listed := k.vmList.State(name)
+	if listed && state != kv.VMLive {
 		return true
 	}
 	return k.bundle.IsDrained(operator.DrainProxy, name, now)
--- a/internal/kernel/core/quarantine.go
+++ b/internal/kernel/core/quarantine.go
@@ -20,10 +20,10 @@
 // checkQuarantine returns caller.ReasonNone if the request's work may run now. Otherwise it returns
 // the reason for the rejection and the time after which the caller may retry.
 func (k *Kernel) checkQuarantine(now time.Time, inflight *inFlightRequest) (caller.Reason, time.Duration) {
-	if inflight.work.IsEmpty() {
+	if inflight.fingerprint.IsEmpty() {
 		return caller.ReasonNone, 0
 	}
-	ruling, remaining := k.quarantine.Status(now, inflight.work)
+	ruling, remaining := k.quarantine.Status(now, inflight.fingerprint)
 	switch {
 	case ruling == quarantine.Quarantined:
 		return caller.ReasonCrashesServers, min(remaining, quarantine.MaxRetryAfter)
@@ -34,7 +34,7 @@
 }
 
 // trialRank returns this proxy's position in the order in which proxies retry rejected work.
-func (k *Kernel) trialRank(w quarantine.Fingerprint) int {
+func (k *Kernel) trialRank(fingerprint quarantine.Fingerprint) int {
 	members := k.members.All()
 	before := 0
 	for _, m := range members {
@@ -42,27 +42,27 @@
 			before++
 		}
 	}
-	return (before + int(w[0])) % max(1, len(members))
+	return (before + int(fingerprint[0])) % max(1, len(members))
 }
 
 // recordAttemptEnd updates the quarantine with what the end of an attempt tells about its work and
 // its server.
 func (k *Kernel) recordAttemptEnd(now time.Time, inflight *inFlightRequest, e AttemptEnd) {
 	q := k.quarantine
-	q.RecordStop(inflight.work)
+	q.RecordStop(inflight.fingerprint)
 	switch e.Result {
-	case backend.Answered, backend.Rejected:
+	case backend.Completed, backend.Rejected:
 		q.RecordResponse(k.incarnations[inflight.server.Name], inflight.sentAt)
-		if e.Answer != nil && e.Answer.Status < http.StatusBadRequest {
+		if e.Response != nil && e.Response.Status < http.StatusBadRequest {
 			// A server that fails or rejects a request may not have reached the point at which the
 			// work makes it exit.
-			q.RecordSuccess(now, inflight.work)
+			q.RecordSuccess(now, inflight.fingerprint)
 		}
 	case backend.Interrupted:
 		inflight.interruptions++
-		if !inflight.server.Leaving() {
+		if !inflight.server.Draining() {
 			// A server that is leaving may cut the connections of its remaining requests.
-			q.RecordConnectionLoss(now, inflight.work, k.incarnationOf(now, inflight.server.Name))
+			q.RecordConnectionLoss(now, inflight.fingerprint, k.incarnationOf(now, inflight.server.Name))
 		}
 	case backend.Unreachable:
 		if e.ConnectionRefused {
@@ -124,8 +124,8 @@
 	}
 }
 
-// logWorkChange logs a change in the quarantine state of a work.
-func (k *Kernel) logWorkChange(n quarantine.Event) {
+// logQuarantineEvent logs a change in the quarantine state of a work.
+func (k *Kernel) logQuarantineEvent(n quarantine.Event) {
 	detail := n.Fingerprint.String()
 	if n.Type == quarantine.EventServerCrashed {
 		detail = strconv.Itoa(len(n.Fingerprints)) + " works there"
--- a/internal/kernel/core/request.go
+++ b/internal/kernel/core/request.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// AnswerGracePeriod is how long after the deadline the proxy still waits for the answer to a
+	// ResponseGracePeriod is how long after the deadline the proxy still waits for the answer to a
 	// non-idempotent request, so that it can tell the outcome to a caller that repeats the request.
-	AnswerGracePeriod = 5 * time.Second
+	ResponseGracePeriod = 5 * time.Second
 	// startupPeriod is how long after its start a proxy may not have learned of every minter.
 	// During it, an unknown minter is not reported as gone.
 	startupPeriod = 10 * time.Second
@@ -35,7 +35,7 @@
 		idempotent  bool
 		token       *caller.Token
 		attempts    int
-		work        quarantine.Fingerprint
+		fingerprint quarantine.Fingerprint
 		// interruptions counts the attempts that ended with backend.Interrupted.
 		interruptions int
 		startedAt     time.Time
@@ -60,7 +60,7 @@
 	if !now.Before(deadline) {
 		return k.rejectRequest(now, r, caller.ReasonDeadline, 0)
 	}
-	inflight := inFlightRequest{service: s, work: r.Work, startedAt: now, deadline: deadline, homeRegion: k.homeRegion(r.Client)}
+	inflight := inFlightRequest{service: s, fingerprint: r.Fingerprint, startedAt: now, deadline: deadline, homeRegion: k.homeRegion(r.Client)}
 	inflight.idempotent = s.IsIdempotent(r.Method, r.Path)
 	if !inflight.idempotent {
 		if d, settled := k.claimToken(now, r, &inflight); settled {
@@ -123,8 +123,8 @@
 
 // isVMUnlisted reports whether the VM list is known and does not contain the VM.
 func (k *Kernel) isVMUnlisted(name string) bool {
-	_, listed := k.machines.State(name)
-	return k.machines != nil && !listed
+	_, listed := k.vmList.State(name)
+	return k.vmList != nil && !listed
 }
 
 // finishUnknown ends a request with an unknown outcome.
@@ -171,7 +171,7 @@
 	if k.inFlight >= k.config.MaxInFlight {
 		return k.rejectAttempt(now, inflight, caller.ReasonProxyBusy, time.Second)
 	}
-	regionIndex := k.regions[inflight.homeRegion].spreader.Next(k.regions[inflight.homeRegion].mover.Row())
+	regionIndex := k.regions[inflight.homeRegion].roundRobin.Next(k.regions[inflight.homeRegion].shifter.Row())
 	if k.regions[regionIndex].lost {
 		regionIndex = k.failoverRegion(now, inflight, regionIndex)
 	}
@@ -232,7 +232,7 @@
 	}
 	server.Start()
 	k.backpressureOf(server).RecordSent(now)
-	k.quarantine.RecordStart(inflight.work)
+	k.quarantine.RecordStart(inflight.fingerprint)
 	k.inFlight++
 	kind := EventAdmitted
 	if inflight.attempts > 1 {
@@ -288,8 +288,8 @@
 		k.log(now, Event{Kind: EventServerEjected, Target: inflight.server.Name})
 	}
 	switch e.Result {
-	case backend.Answered:
-		return k.finish(now, inflight, caller.Result{Outcome: caller.OutcomeDone, Response: e.Answer})
+	case backend.Completed:
+		return k.finish(now, inflight, caller.Result{Outcome: caller.OutcomeDone, Response: e.Response})
 	case backend.Rejected:
 		return k.retryOrFinish(now, inflight, e.NoRetry, caller.Result{Outcome: caller.OutcomeNotRun, Reason: caller.ReasonShed})
 	case backend.Unreachable:
@@ -307,7 +307,7 @@
 }
 
 // HandleDeadlineExceeded returns the result for a caller whose deadline passes while the attempt is
-// still running. The attempt of a non-idempotent request continues for up to AnswerGracePeriod, so
+// still running. The attempt of a non-idempotent request continues for up to ResponseGracePeriod, so
 // that its outcome can be recorded.
 func (k *Kernel) HandleDeadlineExceeded(now time.Time, a Attempt) caller.Result {
 	result := caller.Result{Outcome: caller.OutcomeUnknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetryAfter}
@@ -355,13 +355,13 @@
 		k.tokenRecords.Release(inflight.token.Nonce)
 	}
 	result := caller.Result{Outcome: caller.OutcomeNotRun, Reason: reason, RetryAfter: k.jitter(retryAfter)}
-	k.log(now, Event{Kind: EventRefused, Service: inflight.service.Name, Request: inflight.id, Outcome: result.Outcome, Reason: result.Reason})
+	k.log(now, Event{Kind: EventRejected, Service: inflight.service.Name, Request: inflight.id, Outcome: result.Outcome, Reason: result.Reason})
 	return Decision{Step: StepFinish, ID: inflight.id, Idempotent: inflight.idempotent, Result: result}
 }
 
 // rejectRequest rejects a request before its first attempt.
 func (k *Kernel) rejectRequest(now time.Time, r Request, reason caller.Reason, retryAfter time.Duration) Decision {
 	result := caller.Result{Outcome: caller.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter}
-	k.log(now, Event{Kind: EventRefused, Service: r.Service, Outcome: result.Outcome, Reason: result.Reason})
+	k.log(now, Event{Kind: EventRejected, Service: r.Service, Outcome: result.Outcome, Reason: result.Reason})
 	return Decision{Step: StepFinish, Result: result}
 }
--- a/internal/kernel/core/route.go
+++ b/internal/kernel/core/route.go
@@ -17,9 +17,9 @@
 	planInterval = 500 * time.Millisecond
 	// probeInterval is how often an ejected server is probed for its health.
 	probeInterval = 500 * time.Millisecond
-	// leavingProbeInterval is how often a server that reports itself as leaving is probed to find
+	// drainingProbeInterval is how often a server that reports itself as leaving is probed to find
 	// out whether it still does.
-	leavingProbeInterval = 5 * time.Second
+	drainingProbeInterval = 5 * time.Second
 	// rateSampleWeight is the weight of a new sample in the moving average of a rate.
 	rateSampleWeight = 0.2
 	// lostRegionThreshold is the share of ejected servers at which a region counts as lost.
@@ -70,7 +70,7 @@
 		failover.Cap = region.FullShare
 	}
 	for i, r := range k.regions {
-		if n := r.mover.Advance(now, targets[i], lost, planned, failover); n > 0 {
+		if n := r.shifter.Advance(now, targets[i], lost, planned, failover); n > 0 {
 			k.log(now, Event{Kind: EventShift, Target: r.Name, Detail: strconv.Itoa(n) + " permille"})
 		}
 	}
@@ -95,7 +95,7 @@
 		Rejected:  make([]float64, n),
 	}
 	for i, r := range k.regions {
-		in.Current[i] = r.mover.Row()
+		in.Current[i] = r.shifter.Row()
 		in.Usable[i] = !r.lost && len(r.servers) > 0 && !k.bundle.IsDrained(operator.DrainRegion, r.Name, now)
 		in.Demand[i] = r.demand.rate
 		in.Capacity[i] = r.Capacity
@@ -130,7 +130,7 @@
 func (k *Kernel) updateRegionHealth(now time.Time, r *regionState) {
 	ejected, total := 0, 0
 	for _, s := range r.servers {
-		if s.Leaving() {
+		if s.Draining() {
 			continue
 		}
 		total++
@@ -158,11 +158,11 @@
 	for _, r := range k.regions {
 		anyEjected := slices.ContainsFunc(r.servers, (*backend.Server).Ejected)
 		for _, s := range r.servers {
-			interval := leavingProbeInterval
-			if !s.ReportsLeaving() {
+			interval := drainingProbeInterval
+			if !s.ReportsDraining() {
 				interval = probeInterval
 			}
-			if !anyEjected && !s.ReportsLeaving() || !k.serverAccepts(now, s) || !s.ProbeDue(now, interval) {
+			if !anyEjected && !s.ReportsDraining() || !k.serverAccepts(now, s) || !s.ProbeDue(now, interval) {
 				continue
 			}
 			k.backpressureOf(s).RecordSent(now)
@@ -192,16 +192,16 @@
 	}
 }
 
-// applyLeaving marks the servers that are taken out of service by a drain or by the VM list.
-func (k *Kernel) applyLeaving(now time.Time) {
+// applyDraining marks the servers that are taken out of service by a drain or by the VM list.
+func (k *Kernel) applyDraining(now time.Time) {
 	for _, r := range k.regions {
 		for _, s := range r.servers {
-			wasLeaving := s.Leaving()
-			s.SetDrained(k.bundle.IsDrained(operator.DrainServer, s.Name, now) && !k.config.Faults.LeavingServerUsed)
-			state, listed := k.machines.State(s.Name)
-			s.SetListed(!listed || state == kv.MachineLive, now)
-			if !wasLeaving && s.Leaving() {
-				k.log(now, Event{Kind: EventServerLeaving, Target: s.Name})
+			wasDraining := s.Draining()
+			s.SetDrained(k.bundle.IsDrained(operator.DrainServer, s.Name, now) && !k.config.Faults.DrainingServerUsed)
+			state, listed := k.vmList.State(s.Name)
+			s.SetListed(!listed || state == kv.VMLive, now)
+			if !wasDraining && s.Draining() {
+				k.log(now, Event{Kind: EventServerDraining, Target: s.Name})
 			}
 		}
 	}
@@ -229,7 +229,7 @@
 func (k *Kernel) currentRows() [][]int {
 	var rows [][]int
 	for _, r := range k.regions {
-		rows = append(rows, r.mover.Row())
+		rows = append(rows, r.shifter.Row())
 	}
 	return rows
 }
@@ -248,7 +248,7 @@
 		if len(row) != len(k.regions) || region.Row(row).Sum() != region.FullShare {
 			return
 		}
-		k.regions[i].mover = region.NewShifter(row)
+		k.regions[i].shifter = region.NewShifter(row)
 	}
 	k.rowsAdopted = true
 }
--- a/internal/kernel/core/status.go
+++ b/internal/kernel/core/status.go
@@ -41,7 +41,7 @@
 		Service         string        `json:"service"`
 		Region          string        `json:"region"`
 		InFlight        int           `json:"in-flight"`
-		Leaving         bool          `json:"leaving"`
+		Draining        bool          `json:"leaving"`
 		Ejected         bool          `json:"out"`
 		Latency         time.Duration `json:"latency-ns"`
 		ConnectionLimit int           `json:"connection-limit"`
@@ -70,7 +70,7 @@
 			Limit:    r.quota.Limit(now),
 			Used:     r.quota.Used(now),
 			Lost:     r.lost,
-			Row:      append(region.Row(nil), r.mover.Row()...),
+			Row:      append(region.Row(nil), r.shifter.Row()...),
 		})
 	}
 	if k.bundle == nil {
@@ -84,7 +84,7 @@
 				Service:         name,
 				Region:          server.Region,
 				InFlight:        server.InFlight(),
-				Leaving:         server.Leaving(),
+				Draining:        server.Draining(),
 				Ejected:         server.Ejected(),
 				Latency:         server.Latency(),
 				ConnectionLimit: k.connectionLimit(server),
--- a/internal/kernel/kv/assignment.go
+++ b/internal/kernel/kv/assignment.go
@@ -30,10 +30,10 @@
 )
 
 const (
-	// MachineLive is the state of a running VM.
-	MachineLive MachineState = "live"
-	// MachineLeaving is the state of a VM that is about to be removed.
-	MachineLeaving MachineState = "leaving"
+	// VMLive is the state of a running VM.
+	VMLive VMState = "live"
+	// VMLeaving is the state of a VM that is about to be removed.
+	VMLeaving VMState = "leaving"
 )
 
 type (
@@ -43,19 +43,19 @@
 	// Revision is the version that the service gives a value. Zero means that there is no value.
 	Revision uint64
 
-	// MachineState is a VM's state in the platform's list.
-	MachineState string
+	// VMState is a VM's state in the platform's list.
+	VMState string
 
-	// Machine is an entry of the platform's list of VMs, which lags behind their actual state.
-	Machine struct {
-		Name  string       `json:"name"`
-		State MachineState `json:"state"`
+	// VM is an entry of the platform's list of VMs, which lags behind their actual state.
+	VM struct {
+		Name  string  `json:"name"`
+		State VMState `json:"state"`
 	}
 
-	// MachineList is a version of the platform's list of VMs.
-	MachineList struct {
-		Version  uint64    `json:"version"`
-		Machines []Machine `json:"machines"`
+	// VMList is a version of the platform's list of VMs.
+	VMList struct {
+		Version uint64 `json:"version"`
+		VMs     []VM   `json:"machines"`
 	}
 
 	// SlotHolder identifies the process that owns a quota slot. The zero value means that the slot
@@ -222,9 +222,9 @@
 // Encode returns the assignment as JSON.
 func (a *Assignment) Encode() []byte { return mustEncode(a) }
 
-// ParseMachineList decodes a list of VMs from JSON.
-func ParseMachineList(data []byte) (*MachineList, error) {
-	var m MachineList
+// ParseVMList decodes a list of VMs from JSON.
+func ParseVMList(data []byte) (*VMList, error) {
+	var m VMList
 	if err := json.Unmarshal(data, &m); err != nil {
 		return nil, errors.Wrap(err, "decode list of VMs")
 	}
@@ -232,7 +232,7 @@
 }
 
 // Encode returns the list as JSON.
-func (l *MachineList) Encode() []byte { return mustEncode(l) }
+func (l *VMList) Encode() []byte { return mustEncode(l) }
 
 func mustEncode(v any) []byte {
 	data, err := json.Marshal(v)
@@ -244,27 +244,27 @@
 
 // WithState returns the next version of the list, in which a VM has the given state. An empty state
 // removes the VM.
-func (l *MachineList) WithState(name string, state MachineState) MachineList {
-	next := MachineList{Version: l.Version + 1}
-	for _, machine := range l.Machines {
-		if machine.Name != name {
-			next.Machines = append(next.Machines, machine)
+func (l *VMList) WithState(name string, state VMState) VMList {
+	next := VMList{Version: l.Version + 1}
+	for _, vm := range l.VMs {
+		if vm.Name != name {
+			next.VMs = append(next.VMs, vm)
 		}
 	}
 	if state != "" {
-		next.Machines = append(next.Machines, Machine{Name: name, State: state})
+		next.VMs = append(next.VMs, VM{Name: name, State: state})
 	}
 	return next
 }
 
 // State returns the state of a VM. The result is false if the VM is not in the list.
-func (l *MachineList) State(name string) (MachineState, bool) {
+func (l *VMList) State(name string) (VMState, bool) {
 	if l == nil {
 		return "", false
 	}
-	for i := range l.Machines {
-		if l.Machines[i].Name == name {
-			return l.Machines[i].State, true
+	for i := range l.VMs {
+		if l.VMs[i].Name == name {
+			return l.VMs[i].State, true
 		}
 	}
 	return "", false
--- a/internal/kernel/kv/next_assignment.go
+++ b/internal/kernel/kv/next_assignment.go
@@ -11,7 +11,7 @@
 		Region     string
 		Bundle     *operator.Bundle
 		Assignment *Assignment
-		Machines   *MachineList
+		VMList     *VMList
 		// CapacityBundle returns the version of the bundle whose capacities a holder is known to
 		// use, or zero if it is not known.
 		CapacityBundle func(SlotHolder) uint64
@@ -166,9 +166,9 @@
 		// This process listens on the VM's address, so the earlier process that did has exited.
 		return h.Incarnation < v.Self.Incarnation
 	}
-	if v.Machines == nil {
+	if v.VMList == nil {
 		return false
 	}
-	_, listed := v.Machines.State(h.Name)
+	_, listed := v.VMList.State(h.Name)
 	return !listed
 }
--- a/internal/kernel/kv/rollout.go
+++ b/internal/kernel/kv/rollout.go
@@ -60,15 +60,15 @@
 // It returns the outcome and the current version. If the response to the write is lost, it reads
 // the value back, which carries the operation ID if this rollout took effect.
 func Rollout(ctx context.Context, s Store, b *operator.Bundle, e *operator.Envelope) (RolloutResult, uint64) {
-	verdict, current := RolloutUndecided, uint64(0)
+	result, current := RolloutUndecided, uint64(0)
 	for range maxRolloutAttempts {
-		verdict, current = tryRollout(ctx, s, b, e)
-		if verdict != RolloutUndecided || ctx.Err() != nil {
-			return verdict, current
+		result, current = tryRollout(ctx, s, b, e)
+		if result != RolloutUndecided || ctx.Err() != nil {
+			return result, current
 		}
 		s.Sleep(ctx, rolloutRetryDelay)
 	}
-	return verdict, current
+	return result, current
 }
 
 func tryRollout(ctx context.Context, s Store, b *operator.Bundle, e *operator.Envelope) (RolloutResult, uint64) {
--- a/internal/kernel/peer/member.go
+++ b/internal/kernel/peer/member.go
@@ -214,11 +214,11 @@
 
 // Get returns the member with a name.
 func (m *Members) Get(name string) (Member, bool) {
-	k, ok := m.entries[name]
+	entry, ok := m.entries[name]
 	if !ok {
 		return Member{}, false
 	}
-	return k.Member, true
+	return entry.Member, true
 }
 
 // All returns all records in order of name.
@@ -238,14 +238,14 @@
 	}
 	var list []*memberEntry
 	for _, name := range m.sortedNames {
-		if k := m.entries[name]; !k.changedAt.Before(since) {
-			list = append(list, k)
+		if entry := m.entries[name]; !entry.changedAt.Before(since) {
+			list = append(list, entry)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b *memberEntry) int { return b.changedAt.Compare(a.changedAt) })
 	var recent []Member
-	for _, k := range list[:min(limit, len(list))] {
-		recent = append(recent, k.Member)
+	for _, entry := range list[:min(limit, len(list))] {
+		recent = append(recent, entry.Member)
 	}
 	return recent
 }
@@ -253,15 +253,15 @@
 // RecordFailure counts an exchange without a reply and reports whether the member has become
 // suspect because of it.
 func (m *Members) RecordFailure(name string, now time.Time) bool {
-	k := m.entries[name]
-	if k == nil || name == m.self {
+	entry := m.entries[name]
+	if entry == nil || name == m.self {
 		return false
 	}
-	k.failures++
-	if k.failures < suspicionThreshold || k.State == StateSuspect || k.State == StateGone {
+	entry.failures++
+	if entry.failures < suspicionThreshold || entry.State == StateSuspect || entry.State == StateGone {
 		return false
 	}
-	update := k.Member
+	update := entry.Member
 	update.State = StateSuspect
 	m.store(update, now)
 	return true
@@ -269,8 +269,8 @@
 
 // RecordSuccess resets the failure count of a member that replied.
 func (m *Members) RecordSuccess(name string) {
-	if k := m.entries[name]; k != nil {
-		k.failures = 0
+	if entry := m.entries[name]; entry != nil {
+		entry.failures = 0
 	}
 }
 
@@ -279,12 +279,12 @@
 func (m *Members) Serving() []Member {
 	var list []Member
 	for _, name := range m.sortedNames {
-		k := m.entries[name]
+		entry := m.entries[name]
 		switch {
-		case k.State == StateLive:
-			list = append(list, k.Member)
-		case k.State == StateSuspect && name == m.self:
-			list = append(list, k.Member)
+		case entry.State == StateLive:
+			list = append(list, entry.Member)
+		case entry.State == StateSuspect && name == m.self:
+			list = append(list, entry.Member)
 		}
 	}
 	return list
@@ -296,13 +296,13 @@
 func (m *Members) Reachable(now time.Time) []Member {
 	var list, suspects []Member
 	for _, name := range m.sortedNames {
-		k := m.entries[name]
+		entry := m.entries[name]
 		switch {
-		case name == m.self || k.State == StateGone:
-		case k.State == StateSuspect && now.Sub(k.changedAt) > suspicionTimeout:
-			suspects = append(suspects, k.Member)
+		case name == m.self || entry.State == StateGone:
+		case entry.State == StateSuspect && now.Sub(entry.changedAt) > suspicionTimeout:
+			suspects = append(suspects, entry.Member)
 		default:
-			list = append(list, k.Member)
+			list = append(list, entry.Member)
 		}
 	}
 	if len(list) == 0 {
@@ -315,8 +315,8 @@
 // incarnation is a member, or the last successor that took over its records.
 func (m *Members) TokenOwner(minter caller.Minter) (Member, bool) {
 	for range len(m.entries) + 1 {
-		if k := m.entries[minter.Name]; k != nil && k.Incarnation == minter.Incarnation && k.State != StateGone {
-			return k.Member, true
+		if entry := m.entries[minter.Name]; entry != nil && entry.Incarnation == minter.Incarnation && entry.State != StateGone {
+			return entry.Member, true
 		}
 		stop, ok := m.plannedStops[minter]
 		if !ok {
@@ -343,11 +343,11 @@
 		}
 	}
 	for _, name := range slices.Clone(m.sortedNames) {
-		k := m.entries[name]
-		if name == m.self || now.Sub(k.changedAt) < memberTTL || k.State == StateLive {
+		entry := m.entries[name]
+		if name == m.self || now.Sub(entry.changedAt) < memberTTL || entry.State == StateLive {
 			continue
 		}
-		m.digest ^= k.hash()
+		m.digest ^= entry.hash()
 		delete(m.entries, name)
 		m.sortedNames = slices.DeleteFunc(m.sortedNames, func(n string) bool { return n == name })
 	}
--- a/internal/kernel/peer/message.go
+++ b/internal/kernel/peer/message.go
@@ -14,7 +14,7 @@
 	Versions struct {
 		Bundle     uint64 `json:"bundle"`
 		Assignment uint64 `json:"assignment"`
-		Machines   uint64 `json:"machines"`
+		VMList     uint64 `json:"machines"`
 		Members    uint64 `json:"members"`
 		Prefixes   uint64 `json:"prefixes"`
 		// MemberCount is the number of members that the sender knows.
@@ -30,7 +30,7 @@
 		Members    []Member
 		Bundle     []byte
 		Assignment []byte
-		Machines   []byte
+		VMList     []byte
 		// Rows holds the sender's current rows of the traffic matrix by home region, in thousandths
 		// and in the order of the sender's bundle. A proxy that joins starts from them.
 		Rows [][]int
--- a/internal/proxy/driver/platform.go
+++ b/internal/proxy/driver/platform.go
@@ -25,7 +25,7 @@
 	Platform struct {
 		kv.Store
 		Watch    func(ctx context.Context, key kv.Key, after kv.Revision) (kv.Value, error)
-		Machines func(ctx context.Context, after uint64) (*kv.MachineList, error)
+		Machines func(ctx context.Context, after uint64) (*kv.VMList, error)
 	}
 
 	// Watcher applies changes on the platform to the kernel while this proxy is a relay of its
@@ -139,7 +139,7 @@
 			return err
 		}
 		after = list.Version
-		w.driver.WithKernel(func(k *core.Kernel, now time.Time) { k.ApplyMachines(now, list) })
+		w.driver.WithKernel(func(k *core.Kernel, now time.Time) { k.ApplyVMList(now, list) })
 		return nil
 	}
 }
--- a/internal/proxy/runner/runner.go
+++ b/internal/proxy/runner/runner.go
@@ -69,7 +69,7 @@
 	done := make(chan endedAttempt, 1)
 	callerGone := make(chan struct{})
 	r.detached.Go(func() {
-		a := endedAttempt{decision: d, response: r.send(context.WithoutCancel(ctx), q, d, d.Deadline.Add(core.AnswerGracePeriod))}
+		a := endedAttempt{decision: d, response: r.send(context.WithoutCancel(ctx), q, d, d.Deadline.Add(core.ResponseGracePeriod))}
 		select {
 		case done <- a:
 		default:
@@ -131,11 +131,11 @@
 	var next core.Decision
 	r.WithKernel(func(k *core.Kernel, now time.Time) {
 		next = k.EndAttempt(now, core.AttemptEnd{
-			Attempt: a.decision.Attempt,
-			Result:  a.response.Result,
-			Answer:  a.response.Answer,
-			Report:  a.response.Report,
-			NoRetry: noRetry,
+			Attempt:  a.decision.Attempt,
+			Result:   a.response.Result,
+			Response: a.response.Answer,
+			Report:   a.response.Report,
+			NoRetry:  noRetry,
 
 			ConnectionRefused: a.response.ConnectionRefused,
 		})
@@ -203,7 +203,7 @@
 		Request: core.Request{
 			Service: f.Service, Method: f.Method, Path: f.Path, Client: client,
 			Token: f.Token, Deadline: f.Deadline, Forwarded: true,
-			Work: callerhttp.WorkFingerprint(f.Service, f.Method, f.Path, f.Header, f.Body),
+			Fingerprint: callerhttp.WorkFingerprint(f.Service, f.Method, f.Path, f.Header, f.Body),
 		},
 		Header: f.Header,
 		Body:   f.Body,
