--- a/cmd/gypsumquay-bench/bench.go
+++ b/cmd/gypsumquay-bench/bench.go
@@ -53,7 +53,7 @@
 		Ratio      float64 `json:"p99-to-bound"`
 		Goodput    float64 `json:"goodput-to-bound"`
 		Done       int     `json:"done"`
-		Refused    int     `json:"refused"`
+		Rejected   int     `json:"refused"`
 		Unknown    int     `json:"unknown"`
 		Sheds      int     `json:"sheds"`
 		Used       float64 `json:"largest-use-of-a-region"`
@@ -137,7 +137,7 @@
 func (a *benchArguments) measureBound(c simnet.Config, load int) latencyRow {
 	b := simnet.RunIdealScheduler(c, a.Span)
 	return latencyRow{
-		Load: load, Balancer: boundBalancer, Done: len(b.Latencies), Refused: b.Rejected,
+		Load: load, Balancer: boundBalancer, Done: len(b.Latencies), Rejected: b.Rejected,
 		P50: millis(b.Quantile(0.5)), P99: millis(b.Quantile(0.99)), P999: millis(b.Quantile(0.999)),
 	}
 }
@@ -153,7 +153,7 @@
 	callers := s.Callers()
 	return latencyRow{
 		Load: load, Balancer: name, Done: len(callers.Latencies),
-		Refused: callers.Outcomes[caller.OutcomeNotRun], Unknown: callers.Outcomes[caller.OutcomeUnknown],
+		Rejected: callers.Outcomes[caller.OutcomeNotRun], Unknown: callers.Outcomes[caller.OutcomeUnknown],
 		Sheds: s.Checks().ShedRequests() - sheds, Used: s.Checks().PeakUtilization,
 		P50: millis(callers.Quantile(0.5)), P99: millis(callers.Quantile(0.99)), P999: millis(callers.Quantile(0.999)),
 	}
@@ -185,7 +185,7 @@
 		"DEPLOYMENT", "LOAD", "BALANCER", "P50", "P99", "P99.9", "/BOUND", "GOODPUT", "DONE", "REFUSED", "SHEDS", "USED")
 	for _, r := range rows {
 		fmt.Printf("%-10s %4d%% %-16s %8.2f %8.2f %8.2f %7.2f %8.3f %7d %7d %6d %6.3f\n",
-			r.Deployment, r.Load, r.Balancer, r.P50, r.P99, r.P999, r.Ratio, r.Goodput, r.Done, r.Refused, r.Sheds, r.Used)
+			r.Deployment, r.Load, r.Balancer, r.P50, r.P99, r.P999, r.Ratio, r.Goodput, r.Done, r.Rejected, r.Sheds, r.Used)
 	}
 }
 
--- a/cmd/gypsumquay-bench/experiment.go
+++ b/cmd/gypsumquay-bench/experiment.go
@@ -51,17 +51,17 @@
 }
 
 func (a *experimentArguments) measurePlacer(name string, load warmnet.Scenario, placer string) {
-	var share, worst, refused, firstRuns, p99 float64
+	var share, worst, rejected, firstRuns, p99 float64
 	n := float64(a.Seeds)
 	for seed := range a.Seeds {
 		outcome := warmnet.Simulate(load, placer, uint64(seed)+1)
 		share += outcome.ShareWithinTarget() / n
 		worst += outcome.WorstRegionShare() / n
-		refused += float64(outcome.Refused) / float64(max(1, outcome.Sent)) / n
+		rejected += float64(outcome.Refused) / float64(max(1, outcome.Sent)) / n
 		firstRuns += float64(outcome.ColdRuns) / n
 		if len(outcome.Latencies) > 0 {
 			p99 += float64(outcome.Latencies[len(outcome.Latencies)*99/100].Milliseconds()) / n
 		}
 	}
-	fmt.Printf("%-12s %-16s %9.3f %12.3f %9.3f %9.0f %9.0f\n", name, placer, share, worst, refused, firstRuns, p99)
+	fmt.Printf("%-12s %-16s %9.3f %12.3f %9.3f %9.0f %9.0f\n", name, placer, share, worst, rejected, firstRuns, p99)
 }
--- a/cmd/gypsumquay-bench/signals.go
+++ b/cmd/gypsumquay-bench/signals.go
@@ -48,7 +48,7 @@
 	for i := range load.RateLimits {
 		load.RateLimits[i].PerSecond = limit
 	}
-	var maxUse, use, after, share, refused, reports float64
+	var maxUse, use, after, share, rejected, reports float64
 	n, totalProxies := float64(a.Seeds), float64(proxies*len(load.Regions))
 	for seed := range a.Seeds {
 		outcome := warmnet.Simulate(load, steering.DefaultPlacer, uint64(seed)+1)
@@ -56,8 +56,8 @@
 		use += outcome.RateLimits.MeanUtilization / n
 		after += outcome.RateLimits.RecoveredRate / n
 		share += outcome.ShareWithinTarget() / n
-		refused += float64(outcome.Refused) / float64(max(1, outcome.Sent)) / n
+		rejected += float64(outcome.Refused) / float64(max(1, outcome.Sent)) / n
 		reports += float64(outcome.RateLimits.Reports) / totalProxies / load.Duration.Std().Seconds() / n
 	}
-	fmt.Printf("%8.0f %8.1f %12.2f %8.2f %8.2f %10.3f %8.4f %14.2f\n", totalProxies, limit, maxUse, use, after, share, refused, reports)
+	fmt.Printf("%8.0f %8.1f %12.2f %8.2f %8.2f %10.3f %8.4f %14.2f\n", totalProxies, limit, maxUse, use, after, share, rejected, reports)
 }
--- a/internal/kernel/core/backpressure.go
+++ b/internal/kernel/core/backpressure.go
@@ -113,14 +113,14 @@
 
 // logSignalChange logs a change of the limit that a server sends. Leaving is logged by
 // applyDraining, together with the other reasons for it.
-func (k *Kernel) logSignalChange(n backpressure.Event) {
-	if n.Type != backpressure.EventLimit {
+func (k *Kernel) logSignalChange(event backpressure.Event) {
+	if event.Type != backpressure.EventLimit {
 		return
 	}
 	for _, r := range k.regions {
 		for _, s := range r.servers {
-			if signalKey(s.Name) == n.Server {
-				k.log(k.lastTick, Event{Kind: EventServerLimit, Target: s.Name, Detail: n.Limit.String()})
+			if signalKey(s.Name) == event.Server {
+				k.log(k.lastTick, Event{Kind: EventServerLimit, Target: s.Name, Detail: event.Limit.String()})
 			}
 		}
 	}
--- a/internal/kernel/core/quarantine.go
+++ b/internal/kernel/core/quarantine.go
@@ -23,11 +23,11 @@
 	if inflight.fingerprint.IsEmpty() {
 		return caller.ReasonNone, 0
 	}
-	ruling, remaining := k.quarantine.Status(now, inflight.fingerprint)
+	status, remaining := k.quarantine.Status(now, inflight.fingerprint)
 	switch {
-	case ruling == quarantine.Quarantined:
+	case status == quarantine.Quarantined:
 		return caller.ReasonCrashesServers, min(remaining, quarantine.MaxRetryAfter)
-	case ruling == quarantine.Busy, ruling == quarantine.Suspected && inflight.interruptions > 0, inflight.interruptions >= quarantine.MaxConnectionLosses:
+	case status == quarantine.Busy, status == quarantine.Suspected && inflight.interruptions > 0, inflight.interruptions >= quarantine.MaxConnectionLosses:
 		return caller.ReasonMayCrashServers, time.Second
 	}
 	return caller.ReasonNone, 0
@@ -125,10 +125,10 @@
 }
 
 // logQuarantineEvent logs a change in the quarantine state of a work.
-func (k *Kernel) logQuarantineEvent(n quarantine.Event) {
-	detail := n.Fingerprint.String()
-	if n.Type == quarantine.EventServerCrashed {
-		detail = strconv.Itoa(len(n.Fingerprints)) + " works there"
+func (k *Kernel) logQuarantineEvent(event quarantine.Event) {
+	detail := event.Fingerprint.String()
+	if event.Type == quarantine.EventServerCrashed {
+		detail = strconv.Itoa(len(event.Fingerprints)) + " works there"
 	}
-	k.log(k.lastTick, Event{Kind: EventKind(n.Type), Detail: detail})
+	k.log(k.lastTick, Event{Kind: EventKind(event.Type), Detail: detail})
 }
--- a/internal/kernel/kv/rollout.go
+++ b/internal/kernel/kv/rollout.go
@@ -79,9 +79,9 @@
 	case err != nil:
 		return RolloutUndecided, 0
 	default:
-		var isSame bool
-		current, isSame = storedVersion(value.Data, e)
-		if isSame {
+		var isSameOperation bool
+		current, isSameOperation = storedVersion(value.Data, e)
+		if isSameOperation {
 			return RolloutAccepted, current
 		}
 	}
