--- a/cmd/gypsumquay-bench/bench.go
+++ b/cmd/gypsumquay-bench/bench.go
@@ -19,6 +19,7 @@
 )
 
 const (
+	// boundBalancer names the rows of the ideal scheduler, the bound that balancers are compared with.
 	boundBalancer = "all-seeing"
 )
 
--- a/cmd/gypsumquay-bench/crashes.go
+++ b/cmd/gypsumquay-bench/crashes.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// minThreshold and maxThreshold are the range of crash counts at which work is quarantined in
-	// the runs.
+	// minThreshold and maxThreshold are the range of crash counts at which a request is quarantined
+	// in the runs.
 	minThreshold = 2
 	maxThreshold = 6
 )
@@ -29,19 +29,20 @@
 		Out   string   `help:"directory for charts; no charts if omitted"`
 	}
 
-	// crashesRow is the cost of one quarantine threshold: the crash count at which work is quarantined.
+	// crashesRow is the cost of one quarantine threshold: the crash count at which a request is
+	// quarantined.
 	crashesRow struct {
 		threshold int
-		// serversLost is the mean number of servers that each crashing work item took down,
-		// falselyQuarantined the number of harmless work items that were quarantined, rejected the
-		// number of requests that this rejected, and inTarget the share of requests answered
+		// serversLost is the mean number of servers that each crashing request took down,
+		// falselyQuarantined the number of harmless requests that were quarantined, rejected how
+		// often these were rejected, and inTarget the share of requests answered
 		// within the target.
 		serversLost, falselyQuarantined, rejected, inTarget float64
 	}
 )
 
 // run simulates loads with server crashes at several quarantine thresholds: a low threshold rejects
-// harmless work, a high one loses more servers.
+// harmless requests, a high one loses more servers.
 func (a *crashesArguments) run() error {
 	files := a.Loads
 	if len(files) == 0 {
--- a/cmd/gypsumquay-bench/slopes.go
+++ b/cmd/gypsumquay-bench/slopes.go
@@ -18,6 +18,7 @@
 )
 
 const (
+	// targetSites, targetNodes and targetRegions are the size of the fleet that capacity is planned for.
 	targetSites    = 210
 	targetNodes    = 1300
 	targetRegions  = 22
@@ -225,6 +226,8 @@
 }
 
 const (
+	// Each relay keeps watchesPerRelay watches open at the platform and renews each of them every
+	// watchRenewalSeconds.
 	watchesPerRelay     = 3
 	watchRenewalSeconds = 30.0
 )
--- a/internal/client/command/accounts.go
+++ b/internal/client/command/accounts.go
@@ -17,7 +17,7 @@
 		Refused bool   `help:"only client accounts with rejected requests"`
 	}
 
-	// AccountUsage is the usage of a client account summed over all proxies that answered.
+	// AccountUsage is the usage of a client account summed over all proxies that responded.
 	AccountUsage struct {
 		Name           string   `json:"name"`
 		Keys           []string `json:"key-fingerprints"`
@@ -31,7 +31,7 @@
 	}
 
 	// AccountsOutput is the JSON output of steering accounts. It lacks the usage at proxies that
-	// did not answer.
+	// did not respond.
 	AccountsOutput struct {
 		Accounts   []AccountUsage `json:"client-accounts"`
 		Unanswered []ProxyError   `json:"unanswered,omitempty"`
--- a/internal/client/command/signals.go
+++ b/internal/client/command/signals.go
@@ -17,7 +17,7 @@
 	}
 
 	// ServerSignals is the limit, pause or drain that a backend server has signaled to the proxies
-	// that answered.
+	// that responded.
 	ServerSignals struct {
 		Server  string `json:"server"`
 		Service string `json:"service"`
@@ -37,7 +37,7 @@
 	}
 
 	// SignalsOutput is the JSON output of steering signals. It lacks the signals known only to
-	// proxies that did not answer.
+	// proxies that did not respond.
 	SignalsOutput struct {
 		Servers    []ServerSignals `json:"backend-servers"`
 		Unanswered []ProxyError    `json:"unanswered,omitempty"`
--- a/internal/client/command/status.go
+++ b/internal/client/command/status.go
@@ -121,7 +121,7 @@
 	return text.String()
 }
 
-// run sends the client's lookup to the caller interface of the first live proxy that answers.
+// run sends the client's lookup to the caller interface of the first live proxy that responds.
 func (a *LookupArguments) run(s *session) (Result, error) {
 	members, err := s.client.Members(s.ctx)
 	if err != nil {
--- a/internal/client/command/steering.go
+++ b/internal/client/command/steering.go
@@ -59,19 +59,19 @@
 	}
 
 	// EventsOutput is the JSON output of steering events and steering explain: the events in order
-	// of time, and the proxies that did not answer, whose events are missing.
+	// of time, and the proxies that did not respond, whose events are missing.
 	EventsOutput struct {
 		Events     []steeringhttp.Event `json:"events"`
 		Unanswered []ProxyError         `json:"unanswered,omitempty"`
 	}
 
-	// ProxyError is a proxy that did not answer and the reason.
+	// ProxyError is a proxy that did not respond and the reason.
 	ProxyError struct {
 		Proxy string `json:"proxy"`
 		Error string `json:"error"`
 	}
 
-	// proxyResponse is the answer of one proxy, or the error if it did not answer.
+	// proxyResponse is the response of one proxy, or the error if it did not respond.
 	proxyResponse[T any] struct {
 		Proxy steeringhttp.Proxy `json:"proxy"`
 		Value T                  `json:"answer"`
@@ -108,7 +108,7 @@
 	return (a.Kind == "" || a.Kind == e.Kind) && (a.Server == "" || a.Server == e.Server)
 }
 
-// firstStatus returns the status of the first proxy that answers. That proxy is added to its own
+// firstStatus returns the status of the first proxy that responds. That proxy is added to its own
 // list of proxies if it is missing there: a proxy whose registration was removed still serves, and
 // may be the one with the failed request.
 func firstStatus(s *session, c *steeringhttp.Client) (steeringhttp.Status, error) {
@@ -129,7 +129,7 @@
 	return steeringhttp.Status{}, errors.Wrap(operatorhttp.ErrNoProxy, lastErr.Error())
 }
 
-// queryAll sends a query to all proxies that the first answering proxy knows.
+// queryAll sends a query to all proxies that the first responding proxy knows.
 func queryAll[T any](s *session, c *steeringhttp.Client, query func(context.Context, netip.AddrPort) (T, error)) ([]proxyResponse[T], error) {
 	status, err := firstStatus(s, c)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return responses, nil
 }
 
-// listFailed returns the proxies that did not answer and adds a line for each to the text.
+// listFailed returns the proxies that did not respond and adds a line for each to the text.
 func listFailed[T any](text *strings.Builder, responses []proxyResponse[T]) (list []ProxyError) {
 	for _, response := range responses {
 		if response.Error != "" {
--- a/internal/client/command/steering_test.go
+++ b/internal/client/command/steering_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// If a proxy does not answer, the JSON output must list it: an empty list of events alone would
+// If a proxy does not respond, the JSON output must list it: an empty list of events alone would
 // tell a script that the request is unknown.
 func TestJSONListsUnreachableProxies(t *testing.T) {
 	s := steeringhttp.Server{
@@ -66,7 +66,7 @@
 }
 
 // Guards against the usage at one proxy being reported as the total, and against accounts
-// appearing unused because a proxy did not answer.
+// appearing unused because a proxy did not respond.
 func TestAccountUsageIsSummedOverProxies(t *testing.T) {
 	newServer := func(admitted, refused uint64) steeringhttp.Server {
 		return steeringhttp.Server{Metrics: metrics.NewSet(), Status: func() steeringhttp.Status {
--- a/internal/kernel/backend/server.go
+++ b/internal/kernel/backend/server.go
@@ -14,8 +14,10 @@
 const (
 	// ejectionThreshold is the number of consecutive failures that eject a server.
 	ejectionThreshold = 3
-	baseEjectionTime  = 500 * time.Millisecond
-	maxEjectionTime   = 10 * time.Second
+	// baseEjectionTime is how long the first ejection lasts. Each further one lasts twice as long as
+	// the one before, up to maxEjectionTime.
+	baseEjectionTime = 500 * time.Millisecond
+	maxEjectionTime  = 10 * time.Second
 	// shedBackoff is how long a server that shed a request is skipped, if others can take the
 	// request. It is short because the server sheds requests only while its slots are full.
 	shedBackoff = 25 * time.Millisecond
@@ -26,13 +28,13 @@
 )
 
 const (
-	// Completed means that a complete answer was received.
+	// Completed means that a complete response was received.
 	Completed Result = iota + 1
 	// Rejected means that the server shed the request before running it.
 	Rejected
 	// Unreachable means that no byte of the request was sent.
 	Unreachable
-	// Interrupted means that the exchange failed after the first byte was sent.
+	// Interrupted means that the connection failed after the first byte was sent.
 	Interrupted
 	// Abandoned means that the proxy gave up the attempt.
 	Abandoned
@@ -102,7 +104,7 @@
 // InFlight returns the number of this proxy's requests on the server.
 func (s *Server) InFlight() int { return s.inFlight }
 
-// Latency returns the moving average of the time to a complete answer.
+// Latency returns the moving average of the time to a complete response.
 func (s *Server) Latency() time.Duration { return s.latency }
 
 // SetDrained sets whether a drain in the bundle applies to the server.
@@ -123,7 +125,7 @@
 	return s.drained || !s.listed || s.reportsDraining
 }
 
-// ReportsDraining reports whether the server has announced that it is leaving. This holds until a
+// ReportsDraining reports whether the server has announced that it is draining. This holds until a
 // health probe finds otherwise, since the server keeps its name across restarts.
 func (s *Server) ReportsDraining() bool { return s.reportsDraining }
 
@@ -226,8 +228,8 @@
 }
 
 // ApplyProbe updates the state with the result of a health probe. A successful probe reinstates an
-// ejected server, which then starts cold, and a leaving one that no longer reports that it is
-// leaving. A failed probe counts like a failed request.
+// ejected server, and a draining one that no longer reports that it drains; both then start cold. A
+// failed probe counts like a failed request.
 func (s *Server) ApplyProbe(h Health, now time.Time) {
 	if !h.OK {
 		if !s.reportsDraining {
--- a/internal/kernel/caller/outcome.go
+++ b/internal/kernel/caller/outcome.go
@@ -54,7 +54,7 @@
 	ReasonDeadline Reason = "deadline"
 	// ReasonShed means that the backend server shed the request before running it.
 	ReasonShed Reason = "backend-shed"
-	// ReasonConnectionLost means that the exchange with the backend server was interrupted.
+	// ReasonConnectionLost means that the connection to the backend server was lost.
 	ReasonConnectionLost Reason = "backend-broken"
 	// ReasonMayCrashServers means that the request is suspected of having crashed backend servers.
 	// Such requests run one at a time and are not retried.
--- a/internal/kernel/core/action.go
+++ b/internal/kernel/core/action.go
@@ -24,7 +24,7 @@
 	// Step is the next step in processing a request.
 	Step uint8
 
-	// Attempt identifies one dispatch. The serial number keeps a late answer from being attributed
+	// Attempt identifies one dispatch. The serial number keeps a late response from being attributed
 	// to a newer attempt that reuses the handle.
 	Attempt struct {
 		handle int
@@ -68,7 +68,7 @@
 		Response *caller.Response
 		Report   *backend.Report
 		// NoRetry is set if no further attempt may follow, because the caller has received part of
-		// this answer or has disconnected.
+		// this response or has disconnected.
 		NoRetry bool
 		// ConnectionRefused is set if nothing listens on the server's address.
 		ConnectionRefused bool
--- a/internal/kernel/core/backpressure.go
+++ b/internal/kernel/core/backpressure.go
@@ -17,7 +17,7 @@
 
 // signalKey identifies a server in backpressure reports. The key has no start time, since a server
 // keeps its name across restarts; signals of an earlier incarnation are replaced with the first
-// answers of the next.
+// responses of the next.
 func signalKey(server string) quarantine.InstanceID {
 	return quarantine.NewInstanceID(server, time.Time{})
 }
@@ -30,7 +30,7 @@
 	return k.backpressure.State(signalKey(s.Name))
 }
 
-// recordSignal applies the backpressure signal in a server's answer.
+// recordSignal applies the backpressure signal in a server's response.
 func (k *Kernel) recordSignal(now, sent time.Time, s *backend.Server, r backend.Report) {
 	k.backpressure.RecordSignal(now, sent, signalKey(s.Name), r.Signal, true)
 }
@@ -111,7 +111,7 @@
 	return rank
 }
 
-// logSignalChange logs a change of the limit that a server sends. Leaving is logged by
+// logSignalChange logs a change of the limit that a server sends. Draining is logged by
 // applyDraining, together with the other reasons for it.
 func (k *Kernel) logSignalChange(event backpressure.Event) {
 	if event.Type != backpressure.EventLimit {
--- a/internal/kernel/core/borrow.go
+++ b/internal/kernel/core/borrow.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// HandleBorrow answers a borrow request of a peer. A proxy that is releasing slots lends nothing,
+// HandleBorrow handles a borrow request of a peer. A proxy that is releasing slots lends nothing,
 // since it would otherwise never stop waiting for loans to end.
 func (k *Kernel) HandleBorrow(now time.Time, m peer.BorrowRequest) peer.BorrowReply {
 	k.clock.Observe(m.Stamp)
@@ -98,7 +98,7 @@
 }
 
 // HandleBorrowReply processes the reply to a borrow request. A nil reply means that the peer did
-// not answer.
+// not respond.
 func (k *Kernel) HandleBorrowReply(now time.Time, sent SendBorrow, reply *peer.BorrowReply) {
 	name := sent.Message.Resource
 	if sent.Message.Renew == 0 {
--- a/internal/kernel/core/gossip.go
+++ b/internal/kernel/core/gossip.go
@@ -190,7 +190,7 @@
 	k.maybeLiftFence(now, sentAt)
 }
 
-// HandleExchangeFailure records that a peer did not answer an exchange.
+// HandleExchangeFailure records that a peer did not reply to an exchange.
 func (k *Kernel) HandleExchangeFailure(now time.Time, name string) {
 	if k.members.RecordFailure(name, now) {
 		k.log(now, Event{Kind: EventMember, Target: name, Detail: peer.StateSuspect.String()})
@@ -234,7 +234,7 @@
 	}
 }
 
-// ObserveStamp advances the clock with the stamp of a forwarded request or its answer.
+// ObserveStamp advances the clock with the stamp of a forwarded request or its response.
 func (k *Kernel) ObserveStamp(s peer.Stamp) { k.clock.Observe(s) }
 
 // Stamp returns a stamp for an outgoing message.
--- a/internal/kernel/core/invariant.go
+++ b/internal/kernel/core/invariant.go
@@ -8,7 +8,7 @@
 
 // checkInvariants stops the process if its state is inconsistent. Each of these violations would
 // silently break a guarantee, so continuing is worse than a restart: requests with tokens of a
-// stopped process are answered "unknown".
+// stopped process get the outcome "unknown".
 func (k *Kernel) checkInvariants(now time.Time) {
 	if k.inFlight < 0 || k.inFlight > k.config.MaxInFlight {
 		k.invariantViolated("in-flight count out of range")
--- a/internal/kernel/core/kernel.go
+++ b/internal/kernel/core/kernel.go
@@ -125,7 +125,7 @@
 		rowsAdopted        bool
 		lastSeedExchange   time.Time
 		borrowBlockedUntil map[peer.Resource]time.Time
-		// quarantine tracks the work that makes servers exit. incarnations holds the current
+		// quarantine tracks the requests that crash servers. incarnations holds the current
 		// incarnations of the servers at which attempts were interrupted.
 		quarantine   *quarantine.Tracker
 		incarnations map[string]quarantine.InstanceID
--- a/internal/kernel/core/lookup.go
+++ b/internal/kernel/core/lookup.go
@@ -32,9 +32,9 @@
 // regions. Each region's proxies are ordered by rendezvous hash of the client address, so that the
 // loss of one proxy moves only its own callers. Proxies that are leaving are not returned.
 //
-// The answer does not depend on the rows that distribute traffic over regions, because each proxy
+// The response does not depend on the rows that distribute traffic over regions, because each proxy
 // applies those itself, immediately and to every request. If lookups applied them too, a shift
-// would count twice, the second time delayed by the TTL of cached answers, and a request could
+// would count twice, the second time delayed by the TTL of cached responses, and a request could
 // cross between regions and back.
 func (k *Kernel) Lookup(now time.Time, service string, client netip.Addr) (LookupResponse, bool) {
 	if k.bundle == nil || k.services[service] == nil {
@@ -106,8 +106,8 @@
 	return x ^ x>>31
 }
 
-// ExplainRouting describes to an operator how a client's lookups are answered and its requests
-// distributed.
+// ExplainRouting describes to an operator which proxies a client's lookups return first and how its
+// requests are distributed over regions.
 func (k *Kernel) ExplainRouting(client netip.Addr) []string {
 	if k.bundle == nil {
 		return nil
--- a/internal/kernel/core/quarantine.go
+++ b/internal/kernel/core/quarantine.go
@@ -17,8 +17,8 @@
 	incarnationResolution = 8 * time.Second
 )
 
-// checkQuarantine returns caller.ReasonNone if the request's work may run now. Otherwise it returns
-// the reason for the rejection and the time after which the caller may retry.
+// checkQuarantine returns caller.ReasonNone if the request may run now. Otherwise it returns the
+// reason for the rejection and the time after which the caller may retry.
 func (k *Kernel) checkQuarantine(now time.Time, inflight *inFlightRequest) (caller.Reason, time.Duration) {
 	if inflight.fingerprint.IsEmpty() {
 		return caller.ReasonNone, 0
@@ -33,7 +33,8 @@
 	return caller.ReasonNone, 0
 }
 
-// trialRank returns this proxy's position in the order in which proxies retry rejected work.
+// trialRank returns this proxy's position in the order in which proxies retry a quarantined
+// request.
 func (k *Kernel) trialRank(fingerprint quarantine.Fingerprint) int {
 	members := k.members.All()
 	before := 0
@@ -45,8 +46,8 @@
 	return (before + int(fingerprint[0])) % max(1, len(members))
 }
 
-// recordAttemptEnd updates the quarantine with what the end of an attempt tells about its work and
-// its server.
+// recordAttemptEnd updates the quarantine with what the end of an attempt tells about its request
+// and its server.
 func (k *Kernel) recordAttemptEnd(now time.Time, inflight *inFlightRequest, e AttemptEnd) {
 	q := k.quarantine
 	q.RecordStop(inflight.fingerprint)
@@ -55,13 +56,13 @@
 		q.RecordResponse(k.incarnations[inflight.server.Name], inflight.sentAt)
 		if e.Response != nil && e.Response.Status < http.StatusBadRequest {
 			// A server that fails or rejects a request may not have reached the point at which the
-			// work makes it exit.
+			// request would crash it.
 			q.RecordSuccess(now, inflight.fingerprint)
 		}
 	case backend.Interrupted:
 		inflight.interruptions++
 		if !inflight.server.Draining() {
-			// A server that is leaving may cut the connections of its remaining requests.
+			// A draining server may close the connections of its remaining requests.
 			q.RecordConnectionLoss(now, inflight.fingerprint, k.incarnationOf(now, inflight.server.Name))
 		}
 	case backend.Unreachable:
@@ -124,7 +125,8 @@
 	}
 }
 
-// logQuarantineEvent logs a change in the quarantine state of a work.
+// logQuarantineEvent logs a crash of a server or a change in the quarantine state of a
+// fingerprint.
 func (k *Kernel) logQuarantineEvent(event quarantine.Event) {
 	detail := event.Fingerprint.String()
 	if event.Type == quarantine.EventServerCrashed {
--- a/internal/kernel/core/request.go
+++ b/internal/kernel/core/request.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// ResponseGracePeriod is how long after the deadline the proxy still waits for the answer to a
-	// non-idempotent request, so that it can tell the outcome to a caller that repeats the request.
+	// ResponseGracePeriod is how long after the deadline the proxy still waits for the response to a
+	// non-idempotent request, so that it can report the outcome to a caller that retries.
 	ResponseGracePeriod = 5 * time.Second
 	// startupPeriod is how long after its start a proxy may not have learned of every minter.
 	// During it, an unknown minter is not reported as gone.
@@ -102,7 +102,7 @@
 }
 
 // forwardToMinter forwards the request to the proxy that holds the record of its token. If the
-// minter and its successors are gone, the outcome stays unknown for good, since the request may
+// minter and its successors are gone, the outcome stays unknown permanently, since the request may
 // have run before the minter stopped.
 func (k *Kernel) forwardToMinter(now time.Time, r Request, t *caller.Token, deadline time.Time) Decision {
 	owner, ok := k.members.TokenOwner(t.Minter)
@@ -134,8 +134,8 @@
 	return Decision{Step: StepFinish, ID: t.ID(), Result: result}
 }
 
-// HandleForwardFailure returns the result for a request whose forward to the minter was not
-// answered.
+// HandleForwardFailure returns the result for a request whose forward to the minter got
+// no reply.
 func (k *Kernel) HandleForwardFailure(now time.Time, service, id, minter string) caller.Result {
 	k.members.RecordFailure(minter, now)
 	result := caller.Result{Outcome: caller.OutcomeUnknown, Reason: caller.ReasonMinterTimeout, RetryAfter: forwardRetryAfter}
@@ -299,7 +299,7 @@
 	}
 	interrupted := caller.Result{Outcome: caller.OutcomeUnknown, Reason: caller.ReasonConnectionLost, RetryAfter: forwardRetryAfter}
 	if !inflight.idempotent || e.NoRetry {
-		// Bytes were sent and no complete answer was received, so the request may have run. A
+		// Bytes were sent and no complete response was received, so the request may have run. A
 		// second dispatch could run it twice.
 		return k.finish(now, inflight, interrupted)
 	}
--- a/internal/kernel/core/route.go
+++ b/internal/kernel/core/route.go
@@ -17,7 +17,7 @@
 	planInterval = 500 * time.Millisecond
 	// probeInterval is how often an ejected server is probed for its health.
 	probeInterval = 500 * time.Millisecond
-	// drainingProbeInterval is how often a server that reports itself as leaving is probed to find
+	// drainingProbeInterval is how often a server that reports that it drains is probed to find
 	// out whether it still does.
 	drainingProbeInterval = 5 * time.Second
 	// rateSampleWeight is the weight of a new sample in the moving average of a rate.
@@ -126,7 +126,7 @@
 }
 
 // updateRegionHealth marks a region as lost once lostRegionThreshold of its servers are ejected,
-// and as back as soon as fewer are. Leaving servers do not count.
+// and as back as soon as fewer are. Draining servers do not count.
 func (k *Kernel) updateRegionHealth(now time.Time, r *regionState) {
 	ejected, total := 0, 0
 	for _, s := range r.servers {
@@ -153,7 +153,7 @@
 // probeServers probes ejected servers, since a lost region gets no requests and its recovery would
 // go unnoticed. If any server of a region is ejected, it probes the others of the region too, so
 // that the loss of the region is detected before each server has failed three requests. It also
-// probes servers that report themselves as leaving, at a longer interval.
+// probes servers that report that they drain, at a longer interval.
 func (k *Kernel) probeServers(now time.Time, actions []Action) []Action {
 	for _, r := range k.regions {
 		anyEjected := slices.ContainsFunc(r.servers, (*backend.Server).Ejected)
@@ -192,7 +192,7 @@
 	}
 }
 
-// applyDraining marks the servers that are taken out of service by a drain or by the VM list.
+// applyDraining marks the servers that a drain of the bundle or the VM list takes out of service.
 func (k *Kernel) applyDraining(now time.Time) {
 	for _, r := range k.regions {
 		for _, s := range r.servers {
--- a/internal/kernel/core/stop.go
+++ b/internal/kernel/core/stop.go
@@ -15,7 +15,7 @@
 )
 
 // BeginStop starts a planned stop. Peers are notified, lookups exclude this proxy, and it continues
-// to serve until no cached lookup answer names it.
+// to serve until no cached lookup response names it.
 func (k *Kernel) BeginStop(now time.Time) {
 	if k.stopping {
 		return
@@ -28,7 +28,7 @@
 }
 
 // MayStopServing reports whether a stopping proxy may reject new requests because every cached
-// lookup answer that names it has expired.
+// lookup response that names it has expired.
 func (k *Kernel) MayStopServing(now time.Time) bool {
 	if !k.stopping {
 		return false
--- a/internal/kernel/core/stop_test.go
+++ b/internal/kernel/core/stop_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestStoppingProxyKeepsItsQuota guards against a stopping proxy that releases its quota when an
-// assignment arrives while it has no request in flight. Callers with cached lookup answers keep
+// assignment arrives while it has no request in flight. Callers with cached lookup responses keep
 // coming for some seconds and must be served, not rejected for lack of quota.
 func TestStoppingProxyKeepsItsQuota(t *testing.T) {
 	k, now := readyKernel(t)
--- a/internal/kernel/operator/check.go
+++ b/internal/kernel/operator/check.go
@@ -9,6 +9,7 @@
 	"github.com/go-faster/errors"
 )
 
+// Bounds of the values in a bundle. Rates are in requests per second, names in bytes.
 const (
 	maxServices      = 500
 	maxServers       = 5000
--- a/internal/kernel/peer/message.go
+++ b/internal/kernel/peer/message.go
@@ -34,7 +34,7 @@
 		// Rows holds the sender's current rows of the traffic matrix by home region, in thousandths
 		// and in the order of the sender's bundle. A proxy that joins starts from them.
 		Rows [][]int
-		// QuarantineReports reports work that was running when backend servers crashed.
+		// QuarantineReports reports the requests that were running when backend servers crashed.
 		QuarantineReports []quarantine.Report
 		// BackpressureReports reports the backpressure that backend servers signal to all proxies.
 		BackpressureReports []backpressure.Report
