--- a/cmd/gypsumquay-bench/crashes.go
+++ b/cmd/gypsumquay-bench/crashes.go
@@ -101,13 +101,13 @@
 	p := plot.New()
 	p.Title.Text = name + ": cost of the quarantine threshold"
 	p.X.Label.Text = "crashes until quarantine"
-	p.Y.Label.Text = "number of servers or work items"
+	p.Y.Label.Text = "number of servers or requests"
 	var serversLost, falselyQuarantined plotter.XYs
 	for _, r := range rows {
 		serversLost = append(serversLost, plotter.XY{X: float64(r.threshold), Y: r.serversLost})
 		falselyQuarantined = append(falselyQuarantined, plotter.XY{X: float64(r.threshold), Y: r.falselyQuarantined})
 	}
-	if err := plotutil.AddLinePoints(p, "servers lost per crashing work item", serversLost, "harmless work items quarantined", falselyQuarantined); err != nil {
+	if err := plotutil.AddLinePoints(p, "servers lost per crashing request", serversLost, "harmless requests quarantined", falselyQuarantined); err != nil {
 		return errors.Wrap(err, "plot chart")
 	}
 	p.Legend.Top = true
--- a/cmd/gypsumquay-bench/main.go
+++ b/cmd/gypsumquay-bench/main.go
@@ -16,7 +16,7 @@
 		Slopes     *slopesArguments     `arg:"subcommand:slopes" help:"costs by size, for capacity planning"`
 		Experiment *experimentArguments `arg:"subcommand:experiment" help:"table of placers by load, with warm servers"`
 		Ablate     *ablateArguments     `arg:"subcommand:ablate" help:"table of loads with each mechanism disabled in turn"`
-		Crashes    *crashesArguments    `arg:"subcommand:ends" help:"servers lost and harmless work rejected, by quarantine threshold"`
+		Crashes    *crashesArguments    `arg:"subcommand:ends" help:"servers lost and harmless requests rejected, by quarantine threshold"`
 		Limits     *limitsArguments     `arg:"subcommand:limits" help:"client account limits: requests rejected below the limit, by fleet size and enforcement method"`
 		Signals    *signalsArguments    `arg:"subcommand:signals" help:"limits signaled by backend servers: use of the limit and results for callers, by fleet size"`
 		Soak       *soakArguments       `arg:"subcommand:soak" help:"random faults with new seeds until the time is over"`
--- a/internal/kernel/core/event.go
+++ b/internal/kernel/core/event.go
@@ -56,6 +56,7 @@
 )
 
 const (
+	// eventLogSize is the number of events that the event log of a proxy retains.
 	eventLogSize = 4096
 )
 
--- a/internal/kernel/core/kernel.go
+++ b/internal/kernel/core/kernel.go
@@ -126,7 +126,7 @@
 		lastSeedExchange   time.Time
 		borrowBlockedUntil map[peer.Resource]time.Time
 		// quarantine tracks the requests that crash servers. incarnations holds the current
-		// incarnations of the servers at which attempts were interrupted.
+		// incarnations of the servers at which attempts were interrupted, by server name.
 		quarantine   *quarantine.Tracker
 		incarnations map[string]quarantine.InstanceID
 		// backpressure holds the signals that servers send about the load they accept.
