--- a/internal/client/command/command.go
+++ b/internal/client/command/command.go
@@ -31,9 +31,9 @@
 	ExitRejected = 3
 	// ExitLostRace means that another bundle was rolled out under the same version first.
 	ExitLostRace = 4
-	// ExitUndecided means that the platform has not confirmed the result; the command can be repeated.
+	// ExitUndecided means that the platform has not confirmed the result; the command can be retried.
 	ExitUndecided = 5
-	// ExitNoProxy means that no proxy answered.
+	// ExitNoProxy means that no proxy responded.
 	ExitNoProxy = 6
 )
 
@@ -176,8 +176,8 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool}, nil
 }
 
-func rolloutError(v kv.RolloutResult) error {
-	switch v {
+func rolloutError(result kv.RolloutResult) error {
+	switch result {
 	case kv.RolloutAccepted:
 		return nil
 	case kv.RolloutLostRace:
