--- a/internal/adapter/forwardhttp/account_test.go
+++ b/internal/adapter/forwardhttp/account_test.go
@@ -47,7 +47,7 @@
 	var seen serverhttp.Request
 	p := newTestProxy(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		seen = r
-		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultResponded}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
 	if got := getWithKey(t, p.URL+"/a/x", "any"); got.status != http.StatusOK || seen.HasAccounts {
 		t.Errorf("without accounts: status is %d, has accounts %t, want 200 and false", got.status, seen.HasAccounts)
--- a/internal/adapter/forwardhttp/server_test.go
+++ b/internal/adapter/forwardhttp/server_test.go
@@ -111,7 +111,7 @@
 }
 
 func TestResponseIsForwarded(t *testing.T) {
-	p := newTestProxy(t, true, respondWith(steering.ResultAnswered, http.StatusCreated, "booked"))
+	p := newTestProxy(t, true, respondWith(steering.ResultResponded, http.StatusCreated, "booked"))
 	got := sendRequest(t, http.MethodPost, p.URL+"/a/x", "data")
 	if got.status != http.StatusCreated || got.body != "booked" || got.header.Get("Seal") != "s" {
 		t.Errorf("got %d %q with seal %q, want 201, the body and the seal", got.status, got.body, got.header.Get("Seal"))
@@ -142,7 +142,7 @@
 		result steering.Result
 		want   int
 	}{
-		"refused":         {steering.ResultRefused, http.StatusServiceUnavailable},
+		"refused":         {steering.ResultRejected, http.StatusServiceUnavailable},
 		"unreachable":     {steering.ResultUnreachable, http.StatusServiceUnavailable},
 		"connection lost": {steering.ResultConnectionLost, http.StatusBadGateway},
 		"timeout":         {steering.ResultTimeout, http.StatusGatewayTimeout},
@@ -186,7 +186,7 @@
 	p := newTestProxy(t, true, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		entered <- true
 		<-leave
-		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultResponded}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
 	body := strings.Repeat("x", 100)
 	first := make(chan fullResponse, 1)
@@ -211,7 +211,7 @@
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
 	configured := make(chan struct{})
 	p := startTestProxy(t, false, func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
-		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultResponded}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	}, time.Now(), configured)
 	answered := make(chan int, 1)
 	go func() { answered <- sendRequest(t, http.MethodGet, p.URL+"/a/x", "").status }()
@@ -241,7 +241,7 @@
 	var left time.Duration
 	p := newTestProxy(t, true, func(_ context.Context, r serverhttp.Request) (steering.Attempt, *serverhttp.Response) {
 		left = time.Until(r.Deadline)
-		return steering.Attempt{Result: steering.ResultAnswered}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
+		return steering.Attempt{Result: steering.ResultResponded}, &serverhttp.Response{Status: http.StatusOK, Body: &bodies.Body{}}
 	})
 	sendRequest(t, http.MethodGet, p.URL+"/a/x", "")
 	if left <= 0 || left > 700*time.Millisecond {
@@ -276,7 +276,7 @@
 }
 
 func TestStoppingProxyClosesConnections(t *testing.T) {
-	p := newTestProxy(t, true, respondWith(steering.ResultAnswered, http.StatusOK, "fine"))
+	p := newTestProxy(t, true, respondWith(steering.ResultResponded, http.StatusOK, "fine"))
 	p.stopping = true
 	if got := sendRequest(t, http.MethodGet, p.URL+"/a/x", ""); !got.close || got.body != "fine" {
 		t.Errorf("connection closes: %t, body %q; want the response and a close", got.close, got.body)
--- a/internal/adapter/serverhttp/client.go
+++ b/internal/adapter/serverhttp/client.go
@@ -250,11 +250,11 @@
 	case response.Status == http.StatusMisdirectedRequest:
 		a.Result = steering.ResultWrongServer
 	case response.Header.Get(c.headers.NotRun) != "":
-		a.Result = steering.ResultRefused
+		a.Result = steering.ResultRejected
 	case response.Status >= http.StatusInternalServerError:
 		a.Result = steering.ResultServerError
 	default:
-		a.Result = steering.ResultAnswered
+		a.Result = steering.ResultResponded
 	}
 	a.Rejected = response.Status >= http.StatusBadRequest
 	response.Header.Del(c.headers.Load)
--- a/internal/adapter/serverhttp/client_test.go
+++ b/internal/adapter/serverhttp/client_test.go
@@ -105,7 +105,7 @@
 	if a.Result != result {
 		t.Fatalf("result is %s (%v), want %s", a.Result, a.Err, result)
 	}
-	if result == steering.ResultAnswered && string(response.Body.Bytes) != body {
+	if result == steering.ResultResponded && string(response.Body.Bytes) != body {
 		t.Errorf("body is %q, want %q", response.Body.Bytes, body)
 	}
 }
@@ -121,7 +121,7 @@
 	c := newTestClient()
 	for _, id := range []string{"one", "two", "three"} {
 		a, response := send(c, s, id)
-		expectResult(t, a, response, steering.ResultAnswered, "to "+id)
+		expectResult(t, a, response, steering.ResultResponded, "to "+id)
 	}
 }
 
@@ -139,7 +139,7 @@
 	c := newTestClient()
 	for _, id := range []string{"one", "two"} {
 		a, response := send(c, s, id)
-		expectResult(t, a, response, steering.ResultAnswered, "to "+id)
+		expectResult(t, a, response, steering.ResultResponded, "to "+id)
 	}
 	if a, response := send(c, s, "three"); response == nil || string(response.Body.Bytes) != "to three" {
 		t.Errorf("result after a stray response is %s, want the response on a new connection", a.Result)
@@ -215,7 +215,7 @@
 		return false
 	})
 	a, response := send(newTestClient(), closed, "one")
-	expectResult(t, a, response, steering.ResultAnswered, "all of it")
+	expectResult(t, a, response, steering.ResultResponded, "all of it")
 	reset := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 		_, _ = io.WriteString(w, text)
 		time.Sleep(50 * time.Millisecond)
@@ -240,7 +240,7 @@
 	long := newRequest(s, "one")
 	long.Method, long.Body = http.MethodPost, []byte(strings.Repeat("x", 32<<20))
 	a, response := c.Send(context.Background(), long)
-	if a.Result != steering.ResultAnswered || response.Status != http.StatusRequestEntityTooLarge {
+	if a.Result != steering.ResultResponded || response.Status != http.StatusRequestEntityTooLarge {
 		t.Fatalf("result is %s (%v), want the server's response", a.Result, a.Err)
 	}
 	send(c, s, "two")
@@ -307,10 +307,10 @@
 		head string
 		want steering.Result
 	}{
-		{"HTTP/1.1 503 Full\r\nNot-Run: 1", steering.ResultRefused},
+		{"HTTP/1.1 503 Full\r\nNot-Run: 1", steering.ResultRejected},
 		{"HTTP/1.1 421 Other\r\nSeal: s", steering.ResultWrongServer},
 		{"HTTP/1.1 500 Failed\r\nSeal: s", steering.ResultServerError},
-		{"HTTP/1.1 404 None\r\nSeal: s", steering.ResultAnswered},
+		{"HTTP/1.1 404 None\r\nSeal: s", steering.ResultResponded},
 	} {
 		s := startRawServer(t, func(_, _ int, _ *http.Request, w net.Conn) bool {
 			_, _ = io.WriteString(w, c.head+"\r\nAttempt: one\r\nLoad: 3,2,4\r\nContent-Length: 0\r\n\r\n")
@@ -341,7 +341,7 @@
 		r.Header.Set("X-Hop", "1")
 		r.Header.Set("Cookie", "a=b")
 		a, _ := newTestClient().Send(context.Background(), r)
-		if a.Result != steering.ResultAnswered {
+		if a.Result != steering.ResultResponded {
 			t.Fatalf("%s: result is %s (%v)", target, a.Result, a.Err)
 		}
 		got := <-seen
@@ -372,7 +372,7 @@
 	c := newTestClient()
 	for _, id := range []string{"one", "two", "three"} {
 		a, response := send(c, s, id)
-		expectResult(t, a, response, steering.ResultAnswered, "fine")
+		expectResult(t, a, response, steering.ResultResponded, "fine")
 		time.Sleep(50 * time.Millisecond)
 	}
 }
@@ -391,7 +391,7 @@
 			c.CloseIdleConnections(s.address())
 		}
 		a, response := send(c, s, fmt.Sprint("a", i))
-		expectResult(t, a, response, steering.ResultAnswered, want)
+		expectResult(t, a, response, steering.ResultResponded, want)
 	}
 }
 
--- a/internal/fake/warmnet/simulation.go
+++ b/internal/fake/warmnet/simulation.go
@@ -374,9 +374,9 @@
 		w.returnAttempt(req, steering.Attempt{Result: steering.ResultUnreachable, Refusing: true})
 	case w.scenario.backoffRequest(s, w.Now) > 0:
 		w.backoffLog.recordBackoff(w.Now, w.scenario.backoffRequest(s, w.Now), s.id, req.kernel.Name())
-		w.endAttempt(req, steering.ResultRefused)
+		w.endAttempt(req, steering.ResultRejected)
 	case s.removed || refusesAtRandom || s.running >= w.scenario.SlotsPerServer && len(s.queue) >= w.scenario.QueueCapacity:
-		w.endAttempt(req, steering.ResultRefused)
+		w.endAttempt(req, steering.ResultRejected)
 	case s.running < w.scenario.SlotsPerServer:
 		w.startRun(req)
 	default:
@@ -408,7 +408,7 @@
 		}
 		s.running--
 		s.activeRequests = slices.DeleteFunc(s.activeRequests, func(other *request) bool { return other == req })
-		w.endAttempt(req, steering.ResultAnswered)
+		w.endAttempt(req, steering.ResultResponded)
 		for len(s.queue) > 0 && s.running < w.scenario.SlotsPerServer {
 			next := s.queue[0]
 			s.queue = s.queue[1:]
@@ -442,7 +442,7 @@
 	attempt := steering.Attempt{Result: result}
 	if !w.scenario.NoLoadReports && result != steering.ResultConnectionLost {
 		attempt.Loaded, attempt.Running, attempt.Waiting = true, req.server.running, len(req.server.queue)
-		if result == steering.ResultAnswered {
+		if result == steering.ResultResponded {
 			// The load in a response includes the request it belongs to.
 			attempt.Running++
 		}
@@ -455,7 +455,7 @@
 	attempt.Signal = w.signal(req.server, attempt.Result)
 	w.After(w.roundTrip(req.proxyRegion, req.server.region)/2, func() {
 		w.recordSignal(req, attempt.Signal)
-		if attempt.Result == steering.ResultAnswered && w.clock().After(req.activeRequest.ExpiresAt) {
+		if attempt.Result == steering.ResultResponded && w.clock().After(req.activeRequest.ExpiresAt) {
 			// The request timed out at the proxy before the response arrived.
 			attempt = steering.Attempt{Result: steering.ResultTimeout}
 		}
--- a/internal/kernel/quarantine/losses.go
+++ b/internal/kernel/quarantine/losses.go
@@ -26,15 +26,15 @@
 		// lastLoss is when the most recent connection was lost.
 		lastLoss     time.Time
 		fingerprints []Fingerprint
-		// answered is set once the server has answered a later request.
-		answered bool
-		probes   int
+		// responded is set once the server has answered a later request.
+		responded bool
+		probes    int
 	}
 )
 
 func (p pendingLosses) add(now time.Time, fp Fingerprint, server InstanceID) {
 	loss := p[server]
-	if loss == nil || loss.answered {
+	if loss == nil || loss.responded {
 		loss = &pendingLoss{}
 		p[server] = loss
 	}
@@ -46,7 +46,7 @@
 
 func (p pendingLosses) recordResponse(server InstanceID, sentAt time.Time) {
 	if loss := p[server]; loss != nil && sentAt.After(loss.lastLoss) {
-		loss.answered = true
+		loss.responded = true
 	}
 }
 
@@ -68,7 +68,7 @@
 	t.probeNeeded = false
 	var servers []InstanceID
 	for server, loss := range t.losses {
-		if !loss.answered && loss.probes < maxProbes {
+		if !loss.responded && loss.probes < maxProbes {
 			loss.probes++
 			servers = append(servers, server)
 		}
--- a/internal/kernel/quarantine/tracker.go
+++ b/internal/kernel/quarantine/tracker.go
@@ -191,7 +191,7 @@
 // RecordServerGone records evidence that a server has crashed: its address refuses connections, or
 // its registration expired. Requests whose connections to it were lost were in flight at the crash.
 func (t *Tracker) RecordServerGone(now time.Time, server InstanceID) {
-	if loss := t.losses[server]; loss != nil && !loss.answered {
+	if loss := t.losses[server]; loss != nil && !loss.responded {
 		t.attributeCrash(now, server, loss)
 	}
 }
--- a/internal/kernel/ratelimit/limiter.go
+++ b/internal/kernel/ratelimit/limiter.go
@@ -201,20 +201,20 @@
 
 // HandlePoolReply continues the decision asked with the pool's reply. If answered is false, the
 // pool didn't reply.
-func (h *Limiter) HandlePoolReply(now time.Time, account string, asked Decision, reply TokenReply, answered bool) Decision {
+func (h *Limiter) HandlePoolReply(now time.Time, account string, asked Decision, reply TokenReply, replied bool) Decision {
 	a := h.account(account)
-	if answered && reply.Granted {
+	if replied && reply.Granted {
 		a.admitted++
 		return Decision{Verdict: Admitted}
 	}
-	if !answered {
+	if !replied {
 		h.MarkUnresponsive(now, asked.Pool)
 	}
 	if next, found := h.nextPool(now, asked.NextIndex); found {
 		return next
 	}
 	a.denied++
-	if !answered {
+	if !replied {
 		return h.denyWithoutPool(now)
 	}
 	wait := max(minDenyTime, min(reply.Wait, maxDenyTime))
--- a/internal/kernel/ratelimit/pool.go
+++ b/internal/kernel/ratelimit/pool.go
@@ -25,13 +25,13 @@
 		// at startup.
 		StartupBurst func(account string) float64
 
-		id           uint64
-		start        time.Time
-		lastAnswerID uint64
-		members      map[string]*member
-		accounts     map[string]*pooledAccount
+		id          uint64
+		start       time.Time
+		lastReplyID uint64
+		members     map[string]*member
+		accounts    map[string]*pooledAccount
 		// lenders holds, for each pool of another region, the last answer that was applied.
-		lenders map[string]appliedAnswer
+		lenders map[string]appliedReply
 		// depositedShare is the sum of the deposits at settledAt. accruedShareSeconds is the
 		// integral of depositedShare over time since it last fell, with a full share as 1.
 		depositedShare      Share
@@ -51,13 +51,13 @@
 		// available is the share that may be granted, for at most ttl.
 		available Share
 		ttl       time.Duration
-		answerID  uint64
+		replyID   uint64
 	}
 
-	// appliedAnswer identifies the last answer that was applied from one run of a pool.
-	appliedAnswer struct {
-		poolID   uint64
-		answerID uint64
+	// appliedReply identifies the last answer that was applied from one run of a pool.
+	appliedReply struct {
+		poolID  uint64
+		replyID uint64
 	}
 
 	// LoanRequest is a report to be sent to the pool of another region to borrow shares.
@@ -107,13 +107,13 @@
 	// it may still hold the previous one.
 	grant struct {
 		current, previous shareLease
-		answerID          uint64
+		replyID           uint64
 	}
 )
 
 // NewPool returns a pool without deposits. The id identifies the run of the process.
 func NewPool(id uint64, start time.Time) *Pool {
-	return &Pool{id: id, start: start, members: make(map[string]*member), accounts: make(map[string]*pooledAccount), lenders: make(map[string]appliedAnswer)}
+	return &Pool{id: id, start: start, members: make(map[string]*member), accounts: make(map[string]*pooledAccount), lenders: make(map[string]appliedReply)}
 }
 
 // Reset drops all deposits and grants. It is called when this process was suspended for a while:
@@ -137,8 +137,8 @@
 		p.members[r.From] = m
 	}
 	m.lastReportAt, m.isRemotePool = now, r.Lends
-	p.lastAnswerID++
-	answer := Grants{Pool: p.id, Clock: now.Sub(p.start), ID: p.lastAnswerID}
+	p.lastReplyID++
+	reply := Grants{Pool: p.id, Clock: now.Sub(p.start), ID: p.lastReplyID}
 	if r.Pool == p.id {
 		m.lastApplied = r.Applied
 		p.recordDeposit(m, r)
@@ -146,20 +146,20 @@
 	p.recordStart(now, m, r)
 	p.settle(now)
 	if r.Withdraws {
-		answer.Withdrawn = p.withdraw(now, r.From, m)
-		return answer
+		reply.Withdrawn = p.withdraw(now, r.From, m)
+		return reply
 	}
 	for _, w := range r.Wants {
 		p.account(now, w.Account).wants[r.From] = shareLease{share: w.Share, until: now.Add(grantTTL)}
 	}
-	req := grantRequest{now: now, from: r.From, member: m, available: p.deposited(now, minDepositLeft), ttl: p.grantDuration(now), answerID: answer.ID}
-	answer.For = req.ttl
+	req := grantRequest{now: now, from: r.From, member: m, available: p.deposited(now, minDepositLeft), ttl: p.grantDuration(now), replyID: reply.ID}
+	reply.For = req.ttl
 	for _, w := range r.Wants {
 		if share := p.grant(req, w); share > 0 {
-			answer.Shares = append(answer.Shares, AccountShare{Account: w.Account, Share: share})
+			reply.Shares = append(reply.Shares, AccountShare{Account: w.Account, Share: share})
 		}
 	}
-	return answer
+	return reply
 }
 
 // recordDeposit records or extends the deposit of a proxy.
@@ -246,7 +246,7 @@
 	if share == 0 && previous.share == 0 {
 		delete(a.grants, req.from)
 	} else {
-		a.grants[req.from] = grant{answerID: req.answerID, previous: previous, current: shareLease{share: share, until: req.now.Add(req.ttl)}}
+		a.grants[req.from] = grant{replyID: req.replyID, previous: previous, current: shareLease{share: share, until: req.now.Add(req.ttl)}}
 	}
 	p.refill(req.now, l, a)
 	return share
@@ -345,7 +345,7 @@
 	list := make([]LoanRequest, 0, len(lenders))
 	for _, name := range lenders {
 		known := p.lenders[name]
-		list = append(list, LoanRequest{Lender: name, Report: Report{From: from, Pool: known.poolID, Applied: known.answerID, Lends: true, Wants: wants}})
+		list = append(list, LoanRequest{Lender: name, Report: Report{From: from, Pool: known.poolID, Applied: known.replyID, Lends: true, Wants: wants}})
 	}
 	return list
 }
@@ -367,11 +367,11 @@
 
 // ApplyLoan applies a lender's answer to a loan request made at requestedAt.
 func (p *Pool) ApplyLoan(now, requestedAt time.Time, lender string, g Grants) {
-	if known := p.lenders[lender]; known.poolID == g.Pool && known.answerID >= g.ID {
+	if known := p.lenders[lender]; known.poolID == g.Pool && known.replyID >= g.ID {
 		// An older answer arrived late. The lender may already regard its grants as expired.
 		return
 	}
-	p.lenders[lender] = appliedAnswer{poolID: g.Pool, answerID: g.ID}
+	p.lenders[lender] = appliedReply{poolID: g.Pool, replyID: g.ID}
 	for _, a := range p.accounts {
 		delete(a.borrowed, lender)
 	}
@@ -435,7 +435,7 @@
 // heldBy returns what the reporting proxy may hold of its grant until it learns of the next one.
 func (g grant) heldBy(req grantRequest) shareLease {
 	held := g.current
-	if req.member.lastApplied < g.answerID && g.previous.active(req.now) {
+	if req.member.lastApplied < g.replyID && g.previous.active(req.now) {
 		held = shareLease{share: max(held.share, g.previous.share), until: laterOf(held.until, g.previous.until)}
 	}
 	if !held.active(req.now) {
--- a/internal/kernel/steering/authorization_test.go
+++ b/internal/kernel/steering/authorization_test.go
@@ -53,7 +53,7 @@
 		switch {
 		case d.Server != nil:
 			admitted++
-			k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
+			k.EndAttempt(now, req, Attempt{Result: ResultResponded})
 		case d.Reason == ReasonRateLimit && d.NotRun && d.RetryAfter > 0:
 			refused++
 		default:
@@ -87,7 +87,7 @@
 	}
 	k, now := kernelWithAccount(t, account.Account{}, config)
 	req, _ := beginWithKey(t, k, now)
-	k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
+	k.EndAttempt(now, req, Attempt{Result: ResultResponded})
 	if text := output.String(); strings.Contains(text, testAccountKey) || !strings.Contains(text, accountKey(t, testAccountKey).Fingerprint()) {
 		t.Errorf("recorded calls and events contain the key or lack its fingerprint: %s", text)
 	}
--- a/internal/kernel/steering/backpressure.go
+++ b/internal/kernel/steering/backpressure.go
@@ -14,7 +14,7 @@
 
 // recordBackpressure records the backpressure signal of an attempt.
 func (k *Kernel) recordBackpressure(now time.Time, req *ActiveRequest, s *server, a Attempt) {
-	complete := a.Result == ResultAnswered || a.Result == ResultServerError || a.Result == ResultRefused
+	complete := a.Result == ResultResponded || a.Result == ResultServerError || a.Result == ResultRejected
 	if state := k.backpressure.RecordSignal(now, req.sentAt, s.startID, a.Signal, complete); state != nil {
 		s.backpressure = state
 	}
--- a/internal/kernel/steering/backpressure_test.go
+++ b/internal/kernel/steering/backpressure_test.go
@@ -50,17 +50,17 @@
 	for _, id := range []string{"s2", "s3", "s4", "s5", "s6"} {
 		k.RemoveServer(now, id)
 	}
-	req, _ := beginPoison(k, now)
-	k.EndAttempt(now, req, Attempt{Result: ResultAnswered, Signal: limitSignal(0.5)})
+	req, _ := beginPoisonRequest(k, now)
+	k.EndAttempt(now, req, Attempt{Result: ResultResponded, Signal: limitSignal(0.5)})
 	k.RemoveServer(now, "s1")
 	k.RegisterServer(now, routing.Server{ID: "s1", Service: "service", Domain: "north-a", Slots: 4, Started: now})
 	sent := 0
 	for range 20 {
 		now = now.Add(50 * time.Millisecond)
-		req, d := beginPoison(k, now)
+		req, d := beginPoisonRequest(k, now)
 		if d.Server != nil {
 			sent++
-			k.EndAttempt(now, req, Attempt{Result: ResultAnswered, Signal: limitSignal(0.5)})
+			k.EndAttempt(now, req, Attempt{Result: ResultResponded, Signal: limitSignal(0.5)})
 		} else if d.Reason != ReasonBackpressure || !d.NotRun || d.RetryAfter <= 0 {
 			t.Fatalf("got %+v, want it refused because of the limit of the server", d)
 		}
@@ -70,7 +70,7 @@
 	}
 	now = now.Add(time.Second)
 	k.RegisterServer(now, routing.Server{ID: "s1", Service: "service", Domain: "north-a", Slots: 4, Started: now})
-	if _, d := beginPoison(k, now); d.Server == nil {
+	if _, d := beginPoisonRequest(k, now); d.Server == nil {
 		t.Errorf("got %+v, want a server: a restarted one has no limit", d)
 	}
 }
@@ -81,12 +81,12 @@
 	for name, signal := range map[string]backpressure.Signal{"pauses": {Pause: 2 * time.Second}, "drains": {Draining: true}} {
 		now := time.Unix(1_000_000, 0)
 		k := quarantineKernel(now, false)
-		firstReq, d := beginPoison(k, now)
-		secondReq, d2 := beginPoison(k, now)
+		firstReq, d := beginPoisonRequest(k, now)
+		secondReq, d2 := beginPoisonRequest(k, now)
 		if d.Server == nil || d2.Server == nil || d.Server.ID != d2.Server.ID || !k.ServerStillAccepts(now, secondReq) {
 			t.Fatalf("%s: got %+v and %+v, want the same server for both requests", name, d, d2)
 		}
-		k.EndAttempt(now.Add(50*time.Millisecond), firstReq, Attempt{Result: ResultRefused, Signal: signal})
+		k.EndAttempt(now.Add(50*time.Millisecond), firstReq, Attempt{Result: ResultRejected, Signal: signal})
 		if k.ServerStillAccepts(now.Add(60*time.Millisecond), secondReq) {
 			t.Errorf("%s: the second request may still be sent to the server", name)
 		}
@@ -102,16 +102,16 @@
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, true)
 	for range 6 {
-		req, d := beginPoison(k, now)
+		req, d := beginPoisonRequest(k, now)
 		for d.Server != nil {
-			d = k.EndAttempt(now, req, Attempt{Result: ResultRefused, Signal: backpressure.Signal{Pause: 3 * time.Second}})
+			d = k.EndAttempt(now, req, Attempt{Result: ResultRejected, Signal: backpressure.Signal{Pause: 3 * time.Second}})
 		}
 	}
-	_, d := beginPoison(k, now.Add(time.Second))
+	_, d := beginPoisonRequest(k, now.Add(time.Second))
 	if d.Reason != ReasonBackpressure || !d.NotRun || d.RetryAfter < 2*time.Second || d.RetryAfter > 4*time.Second {
 		t.Errorf("got %+v, want it refused at once with a retry delay of 2 to 4 s, beyond the end of the pause", d)
 	}
-	if _, d = beginPoison(k, now.Add(3*time.Second)); d.Server == nil {
+	if _, d = beginPoisonRequest(k, now.Add(3*time.Second)); d.Server == nil {
 		t.Errorf("got %+v, want a server after the pause", d)
 	}
 }
--- a/internal/kernel/steering/bench_test.go
+++ b/internal/kernel/steering/bench_test.go
@@ -49,7 +49,7 @@
 func sendRequest(k *Kernel, now time.Time, n int) {
 	req, d := k.BeginRequest(now, Request{Host: "host", Path: "/0/x", Object: fmt.Sprintf("%x", n%largeObjects), Deadline: now.Add(time.Second)})
 	if d.Server != nil {
-		k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
+		k.EndAttempt(now, req, Attempt{Result: ResultResponded})
 	}
 }
 
--- a/internal/kernel/steering/choose.go
+++ b/internal/kernel/steering/choose.go
@@ -104,7 +104,7 @@
 		}
 		candidate := k.estimate(now, req, s, homes)
 		full := connectionLimit > 0 && s.inFlight >= connectionLimit
-		homeFull = homeFull || full && len(homes) > 0 && candidate.homeRank == 0 && now.Sub(s.answeredAt) < busyTargets*req.Route.Target
+		homeFull = homeFull || full && len(homes) > 0 && candidate.homeRank == 0 && now.Sub(s.respondedAt) < busyTargets*req.Route.Target
 		if full || candidate.untilStart > remaining {
 			if best.server == nil {
 				best.reason = ReasonOverload
--- a/internal/kernel/steering/coldstart_test.go
+++ b/internal/kernel/steering/coldstart_test.go
@@ -59,7 +59,7 @@
 			req, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)})
 			if d.Server != nil {
 				sent++
-				k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
+				k.EndAttempt(now, req, Attempt{Result: ResultResponded})
 			}
 		}
 	}
@@ -120,7 +120,7 @@
 				req, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Deadline: now.Add(time.Second)})
 				if d.Server != nil {
 					arrivals = append(arrivals, now.Add(time.Duration(random.Int64N(int64(maxDelay)))))
-					k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
+					k.EndAttempt(now, req, Attempt{Result: ResultResponded})
 				}
 			}
 		}
--- a/internal/kernel/steering/concurrencylimit.go
+++ b/internal/kernel/steering/concurrencylimit.go
@@ -16,10 +16,10 @@
 	// measureConcurrencyFor is how long requests go through limiters after a first suspicion. At
 	// ten responses per second and limiter, one or two seconds are enough to measure the servers.
 	measureConcurrencyFor = 5 * time.Second
-	// unsuspectedFor is how long a service whose servers do not slow down is not suspected again. A
+	// clearedFor is how long a service whose servers do not slow down is not suspected again. A
 	// slot that a remote proxy requests stays empty for the round trip, so an unneeded limiter
 	// costs capacity.
-	unsuspectedFor = 30 * time.Second
+	clearedFor = 30 * time.Second
 )
 
 type (
@@ -87,7 +87,7 @@
 // stopLimiting lifts the concurrency limits because the servers do not slow down.
 func (k *Kernel) stopLimiting(now time.Time, svc *service) {
 	h := &svc.concurrency
-	h.limitedUntil, h.ownEvidenceUntil, h.clearedUntil = now, now, now.Add(unsuspectedFor)
+	h.limitedUntil, h.ownEvidenceUntil, h.clearedUntil = now, now, now.Add(clearedFor)
 	h.detector.Reset()
 	k.config.Observe(Event{Kind: EventConcurrencyUnlimited, Service: svc.name})
 }
@@ -140,9 +140,9 @@
 	}
 	unqueued := svc.workOf(req.Route).expected(req.warm, req.Route.Target)
 	// A server that has not responded since the request was sent is unresponsive, not slow.
-	late := a.Result == ResultTimeout && s.answeredAt.After(req.sentAt)
-	answered := a.Result == ResultAnswered && a.Loaded && req.warm
-	if !late && !answered || s.Slots < 2 || req.slotRank > 0 {
+	late := a.Result == ResultTimeout && s.respondedAt.After(req.sentAt)
+	responded := a.Result == ResultResponded && a.Loaded && req.warm
+	if !late && !responded || s.Slots < 2 || req.slotRank > 0 {
 		return
 	}
 	full := late || a.Running >= s.Slots
--- a/internal/kernel/steering/concurrencylimit_test.go
+++ b/internal/kernel/steering/concurrencylimit_test.go
@@ -57,7 +57,7 @@
 			if d := k.HandleSlotReply(now, req, reply, true); d.Server == nil || d.SlotRequest != nil {
 				t.Errorf("granted: got %+v, want the request sent", d)
 			}
-			d := k.EndAttempt(now.Add(300*time.Millisecond), req, Attempt{Result: ResultAnswered, Loaded: true, Running: 1})
+			d := k.EndAttempt(now.Add(300*time.Millisecond), req, Attempt{Result: ResultResponded, Loaded: true, Running: 1})
 			if d.SlotRelease == nil || d.SlotRelease.Server != "s" {
 				t.Fatalf("the slot is not released: %+v", d)
 			}
@@ -73,7 +73,7 @@
 
 // The owner of a limiter is gone or partitioned. A request that got no answer from it must be sent as
 // without a limiter, and the next requests must not wait for an answer.
-func TestUnansweredSlotRequestDoesNotBlockRequests(t *testing.T) {
+func TestLostSlotReplyDoesNotBlockRequests(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := limitedFleet(now)[0]
 	req, _ := beginWithSlotRequest(t, k, now, "r", "/a/x")
@@ -151,9 +151,9 @@
 				continue
 			}
 			if !unresponsive || n < 24 {
-				k.servers[d.Server.ID].answeredAt = now
+				k.servers[d.Server.ID].respondedAt = now
 			}
-			result := ResultAnswered
+			result := ResultResponded
 			if n >= 24 {
 				result = ResultTimeout
 				now = now.Add(time.Second)
@@ -161,7 +161,7 @@
 					s.ejections, s.ejectedUntil = 0, time.Time{}
 				}
 			}
-			k.EndAttempt(now, req, Attempt{Result: result, Loaded: result == ResultAnswered, Running: 1})
+			k.EndAttempt(now, req, Attempt{Result: result, Loaded: result == ResultResponded, Running: 1})
 		}
 		if got := len(k.ConcurrencyLimits(now)) > 0; got != want {
 			t.Errorf("servers unresponsive %t: limited %t, want %t", unresponsive, got, want)
@@ -252,7 +252,7 @@
 		req := &ActiveRequest{Route: &routing.Route{Name: "route", Sticky: true, Target: 100 * time.Millisecond}, Service: "slow", warm: true}
 		for n := range 40 {
 			s := &server{id: fmt.Sprint(n % 4), Server: routing.Server{Slots: 3}, rtt: &rttEstimate{}}
-			k.detectSlowdown(now, req, s, svc, Attempt{Result: ResultAnswered, Loaded: true, Running: 3}, time.Second)
+			k.detectSlowdown(now, req, s, svc, Attempt{Result: ResultResponded, Loaded: true, Running: 3}, time.Second)
 		}
 		if got := events > 0 || len(k.ConcurrencyLimits(now)) > 0; got == off {
 			t.Errorf("concurrency limits off %t: %d events, limits sent to peers: %v", off, events, k.ConcurrencyLimits(now))
--- a/internal/kernel/steering/connections_test.go
+++ b/internal/kernel/steering/connections_test.go
@@ -50,7 +50,7 @@
 	}
 	first, d := beginAt(now)
 	home := d.Server.ID
-	k.EndAttempt(now, first, Attempt{Result: ResultAnswered})
+	k.EndAttempt(now, first, Attempt{Result: ResultResponded})
 	for range k.maxConnections(k.eligibleService("service")) {
 		if _, d = beginAt(now); d.Server == nil || d.Server.ID != home {
 			t.Fatalf("with a free connection: got %+v, want server %s", d, home)
--- a/internal/kernel/steering/ejection_test.go
+++ b/internal/kernel/steering/ejection_test.go
@@ -8,10 +8,10 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// sendToRefusingHome sends requests for one object, 20 ms apart for ten seconds, to two servers, of
+// sendToRejectingHome sends requests for one object, 20 ms apart for ten seconds, to two servers, of
 // which the object's home refuses a share. It counts the refused requests and the attempts at the
 // home.
-func sendToRefusingHome(share float64, loaded bool) (refused, atHome int) {
+func sendToRejectingHome(share float64, loaded bool) (rejected, atHome int) {
 	now := time.Unix(1_000_000, 0)
 	fleet, _ := coldServerFleet(now)
 	k := fleet[0]
@@ -28,33 +28,33 @@
 			home = d.Server.ID
 		}
 		for d.Server != nil {
-			a := Attempt{Result: ResultAnswered, Loaded: loaded}
+			a := Attempt{Result: ResultResponded, Loaded: loaded}
 			if d.Server.ID == home {
 				atHome++
 				if random.Float64() < share {
-					a.Result = ResultRefused
+					a.Result = ResultRejected
 				}
 			}
 			d = k.EndAttempt(now, req, a)
 		}
 		if !d.ReturnResponse {
-			refused++
+			rejected++
 		}
 	}
-	return refused, atHome
+	return rejected, atHome
 }
 
 // A server refuses all requests although it has free slots: it was started without a dependency, or
 // drains without reporting it. Because it looked idle, it kept getting the requests of its objects,
 // and each was refused or needed a retry. A server that refuses some requests at random is still
 // warm for its objects and must keep them.
-func TestServerThatRefusesEverythingIsEjected(t *testing.T) {
+func TestServerThatRejectsEverythingIsEjected(t *testing.T) {
 	for _, loaded := range []bool{true, false} {
-		if refused, atHome := sendToRefusingHome(1, loaded); refused > 20 || atHome > 40 {
+		if refused, atHome := sendToRejectingHome(1, loaded); refused > 20 || atHome > 40 {
 			t.Errorf("all refused, load reported %t: %d of 500 requests refused, %d sent to the home; want at most 20 and 40", loaded, refused, atHome)
 		}
 	}
-	if refused, atHome := sendToRefusingHome(0.45, true); atHome < 450 {
+	if refused, atHome := sendToRejectingHome(0.45, true); atHome < 450 {
 		t.Errorf("some refused: %d of 500 requests refused, %d sent to the home; want at least 450 sent to it", refused, atHome)
 	}
 }
--- a/internal/kernel/steering/failover_test.go
+++ b/internal/kernel/steering/failover_test.go
@@ -138,7 +138,7 @@
 	k := threeRegionKernel(now, 200*time.Millisecond)
 	ejectServers(k, now, "north-a-0")
 	for _, id := range []string{"north-a-1", "north-a-2", "north-a-3"} {
-		k.servers[id].recordRefusal(now, Attempt{Result: ResultRefused, Loaded: true, Running: 4, Waiting: 12})
+		k.servers[id].recordRejection(now, Attempt{Result: ResultRejected, Loaded: true, Running: 4, Waiting: 12})
 	}
 	for n := range 96 {
 		req, d := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Object: fmt.Sprintf("%x", n)})
--- a/internal/kernel/steering/learn.go
+++ b/internal/kernel/steering/learn.go
@@ -16,14 +16,14 @@
 	k.detectSlowdown(now, req, s, svc, a, elapsed)
 	ejections := s.ejections
 	switch a.Result {
-	case ResultAnswered:
-		s.answeredAt = now
+	case ResultResponded:
+		s.respondedAt = now
 		k.learnWork(now, req, s, svc, elapsed)
 		if !a.Loaded {
 			k.inferQueue(now, req, s, elapsed-s.rtt.roundTrip)
 		}
-	case ResultRefused:
-		s.recordRefusal(now, a)
+	case ResultRejected:
+		s.recordRejection(now, a)
 	case ResultWrongServer:
 		// The address belongs to another server now, so this one is gone, unless it has restarted
 		// in the meantime.
--- a/internal/kernel/steering/lifecycle.go
+++ b/internal/kernel/steering/lifecycle.go
@@ -134,7 +134,7 @@
 // from different times and proxies are comparable. For a request that timed out, the time so far is
 // a lower bound.
 func (req *ActiveRequest) latencyRatio(now time.Time, a Attempt) float64 {
-	if req.slotRequest == nil || !req.warm || req.Route.Target <= 0 || a.Result != ResultAnswered && a.Result != ResultTimeout {
+	if req.slotRequest == nil || !req.warm || req.Route.Target <= 0 || a.Result != ResultResponded && a.Result != ResultTimeout {
 		return 0
 	}
 	return float64(now.Sub(req.sentAt)-req.server.rtt.roundTrip) / float64(req.Route.Target)
@@ -143,7 +143,7 @@
 func (k *Kernel) endAttempt(now time.Time, req *ActiveRequest, a Attempt) Decision {
 	s := req.server
 	s.inFlight--
-	if !a.refusedWithFreeSlots(s.Slots) {
+	if !a.rejectedWithFreeSlots(s.Slots) {
 		req.triedServers = append(req.triedServers, s)
 	}
 	elapsed := now.Sub(req.sentAt)
@@ -154,7 +154,7 @@
 		Expected: req.expected, Duration: elapsed, Load: float64(a.Running + a.Waiting), Err: a.Err,
 	})
 	switch a.Result {
-	case ResultAnswered:
+	case ResultResponded:
 		return k.finish(now, req, Decision{ReturnResponse: true})
 	case ResultCallerGone:
 		return k.finish(now, req, Decision{Reason: ReasonCallerGone})
@@ -190,16 +190,16 @@
 	return k.fail(now, req, reason)
 }
 
-// refusedWithFreeSlots reports whether the server refused the request while it had free slots. Such
+// rejectedWithFreeSlots reports whether the server refused the request while it had free slots. Such
 // a server refuses at random and may well accept the next request. It is warm for the object,
 // whereas any other server would run it cold.
-func (a Attempt) refusedWithFreeSlots(slots int) bool {
-	return a.Result == ResultRefused && a.Loaded && a.Running < slots && a.Waiting == 0
+func (a Attempt) rejectedWithFreeSlots(slots int) bool {
+	return a.Result == ResultRejected && a.Loaded && a.Running < slots && a.Waiting == 0
 }
 
 func reasonOf(r Result) Reason {
-	if r == ResultRefused || r == ResultWrongServer {
-		return ReasonRefused
+	if r == ResultRejected || r == ResultWrongServer {
+		return ReasonRejected
 	}
 	return ReasonConnectionLost
 }
--- a/internal/kernel/steering/mechanism_test.go
+++ b/internal/kernel/steering/mechanism_test.go
@@ -46,7 +46,7 @@
 			requests = append(requests, req)
 		}
 		for _, req := range requests {
-			k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
+			k.EndAttempt(now, req, Attempt{Result: ResultResponded})
 		}
 		return float64(south) / float64(inFlight)
 	}
--- a/internal/kernel/steering/quarantine.go
+++ b/internal/kernel/steering/quarantine.go
@@ -87,9 +87,9 @@
 	tracker := k.quarantine
 	tracker.RecordStop(req.Work)
 	switch a.Result {
-	case ResultAnswered, ResultServerError, ResultRefused:
+	case ResultResponded, ResultServerError, ResultRejected:
 		tracker.RecordResponse(s.startID, req.sentAt)
-		if a.Result == ResultAnswered && !a.Rejected {
+		if a.Result == ResultResponded && !a.Rejected {
 			// A server that fails or rejects a request may not have reached the part that crashes
 			// it.
 			tracker.RecordSuccess(now, req.Work)
--- a/internal/kernel/steering/quarantine_test.go
+++ b/internal/kernel/steering/quarantine_test.go
@@ -29,14 +29,14 @@
 	return k
 }
 
-func beginPoison(k *Kernel, now time.Time) (*ActiveRequest, Decision) {
+func beginPoisonRequest(k *Kernel, now time.Time) (*ActiveRequest, Decision) {
 	return k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/deadly", Object: "o", Work: poisonFingerprint, Deadline: now.Add(4 * time.Second)})
 }
 
 // crashServer sends the poison request once and has it crash its server.
 func crashServer(t *testing.T, k *Kernel, now time.Time) Decision {
 	t.Helper()
-	req, d := beginPoison(k, now)
+	req, d := beginPoisonRequest(k, now)
 	if d.Server == nil {
 		t.Fatalf("not sent: %+v", d)
 	}
@@ -52,7 +52,7 @@
 func TestRequestThatLostTwoConnectionsIsNotRetried(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, true)
-	req, _ := beginPoison(k, now)
+	req, _ := beginPoisonRequest(k, now)
 	d := k.EndAttempt(now, req, Attempt{Result: ResultConnectionLost})
 	if d.Server == nil {
 		t.Fatalf("after one lost connection: %+v, want it retried", d)
@@ -69,17 +69,17 @@
 	k := quarantineKernel(now, false)
 	crashServer(t, k, now)
 	crashServer(t, k, now)
-	req, d := beginPoison(k, now)
+	req, d := beginPoisonRequest(k, now)
 	if d.Server == nil {
 		t.Fatalf("third run: %+v, want it sent", d)
 	}
-	if _, d := beginPoison(k, now); d.Server != nil || !d.NotRun || d.Reason != ReasonMayCrashServers || d.RetryAfter <= 0 || d.RetryAfter > maxRetryAfter {
+	if _, d := beginPoisonRequest(k, now); d.Server != nil || !d.NotRun || d.Reason != ReasonMayCrashServers || d.RetryAfter <= 0 || d.RetryAfter > maxRetryAfter {
 		t.Errorf("second request in flight: %+v, want it refused with a retry delay", d)
 	}
-	if d := k.EndAttempt(now, req, Attempt{Result: ResultAnswered}); !d.ReturnResponse {
+	if d := k.EndAttempt(now, req, Attempt{Result: ResultResponded}); !d.ReturnResponse {
 		t.Errorf("answered: %+v, want the response returned", d)
 	}
-	if _, d := beginPoison(k, now); d.Server == nil {
+	if _, d := beginPoisonRequest(k, now); d.Server == nil {
 		t.Errorf("after a successful run: %+v, want it sent", d)
 	}
 }
@@ -87,7 +87,7 @@
 // A fingerprint that has crashed three servers is refused as not run, with a retry delay up to its
 // next trial: 2 s at first, because it may be harmless, and minutes after a trial that crashed a
 // server. A request that lost its connection before the quarantine may have run.
-func TestQuarantinedFingerprintIsRefusedAsNotRun(t *testing.T) {
+func TestQuarantinedFingerprintIsRejectedAsNotRun(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, true)
 	k.SetTable(routing.NewTable(2, []*routing.Route{{
@@ -98,13 +98,13 @@
 			t.Errorf("a request whose server crashed: %+v, want it not reported as not run", d)
 		}
 	}
-	_, d := beginPoison(k, now)
+	_, d := beginPoisonRequest(k, now)
 	if !d.NotRun || d.Reason != ReasonCrashesServers || d.RetryAfter != 2*time.Second {
 		t.Errorf("quarantined: %+v, want it refused for 2s", d)
 	}
 	now = now.Add(5 * time.Second)
 	crashServer(t, k, now)
-	_, d = beginPoison(k, now)
+	_, d = beginPoisonRequest(k, now)
 	if !d.NotRun || d.Reason != ReasonCrashesServers || d.RetryAfter != quarantine.MaxRetryAfter {
 		t.Errorf("quarantined after a trial: %+v, want it refused for %s", d, quarantine.MaxRetryAfter)
 	}
@@ -127,7 +127,7 @@
 		now := time.Unix(1_000_000, 0)
 		k := quarantineKernel(now, false)
 		for range quarantine.DefaultThreshold + 1 {
-			req, d := beginPoison(k, now)
+			req, d := beginPoisonRequest(k, now)
 			if d.Server == nil {
 				t.Fatalf("%s: refused: %+v", name, d)
 			}
@@ -139,7 +139,7 @@
 				k.RemoveServer(now, id)
 			}
 		}
-		if _, d := beginPoison(k, now); d.Reason == ReasonCrashesServers {
+		if _, d := beginPoisonRequest(k, now); d.Reason == ReasonCrashesServers {
 			t.Errorf("%s: the fingerprint is quarantined", name)
 		}
 	}
@@ -151,7 +151,7 @@
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, false)
 	for range quarantine.DefaultThreshold {
-		req, d := beginPoison(k, now)
+		req, d := beginPoisonRequest(k, now)
 		if d.Server == nil {
 			t.Fatalf("refused too soon: %+v", d)
 		}
@@ -161,7 +161,7 @@
 		restarted.Started = now
 		k.RegisterServer(now, restarted)
 	}
-	if _, d := beginPoison(k, now); d.Reason != ReasonCrashesServers {
+	if _, d := beginPoisonRequest(k, now); d.Reason != ReasonCrashesServers {
 		t.Errorf("after three restarts: %+v, want the fingerprint quarantined", d)
 	}
 }
@@ -171,13 +171,13 @@
 func TestFailedRequestsDoNotCountAsSuccess(t *testing.T) {
 	for name, attempt := range map[string]Attempt{
 		"failed":   {Result: ResultServerError, Rejected: true},
-		"rejected": {Result: ResultAnswered, Rejected: true},
-		"refused":  {Result: ResultRefused},
+		"rejected": {Result: ResultResponded, Rejected: true},
+		"refused":  {Result: ResultRejected},
 	} {
 		now := time.Unix(1_000_000, 0)
 		k := quarantineKernel(now, false)
 		for range quarantine.DefaultThreshold {
-			req, d := beginPoison(k, now)
+			req, d := beginPoisonRequest(k, now)
 			if d.Server == nil {
 				t.Fatalf("%s: refused too soon: %+v", name, d)
 			}
@@ -187,7 +187,7 @@
 			now = now.Add(100 * time.Millisecond)
 			crashServer(t, k, now)
 		}
-		if _, d := beginPoison(k, now); d.Reason != ReasonCrashesServers {
+		if _, d := beginPoisonRequest(k, now); d.Reason != ReasonCrashesServers {
 			t.Errorf("%s: %+v, want the fingerprint quarantined", name, d)
 		}
 	}
--- a/internal/kernel/steering/quotas.go
+++ b/internal/kernel/steering/quotas.go
@@ -128,11 +128,11 @@
 }
 
 // ApplyPoolToken handles the pool's reply for a request, or its absence, and returns the next step.
-func (k *Kernel) ApplyPoolToken(now time.Time, req *ActiveRequest, t ratelimit.TokenReply, answered bool) Decision {
-	d := k.applyQuotaDecision(now, req, k.quotas.limiter.HandlePoolReply(now, req.Account.Name, req.quotaDecision, t, answered))
+func (k *Kernel) ApplyPoolToken(now time.Time, req *ActiveRequest, t ratelimit.TokenReply, replied bool) Decision {
+	d := k.applyQuotaDecision(now, req, k.quotas.limiter.HandlePoolReply(now, req.Account.Name, req.quotaDecision, t, replied))
 	if k.config.Record != nil {
 		decision := recordedDecisionOf(d)
-		k.config.Record(Call{Method: callPoolToken, At: now, RequestNumber: req.seq, Token: &t, Flag: answered, Decision: &decision})
+		k.config.Record(Call{Method: callPoolToken, At: now, RequestNumber: req.seq, Token: &t, Flag: replied, Decision: &decision})
 	}
 	return d
 }
@@ -168,9 +168,9 @@
 	return k.quotas.limiter.ApplyGrants(now, reportedAt, pool, g)
 }
 
-// QuotaReportUnanswered records that the pool did not reply to a report.
-func (k *Kernel) QuotaReportUnanswered(now time.Time, pool string) {
-	k.record(Call{Method: callQuotaReportUnanswered, At: now, ID: pool})
+// MarkPoolUnresponsive records that the pool did not reply to a report.
+func (k *Kernel) MarkPoolUnresponsive(now time.Time, pool string) {
+	k.record(Call{Method: callMarkPoolUnresponsive, At: now, ID: pool})
 	k.quotas.limiter.MarkUnresponsive(now, pool)
 }
 
--- a/internal/kernel/steering/regiondraw_test.go
+++ b/internal/kernel/steering/regiondraw_test.go
@@ -29,7 +29,7 @@
 			}
 			byRegion[req.server.region] += 1.0 / requests
 			if end {
-				k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
+				k.EndAttempt(now, req, Attempt{Result: ResultResponded})
 			}
 		}
 		return byRegion
--- a/internal/kernel/steering/regionstate_test.go
+++ b/internal/kernel/steering/regionstate_test.go
@@ -30,7 +30,7 @@
 		if d.Server.Domain == "north-a" {
 			inOwnRegion++
 		}
-		k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
+		k.EndAttempt(now, req, Attempt{Result: ResultResponded})
 	}
 	return float64(inOwnRegion) / objects
 }
--- a/internal/kernel/steering/replay.go
+++ b/internal/kernel/steering/replay.go
@@ -148,8 +148,8 @@
 		k.HandleQuotaReport(c.At, *c.Report)
 	case callQuotaGrants:
 		k.ApplyQuotaGrants(c.At, c.RequestedAt, c.ID, *c.Grants)
-	case callQuotaReportUnanswered:
-		k.QuotaReportUnanswered(c.At, c.ID)
+	case callMarkPoolUnresponsive:
+		k.MarkPoolUnresponsive(c.At, c.ID)
 	case callTakePoolToken:
 		k.TakePoolToken(c.At, c.ID)
 	case callBorrowQuota:
--- a/internal/kernel/steering/request.go
+++ b/internal/kernel/steering/request.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// ResultAnswered means that the server's complete response has arrived.
-	ResultAnswered Result = iota + 1
+	// ResultResponded means that the server's complete response has arrived.
+	ResultResponded Result = iota + 1
 	// ResultServerError means that the server's complete response reports a failure of the server.
 	ResultServerError
-	// ResultRefused means that the server reported that it did not run the request.
-	ResultRefused
+	// ResultRejected means that the server reported that it did not run the request.
+	ResultRejected
 	// ResultWrongServer means that another server now has the address. The request has not run.
 	ResultWrongServer
 	// ResultUnreachable means that no byte of the request was sent.
@@ -65,8 +65,8 @@
 	// ReasonQueuesTooLong means that the server queues are so long that responses would miss the
 	// target.
 	ReasonQueuesTooLong Reason = "queues-too-long"
-	// ReasonRefused means that servers refused the request.
-	ReasonRefused Reason = "refused-by-server"
+	// ReasonRejected means that servers refused the request.
+	ReasonRejected Reason = "refused-by-server"
 	// ReasonRetryBudget means that the retry budget was exhausted.
 	ReasonRetryBudget Reason = "repeat-budget"
 	// ReasonConnectionLost means that a connection was lost and the request may have run.
--- a/internal/kernel/steering/restart_test.go
+++ b/internal/kernel/steering/restart_test.go
@@ -43,7 +43,7 @@
 	wasWarm := func() (warm bool) {
 		k.observeCandidate = func(w Candidate) { warm = w.Warm }
 		req, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/x", Object: "o", Deadline: now.Add(time.Second)})
-		k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
+		k.EndAttempt(now, req, Attempt{Result: ResultResponded})
 		return warm
 	}
 	s := routing.Server{ID: "s", Service: "service", Domain: "north-a", Slots: 4, Started: time.UnixMilli(1000)}
--- a/internal/kernel/steering/scenario_test.go
+++ b/internal/kernel/steering/scenario_test.go
@@ -94,7 +94,7 @@
 
 var (
 	resultsByName = map[string]Result{
-		"answered": ResultAnswered, "failed": ResultServerError, "refused": ResultRefused, "mistaken": ResultWrongServer,
+		"answered": ResultResponded, "failed": ResultServerError, "refused": ResultRejected, "mistaken": ResultWrongServer,
 		"unreachable": ResultUnreachable, "broken": ResultConnectionLost, "late": ResultTimeout, "left": ResultCallerGone, "withheld": ResultNotSent,
 	}
 )
--- a/internal/kernel/steering/server.go
+++ b/internal/kernel/steering/server.go
@@ -15,10 +15,10 @@
 	ejectAfterFailures = 3
 	ejectionBase       = 400 * time.Millisecond
 	maxEjection        = 5 * time.Second
-	// ejectAfterRefusals is the number of consecutive refusals after which a server is ejected. A
+	// ejectAfterRejections is the number of consecutive refusals after which a server is ejected. A
 	// server that refuses 0.45 of its requests at random reaches it in 1 of 600 series; it is warm
 	// for its objects and worth trying again.
-	ejectAfterRefusals = 8
+	ejectAfterRejections = 8
 	// fullServerPause is how long a server is skipped after it refused a request because it was
 	// full.
 	fullServerPause = 60 * time.Millisecond
@@ -57,9 +57,9 @@
 		// this time.
 		absentUntil time.Time
 
-		// answeredAt is the time of the last response.
-		answeredAt time.Time
-		inFlight   int
+		// respondedAt is the time of the last response.
+		respondedAt time.Time
+		inFlight    int
 		// sentCount counts the requests sent so far.
 		sentCount int
 		// reportedLoad is the number of running and waiting requests that the server last reported,
@@ -86,10 +86,10 @@
 		slowdown      float64
 		failureShare  float64
 		failuresInRow int
-		// refusalsInRow counts consecutive refusals without a response in between.
-		refusalsInRow int
-		ejections     int
-		ejectedUntil  time.Time
+		// rejectionsInRow counts consecutive refusals without a response in between.
+		rejectionsInRow int
+		ejections       int
+		ejectedUntil    time.Time
 
 		coldUntil time.Time
 		coldRate  admission.ColdStartLimiter
@@ -200,7 +200,7 @@
 
 // recordSuccess records a response and compares its duration with the expected one.
 func (s *server) recordSuccess(elapsed, expected time.Duration) {
-	s.failuresInRow, s.refusalsInRow, s.ejections = 0, 0, 0
+	s.failuresInRow, s.rejectionsInRow, s.ejections = 0, 0, 0
 	s.failureShare -= failureWeight * s.failureShare
 	if expected <= 0 {
 		return
@@ -209,18 +209,18 @@
 	s.slowdown += slowdownWeight * (ratio - s.slowdown)
 }
 
-// recordRefusal records a refusal. A refusal while slots were free says nothing about the next
+// recordRejection records a refusal. A refusal while slots were free says nothing about the next
 // request; after any other, the server is skipped for a moment. After several consecutive refusals
 // the server is ejected: it would look idle indefinitely and attract the requests of its objects,
 // each of which would be refused or cost a retry. Refusals of a server that reports all its slots
 // in use are not counted, because it is working.
-func (s *server) recordRefusal(now time.Time, a Attempt) {
-	free := a.refusedWithFreeSlots(s.Slots)
+func (s *server) recordRejection(now time.Time, a Attempt) {
+	free := a.rejectedWithFreeSlots(s.Slots)
 	if busy := a.Loaded && a.Running >= s.Slots; !busy {
-		s.refusalsInRow++
+		s.rejectionsInRow++
 	}
 	switch {
-	case s.refusalsInRow >= ejectAfterRefusals:
+	case s.rejectionsInRow >= ejectAfterRejections:
 		s.recordFailure(now, true)
 	case !free:
 		s.ejectedUntil = laterOf(s.ejectedUntil, now.Add(fullServerPause))
--- a/internal/kernel/steering/shed_test.go
+++ b/internal/kernel/steering/shed_test.go
@@ -39,14 +39,14 @@
 			}
 			continue
 		}
-		k.EndAttempt(now.Add(time.Duration(i)*time.Millisecond), req, Attempt{Result: ResultAnswered, Loaded: true, Running: 4, Waiting: waiting})
+		k.EndAttempt(now.Add(time.Duration(i)*time.Millisecond), req, Attempt{Result: ResultResponded, Loaded: true, Running: 4, Waiting: waiting})
 	}
 	return refused
 }
 
 // The queues of the servers are so long that every response would be late. Some requests must be
 // refused so that the others get a response in time, the less urgent ones first.
-func TestOverloadRefusesLessUrgentRequestsFirst(t *testing.T) {
+func TestOverloadRejectsLessUrgentRequestsFirst(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := shedKernel(now)
 	if got := k.sendMany(t, now, "/plain/x", 0); got != 0 {
@@ -65,7 +65,7 @@
 // In a slight overload, a refused caller must retry while it can still get a response within the
 // target; a second later any response would be late. When most requests are refused, it must wait
 // longer, until the overload has ended.
-func TestRefusedCallersRetryWithinTheTarget(t *testing.T) {
+func TestRejectedCallersRetryWithinTheTarget(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for _, c := range []struct {
 		waiting    int
@@ -81,7 +81,7 @@
 				longestRetry = max(longestRetry, d.RetryAfter)
 				continue
 			}
-			k.EndAttempt(at, req, Attempt{Result: ResultAnswered, Loaded: true, Running: 4, Waiting: c.waiting})
+			k.EndAttempt(at, req, Attempt{Result: ResultResponded, Loaded: true, Running: 4, Waiting: c.waiting})
 		}
 		if longestRetry == 0 || longestRetry > c.maxRetry || (longestRetry > maxRetryAfter/2) != c.overloaded {
 			t.Errorf("%d waiting: longest retry delay is %s, want at most %s", c.waiting, longestRetry, c.maxRetry)
--- a/internal/kernel/steering/slotrequest.go
+++ b/internal/kernel/steering/slotrequest.go
@@ -13,9 +13,9 @@
 	// maxSlotRequestShare is the largest part of a route's target that the round trip for a slot
 	// request may take. The request itself takes the same round trip afterwards.
 	maxSlotRequestShare = 0.2
-	// unresponsiveOwnerPause is how long the owner of a limiter that did not reply is not asked
+	// unresponsiveOwnerBackoff is how long the owner of a limiter that did not reply is not asked
 	// again.
-	unresponsiveOwnerPause = time.Second
+	unresponsiveOwnerBackoff = time.Second
 )
 
 type (
@@ -104,30 +104,30 @@
 // HandleSlotReply handles the reply to a slot request, or its absence, and returns the next step.
 // Without a reply the request is sent as if there were no limiter: the owner may be gone or
 // partitioned, and callers must not wait for it.
-func (k *Kernel) HandleSlotReply(now time.Time, req *ActiveRequest, r SlotReply, answered bool) Decision {
-	d := k.handleSlotReply(now, req, r, answered)
+func (k *Kernel) HandleSlotReply(now time.Time, req *ActiveRequest, r SlotReply, replied bool) Decision {
+	d := k.handleSlotReply(now, req, r, replied)
 	if k.config.Record != nil {
 		decision := recordedDecisionOf(d)
-		k.config.Record(Call{Method: callSlotReply, At: now, RequestNumber: req.seq, SlotReply: &r, Flag: answered, Decision: &decision})
+		k.config.Record(Call{Method: callSlotReply, At: now, RequestNumber: req.seq, SlotReply: &r, Flag: replied, Decision: &decision})
 	}
 	return d
 }
 
-func (k *Kernel) handleSlotReply(now time.Time, req *ActiveRequest, r SlotReply, answered bool) Decision {
+func (k *Kernel) handleSlotReply(now time.Time, req *ActiveRequest, r SlotReply, replied bool) Decision {
 	s, svc := req.server, k.service(req.Service)
 	switch {
-	case !answered:
-		s.skipOwnerUntil = now.Add(unresponsiveOwnerPause)
+	case !replied:
+		s.skipOwnerUntil = now.Add(unresponsiveOwnerBackoff)
 	case !r.Unknown:
 		k.learnFromSlotReply(now, req, s, svc, r)
 	}
-	if answered && r.Verdict == admission.Denied || now.After(req.slotRequest.Last) {
+	if replied && r.Verdict == admission.Denied || now.After(req.slotRequest.Last) {
 		// Any slot is released, since the owner's grant may have been lost.
 		release := req.takeSlotRelease(0)
 		s.inFlight--
 		k.quarantine.RecordStop(req.Work)
 		req.addStep(Event{
-			At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(req.steps)/2 + 1, Result: ResultRefused,
+			At: now, Kind: EventAttemptEnded, Server: s.id, Attempt: len(req.steps)/2 + 1, Result: ResultRejected,
 			Expected: req.expected, Duration: now.Sub(req.sentAt), Load: float64(r.Running + r.Waiting),
 		})
 		d := k.fail(now, req, ReasonQueuesTooLong)
--- a/internal/kernel/steering/workestimate_test.go
+++ b/internal/kernel/steering/workestimate_test.go
@@ -30,7 +30,7 @@
 	run := func(path, object string, duration time.Duration) {
 		req, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: path, Object: object})
 		now = now.Add(duration)
-		k.EndAttempt(now, req, Attempt{Result: ResultAnswered, Loaded: true})
+		k.EndAttempt(now, req, Attempt{Result: ResultResponded, Loaded: true})
 	}
 	for range 5 {
 		run("/new/x", "", 1400*time.Microsecond)
@@ -64,7 +64,7 @@
 	for version, name := range []string{"first", "second"} {
 		table(uint64(version+1), name)
 		req, _ := k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x"})
-		k.EndAttempt(now.Add(time.Millisecond), req, Attempt{Result: ResultAnswered})
+		k.EndAttempt(now.Add(time.Millisecond), req, Attempt{Result: ResultResponded})
 	}
 	if work := k.service("service").workByRoute; len(work) != 1 || work["second"] == nil {
 		t.Errorf("there are estimates for %d routes, want only the second", len(work))
--- a/internal/proxy/forward/decisionlog_test.go
+++ b/internal/proxy/forward/decisionlog_test.go
@@ -92,7 +92,7 @@
 	return steering.Event{
 		Kind: steering.EventRequestEnded, Request: fmt.Sprintf("r-%d", n), Outcome: steering.OutcomeMayHaveRun, Reason: r, Attempt: 2,
 		Steps: []steering.Event{
-			{Kind: steering.EventRequestSent, Server: "i-1"}, {Kind: steering.EventAttemptEnded, Server: "i-1", Result: steering.ResultRefused},
+			{Kind: steering.EventRequestSent, Server: "i-1"}, {Kind: steering.EventAttemptEnded, Server: "i-1", Result: steering.ResultRejected},
 			{Kind: steering.EventRequestSent, Server: "i-2"}, {Kind: steering.EventAttemptEnded, Server: "i-2", Result: steering.ResultTimeout},
 		},
 	}
@@ -108,7 +108,7 @@
 			j.handleEvent(failedRequest(n, steering.ReasonTimeout))
 		}
 		*clock = clock.Add(omittedInterval)
-		j.handleEvent(failedRequest(failed, steering.ReasonRefused))
+		j.handleEvent(failedRequest(failed, steering.ReasonRejected))
 	})
 	summaries, attemptLines, counts := make(map[string]string), 0, map[string]int{}
 	for _, l := range lines {
--- a/internal/proxy/forward/quotas.go
+++ b/internal/proxy/forward/quotas.go
@@ -153,7 +153,7 @@
 	g, err := q.sendReport(ctx, to, r)
 	d.withKernel(func(k *steering.Kernel, now time.Time) {
 		if err != nil {
-			k.QuotaReportUnanswered(now, to)
+			k.MarkPoolUnresponsive(now, to)
 			return
 		}
 		again = k.ApplyQuotaGrants(now, sentAt, to, g)
--- a/internal/proxy/recording/file_test.go
+++ b/internal/proxy/recording/file_test.go
@@ -27,7 +27,7 @@
 	k.SetTable(routing.NewTable(1, []*routing.Route{route}, nil, routing.Limits{}))
 	k.RegisterServer(now, routing.Server{ID: "server-1", Service: "service", Domain: "north-a", Slots: 4})
 	request, _ := k.BeginRequest(now, steering.Request{ID: "first", Host: "host", Path: "/"})
-	k.EndAttempt(now.Add(time.Millisecond), request, steering.Attempt{Result: steering.ResultAnswered})
+	k.EndAttempt(now.Add(time.Millisecond), request, steering.Attempt{Result: steering.ResultResponded})
 	k.RemoveServer(now, "server-1")
 	k.BeginRequest(now, steering.Request{ID: "second", Host: "host", Path: "/"})
 	if err := file.Close(); err != nil {
