--- a/internal/kernel/admission/limiter.go
+++ b/internal/kernel/admission/limiter.go
@@ -8,9 +8,9 @@
 const (
 	// Granted requests may be sent now.
 	Granted Verdict = iota + 1
-	// Queued requests wait for a permit.
+	// Queued requests wait for a slot.
 	Queued
-	// Denied requests would get a permit too late for any response.
+	// Denied requests would get a slot too late for any response.
 	Denied
 )
 
@@ -21,10 +21,10 @@
 )
 
 type (
-	// Verdict is the decision on a request for a permit.
+	// Verdict is the decision on a request for a slot.
 	Verdict uint8
 
-	// Ticket requests a permit to run one request on a server.
+	// Ticket requests a slot to run one request on a server.
 	Ticket struct {
 		// ID identifies the ticket among those of the proxy From.
 		ID   uint64
@@ -34,7 +34,7 @@
 		// Good is the latest start at which the response still meets its target, Last the latest
 		// start for any response.
 		Good, Last time.Time
-		// Until is when the permit expires if it is not released.
+		// Until is when the slot expires if it is not released.
 		Until time.Time
 	}
 
@@ -57,7 +57,7 @@
 	}
 )
 
-// Acquire requests a permit. limit is the number of requests that may run at once, serviceTime how
+// Acquire requests a slot. limit is the number of requests that may run at once, serviceTime how
 // long one request runs.
 func (l *Limiter) Acquire(now time.Time, t Ticket, limit int, serviceTime time.Duration) Grant {
 	if grant, found := l.lookup(t); found {
@@ -74,7 +74,7 @@
 	return Grant{Ticket: t, Verdict: Queued}
 }
 
-// lookup answers a ticket that is already known: its proxy has not received the answer, or checks
+// lookup replies to a ticket that is already known: its proxy has not received the reply, or checks
 // whether the limiter still exists.
 func (l *Limiter) lookup(t Ticket) (Grant, bool) {
 	same := func(o Ticket) bool { return o.From == t.From && o.ID == t.ID }
@@ -87,7 +87,7 @@
 	return Grant{}, false
 }
 
-// waitingAhead counts the waiting tickets that get a permit before one that arrives now.
+// waitingAhead counts the waiting tickets that get a slot before one that arrives now.
 func (l *Limiter) waitingAhead(now time.Time, t Ticket) int {
 	n := 0
 	for _, other := range l.waiting {
@@ -98,14 +98,14 @@
 	return n
 }
 
-// Release frees the permit of a ticket, or removes it from the queue.
+// Release frees the slot of a ticket, or removes it from the queue.
 func (l *Limiter) Release(from string, id uint64) {
 	same := func(t Ticket) bool { return t.From == from && t.ID == id }
 	l.running = slices.DeleteFunc(l.running, same)
 	l.waiting = slices.DeleteFunc(l.waiting, same)
 }
 
-// Dispatch grants free permits to waiting tickets and denies those that have waited too long.
+// Dispatch grants free slots to waiting tickets and denies those that have waited too long.
 // Tickets that can still meet their target go first, by priority and then in order of arrival. The
 // others follow, since their responses are late in any case.
 func (l *Limiter) Dispatch(now time.Time, limit int) []Grant {
--- a/internal/kernel/admission/limiter_test.go
+++ b/internal/kernel/admission/limiter_test.go
@@ -20,8 +20,9 @@
 	return ids
 }
 
-// With a limit of two, two of several requests run. Of the others, those that can still meet their
-// target follow by priority and order of arrival, and those that are late in any case come last.
+// A server slows down when more than two of its slots are in use, so only two of several requests
+// may run. Of the others, those that can still meet their target follow by priority and order of
+// arrival, and those that are late in any case come last.
 func TestLimiterQueuesInPriorityOrder(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var limiter Limiter
@@ -43,14 +44,14 @@
 		order = append(order, idsOf(limiter.Dispatch(now, 2), Granted)...)
 	}
 	if want := []uint64{5, 6, 4, 3}; !slices.Equal(order, want) {
-		t.Errorf("permits are granted to %v, want %v", order, want)
+		t.Errorf("slots are granted to %v, want %v", order, want)
 	}
 	if running, waiting := limiter.Load(); running != 2 || waiting != 0 {
 		t.Errorf("%d run and %d wait, want two and none", running, waiting)
 	}
 }
 
-// A request is denied on arrival if its permit would come too late for any response, or as soon as
+// A request is denied on arrival if its slot would come too late for any response, or as soon as
 // it has waited too long, so that its caller learns at once when to retry.
 func TestLimiterDeniesRequestsPastDeadline(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
@@ -67,7 +68,7 @@
 	}
 }
 
-// Guards against a permit that is lost when its proxy is killed: it expires when its request must
+// Guards against a slot that is lost when its proxy is killed: it expires when its request must
 // have ended, or the server would stay idle.
 func TestPermitsExpire(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
@@ -77,21 +78,21 @@
 	limiter.Acquire(now, first, 1, time.Millisecond)
 	limiter.Acquire(now, ticket(2, 0, time.Second, time.Minute), 1, time.Millisecond)
 	if got := limiter.Dispatch(now.Add(time.Second), 1); len(got) > 0 {
-		t.Errorf("granted while the permit is held: %v", got)
+		t.Errorf("granted while the slot is held: %v", got)
 	}
 	if got := idsOf(limiter.Dispatch(now.Add(3*time.Second), 1), Granted); !slices.Equal(got, []uint64{2}) {
-		t.Errorf("granted after the permit has expired: %v, want ticket 2", got)
+		t.Errorf("granted after the slot has expired: %v, want ticket 2", got)
 	}
 }
 
-// Guards against a second permit for one request when a response or grant is lost and the proxy
+// Guards against a second slot for one request when a response or grant is lost and the proxy
 // asks again.
 func TestAcquireIsIdempotent(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var limiter Limiter
 	for range 3 {
 		if got := limiter.Acquire(now, ticket(1, 0, time.Second, time.Second), 2, time.Millisecond); got.Verdict != Granted || got.Rank != 1 {
-			t.Errorf("repeated request: %+v, want the same permit", got)
+			t.Errorf("repeated request: %+v, want the same slot", got)
 		}
 	}
 	limiter.Acquire(now, ticket(2, 0, time.Second, time.Second), 2, time.Millisecond)
--- a/internal/kernel/admission/pressure.go
+++ b/internal/kernel/admission/pressure.go
@@ -6,9 +6,9 @@
 
 const (
 	// ShedThreshold is the queue length from which requests are shed, relative to the capacity: the
-	// number of requests that can wait and still be answered in time. shedSlope is the increase of
-	// the shed ratio per further multiple of the capacity. A short queue for a moment is no
-	// overload. Refused callers retry, so a third of the requests must be refused to reduce the
+	// number of requests that can wait and still get a response in time. shedSlope is the increase
+	// of the shed ratio per further multiple of the capacity. A short queue for a moment is no
+	// overload. Rejected callers retry, so a third of the requests must be rejected to reduce the
 	// load by a tenth.
 	ShedThreshold = 0.5
 	shedSlope     = 1.0
@@ -33,7 +33,7 @@
 )
 
 // Observe adds the queue of one server: the number of waiting requests, and the capacity, up to
-// which the last one is still answered in time.
+// which the last one still gets a response in time.
 func (p *QueuePressure) Observe(now time.Time, waiting, capacity float64) {
 	if capacity <= 0 {
 		return
@@ -55,9 +55,9 @@
 	return p.level * float64(2*pressureTTL-age) / float64(pressureTTL)
 }
 
-// ShedRatio returns the share of requests to refuse. It grows with the queue and so settles where
-// the refused requests equal those that the servers cannot handle. The others then meet a queue in
-// which they are answered in time. Without shedding, the queue would fill up and nearly all
+// ShedRatio returns the share of requests to reject. It grows with the queue and so settles where
+// the rejected requests equal those that the servers cannot handle. The others then meet a queue in
+// which they get a response in time. Without shedding, the queue would fill up and nearly all
 // responses would be late.
 func (p *QueuePressure) ShedRatio(now time.Time) float64 {
 	return min(maxShedRatio, max(0, shedSlope*(p.Level(now)-ShedThreshold)))
--- a/internal/kernel/admission/pressure_test.go
+++ b/internal/kernel/admission/pressure_test.go
@@ -12,7 +12,7 @@
 		p.Observe(start, 0, 4)
 	}
 	if got := p.ShedRatio(start); got != 0 {
-		t.Errorf("share refused is %.2f, want 0", got)
+		t.Errorf("share rejected is %.2f, want 0", got)
 	}
 }
 
@@ -27,12 +27,12 @@
 		}
 		got := p.ShedRatio(start)
 		if got < before || got > maxShedRatio {
-			t.Errorf("%.0f waiting with a capacity of 4: share refused is %.2f, want from %.2f to %.2f", waiting, got, before, maxShedRatio)
+			t.Errorf("%.0f waiting with a capacity of 4: share rejected is %.2f, want from %.2f to %.2f", waiting, got, before, maxShedRatio)
 		}
 		before = got
 	}
 	if before != maxShedRatio {
-		t.Errorf("a queue of three times the capacity: share refused is %.2f, want %.2f", before, maxShedRatio)
+		t.Errorf("a queue of three times the capacity: share rejected is %.2f, want %.2f", before, maxShedRatio)
 	}
 }
 
@@ -44,10 +44,10 @@
 		p.Observe(start, 12, 4)
 	}
 	if got := p.ShedRatio(start.Add(pressureTTL / 2)); got != maxShedRatio {
-		t.Errorf("share refused after half the TTL is %.2f, want %.2f", got, maxShedRatio)
+		t.Errorf("share rejected after half the TTL is %.2f, want %.2f", got, maxShedRatio)
 	}
 	if got := p.ShedRatio(start.Add(2 * pressureTTL)); got != 0 {
-		t.Errorf("share refused after two TTLs without reports is %.2f, want 0", got)
+		t.Errorf("share rejected after two TTLs without reports is %.2f, want 0", got)
 	}
 }
 
--- a/internal/kernel/placing/replica_test.go
+++ b/internal/kernel/placing/replica_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// An object that is requested five times as often as one server can answer needs more than five
+// An object that is requested five times as often as one server can handle needs more than five
 // servers, since each also serves other objects. A rarely requested object needs only its home
 // server.
 func TestReplicaCountFollowsDemand(t *testing.T) {
--- a/internal/kernel/quarantine/doc.go
+++ b/internal/kernel/quarantine/doc.go
@@ -6,7 +6,7 @@
 // fingerprint, the server crashes at which such a request was in flight since one last succeeded
 // anywhere. All proxies share their counts by gossip, as sets that merge in any order: the same
 // request may be retried through any proxy, so hundreds of proxies may observe one crash each.
-// From three crashes on, the fingerprint is quarantined: all proxies refuse it until a trial may
+// From three crashes on, the fingerprint is quarantined: all proxies reject it until a trial may
 // show that it has become harmless.
 //
 // The package is designed for two workloads: a few callers that keep sending a request that
--- a/internal/kernel/quarantine/losses.go
+++ b/internal/kernel/quarantine/losses.go
@@ -19,14 +19,14 @@
 type (
 	// pendingLosses holds the servers to which connections were lost while requests were in flight
 	// and that are not yet known to have crashed. A reset connection, a truncated response or a
-	// network partition looks like a crash, but after those the server answers later requests.
+	// network partition looks like a crash, but after those the server responds to later requests.
 	pendingLosses map[InstanceID]*pendingLoss
 
 	pendingLoss struct {
 		// lastLoss is when the most recent connection was lost.
 		lastLoss     time.Time
 		fingerprints []Fingerprint
-		// responded is set once the server has answered a later request.
+		// responded is set once the server has responded to a later request.
 		responded bool
 		probes    int
 	}
--- a/internal/kernel/quarantine/record.go
+++ b/internal/kernel/quarantine/record.go
@@ -19,7 +19,7 @@
 var (
 	// quarantinePeriods are applied in order, the next one after each trial that crashed a server.
 	// The first is short: a harmless request that was quarantined in a burst of crashes may run
-	// again within seconds. Otherwise all proxies would refuse the most frequent requests and
+	// again within seconds. Otherwise all proxies would reject the most frequent requests and
 	// nothing could clear them. A request that does crash servers gets three trials within a day,
 	// as many crashes as the operators allow.
 	quarantinePeriods = []quarantinePeriod{{2 * time.Second, 4 * time.Second}, {5 * time.Minute, 15 * time.Second}, {time.Hour, time.Minute}, {24 * time.Hour, time.Minute}}
@@ -47,7 +47,7 @@
 		cleared bool
 	}
 
-	// quarantinePeriod is how long a fingerprint is refused before the first proxy may try it, and
+	// quarantinePeriod is how long a fingerprint is rejected before the first proxy may try it, and
 	// the delay from the trial of one proxy to that of the next, in which most proxies learn its
 	// result.
 	quarantinePeriod struct {
--- a/internal/kernel/quarantine/tracker.go
+++ b/internal/kernel/quarantine/tracker.go
@@ -45,7 +45,7 @@
 	EventServerCrashed EventType = "server-ended"
 	// EventSuspected reports a fingerprint that was in flight at more than one server crash.
 	EventSuspected EventType = "work-suspected"
-	// EventQuarantined reports a fingerprint that is refused from now on.
+	// EventQuarantined reports a fingerprint that is rejected from now on.
 	EventQuarantined EventType = "work-condemned"
 	// EventCleared reports a fingerprint that succeeded after it had been in flight at several
 	// crashes.
@@ -150,7 +150,7 @@
 	}
 }
 
-// RecordSuccess records that a server answered a request. This clears the fingerprint of all
+// RecordSuccess records that a server responded to a request. This clears the fingerprint of all
 // crashes recorded so far.
 func (t *Tracker) RecordSuccess(now time.Time, fp Fingerprint) {
 	if fp.IsEmpty() {
--- a/internal/kernel/ratelimit/limiter.go
+++ b/internal/kernel/ratelimit/limiter.go
@@ -20,7 +20,7 @@
 	// a pool, after a pool had no token.
 	minDenyTime = 50 * time.Millisecond
 	maxDenyTime = time.Second
-	// unresponsivePoolBackoff is how long a pool that didn't answer isn't asked for tokens.
+	// unresponsivePoolBackoff is how long a pool that didn't reply isn't asked for tokens.
 	unresponsivePoolBackoff = 500 * time.Millisecond
 	// noPoolRetryAfter is the retry delay for callers of a proxy that reaches no pool. It is
 	// short because another proxy can serve the request at once.
@@ -70,7 +70,7 @@
 		pool           poolSession
 		// otherPools are pools of other regions.
 		otherPools []string
-		// unresponsiveUntil holds, for each pool that didn't answer, the time until which it isn't
+		// unresponsiveUntil holds, for each pool that didn't reply, the time until which it isn't
 		// asked.
 		unresponsiveUntil map[string]time.Time
 		accounts          map[string]*accountState
@@ -79,7 +79,7 @@
 	// poolSession is the state shared with the pool that this proxy reports to.
 	poolSession struct {
 		name string
-		// id and clock are the last that the pool sent; id is zero before its first answer.
+		// id and clock are the last that the pool sent; id is zero before its first reply.
 		id          uint64
 		clock       time.Duration
 		lastApplied uint64
@@ -199,7 +199,7 @@
 	return Decision{}, false
 }
 
-// HandlePoolReply continues the decision asked with the pool's reply. If answered is false, the
+// HandlePoolReply continues the decision asked with the pool's reply. If replied is false, the
 // pool didn't reply.
 func (h *Limiter) HandlePoolReply(now time.Time, account string, asked Decision, reply TokenReply, replied bool) Decision {
 	a := h.account(account)
@@ -237,7 +237,7 @@
 }
 
 // NextReport returns the next report and the pool to send it to. preferred is the proxy that
-// should be the pool. While a deposit is being withdrawn from another pool that still answers,
+// should be the pool. While a deposit is being withdrawn from another pool that still replies,
 // the report goes to that pool. otherPools are pools of other regions that may be asked for
 // tokens.
 func (h *Limiter) NextReport(now time.Time, preferred string, otherPools []string) (to string, r Report) {
@@ -293,7 +293,7 @@
 	return list
 }
 
-// ApplyGrants applies a pool's answer to a report made at reportedAt. It reports whether the next
+// ApplyGrants applies a pool's reply to a report made at reportedAt. It reports whether the next
 // report should follow at once, because the base share isn't deposited with this pool yet.
 func (h *Limiter) ApplyGrants(now, reportedAt time.Time, pool string, g Grants) bool {
 	p := &h.pool
@@ -337,7 +337,7 @@
 	}
 }
 
-// MarkUnresponsive records that a pool didn't answer, so that callers don't wait for it again.
+// MarkUnresponsive records that a pool didn't reply, so that callers don't wait for it again.
 func (h *Limiter) MarkUnresponsive(now time.Time, pool string) {
 	h.unresponsiveUntil[pool] = now.Add(unresponsivePoolBackoff)
 }
--- a/internal/kernel/ratelimit/message.go
+++ b/internal/kernel/ratelimit/message.go
@@ -33,11 +33,11 @@
 		Part Share
 		Pool uint64
 		Echo time.Duration
-		// Applied is the ID of the last answer that the proxy has applied.
+		// Applied is the ID of the last reply that the proxy has applied.
 		Applied uint64
 		Wants   []AccountShare
 		// Starter is the base share of a process that has just started. It is sent until the pool
-		// answers. Start identifies the run of the process.
+		// replies. Start identifies the run of the process.
 		Starter Share
 		Start   uint64
 		// Withdraws is set if the proxy withdraws its deposit and has given up everything that
@@ -54,7 +54,7 @@
 		Share   Share
 	}
 
-	// Grants is a pool's answer to a report. It replaces all earlier grants.
+	// Grants is a pool's reply to a report. It replaces all earlier grants.
 	Grants struct {
 		// Pool identifies the run of the pool's process. Clock is the time since the pool
 		// started.
@@ -68,7 +68,7 @@
 		Withdrawn bool
 	}
 
-	// TokenReply is a pool's answer to a proxy that asks for a token for one request.
+	// TokenReply is a pool's reply to a proxy that asks for a token for one request.
 	TokenReply struct {
 		Granted bool
 		// Wait is the time after which a token may be available, if none was granted.
--- a/internal/kernel/ratelimit/pool.go
+++ b/internal/kernel/ratelimit/pool.go
@@ -30,7 +30,7 @@
 		lastReplyID uint64
 		members     map[string]*member
 		accounts    map[string]*pooledAccount
-		// lenders holds, for each pool of another region, the last answer that was applied.
+		// lenders holds, for each pool of another region, the last reply that was applied.
 		lenders map[string]appliedReply
 		// depositedShare is the sum of the deposits at settledAt. accruedShareSeconds is the
 		// integral of depositedShare over time since it last fell, with a full share as 1.
@@ -54,7 +54,7 @@
 		replyID   uint64
 	}
 
-	// appliedReply identifies the last answer that was applied from one run of a pool.
+	// appliedReply identifies the last reply that was applied from one run of a pool.
 	appliedReply struct {
 		poolID  uint64
 		replyID uint64
@@ -129,7 +129,7 @@
 // HasDeposits reports whether any proxy has deposited its share with this pool.
 func (p *Pool) HasDeposits(now time.Time) bool { return p.deposited(now, 0) > 0 }
 
-// HandleReport processes a report and returns the answer.
+// HandleReport processes a report and returns the reply.
 func (p *Pool) HandleReport(now time.Time, r Report) Grants {
 	m := p.members[r.From]
 	if m == nil {
@@ -309,7 +309,7 @@
 	return min(sum, FullShare)
 }
 
-// Take answers a request for a single token of an account.
+// Take replies to a request for a single token of an account.
 func (p *Pool) Take(now time.Time, account string) TokenReply {
 	l := p.Limits(account)
 	if l.Unlimited() {
@@ -365,10 +365,10 @@
 	return list
 }
 
-// ApplyLoan applies a lender's answer to a loan request made at requestedAt.
+// ApplyLoan applies a lender's reply to a loan request made at requestedAt.
 func (p *Pool) ApplyLoan(now, requestedAt time.Time, lender string, g Grants) {
 	if known := p.lenders[lender]; known.poolID == g.Pool && known.replyID >= g.ID {
-		// An older answer arrived late. The lender may already regard its grants as expired.
+		// An older reply arrived late. The lender may already regard its grants as expired.
 		return
 	}
 	p.lenders[lender] = appliedReply{poolID: g.Pool, replyID: g.ID}
--- a/internal/kernel/replica/outage.go
+++ b/internal/kernel/replica/outage.go
@@ -24,7 +24,7 @@
 	}
 )
 
-// RecordFailure records that the store hasn't answered since a time, and reports whether this
+// RecordFailure records that the store hasn't responded since a time, and reports whether this
 // begins an outage.
 func (o *Outage) RecordFailure(since time.Time) bool {
 	if o.ongoing {
@@ -34,7 +34,7 @@
 	return true
 }
 
-// RecordSuccess records an answer of the store and reports whether it ends an outage.
+// RecordSuccess records a response of the store and reports whether it ends an outage.
 func (o *Outage) RecordSuccess(now time.Time) bool {
 	if !o.ongoing {
 		return false
--- a/internal/kernel/replica/outage_test.go
+++ b/internal/kernel/replica/outage_test.go
@@ -16,7 +16,7 @@
 	}
 	o.RecordSuccess(start.Add(400 * time.Millisecond))
 	if o.RemovalsTentative(start.Add(time.Second)) {
-		t.Error("removals are tentative although the store answered 0.4 s after a failed call")
+		t.Error("removals are tentative although the store responded 0.4 s after a failed call")
 	}
 }
 
--- a/internal/kernel/steering/authorization.go
+++ b/internal/kernel/steering/authorization.go
@@ -28,8 +28,8 @@
 	return ReasonNone
 }
 
-// reauthorize repeats authorize before a request is sent if another configuration has become active
-// since. The key may have been revoked while the request waited.
+// reauthorize runs authorize again before a request is sent if another configuration has become
+// active since. The key may have been revoked while the request waited.
 func (k *Kernel) reauthorize(req *ActiveRequest) Reason {
 	if req.tableVersion == k.table.Version {
 		return ReasonNone
--- a/internal/kernel/steering/authorization_test.go
+++ b/internal/kernel/steering/authorization_test.go
@@ -41,8 +41,8 @@
 	return k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Credential: account.Credential{State: account.CredentialPresent, Key: accountKey(t, testAccountKey)}})
 }
 
-// Guards against a client account that exceeds its rate limit and against one that is refused below
-// it.
+// Guards against a client account that exceeds its rate limit and against one that is rejected
+// below it.
 func TestAccountRateLimitIsEnforced(t *testing.T) {
 	const rate, seconds = 100, 10
 	k, now := kernelWithAccount(t, account.Account{Limit: ratelimit.Limit{PerSecond: rate, Burst: rate}}, Config{})
@@ -57,7 +57,7 @@
 		case d.Reason == ReasonRateLimit && d.NotRun && d.RetryAfter > 0:
 			refused++
 		default:
-			t.Fatalf("decision is %+v, want a server or a refusal by the rate limit", d)
+			t.Fatalf("decision is %+v, want a server or a rejection by the rate limit", d)
 		}
 	}
 	if minAdmitted, maxAdmitted := rate*seconds*95/100, rate*(seconds+1); admitted < minAdmitted || admitted > maxAdmitted {
@@ -65,14 +65,14 @@
 	}
 }
 
-// Guards against rate limit tokens used up by requests that were refused without being sent.
+// Guards against rate limit tokens used up by requests that were rejected without being sent.
 func TestUnsentRequestsUseNoTokens(t *testing.T) {
 	k, now := kernelWithAccount(t, account.Account{Limit: ratelimit.Limit{PerSecond: 1, Burst: 2}}, Config{})
 	k.RemoveServer(now, "s")
 	for range 20 {
 		now = now.Add(10 * time.Millisecond)
 		if _, d := beginWithKey(t, k, now); d.Reason != ReasonNoServer {
-			t.Fatalf("refused for %q, want %q", d.Reason, ReasonNoServer)
+			t.Fatalf("rejected for %q, want %q", d.Reason, ReasonNoServer)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	}
 }
 
-// Guards against refusing the requests of a client account with an urgent priority as often as all
+// Guards against rejecting the requests of a client account with an urgent priority as often as all
 // others.
 func TestAccountPriorityOverridesRoutePriority(t *testing.T) {
 	urgent := 0
--- a/internal/kernel/steering/backpressure.go
+++ b/internal/kernel/steering/backpressure.go
@@ -92,7 +92,7 @@
 	return ReasonBackpressure
 }
 
-// retryAfterBackpressure returns the retry delay for a caller refused because of backpressure. It
+// retryAfterBackpressure returns the retry delay for a caller rejected because of backpressure. It
 // is randomized so that callers do not all return when the first server takes requests again.
 func (k *Kernel) retryAfterBackpressure(req *ActiveRequest) time.Duration {
 	wait := max(minRetryAfter, min(req.backpressureWait, maxBackpressureWait))
--- a/internal/kernel/steering/backpressure_test.go
+++ b/internal/kernel/steering/backpressure_test.go
@@ -62,7 +62,7 @@
 			sent++
 			k.EndAttempt(now, req, Attempt{Result: ResultResponded, Signal: limitSignal(0.5)})
 		} else if d.Reason != ReasonBackpressure || !d.NotRun || d.RetryAfter <= 0 {
-			t.Fatalf("got %+v, want it refused because of the limit of the server", d)
+			t.Fatalf("got %+v, want it rejected because of the limit of the server", d)
 		}
 	}
 	if sent != 2 {
@@ -109,7 +109,7 @@
 	}
 	_, d := beginPoisonRequest(k, now.Add(time.Second))
 	if d.Reason != ReasonBackpressure || !d.NotRun || d.RetryAfter < 2*time.Second || d.RetryAfter > 4*time.Second {
-		t.Errorf("got %+v, want it refused at once with a retry delay of 2 to 4 s, beyond the end of the pause", d)
+		t.Errorf("got %+v, want it rejected at once with a retry delay of 2 to 4 s, beyond the end of the pause", d)
 	}
 	if _, d = beginPoisonRequest(k, now.Add(3*time.Second)); d.Server == nil {
 		t.Errorf("got %+v, want a server after the pause", d)
--- a/internal/kernel/steering/bench_test.go
+++ b/internal/kernel/steering/bench_test.go
@@ -45,7 +45,7 @@
 	return k
 }
 
-// sendRequest sends one request for an object of service 0 and ends it as answered.
+// sendRequest sends one request for an object of service 0 and ends it with a response.
 func sendRequest(k *Kernel, now time.Time, n int) {
 	req, d := k.BeginRequest(now, Request{Host: "host", Path: "/0/x", Object: fmt.Sprintf("%x", n%largeObjects), Deadline: now.Add(time.Second)})
 	if d.Server != nil {
--- a/internal/kernel/steering/cause.go
+++ b/internal/kernel/steering/cause.go
@@ -5,7 +5,7 @@
 )
 
 const (
-	// CauseNone goes with a response within the target.
+	// CauseNone is the cause of a request that met its target or was not sent.
 	CauseNone Cause = ""
 	// CauseFailedAttempts means that most of the time was spent on failed attempts.
 	CauseFailedAttempts Cause = "failed-attempts"
--- a/internal/kernel/steering/choose.go
+++ b/internal/kernel/steering/choose.go
@@ -17,10 +17,10 @@
 	// that the server is away from the first home. A cold run occupies slots that other requests
 	// need.
 	coldRunPenalty = 6.0
-	// unreportedWaitShare estimates, for a request without an object, the wait behind requests that
-	// no load report covers yet: this part of their work, assuming that each proxy of the region
-	// has as many requests there as this one. Load reports lag by some requests, and all proxies
-	// see the same idle server.
+	// unreportedWaitShare is the part of the work of unreported requests that a request without an
+	// object is expected to wait for. Load reports lag by some requests, and all proxies see the
+	// same idle server. Each proxy of the region is assumed to have as many requests at the server
+	// as this one.
 	unreportedWaitShare = 0.5
 	// busyTargets is how long, as a multiple of the route's target, a server that has not responded
 	// may still be considered busy rather than hung. Requests that meet the target on a warm server
@@ -34,8 +34,8 @@
 	// server there can take it.
 	otherRegionPenalty = time.Hour
 	// coldWorkFactor is the assumed factor by which requests take longer on a server that has just
-	// started. Servers don't report it. A value that is too high only spares servers that are
-	// warming up.
+	// started. Servers don't report it. A value that is too high only sends fewer requests to
+	// servers that are warming up.
 	coldWorkFactor = 2
 	// objectMemory is how long a server is assumed to stay warm for an object after a response.
 	objectMemory = 10 * time.Second
@@ -56,12 +56,12 @@
 		excludedRegion string
 	}
 
-	// choice is a chosen server with the estimates that it was chosen by.
+	// choice is a chosen server with the estimates that led to the choice.
 	choice struct {
 		server   *server
 		expected time.Duration
 		// untilStart is the part of expected until a slot is free. The rest, the duration of the
-		// work, is only an estimate and no basis for refusing a request.
+		// work, is only an estimate and no basis for rejecting a request.
 		untilStart time.Duration
 		cost       time.Duration
 		warm       bool
@@ -127,7 +127,7 @@
 		// All connections of this proxy to the object's home are in use, and the home has responded
 		// recently, so it is busy and does not hang. Running the requests cold on other servers
 		// would triple the work there until nearly all requests of the service miss the target.
-		// Refused callers return when the home has caught up.
+		// Rejected callers return when the home has caught up.
 		return choice{reason: ReasonOverload}
 	}
 	return best
--- a/internal/kernel/steering/concurrencylimit_test.go
+++ b/internal/kernel/steering/concurrencylimit_test.go
@@ -71,14 +71,14 @@
 	}
 }
 
-// The owner of a limiter is gone or partitioned. A request that got no answer from it must be sent as
-// without a limiter, and the next requests must not wait for an answer.
+// The owner of a limiter is gone or partitioned. A request that got no reply from it must be sent
+// as without a limiter, and the next requests must not wait for a reply.
 func TestLostSlotReplyDoesNotBlockRequests(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := limitedFleet(now)[0]
 	req, _ := beginWithSlotRequest(t, k, now, "r", "/a/x")
 	if d := k.HandleSlotReply(now, req, SlotReply{}, false); d.Server == nil || d.SlotRequest != nil {
-		t.Errorf("no answer: got %+v, want the request sent", d)
+		t.Errorf("no reply: got %+v, want the request sent", d)
 	}
 	_, d := k.BeginRequest(now, Request{ID: "q", Host: "host", Path: "/a/x", Object: "q"})
 	if d.Server == nil || d.SlotRequest != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// A limiter denies a slot that would become free too late. The request is refused as not run, with
+// A limiter denies a slot that would become free too late. The request is rejected as not run, with
 // a retry delay, and the slot, if there is one, is released.
 func TestRequestDeniedASlotHasNotRun(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
@@ -97,7 +97,7 @@
 	req, slotRequest := beginWithSlotRequest(t, k, now, "r", "/a/x")
 	d := k.HandleSlotReply(now, req, SlotReply{Grant: admission.Grant{Ticket: slotRequest.Ticket, Verdict: admission.Denied}}, true)
 	if d.Server != nil || !d.NotRun || d.RetryAfter <= 0 || d.SlotRelease == nil || d.Reason != ReasonQueuesTooLong {
-		t.Errorf("denied: got %+v, want it refused as not run", d)
+		t.Errorf("denied: got %+v, want it rejected as not run", d)
 	}
 	if got := k.Status(now).InFlight; got != 0 {
 		t.Errorf("%d requests count as in flight, want none", got)
--- a/internal/kernel/steering/connections_test.go
+++ b/internal/kernel/steering/connections_test.go
@@ -26,7 +26,7 @@
 				if d.Server != nil {
 					sent++
 				} else if !d.NotRun || d.RetryAfter <= 0 {
-					t.Errorf("refused with NotRun %t and RetryAfter %s, want it not run and a retry delay", d.NotRun, d.RetryAfter)
+					t.Errorf("rejected with NotRun %t and RetryAfter %s, want it not run and a retry delay", d.NotRun, d.RetryAfter)
 				}
 			}
 			if sent != c.perProxy {
@@ -57,7 +57,7 @@
 		}
 	}
 	if _, d = beginAt(now); d.Server != nil || !d.NotRun || d.Reason != ReasonOverload || d.RetryAfter <= 0 {
-		t.Errorf("while the home is busy: got %+v, want it refused with a retry delay", d)
+		t.Errorf("while the home is busy: got %+v, want it rejected with a retry delay", d)
 	}
 	if _, d = beginAt(now.Add(busyTargets * 200 * time.Millisecond)); d.Server == nil || d.Server.ID == home {
 		t.Errorf("once the home hangs: got %+v, want another server", d)
--- a/internal/kernel/steering/ejection_test.go
+++ b/internal/kernel/steering/ejection_test.go
@@ -8,9 +8,9 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/routing"
 )
 
-// sendToRejectingHome sends requests for one object, 20 ms apart for ten seconds, to two servers, of
-// which the object's home refuses a share. It counts the refused requests and the attempts at the
-// home.
+// sendToRejectingHome sends requests for one object, 20 ms apart for ten seconds, to two servers,
+// of which the object's home rejects a share. It counts the rejected requests and the attempts at
+// the home.
 func sendToRejectingHome(share float64, loaded bool) (rejected, atHome int) {
 	now := time.Unix(1_000_000, 0)
 	fleet, _ := coldServerFleet(now)
@@ -44,17 +44,17 @@
 	return rejected, atHome
 }
 
-// A server refuses all requests although it has free slots: it was started without a dependency, or
+// A server rejects all requests although it has free slots: it was started without a dependency, or
 // drains without reporting it. Because it looked idle, it kept getting the requests of its objects,
-// and each was refused or needed a retry. A server that refuses some requests at random is still
+// and each was rejected or needed a retry. A server that rejects some requests at random is still
 // warm for its objects and must keep them.
 func TestServerThatRejectsEverythingIsEjected(t *testing.T) {
 	for _, loaded := range []bool{true, false} {
 		if refused, atHome := sendToRejectingHome(1, loaded); refused > 20 || atHome > 40 {
-			t.Errorf("all refused, load reported %t: %d of 500 requests refused, %d sent to the home; want at most 20 and 40", loaded, refused, atHome)
+			t.Errorf("all rejected, load reported %t: %d of 500 requests rejected, %d sent to the home; want at most 20 and 40", loaded, refused, atHome)
 		}
 	}
 	if refused, atHome := sendToRejectingHome(0.45, true); atHome < 450 {
-		t.Errorf("some refused: %d of 500 requests refused, %d sent to the home; want at least 450 sent to it", refused, atHome)
+		t.Errorf("some rejected: %d of 500 requests rejected, %d sent to the home; want at least 450 sent to it", refused, atHome)
 	}
 }
--- a/internal/kernel/steering/event.go
+++ b/internal/kernel/steering/event.go
@@ -42,7 +42,7 @@
 	// EventWorkSuspected reports a request fingerprint that was in flight at the crashes of more
 	// than one server.
 	EventWorkSuspected EventKind = EventKind(quarantine.EventSuspected)
-	// EventWorkQuarantined reports a request fingerprint that is refused because it crashed
+	// EventWorkQuarantined reports a request fingerprint that is rejected because it crashed
 	// servers.
 	EventWorkQuarantined EventKind = EventKind(quarantine.EventQuarantined)
 	// EventWorkCleared reports a request fingerprint that succeeded after servers had crashed with
@@ -112,7 +112,7 @@
 		// Duration is how long the attempt or the request took, or for how long a server is
 		// ejected.
 		Duration time.Duration
-		// RetryAfter is the retry delay that a refused caller was given.
+		// RetryAfter is the retry delay that a rejected caller was given.
 		RetryAfter time.Duration
 		// Pressure is the queue pressure where the request would have run: the queue length
 		// relative to the number of requests that can wait there and still meet the target.
--- a/internal/kernel/steering/kernel.go
+++ b/internal/kernel/steering/kernel.go
@@ -1,7 +1,7 @@
 // Package steering implements the routing decisions of one proxy as a deterministic state machine.
 // From the active configuration, the registered backend servers, the live proxies and the results
 // of its own requests, it decides which server gets a request, what to do after an attempt, and
-// when to refuse a request.
+// when to reject a request.
 //
 // It does no I/O and reads no clock: callers pass in the time. One process can hold several
 // independent kernels.
--- a/internal/kernel/steering/lifecycle.go
+++ b/internal/kernel/steering/lifecycle.go
@@ -183,15 +183,15 @@
 		}
 	}
 	if a.Result == ResultServerError {
-		// A response that reports the server's failure tells the caller more than a refusal by the
+		// A response that reports the server's failure tells the caller more than a rejection by the
 		// proxy.
 		return k.finish(now, req, Decision{ReturnResponse: true, Reason: ReasonServerError})
 	}
 	return k.fail(now, req, reason)
 }
 
-// rejectedWithFreeSlots reports whether the server refused the request while it had free slots. Such
-// a server refuses at random and may well accept the next request. It is warm for the object,
+// rejectedWithFreeSlots reports whether the server rejected the request while it had free slots.
+// Such a server rejects at random and may well accept the next request. It is warm for the object,
 // whereas any other server would run it cold.
 func (a Attempt) rejectedWithFreeSlots(slots int) bool {
 	return a.Result == ResultRejected && a.Loaded && a.Running < slots && a.Waiting == 0
@@ -261,8 +261,8 @@
 	return d
 }
 
-// retryAfter returns the retry delay for a refused caller. It is randomized so that callers refused
-// at the same time do not return at the same time.
+// retryAfter returns the retry delay for a rejected caller. It is randomized so that callers
+// rejected at the same time do not return at the same time.
 func (k *Kernel) retryAfter(now time.Time, req *ActiveRequest) time.Duration {
 	maxWait := maxRetryAfter
 	if !req.Deadline.IsZero() {
--- a/internal/kernel/steering/lookup.go
+++ b/internal/kernel/steering/lookup.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxLookupProxies is the largest number of proxies in one answer.
+	// maxLookupProxies is the largest number of proxies that a lookup returns.
 	maxLookupProxies = 64
-	// minLookupProxies is the smallest number of proxies in an answer if there are that many. A
+	// minLookupProxies is the smallest number that a lookup returns if there are that many. A
 	// caller that knows only one proxy has no alternative when it fails.
 	minLookupProxies = 2
 )
@@ -68,7 +68,7 @@
 	slices.SortFunc(list, func(a, b Proxy) int { return cmp.Compare(rank(a), rank(b)) })
 }
 
-// addresses returns the addresses of proxies, up to the maximum of one answer.
+// addresses returns the addresses of proxies, up to the maximum of one lookup.
 func addresses(list []Proxy) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, p := range list[:min(len(list), maxLookupProxies)] {
--- a/internal/kernel/steering/mechanism.go
+++ b/internal/kernel/steering/mechanism.go
@@ -17,11 +17,11 @@
 	MechanismFailover Mechanism = "failover"
 	// MechanismStrandedRegions counts the callers of regions without proxies in other regions.
 	MechanismStrandedRegions Mechanism = "stranded-regions"
-	// MechanismLoadShedding refuses a share of the requests where queues are long.
+	// MechanismLoadShedding rejects a share of the requests where queues are long.
 	MechanismLoadShedding Mechanism = "refusals-by-queues"
 	// MechanismQueueInference infers the queues of servers that do not report their load.
 	MechanismQueueInference Mechanism = "inferred-queues"
-	// MechanismOutlierDetection ejects servers that fail or refuse several requests in a row.
+	// MechanismOutlierDetection ejects servers that fail or reject several requests in a row.
 	MechanismOutlierDetection Mechanism = "outlier-verdicts"
 	// MechanismServerSpeed takes the slowdown of each server into account.
 	MechanismServerSpeed Mechanism = "server-speed"
@@ -51,7 +51,7 @@
 type (
 	// Mechanism is a part of the decisions that can be disabled, by operators during an incident or
 	// to measure its effect. Parts that enforce guarantees (the rate of cold servers, budgets,
-	// draining, regions) cannot be disabled. The quarantine is an exception: if it refuses a
+	// draining, regions) cannot be disabled. The quarantine is an exception: if it rejects a
 	// harmless request, one success at a proxy on which it is disabled clears it.
 	Mechanism string
 )
--- a/internal/kernel/steering/placer.go
+++ b/internal/kernel/steering/placer.go
@@ -23,7 +23,7 @@
 	placer struct {
 		name string
 		cost func(k *Kernel, f *ActiveRequest, p choice) time.Duration
-		// shedsLoad is set if requests are refused where queues are too long. chargesColdRuns is
+		// shedsLoad is set if requests are rejected where queues are too long. chargesColdRuns is
 		// set if servers other than an object's homes are charged for running it cold.
 		shedsLoad       bool
 		chargesColdRuns bool
--- a/internal/kernel/steering/quarantine.go
+++ b/internal/kernel/steering/quarantine.go
@@ -8,13 +8,13 @@
 )
 
 type (
-	// QuarantinedWork is a request fingerprint that is refused.
+	// QuarantinedWork is a request fingerprint that is rejected.
 	QuarantinedWork struct {
 		quarantine.Report
 		// Rank is this proxy's rank among those responsible for the fingerprint. The first ones
 		// keep it in the platform's store and are the first to try it again.
 		Rank int
-		// QuarantinedFor is how much longer it is refused at this proxy.
+		// QuarantinedFor is how much longer it is rejected at this proxy.
 		QuarantinedFor time.Duration
 	}
 )
@@ -144,7 +144,7 @@
 	return k.quarantine.Reports(now, all)
 }
 
-// QuarantinedWork lists the fingerprints that are refused.
+// QuarantinedWork lists the fingerprints that are rejected.
 func (k *Kernel) QuarantinedWork(now time.Time) []QuarantinedWork {
 	var list []QuarantinedWork
 	for _, r := range k.quarantine.QuarantinedReports(now) {
--- a/internal/kernel/steering/quarantine_test.go
+++ b/internal/kernel/steering/quarantine_test.go
@@ -63,7 +63,7 @@
 }
 
 // Requests that may crash servers arrive at twice the rate at which crashes are detected. Only one
-// of them runs at a time, and the others are refused at once as not run.
+// of them runs at a time, and the others are rejected at once as not run.
 func TestSuspectedFingerprintRunsOneRequestAtATime(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, false)
@@ -74,17 +74,17 @@
 		t.Fatalf("third run: %+v, want it sent", d)
 	}
 	if _, d := beginPoisonRequest(k, now); d.Server != nil || !d.NotRun || d.Reason != ReasonMayCrashServers || d.RetryAfter <= 0 || d.RetryAfter > maxRetryAfter {
-		t.Errorf("second request in flight: %+v, want it refused with a retry delay", d)
+		t.Errorf("second request in flight: %+v, want it rejected with a retry delay", d)
 	}
 	if d := k.EndAttempt(now, req, Attempt{Result: ResultResponded}); !d.ReturnResponse {
-		t.Errorf("answered: %+v, want the response returned", d)
+		t.Errorf("after a response: %+v, want the response returned", d)
 	}
 	if _, d := beginPoisonRequest(k, now); d.Server == nil {
 		t.Errorf("after a successful run: %+v, want it sent", d)
 	}
 }
 
-// A fingerprint that has crashed three servers is refused as not run, with a retry delay up to its
+// A fingerprint that has crashed three servers is rejected as not run, with a retry delay up to its
 // next trial: 2 s at first, because it may be harmless, and minutes after a trial that crashed a
 // server. A request that lost its connection before the quarantine may have run.
 func TestQuarantinedFingerprintIsRejectedAsNotRun(t *testing.T) {
@@ -100,13 +100,13 @@
 	}
 	_, d := beginPoisonRequest(k, now)
 	if !d.NotRun || d.Reason != ReasonCrashesServers || d.RetryAfter != 2*time.Second {
-		t.Errorf("quarantined: %+v, want it refused for 2s", d)
+		t.Errorf("quarantined: %+v, want it rejected for 2s", d)
 	}
 	now = now.Add(5 * time.Second)
 	crashServer(t, k, now)
 	_, d = beginPoisonRequest(k, now)
 	if !d.NotRun || d.Reason != ReasonCrashesServers || d.RetryAfter != quarantine.MaxRetryAfter {
-		t.Errorf("quarantined after a trial: %+v, want it refused for %s", d, quarantine.MaxRetryAfter)
+		t.Errorf("quarantined after a trial: %+v, want it rejected for %s", d, quarantine.MaxRetryAfter)
 	}
 	other := Request{ID: "r2", Host: "host", Path: "/a/harmless", Object: "o", Work: quarantine.NewFingerprint("GET", "host", "/a/harmless", "", nil), Deadline: now.Add(time.Second)}
 	if _, d := k.BeginRequest(now, other); d.Server == nil {
@@ -129,7 +129,7 @@
 		for range quarantine.DefaultThreshold + 1 {
 			req, d := beginPoisonRequest(k, now)
 			if d.Server == nil {
-				t.Fatalf("%s: refused: %+v", name, d)
+				t.Fatalf("%s: rejected: %+v", name, d)
 			}
 			id := d.Server.ID
 			event(k, now, id)
@@ -153,7 +153,7 @@
 	for range quarantine.DefaultThreshold {
 		req, d := beginPoisonRequest(k, now)
 		if d.Server == nil {
-			t.Fatalf("refused too soon: %+v", d)
+			t.Fatalf("rejected too soon: %+v", d)
 		}
 		restarted := d.Server.Server
 		k.EndAttempt(now, req, Attempt{Result: ResultConnectionLost})
@@ -166,8 +166,9 @@
 	}
 }
 
-// Between two crashes, a server fails the request for another reason, rejects its caller or refuses
-// it. It has not reached the part that crashes servers, so the earlier crashes must still count.
+// Between two crashes, a server fails the request for another reason, reports an error in it or
+// rejects it without running it. It has not reached the part that crashes servers, so the earlier
+// crashes must still count.
 func TestFailedRequestsDoNotCountAsSuccess(t *testing.T) {
 	for name, attempt := range map[string]Attempt{
 		"failed":   {Result: ResultServerError, Rejected: true},
@@ -179,7 +180,7 @@
 		for range quarantine.DefaultThreshold {
 			req, d := beginPoisonRequest(k, now)
 			if d.Server == nil {
-				t.Fatalf("%s: refused too soon: %+v", name, d)
+				t.Fatalf("%s: rejected too soon: %+v", name, d)
 			}
 			for d.Server != nil {
 				d = k.EndAttempt(now, req, attempt)
--- a/internal/kernel/steering/quotas.go
+++ b/internal/kernel/steering/quotas.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// fleetSizeWait is how long after its start a proxy waits to be told the number of proxies
+	// fleetSizeWait is how long after its start a proxy waits for the announced number of proxies
 	// among which limits are divided. After that it assumes twice the number that it knows.
 	fleetSizeWait = 4 * time.Second
 	// poolSuffix marks requests that a proxy makes as a pool, as opposed to those for itself.
@@ -27,7 +27,7 @@
 		// that it knows.
 		fleetSize    int
 		knownProxies int
-		// waitOver is set once this proxy no longer waits to be told the fleet size.
+		// waitOver is set once this proxy no longer waits for the announced fleet size.
 		waitOver bool
 	}
 )
@@ -72,8 +72,8 @@
 	l.updateBaseShare()
 }
 
-// updateBaseShare updates the share of this proxy. Until the fleet size has been announced, a proxy that
-// has just started knows too few others and takes no share.
+// updateBaseShare updates the share of this proxy. Until the fleet size has been announced, a proxy
+// that has just started knows too few others and takes no share.
 func (l *quotas) updateBaseShare() {
 	switch {
 	case l.fleetSize > 0:
@@ -107,7 +107,7 @@
 }
 
 // applyQuotaDecision sends a request that is within its limit, has a pool asked for a token, or
-// refuses the request.
+// rejects the request.
 func (k *Kernel) applyQuotaDecision(now time.Time, req *ActiveRequest, r ratelimit.Decision) Decision {
 	switch r.Verdict {
 	case ratelimit.Admitted:
--- a/internal/kernel/steering/regiondraw_test.go
+++ b/internal/kernel/steering/regiondraw_test.go
@@ -43,7 +43,7 @@
 }
 
 // All servers of a region are ejected. Requests of its callers must go to another region rather
-// than be refused.
+// than be rejected.
 func TestNonStickyRequestsLeaveARegionWithoutServers(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := threeRegionKernel(now, 200*time.Millisecond)
--- a/internal/kernel/steering/regionstate.go
+++ b/internal/kernel/steering/regionstate.go
@@ -12,7 +12,7 @@
 	// half a second.
 	regionLostAfter = time.Second
 	// regionBackAfter is how long a region must have had proxies again before its callers are
-	// counted there. Callers keep the answer of a lookup for two seconds, some for three times as
+	// counted there. Callers keep the result of a lookup for two seconds, some for three times as
 	// long.
 	regionBackAfter = 6 * time.Second
 )
@@ -55,8 +55,8 @@
 	}
 }
 
-// IgnoreMissingProxiesUntil tells that proxies missing from the list may be back until the given
-// time: the store was unavailable, and their entries expired although they continue to serve.
+// IgnoreMissingProxiesUntil sets until when proxies missing from the list count as possibly alive:
+// the store was unavailable, and their entries expired although they continue to serve.
 func (k *Kernel) IgnoreMissingProxiesUntil(until time.Time) {
 	k.record(Call{Method: callIgnoreMissingProxies, Until: until})
 	k.ignoreMissingUntil = laterOf(k.ignoreMissingUntil, until)
--- a/internal/kernel/steering/request.go
+++ b/internal/kernel/steering/request.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	// ResultResponded means that the server's complete response has arrived.
+	// ResultResponded means that a complete response has arrived that reports no failure of the
+	// server.
 	ResultResponded Result = iota + 1
 	// ResultServerError means that the server's complete response reports a failure of the server.
 	ResultServerError
-	// ResultRejected means that the server reported that it did not run the request.
+	// ResultRejected means that the server rejected the request and reported that it did not run it.
 	ResultRejected
 	// ResultWrongServer means that another server now has the address. The request has not run.
 	ResultWrongServer
@@ -42,7 +43,7 @@
 )
 
 const (
-	// ReasonNone goes with a successful response.
+	// ReasonNone is the reason of a successful request.
 	ReasonNone Reason = ""
 	// ReasonNoConfiguration means that no configuration is active yet.
 	ReasonNoConfiguration Reason = "no-configuration"
@@ -65,7 +66,7 @@
 	// ReasonQueuesTooLong means that the server queues are so long that responses would miss the
 	// target.
 	ReasonQueuesTooLong Reason = "queues-too-long"
-	// ReasonRejected means that servers refused the request.
+	// ReasonRejected means that servers rejected the request.
 	ReasonRejected Reason = "refused-by-server"
 	// ReasonRetryBudget means that the retry budget was exhausted.
 	ReasonRetryBudget Reason = "repeat-budget"
@@ -92,7 +93,7 @@
 	maxSends = 4
 	// minAttemptTime is the remaining time below which another attempt is not worthwhile.
 	minAttemptTime = 20 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound the retry delay that a refused caller is given. The
+	// minRetryAfter and maxRetryAfter bound the retry delay that a rejected caller is given. The
 	// delay is also at most a third of the time that the caller has left.
 	minRetryAfter = 80 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
@@ -173,8 +174,8 @@
 		mayHaveRun bool
 		// queuePressure is the queue pressure where the request would have run.
 		queuePressure float64
-		// maxRetryAfter is the longest retry delay after which a refused request can still be
-		// answered within the target. It is zero if there is none.
+		// maxRetryAfter is the longest retry delay after which a rejected request can still get a
+		// response within the target. It is zero if there is none.
 		maxRetryAfter time.Duration
 		// backpressureWait is how long until a server that announced a limit or pause takes
 		// requests again.
@@ -199,7 +200,7 @@
 		Reason         Reason
 		// NotRun is set if no server has run the request or will run it.
 		NotRun bool
-		// RetryAfter is the delay after which a refused caller may try again. TryOtherProxy is set
+		// RetryAfter is the delay after which a rejected caller may try again. TryOtherProxy is set
 		// if another proxy may accept the request now.
 		RetryAfter    time.Duration
 		TryOtherProxy bool
@@ -223,8 +224,8 @@
 		// Loaded is set if the server reported its load.
 		Loaded           bool
 		Running, Waiting int
-		// Rejected is set if the response reports an error in the request. The server may not have
-		// started to run it.
+		// Rejected is set if a complete response reports an error in the request, unlike
+		// ResultRejected. The server may not have started to run it.
 		Rejected bool
 		// Refusing is set if the connection was refused: no process listens at the server's
 		// address.
--- a/internal/kernel/steering/scenario_test.go
+++ b/internal/kernel/steering/scenario_test.go
@@ -284,7 +284,7 @@
 		r.t.Errorf("step %d, request %s: got %q, want %q", i, id, got, want)
 	}
 	if d.NotRun && d.Reason != ReasonNoRoute && d.Reason != ReasonNoAccount && d.RetryAfter <= 0 {
-		r.t.Errorf("step %d, request %s: refused without a retry delay", i, id)
+		r.t.Errorf("step %d, request %s: rejected without a retry delay", i, id)
 	}
 	if d.Server != nil {
 		r.lastServer[id] = d.Server.ID
--- a/internal/kernel/steering/server.go
+++ b/internal/kernel/steering/server.go
@@ -15,11 +15,11 @@
 	ejectAfterFailures = 3
 	ejectionBase       = 400 * time.Millisecond
 	maxEjection        = 5 * time.Second
-	// ejectAfterRejections is the number of consecutive refusals after which a server is ejected. A
-	// server that refuses 0.45 of its requests at random reaches it in 1 of 600 series; it is warm
+	// ejectAfterRejections is the number of consecutive rejections after which a server is ejected. A
+	// server that rejects 0.45 of its requests at random reaches it in 1 of 600 series; it is warm
 	// for its objects and worth trying again.
 	ejectAfterRejections = 8
-	// fullServerPause is how long a server is skipped after it refused a request because it was
+	// fullServerPause is how long a server is skipped after it rejected a request because it was
 	// full.
 	fullServerPause = 60 * time.Millisecond
 	// loadReportTTL is the age from which a load report is ignored.
@@ -68,8 +68,8 @@
 		inFlightAtReport int
 		reportedAt       time.Time
 		// concurrencyLimit is the number of requests that the server should run at once according
-		// to its limiter. Zero means all its slots. The owner of the limiter is not asked before
-		// skipOwnerUntil.
+		// to its limiter. Zero means all its slots. No slots are requested from the owner of the
+		// limiter before skipOwnerUntil.
 		concurrencyLimit int
 		skipOwnerUntil   time.Time
 		// queuePressure is the recent queue pressure of the server, last updated at pressureAt.
@@ -86,7 +86,8 @@
 		slowdown      float64
 		failureShare  float64
 		failuresInRow int
-		// rejectionsInRow counts consecutive refusals without a response in between.
+		// rejectionsInRow counts consecutive rejections by a server that did not report all its
+		// slots in use.
 		rejectionsInRow int
 		ejections       int
 		ejectedUntil    time.Time
@@ -209,11 +210,11 @@
 	s.slowdown += slowdownWeight * (ratio - s.slowdown)
 }
 
-// recordRejection records a refusal. A refusal while slots were free says nothing about the next
-// request; after any other, the server is skipped for a moment. After several consecutive refusals
-// the server is ejected: it would look idle indefinitely and attract the requests of its objects,
-// each of which would be refused or cost a retry. Refusals of a server that reports all its slots
-// in use are not counted, because it is working.
+// recordRejection records a rejection. A rejection while slots were free says nothing about the
+// next request; after any other, the server is skipped for a moment. After several consecutive
+// rejections the server is ejected: it would look idle indefinitely and attract the requests of its
+// objects, each of which would be rejected or cost a retry. Rejections of a server that reports all
+// its slots in use are not counted, because it is working.
 func (s *server) recordRejection(now time.Time, a Attempt) {
 	free := a.rejectedWithFreeSlots(s.Slots)
 	if busy := a.Loaded && a.Running >= s.Slots; !busy {
--- a/internal/kernel/steering/serverstate.go
+++ b/internal/kernel/steering/serverstate.go
@@ -5,7 +5,7 @@
 )
 
 const (
-	// StateNone goes with a request that was not sent.
+	// StateNone is the state for a request that was not sent.
 	StateNone ServerState = ""
 	// StateCold is a server that has just started.
 	StateCold ServerState = "cold"
--- a/internal/kernel/steering/shed.go
+++ b/internal/kernel/steering/shed.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxShareForSoonRetry is the largest share of refused requests at which a refused caller is
+	// maxShareForSoonRetry is the largest share of rejected requests at which a rejected caller is
 	// told to retry within the target. Up to it, more than half of the retries are accepted and
-	// answered in time. Above it, callers should wait for the overload to end.
+	// get a response in time. Above it, callers should wait for the overload to end.
 	maxShareForSoonRetry = 0.5
 )
 
-// queueRoom returns how many requests may wait at a server so that the last of them is still
-// answered within the route's target, assuming that the server is warm for them.
+// queueRoom returns how many requests may wait at a server so that the last of them still gets a
+// response within the route's target, assuming that the server is warm for them.
 func (k *Kernel) queueRoom(req *ActiveRequest, svc *service, s *server) float64 {
 	work := svc.workOf(req.Route).typical(req.Route)
 	if work <= 0 {
@@ -67,10 +67,10 @@
 	k.recordQueue(now, req, s, waiting)
 }
 
-// shouldShed decides whether to refuse a request that has not been sent yet because of the queues
+// shouldShed decides whether to reject a request that has not been sent yet because of the queues
 // at its server: the load exceeds the capacity, its response would be late, and those of all later
-// requests would be later still. Routes that are more urgent than others of the service are spared
-// until half of all requests are refused.
+// requests would be later still. Routes that are more urgent than others of the service are exempt
+// until half of all requests are rejected.
 func (k *Kernel) shouldShed(now time.Time, req *ActiveRequest, svc *service, s *server) bool {
 	p := svc.queuePressure[s.region]
 	if p == nil || !k.placer.shedsLoad || !k.isEnabled(MechanismLoadShedding) {
--- a/internal/kernel/steering/shed_test.go
+++ b/internal/kernel/steering/shed_test.go
@@ -26,7 +26,7 @@
 }
 
 // sendMany sends requests to a server with the given number of waiting requests and counts the
-// refused ones.
+// rejected ones.
 func (k *Kernel) sendMany(t *testing.T, now time.Time, path string, waiting int) (refused int) {
 	t.Helper()
 	const n = 400
@@ -35,7 +35,7 @@
 		if d.Server == nil {
 			refused++
 			if !d.NotRun || d.RetryAfter <= 0 || d.Reason != ReasonQueuesTooLong {
-				t.Fatalf("refused with %+v, want it not run, with a retry delay", d)
+				t.Fatalf("rejected with %+v, want it not run, with a retry delay", d)
 			}
 			continue
 		}
@@ -45,25 +45,25 @@
 }
 
 // The queues of the servers are so long that every response would be late. Some requests must be
-// refused so that the others get a response in time, the less urgent ones first.
+// rejected so that the others get a response in time, the less urgent ones first.
 func TestOverloadRejectsLessUrgentRequestsFirst(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := shedKernel(now)
 	if got := k.sendMany(t, now, "/plain/x", 0); got != 0 {
-		t.Errorf("%d are refused without a queue, want none", got)
+		t.Errorf("%d are rejected without a queue, want none", got)
 	}
 	now = now.Add(time.Second)
 	plain := k.sendMany(t, now, "/plain/x", 8)
 	if plain == 0 {
-		t.Error("no less urgent request is refused although twice as many wait as can be answered in time")
+		t.Error("no less urgent request is rejected although twice as many wait as can get a response in time")
 	}
 	if got := k.sendMany(t, now, "/urgent/x", 8); got >= plain {
-		t.Errorf("%d urgent requests are refused and %d less urgent ones, want fewer urgent ones", got, plain)
+		t.Errorf("%d urgent requests are rejected and %d less urgent ones, want fewer urgent ones", got, plain)
 	}
 }
 
-// In a slight overload, a refused caller must retry while it can still get a response within the
-// target; a second later any response would be late. When most requests are refused, it must wait
+// In a slight overload, a rejected caller must retry while it can still get a response within the
+// target; a second later any response would be late. When most requests are rejected, it must wait
 // longer, until the overload has ended.
 func TestRejectedCallersRetryWithinTheTarget(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
--- a/internal/kernel/steering/slotrequest.go
+++ b/internal/kernel/steering/slotrequest.go
@@ -13,8 +13,8 @@
 	// maxSlotRequestShare is the largest part of a route's target that the round trip for a slot
 	// request may take. The request itself takes the same round trip afterwards.
 	maxSlotRequestShare = 0.2
-	// unresponsiveOwnerBackoff is how long the owner of a limiter that did not reply is not asked
-	// again.
+	// unresponsiveOwnerBackoff is how long no slots are requested from the owner of a limiter after
+	// it did not reply.
 	unresponsiveOwnerBackoff = time.Second
 )
 
--- a/internal/kernel/steering/status.go
+++ b/internal/kernel/steering/status.go
@@ -26,7 +26,7 @@
 		// subject to concurrency limits, with the limits learned for them.
 		MechanismsOff     []Mechanism
 		ConcurrencyLimits []ServiceLimit
-		// QuarantinedWork are the request fingerprints that are refused because they crashed
+		// QuarantinedWork are the request fingerprints that are rejected because they crashed
 		// servers.
 		QuarantinedWork []QuarantinedWork
 		// Accounts are the client accounts. Their limits are divided among QuotaProxies proxies,
