--- a/internal/kernel/admission/limiter_test.go
+++ b/internal/kernel/admission/limiter_test.go
@@ -70,7 +70,7 @@
 
 // Guards against a slot that is lost when its proxy is killed: it expires when its request must
 // have ended, or the server would stay idle.
-func TestPermitsExpire(t *testing.T) {
+func TestSlotsExpire(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var limiter Limiter
 	first := ticket(1, 0, time.Second, time.Minute)
--- a/internal/kernel/quarantine/tracker.go
+++ b/internal/kernel/quarantine/tracker.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// RecordSuccess records that a server responded to a request. This clears the fingerprint of all
-// crashes recorded so far.
+// RecordSuccess records that a request with the fingerprint got a successful response. This clears
+// the fingerprint of all crashes recorded so far.
 func (t *Tracker) RecordSuccess(now time.Time, fp Fingerprint) {
 	if fp.IsEmpty() {
 		return
--- a/internal/kernel/ratelimit/limiter.go
+++ b/internal/kernel/ratelimit/limiter.go
@@ -199,18 +199,18 @@
 	return Decision{}, false
 }
 
-// HandlePoolReply continues the decision asked with the pool's reply. If replied is false, the
+// HandlePoolReply continues the pending decision with the pool's reply. If replied is false, the
 // pool didn't reply.
-func (h *Limiter) HandlePoolReply(now time.Time, account string, asked Decision, reply TokenReply, replied bool) Decision {
+func (h *Limiter) HandlePoolReply(now time.Time, account string, pending Decision, reply TokenReply, replied bool) Decision {
 	a := h.account(account)
 	if replied && reply.Granted {
 		a.admitted++
 		return Decision{Verdict: Admitted}
 	}
 	if !replied {
-		h.MarkUnresponsive(now, asked.Pool)
+		h.MarkUnresponsive(now, pending.Pool)
 	}
-	if next, found := h.nextPool(now, asked.NextIndex); found {
+	if next, found := h.nextPool(now, pending.NextIndex); found {
 		return next
 	}
 	a.denied++
--- a/internal/kernel/ratelimit/pool.go
+++ b/internal/kernel/ratelimit/pool.go
@@ -385,9 +385,9 @@
 	p.settle(now)
 	maps.DeleteFunc(p.members, func(_ string, m *member) bool { return now.Sub(m.lastReportAt) > memberTTL })
 	for name, a := range p.accounts {
-		ended := func(_ string, r shareLease) bool { return !r.active(now) }
-		maps.DeleteFunc(a.wants, ended)
-		maps.DeleteFunc(a.borrowed, ended)
+		expired := func(_ string, r shareLease) bool { return !r.active(now) }
+		maps.DeleteFunc(a.wants, expired)
+		maps.DeleteFunc(a.borrowed, expired)
 		maps.DeleteFunc(a.grants, func(_ string, g grant) bool { return !g.current.active(now) && !g.previous.active(now) })
 		p.refill(now, p.Limits(name), a)
 		if len(a.wants)+len(a.grants)+len(a.borrowed) == 0 && a.bucket.Full(p.Limits(name)) {
--- a/internal/kernel/steering/authorization_test.go
+++ b/internal/kernel/steering/authorization_test.go
@@ -46,7 +46,7 @@
 func TestAccountRateLimitIsEnforced(t *testing.T) {
 	const rate, seconds = 100, 10
 	k, now := kernelWithAccount(t, account.Account{Limit: ratelimit.Limit{PerSecond: rate, Burst: rate}}, Config{})
-	admitted, refused := 0, 0
+	admitted, rejected := 0, 0
 	for range 3 * rate * seconds {
 		now = now.Add(time.Second / (3 * rate))
 		req, d := beginWithKey(t, k, now)
@@ -55,13 +55,13 @@
 			admitted++
 			k.EndAttempt(now, req, Attempt{Result: ResultResponded})
 		case d.Reason == ReasonRateLimit && d.NotRun && d.RetryAfter > 0:
-			refused++
+			rejected++
 		default:
 			t.Fatalf("decision is %+v, want a server or a rejection by the rate limit", d)
 		}
 	}
 	if minAdmitted, maxAdmitted := rate*seconds*95/100, rate*(seconds+1); admitted < minAdmitted || admitted > maxAdmitted {
-		t.Errorf("%d of %d admitted in %d s, want %d to %d", admitted, admitted+refused, seconds, minAdmitted, maxAdmitted)
+		t.Errorf("%d of %d admitted in %d s, want %d to %d", admitted, admitted+rejected, seconds, minAdmitted, maxAdmitted)
 	}
 }
 
--- a/internal/kernel/steering/concurrencylimit.go
+++ b/internal/kernel/steering/concurrencylimit.go
@@ -77,18 +77,18 @@
 		return
 	}
 	k.record(Call{Method: callConcurrencyLimits, At: now, ServiceLimits: list})
-	for _, h := range list {
-		svc := k.service(h.Service)
-		svc.concurrency.adopt(h.Limit)
+	for _, known := range list {
+		svc := k.service(known.Service)
+		svc.concurrency.adopt(known.Limit)
 		k.startLimiting(now, svc, measureConcurrencyFor)
 	}
 }
 
 // stopLimiting lifts the concurrency limits because the servers do not slow down.
 func (k *Kernel) stopLimiting(now time.Time, svc *service) {
-	h := &svc.concurrency
-	h.limitedUntil, h.ownEvidenceUntil, h.clearedUntil = now, now, now.Add(clearedFor)
-	h.detector.Reset()
+	state := &svc.concurrency
+	state.limitedUntil, state.ownEvidenceUntil, state.clearedUntil = now, now, now.Add(clearedFor)
+	state.detector.Reset()
 	k.config.Observe(Event{Kind: EventConcurrencyUnlimited, Service: svc.name})
 }
 
--- a/internal/kernel/steering/ejection_test.go
+++ b/internal/kernel/steering/ejection_test.go
@@ -50,11 +50,11 @@
 // warm for its objects and must keep them.
 func TestServerThatRejectsEverythingIsEjected(t *testing.T) {
 	for _, loaded := range []bool{true, false} {
-		if refused, atHome := sendToRejectingHome(1, loaded); refused > 20 || atHome > 40 {
-			t.Errorf("all rejected, load reported %t: %d of 500 requests rejected, %d sent to the home; want at most 20 and 40", loaded, refused, atHome)
+		if rejected, atHome := sendToRejectingHome(1, loaded); rejected > 20 || atHome > 40 {
+			t.Errorf("all rejected, load reported %t: %d of 500 requests rejected, %d sent to the home; want at most 20 and 40", loaded, rejected, atHome)
 		}
 	}
-	if refused, atHome := sendToRejectingHome(0.45, true); atHome < 450 {
-		t.Errorf("some rejected: %d of 500 requests rejected, %d sent to the home; want at least 450 sent to it", refused, atHome)
+	if rejected, atHome := sendToRejectingHome(0.45, true); atHome < 450 {
+		t.Errorf("some rejected: %d of 500 requests rejected, %d sent to the home; want at least 450 sent to it", rejected, atHome)
 	}
 }
--- a/internal/kernel/steering/shed_test.go
+++ b/internal/kernel/steering/shed_test.go
@@ -27,13 +27,13 @@
 
 // sendMany sends requests to a server with the given number of waiting requests and counts the
 // rejected ones.
-func (k *Kernel) sendMany(t *testing.T, now time.Time, path string, waiting int) (refused int) {
+func (k *Kernel) sendMany(t *testing.T, now time.Time, path string, waiting int) (rejected int) {
 	t.Helper()
 	const n = 400
 	for i := range n {
 		req, d := k.BeginRequest(now.Add(time.Duration(i)*time.Millisecond), Request{Host: "host", Path: path})
 		if d.Server == nil {
-			refused++
+			rejected++
 			if !d.NotRun || d.RetryAfter <= 0 || d.Reason != ReasonQueuesTooLong {
 				t.Fatalf("rejected with %+v, want it not run, with a retry delay", d)
 			}
@@ -41,7 +41,7 @@
 		}
 		k.EndAttempt(now.Add(time.Duration(i)*time.Millisecond), req, Attempt{Result: ResultResponded, Loaded: true, Running: 4, Waiting: waiting})
 	}
-	return refused
+	return rejected
 }
 
 // The queues of the servers are so long that every response would be late. Some requests must be
--- a/internal/kernel/steering/status.go
+++ b/internal/kernel/steering/status.go
@@ -94,13 +94,13 @@
 	if k.table == nil {
 		return nil
 	}
-	held := make(map[string]ratelimit.AccountUsage)
-	for _, h := range k.quotas.limiter.AccountUsages(now) {
-		held[h.Account] = h
+	usages := make(map[string]ratelimit.AccountUsage)
+	for _, usage := range k.quotas.limiter.AccountUsages(now) {
+		usages[usage.Account] = usage
 	}
 	var list []AccountStatus
 	for _, a := range k.table.Accounts.All() {
-		list = append(list, AccountStatus{Account: a, AccountUsage: held[a.Name]})
+		list = append(list, AccountStatus{Account: a, AccountUsage: usages[a.Name]})
 	}
 	return list
 }
