--- a/internal/fake/warmnet/replay_test.go
+++ b/internal/fake/warmnet/replay_test.go
@@ -109,8 +109,8 @@
 func TestReplayReportsInvalidRecordings(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"do":"tick"}`: "call 1, tick: recording does not begin with the start of a proxy",
-		`{"do":"start","config":{}}{"do":"dance"}`:             `call 2, dance: do: "dance" is no call`,
-		`{"do":"start","config":{}}{"do":"ended","flight":3}`:  "call 2, ended: recording ends an attempt of a request that it does not begin",
+		`{"do":"start","config":{}}{"do":"dance"}`:             `call 2, dance: do: unknown call "dance"`,
+		`{"do":"start","config":{}}{"do":"ended","flight":3}`:  "call 2, ended: recording continues a request that it does not begin",
 		`{"do":"start","config":{}}{"do":"begin","at":"noon"}`: "call 2: ",
 	} {
 		_, err := steering.ReplayCalls(bytes.NewBufferString(text), "")
--- a/internal/kernel/admission/limiter_test.go
+++ b/internal/kernel/admission/limiter_test.go
@@ -86,13 +86,13 @@
 }
 
 // Guards against a second slot for one request when a response or grant is lost and the proxy
-// asks again.
+// requests a slot again.
 func TestAcquireIsIdempotent(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var limiter Limiter
 	for range 3 {
 		if got := limiter.Acquire(now, ticket(1, 0, time.Second, time.Second), 2, time.Millisecond); got.Verdict != Granted || got.Rank != 1 {
-			t.Errorf("repeated request: %+v, want the same slot", got)
+			t.Errorf("retried request: %+v, want the same slot", got)
 		}
 	}
 	limiter.Acquire(now, ticket(2, 0, time.Second, time.Second), 2, time.Millisecond)
--- a/internal/kernel/backpressure/limit.go
+++ b/internal/kernel/backpressure/limit.go
@@ -12,7 +12,7 @@
 	limitWindow = 4 * time.Second
 	// limitTTL is how long a limit applies after the last response at any proxy that advertised it.
 	// A server that receives no requests sends no signals, and one that has dropped its limit can
-	// tell only proxies that still send requests.
+	// inform only proxies that still send requests.
 	limitTTL = 15 * time.Second
 	// limitClearDelay is how long the limit must be missing from responses before it is cleared. A
 	// server that advertises it in only some responses still requests it.
--- a/internal/kernel/backpressure/report.go
+++ b/internal/kernel/backpressure/report.go
@@ -18,7 +18,7 @@
 )
 
 type (
-	// Report is what a proxy tells its peers about the signals that a server sends to all proxies.
+	// Report is what a proxy gossips about the signals that a server sends to all proxies.
 	Report struct {
 		Server quarantine.InstanceID `json:"server"`
 		Limit  Limit                 `json:"limit"`
--- a/internal/kernel/placing/replica_test.go
+++ b/internal/kernel/placing/replica_test.go
@@ -28,7 +28,7 @@
 		{16, work, 0, 1},
 	} {
 		if got := ReplicaCount(c.perSecond, c.work, c.slots); got != c.want {
-			t.Errorf("Replicas(%v, %v, %d) = %d, want %d", c.perSecond, c.work, c.slots, got, c.want)
+			t.Errorf("ReplicaCount(%v, %v, %d) = %d, want %d", c.perSecond, c.work, c.slots, got, c.want)
 		}
 	}
 }
--- a/internal/kernel/quarantine/fingerprint.go
+++ b/internal/kernel/quarantine/fingerprint.go
@@ -15,7 +15,7 @@
 )
 
 type (
-	// Fingerprint identifies requests that ask a server for the same work: requests with the same
+	// Fingerprint identifies requests that have a server do the same work: requests with the same
 	// method, host, path, query, client account and body have the same fingerprint, whoever sends
 	// them and however often.
 	Fingerprint [fingerprintBytes]byte
--- a/internal/kernel/quarantine/report.go
+++ b/internal/kernel/quarantine/report.go
@@ -16,7 +16,7 @@
 )
 
 type (
-	// Report is what a proxy tells its peers about a fingerprint.
+	// Report is what a proxy reports to its peers about a fingerprint.
 	Report struct {
 		Fingerprint Fingerprint `json:"work"`
 		Crashes     []Crash     `json:"ends"`
--- a/internal/kernel/quarantine/scenario_test.go
+++ b/internal/kernel/quarantine/scenario_test.go
@@ -21,8 +21,9 @@
 		At string `json:"at"`
 		// Proxy is the proxy whose tracker the step applies to, "a" if omitted.
 		Proxy string `json:"proxy"`
-		// Action is started, stopped, broke, answered, ended, restarted, well, tick, tell, tell-all
-		// or rule.
+		// Action is started, stopped, broke (a connection was lost), answered, ended (the server
+		// has crashed), restarted, well (a success), tick, tell (sends reports to a peer), tell-all
+		// or rule (checks the status).
 		Action   string   `json:"do"`
 		Request  string   `json:"work"`
 		Requests []string `json:"works"`
--- a/internal/kernel/quarantine/tracker.go
+++ b/internal/kernel/quarantine/tracker.go
@@ -18,7 +18,7 @@
 	// MaxConnectionLosses is the number of lost connections after which a request is no longer
 	// retried. Whether those servers crashed is known only some time later.
 	MaxConnectionLosses = 2
-	// MaxRetryAfter bounds the delay that the caller of a quarantined request is told to wait.
+	// MaxRetryAfter bounds the retry delay given to the caller of a quarantined request.
 	MaxRetryAfter = time.Minute
 	// maxRecords bounds the tracked fingerprints. The loss of a failure domain adds thousands,
 	// nearly all with one crash.
@@ -53,7 +53,7 @@
 )
 
 type (
-	// Status tells whether a request may run.
+	// Status is whether a request may run.
 	Status uint8
 
 	// EventType is the kind of an Event.
--- a/internal/kernel/ratelimit/limiter.go
+++ b/internal/kernel/ratelimit/limiter.go
@@ -9,7 +9,7 @@
 const (
 	// Admitted means that the request fits the share held by this proxy.
 	Admitted Verdict = iota + 1
-	// AskPool means that a pool has to be asked for a token.
+	// AskPool means that a token must be requested from a pool.
 	AskPool
 	// Denied means that no token is available.
 	Denied
--- a/internal/kernel/ratelimit/message.go
+++ b/internal/kernel/ratelimit/message.go
@@ -43,7 +43,7 @@
 		// Withdraws is set if the proxy withdraws its deposit and has given up everything that
 		// the pool granted it.
 		Withdraws bool
-		// Lends is set if the sender is the pool of another region and asks for a loan of spare
+		// Lends is set if the sender is the pool of another region and requests a loan of spare
 		// shares.
 		Lends bool
 	}
@@ -68,7 +68,7 @@
 		Withdrawn bool
 	}
 
-	// TokenReply is a pool's reply to a proxy that asks for a token for one request.
+	// TokenReply is a pool's reply to a proxy that requests a token for one request.
 	TokenReply struct {
 		Granted bool
 		// Wait is the time after which a token may be available, if none was granted.
--- a/internal/kernel/replica/full_copy_budget.go
+++ b/internal/kernel/replica/full_copy_budget.go
@@ -18,7 +18,7 @@
 
 type (
 	// FullCopyBudget limits the full copies that a proxy sends to its peers. A peer whose request
-	// is rejected asks another peer or the store.
+	// is rejected queries another peer or the store.
 	FullCopyBudget struct {
 		spentBytes float64
 		at         time.Time
--- a/internal/kernel/steering/cause.go
+++ b/internal/kernel/steering/cause.go
@@ -29,8 +29,8 @@
 )
 
 type (
-	// Cause tells operators where most of the time of a late request was spent. No decision depends
-	// on it.
+	// Cause is where most of the time of a late request was spent. It is reported to operators; no
+	// decision depends on it.
 	Cause string
 )
 
--- a/internal/kernel/steering/concurrencylimit.go
+++ b/internal/kernel/steering/concurrencylimit.go
@@ -29,7 +29,8 @@
 		admission.Limit
 	}
 
-	// concurrencyState tells whether requests of a service are subject to concurrency limits.
+	// concurrencyState records whether requests of a service are subject to concurrency limits, and
+	// the limits learned for it.
 	concurrencyState struct {
 		detector     admission.SlowdownDetector
 		limitedUntil time.Time
--- a/internal/kernel/steering/event.go
+++ b/internal/kernel/steering/event.go
@@ -25,7 +25,7 @@
 	EventConcurrencyUnlimited EventKind = "no-longer-held-back"
 	// EventServerLimit reports that a server announced, changed or lifted a rate limit.
 	EventServerLimit = EventKind(backpressure.EventLimit)
-	// EventServerPause reports that a server asked this proxy to pause.
+	// EventServerPause reports that a server requested a pause of this proxy.
 	EventServerPause = EventKind(backpressure.EventPause)
 	// EventServerDraining reports that a server announced that it drains.
 	EventServerDraining = EventKind(backpressure.EventDraining)
@@ -104,7 +104,7 @@
 		// server at that time.
 		ExpectedWait time.Duration
 		State        ServerState
-		// Cause tells where the time of a late request was spent.
+		// Cause is where most of the time of a late request was spent.
 		Cause Cause
 		// HomeRank is the rank of the server among the object's homes, starting at 0.
 		HomeRank int
--- a/internal/kernel/steering/lifecycle.go
+++ b/internal/kernel/steering/lifecycle.go
@@ -183,8 +183,8 @@
 		}
 	}
 	if a.Result == ResultServerError {
-		// A response that reports the server's failure tells the caller more than a rejection by the
-		// proxy.
+		// A response that reports the server's failure is more informative for the caller than a
+		// rejection by the proxy.
 		return k.finish(now, req, Decision{ReturnResponse: true, Reason: ReasonServerError})
 	}
 	return k.fail(now, req, reason)
--- a/internal/kernel/steering/placer.go
+++ b/internal/kernel/steering/placer.go
@@ -22,7 +22,7 @@
 	// measurements.
 	placer struct {
 		name string
-		cost func(k *Kernel, f *ActiveRequest, p choice) time.Duration
+		cost func(k *Kernel, req *ActiveRequest, candidate choice) time.Duration
 		// shedsLoad is set if requests are rejected where queues are too long. chargesColdRuns is
 		// set if servers other than an object's homes are charged for running it cold.
 		shedsLoad       bool
--- a/internal/kernel/steering/quotas.go
+++ b/internal/kernel/steering/quotas.go
@@ -106,8 +106,8 @@
 	return k.applyQuotaDecision(now, req, decision)
 }
 
-// applyQuotaDecision sends a request that is within its limit, has a pool asked for a token, or
-// rejects the request.
+// applyQuotaDecision sends a request that is within its limit, requests a token for it from a pool,
+// or rejects it.
 func (k *Kernel) applyQuotaDecision(now time.Time, req *ActiveRequest, r ratelimit.Decision) Decision {
 	switch r.Verdict {
 	case ratelimit.Admitted:
@@ -137,7 +137,8 @@
 	return d
 }
 
-// TakePoolToken replies to a proxy that asks the pool at this proxy for one request of an account.
+// TakePoolToken replies to a proxy that requests a token for one request of an account from the
+// pool at this proxy.
 func (k *Kernel) TakePoolToken(now time.Time, account string) ratelimit.TokenReply {
 	k.record(Call{Method: callTakePoolToken, At: now, ID: account})
 	return k.quotas.pool.Take(now, account)
--- a/internal/kernel/steering/regionstate.go
+++ b/internal/kernel/steering/regionstate.go
@@ -18,7 +18,7 @@
 )
 
 type (
-	// regionState tells whether the callers of a region have to use proxies of other regions.
+	// regionState records whether the callers of a region have to use proxies of other regions.
 	regionState struct {
 		// noProxies is set while the region has no proxy for callers. since is the time of its last
 		// change.
--- a/internal/kernel/steering/replay.go
+++ b/internal/kernel/steering/replay.go
@@ -20,7 +20,7 @@
 
 var (
 	errNoStart        = errors.New("recording does not begin with the start of a proxy")
-	errUnknownRequest = errors.New("recording ends an attempt of a request that it does not begin")
+	errUnknownRequest = errors.New("recording continues a request that it does not begin")
 )
 
 type (
@@ -167,7 +167,7 @@
 	case callBegin, callEnded, callSlotReply, callPoolToken:
 		return r.replayRequest(c)
 	default:
-		return errors.Errorf("do: %q is no call", c.Method)
+		return errors.Errorf("do: unknown call %q", c.Method)
 	}
 	return nil
 }
--- a/internal/kernel/steering/request.go
+++ b/internal/kernel/steering/request.go
@@ -78,7 +78,8 @@
 	// ReasonCrashesServers means that the request's fingerprint is quarantined because it crashed
 	// servers.
 	ReasonCrashesServers Reason = "ends-servers"
-	// ReasonServerError goes with a response that reports a failure of the server.
+	// ReasonServerError means that the response returned to the caller reports a failure of the
+	// server.
 	ReasonServerError Reason = "server-failed"
 	// ReasonCallerGone means that the caller disconnected.
 	ReasonCallerGone Reason = "caller-left"
@@ -141,7 +142,7 @@
 		tableVersion uint64
 		// allowedRegions are the regions in which the request may run.
 		allowedRegions regionSet
-		// quotaDecision is the pending decision for which a quota pool is asked for a token.
+		// quotaDecision is the pending decision for which a token is requested from a quota pool.
 		quotaDecision ratelimit.Decision
 		startedAt     time.Time
 		server        *server
@@ -192,8 +193,8 @@
 		// set if a slot must be released.
 		SlotRequest *SlotRequest
 		SlotRelease *SlotRelease
-		// QuotaPool is the proxy to ask first whether the request is within the rate limit of its
-		// account. Empty means that none has to be asked.
+		// QuotaPool is the proxy from which a token of the account's rate limit must be requested
+		// first. It is empty if no token is needed.
 		QuotaPool string
 		// ReturnResponse ends the request with the response of the attempt.
 		ReturnResponse bool
--- a/internal/kernel/steering/shed.go
+++ b/internal/kernel/steering/shed.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// maxShareForSoonRetry is the largest share of rejected requests at which a rejected caller is
-	// told to retry within the target. Up to it, more than half of the retries are accepted and
+	// maxShedRatioForEarlyRetry is the largest share of rejected requests at which rejected callers
+	// get a retry delay within the target. Up to it, more than half of the retries are accepted and
 	// get a response in time. Above it, callers should wait for the overload to end.
-	maxShareForSoonRetry = 0.5
+	maxShedRatioForEarlyRetry = 0.5
 )
 
 // queueRoom returns how many requests may wait at a server so that the last of them still gets a
@@ -90,7 +90,7 @@
 	if share == 0 || k.random.Float64() >= share {
 		return false
 	}
-	if share <= maxShareForSoonRetry {
+	if share <= maxShedRatioForEarlyRetry {
 		work := s.rtt.roundTrip + svc.workOf(req.Route).typical(req.Route)
 		req.maxRetryAfter = max(0, (req.Route.Target-now.Sub(req.startedAt)-work)/2)
 	}
--- a/internal/kernel/steering/slotrequest.go
+++ b/internal/kernel/steering/slotrequest.go
@@ -19,7 +19,7 @@
 )
 
 type (
-	// SlotRequest asks the proxy that owns a server's limiter for a slot at the server.
+	// SlotRequest requests a slot at a server from the proxy that owns the server's limiter.
 	SlotRequest struct {
 		Owner  Proxy
 		Server string
--- a/internal/kernel/steering/status.go
+++ b/internal/kernel/steering/status.go
@@ -61,7 +61,7 @@
 		LoadAge time.Duration
 		// Limit is the rate limit that the server announced for all proxies together, if any.
 		Limit backpressure.Limit
-		// PausedFor is for how long the server asked this proxy to pause.
+		// PausedFor is the remainder of the pause that the server requested of this proxy.
 		PausedFor time.Duration
 		// ReportsDraining is set if the server announced that it drains.
 		ReportsDraining bool
