--- a/internal/kernel/placing/replica_test.go
+++ b/internal/kernel/placing/replica_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// An object that is requested five times as often as one server can answer needs more than five
+// An object that is requested five times as often as one server can handle needs more than five
 // servers, since each also serves other objects. A rarely requested object needs only its home
 // server.
 func TestReplicaCountFollowsDemand(t *testing.T) {
@@ -28,7 +28,7 @@
 		{16, work, 0, 1},
 	} {
 		if got := ReplicaCount(c.perSecond, c.work, c.slots); got != c.want {
-			t.Errorf("Replicas(%v, %v, %d) = %d, want %d", c.perSecond, c.work, c.slots, got, c.want)
+			t.Errorf("ReplicaCount(%v, %v, %d) = %d, want %d", c.perSecond, c.work, c.slots, got, c.want)
 		}
 	}
 }
--- a/internal/kernel/quarantine/tracker.go
+++ b/internal/kernel/quarantine/tracker.go
@@ -18,7 +18,7 @@
 	// MaxConnectionLosses is the number of lost connections after which a request is no longer
 	// retried. Whether those servers crashed is known only some time later.
 	MaxConnectionLosses = 2
-	// MaxRetryAfter bounds the delay that the caller of a quarantined request is told to wait.
+	// MaxRetryAfter bounds the retry delay given to the caller of a quarantined request.
 	MaxRetryAfter = time.Minute
 	// maxRecords bounds the tracked fingerprints. The loss of a failure domain adds thousands,
 	// nearly all with one crash.
@@ -45,7 +45,7 @@
 	EventServerCrashed EventType = "server-ended"
 	// EventSuspected reports a fingerprint that was in flight at more than one server crash.
 	EventSuspected EventType = "work-suspected"
-	// EventQuarantined reports a fingerprint that is refused from now on.
+	// EventQuarantined reports a fingerprint that is rejected from now on.
 	EventQuarantined EventType = "work-condemned"
 	// EventCleared reports a fingerprint that succeeded after it had been in flight at several
 	// crashes.
@@ -53,7 +53,7 @@
 )
 
 type (
-	// Status tells whether a request may run.
+	// Status is whether a request may run.
 	Status uint8
 
 	// EventType is the kind of an Event.
@@ -150,8 +150,8 @@
 	}
 }
 
-// RecordSuccess records that a server answered a request. This clears the fingerprint of all
-// crashes recorded so far.
+// RecordSuccess records that a request with the fingerprint got a successful response. This clears
+// the fingerprint of all crashes recorded so far.
 func (t *Tracker) RecordSuccess(now time.Time, fp Fingerprint) {
 	if fp.IsEmpty() {
 		return
@@ -191,7 +191,7 @@
 // RecordServerGone records evidence that a server has crashed: its address refuses connections, or
 // its registration expired. Requests whose connections to it were lost were in flight at the crash.
 func (t *Tracker) RecordServerGone(now time.Time, server InstanceID) {
-	if loss := t.losses[server]; loss != nil && !loss.answered {
+	if loss := t.losses[server]; loss != nil && !loss.responded {
 		t.attributeCrash(now, server, loss)
 	}
 }
--- a/internal/kernel/steering/authorization_test.go
+++ b/internal/kernel/steering/authorization_test.go
@@ -41,38 +41,38 @@
 	return k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/x", Credential: account.Credential{State: account.CredentialPresent, Key: accountKey(t, testAccountKey)}})
 }
 
-// Guards against a client account that exceeds its rate limit and against one that is refused below
-// it.
+// Guards against a client account that exceeds its rate limit and against one that is rejected
+// below it.
 func TestAccountRateLimitIsEnforced(t *testing.T) {
 	const rate, seconds = 100, 10
 	k, now := kernelWithAccount(t, account.Account{Limit: ratelimit.Limit{PerSecond: rate, Burst: rate}}, Config{})
-	admitted, refused := 0, 0
+	admitted, rejected := 0, 0
 	for range 3 * rate * seconds {
 		now = now.Add(time.Second / (3 * rate))
 		req, d := beginWithKey(t, k, now)
 		switch {
 		case d.Server != nil:
 			admitted++
-			k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
+			k.EndAttempt(now, req, Attempt{Result: ResultResponded})
 		case d.Reason == ReasonRateLimit && d.NotRun && d.RetryAfter > 0:
-			refused++
+			rejected++
 		default:
-			t.Fatalf("decision is %+v, want a server or a refusal by the rate limit", d)
+			t.Fatalf("decision is %+v, want a server or a rejection by the rate limit", d)
 		}
 	}
 	if minAdmitted, maxAdmitted := rate*seconds*95/100, rate*(seconds+1); admitted < minAdmitted || admitted > maxAdmitted {
-		t.Errorf("%d of %d admitted in %d s, want %d to %d", admitted, admitted+refused, seconds, minAdmitted, maxAdmitted)
+		t.Errorf("%d of %d admitted in %d s, want %d to %d", admitted, admitted+rejected, seconds, minAdmitted, maxAdmitted)
 	}
 }
 
-// Guards against rate limit tokens used up by requests that were refused without being sent.
+// Guards against rate limit tokens used up by requests that were rejected without being sent.
 func TestUnsentRequestsUseNoTokens(t *testing.T) {
 	k, now := kernelWithAccount(t, account.Account{Limit: ratelimit.Limit{PerSecond: 1, Burst: 2}}, Config{})
 	k.RemoveServer(now, "s")
 	for range 20 {
 		now = now.Add(10 * time.Millisecond)
 		if _, d := beginWithKey(t, k, now); d.Reason != ReasonNoServer {
-			t.Fatalf("refused for %q, want %q", d.Reason, ReasonNoServer)
+			t.Fatalf("rejected for %q, want %q", d.Reason, ReasonNoServer)
 		}
 	}
 }
@@ -87,13 +87,13 @@
 	}
 	k, now := kernelWithAccount(t, account.Account{}, config)
 	req, _ := beginWithKey(t, k, now)
-	k.EndAttempt(now, req, Attempt{Result: ResultAnswered})
+	k.EndAttempt(now, req, Attempt{Result: ResultResponded})
 	if text := output.String(); strings.Contains(text, testAccountKey) || !strings.Contains(text, accountKey(t, testAccountKey).Fingerprint()) {
 		t.Errorf("recorded calls and events contain the key or lack its fingerprint: %s", text)
 	}
 }
 
-// Guards against refusing the requests of a client account with an urgent priority as often as all
+// Guards against rejecting the requests of a client account with an urgent priority as often as all
 // others.
 func TestAccountPriorityOverridesRoutePriority(t *testing.T) {
 	urgent := 0
--- a/internal/kernel/steering/backpressure.go
+++ b/internal/kernel/steering/backpressure.go
@@ -14,7 +14,7 @@
 
 // recordBackpressure records the backpressure signal of an attempt.
 func (k *Kernel) recordBackpressure(now time.Time, req *ActiveRequest, s *server, a Attempt) {
-	complete := a.Result == ResultAnswered || a.Result == ResultServerError || a.Result == ResultRefused
+	complete := a.Result == ResultResponded || a.Result == ResultServerError || a.Result == ResultRejected
 	if state := k.backpressure.RecordSignal(now, req.sentAt, s.startID, a.Signal, complete); state != nil {
 		s.backpressure = state
 	}
@@ -92,7 +92,7 @@
 	return ReasonBackpressure
 }
 
-// retryAfterBackpressure returns the retry delay for a caller refused because of backpressure. It
+// retryAfterBackpressure returns the retry delay for a caller rejected because of backpressure. It
 // is randomized so that callers do not all return when the first server takes requests again.
 func (k *Kernel) retryAfterBackpressure(req *ActiveRequest) time.Duration {
 	wait := max(minRetryAfter, min(req.backpressureWait, maxBackpressureWait))
--- a/internal/kernel/steering/cause.go
+++ b/internal/kernel/steering/cause.go
@@ -5,7 +5,7 @@
 )
 
 const (
-	// CauseNone goes with a response within the target.
+	// CauseNone is the cause of a request that met its target or was not sent.
 	CauseNone Cause = ""
 	// CauseFailedAttempts means that most of the time was spent on failed attempts.
 	CauseFailedAttempts Cause = "failed-attempts"
@@ -29,8 +29,8 @@
 )
 
 type (
-	// Cause tells operators where most of the time of a late request was spent. No decision depends
-	// on it.
+	// Cause is where most of the time of a late request was spent. It is reported to operators; no
+	// decision depends on it.
 	Cause string
 )
 
--- a/internal/kernel/steering/concurrencylimit_test.go
+++ b/internal/kernel/steering/concurrencylimit_test.go
@@ -57,7 +57,7 @@
 			if d := k.HandleSlotReply(now, req, reply, true); d.Server == nil || d.SlotRequest != nil {
 				t.Errorf("granted: got %+v, want the request sent", d)
 			}
-			d := k.EndAttempt(now.Add(300*time.Millisecond), req, Attempt{Result: ResultAnswered, Loaded: true, Running: 1})
+			d := k.EndAttempt(now.Add(300*time.Millisecond), req, Attempt{Result: ResultResponded, Loaded: true, Running: 1})
 			if d.SlotRelease == nil || d.SlotRelease.Server != "s" {
 				t.Fatalf("the slot is not released: %+v", d)
 			}
@@ -71,14 +71,14 @@
 	}
 }
 
-// The owner of a limiter is gone or partitioned. A request that got no answer from it must be sent as
-// without a limiter, and the next requests must not wait for an answer.
-func TestUnansweredSlotRequestDoesNotBlockRequests(t *testing.T) {
+// The owner of a limiter is gone or partitioned. A request that got no reply from it must be sent
+// as without a limiter, and the next requests must not wait for a reply.
+func TestLostSlotReplyDoesNotBlockRequests(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := limitedFleet(now)[0]
 	req, _ := beginWithSlotRequest(t, k, now, "r", "/a/x")
 	if d := k.HandleSlotReply(now, req, SlotReply{}, false); d.Server == nil || d.SlotRequest != nil {
-		t.Errorf("no answer: got %+v, want the request sent", d)
+		t.Errorf("no reply: got %+v, want the request sent", d)
 	}
 	_, d := k.BeginRequest(now, Request{ID: "q", Host: "host", Path: "/a/x", Object: "q"})
 	if d.Server == nil || d.SlotRequest != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// A limiter denies a slot that would become free too late. The request is refused as not run, with
+// A limiter denies a slot that would become free too late. The request is rejected as not run, with
 // a retry delay, and the slot, if there is one, is released.
 func TestRequestDeniedASlotHasNotRun(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
@@ -97,7 +97,7 @@
 	req, slotRequest := beginWithSlotRequest(t, k, now, "r", "/a/x")
 	d := k.HandleSlotReply(now, req, SlotReply{Grant: admission.Grant{Ticket: slotRequest.Ticket, Verdict: admission.Denied}}, true)
 	if d.Server != nil || !d.NotRun || d.RetryAfter <= 0 || d.SlotRelease == nil || d.Reason != ReasonQueuesTooLong {
-		t.Errorf("denied: got %+v, want it refused as not run", d)
+		t.Errorf("denied: got %+v, want it rejected as not run", d)
 	}
 	if got := k.Status(now).InFlight; got != 0 {
 		t.Errorf("%d requests count as in flight, want none", got)
@@ -151,9 +151,9 @@
 				continue
 			}
 			if !unresponsive || n < 24 {
-				k.servers[d.Server.ID].answeredAt = now
+				k.servers[d.Server.ID].respondedAt = now
 			}
-			result := ResultAnswered
+			result := ResultResponded
 			if n >= 24 {
 				result = ResultTimeout
 				now = now.Add(time.Second)
@@ -161,7 +161,7 @@
 					s.ejections, s.ejectedUntil = 0, time.Time{}
 				}
 			}
-			k.EndAttempt(now, req, Attempt{Result: result, Loaded: result == ResultAnswered, Running: 1})
+			k.EndAttempt(now, req, Attempt{Result: result, Loaded: result == ResultResponded, Running: 1})
 		}
 		if got := len(k.ConcurrencyLimits(now)) > 0; got != want {
 			t.Errorf("servers unresponsive %t: limited %t, want %t", unresponsive, got, want)
@@ -252,7 +252,7 @@
 		req := &ActiveRequest{Route: &routing.Route{Name: "route", Sticky: true, Target: 100 * time.Millisecond}, Service: "slow", warm: true}
 		for n := range 40 {
 			s := &server{id: fmt.Sprint(n % 4), Server: routing.Server{Slots: 3}, rtt: &rttEstimate{}}
-			k.detectSlowdown(now, req, s, svc, Attempt{Result: ResultAnswered, Loaded: true, Running: 3}, time.Second)
+			k.detectSlowdown(now, req, s, svc, Attempt{Result: ResultResponded, Loaded: true, Running: 3}, time.Second)
 		}
 		if got := events > 0 || len(k.ConcurrencyLimits(now)) > 0; got == off {
 			t.Errorf("concurrency limits off %t: %d events, limits sent to peers: %v", off, events, k.ConcurrencyLimits(now))
--- a/internal/kernel/steering/quarantine_test.go
+++ b/internal/kernel/steering/quarantine_test.go
@@ -29,14 +29,14 @@
 	return k
 }
 
-func beginPoison(k *Kernel, now time.Time) (*ActiveRequest, Decision) {
+func beginPoisonRequest(k *Kernel, now time.Time) (*ActiveRequest, Decision) {
 	return k.BeginRequest(now, Request{ID: "r", Host: "host", Path: "/a/deadly", Object: "o", Work: poisonFingerprint, Deadline: now.Add(4 * time.Second)})
 }
 
 // crashServer sends the poison request once and has it crash its server.
 func crashServer(t *testing.T, k *Kernel, now time.Time) Decision {
 	t.Helper()
-	req, d := beginPoison(k, now)
+	req, d := beginPoisonRequest(k, now)
 	if d.Server == nil {
 		t.Fatalf("not sent: %+v", d)
 	}
@@ -52,7 +52,7 @@
 func TestRequestThatLostTwoConnectionsIsNotRetried(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, true)
-	req, _ := beginPoison(k, now)
+	req, _ := beginPoisonRequest(k, now)
 	d := k.EndAttempt(now, req, Attempt{Result: ResultConnectionLost})
 	if d.Server == nil {
 		t.Fatalf("after one lost connection: %+v, want it retried", d)
@@ -63,31 +63,31 @@
 }
 
 // Requests that may crash servers arrive at twice the rate at which crashes are detected. Only one
-// of them runs at a time, and the others are refused at once as not run.
+// of them runs at a time, and the others are rejected at once as not run.
 func TestSuspectedFingerprintRunsOneRequestAtATime(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, false)
 	crashServer(t, k, now)
 	crashServer(t, k, now)
-	req, d := beginPoison(k, now)
+	req, d := beginPoisonRequest(k, now)
 	if d.Server == nil {
 		t.Fatalf("third run: %+v, want it sent", d)
 	}
-	if _, d := beginPoison(k, now); d.Server != nil || !d.NotRun || d.Reason != ReasonMayCrashServers || d.RetryAfter <= 0 || d.RetryAfter > maxRetryAfter {
-		t.Errorf("second request in flight: %+v, want it refused with a retry delay", d)
+	if _, d := beginPoisonRequest(k, now); d.Server != nil || !d.NotRun || d.Reason != ReasonMayCrashServers || d.RetryAfter <= 0 || d.RetryAfter > maxRetryAfter {
+		t.Errorf("second request in flight: %+v, want it rejected with a retry delay", d)
 	}
-	if d := k.EndAttempt(now, req, Attempt{Result: ResultAnswered}); !d.ReturnResponse {
-		t.Errorf("answered: %+v, want the response returned", d)
+	if d := k.EndAttempt(now, req, Attempt{Result: ResultResponded}); !d.ReturnResponse {
+		t.Errorf("after a response: %+v, want the response returned", d)
 	}
-	if _, d := beginPoison(k, now); d.Server == nil {
+	if _, d := beginPoisonRequest(k, now); d.Server == nil {
 		t.Errorf("after a successful run: %+v, want it sent", d)
 	}
 }
 
-// A fingerprint that has crashed three servers is refused as not run, with a retry delay up to its
+// A fingerprint that has crashed three servers is rejected as not run, with a retry delay up to its
 // next trial: 2 s at first, because it may be harmless, and minutes after a trial that crashed a
 // server. A request that lost its connection before the quarantine may have run.
-func TestQuarantinedFingerprintIsRefusedAsNotRun(t *testing.T) {
+func TestQuarantinedFingerprintIsRejectedAsNotRun(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, true)
 	k.SetTable(routing.NewTable(2, []*routing.Route{{
@@ -98,15 +98,15 @@
 			t.Errorf("a request whose server crashed: %+v, want it not reported as not run", d)
 		}
 	}
-	_, d := beginPoison(k, now)
+	_, d := beginPoisonRequest(k, now)
 	if !d.NotRun || d.Reason != ReasonCrashesServers || d.RetryAfter != 2*time.Second {
-		t.Errorf("quarantined: %+v, want it refused for 2s", d)
+		t.Errorf("quarantined: %+v, want it rejected for 2s", d)
 	}
 	now = now.Add(5 * time.Second)
 	crashServer(t, k, now)
-	_, d = beginPoison(k, now)
+	_, d = beginPoisonRequest(k, now)
 	if !d.NotRun || d.Reason != ReasonCrashesServers || d.RetryAfter != quarantine.MaxRetryAfter {
-		t.Errorf("quarantined after a trial: %+v, want it refused for %s", d, quarantine.MaxRetryAfter)
+		t.Errorf("quarantined after a trial: %+v, want it rejected for %s", d, quarantine.MaxRetryAfter)
 	}
 	other := Request{ID: "r2", Host: "host", Path: "/a/harmless", Object: "o", Work: quarantine.NewFingerprint("GET", "host", "/a/harmless", "", nil), Deadline: now.Add(time.Second)}
 	if _, d := k.BeginRequest(now, other); d.Server == nil {
@@ -127,9 +127,9 @@
 		now := time.Unix(1_000_000, 0)
 		k := quarantineKernel(now, false)
 		for range quarantine.DefaultThreshold + 1 {
-			req, d := beginPoison(k, now)
+			req, d := beginPoisonRequest(k, now)
 			if d.Server == nil {
-				t.Fatalf("%s: refused: %+v", name, d)
+				t.Fatalf("%s: rejected: %+v", name, d)
 			}
 			id := d.Server.ID
 			event(k, now, id)
@@ -139,7 +139,7 @@
 				k.RemoveServer(now, id)
 			}
 		}
-		if _, d := beginPoison(k, now); d.Reason == ReasonCrashesServers {
+		if _, d := beginPoisonRequest(k, now); d.Reason == ReasonCrashesServers {
 			t.Errorf("%s: the fingerprint is quarantined", name)
 		}
 	}
@@ -151,9 +151,9 @@
 	now := time.Unix(1_000_000, 0)
 	k := quarantineKernel(now, false)
 	for range quarantine.DefaultThreshold {
-		req, d := beginPoison(k, now)
+		req, d := beginPoisonRequest(k, now)
 		if d.Server == nil {
-			t.Fatalf("refused too soon: %+v", d)
+			t.Fatalf("rejected too soon: %+v", d)
 		}
 		restarted := d.Server.Server
 		k.EndAttempt(now, req, Attempt{Result: ResultConnectionLost})
@@ -161,25 +161,26 @@
 		restarted.Started = now
 		k.RegisterServer(now, restarted)
 	}
-	if _, d := beginPoison(k, now); d.Reason != ReasonCrashesServers {
+	if _, d := beginPoisonRequest(k, now); d.Reason != ReasonCrashesServers {
 		t.Errorf("after three restarts: %+v, want the fingerprint quarantined", d)
 	}
 }
 
-// Between two crashes, a server fails the request for another reason, rejects its caller or refuses
-// it. It has not reached the part that crashes servers, so the earlier crashes must still count.
+// Between two crashes, a server fails the request for another reason, reports an error in it or
+// rejects it without running it. It has not reached the part that crashes servers, so the earlier
+// crashes must still count.
 func TestFailedRequestsDoNotCountAsSuccess(t *testing.T) {
 	for name, attempt := range map[string]Attempt{
 		"failed":   {Result: ResultServerError, Rejected: true},
-		"rejected": {Result: ResultAnswered, Rejected: true},
-		"refused":  {Result: ResultRefused},
+		"rejected": {Result: ResultResponded, Rejected: true},
+		"refused":  {Result: ResultRejected},
 	} {
 		now := time.Unix(1_000_000, 0)
 		k := quarantineKernel(now, false)
 		for range quarantine.DefaultThreshold {
-			req, d := beginPoison(k, now)
+			req, d := beginPoisonRequest(k, now)
 			if d.Server == nil {
-				t.Fatalf("%s: refused too soon: %+v", name, d)
+				t.Fatalf("%s: rejected too soon: %+v", name, d)
 			}
 			for d.Server != nil {
 				d = k.EndAttempt(now, req, attempt)
@@ -187,7 +188,7 @@
 			now = now.Add(100 * time.Millisecond)
 			crashServer(t, k, now)
 		}
-		if _, d := beginPoison(k, now); d.Reason != ReasonCrashesServers {
+		if _, d := beginPoisonRequest(k, now); d.Reason != ReasonCrashesServers {
 			t.Errorf("%s: %+v, want the fingerprint quarantined", name, d)
 		}
 	}
--- a/internal/kernel/steering/quotas.go
+++ b/internal/kernel/steering/quotas.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// fleetSizeWait is how long after its start a proxy waits to be told the number of proxies
+	// fleetSizeWait is how long after its start a proxy waits for the announced number of proxies
 	// among which limits are divided. After that it assumes twice the number that it knows.
 	fleetSizeWait = 4 * time.Second
 	// poolSuffix marks requests that a proxy makes as a pool, as opposed to those for itself.
@@ -27,7 +27,7 @@
 		// that it knows.
 		fleetSize    int
 		knownProxies int
-		// waitOver is set once this proxy no longer waits to be told the fleet size.
+		// waitOver is set once this proxy no longer waits for the announced fleet size.
 		waitOver bool
 	}
 )
@@ -72,8 +72,8 @@
 	l.updateBaseShare()
 }
 
-// updateBaseShare updates the share of this proxy. Until the fleet size has been announced, a proxy that
-// has just started knows too few others and takes no share.
+// updateBaseShare updates the share of this proxy. Until the fleet size has been announced, a proxy
+// that has just started knows too few others and takes no share.
 func (l *quotas) updateBaseShare() {
 	switch {
 	case l.fleetSize > 0:
@@ -106,8 +106,8 @@
 	return k.applyQuotaDecision(now, req, decision)
 }
 
-// applyQuotaDecision sends a request that is within its limit, has a pool asked for a token, or
-// refuses the request.
+// applyQuotaDecision sends a request that is within its limit, requests a token for it from a pool,
+// or rejects it.
 func (k *Kernel) applyQuotaDecision(now time.Time, req *ActiveRequest, r ratelimit.Decision) Decision {
 	switch r.Verdict {
 	case ratelimit.Admitted:
@@ -128,16 +128,17 @@
 }
 
 // ApplyPoolToken handles the pool's reply for a request, or its absence, and returns the next step.
-func (k *Kernel) ApplyPoolToken(now time.Time, req *ActiveRequest, t ratelimit.TokenReply, answered bool) Decision {
-	d := k.applyQuotaDecision(now, req, k.quotas.limiter.HandlePoolReply(now, req.Account.Name, req.quotaDecision, t, answered))
+func (k *Kernel) ApplyPoolToken(now time.Time, req *ActiveRequest, t ratelimit.TokenReply, replied bool) Decision {
+	d := k.applyQuotaDecision(now, req, k.quotas.limiter.HandlePoolReply(now, req.Account.Name, req.quotaDecision, t, replied))
 	if k.config.Record != nil {
 		decision := recordedDecisionOf(d)
-		k.config.Record(Call{Method: callPoolToken, At: now, RequestNumber: req.seq, Token: &t, Flag: answered, Decision: &decision})
+		k.config.Record(Call{Method: callPoolToken, At: now, RequestNumber: req.seq, Token: &t, Flag: replied, Decision: &decision})
 	}
 	return d
 }
 
-// TakePoolToken replies to a proxy that asks the pool at this proxy for one request of an account.
+// TakePoolToken replies to a proxy that requests a token for one request of an account from the
+// pool at this proxy.
 func (k *Kernel) TakePoolToken(now time.Time, account string) ratelimit.TokenReply {
 	k.record(Call{Method: callTakePoolToken, At: now, ID: account})
 	return k.quotas.pool.Take(now, account)
@@ -168,9 +169,9 @@
 	return k.quotas.limiter.ApplyGrants(now, reportedAt, pool, g)
 }
 
-// QuotaReportUnanswered records that the pool did not reply to a report.
-func (k *Kernel) QuotaReportUnanswered(now time.Time, pool string) {
-	k.record(Call{Method: callQuotaReportUnanswered, At: now, ID: pool})
+// MarkPoolUnresponsive records that the pool did not reply to a report.
+func (k *Kernel) MarkPoolUnresponsive(now time.Time, pool string) {
+	k.record(Call{Method: callMarkPoolUnresponsive, At: now, ID: pool})
 	k.quotas.limiter.MarkUnresponsive(now, pool)
 }
 
--- a/internal/kernel/steering/replay.go
+++ b/internal/kernel/steering/replay.go
@@ -20,7 +20,7 @@
 
 var (
 	errNoStart        = errors.New("recording does not begin with the start of a proxy")
-	errUnknownRequest = errors.New("recording ends an attempt of a request that it does not begin")
+	errUnknownRequest = errors.New("recording continues a request that it does not begin")
 )
 
 type (
@@ -148,8 +148,8 @@
 		k.HandleQuotaReport(c.At, *c.Report)
 	case callQuotaGrants:
 		k.ApplyQuotaGrants(c.At, c.RequestedAt, c.ID, *c.Grants)
-	case callQuotaReportUnanswered:
-		k.QuotaReportUnanswered(c.At, c.ID)
+	case callMarkPoolUnresponsive:
+		k.MarkPoolUnresponsive(c.At, c.ID)
 	case callTakePoolToken:
 		k.TakePoolToken(c.At, c.ID)
 	case callBorrowQuota:
@@ -167,7 +167,7 @@
 	case callBegin, callEnded, callSlotReply, callPoolToken:
 		return r.replayRequest(c)
 	default:
-		return errors.Errorf("do: %q is no call", c.Method)
+		return errors.Errorf("do: unknown call %q", c.Method)
 	}
 	return nil
 }
--- a/internal/kernel/steering/request.go
+++ b/internal/kernel/steering/request.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	// ResultAnswered means that the server's complete response has arrived.
-	ResultAnswered Result = iota + 1
+	// ResultResponded means that a complete response has arrived that reports no failure of the
+	// server.
+	ResultResponded Result = iota + 1
 	// ResultServerError means that the server's complete response reports a failure of the server.
 	ResultServerError
-	// ResultRefused means that the server reported that it did not run the request.
-	ResultRefused
+	// ResultRejected means that the server rejected the request and reported that it did not run it.
+	ResultRejected
 	// ResultWrongServer means that another server now has the address. The request has not run.
 	ResultWrongServer
 	// ResultUnreachable means that no byte of the request was sent.
@@ -42,7 +43,7 @@
 )
 
 const (
-	// ReasonNone goes with a successful response.
+	// ReasonNone is the reason of a successful request.
 	ReasonNone Reason = ""
 	// ReasonNoConfiguration means that no configuration is active yet.
 	ReasonNoConfiguration Reason = "no-configuration"
@@ -65,8 +66,8 @@
 	// ReasonQueuesTooLong means that the server queues are so long that responses would miss the
 	// target.
 	ReasonQueuesTooLong Reason = "queues-too-long"
-	// ReasonRefused means that servers refused the request.
-	ReasonRefused Reason = "refused-by-server"
+	// ReasonRejected means that servers rejected the request.
+	ReasonRejected Reason = "refused-by-server"
 	// ReasonRetryBudget means that the retry budget was exhausted.
 	ReasonRetryBudget Reason = "repeat-budget"
 	// ReasonConnectionLost means that a connection was lost and the request may have run.
@@ -77,7 +78,8 @@
 	// ReasonCrashesServers means that the request's fingerprint is quarantined because it crashed
 	// servers.
 	ReasonCrashesServers Reason = "ends-servers"
-	// ReasonServerError goes with a response that reports a failure of the server.
+	// ReasonServerError means that the response returned to the caller reports a failure of the
+	// server.
 	ReasonServerError Reason = "server-failed"
 	// ReasonCallerGone means that the caller disconnected.
 	ReasonCallerGone Reason = "caller-left"
@@ -92,7 +94,7 @@
 	maxSends = 4
 	// minAttemptTime is the remaining time below which another attempt is not worthwhile.
 	minAttemptTime = 20 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound the retry delay that a refused caller is given. The
+	// minRetryAfter and maxRetryAfter bound the retry delay that a rejected caller is given. The
 	// delay is also at most a third of the time that the caller has left.
 	minRetryAfter = 80 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
@@ -140,7 +142,7 @@
 		tableVersion uint64
 		// allowedRegions are the regions in which the request may run.
 		allowedRegions regionSet
-		// quotaDecision is the pending decision for which a quota pool is asked for a token.
+		// quotaDecision is the pending decision for which a token is requested from a quota pool.
 		quotaDecision ratelimit.Decision
 		startedAt     time.Time
 		server        *server
@@ -173,8 +175,8 @@
 		mayHaveRun bool
 		// queuePressure is the queue pressure where the request would have run.
 		queuePressure float64
-		// maxRetryAfter is the longest retry delay after which a refused request can still be
-		// answered within the target. It is zero if there is none.
+		// maxRetryAfter is the longest retry delay after which a rejected request can still get a
+		// response within the target. It is zero if there is none.
 		maxRetryAfter time.Duration
 		// backpressureWait is how long until a server that announced a limit or pause takes
 		// requests again.
@@ -191,15 +193,15 @@
 		// set if a slot must be released.
 		SlotRequest *SlotRequest
 		SlotRelease *SlotRelease
-		// QuotaPool is the proxy to ask first whether the request is within the rate limit of its
-		// account. Empty means that none has to be asked.
+		// QuotaPool is the proxy from which a token of the account's rate limit must be requested
+		// first. It is empty if no token is needed.
 		QuotaPool string
 		// ReturnResponse ends the request with the response of the attempt.
 		ReturnResponse bool
 		Reason         Reason
 		// NotRun is set if no server has run the request or will run it.
 		NotRun bool
-		// RetryAfter is the delay after which a refused caller may try again. TryOtherProxy is set
+		// RetryAfter is the delay after which a rejected caller may try again. TryOtherProxy is set
 		// if another proxy may accept the request now.
 		RetryAfter    time.Duration
 		TryOtherProxy bool
@@ -223,8 +225,8 @@
 		// Loaded is set if the server reported its load.
 		Loaded           bool
 		Running, Waiting int
-		// Rejected is set if the response reports an error in the request. The server may not have
-		// started to run it.
+		// Rejected is set if a complete response reports an error in the request, unlike
+		// ResultRejected. The server may not have started to run it.
 		Rejected bool
 		// Refusing is set if the connection was refused: no process listens at the server's
 		// address.
--- a/internal/kernel/steering/shed_test.go
+++ b/internal/kernel/steering/shed_test.go
@@ -26,46 +26,46 @@
 }
 
 // sendMany sends requests to a server with the given number of waiting requests and counts the
-// refused ones.
-func (k *Kernel) sendMany(t *testing.T, now time.Time, path string, waiting int) (refused int) {
+// rejected ones.
+func (k *Kernel) sendMany(t *testing.T, now time.Time, path string, waiting int) (rejected int) {
 	t.Helper()
 	const n = 400
 	for i := range n {
 		req, d := k.BeginRequest(now.Add(time.Duration(i)*time.Millisecond), Request{Host: "host", Path: path})
 		if d.Server == nil {
-			refused++
+			rejected++
 			if !d.NotRun || d.RetryAfter <= 0 || d.Reason != ReasonQueuesTooLong {
-				t.Fatalf("refused with %+v, want it not run, with a retry delay", d)
+				t.Fatalf("rejected with %+v, want it not run, with a retry delay", d)
 			}
 			continue
 		}
-		k.EndAttempt(now.Add(time.Duration(i)*time.Millisecond), req, Attempt{Result: ResultAnswered, Loaded: true, Running: 4, Waiting: waiting})
+		k.EndAttempt(now.Add(time.Duration(i)*time.Millisecond), req, Attempt{Result: ResultResponded, Loaded: true, Running: 4, Waiting: waiting})
 	}
-	return refused
+	return rejected
 }
 
 // The queues of the servers are so long that every response would be late. Some requests must be
-// refused so that the others get a response in time, the less urgent ones first.
-func TestOverloadRefusesLessUrgentRequestsFirst(t *testing.T) {
+// rejected so that the others get a response in time, the less urgent ones first.
+func TestOverloadRejectsLessUrgentRequestsFirst(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	k := shedKernel(now)
 	if got := k.sendMany(t, now, "/plain/x", 0); got != 0 {
-		t.Errorf("%d are refused without a queue, want none", got)
+		t.Errorf("%d are rejected without a queue, want none", got)
 	}
 	now = now.Add(time.Second)
 	plain := k.sendMany(t, now, "/plain/x", 8)
 	if plain == 0 {
-		t.Error("no less urgent request is refused although twice as many wait as can be answered in time")
+		t.Error("no less urgent request is rejected although twice as many wait as can get a response in time")
 	}
 	if got := k.sendMany(t, now, "/urgent/x", 8); got >= plain {
-		t.Errorf("%d urgent requests are refused and %d less urgent ones, want fewer urgent ones", got, plain)
+		t.Errorf("%d urgent requests are rejected and %d less urgent ones, want fewer urgent ones", got, plain)
 	}
 }
 
-// In a slight overload, a refused caller must retry while it can still get a response within the
-// target; a second later any response would be late. When most requests are refused, it must wait
+// In a slight overload, a rejected caller must retry while it can still get a response within the
+// target; a second later any response would be late. When most requests are rejected, it must wait
 // longer, until the overload has ended.
-func TestRefusedCallersRetryWithinTheTarget(t *testing.T) {
+func TestRejectedCallersRetryWithinTheTarget(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for _, c := range []struct {
 		waiting    int
@@ -81,7 +81,7 @@
 				longestRetry = max(longestRetry, d.RetryAfter)
 				continue
 			}
-			k.EndAttempt(at, req, Attempt{Result: ResultAnswered, Loaded: true, Running: 4, Waiting: c.waiting})
+			k.EndAttempt(at, req, Attempt{Result: ResultResponded, Loaded: true, Running: 4, Waiting: c.waiting})
 		}
 		if longestRetry == 0 || longestRetry > c.maxRetry || (longestRetry > maxRetryAfter/2) != c.overloaded {
 			t.Errorf("%d waiting: longest retry delay is %s, want at most %s", c.waiting, longestRetry, c.maxRetry)
--- a/internal/kernel/steering/status.go
+++ b/internal/kernel/steering/status.go
@@ -26,7 +26,7 @@
 		// subject to concurrency limits, with the limits learned for them.
 		MechanismsOff     []Mechanism
 		ConcurrencyLimits []ServiceLimit
-		// QuarantinedWork are the request fingerprints that are refused because they crashed
+		// QuarantinedWork are the request fingerprints that are rejected because they crashed
 		// servers.
 		QuarantinedWork []QuarantinedWork
 		// Accounts are the client accounts. Their limits are divided among QuotaProxies proxies,
@@ -61,7 +61,7 @@
 		LoadAge time.Duration
 		// Limit is the rate limit that the server announced for all proxies together, if any.
 		Limit backpressure.Limit
-		// PausedFor is for how long the server asked this proxy to pause.
+		// PausedFor is the remainder of the pause that the server requested of this proxy.
 		PausedFor time.Duration
 		// ReportsDraining is set if the server announced that it drains.
 		ReportsDraining bool
@@ -94,13 +94,13 @@
 	if k.table == nil {
 		return nil
 	}
-	held := make(map[string]ratelimit.AccountUsage)
-	for _, h := range k.quotas.limiter.AccountUsages(now) {
-		held[h.Account] = h
+	usages := make(map[string]ratelimit.AccountUsage)
+	for _, usage := range k.quotas.limiter.AccountUsages(now) {
+		usages[usage.Account] = usage
 	}
 	var list []AccountStatus
 	for _, a := range k.table.Accounts.All() {
-		list = append(list, AccountStatus{Account: a, AccountUsage: held[a.Name]})
+		list = append(list, AccountStatus{Account: a, AccountUsage: usages[a.Name]})
 	}
 	return list
 }
