--- a/cmd/gypsumquay-bench/crashes.go
+++ b/cmd/gypsumquay-bench/crashes.go
@@ -89,7 +89,7 @@
 		outcome := warmnet.Simulate(load, steering.DefaultPlacer, uint64(seed)+1)
 		r.serversLost += float64(outcome.Crashes.CausedByRequests) / float64(max(1, len(outcome.Crashes.ByCrashingRequest))) / n
 		r.falselyQuarantined += float64(len(outcome.Crashes.HarmlessQuarantined)) / n
-		r.rejected += float64(outcome.Crashes.HarmlessRefused) / n
+		r.rejected += float64(outcome.Crashes.HarmlessRejected) / n
 		r.inTarget += outcome.ShareWithinTarget() / n
 	}
 	return r
--- a/cmd/gypsumquay-bench/events.go
+++ b/cmd/gypsumquay-bench/events.go
@@ -106,7 +106,7 @@
 	drain = max(0, s.Checks().LastDispatch[target].Sub(start).Seconds())
 	start = s.Now()
 	s.Inject(simnet.Fault{Kind: "stop-proxy", Target: "1", Duration: operator.Duration(time.Hour)})
-	for s.Checks().PlannedStops() == 0 && s.Now().Sub(start) < time.Minute {
+	for s.Checks().GracefulShutdowns() == 0 && s.Now().Sub(start) < time.Minute {
 		s.Run(bucketWidth)
 	}
 	return force, drain, s.Now().Sub(start).Seconds()
--- a/cmd/gypsumquay-bench/experiment.go
+++ b/cmd/gypsumquay-bench/experiment.go
@@ -57,7 +57,7 @@
 		outcome := warmnet.Simulate(load, placer, uint64(seed)+1)
 		share += outcome.ShareWithinTarget() / n
 		worst += outcome.WorstRegionShare() / n
-		refused += float64(outcome.Refused) / float64(max(1, outcome.Sent)) / n
+		refused += float64(outcome.Rejected) / float64(max(1, outcome.Sent)) / n
 		firstRuns += float64(outcome.ColdRuns) / n
 		if len(outcome.Latencies) > 0 {
 			p99 += float64(outcome.Latencies[len(outcome.Latencies)*99/100].Milliseconds()) / n
--- a/cmd/gypsumquay-bench/limits.go
+++ b/cmd/gypsumquay-bench/limits.go
@@ -83,7 +83,7 @@
 	for _, method := range []limitnet.Strategy{limitnet.RegionalPools, limitnet.CentralPool, limitnet.EqualShares} {
 		outcome := limitnet.Simulate(load, method, 1)
 		fmt.Printf("%8d %9d %5.1f %-6s %12.4f %12.4f %8.2f %8.2f %10.1f %7.1f\n", proxies, accounts, skew, method,
-			outcome.InitiallyRefusedShare(), outcome.RefusedShare(), outcome.MaxExcess, outcome.MaxViolation, outcome.ReportRate, outcome.TokenRequestRate)
+			outcome.InitiallyRejectedShare(), outcome.RejectedShare(), outcome.MaxExcess, outcome.MaxViolation, outcome.ReportRate, outcome.TokenRequestRate)
 		rows = append(rows, limitsRow{load: load, method: method, outcome: outcome})
 	}
 	return rows
@@ -102,7 +102,7 @@
 		if lines[name] == nil {
 			names = append(names, name)
 		}
-		lines[name] = append(lines[name], plotter.XY{X: float64(r.load.Proxies), Y: r.outcome.RefusedShare()})
+		lines[name] = append(lines[name], plotter.XY{X: float64(r.load.Proxies), Y: r.outcome.RejectedShare()})
 	}
 	var series []any
 	for _, name := range names {
--- a/cmd/gypsumquay-bench/signals.go
+++ b/cmd/gypsumquay-bench/signals.go
@@ -56,7 +56,7 @@
 		use += outcome.RateLimits.MeanUtilization / n
 		after += outcome.RateLimits.RecoveredRate / n
 		share += outcome.ShareWithinTarget() / n
-		refused += float64(outcome.Refused) / float64(max(1, outcome.Sent)) / n
+		refused += float64(outcome.Rejected) / float64(max(1, outcome.Sent)) / n
 		reports += float64(outcome.RateLimits.Reports) / totalProxies / load.Duration.Std().Seconds() / n
 	}
 	fmt.Printf("%8.0f %8.1f %12.2f %8.2f %8.2f %10.3f %8.4f %14.2f\n", totalProxies, limit, maxUse, use, after, share, refused, reports)
--- a/internal/adapter/kvhttp/client.go
+++ b/internal/adapter/kvhttp/client.go
@@ -72,9 +72,9 @@
 	return c.read(ctx, "watch", "/v1/keys/"+url.PathEscape(string(key)), query)
 }
 
-// WatchMachines waits until the list of VMs has a later version than after, or the timeout, and
+// WatchVMs waits until the list of VMs has a later version than after, or the timeout, and
 // returns it.
-func (c *Client) WatchMachines(ctx context.Context, after uint64) (*kv.MachineList, error) {
+func (c *Client) WatchVMs(ctx context.Context, after uint64) (*kv.MachineList, error) {
 	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+watchTimeoutMargin)
 	defer cancel()
 	query := url.Values{"after": {fmt.Sprint(after)}, "wait": {WatchTimeout.String()}}
--- a/internal/adapter/steeringhttp/api.go
+++ b/internal/adapter/steeringhttp/api.go
@@ -113,7 +113,7 @@
 		HeldShare float64 `json:"held-share"`
 		PerSecond float64 `json:"per-second"`
 		Admitted  uint64  `json:"admitted"`
-		Refused   uint64  `json:"refused"`
+		Rejected  uint64  `json:"refused"`
 	}
 
 	// Event is a decision of a proxy.
--- a/internal/client/command/accounts.go
+++ b/internal/client/command/accounts.go
@@ -70,8 +70,8 @@
 	}
 	u.PerSecond += a.PerSecond
 	u.Admitted += a.Admitted
-	u.Refused += a.Refused
-	if a.Admitted+a.Refused > 0 {
+	u.Refused += a.Rejected
+	if a.Admitted+a.Rejected > 0 {
 		u.Proxies++
 	}
 }
--- a/internal/client/command/steering_test.go
+++ b/internal/client/command/steering_test.go
@@ -71,7 +71,7 @@
 	newServer := func(admitted, refused uint64) steeringhttp.Server {
 		return steeringhttp.Server{Metrics: metrics.NewSet(), Status: func() steeringhttp.Status {
 			return steeringhttp.Status{Accounts: []steeringhttp.Account{
-				{Name: "anna", Keys: []string{"0badc0de"}, LimitPerSecond: 5, PerSecond: 2, Admitted: admitted, Refused: refused}, {Name: "bruno"},
+				{Name: "anna", Keys: []string{"0badc0de"}, LimitPerSecond: 5, PerSecond: 2, Admitted: admitted, Rejected: refused}, {Name: "bruno"},
 			}}
 		}}
 	}
--- a/internal/fake/kvfake/server.go
+++ b/internal/fake/kvfake/server.go
@@ -47,9 +47,9 @@
 	router.HandleFunc("/v1/keys/{key}", s.withFaults("get", s.get)).Methods(http.MethodGet)
 	router.HandleFunc("/v1/keys/{key}", s.withFaults("swap", s.compareAndSwap)).Methods(http.MethodPut)
 	router.HandleFunc("/v1/keys", s.withFaults("list", s.list)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/machines", s.withFaults("machines", s.machines)).Methods(http.MethodGet)
+	router.HandleFunc("/v1/machines", s.withFaults("machines", s.serveVMs)).Methods(http.MethodGet)
 	router.HandleFunc("/control/faults", s.setFaults).Methods(http.MethodPost)
-	router.HandleFunc("/control/machines/{name}/{state}", s.setMachine).Methods(http.MethodPost)
+	router.HandleFunc("/control/machines/{name}/{state}", s.setVMState).Methods(http.MethodPost)
 	router.HandleFunc("/control/save", func(http.ResponseWriter, *http.Request) { s.store.Save() }).Methods(http.MethodPost)
 	router.HandleFunc("/control/restore", func(http.ResponseWriter, *http.Request) { s.store.Restore() }).Methods(http.MethodPost)
 	router.HandleFunc("/control/calls", s.writeCallCounts).Methods(http.MethodGet)
@@ -92,13 +92,13 @@
 	_ = json.NewEncoder(w).Encode(s.calls)
 }
 
-// setMachine changes the state of a VM in the list; the state "gone" removes it.
-func (s *Server) setMachine(_ http.ResponseWriter, r *http.Request) {
+// setVMState changes the state of a VM in the list; the state "gone" removes it.
+func (s *Server) setVMState(_ http.ResponseWriter, r *http.Request) {
 	state := kv.MachineState(mux.Vars(r)["state"])
 	if state == "gone" {
 		state = ""
 	}
-	s.store.SetMachine(mux.Vars(r)["name"], state)
+	s.store.SetVMState(mux.Vars(r)["name"], state)
 }
 
 func keyOf(r *http.Request) kv.Key {
@@ -172,15 +172,15 @@
 	_ = json.NewEncoder(w).Encode(s.store.List(kv.Key(r.URL.Query().Get("prefix"))))
 }
 
-// machines returns the list of VMs. With a wait, it blocks until the version of the list differs from
+// serveVMs returns the list of VMs. With a wait, it blocks until the version of the list differs from
 // the given one or the wait is over.
-func (s *Server) machines(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveVMs(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	timeout, _ := time.ParseDuration(r.URL.Query().Get("wait"))
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
-		list, changed := s.store.Machines()
+		list, changed := s.store.VMs()
 		if timeout == 0 || list.Version != after {
 			_, _ = w.Write(list.Encode())
 			return
--- a/internal/fake/kvfake/store.go
+++ b/internal/fake/kvfake/store.go
@@ -17,7 +17,7 @@
 		values   map[kv.Key]kv.Value
 		revision kv.Revision
 		changed  chan struct{}
-		machines kv.MachineList
+		vmList   kv.MachineList
 		lag      time.Duration
 		snapshot map[kv.Key]kv.Value
 	}
@@ -94,23 +94,23 @@
 	s.notifyWatchers()
 }
 
-// Machines returns the list of VMs and a channel that is closed at the next change of the store.
-func (s *Store) Machines() (kv.MachineList, <-chan struct{}) {
+// VMs returns the list of VMs and a channel that is closed at the next change of the store.
+func (s *Store) VMs() (kv.MachineList, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.machines
-	list.Machines = append([]kv.Machine(nil), s.machines.Machines...)
+	list := s.vmList
+	list.Machines = append([]kv.Machine(nil), s.vmList.Machines...)
 	return list, s.changed
 }
 
-// SetMachine sets the state of a VM after the lag. An empty state removes the VM from the list.
-func (s *Store) SetMachine(name string, state kv.MachineState) {
+// SetVMState sets the state of a VM after the lag. An empty state removes the VM from the list.
+func (s *Store) SetVMState(name string, state kv.MachineState) {
 	time.AfterFunc(s.lag, func() { s.setMachineNow(name, state) })
 }
 
 func (s *Store) setMachineNow(name string, state kv.MachineState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.machines = s.machines.WithState(name, state)
+	s.vmList = s.vmList.WithState(name, state)
 	s.notifyWatchers()
 }
--- a/internal/fake/limitnet/scenario.go
+++ b/internal/fake/limitnet/scenario.go
@@ -58,9 +58,9 @@
 	Result struct {
 		// Sent counts all requests, Conforming those within the limit of their account.
 		Sent, Conforming int
-		// InitiallyRefused counts the conforming requests whose first attempt was refused, Refused
+		// InitiallyRejected counts the conforming requests whose first attempt was refused, Refused
 		// those that were finally refused.
-		InitiallyRefused, Refused int
+		InitiallyRejected, Rejected int
 		// MaxExcess is the largest number of requests that were admitted beyond the limit that
 		// proxies enforce. MaxViolation is the same beyond the limit plus the overage allowed by
 		// the operators.
@@ -86,11 +86,11 @@
 	return rates
 }
 
-// RefusedShare returns the fraction of the conforming requests that were finally refused.
-func (o Result) RefusedShare() float64 { return float64(o.Refused) / float64(max(1, o.Conforming)) }
+// RejectedShare returns the fraction of the conforming requests that were finally refused.
+func (o Result) RejectedShare() float64 { return float64(o.Rejected) / float64(max(1, o.Conforming)) }
 
-// InitiallyRefusedShare returns the fraction of the conforming requests whose first attempt was
+// InitiallyRejectedShare returns the fraction of the conforming requests whose first attempt was
 // refused.
-func (o Result) InitiallyRefusedShare() float64 {
-	return float64(o.InitiallyRefused) / float64(max(1, o.Conforming))
+func (o Result) InitiallyRejectedShare() float64 {
+	return float64(o.InitiallyRejected) / float64(max(1, o.Conforming))
 }
--- a/internal/fake/limitnet/simulation.go
+++ b/internal/fake/limitnet/simulation.go
@@ -278,16 +278,16 @@
 		if decision.Verdict == ratelimit.Admitted || !conforming {
 			return
 		}
-		w.result.InitiallyRefused++
+		w.result.InitiallyRejected++
 		if decision.RetryAfter > maxRetryWait {
-			w.result.Refused++
+			w.result.Rejected++
 			return
 		}
 		c.lastProxy = nil
 		w.After(max(80*time.Millisecond, decision.RetryAfter+time.Duration(w.random.Int64N(int64(decision.RetryAfter)+1))), func() {
 			w.attempt(account, c, func(decision ratelimit.Decision) {
 				if decision.Verdict != ratelimit.Admitted {
-					w.result.Refused++
+					w.result.Rejected++
 				}
 			})
 		})
--- a/internal/fake/limitnet/simulation_test.go
+++ b/internal/fake/limitnet/simulation_test.go
@@ -23,10 +23,10 @@
 		// GuardsAgainst describes the failure that the scenario guards against.
 		GuardsAgainst string   `json:"guards"`
 		Scenario      Scenario `json:"load"`
-		// MaxRefused is the largest fraction of the conforming requests that may be finally
+		// MaxRejected is the largest fraction of the conforming requests that may be finally
 		// refused. LowersLimit is set if the scenario lowers a limit, which applies only from then
 		// on.
-		MaxRefused  float64 `json:"refused-most"`
+		MaxRejected float64 `json:"refused-most"`
 		LowersLimit bool    `json:"lowers"`
 	}
 )
@@ -58,8 +58,8 @@
 				if got.MaxViolation > 0 {
 					t.Errorf("seed %d: %.2f requests beyond the allowed overage, want none", seed, got.MaxViolation)
 				}
-				if share := got.RefusedShare(); share > p.MaxRefused {
-					t.Errorf("seed %d: %.4f of the conforming requests refused, want at most %g", seed, share, p.MaxRefused)
+				if share := got.RejectedShare(); share > p.MaxRejected {
+					t.Errorf("seed %d: %.4f of the conforming requests refused, want at most %g", seed, share, p.MaxRejected)
 				}
 			}
 		})
@@ -67,9 +67,9 @@
 }
 
 // Pools must refuse far fewer requests than equal shares, or their messages are not worth it.
-func TestPoolsRefuseFewerThanEqualShares(t *testing.T) {
+func TestPoolsRejectFewerThanEqualShares(t *testing.T) {
 	scenario := readTestCases(t)[0].Scenario
-	if pools, equal := Simulate(scenario, RegionalPools, 1).RefusedShare(), Simulate(scenario, EqualShares, 1).RefusedShare(); pools >= equal/10 {
+	if pools, equal := Simulate(scenario, RegionalPools, 1).RejectedShare(), Simulate(scenario, EqualShares, 1).RejectedShare(); pools >= equal/10 {
 		t.Errorf("%.4f refused with pools, %.4f with equal shares, want less than a tenth of that", pools, equal)
 	}
 }
@@ -77,6 +77,6 @@
 func Example() {
 	scenario := Scenario{Regions: 1, Proxies: 4, Accounts: 1, Rate: 100, Clients: 10, Headroom: 2, For: 5 * time.Second}
 	o := Simulate(scenario, RegionalPools, 1)
-	fmt.Println(o.Refused, o.MaxViolation)
+	fmt.Println(o.Rejected, o.MaxViolation)
 	// Output: 0 0
 }
--- a/internal/fake/simnet/checks.go
+++ b/internal/fake/simnet/checks.go
@@ -44,7 +44,7 @@
 		resetPermille     int
 		shedRequests      int
 		expiredDispatches int
-		plannedStops      int
+		gracefulShutdowns int
 		// crashTimes are the times at which a crashing request ended a server.
 		crashTimes []time.Time
 		// serverLimits holds the checks of the servers that announce a request limit.
@@ -113,8 +113,8 @@
 // ExpiredDispatches counts the dispatches that backend servers rejected after their deadline.
 func (c *Checks) ExpiredDispatches() int { return c.expiredDispatches }
 
-// PlannedStops counts the planned stops that completed.
-func (c *Checks) PlannedStops() int { return c.plannedStops }
+// GracefulShutdowns counts the planned stops that completed.
+func (c *Checks) GracefulShutdowns() int { return c.gracefulShutdowns }
 
 // SetConnectionResets sets how many of a thousand connections to backend servers break.
 func (c *Checks) SetConnectionResets(permille int) { c.resetPermille = permille }
--- a/internal/fake/simnet/deployment.go
+++ b/internal/fake/simnet/deployment.go
@@ -49,7 +49,7 @@
 		ReportLag:         100 * time.Millisecond,
 		ColdStartFactor:   3,
 		ColdStartDuration: 10 * time.Second,
-		MachineListLag:    2 * time.Second,
+		VMListLag:         2 * time.Second,
 	}
 }
 
--- a/internal/fake/simnet/message.go
+++ b/internal/fake/simnet/message.go
@@ -117,7 +117,7 @@
 	p.runInProcess(incarnation, func() {
 		p.onValueChanged(keyBundle)
 		p.onValueChanged(keyAssignment)
-		p.onMachineListChanged()
+		p.onVMListChanged()
 		p.after(platformPollInterval, func() { p.pollPlatform(incarnation) })
 	})
 }
@@ -164,13 +164,13 @@
 	}
 }
 
-// onMachineListChanged handles a watch event for the list of VMs.
-func (p *Proxy) onMachineListChanged() {
+// onVMListChanged handles a watch event for the list of VMs.
+func (p *Proxy) onVMListChanged() {
 	if !p.alive || p.sim.platform.down {
 		return
 	}
 	p.after(platformDelay, func() {
-		list := p.sim.platform.machines
+		list := p.sim.platform.vmList
 		if list.Version == p.machineListVersion || !p.kernel.IsRelay() {
 			return
 		}
--- a/internal/fake/simnet/platform.go
+++ b/internal/fake/simnet/platform.go
@@ -19,7 +19,7 @@
 		values          map[kv.Key]kv.Value
 		snapshot        map[kv.Key]kv.Value
 		revision        kv.Revision
-		machines        kv.MachineList
+		vmList          kv.MachineList
 		down            bool
 		responsesToDrop int
 		// Calls counts the calls to the platform; a watch counts as one call when it delivers a
@@ -99,14 +99,14 @@
 	return p.values[key], !p.down
 }
 
-// SetMachine changes the list of VMs after the configured lag.
-func (s *Sim) SetMachine(name string, state kv.MachineState) {
-	s.After(s.config.MachineListLag, func() { s.platform.setMachine(name, state) })
+// SetVMState changes the list of VMs after the configured lag.
+func (s *Sim) SetVMState(name string, state kv.MachineState) {
+	s.After(s.config.VMListLag, func() { s.platform.setVMState(name, state) })
 }
 
-func (p *Platform) setMachine(name string, state kv.MachineState) {
-	p.machines = p.machines.WithState(name, state)
+func (p *Platform) setVMState(name string, state kv.MachineState) {
+	p.vmList = p.vmList.WithState(name, state)
 	for _, proxy := range p.sim.proxies {
-		proxy.onMachineListChanged()
+		proxy.onVMListChanged()
 	}
 }
--- a/internal/fake/simnet/proxy.go
+++ b/internal/fake/simnet/proxy.go
@@ -114,7 +114,7 @@
 	p.pollPlatform(p.incarnation)
 }
 
-func (s *Sim) setMachineNow(name string) { s.platform.setMachine(name, kv.MachineLive) }
+func (s *Sim) setMachineNow(name string) { s.platform.setVMState(name, kv.MachineLive) }
 
 // now returns the time by the process's own clock.
 func (p *Proxy) now() time.Time { return p.sim.now.Add(-p.clockLag) }
@@ -170,7 +170,7 @@
 	for _, id := range ids {
 		p.openConnections[id]()
 	}
-	p.sim.SetMachine(p.name, "")
+	p.sim.SetVMState(p.name, "")
 }
 
 // RestartProxy starts a new incarnation on the same VM if the process has ended.
--- a/internal/fake/simnet/scenario.go
+++ b/internal/fake/simnet/scenario.go
@@ -46,7 +46,7 @@
 		"steer":              func(s *Sim, f Fault) { s.setSteeringRule(f.Target, f.SecondTarget, f.Amount) },
 		"capacity":           func(s *Sim, f Fault) { s.setCapacity(f.Target, f.Amount) },
 		"old-bundle":         func(s *Sim, _ Fault) { s.restoreFirstBundle() },
-		"unlist-proxy":       func(s *Sim, f Fault) { s.SetMachine(s.proxies[f.index()].name, "") },
+		"unlist-proxy":       func(s *Sim, f Fault) { s.SetVMState(s.proxies[f.index()].name, "") },
 	}
 )
 
--- a/internal/fake/simnet/sim.go
+++ b/internal/fake/simnet/sim.go
@@ -27,8 +27,8 @@
 		ReportLag         time.Duration
 		ColdStartFactor   float64
 		ColdStartDuration time.Duration
-		// MachineListLag is the delay until a change appears in the platform's list of VMs.
-		MachineListLag time.Duration
+		// VMListLag is the delay until a change appears in the platform's list of VMs.
+		VMListLag time.Duration
 		// Load is the request rate of each home region, in requests per second.
 		Load []float64
 		// BookingPermille is the share of non-idempotent requests, in thousandths.
--- a/internal/fake/simnet/sim_test.go
+++ b/internal/fake/simnet/sim_test.go
@@ -119,7 +119,7 @@
 	if c.BookingsUnresolved > want.MaxUnresolvedBookings {
 		t.Errorf("got %d unresolved bookings, want at most %d", c.BookingsUnresolved, want.MaxUnresolvedBookings)
 	}
-	if got := s.checks.PlannedStops(); got < want.MinPlannedStops {
+	if got := s.checks.GracefulShutdowns(); got < want.MinPlannedStops {
 		t.Errorf("got %d planned stops completed, want at least %d", got, want.MinPlannedStops)
 	}
 	if got := s.checks.ExpiredDispatches(); got < want.MinExpiredDispatches {
--- a/internal/fake/simnet/stop.go
+++ b/internal/fake/simnet/stop.go
@@ -61,7 +61,7 @@
 		return next == nil || p.now().After(deadline)
 	}, func() {
 		p.sim.logEvent("stopped %s", p.name)
-		p.sim.checks.plannedStops++
+		p.sim.checks.gracefulShutdowns++
 		if len(p.openConnections) > 0 {
 			p.sim.checks.violate("planned stop of %s interrupted %d requests", p.name, len(p.openConnections))
 		}
--- a/internal/fake/warmnet/crashes.go
+++ b/internal/fake/warmnet/crashes.go
@@ -50,10 +50,10 @@
 		// server.
 		ByCrashingRequest map[string][]time.Duration
 		// HarmlessQuarantined are the objects whose requests crash no server and were quarantined
-		// because servers crashed while running them. HarmlessRefused counts all refusals of such
+		// because servers crashed while running them. HarmlessRejected counts all refusals of such
 		// requests by the quarantine, also those for a mere suspicion.
 		HarmlessQuarantined map[string]bool
-		HarmlessRefused     int
+		HarmlessRejected    int
 	}
 
 	// crashState holds the state behind the crash detection of the proxies.
@@ -201,12 +201,12 @@
 	})
 }
 
-// recordQuarantineRefusal counts the refusal of a harmless request by the quarantine.
-func (w *simulation) recordQuarantineRefusal(req *request, d steering.Decision) {
+// recordQuarantineRejection counts the refusal of a harmless request by the quarantine.
+func (w *simulation) recordQuarantineRejection(req *request, d steering.Decision) {
 	if req.crashing || d.Reason != steering.ReasonCrashesServers && d.Reason != steering.ReasonMayCrashServers {
 		return
 	}
-	w.result.Crashes.HarmlessRefused++
+	w.result.Crashes.HarmlessRejected++
 	if d.Reason == steering.ReasonCrashesServers {
 		w.result.Crashes.HarmlessQuarantined[req.object] = true
 	}
--- a/internal/fake/warmnet/placement_test.go
+++ b/internal/fake/warmnet/placement_test.go
@@ -108,8 +108,8 @@
 // load. Guards against proxies that take a long run for a queue and refuse requests: none needs to
 // be refused.
 func TestVaryingServiceTimeIsNotOverload(t *testing.T) {
-	if o := Simulate(readScenario(t, "uneven-mute"), steering.DefaultPlacer, 1); o.Refused > o.Sent/200 {
-		t.Errorf("%d of %d requests refused, want at most 1 in 200", o.Refused, o.Sent)
+	if o := Simulate(readScenario(t, "uneven-mute"), steering.DefaultPlacer, 1); o.Rejected > o.Sent/200 {
+		t.Errorf("%d of %d requests refused, want at most 1 in 200", o.Rejected, o.Sent)
 	}
 }
 
--- a/internal/fake/warmnet/ratelimits_test.go
+++ b/internal/fake/warmnet/ratelimits_test.go
@@ -10,9 +10,9 @@
 	// maxRequestsInBackoff is the operators' bound on the requests that a proxy may send to a
 	// server during a backoff period.
 	maxRequestsInBackoff = 2
-	// maxRefusedRatio is the fraction of callers that may be refused while two thirds of the
+	// maxRejectedRatio is the fraction of callers that may be refused while two thirds of the
 	// servers have capacity for all: one in 500.
-	maxRefusedRatio = 0.002
+	maxRejectedRatio = 0.002
 	// highLoadFactor multiplies the request rate so that the servers without a limit are five
 	// sixths busy. minHighLoadShare is the fraction of requests that must be answered in time then.
 	highLoadFactor   = 2.4
@@ -26,12 +26,12 @@
 		scenario := readScenario(t, "pausing")
 		scenario.ProxiesPerRegion = proxies
 		o := Simulate(scenario, steering.DefaultPlacer, 1)
-		t.Logf("%d proxies per region: at most %d requests in one of %d backoff periods; %.3f within the target, %d refused", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, o.ShareWithinTarget(), o.Refused)
+		t.Logf("%d proxies per region: at most %d requests in one of %d backoff periods; %.3f within the target, %d refused", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, o.ShareWithinTarget(), o.Rejected)
 		if o.Backoffs.Count == 0 || o.Backoffs.MaxRequests > maxRequestsInBackoff {
 			t.Errorf("%d proxies per region: %d requests in one of %d backoff periods, want at most %d", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, maxRequestsInBackoff)
 		}
-		if refused := float64(o.Refused) / float64(o.Sent); refused > maxRefusedRatio {
-			t.Errorf("%d proxies per region: %.3f of the callers are refused, want at most %.3f", proxies, refused, maxRefusedRatio)
+		if refused := float64(o.Rejected) / float64(o.Sent); refused > maxRejectedRatio {
+			t.Errorf("%d proxies per region: %.3f of the callers are refused, want at most %.3f", proxies, refused, maxRejectedRatio)
 		}
 	}
 }
--- a/internal/fake/warmnet/scenario.go
+++ b/internal/fake/warmnet/scenario.go
@@ -39,11 +39,11 @@
 		LatencyTarget operator.Duration `json:"target"`
 		Timeout       operator.Duration `json:"timeout"`
 		Duration      operator.Duration `json:"span"`
-		// RefuseRatio is the fraction of requests that servers refuse at random, even with free
-		// slots, from RefuseFrom to RefuseTo.
-		RefuseRatio float64           `json:"refuse-share"`
-		RefuseFrom  operator.Duration `json:"refuse-from"`
-		RefuseTo    operator.Duration `json:"refuse-to"`
+		// RejectRatio is the fraction of requests that servers refuse at random, even with free
+		// slots, from RejectFrom to RejectTo.
+		RejectRatio float64           `json:"refuse-share"`
+		RejectFrom  operator.Duration `json:"refuse-from"`
+		RejectTo    operator.Duration `json:"refuse-to"`
 		// MaxRetries is the number of times that a refused caller retries after the delay it was
 		// told.
 		MaxRetries int `json:"returns"`
@@ -146,7 +146,7 @@
 
 	// Result is the outcome of a simulation as callers see it.
 	Result struct {
-		Sent, WithinTarget, Late, Refused, Failed int
+		Sent, WithinTarget, Late, Rejected, Failed int
 		// ColdRuns counts the runs on servers that were cold for the object.
 		ColdRuns int
 		// WithinTargetByRegion is the fraction of each region's requests answered within the
--- a/internal/fake/warmnet/simulation.go
+++ b/internal/fake/warmnet/simulation.go
@@ -297,7 +297,7 @@
 	if d.SlotRelease != nil {
 		w.sendSlotRelease(req.proxyRegion, *d.SlotRelease)
 	}
-	w.recordQuarantineRefusal(req, d)
+	w.recordQuarantineRejection(req, d)
 	w.scheduleAlert(req.kernel)
 	switch {
 	case d.SlotRequest != nil && !w.oracle:
@@ -319,7 +319,7 @@
 		req.retriesLeft--
 		w.After(d.RetryAfter, func() { w.sendToProxy(req) })
 	case d.NotRun:
-		w.result.Refused++
+		w.result.Rejected++
 	default:
 		w.result.Failed++
 	}
@@ -365,7 +365,7 @@
 	w.rateLimitLog.recordArrival(w.Now, s.id, req.kernel.Name())
 	w.recordDrainArrival(req)
 	w.backoffLog.recordArrival(w.Now, s.id, req.kernel.Name())
-	refusesAtRandom := w.Now >= w.scenario.RefuseFrom.Std() && w.Now < w.scenario.RefuseTo.Std() && w.random.Float64() < w.scenario.RefuseRatio
+	refusesAtRandom := w.Now >= w.scenario.RejectFrom.Std() && w.Now < w.scenario.RejectTo.Std() && w.random.Float64() < w.scenario.RejectRatio
 	switch {
 	case w.inOutage(s):
 		s.cached = nil
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -149,7 +149,7 @@
 	go func() { serveErrors <- d.callerServer.Serve(listeners[1]) }()
 	go func() { serveErrors <- d.operatorServer.Serve(listeners[2]) }()
 	watcher := driver.NewWatcher(d.driver, driver.Platform{
-		Store: d.platformClient.Store(), Watch: d.platformClient.Watch, Machines: d.platformClient.WatchMachines,
+		Store: d.platformClient.Store(), Watch: d.platformClient.Watch, WatchVMs: d.platformClient.WatchVMs,
 	})
 	go watcher.Run(ctx)
 	ticksDone := make(chan struct{})
--- a/internal/proxy/driver/platform.go
+++ b/internal/proxy/driver/platform.go
@@ -25,7 +25,7 @@
 	Platform struct {
 		kv.Store
 		Watch    func(ctx context.Context, key kv.Key, after kv.Revision) (kv.Value, error)
-		Machines func(ctx context.Context, after uint64) (*kv.MachineList, error)
+		WatchVMs func(ctx context.Context, after uint64) (*kv.MachineList, error)
 	}
 
 	// Watcher applies changes on the platform to the kernel while this proxy is a relay of its
@@ -134,7 +134,7 @@
 func (w *Watcher) watchMachines() func(context.Context) error {
 	after := uint64(0)
 	return func(ctx context.Context) error {
-		list, err := w.platform.Machines(ctx, after)
+		list, err := w.platform.WatchVMs(ctx, after)
 		if err != nil {
 			return err
 		}
--- a/internal/proxy/forward/handlers.go
+++ b/internal/proxy/forward/handlers.go
@@ -116,7 +116,7 @@
 func accountStatus(a steering.AccountStatus) steeringhttp.Account {
 	out := steeringhttp.Account{
 		Name: a.Name, Regions: a.Regions, Priority: a.Priority, LimitPerSecond: a.Limit.PerSecond, Burst: a.Limit.Burst,
-		HeldShare: float64(a.Share) / float64(ratelimit.FullShare), PerSecond: a.PerSecond, Admitted: a.Admitted, Refused: a.Denied,
+		HeldShare: float64(a.Share) / float64(ratelimit.FullShare), PerSecond: a.PerSecond, Admitted: a.Admitted, Rejected: a.Denied,
 	}
 	for _, key := range a.Keys {
 		out.Keys = append(out.Keys, key.Fingerprint())
