--- a/internal/adapter/backendhttp/client.go
+++ b/internal/adapter/backendhttp/client.go
@@ -171,8 +171,8 @@
 	for _, name := range []string{caller.HeaderLoad, caller.HeaderLeaving, caller.HeaderLimit} {
 		header.Del(name)
 	}
-	answer := &caller.Response{Status: response.StatusCode, Header: header, Body: buffered}
-	result := Response{Result: backend.Answered, Answer: answer, Report: report}
+	callerResponse := &caller.Response{Status: response.StatusCode, Header: header, Body: buffered}
+	result := Response{Result: backend.Answered, Answer: callerResponse, Report: report}
 	if len(buffered) < ResponseBufferSize {
 		_ = response.Body.Close()
 		return result
--- a/internal/adapter/forwardhttp/server.go
+++ b/internal/adapter/forwardhttp/server.go
@@ -73,12 +73,12 @@
 		BodyMemory *bodies.MemoryBudget
 		Send       func(context.Context, serverhttp.Request) (steering.Attempt, *serverhttp.Response)
 		Now        func() time.Time
-		// RequestSlot waits for a slot of a server; it reports false if there is no answer.
+		// RequestSlot waits for a slot of a server; it reports false if there is no response.
 		// ReleaseSlot returns a slot.
 		RequestSlot func(context.Context, steering.SlotRequest) (steering.SlotReply, bool)
 		ReleaseSlot func(steering.SlotRelease)
 		// RequestPoolToken asks the proxy that runs a pool for one token of an account's rate
-		// limit; it reports false if there is no answer.
+		// limit; it reports false if there is no response.
 		RequestPoolToken func(ctx context.Context, pool, account string) (ratelimit.TokenReply, bool)
 		// IsStopping reports whether the process is shutting down and callers should use another
 		// proxy.
--- a/internal/fake/callerfake/caller.go
+++ b/internal/fake/callerfake/caller.go
@@ -1,4 +1,4 @@
-// Package callerfake provides fake callers: they look up which proxies to use, cache the answer
+// Package callerfake provides fake callers: they look up which proxies to use, cache the response
 // until it expires, send requests there, and retry the way a careful caller does. They report
 // outcomes, latencies and responses that must never occur.
 package callerfake
@@ -72,13 +72,13 @@
 		lastBooking int
 	}
 
-	// lookupKey identifies the lookup answer of one caller for one service.
+	// lookupKey identifies the lookup response of one caller for one service.
 	lookupKey struct {
 		caller  int
 		service string
 	}
 
-	// cachedLookup is a lookup answer and its expiry.
+	// cachedLookup is a lookup response and its expiry.
 	cachedLookup struct {
 		proxies   []netip.AddrPort
 		expiresAt time.Time
@@ -283,8 +283,8 @@
 	delete(g.lookups, lookupKey{id, service})
 }
 
-// lookup returns the proxies for a service from the cache or, if the answer has expired, from the
-// first seed in random order that answers.
+// lookup returns the proxies for a service from the cache or, if the response has expired, from
+// the first seed in random order that responds.
 func (g *LoadGenerator) lookup(id int, service string) ([]netip.AddrPort, error) {
 	g.mu.Lock()
 	cached, ok := g.lookups[lookupKey{id, service}]
--- a/internal/fake/limitnet/scenario.go
+++ b/internal/fake/limitnet/scenario.go
@@ -1,5 +1,5 @@
 // Package limitnet simulates the rate limits of client accounts that many proxies enforce together,
-// in virtual time. It measures the requests refused within a limit, the requests admitted beyond it
+// in virtual time. It measures the requests rejected within a limit, the requests admitted beyond it
 // and the messages between the proxies.
 package limitnet
 
@@ -58,8 +58,8 @@
 	Result struct {
 		// Sent counts all requests, Conforming those within the limit of their account.
 		Sent, Conforming int
-		// InitiallyRejected counts the conforming requests whose first attempt was refused, Refused
-		// those that were finally refused.
+		// InitiallyRejected counts the conforming requests whose first attempt was rejected,
+		// Rejected those that were finally rejected.
 		InitiallyRejected, Rejected int
 		// MaxExcess is the largest number of requests that were admitted beyond the limit that
 		// proxies enforce. MaxViolation is the same beyond the limit plus the overage allowed by
@@ -86,11 +86,11 @@
 	return rates
 }
 
-// RejectedShare returns the fraction of the conforming requests that were finally refused.
+// RejectedShare returns the fraction of the conforming requests that were finally rejected.
 func (o Result) RejectedShare() float64 { return float64(o.Rejected) / float64(max(1, o.Conforming)) }
 
 // InitiallyRejectedShare returns the fraction of the conforming requests whose first attempt was
-// refused.
+// rejected.
 func (o Result) InitiallyRejectedShare() float64 {
 	return float64(o.InitiallyRejected) / float64(max(1, o.Conforming))
 }
--- a/internal/fake/limitnet/simulation.go
+++ b/internal/fake/limitnet/simulation.go
@@ -19,11 +19,11 @@
 	// connectionReuse is the fraction of requests that a client sends to the same proxy as the one
 	// before.
 	connectionReuse = 0.8
-	// maxRetryWait is the longest retry delay after which a refused caller still retries.
+	// maxRetryWait is the longest retry delay after which a rejected caller still retries.
 	maxRetryWait = 1500 * time.Millisecond
 	// warmUp is how long the proxies run before the first request.
 	warmUp = 5 * time.Second
-	// unresponsivePoolBackoff is how long a proxy skips a pool that did not answer.
+	// unresponsivePoolBackoff is how long a proxy skips a pool that did not respond.
 	unresponsivePoolBackoff = 2 * time.Second
 )
 
@@ -264,7 +264,7 @@
 	w.After(warmUp, next)
 }
 
-// sendRequest sends a new request and retries it once if it is refused within the limit.
+// sendRequest sends a new request and retries it once if it is rejected within the limit.
 func (w *simulation) sendRequest(account string, c *client) {
 	limit := w.limits[account]
 	w.result.Sent++
--- a/internal/fake/limitnet/simulation_test.go
+++ b/internal/fake/limitnet/simulation_test.go
@@ -24,7 +24,7 @@
 		GuardsAgainst string   `json:"guards"`
 		Scenario      Scenario `json:"load"`
 		// MaxRejected is the largest fraction of the conforming requests that may be finally
-		// refused. LowersLimit is set if the scenario lowers a limit, which applies only from then
+		// rejected. LowersLimit is set if the scenario lowers a limit, which applies only from then
 		// on.
 		MaxRejected float64 `json:"refused-most"`
 		LowersLimit bool    `json:"lowers"`
@@ -44,7 +44,7 @@
 	return list
 }
 
-// Guards against limits that are exceeded, and against refusals of accounts within their limits,
+// Guards against limits that are exceeded, and against rejections of accounts within their limits,
 // while proxies are partitioned or killed, or get a request of an account only now and then.
 func TestRateLimitsHoldWithoutStarvation(t *testing.T) {
 	for _, p := range readTestCases(t) {
@@ -59,18 +59,18 @@
 					t.Errorf("seed %d: %.2f requests beyond the allowed overage, want none", seed, got.MaxViolation)
 				}
 				if share := got.RejectedShare(); share > p.MaxRejected {
-					t.Errorf("seed %d: %.4f of the conforming requests refused, want at most %g", seed, share, p.MaxRejected)
+					t.Errorf("seed %d: %.4f of the conforming requests rejected, want at most %g", seed, share, p.MaxRejected)
 				}
 			}
 		})
 	}
 }
 
-// Pools must refuse far fewer requests than equal shares, or their messages are not worth it.
+// Pools must reject far fewer requests than equal shares, or their messages are not worth it.
 func TestPoolsRejectFewerThanEqualShares(t *testing.T) {
 	scenario := readTestCases(t)[0].Scenario
 	if pools, equal := Simulate(scenario, RegionalPools, 1).RejectedShare(), Simulate(scenario, EqualShares, 1).RejectedShare(); pools >= equal/10 {
-		t.Errorf("%.4f refused with pools, %.4f with equal shares, want less than a tenth of that", pools, equal)
+		t.Errorf("%.4f rejected with pools, %.4f with equal shares, want less than a tenth of that", pools, equal)
 	}
 }
 
--- a/internal/fake/simnet/callers.go
+++ b/internal/fake/simnet/callers.go
@@ -30,7 +30,7 @@
 
 type (
 	// Callers simulates the callers: per home region, a number of groups that each share one cached
-	// lookup answer.
+	// lookup response.
 	Callers struct {
 		sim         *Sim
 		groups      [][]*callerGroup
@@ -46,7 +46,7 @@
 		DoneAt, FailedAt [][]time.Time
 	}
 
-	// callerGroup is a group of callers with one address and one cached lookup answer.
+	// callerGroup is a group of callers with one address and one cached lookup response.
 	callerGroup struct {
 		callers         *Callers
 		home            int
@@ -230,8 +230,8 @@
 	return c.Latencies[int(q*float64(len(c.Latencies)-1))]
 }
 
-// lookup refreshes the cached lookup answer from the first available proxy, starting at a random
-// one, and reports whether there is a valid answer.
+// lookup refreshes the cached lookup response from the first available proxy, starting at a random
+// one, and reports whether there is a valid response.
 func (g *callerGroup) lookup(service string) bool {
 	s := g.callers.sim
 	if s.now.Before(g.lookupExpiresAt) && len(g.proxies) > 0 {
@@ -243,9 +243,9 @@
 		if !p.alive || p.frozen || !p.acceptsConnections {
 			continue
 		}
-		if answer, ok := p.kernel.Lookup(p.now(), service, g.address); ok {
-			g.proxies = answer.Proxies
-			g.lookupExpiresAt = s.now.Add(answer.TTL)
+		if response, ok := p.kernel.Lookup(p.now(), service, g.address); ok {
+			g.proxies = response.Proxies
+			g.lookupExpiresAt = s.now.Add(response.TTL)
 			return true
 		}
 	}
--- a/internal/fake/simnet/checks.go
+++ b/internal/fake/simnet/checks.go
@@ -45,7 +45,7 @@
 		shedRequests      int
 		expiredDispatches int
 		gracefulShutdowns int
-		// crashTimes are the times at which a crashing request ended a server.
+		// crashTimes are the times at which a request crashed a server.
 		crashTimes []time.Time
 		// serverLimits holds the checks of the servers that announce a request limit.
 		serverLimits map[string]*limitCheck
@@ -113,7 +113,7 @@
 // ExpiredDispatches counts the dispatches that backend servers rejected after their deadline.
 func (c *Checks) ExpiredDispatches() int { return c.expiredDispatches }
 
-// GracefulShutdowns counts the planned stops that completed.
+// GracefulShutdowns counts the graceful shutdowns that completed.
 func (c *Checks) GracefulShutdowns() int { return c.gracefulShutdowns }
 
 // SetConnectionResets sets how many of a thousand connections to backend servers break.
--- a/internal/fake/simnet/message.go
+++ b/internal/fake/simnet/message.go
@@ -9,10 +9,10 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/kv"
 )
 
-// callPeer sends a message to a peer and delivers the answer to the caller. onFailure runs in the
-// caller if no answer arrives within the timeout, or once the refusal returns if the peer is not
-// running.
-func (p *Proxy) callPeer(to netip.AddrPort, timeout time.Duration, handle func(*Proxy, func(answer func())), onFailure func()) {
+// callPeer sends a message to a peer and delivers the response to the caller. onFailure runs in the
+// caller if no response arrives within the timeout, or after a round trip if the peer is not running
+// and its VM refuses the connection.
+func (p *Proxy) callPeer(to netip.AddrPort, timeout time.Duration, handle func(*Proxy, func(response func())), onFailure func()) {
 	incarnation := p.incarnation
 	finished := false
 	finishOnce := func(f func()) func() {
@@ -42,9 +42,9 @@
 				return
 			}
 			target.runInProcess(target.incarnation, func() {
-				handle(target, func(answer func()) {
+				handle(target, func(response func()) {
 					if returnDelay, ok := p.sim.delay(target.location, p.location); ok {
-						p.sim.After(returnDelay, finishOnce(answer))
+						p.sim.After(returnDelay, finishOnce(response))
 					}
 				})
 			})
@@ -56,12 +56,12 @@
 	sentAt := p.now()
 	p.callPeer(a.To.PeerAddress, peerCallTimeout, func(target *Proxy, reply func(func())) {
 		start := time.Now()
-		answer := target.kernel.HandleExchange(target.now(), a.Message)
+		response := target.kernel.HandleExchange(target.now(), a.Message)
 		p.sim.KernelTime += time.Since(start)
-		p.sim.checks.observeExchange(a.Message, answer)
+		p.sim.checks.observeExchange(a.Message, response)
 		reply(func() {
 			start := time.Now()
-			p.kernel.HandleExchangeReply(p.now(), sentAt, answer)
+			p.kernel.HandleExchangeReply(p.now(), sentAt, response)
 			p.sim.KernelTime += time.Since(start)
 		})
 	}, func() { p.kernel.HandleExchangeFailure(p.now(), a.To.Name) })
@@ -69,8 +69,8 @@
 
 func (p *Proxy) sendBorrow(a core.SendBorrow) {
 	p.callPeer(a.To.PeerAddress, peerCallTimeout, func(target *Proxy, reply func(func())) {
-		answer := target.kernel.HandleBorrow(target.now(), a.Message)
-		reply(func() { p.kernel.HandleBorrowReply(p.now(), a, &answer) })
+		response := target.kernel.HandleBorrow(target.now(), a.Message)
+		reply(func() { p.kernel.HandleBorrowReply(p.now(), a, &response) })
 	}, func() { p.kernel.HandleBorrowReply(p.now(), a, nil) })
 }
 
--- a/internal/fake/simnet/proxy.go
+++ b/internal/fake/simnet/proxy.go
@@ -148,7 +148,7 @@
 	})
 }
 
-// KillProxy ends a process without a planned stop.
+// KillProxy ends a process without a graceful shutdown.
 func (s *Sim) KillProxy(i int) {
 	p := s.proxies[i]
 	if !p.alive {
--- a/internal/fake/simnet/scenario.go
+++ b/internal/fake/simnet/scenario.go
@@ -86,17 +86,17 @@
 		MaxUnresolvedBookings int `json:"unsettled"`
 		// MaxRolloutTime limits the time until all proxies use the last bundle.
 		MaxRolloutTime operator.Duration `json:"in-force,omitempty"`
-		// MinPlannedStops is the minimum number of planned stops that complete.
-		MinPlannedStops int `json:"stopped,omitempty"`
+		// MinGracefulShutdowns is the minimum number of graceful shutdowns that complete.
+		MinGracefulShutdowns int `json:"stopped,omitempty"`
 		// MaxLastDispatchDelay limits the time from the first fault to the last dispatch to the
 		// backend server that the fault targets.
 		MaxLastDispatchDelay operator.Duration `json:"last-work,omitempty"`
 		// ServerUsedAgain names a backend server that must receive requests in the last ten
 		// seconds.
 		ServerUsedAgain string `json:"works-again,omitempty"`
-		// MaxCrashesAfterDetection is the maximum number of servers that a crashing request ends
-		// after all proxies must know of it, MaxCrashes the maximum in total. Both are checked only
-		// if MaxCrashes is set.
+		// MaxCrashesAfterDetection is the maximum number of servers that a request may crash after
+		// all proxies must know of it, MaxCrashes the maximum in total. Both are checked only if
+		// MaxCrashes is set.
 		MaxCrashesAfterDetection int `json:"ends-after,omitempty"`
 		MaxCrashes               int `json:"ends-at-all,omitempty"`
 		// MinExpiredDispatches is the minimum number of dispatches that servers reject after their
--- a/internal/fake/simnet/serve.go
+++ b/internal/fake/simnet/serve.go
@@ -51,7 +51,7 @@
 
 // dispatch sends one attempt to a backend server and reports its end to the kernel exactly once.
 // Past the deadline, an idempotent attempt is abandoned at once, any other after the grace period
-// for the answer.
+// for the response.
 func (p *Proxy) dispatch(r request, d core.Decision) {
 	server := p.sim.servers[d.Server.Name]
 	incarnation := p.incarnation
@@ -64,12 +64,12 @@
 			}
 			finished = true
 			p.sim.checks.recordReport(p, server, report)
-			var answer *caller.Response
+			var response *caller.Response
 			if result == backend.Answered {
-				answer = &caller.Response{Status: 200, Body: []byte(r.key)}
+				response = &caller.Response{Status: 200, Body: []byte(r.key)}
 			}
 			p.applyDecision(r, p.kernel.EndAttempt(p.now(), core.AttemptEnd{
-				Attempt: d.Attempt, Result: result, Answer: answer, Report: report, ConnectionRefused: result == backend.Unreachable && server.down,
+				Attempt: d.Attempt, Result: result, Answer: response, Report: report, ConnectionRefused: result == backend.Unreachable && server.down,
 			}))
 		})
 	}
--- a/internal/fake/simnet/sim_test.go
+++ b/internal/fake/simnet/sim_test.go
@@ -119,8 +119,8 @@
 	if c.BookingsUnresolved > want.MaxUnresolvedBookings {
 		t.Errorf("got %d unresolved bookings, want at most %d", c.BookingsUnresolved, want.MaxUnresolvedBookings)
 	}
-	if got := s.checks.GracefulShutdowns(); got < want.MinPlannedStops {
-		t.Errorf("got %d planned stops completed, want at least %d", got, want.MinPlannedStops)
+	if got := s.checks.GracefulShutdowns(); got < want.MinGracefulShutdowns {
+		t.Errorf("got %d graceful shutdowns completed, want at least %d", got, want.MinGracefulShutdowns)
 	}
 	if got := s.checks.ExpiredDispatches(); got < want.MinExpiredDispatches {
 		t.Errorf("got %d dispatches rejected after their deadline, want at least %d", got, want.MinExpiredDispatches)
--- a/internal/fake/simnet/stop.go
+++ b/internal/fake/simnet/stop.go
@@ -6,13 +6,13 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/peer"
 )
 
-// StopProxy performs a planned stop in the same steps as the daemon.
+// StopProxy performs a graceful shutdown in the same steps as the daemon.
 func (s *Sim) StopProxy(i int) {
 	p := s.proxies[i]
 	if !p.alive {
 		return
 	}
-	s.logEvent("planned stop %s", p.name)
+	s.logEvent("graceful shutdown %s", p.name)
 	p.kernel.BeginStop(p.now())
 	p.pollUntil(func() bool { return p.kernel.MayStopServing(p.now()) }, func() {
 		p.acceptsConnections = false
@@ -35,7 +35,7 @@
 	p.handOverTo(records, owners)
 }
 
-// handOverTo hands the records over to the first of the owners that answers.
+// handOverTo hands the records over to the first of the owners that responds.
 func (p *Proxy) handOverTo(records []caller.Handover, owners []peer.Member) {
 	if len(owners) == 0 {
 		p.releaseSlots()
@@ -63,7 +63,7 @@
 		p.sim.logEvent("stopped %s", p.name)
 		p.sim.checks.gracefulShutdowns++
 		if len(p.openConnections) > 0 {
-			p.sim.checks.violate("planned stop of %s interrupted %d requests", p.name, len(p.openConnections))
+			p.sim.checks.violate("graceful shutdown of %s interrupted %d requests", p.name, len(p.openConnections))
 		}
 		p.exit()
 	})
--- a/internal/fake/warmnet/backoff.go
+++ b/internal/fake/warmnet/backoff.go
@@ -7,7 +7,7 @@
 )
 
 type (
-	// BackoffRequest is a period in which the first servers of a region refuse all requests and ask
+	// BackoffRequest is a period in which the first servers of a region reject all requests and ask
 	// each proxy to back off.
 	BackoffRequest struct {
 		Episode
--- a/internal/fake/warmnet/crashes.go
+++ b/internal/fake/warmnet/crashes.go
@@ -50,7 +50,7 @@
 		// server.
 		ByCrashingRequest map[string][]time.Duration
 		// HarmlessQuarantined are the objects whose requests crash no server and were quarantined
-		// because servers crashed while running them. HarmlessRejected counts all refusals of such
+		// because servers crashed while running them. HarmlessRejected counts all rejections of such
 		// requests by the quarantine, also those for a mere suspicion.
 		HarmlessQuarantined map[string]bool
 		HarmlessRejected    int
@@ -201,7 +201,7 @@
 	})
 }
 
-// recordQuarantineRejection counts the refusal of a harmless request by the quarantine.
+// recordQuarantineRejection counts the rejection of a harmless request by the quarantine.
 func (w *simulation) recordQuarantineRejection(req *request, d steering.Decision) {
 	if req.crashing || d.Reason != steering.ReasonCrashesServers && d.Reason != steering.ReasonMayCrashServers {
 		return
--- a/internal/fake/warmnet/crashes_test.go
+++ b/internal/fake/warmnet/crashes_test.go
@@ -49,7 +49,7 @@
 				l.ProxiesPerRegion, l.Duration = 3, l.Duration/2
 			}
 		})
-		t.Logf("%s: %d servers crashed, %d refusals of harmless requests", file, o.Crashes.Servers, o.Crashes.HarmlessRejected)
+		t.Logf("%s: %d servers crashed, %d rejections of harmless requests", file, o.Crashes.Servers, o.Crashes.HarmlessRejected)
 		for name, crashes := range o.Crashes.ByCrashingRequest {
 			if n := lateCrashes(crashes); n > maxLateCrashes {
 				t.Errorf("%s: %s crashed %d servers after the propagation bound, want at most %d: %v", file, name, n, maxLateCrashes, crashes)
@@ -69,7 +69,7 @@
 	for _, skew := range []float64{0.8, 1.2} {
 		o := simulateCrashes(t, "storm.json", func(l *Scenario) { l.Skew = skew })
 		without := simulateCrashes(t, "storm.json", func(l *Scenario) { l.Skew, l.MechanismsOff = skew, append(l.MechanismsOff, "quarantine") })
-		t.Logf("skew %.1f: %d servers crashed, %d refusals, %.3f within the target, %.3f without the quarantine", skew, o.Crashes.Servers, o.Crashes.HarmlessRejected, o.ShareWithinTarget(), without.ShareWithinTarget())
+		t.Logf("skew %.1f: %d servers crashed, %d rejections, %.3f within the target, %.3f without the quarantine", skew, o.Crashes.Servers, o.Crashes.HarmlessRejected, o.ShareWithinTarget(), without.ShareWithinTarget())
 		if n := len(o.Crashes.HarmlessQuarantined); n > 0 {
 			t.Errorf("skew %.1f: %d harmless requests were quarantined, want none", skew, n)
 		}
--- a/internal/fake/warmnet/placement_test.go
+++ b/internal/fake/warmnet/placement_test.go
@@ -86,7 +86,7 @@
 }
 
 // For half a minute, callers demand 2% more than the capacity of warm servers, and retry once if
-// they are refused. Guards against proxies that admit all requests: every queue fills up and hardly
+// they are rejected. Guards against proxies that admit all requests: every queue fills up and hardly
 // any response is in time.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	if share, worst, _ := meanOverSeeds(readScenario(t, "overload"), steering.DefaultPlacer); share < 0.42 || worst < 0.36 {
@@ -105,11 +105,11 @@
 }
 
 // The service time varies between requests by a factor of three, and servers do not report their
-// load. Guards against proxies that take a long run for a queue and refuse requests: none needs to
-// be refused.
+// load. Guards against proxies that take a long run for a queue and reject requests: none needs to
+// be rejected.
 func TestVaryingServiceTimeIsNotOverload(t *testing.T) {
 	if o := Simulate(readScenario(t, "uneven-mute"), steering.DefaultPlacer, 1); o.Rejected > o.Sent/200 {
-		t.Errorf("%d of %d requests refused, want at most 1 in 200", o.Rejected, o.Sent)
+		t.Errorf("%d of %d requests rejected, want at most 1 in 200", o.Rejected, o.Sent)
 	}
 }
 
@@ -169,7 +169,7 @@
 }
 
 // Few objects make up much of the demand. Guards against a single home for such an object: the home
-// refused or queued its requests while a hundred servers were idle, and 0.74 were answered within
+// rejected or queued its requests while a hundred servers were idle, and 0.74 were answered within
 // the target. The shares of the regions must not suffer.
 func TestPopularObjectsAreReplicated(t *testing.T) {
 	scenario := readScenario(t, "hot")
--- a/internal/fake/warmnet/ratelimits_test.go
+++ b/internal/fake/warmnet/ratelimits_test.go
@@ -10,7 +10,7 @@
 	// maxRequestsInBackoff is the operators' bound on the requests that a proxy may send to a
 	// server during a backoff period.
 	maxRequestsInBackoff = 2
-	// maxRejectedRatio is the fraction of callers that may be refused while two thirds of the
+	// maxRejectedRatio is the fraction of callers that may be rejected while two thirds of the
 	// servers have capacity for all: one in 500.
 	maxRejectedRatio = 0.002
 	// highLoadFactor multiplies the request rate so that the servers without a limit are five
@@ -20,18 +20,18 @@
 )
 
 // Guards against requests to servers during a backoff period that they asked for, and against
-// refusals while other servers have capacity.
+// rejections while other servers have capacity.
 func TestProxiesHonorRequestedBackoff(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
 		scenario := readScenario(t, "pausing")
 		scenario.ProxiesPerRegion = proxies
 		o := Simulate(scenario, steering.DefaultPlacer, 1)
-		t.Logf("%d proxies per region: at most %d requests in one of %d backoff periods; %.3f within the target, %d refused", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, o.ShareWithinTarget(), o.Rejected)
+		t.Logf("%d proxies per region: at most %d requests in one of %d backoff periods; %.3f within the target, %d rejected", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, o.ShareWithinTarget(), o.Rejected)
 		if o.Backoffs.Count == 0 || o.Backoffs.MaxRequests > maxRequestsInBackoff {
 			t.Errorf("%d proxies per region: %d requests in one of %d backoff periods, want at most %d", proxies, o.Backoffs.MaxRequests, o.Backoffs.Count, maxRequestsInBackoff)
 		}
-		if refused := float64(o.Rejected) / float64(o.Sent); refused > maxRejectedRatio {
-			t.Errorf("%d proxies per region: %.3f of the callers are refused, want at most %.3f", proxies, refused, maxRejectedRatio)
+		if rejected := float64(o.Rejected) / float64(o.Sent); rejected > maxRejectedRatio {
+			t.Errorf("%d proxies per region: %.3f of the callers are rejected, want at most %.3f", proxies, rejected, maxRejectedRatio)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 }
 
 // Guards against a service under slight overload whose throughput keeps falling: full servers
-// refuse requests, which run cold elsewhere and fill up the other servers.
+// reject requests, which run cold elsewhere and fill up the other servers.
 func TestFullHomesDoNotSpreadColdRuns(t *testing.T) {
 	for _, proxies := range []int{3, 12} {
 		scenario := readScenario(t, "limited")
--- a/internal/fake/warmnet/scenario.go
+++ b/internal/fake/warmnet/scenario.go
@@ -39,12 +39,12 @@
 		LatencyTarget operator.Duration `json:"target"`
 		Timeout       operator.Duration `json:"timeout"`
 		Duration      operator.Duration `json:"span"`
-		// RejectRatio is the fraction of requests that servers refuse at random, even with free
+		// RejectRatio is the fraction of requests that servers reject at random, even with free
 		// slots, from RejectFrom to RejectTo.
 		RejectRatio float64           `json:"refuse-share"`
 		RejectFrom  operator.Duration `json:"refuse-from"`
 		RejectTo    operator.Duration `json:"refuse-to"`
-		// MaxRetries is the number of times that a refused caller retries after the delay it was
+		// MaxRetries is the number of times that a rejected caller retries after the delay it was
 		// told.
 		MaxRetries int `json:"returns"`
 		// RateAmplitude is the amplitude of each region's sinusoidal request rate, as a fraction of
@@ -109,8 +109,8 @@
 		// draining; they are removed at the end. Their registrations do not show it, and expire and
 		// are renewed once in between.
 		Draining []Episode `json:"leaving"`
-		// BackoffRequests are the periods in which servers refuse all requests and ask for backoff
-		// with each refusal.
+		// BackoffRequests are the periods in which servers reject all requests and ask for backoff
+		// with each rejection.
 		BackoffRequests []BackoffRequest `json:"pausing"`
 		// QuarantineThreshold is the number of crashes after which proxies quarantine a request.
 		// Zero selects the default.
--- a/internal/fake/warmnet/simulation.go
+++ b/internal/fake/warmnet/simulation.go
@@ -365,7 +365,7 @@
 	w.rateLimitLog.recordArrival(w.Now, s.id, req.kernel.Name())
 	w.recordDrainArrival(req)
 	w.backoffLog.recordArrival(w.Now, s.id, req.kernel.Name())
-	refusesAtRandom := w.Now >= w.scenario.RejectFrom.Std() && w.Now < w.scenario.RejectTo.Std() && w.random.Float64() < w.scenario.RejectRatio
+	rejectsAtRandom := w.Now >= w.scenario.RejectFrom.Std() && w.Now < w.scenario.RejectTo.Std() && w.random.Float64() < w.scenario.RejectRatio
 	switch {
 	case w.inOutage(s):
 		s.cached = nil
@@ -375,7 +375,7 @@
 	case w.scenario.backoffRequest(s, w.Now) > 0:
 		w.backoffLog.recordBackoff(w.Now, w.scenario.backoffRequest(s, w.Now), s.id, req.kernel.Name())
 		w.endAttempt(req, steering.ResultRefused)
-	case s.removed || refusesAtRandom || s.running >= w.scenario.SlotsPerServer && len(s.queue) >= w.scenario.QueueCapacity:
+	case s.removed || rejectsAtRandom || s.running >= w.scenario.SlotsPerServer && len(s.queue) >= w.scenario.QueueCapacity:
 		w.endAttempt(req, steering.ResultRefused)
 	case s.running < w.scenario.SlotsPerServer:
 		w.startRun(req)
--- a/internal/proxy/daemon/daemon.go
+++ b/internal/proxy/daemon/daemon.go
@@ -136,7 +136,7 @@
 	return ready
 }
 
-// Run serves until the stop context is done, then performs a planned stop.
+// Run serves until the stop context is done, then performs a graceful shutdown.
 func (d *Daemon) Run(stop context.Context) error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
--- a/internal/proxy/daemon/process_test.go
+++ b/internal/proxy/daemon/process_test.go
@@ -258,7 +258,7 @@
 	if r.BookingsDone == 0 {
 		f.t.Error("got no bookings, want some")
 	}
-	f.t.Logf("outcomes %v, reasons %v, booked %d, run %d, cut %d, repeats %d", r.Outcomes, r.Reasons, r.BookingsDone, len(runs), r.ConnectionsFailed, r.Retries)
+	f.t.Logf("outcomes %v, reasons %v, bookings done %d, run %d, connections failed %d, retries %d", r.Outcomes, r.Reasons, r.BookingsDone, len(runs), r.ConnectionsFailed, r.Retries)
 }
 
 // TestRealProcesses covers what runs in virtual time cannot: signals to real processes, while
@@ -280,9 +280,9 @@
 		f.checkAtMostOnce(<-report)
 	})
 
-	// A proxy performs a planned stop with requests in flight while callers have cached lookup
-	// answers. No request may be cut off, and no booking left with an unknown outcome.
-	t.Run("planned stop", func(t *testing.T) {
+	// A proxy performs a graceful shutdown with requests in flight while callers have cached lookup
+	// responses. No request may be interrupted, and no booking left with an unknown outcome.
+	t.Run("graceful shutdown", func(t *testing.T) {
 		f.waitLive(fleetSize)
 		report := f.startLoad("stop", 10*time.Second, 10*time.Second)
 		time.Sleep(2 * time.Second)
@@ -293,7 +293,7 @@
 		}
 		f.checkAtMostOnce(r)
 		if r.ConnectionsFailed != 0 || r.BookingsUnresolved != 0 {
-			t.Errorf("got %d requests cut off and %d bookings lost, want none", r.ConnectionsFailed, r.BookingsUnresolved)
+			t.Errorf("got %d requests interrupted and %d bookings unresolved, want none", r.ConnectionsFailed, r.BookingsUnresolved)
 		}
 	})
 
--- a/internal/proxy/daemon/stop.go
+++ b/internal/proxy/daemon/stop.go
@@ -15,15 +15,15 @@
 const (
 	stopPollInterval = 50 * time.Millisecond
 	// maxReleaseAttempts limits the attempts to release the quota slots. If the platform cannot be
-	// reached, the slots stay assigned until its list of machines shows that the VM is gone.
+	// reached, the slots stay assigned until its list of VMs shows that the VM is gone.
 	maxReleaseAttempts = 5
 )
 
-// stopGracefully performs a planned stop. The proxy leaves lookups, serves until no cached lookup
-// answer names it, finishes all requests, hands its token records over to a peer and releases its
-// quota slots before the process exits.
+// stopGracefully performs a graceful shutdown. Lookup responses no longer name the proxy. It serves
+// until no cached lookup response names it, finishes all requests, hands its token records over to a
+// peer and releases its quota slots before the process exits.
 func (d *Daemon) stopGracefully(ctx context.Context) {
-	klog.InfoS("planned stop started")
+	klog.InfoS("graceful shutdown started")
 	d.driver.WithKernel(func(k *core.Kernel, now time.Time) { k.BeginStop(now) })
 	d.waitUntil(func(k *core.Kernel, now time.Time) bool { return k.MayStopServing(now) })
 	// Shutdown stops accepting connections, closes idle ones and waits for requests in flight.
@@ -34,7 +34,7 @@
 	d.waitUntil(func(k *core.Kernel, _ time.Time) bool { return k.Drained() })
 	d.handOverRecords(ctx)
 	d.releaseSlots(ctx)
-	klog.InfoS("planned stop completed")
+	klog.InfoS("graceful shutdown completed")
 }
 
 func (d *Daemon) waitUntil(done func(*core.Kernel, time.Time) bool) {
@@ -69,7 +69,7 @@
 		klog.InfoS("handed token records over", "peer", successor.Name, "minters", len(records))
 		return
 	}
-	klog.InfoS("no peer accepted the token records; repeated requests with tokens of this proxy will have outcome unknown")
+	klog.InfoS("no peer accepted the token records; retries with tokens of this proxy will get the outcome unknown")
 }
 
 // releaseSlots releases the quota slots. A store that fails because of a concurrent update applies
--- a/internal/proxy/driver/driver.go
+++ b/internal/proxy/driver/driver.go
@@ -109,11 +109,11 @@
 		d.sendExchange(ctx, a)
 	case core.SendBorrow:
 		reply, err := d.deps.Borrow(ctx, a.To, a.Message)
-		answer := &reply
+		response := &reply
 		if err != nil {
-			answer = nil
+			response = nil
 		}
-		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleBorrowReply(now, a, answer) })
+		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleBorrowReply(now, a, response) })
 	case core.SendProbe:
 		health := d.deps.Probe(ctx, a.Address)
 		d.WithKernel(func(k *core.Kernel, now time.Time) { k.HandleProbeResult(now, a.Server, health) })
--- a/internal/proxy/driver/platform.go
+++ b/internal/proxy/driver/platform.go
@@ -21,7 +21,7 @@
 
 type (
 	// Platform gives access to the platform: its key-value store, and function fields that wait for
-	// a change of a key or of the list of machines.
+	// a change of a key or of the list of VMs.
 	Platform struct {
 		kv.Store
 		Watch    func(ctx context.Context, key kv.Key, after kv.Revision) (kv.Value, error)
@@ -39,7 +39,7 @@
 // NewWatcher returns a watcher that applies changes to the kernel of d.
 func NewWatcher(d *Driver, p Platform) *Watcher { return &Watcher{driver: d, platform: p} }
 
-// Run watches the bundle, the assignment and the list of machines until the context is done.
+// Run watches the bundle, the assignment and the list of VMs until the context is done.
 func (w *Watcher) Run(ctx context.Context) {
 	done := make(chan struct{}, 3)
 	run := func(watch func(context.Context) error) {
--- a/internal/proxy/forward/crashalerts.go
+++ b/internal/proxy/forward/crashalerts.go
@@ -20,12 +20,13 @@
 	// alertBytesPerSecond limits the bandwidth of alerts: the loss of a region causes an endless
 	// stream of reports.
 	alertBytesPerSecond = 16 << 10
-	// reportSize is the approximate size in bytes of a report with one or two crashes in a message.
+	// reportSize is the approximate number of bytes that a report with one or two crashes takes in
+	// a message.
 	reportSize = 48
 )
 
-// quarantineReports returns the reports of requests that crash servers to send to a peer; all of
-// them for one that knows none yet.
+// quarantineReports returns the reports on requests that crash servers that are due to peers, or all
+// reports for a peer that knows none yet.
 func (d *Daemon) quarantineReports(all bool) (list []quarantine.Report) {
 	d.withKernel(func(k *steering.Kernel, now time.Time) { list = k.QuarantineReports(now, all) })
 	return list
--- a/internal/proxy/forward/decisionlog.go
+++ b/internal/proxy/forward/decisionlog.go
@@ -28,7 +28,7 @@
 	// omittedInterval is how often the number of omitted requests is logged.
 	omittedInterval = 10 * time.Second
 	omittedMessage  = "requests left out of the log"
-	// outcomeLate labels requests answered after the route's target.
+	// outcomeLate labels requests whose response came after the route's target latency.
 	outcomeLate = "late"
 	// maxFingerprintsPerLine bounds the request fingerprints listed in one line.
 	maxFingerprintsPerLine = 16
--- a/internal/proxy/forward/fleet_test.go
+++ b/internal/proxy/forward/fleet_test.go
@@ -409,7 +409,7 @@
 	f.eventually("the proxies know each other", func() bool { return f.lookupCount(0) == 2 && f.lookupCount(1) == 2 })
 	f.links[1].setDisconnected(true)
 	f.store.write("config", testTable{Version: 3, Service: "service"})
-	f.eventually("the version is in force at the disconnected proxy", func() bool { return f.version(1) == 3 })
+	f.eventually("the new configuration is in force at the disconnected proxy", func() bool { return f.version(1) == 3 })
 	f.store.write("servers/s1", testServer{Service: "service", Domain: "a", Address: addressOf(f.backend.URL), Drains: true})
 	f.eventually("the server is draining at the disconnected proxy", func() bool { return f.get(1, "/a/x") == http.StatusServiceUnavailable })
 }
@@ -461,7 +461,7 @@
 	delete(f.store.items, "servers/s1")
 	f.store.mu.Unlock()
 	f.store.compact()
-	f.eventually("the version is in force", func() bool { return f.version(0) == 7 })
+	f.eventually("the new configuration is in force", func() bool { return f.version(0) == 7 })
 	f.eventually("the server is removed", func() bool { return f.get(0, "/a/x") == http.StatusServiceUnavailable })
 }
 
@@ -533,7 +533,7 @@
 }
 
 // A backend server hangs during a shutdown. Requests accepted late have a longer timeout than the
-// process has left. Each must be answered before the exit; their connections used to be closed
+// process has left. Each must get a response before the exit; their connections used to be closed
 // without a response.
 func TestShutdownAnswersLateRequests(t *testing.T) {
 	f := newFleet(t, 1)
--- a/internal/proxy/forward/gossip_test.go
+++ b/internal/proxy/forward/gossip_test.go
@@ -72,13 +72,13 @@
 	f.eventually("the proxies know each other", func() bool { return f.lookupCount(0) == 2 })
 	g := &gossip{replica: f.newIdleDaemon().replica}
 	g.replica.members["proxy-b"] = proxyEntry{Name: "proxy-b", Region: "north", Peers: f.daemons[1].settings.Listen.Peers}
-	answer := g.handle(context.Background(), peerdrpc.SyncMessage{From: "newcomer"})
-	if got, want := fmt.Sprint(answer.OtherPeers), fmt.Sprint([]netip.AddrPort{f.daemons[1].settings.Listen.Peers}); got != want {
+	response := g.handle(context.Background(), peerdrpc.SyncMessage{From: "newcomer"})
+	if got, want := fmt.Sprint(response.OtherPeers), fmt.Sprint([]netip.AddrPort{f.daemons[1].settings.Listen.Peers}); got != want {
 		t.Errorf("peers named to a new proxy are %s, want %s", got, want)
 	}
-	answer = g.handle(context.Background(), peerdrpc.SyncMessage{From: "lags", Delta: replica.Delta{Base: 3, Revision: 3}})
-	if len(answer.OtherPeers) != 0 {
-		t.Errorf("peers named to a lagging proxy are %v, want none", answer.OtherPeers)
+	response = g.handle(context.Background(), peerdrpc.SyncMessage{From: "lags", Delta: replica.Delta{Base: 3, Revision: 3}})
+	if len(response.OtherPeers) != 0 {
+		t.Errorf("peers named to a lagging proxy are %v, want none", response.OtherPeers)
 	}
 }
 
--- a/internal/proxy/forward/quotas.go
+++ b/internal/proxy/forward/quotas.go
@@ -38,7 +38,7 @@
 	maxLenders = 4
 	// maxFallbackPools bounds the other groups' pools that a request is tried at in turn.
 	maxFallbackPools = 2
-	// poolBackoff is how long a pool is skipped that didn't answer maxUnansweredReports reports in
+	// poolBackoff is how long a pool is skipped that didn't respond to maxUnansweredReports reports in
 	// a row. When a large fleet starts, pools and proxies are busy, and each change of the pool
 	// costs the proxy its share until the lease of the share ends.
 	poolBackoff          = 2 * time.Second
@@ -58,7 +58,7 @@
 		poolGroups    map[poolGroup][]replica.Candidate
 		groupsVersion int
 		// skippedUntil holds the pools that are skipped and until when; unanswered counts the
-		// consecutive reports that a pool didn't answer.
+		// consecutive reports to which a pool didn't respond.
 		skippedUntil map[string]time.Time
 		unanswered   map[string]int
 		// storedFleetSize is the number in the store, knownFleetSize the number of known proxies,
@@ -202,7 +202,7 @@
 	return g, err
 }
 
-// recordPoolResult records whether a pool answered a report. A pool that refuses connections is
+// recordPoolResult records whether a pool responded to a report. A pool that refuses connections is
 // skipped at once.
 func (q *quotaClient) recordPoolResult(pool string, err error) {
 	q.mu.Lock()
@@ -219,7 +219,7 @@
 }
 
 // takeToken requests the token for one request of an account from a pool. It reports false if the
-// pool doesn't answer.
+// pool doesn't respond.
 func (q *quotaClient) takeToken(ctx context.Context, pool, account string) (ratelimit.TokenReply, bool) {
 	peer, known := q.daemon.replica.peerAddress(pool)
 	if !known {
--- a/internal/proxy/forward/slots.go
+++ b/internal/proxy/forward/slots.go
@@ -35,7 +35,7 @@
 }
 
 // acquire waits until a slot is granted or denied, at most until a.Last, after which it would be too
-// late. It reports false if the owner of the limiter doesn't answer or the context is canceled.
+// late. It reports false if the owner of the limiter doesn't respond or the context is canceled.
 func (p *slotClient) acquire(ctx context.Context, a steering.SlotRequest) (steering.SlotReply, bool) {
 	replies := p.register(a.ID)
 	defer p.forget(a.ID)
@@ -152,6 +152,6 @@
 
 func (p *slotClient) sendReply(peer netip.AddrPort, g steering.SlotReply) {
 	if err := p.daemon.peerClient.SendSlotReply(context.Background(), peer, g); err != nil {
-		klog.V(1).InfoS("slot reply not delivered; the proxy will ask again", "proxy", g.From, "error", err.Error())
+		klog.V(1).InfoS("slot reply not delivered; the proxy will retry its request", "proxy", g.From, "error", err.Error())
 	}
 }
--- a/internal/proxy/forward/slots_test.go
+++ b/internal/proxy/forward/slots_test.go
@@ -76,11 +76,11 @@
 	f.stops[1]()
 	f.endConnections(1)
 	if _, answered := f.daemons[0].slots.acquire(context.Background(), a); answered {
-		t.Error("got an answer from a proxy that is gone")
+		t.Error("got a reply from a proxy that is gone")
 	}
 	a.Owner.Name = "nobody"
 	if _, answered := f.daemons[0].slots.acquire(context.Background(), a); answered {
-		t.Error("got an answer from a proxy that never existed")
+		t.Error("got a reply from a proxy that never existed")
 	}
 }
 
--- a/internal/proxy/runner/runner.go
+++ b/internal/proxy/runner/runner.go
@@ -61,7 +61,7 @@
 
 // runAttempt sends the request to the chosen server. The attempt of a non-idempotent request
 // continues when the caller disconnects or the deadline passes, so that the outcome can be returned
-// if the caller repeats the request. In that case runAttempt returns false.
+// if the caller retries the request. In that case runAttempt returns false.
 func (r *Runner) runAttempt(ctx context.Context, q callerhttp.Request, d core.Decision) (endedAttempt, bool) {
 	if d.Idempotent {
 		return endedAttempt{decision: d, response: r.send(ctx, q, d, d.Deadline)}, true
@@ -183,10 +183,10 @@
 		Deadline: d.Deadline,
 	}
 	r.WithKernel(func(k *core.Kernel, now time.Time) { message.Stamp = k.Stamp(now) })
-	answer, err := r.Forward(ctx, d.Peer, message)
+	forwardReply, err := r.Forward(ctx, d.Peer, message)
 	if err == nil {
-		r.WithKernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(answer.Stamp) })
-		return callerhttp.Reply{Result: answer.Result, ID: d.ID}
+		r.WithKernel(func(k *core.Kernel, _ time.Time) { k.ObserveStamp(forwardReply.Stamp) })
+		return callerhttp.Reply{Result: forwardReply.Result, ID: d.ID}
 	}
 	reply := callerhttp.Reply{ID: d.ID}
 	r.WithKernel(func(k *core.Kernel, now time.Time) {
