--- a/internal/adapter/forwardhttp/server.go
+++ b/internal/adapter/forwardhttp/server.go
@@ -142,18 +142,18 @@
 
 // acquireToken asks a pool whether the request is within the rate limit of its account.
 func (s *Server) acquireToken(ctx context.Context, active *steering.ActiveRequest, pool string) (d steering.Decision) {
-	reply, answered := s.RequestPoolToken(ctx, pool, active.Account.Name)
-	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.ApplyPoolToken(now, active, reply, answered) })
+	reply, responded := s.RequestPoolToken(ctx, pool, active.Account.Name)
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.ApplyPoolToken(now, active, reply, responded) })
 	return d
 }
 
 // acquireSlot waits for a slot of the server that the kernel has chosen.
 func (s *Server) acquireSlot(ctx context.Context, active *steering.ActiveRequest, request steering.SlotRequest) (d steering.Decision) {
-	reply, answered := s.RequestSlot(ctx, request)
+	reply, responded := s.RequestSlot(ctx, request)
 	if ctx.Err() != nil {
 		return s.endAttempt(active, steering.Attempt{Result: steering.ResultCallerGone, Err: ctx.Err()})
 	}
-	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.HandleSlotReply(now, active, reply, answered) })
+	s.WithKernel(func(k *steering.Kernel, now time.Time) { d = k.HandleSlotReply(now, active, reply, responded) })
 	s.releaseSlot(d)
 	return d
 }
--- a/internal/adapter/kvhttp/client.go
+++ b/internal/adapter/kvhttp/client.go
@@ -35,7 +35,8 @@
 	readTimeout  = 2 * time.Second
 	writeTimeout = 2 * time.Second
 	// WatchTimeout is how long the service keeps a watch request open without a change.
-	WatchTimeout       = 30 * time.Second
+	WatchTimeout = 30 * time.Second
+	// watchTimeoutMargin is added to WatchTimeout to get the timeout of the client's request.
 	watchTimeoutMargin = 5 * time.Second
 )
 
--- a/internal/adapter/operatorhttp/server.go
+++ b/internal/adapter/operatorhttp/server.go
@@ -21,7 +21,8 @@
 	ioTimeout      = 30 * time.Second
 	headerTimeout  = 5 * time.Second
 	maxHeaderBytes = 16 << 10
-	listTimeout    = 3 * time.Second
+	// listTimeout limits the reading of the proposals from the platform.
+	listTimeout = 3 * time.Second
 )
 
 type (
--- a/internal/adapter/serverhttp/client.go
+++ b/internal/adapter/serverhttp/client.go
@@ -37,7 +37,8 @@
 	maxInlineBodyBytes = 16 << 10
 	// maxStrayResponses is how many responses to earlier requests are skipped.
 	maxStrayResponses = 2
-	bufferSize        = 4 << 10
+	// bufferSize is the size in bytes of a connection's read and write buffers.
+	bufferSize = 4 << 10
 )
 
 var (
--- a/internal/fake/kvfake/store.go
+++ b/internal/fake/kvfake/store.go
@@ -105,10 +105,10 @@
 
 // SetVMState sets the state of a VM after the lag. An empty state removes the VM from the list.
 func (s *Store) SetVMState(name string, state kv.MachineState) {
-	time.AfterFunc(s.lag, func() { s.setMachineNow(name, state) })
+	time.AfterFunc(s.lag, func() { s.setVMStateNow(name, state) })
 }
 
-func (s *Store) setMachineNow(name string, state kv.MachineState) {
+func (s *Store) setVMStateNow(name string, state kv.MachineState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vmList = s.vmList.WithState(name, state)
--- a/internal/fake/limitnet/simulation.go
+++ b/internal/fake/limitnet/simulation.go
@@ -137,10 +137,10 @@
 	pool := w.byName[to]
 	w.reportCount++
 	var grants ratelimit.Grants
-	w.call(p, pool, reportTimeout, func() { grants = pool.pool.HandleReport(w.clock(), report) }, func(answered bool) {
+	w.call(p, pool, reportTimeout, func() { grants = pool.pool.HandleReport(w.clock(), report) }, func(responded bool) {
 		switch {
 		case p.incarnation != incarnation || p.down:
-		case !answered:
+		case !responded:
 			p.unresponsiveUntil[to] = w.Now + unresponsivePoolBackoff
 			p.limiter.MarkUnresponsive(w.clock(), to)
 		case p.limiter.ApplyGrants(w.clock(), reportedAt, to, grants):
@@ -159,8 +159,8 @@
 	for _, loan := range p.pool.LoanRequests(requestedAt, p.name+"/pool", w.otherPools(p)) {
 		lender := w.byName[loan.Lender]
 		var grants ratelimit.Grants
-		w.call(p, lender, reportTimeout, func() { grants = lender.pool.HandleReport(w.clock(), loan.Report) }, func(answered bool) {
-			if answered && p.incarnation == incarnation && !p.down {
+		w.call(p, lender, reportTimeout, func() { grants = lender.pool.HandleReport(w.clock(), loan.Report) }, func(responded bool) {
+			if responded && p.incarnation == incarnation && !p.down {
 				p.pool.ApplyLoan(w.clock(), requestedAt, loan.Lender, grants)
 			}
 		})
@@ -183,12 +183,12 @@
 }
 
 // call delivers a message from one proxy to another. done is called once, with false on a timeout.
-func (w *simulation) call(from, to *proxy, timeout time.Duration, handle func(), done func(answered bool)) {
+func (w *simulation) call(from, to *proxy, timeout time.Duration, handle func(), done func(responded bool)) {
 	finished := false
-	finish := func(answered bool) {
+	finish := func(responded bool) {
 		if !finished {
 			finished = true
-			done(answered)
+			done(responded)
 		}
 	}
 	if from == to {
@@ -318,12 +318,12 @@
 		w.tokenRequestCount++
 	}
 	var reply ratelimit.TokenReply
-	w.call(p, pool, tokenTimeout, func() { reply = pool.pool.Take(w.clock(), account) }, func(answered bool) {
+	w.call(p, pool, tokenTimeout, func() { reply = pool.pool.Take(w.clock(), account) }, func(responded bool) {
 		if p.incarnation != incarnation || p.down {
 			done(ratelimit.Decision{Verdict: ratelimit.Denied, RetryAfter: maxRetryWait / 2})
 			return
 		}
-		w.resolve(account, p, p.limiter.HandlePoolReply(w.clock(), account, decision, reply, answered), done)
+		w.resolve(account, p, p.limiter.HandlePoolReply(w.clock(), account, decision, reply, responded), done)
 	})
 }
 
--- a/internal/fake/simnet/message.go
+++ b/internal/fake/simnet/message.go
@@ -104,7 +104,7 @@
 			return
 		}
 		p.after(platformDelay, func() {
-			if ok, answered := p.sim.platform.compareAndSwap(keyAssignment, value.Revision, a.Value.Encode()); ok && answered {
+			if ok, responded := p.sim.platform.compareAndSwap(keyAssignment, value.Revision, a.Value.Encode()); ok && responded {
 				p.kernel.ApplyAssignment(p.now(), a.Value)
 			}
 		})
--- a/internal/fake/simnet/platform.go
+++ b/internal/fake/simnet/platform.go
@@ -77,8 +77,8 @@
 }
 
 // compareAndSwap writes a value if the stored revision is the expected one. The write may take
-// effect and its response be lost: ok is then true and answered false.
-func (p *Platform) compareAndSwap(key kv.Key, expect kv.Revision, data []byte) (ok, answered bool) {
+// effect and its response be lost: ok is then true and responded false.
+func (p *Platform) compareAndSwap(key kv.Key, expect kv.Revision, data []byte) (ok, responded bool) {
 	p.Calls++
 	if p.down {
 		return false, false
--- a/internal/fake/simnet/proxy.go
+++ b/internal/fake/simnet/proxy.go
@@ -109,12 +109,12 @@
 		c.Seeds = append(c.Seeds, seed.address())
 	}
 	p.kernel = core.New(c, p.now())
-	p.sim.setMachineNow(p.name)
+	p.sim.setVMStateNow(p.name)
 	p.tick(p.incarnation)
 	p.pollPlatform(p.incarnation)
 }
 
-func (s *Sim) setMachineNow(name string) { s.platform.setVMState(name, kv.MachineLive) }
+func (s *Sim) setVMStateNow(name string) { s.platform.setVMState(name, kv.MachineLive) }
 
 // now returns the time by the process's own clock.
 func (p *Proxy) now() time.Time { return p.sim.now.Add(-p.clockLag) }
--- a/internal/proxy/driver/platform.go
+++ b/internal/proxy/driver/platform.go
@@ -14,8 +14,10 @@
 )
 
 const (
-	minBackoff         = 200 * time.Millisecond
-	maxBackoff         = 5 * time.Second
+	// minBackoff and maxBackoff bound the backoff after a failed watch.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// relayCheckInterval is how often a proxy that is not a relay checks whether it has become one.
 	relayCheckInterval = time.Second
 )
 
@@ -48,7 +50,7 @@
 	}
 	go run(w.watchKey(kv.KeyBundle, w.applyBundle))
 	go run(w.watchKey(kv.KeyAssignment, w.applyAssignment))
-	go run(w.watchMachines())
+	go run(w.watchVMs())
 	for range cap(done) {
 		<-done
 	}
@@ -131,7 +133,7 @@
 	return repair
 }
 
-func (w *Watcher) watchMachines() func(context.Context) error {
+func (w *Watcher) watchVMs() func(context.Context) error {
 	after := uint64(0)
 	return func(ctx context.Context) error {
 		list, err := w.platform.WatchVMs(ctx, after)
--- a/internal/proxy/forward/fleet_test.go
+++ b/internal/proxy/forward/fleet_test.go
@@ -558,7 +558,7 @@
 	}
 	callers.Wait()
 	if got := interrupted.Load(); got > 0 || answered.Load() == 0 {
-		t.Errorf("%d requests were interrupted by the shutdown and %d answered, want none interrupted", got, answered.Load())
+		t.Errorf("%d requests were interrupted by the shutdown and %d got a response, want none and some", got, answered.Load())
 	}
 }
 
--- a/internal/proxy/forward/slots.go
+++ b/internal/proxy/forward/slots.go
@@ -42,9 +42,9 @@
 	deadline := time.NewTimer(a.Last.Sub(p.daemon.now()))
 	defer deadline.Stop()
 	for {
-		reply, answered := p.request(ctx, a)
-		if !answered || reply.Verdict != admission.Queued {
-			return reply, answered
+		reply, responded := p.request(ctx, a)
+		if !responded || reply.Verdict != admission.Queued {
+			return reply, responded
 		}
 		poll := time.NewTimer(slotPollInterval)
 		select {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (p *slotClient) request(ctx context.Context, a steering.SlotRequest) (reply steering.SlotReply, answered bool) {
+func (p *slotClient) request(ctx context.Context, a steering.SlotRequest) (reply steering.SlotReply, responded bool) {
 	d := p.daemon
 	if a.Owner.Name == d.settings.Name {
 		d.withKernel(func(k *steering.Kernel, now time.Time) { reply = k.HandleSlotRequest(now, a) })
--- a/internal/proxy/forward/slots_test.go
+++ b/internal/proxy/forward/slots_test.go
@@ -41,8 +41,8 @@
 	f.waitForMembership()
 	first, second := f.daemons[0].slots, f.daemons[1].slots
 	request := f.slotRequest(0, 0, 1)
-	if r, answered := first.acquire(context.Background(), request); !answered || r.Verdict != admission.Granted {
-		t.Fatalf("the first proxy gets verdict %d (answered %t), want a slot", r.Verdict, answered)
+	if r, responded := first.acquire(context.Background(), request); !responded || r.Verdict != admission.Granted {
+		t.Fatalf("the first proxy gets verdict %d (responded %t), want a slot", r.Verdict, responded)
 	}
 	replies := make(chan steering.SlotReply, 1)
 	go func() {
@@ -62,8 +62,8 @@
 	}
 	expiring := f.slotRequest(1, 0, 2)
 	expiring.Last = f.daemons[1].now().Add(50 * time.Millisecond)
-	if r, answered := second.acquire(context.Background(), expiring); !answered || r.Verdict != admission.Denied {
-		t.Errorf("verdict after the deadline is %d (answered %t), want denied", r.Verdict, answered)
+	if r, responded := second.acquire(context.Background(), expiring); !responded || r.Verdict != admission.Denied {
+		t.Errorf("verdict after the deadline is %d (responded %t), want denied", r.Verdict, responded)
 	}
 }
 
@@ -75,11 +75,11 @@
 	a := f.slotRequest(0, 1, 1)
 	f.stops[1]()
 	f.endConnections(1)
-	if _, answered := f.daemons[0].slots.acquire(context.Background(), a); answered {
+	if _, responded := f.daemons[0].slots.acquire(context.Background(), a); responded {
 		t.Error("got a reply from a proxy that is gone")
 	}
 	a.Owner.Name = "nobody"
-	if _, answered := f.daemons[0].slots.acquire(context.Background(), a); answered {
+	if _, responded := f.daemons[0].slots.acquire(context.Background(), a); responded {
 		t.Error("got a reply from a proxy that never existed")
 	}
 }
@@ -94,11 +94,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan bool, 1)
 	go func() {
-		_, answered := p.acquire(ctx, f.slotRequest(0, 0, 2))
-		ended <- answered
+		_, responded := p.acquire(ctx, f.slotRequest(0, 0, 2))
+		ended <- responded
 	}()
 	cancel()
-	if answered := <-ended; answered {
+	if responded := <-ended; responded {
 		t.Error("the request of a disconnected caller got a slot")
 	}
 }
