--- a/internal/proxy/settings/settings.go
+++ b/internal/proxy/settings/settings.go
@@ -17,9 +17,9 @@
 	defaultMaxBodyBytes      = 1 << 20
 	defaultMaxTotalBodyBytes = 64 << 20
 	// inFlightLimit and totalBodyBytesLimit are the largest values that a settings file may set.
-	inFlightLimit            = 1_000_000
-	totalBodyBytesLimit      = 1 << 34
-	maxNameLength            = 64
+	inFlightLimit       = 1_000_000
+	totalBodyBytesLimit = 1 << 34
+	maxNameLength       = 64
 )
 
 type (
