--- a/internal/adapter/backendhttp/client.go
+++ b/internal/adapter/backendhttp/client.go
@@ -183,12 +183,12 @@
 
 func (c *Client) parseReport(r *http.Response, server string) *backend.Report {
 	running, err := strconv.Atoi(r.Header.Get(caller.HeaderLoad))
-	leaving := r.Header.Get(caller.HeaderLeaving) == "true"
+	draining := r.Header.Get(caller.HeaderLeaving) == "true"
 	signal := serverhttp.ParseSignal(r, backpressureHeaders, server)
-	if err != nil && !leaving && signal.IsEmpty() {
+	if err != nil && !draining && signal.IsEmpty() {
 		return nil
 	}
-	return &backend.Report{Running: max(0, running), Leaving: leaving, Signal: signal, At: c.now()}
+	return &backend.Report{Running: max(0, running), Leaving: draining, Signal: signal, At: c.now()}
 }
 
 // Probe sends a health check to a server.
--- a/internal/fake/backendfake/server.go
+++ b/internal/fake/backendfake/server.go
@@ -29,10 +29,10 @@
 		QueueLength int `json:"queue"`
 		// ReportLag is the age up to which the server keeps reporting an old load.
 		ReportLag time.Duration `json:"report-lag"`
-		// ShedAll rejects every request. Leaving reports in the load headers that the server is
-		// leaving.
-		ShedAll bool `json:"shed"`
-		Leaving bool `json:"leaving"`
+		// ShedAll rejects every request. Draining advertises in the response headers that the
+		// server is draining.
+		ShedAll  bool `json:"shed"`
+		Draining bool `json:"leaving"`
 		// TruncatePermille is the share of responses cut off half way, in thousandths.
 		TruncatePermille int `json:"truncate-permille"`
 		// ResetPermille is the share of requests whose connection is reset after they have run, in
@@ -192,7 +192,7 @@
 	return time.Duration(float64(b.ServiceTime) * factor * jitter)
 }
 
-// setLoadHeaders sets the load header, which lags by up to ReportLag, and the leaving header.
+// setLoadHeaders sets the load header, which lags by up to ReportLag, and the header that advertises draining.
 func (s *Server) setLoadHeaders(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,7 +201,7 @@
 		s.reportedAt = now
 	}
 	w.Header().Set(caller.HeaderLoad, strconv.Itoa(s.reportedLoad))
-	if s.behaviour.Leaving {
+	if s.behaviour.Draining {
 		w.Header().Set(caller.HeaderLeaving, "true")
 	}
 }
--- a/internal/fake/simnet/checks.go
+++ b/internal/fake/simnet/checks.go
@@ -47,7 +47,7 @@
 		gracefulShutdowns int
 		// crashTimes are the times at which a request crashed a server.
 		crashTimes []time.Time
-		// serverLimits holds the checks of the servers that announce a request limit.
+		// serverLimits holds the checks of the servers that advertise a request limit.
 		serverLimits map[string]*limitCheck
 		// serverPauses holds the pauses that servers have requested from processes.
 		serverPauses map[pauseKey]*pauseCheck
--- a/internal/fake/simnet/limits.go
+++ b/internal/fake/simnet/limits.go
@@ -13,7 +13,7 @@
 	limitFactor    = 1.5
 	limitAllowance = 5
 	// limitGracePeriod is how long a limit is not enforced by the check after the server first
-	// announces it, reactionTime how long a proxy may take to act on a response.
+	// advertises it, reactionTime how long a proxy may take to act on a response.
 	limitGracePeriod = 4 * time.Second
 	reactionTime     = 500 * time.Millisecond
 	// maxRequestsInPause is the number of requests that one process may still send to a server
@@ -22,9 +22,9 @@
 )
 
 type (
-	// limitCheck tracks what a server receives since it announced a limit.
+	// limitCheck tracks what a server receives since it advertised a limit.
 	limitCheck struct {
-		announcedAt time.Time
+		advertisedAt time.Time
 		// knownSince is when each process first received the limit.
 		knownSince map[string]time.Time
 		// sentAt are the times of the requests from processes that knew the limit.
@@ -90,7 +90,7 @@
 		check.sentAt = check.sentAt[1:]
 	}
 	allowed := limitFactor*limitWindow.Seconds()*server.limit.PerSecond + limitAllowance
-	if now.Sub(check.announcedAt) >= limitGracePeriod && float64(len(check.sentAt)) > allowed {
-		c.violate("%s announces a limit of %.1f requests per second and received %d in %s, %.1f are allowed", server.config.Name, server.limit.PerSecond, len(check.sentAt), limitWindow, allowed)
+	if now.Sub(check.advertisedAt) >= limitGracePeriod && float64(len(check.sentAt)) > allowed {
+		c.violate("%s advertises a limit of %.1f requests per second and received %d in %s, %.1f are allowed", server.config.Name, server.limit.PerSecond, len(check.sentAt), limitWindow, allowed)
 	}
 }
--- a/internal/fake/simnet/scenario.go
+++ b/internal/fake/simnet/scenario.go
@@ -33,7 +33,7 @@
 		"shed-server":        shedServer,
 		"limit-server":       limitServer,
 		"pause-server":       pauseServer,
-		"leave-server":       reportServerLeaving,
+		"leave-server":       advertiseDraining,
 		"platform-outage":    platformOutage,
 		"lose-answers":       func(s *Sim, f Fault) { s.DropWriteResponses(f.Amount) },
 		"save-platform":      func(s *Sim, _ Fault) { s.SavePlatform() },
@@ -239,18 +239,18 @@
 	s.undoLater(f, func() { server.shedAll, server.pause = false, 0 })
 }
 
-// reportServerLeaving makes a server report that it is leaving, for the fault's duration or for
+// advertiseDraining makes a server advertise that it is draining, for the fault's duration or for
 // good.
-func reportServerLeaving(s *Sim, f Fault) {
-	s.servers[f.Target].reportsLeaving = true
-	s.undoLater(f, func() { s.servers[f.Target].reportsLeaving = false })
+func advertiseDraining(s *Sim, f Fault) {
+	s.servers[f.Target].advertisesDraining = true
+	s.undoLater(f, func() { s.servers[f.Target].advertisesDraining = false })
 }
 
-// limitServer makes a server announce a limit of Amount requests per ten seconds.
+// limitServer makes a server advertise a limit of Amount requests per ten seconds.
 func limitServer(s *Sim, f Fault) {
 	server := s.servers[f.Target]
 	server.limit = backpressure.Limit{Set: true, PerSecond: float64(f.Amount) / 10}
-	s.checks.serverLimits[f.Target] = &limitCheck{announcedAt: s.now, knownSince: make(map[string]time.Time)}
+	s.checks.serverLimits[f.Target] = &limitCheck{advertisedAt: s.now, knownSince: make(map[string]time.Time)}
 	s.undoLater(f, func() {
 		server.limit = backpressure.Limit{}
 		delete(s.checks.serverLimits, f.Target)
--- a/internal/fake/simnet/server.go
+++ b/internal/fake/simnet/server.go
@@ -12,17 +12,17 @@
 	// BackendServer simulates one backend server: slots, a short queue, cold starts and a lagging
 	// load report.
 	BackendServer struct {
-		sim            *Sim
-		config         operator.Server
-		location       location
-		down           bool
-		incarnation    int
-		startedAt      time.Time
-		running        int
-		queue          []*serverRequest
-		shedAll        bool
-		reportsLeaving bool
-		// limit is the request rate that the server announces as its limit.
+		sim                *Sim
+		config             operator.Server
+		location           location
+		down               bool
+		incarnation        int
+		startedAt          time.Time
+		running            int
+		queue              []*serverRequest
+		shedAll            bool
+		advertisesDraining bool
+		// limit is the request rate that the server advertises as its limit.
 		limit backpressure.Limit
 		// pause is the pause that the server requests with each rejection.
 		pause        time.Duration
@@ -73,7 +73,7 @@
 	switch {
 	case b.down:
 		req.respond(backend.Unreachable, nil)
-	case b.shedAll || b.reportsLeaving || b.running >= b.config.Slots && len(b.queue) >= b.sim.config.QueueLength:
+	case b.shedAll || b.advertisesDraining || b.running >= b.config.Slots && len(b.queue) >= b.sim.config.QueueLength:
 		b.sim.checks.shedRequests++
 		report := b.loadReport()
 		report.Signal.Pause = b.pause
@@ -151,5 +151,5 @@
 		b.reportedLoad = b.running + len(b.queue)
 		b.reportedAt = b.sim.now
 	}
-	return &backend.Report{Running: b.reportedLoad, Leaving: b.reportsLeaving, Signal: backpressure.Signal{Limit: b.limit}, At: b.sim.now}
+	return &backend.Report{Running: b.reportedLoad, Leaving: b.advertisesDraining, Signal: backpressure.Signal{Limit: b.limit}, At: b.sim.now}
 }
--- a/internal/proxy/forward/slots_test.go
+++ b/internal/proxy/forward/slots_test.go
@@ -104,7 +104,7 @@
 }
 
 // All processes restart after they have learned that the servers of a service slow down when full.
-// If each had to learn it again while callers come back, every queue would be full for ten seconds.
+// If each had to learn it again while callers return, every queue would be full for ten seconds.
 // The limits in the entries must stay in force for the leases.
 func TestLearnedLimitsSurviveRestart(t *testing.T) {
 	f := newFleet(t, 2)
