--- a/internal/fake/kvfake/server.go
+++ b/internal/fake/kvfake/server.go
@@ -172,8 +172,8 @@
 	_ = json.NewEncoder(w).Encode(s.store.List(kv.Key(r.URL.Query().Get("prefix"))))
 }
 
-// serveVMs returns the list of VMs. With a wait, it blocks until the version of the list differs from
-// the given one or the wait is over.
+// serveVMs returns the list of VMs. With a wait, it blocks until the version of the list differs
+// from the given one or the wait is over.
 func (s *Server) serveVMs(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	timeout, _ := time.ParseDuration(r.URL.Query().Get("wait"))
