--- a/internal/adapter/backendhttp/client.go
+++ b/internal/adapter/backendhttp/client.go
@@ -171,8 +171,8 @@
 	for _, name := range []string{caller.HeaderLoad, caller.HeaderDraining, caller.HeaderLimit} {
 		header.Del(name)
 	}
-	answer := &caller.Response{Status: response.StatusCode, Header: header, Body: buffered}
-	result := Response{Result: backend.Completed, Answer: answer, Report: report}
+	callerResponse := &caller.Response{Status: response.StatusCode, Header: header, Body: buffered}
+	result := Response{Result: backend.Completed, Answer: callerResponse, Report: report}
 	if len(buffered) < ResponseBufferSize {
 		_ = response.Body.Close()
 		return result
@@ -183,12 +183,12 @@
 
 func (c *Client) parseReport(r *http.Response, server string) *backend.Report {
 	running, err := strconv.Atoi(r.Header.Get(caller.HeaderLoad))
-	leaving := r.Header.Get(caller.HeaderDraining) == "true"
+	draining := r.Header.Get(caller.HeaderDraining) == "true"
 	signal := serverhttp.ParseSignal(r, backpressureHeaders, server)
-	if err != nil && !leaving && signal.IsEmpty() {
+	if err != nil && !draining && signal.IsEmpty() {
 		return nil
 	}
-	return &backend.Report{Running: max(0, running), Draining: leaving, Signal: signal, At: c.now()}
+	return &backend.Report{Running: max(0, running), Draining: draining, Signal: signal, At: c.now()}
 }
 
 // Probe sends a health check to a server.
--- a/internal/adapter/kvhttp/client.go
+++ b/internal/adapter/kvhttp/client.go
@@ -35,7 +35,8 @@
 	readTimeout  = 2 * time.Second
 	writeTimeout = 2 * time.Second
 	// WatchTimeout is how long the service keeps a watch request open without a change.
-	WatchTimeout       = 30 * time.Second
+	WatchTimeout = 30 * time.Second
+	// watchTimeoutMargin is added to WatchTimeout to get the timeout of the client's request.
 	watchTimeoutMargin = 5 * time.Second
 )
 
@@ -72,9 +73,9 @@
 	return c.read(ctx, "watch", "/v1/keys/"+url.PathEscape(string(key)), query)
 }
 
-// WatchMachines waits until the list of VMs has a later version than after, or the timeout, and
+// WatchVMs waits until the list of VMs has a later version than after, or the timeout, and
 // returns it.
-func (c *Client) WatchMachines(ctx context.Context, after uint64) (*kv.VMList, error) {
+func (c *Client) WatchVMs(ctx context.Context, after uint64) (*kv.VMList, error) {
 	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+watchTimeoutMargin)
 	defer cancel()
 	query := url.Values{"after": {fmt.Sprint(after)}, "wait": {WatchTimeout.String()}}
--- a/internal/fake/simnet/proxy.go
+++ b/internal/fake/simnet/proxy.go
@@ -109,12 +109,12 @@
 		c.Seeds = append(c.Seeds, seed.address())
 	}
 	p.kernel = core.New(c, p.now())
-	p.sim.setMachineNow(p.name)
+	p.sim.setVMStateNow(p.name)
 	p.tick(p.incarnation)
 	p.pollPlatform(p.incarnation)
 }
 
-func (s *Sim) setMachineNow(name string) { s.platform.setMachine(name, kv.VMLive) }
+func (s *Sim) setVMStateNow(name string) { s.platform.setVMState(name, kv.VMLive) }
 
 // now returns the time by the process's own clock.
 func (p *Proxy) now() time.Time { return p.sim.now.Add(-p.clockLag) }
@@ -148,7 +148,7 @@
 	})
 }
 
-// KillProxy ends a process without a planned stop.
+// KillProxy ends a process without a graceful shutdown.
 func (s *Sim) KillProxy(i int) {
 	p := s.proxies[i]
 	if !p.alive {
@@ -170,7 +170,7 @@
 	for _, id := range ids {
 		p.openConnections[id]()
 	}
-	p.sim.SetMachine(p.name, "")
+	p.sim.SetVMState(p.name, "")
 }
 
 // RestartProxy starts a new incarnation on the same VM if the process has ended.
--- a/internal/fake/simnet/scenario.go
+++ b/internal/fake/simnet/scenario.go
@@ -33,7 +33,7 @@
 		"shed-server":        shedServer,
 		"limit-server":       limitServer,
 		"pause-server":       pauseServer,
-		"leave-server":       reportServerLeaving,
+		"leave-server":       advertiseDraining,
 		"platform-outage":    platformOutage,
 		"lose-answers":       func(s *Sim, f Fault) { s.DropWriteResponses(f.Amount) },
 		"save-platform":      func(s *Sim, _ Fault) { s.SavePlatform() },
@@ -46,7 +46,7 @@
 		"steer":              func(s *Sim, f Fault) { s.setSteeringRule(f.Target, f.SecondTarget, f.Amount) },
 		"capacity":           func(s *Sim, f Fault) { s.setCapacity(f.Target, f.Amount) },
 		"old-bundle":         func(s *Sim, _ Fault) { s.restoreFirstBundle() },
-		"unlist-proxy":       func(s *Sim, f Fault) { s.SetMachine(s.proxies[f.index()].name, "") },
+		"unlist-proxy":       func(s *Sim, f Fault) { s.SetVMState(s.proxies[f.index()].name, "") },
 	}
 )
 
@@ -86,17 +86,17 @@
 		MaxUnresolvedBookings int `json:"unsettled"`
 		// MaxRolloutTime limits the time until all proxies use the last bundle.
 		MaxRolloutTime operator.Duration `json:"in-force,omitempty"`
-		// MinPlannedStops is the minimum number of planned stops that complete.
-		MinPlannedStops int `json:"stopped,omitempty"`
+		// MinGracefulShutdowns is the minimum number of graceful shutdowns that complete.
+		MinGracefulShutdowns int `json:"stopped,omitempty"`
 		// MaxLastDispatchDelay limits the time from the first fault to the last dispatch to the
 		// backend server that the fault targets.
 		MaxLastDispatchDelay operator.Duration `json:"last-work,omitempty"`
 		// ServerUsedAgain names a backend server that must receive requests in the last ten
 		// seconds.
 		ServerUsedAgain string `json:"works-again,omitempty"`
-		// MaxCrashesAfterDetection is the maximum number of servers that a crashing request ends
-		// after all proxies must know of it, MaxCrashes the maximum in total. Both are checked only
-		// if MaxCrashes is set.
+		// MaxCrashesAfterDetection is the maximum number of servers that a request may crash after
+		// all proxies must know of it, MaxCrashes the maximum in total. Both are checked only if
+		// MaxCrashes is set.
 		MaxCrashesAfterDetection int `json:"ends-after,omitempty"`
 		MaxCrashes               int `json:"ends-at-all,omitempty"`
 		// MinExpiredDispatches is the minimum number of dispatches that servers reject after their
@@ -239,18 +239,18 @@
 	s.undoLater(f, func() { server.shedAll, server.pause = false, 0 })
 }
 
-// reportServerLeaving makes a server report that it is leaving, for the fault's duration or for
+// advertiseDraining makes a server advertise that it is draining, for the fault's duration or for
 // good.
-func reportServerLeaving(s *Sim, f Fault) {
-	s.servers[f.Target].reportsLeaving = true
-	s.undoLater(f, func() { s.servers[f.Target].reportsLeaving = false })
+func advertiseDraining(s *Sim, f Fault) {
+	s.servers[f.Target].advertisesDraining = true
+	s.undoLater(f, func() { s.servers[f.Target].advertisesDraining = false })
 }
 
-// limitServer makes a server announce a limit of Amount requests per ten seconds.
+// limitServer makes a server advertise a limit of Amount requests per ten seconds.
 func limitServer(s *Sim, f Fault) {
 	server := s.servers[f.Target]
 	server.limit = backpressure.Limit{Set: true, PerSecond: float64(f.Amount) / 10}
-	s.checks.serverLimits[f.Target] = &limitCheck{announcedAt: s.now, knownSince: make(map[string]time.Time)}
+	s.checks.serverLimits[f.Target] = &limitCheck{advertisedAt: s.now, knownSince: make(map[string]time.Time)}
 	s.undoLater(f, func() {
 		server.limit = backpressure.Limit{}
 		delete(s.checks.serverLimits, f.Target)
--- a/internal/proxy/driver/platform.go
+++ b/internal/proxy/driver/platform.go
@@ -14,18 +14,20 @@
 )
 
 const (
-	minBackoff         = 200 * time.Millisecond
-	maxBackoff         = 5 * time.Second
+	// minBackoff and maxBackoff bound the backoff after a failed watch.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// relayCheckInterval is how often a proxy that is not a relay checks whether it has become one.
 	relayCheckInterval = time.Second
 )
 
 type (
 	// Platform gives access to the platform: its key-value store, and function fields that wait for
-	// a change of a key or of the list of machines.
+	// a change of a key or of the list of VMs.
 	Platform struct {
 		kv.Store
 		Watch    func(ctx context.Context, key kv.Key, after kv.Revision) (kv.Value, error)
-		Machines func(ctx context.Context, after uint64) (*kv.VMList, error)
+		WatchVMs func(ctx context.Context, after uint64) (*kv.VMList, error)
 	}
 
 	// Watcher applies changes on the platform to the kernel while this proxy is a relay of its
@@ -39,7 +41,7 @@
 // NewWatcher returns a watcher that applies changes to the kernel of d.
 func NewWatcher(d *Driver, p Platform) *Watcher { return &Watcher{driver: d, platform: p} }
 
-// Run watches the bundle, the assignment and the list of machines until the context is done.
+// Run watches the bundle, the assignment and the list of VMs until the context is done.
 func (w *Watcher) Run(ctx context.Context) {
 	done := make(chan struct{}, 3)
 	run := func(watch func(context.Context) error) {
@@ -48,7 +50,7 @@
 	}
 	go run(w.watchKey(kv.KeyBundle, w.applyBundle))
 	go run(w.watchKey(kv.KeyAssignment, w.applyAssignment))
-	go run(w.watchMachines())
+	go run(w.watchVMs())
 	for range cap(done) {
 		<-done
 	}
@@ -131,10 +133,10 @@
 	return repair
 }
 
-func (w *Watcher) watchMachines() func(context.Context) error {
+func (w *Watcher) watchVMs() func(context.Context) error {
 	after := uint64(0)
 	return func(ctx context.Context) error {
-		list, err := w.platform.Machines(ctx, after)
+		list, err := w.platform.WatchVMs(ctx, after)
 		if err != nil {
 			return err
 		}
--- a/internal/proxy/forward/slots.go
+++ b/internal/proxy/forward/slots.go
@@ -35,16 +35,16 @@
 }
 
 // acquire waits until a slot is granted or denied, at most until a.Last, after which it would be too
-// late. It reports false if the owner of the limiter doesn't answer or the context is canceled.
+// late. It reports false if the owner of the limiter doesn't respond or the context is canceled.
 func (p *slotClient) acquire(ctx context.Context, a steering.SlotRequest) (steering.SlotReply, bool) {
 	replies := p.register(a.ID)
 	defer p.forget(a.ID)
 	deadline := time.NewTimer(a.Last.Sub(p.daemon.now()))
 	defer deadline.Stop()
 	for {
-		reply, answered := p.request(ctx, a)
-		if !answered || reply.Verdict != admission.Queued {
-			return reply, answered
+		reply, responded := p.request(ctx, a)
+		if !responded || reply.Verdict != admission.Queued {
+			return reply, responded
 		}
 		poll := time.NewTimer(slotPollInterval)
 		select {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (p *slotClient) request(ctx context.Context, a steering.SlotRequest) (reply steering.SlotReply, answered bool) {
+func (p *slotClient) request(ctx context.Context, a steering.SlotRequest) (reply steering.SlotReply, responded bool) {
 	d := p.daemon
 	if a.Owner.Name == d.settings.Name {
 		d.withKernel(func(k *steering.Kernel, now time.Time) { reply = k.HandleSlotRequest(now, a) })
@@ -152,6 +152,6 @@
 
 func (p *slotClient) sendReply(peer netip.AddrPort, g steering.SlotReply) {
 	if err := p.daemon.peerClient.SendSlotReply(context.Background(), peer, g); err != nil {
-		klog.V(1).InfoS("slot reply not delivered; the proxy will ask again", "proxy", g.From, "error", err.Error())
+		klog.V(1).InfoS("slot reply not delivered; the proxy will retry its request", "proxy", g.From, "error", err.Error())
 	}
 }
