--- a/cmd/gypsumquay-bench/events.go
+++ b/cmd/gypsumquay-bench/events.go
@@ -89,7 +89,7 @@
 }
 
 // measureDrainAndStop measures at half load how long the drain of a backend server by a bundle and
-// the planned stop of a proxy take.
+// the graceful shutdown of a proxy take.
 func (a *benchArguments) measureDrainAndStop(c simnet.Config, seed uint64) (force, drain, stop float64) {
 	config := c.ScaledDown()
 	config.Seed = seed
--- a/internal/kernel/caller/records.go
+++ b/internal/kernel/caller/records.go
@@ -44,7 +44,7 @@
 	state uint8
 
 	// TokenRecord is the state of a token that was dispatched. It is exported only for the handover
-	// at a planned stop.
+	// at a graceful shutdown.
 	TokenRecord struct {
 		Nonce           Nonce
 		State           uint8
@@ -99,7 +99,7 @@
 }
 
 // Owns reports whether this process decides about the token, either as its minter or as the
-// successor of a minter that stopped as planned.
+// successor of a minter that shut down gracefully.
 func (r *TokenRecords) Owns(t *Token) bool {
 	return t.Minter == r.minter || r.imported[t.Minter] != nil
 }
--- a/internal/kernel/caller/records_test.go
+++ b/internal/kernel/caller/records_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestTokenScenarios runs testdata/tokens.json and checks the result of each claim, with lost
-// responses, retries, expiry, planned stops and handovers.
+// responses, retries, expiry, graceful shutdowns and handovers.
 func TestTokenScenarios(t *testing.T) {
 	data, err := os.ReadFile("testdata/tokens.json")
 	if err != nil {
--- a/internal/kernel/caller/token.go
+++ b/internal/kernel/caller/token.go
@@ -48,7 +48,7 @@
 	}
 
 	// TokenKey authenticates the tokens of a minter. It is held in memory only, by the minter and,
-	// after a planned stop, by the peer that took over its records.
+	// after a graceful shutdown, by the peer that took over its records.
 	TokenKey [tokenKeyBytes]byte
 )
 
--- a/internal/kernel/core/event.go
+++ b/internal/kernel/core/event.go
@@ -47,7 +47,7 @@
 	EventBorrowed EventKind = "quota-borrowed"
 	// EventFenced marks a proxy that stopped using its quota after a pause of its process.
 	EventFenced EventKind = "quota-fenced"
-	// EventStopping marks the start of a planned stop.
+	// EventStopping marks the start of a graceful shutdown.
 	EventStopping EventKind = "stop-begun"
 	// EventHandover marks token records handed over to a peer.
 	EventHandover EventKind = "records-handed-over"
--- a/internal/kernel/core/stop.go
+++ b/internal/kernel/core/stop.go
@@ -14,8 +14,8 @@
 	stopGracePeriod = 2 * time.Second
 )
 
-// BeginStop starts a planned stop. Peers are notified, lookups exclude this proxy, and it continues
-// to serve until no cached lookup response names it.
+// BeginStop starts a graceful shutdown. Peers are notified, lookups exclude this proxy, and it
+// continues to serve until no cached lookup response names it.
 func (k *Kernel) BeginStop(now time.Time) {
 	if k.stopping {
 		return
--- a/internal/kernel/peer/member.go
+++ b/internal/kernel/peer/member.go
@@ -19,7 +19,7 @@
 	// StateLeaving is the state of a proxy that only finishes its current requests. Lookups do not
 	// return it.
 	StateLeaving
-	// StateGone is the state of a proxy that has stopped as planned. Its Successor holds its token
+	// StateGone is the state of a proxy that has shut down gracefully. Its Successor holds its token
 	// records.
 	StateGone
 	// StateSuspect is the state of a proxy that did not respond. The proxy may refute the
@@ -77,7 +77,7 @@
 		failures  int
 	}
 
-	plannedStop struct {
+	gracefulShutdown struct {
 		successor string
 		learnedAt time.Time
 	}
@@ -88,10 +88,10 @@
 		entries     map[string]*memberEntry
 		digest      uint64
 		lastChanged time.Time
-		// plannedStops holds the successors of incarnations that stopped as planned. They are kept
-		// apart from the entries because a restarted proxy reuses its name.
-		plannedStops map[caller.Minter]plannedStop
-		sortedNames  []string
+		// gracefulShutdowns holds the successors of incarnations that shut down gracefully. They are
+		// kept apart from the entries because a restarted proxy reuses its name.
+		gracefulShutdowns map[caller.Minter]gracefulShutdown
+		sortedNames       []string
 	}
 )
 
@@ -131,9 +131,9 @@
 // NewMembers returns a view that contains only this proxy.
 func NewMembers(self Member, now time.Time) *Members {
 	m := &Members{
-		self:         self.Name,
-		entries:      make(map[string]*memberEntry),
-		plannedStops: make(map[caller.Minter]plannedStop),
+		self:              self.Name,
+		entries:           make(map[string]*memberEntry),
+		gracefulShutdowns: make(map[caller.Minter]gracefulShutdown),
 	}
 	m.Merge(self, now)
 	return m
@@ -163,7 +163,7 @@
 		return false
 	}
 	if update.State == StateGone && update.Successor != "" {
-		m.plannedStops[update.Minter()] = plannedStop{successor: update.Successor, learnedAt: now}
+		m.gracefulShutdowns[update.Minter()] = gracefulShutdown{successor: update.Successor, learnedAt: now}
 	}
 	if old != nil && !update.supersedes(&old.Member) {
 		return false
@@ -318,7 +318,7 @@
 		if entry := m.entries[minter.Name]; entry != nil && entry.Incarnation == minter.Incarnation && entry.State != StateGone {
 			return entry.Member, true
 		}
-		stop, ok := m.plannedStops[minter]
+		stop, ok := m.gracefulShutdowns[minter]
 		if !ok {
 			return Member{}, false
 		}
@@ -335,11 +335,11 @@
 }
 
 // Expire removes records of members that are not live and have not changed for memberTTL, and
-// planned stops so long ago that none of the minter's tokens can still be valid.
+// graceful shutdowns so long ago that none of the minter's tokens can still be valid.
 func (m *Members) Expire(now time.Time) {
-	for minter, stop := range m.plannedStops {
+	for minter, stop := range m.gracefulShutdowns {
 		if now.Sub(stop.learnedAt) >= memberTTL {
-			delete(m.plannedStops, minter)
+			delete(m.gracefulShutdowns, minter)
 		}
 	}
 	for _, name := range slices.Clone(m.sortedNames) {
--- a/internal/kernel/peer/member_test.go
+++ b/internal/kernel/peer/member_test.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// TestTokenOwnerAfterChainOfPlannedStops covers a minter that stops and hands its records over to a
+// TestTokenOwnerAfterChainOfGracefulShutdowns covers a minter that stops and hands its records over to a
 // peer, which later stops and hands them over in turn. A retry must find the last successor, even
 // if the minter's VM runs a new incarnation by then.
-func TestTokenOwnerAfterChainOfPlannedStops(t *testing.T) {
+func TestTokenOwnerAfterChainOfGracefulShutdowns(t *testing.T) {
 	m := NewMembers(newMember("self", 1, StateLive), testTime)
 	first := newMember("a", 1, StateGone)
 	first.Successor = "b"
--- a/internal/kernel/steering/quarantine_test.go
+++ b/internal/kernel/steering/quarantine_test.go
@@ -119,7 +119,7 @@
 // requests.
 func TestLostConnectionsWithoutCrashDoNotQuarantine(t *testing.T) {
 	for name, event := range map[string]func(k *Kernel, now time.Time, id string){
-		"planned stop": func(k *Kernel, now time.Time, id string) {
+		"graceful shutdown": func(k *Kernel, now time.Time, id string) {
 			k.RegisterServer(now, routing.Server{ID: id, Service: "service", Domain: "north-a", Slots: 4, Draining: true, Started: time.Unix(1_000_000, 0)})
 		},
 		"reset connection": func(*Kernel, time.Time, string) {},
@@ -135,7 +135,7 @@
 			event(k, now, id)
 			k.EndAttempt(now, req, Attempt{Result: ResultConnectionLost})
 			now = now.Add(time.Second)
-			if name == "planned stop" {
+			if name == "graceful shutdown" {
 				k.RemoveServer(now, id)
 			}
 		}
