--- a/cmd/gypsumquay-bench/ablate.go
+++ b/cmd/gypsumquay-bench/ablate.go
@@ -56,7 +56,8 @@
 }
 
 // measureLoad prints the result of one load: the share with all mechanisms enabled, and for each
-// mechanism the change when it is disabled, with the standard error of the paired differences by seed.
+// mechanism the change when it is disabled, with the standard error of the paired differences by
+// seed.
 func (a *ablateArguments) measureLoad(name string, load warmnet.Scenario, mechanisms []steering.Mechanism) {
 	results := make([]shares, len(mechanisms)+1)
 	slots := semaphore.NewWeighted(a.Parallel)
--- a/cmd/gypsumquay-bench/bench.go
+++ b/cmd/gypsumquay-bench/bench.go
@@ -19,7 +19,8 @@
 )
 
 const (
-	// boundBalancer names the rows of the ideal scheduler, the bound that balancers are compared with.
+	// boundBalancer names the rows of the ideal scheduler, the bound that balancers are compared
+	// with.
 	boundBalancer = "all-seeing"
 )
 
--- a/cmd/gypsumquay-bench/chart.go
+++ b/cmd/gypsumquay-bench/chart.go
@@ -13,8 +13,8 @@
 const (
 	chartWidth  = 6 * vg.Inch
 	chartHeight = 4 * vg.Inch
-	// maxChartLoad is the highest load, in percent, that charts include. Above it the bound's queues
-	// are full and its latency is meaningless.
+	// maxChartLoad is the highest load, in percent, that charts include. Above it the bound's
+	// queues are full and its latency is meaningless.
 	maxChartLoad = 100
 )
 
--- a/cmd/gypsumquay-bench/events.go
+++ b/cmd/gypsumquay-bench/events.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// regionLossLoad is the load in percent of the slots; two regions have room for the third of the
-	// traffic that the lost region leaves.
+	// regionLossLoad is the load in percent of the slots; two regions have room for the third of
+	// the traffic that the lost region leaves.
 	regionLossLoad = 55
 	bucketWidth    = 500 * time.Millisecond
 	// minServedShare is the share of a home region's requests that must succeed for its traffic to
@@ -52,7 +52,8 @@
 }
 
 // measureRegionLoss stops all backend servers of the first region until the end of the run, and
-// returns the time until 99% of the region's requests succeed again and the largest use of a region.
+// returns the time until 99% of the region's requests succeed again and the largest use of a
+// region.
 func (a *benchArguments) measureRegionLoss(c simnet.Config) (seconds, used float64) {
 	c.Seed = a.Seed
 	c.Load = slotLoad(c, regionLossLoad)
--- a/cmd/gypsumquay-bench/limits.go
+++ b/cmd/gypsumquay-bench/limits.go
@@ -89,7 +89,8 @@
 	return rows
 }
 
-// writeChart writes a chart of the share of requests that are finally rejected by number of proxies.
+// writeChart writes a chart of the share of requests that are finally rejected by number of
+// proxies.
 func (a *limitsArguments) writeChart(rows []limitsRow) error {
 	p := plot.New()
 	p.Title.Text = "requests within the limit that are finally rejected"
--- a/cmd/gypsumquay-bench/slopes.go
+++ b/cmd/gypsumquay-bench/slopes.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// targetSites, targetNodes and targetRegions are the size of the fleet that capacity is planned for.
+	// targetSites, targetNodes and targetRegions are the size of the fleet that capacity is planned
+	// for.
 	targetSites    = 210
 	targetNodes    = 1300
 	targetRegions  = 22
@@ -33,8 +34,8 @@
 		Proxies []int `help:"fleet sizes; default is 10 50 100 200"`
 	}
 
-	// fleetRow holds the costs measured at one fleet size. Traffic, processor time and memory are per
-	// node.
+	// fleetRow holds the costs measured at one fleet size. Traffic, processor time and memory are
+	// per node.
 	fleetRow struct {
 		nodes, regions   int
 		idleBytes        float64
@@ -95,8 +96,8 @@
 	fmt.Printf("fit: %.0f bytes + %.2f bytes a prefix, error %.1f%%\n\n", intercept, slope, 100*deviation)
 }
 
-// randomPrefixes generates client prefixes similar to those of a routing table: mostly 20 to 24 bits
-// long, some nested in others.
+// randomPrefixes generates client prefixes similar to those of a routing table: mostly 20 to 24
+// bits long, some nested in others.
 func randomPrefixes(n int) []caller.PrefixSite {
 	r := rand.New(rand.NewPCG(1, uint64(n)))
 	list := make([]caller.PrefixSite, n)
@@ -157,8 +158,8 @@
 		100*deviation, exponent, targetNodes, intercept+slope*transform(targetNodes), 2*targetNodes, intercept+slope*transform(2*targetNodes))
 }
 
-// regionsFor returns the number of regions for a fleet size, on a power law between 3 regions for 10
-// nodes and the target of 22 regions for 1,300 nodes.
+// regionsFor returns the number of regions for a fleet size, on a power law between 3 regions for
+// 10 nodes and the target of 22 regions for 1,300 nodes.
 func regionsFor(nodes int) int {
 	exponent := math.Log(float64(targetRegions)/3) / math.Log(targetNodes/10.0)
 	return max(3, int(math.Round(3*math.Pow(float64(nodes)/10, exponent))))
--- a/cmd/gypsumquay-bench/soak.go
+++ b/cmd/gypsumquay-bench/soak.go
@@ -61,8 +61,8 @@
 	return s.next
 }
 
-// runSeed runs the random scenario of the next seed. If invariants are violated, it prints them with
-// the seed and the scenario to reproduce the failure.
+// runSeed runs the random scenario of the next seed. If invariants are violated, it prints them
+// with the seed and the scenario to reproduce the failure.
 func (s *soak) runSeed(examples string) {
 	seed := s.nextSeed()
 	deployments := simnet.Deployments()
--- a/internal/adapter/peerdrpc/peerdrpc_test.go
+++ b/internal/adapter/peerdrpc/peerdrpc_test.go
@@ -165,7 +165,8 @@
 }
 
 // Connections to a proxy's peer address without a certificate, or with one of another CA, must be
-// rejected. Otherwise anyone on the network could exchange state, borrow quota or take over records.
+// rejected. Otherwise anyone on the network could exchange state, borrow quota or take over
+// records.
 func TestOnlyPeersWithCertificateOfCA(t *testing.T) {
 	ca, otherCA := newTestCA(t), newTestCA(t)
 	identity, otherIdentity := ca.newIdentity(), otherCA.newIdentity()
--- a/internal/adapter/peerdrpc/server.go
+++ b/internal/adapter/peerdrpc/server.go
@@ -65,7 +65,8 @@
 	return serveMux(ctx, listener, mux)
 }
 
-// ServeSync handles the calls of peers that replicate the platform's store until the context is done.
+// ServeSync handles the calls of peers that replicate the platform's store until the context is
+// done.
 func ServeSync(ctx context.Context, listener net.Listener, h SyncHandlers) error {
 	mux := drpcmux.New()
 	if err := peerpb.DRPCRegisterReplica(mux, &syncService{handlers: h}); err != nil {
--- a/internal/adapter/peerdrpc/sync.go
+++ b/internal/adapter/peerdrpc/sync.go
@@ -22,8 +22,8 @@
 	// minCompressBytes is the size from which entries are compressed. A smaller message takes
 	// only one packet or a few.
 	minCompressBytes = 4 << 10
-	// compressionLevel is the fastest level, since registrations are similar enough to compress well
-	// (BenchmarkCompressEntries).
+	// compressionLevel is the fastest level, since registrations are similar enough to compress
+	// well (BenchmarkCompressEntries).
 	compressionLevel = flate.BestSpeed
 	// maxDecompressedBytes limits the decompressed size of the entries in a peer's message.
 	maxDecompressedBytes = 64 << 20
@@ -38,7 +38,8 @@
 		StartMillis int64
 		Leaving     bool
 		replica.Delta
-		// LearnedLimits are the services whose concurrency the sender limits by evidence of its own.
+		// LearnedLimits are the services whose concurrency the sender limits by evidence of its
+		// own.
 		LearnedLimits []steering.ServiceLimit
 		// QuarantineReports are about requests that were in flight when servers crashed.
 		QuarantineReports []quarantine.Report
--- a/internal/adapter/serverhttp/client.go
+++ b/internal/adapter/serverhttp/client.go
@@ -101,7 +101,8 @@
 		// StoppedAccepting reports whether the server has stopped accepting requests since it was
 		// chosen for this one. It may be nil.
 		StoppedAccepting func() bool
-		// MaxIdleConnections limits the idle connections to the server; zero means the default limit.
+		// MaxIdleConnections limits the idle connections to the server; zero means the default
+		// limit.
 		MaxIdleConnections int
 		// HasAccounts is set if requests carry keys of client accounts, which must not be forwarded
 		// to servers. Account is the client account of the request, or empty.
--- a/internal/client/command/command.go
+++ b/internal/client/command/command.go
@@ -31,7 +31,8 @@
 	ExitRejected = 3
 	// ExitLostRace means that another bundle was rolled out under the same version first.
 	ExitLostRace = 4
-	// ExitUndecided means that the platform has not confirmed the result; the command can be retried.
+	// ExitUndecided means that the platform has not confirmed the result; the command can be
+	// retried.
 	ExitUndecided = 5
 	// ExitNoProxy means that no proxy responded.
 	ExitNoProxy = 6
--- a/internal/client/command/command_test.go
+++ b/internal/client/command/command_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Incomplete command lines must print one message that states what is missing, and return ExitUsage,
-// which scripts rely on.
+// Incomplete command lines must print one message that states what is missing, and return
+// ExitUsage, which scripts rely on.
 func TestUsageErrors(t *testing.T) {
 	for _, c := range []struct {
 		arguments Arguments
--- a/internal/client/command/signals.go
+++ b/internal/client/command/signals.go
@@ -27,8 +27,8 @@
 		Limit string `json:"limit,omitempty"`
 		// Draining is set if the server itself reports that it drains.
 		Draining bool `json:"leaving,omitempty"`
-		// Limited and Pausing count the proxies that enforce a limit or a pause of the server, Known
-		// those that know any of its signals.
+		// Limited and Pausing count the proxies that enforce a limit or a pause of the server,
+		// Known those that know any of its signals.
 		Limited int `json:"limited-proxies"`
 		Pausing int `json:"pausing-proxies"`
 		Known   int `json:"proxies"`
--- a/internal/client/losses/read.go
+++ b/internal/client/losses/read.go
@@ -15,7 +15,8 @@
 const (
 	// maxLineBytes limits the length of a log line; the longest lines of proxies are about 2 KB.
 	maxLineBytes = 1 << 20
-	// omittedMessage marks the log line with the counts of requests that were not logged one by one.
+	// omittedMessage marks the log line with the counts of requests that were not logged one by
+	// one.
 	omittedMessage = "requests left out of the log"
 )
 
--- a/internal/fake/backendfake/server.go
+++ b/internal/fake/backendfake/server.go
@@ -192,8 +192,8 @@
 	return time.Duration(float64(b.ServiceTime) * factor * jitter)
 }
 
-// setLoadHeaders sets the load header, which lags by up to ReportLag, and the header that advertises
-// draining.
+// setLoadHeaders sets the load header, which lags by up to ReportLag, and the header that
+// advertises draining.
 func (s *Server) setLoadHeaders(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/callerfake/caller.go
+++ b/internal/fake/callerfake/caller.go
@@ -309,7 +309,8 @@
 	return nil, errors.Wrap(lastErr, "lookup")
 }
 
-// fetchLookup asks a seed for the proxies of a service. Each caller has a client address of its own.
+// fetchLookup asks a seed for the proxies of a service. Each caller has a client address of its
+// own.
 func (g *LoadGenerator) fetchLookup(id int, seed netip.AddrPort, service string) (cachedLookup, error) {
 	response, err := g.client.Get(fmt.Sprintf("http://%s/v1/lookup?service=%s&client=127.0.%d.%d", seed, service, id>>8, id&255))
 	if err != nil {
--- a/internal/fake/limitnet/scenario.go
+++ b/internal/fake/limitnet/scenario.go
@@ -1,6 +1,6 @@
 // Package limitnet simulates the rate limits of client accounts that many proxies enforce together,
-// in virtual time. It measures the requests rejected within a limit, the requests admitted beyond it
-// and the messages between the proxies.
+// in virtual time. It measures the requests rejected within a limit, the requests admitted beyond
+// it and the messages between the proxies.
 package limitnet
 
 import (
--- a/internal/fake/simnet/message.go
+++ b/internal/fake/simnet/message.go
@@ -10,8 +10,8 @@
 )
 
 // callPeer sends a message to a peer and delivers the response to the caller. onFailure runs in the
-// caller if no response arrives within the timeout, or after a round trip if the peer is not running
-// and its VM refuses the connection.
+// caller if no response arrives within the timeout, or after a round trip if the peer is not
+// running and its VM refuses the connection.
 func (p *Proxy) callPeer(to netip.AddrPort, timeout time.Duration, handle func(*Proxy, func(response func())), onFailure func()) {
 	incarnation := p.incarnation
 	finished := false
--- a/internal/fake/simnet/stop.go
+++ b/internal/fake/simnet/stop.go
@@ -50,7 +50,8 @@
 	}, func() { p.handOverTo(records, owners[1:]) })
 }
 
-// releaseSlots gives up the quota slots, waiting for at most slotReleaseTimeout, and ends the process.
+// releaseSlots gives up the quota slots, waiting for at most slotReleaseTimeout, and ends the
+// process.
 func (p *Proxy) releaseSlots() {
 	deadline := p.now().Add(slotReleaseTimeout)
 	p.pollUntil(func() bool {
--- a/internal/fake/warmnet/crashes.go
+++ b/internal/fake/warmnet/crashes.go
@@ -50,8 +50,8 @@
 		// server.
 		ByCrashingRequest map[string][]time.Duration
 		// HarmlessQuarantined are the objects whose requests crash no server and were quarantined
-		// because servers crashed while running them. HarmlessRejected counts all rejections of such
-		// requests by the quarantine, also those for a mere suspicion.
+		// because servers crashed while running them. HarmlessRejected counts all rejections of
+		// such requests by the quarantine, also those for a mere suspicion.
 		HarmlessQuarantined map[string]bool
 		HarmlessRejected    int
 	}
--- a/internal/fake/warmnet/placement_test.go
+++ b/internal/fake/warmnet/placement_test.go
@@ -86,8 +86,8 @@
 }
 
 // For half a minute, callers demand 2% more than the capacity of warm servers, and retry once if
-// they are rejected. Guards against proxies that admit all requests: every queue fills up and hardly
-// any response is in time.
+// they are rejected. Guards against proxies that admit all requests: every queue fills up and
+// hardly any response is in time.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	if share, worst, _ := meanOverSeeds(readScenario(t, "overload"), steering.DefaultPlacer); share < 0.42 || worst < 0.36 {
 		t.Errorf("%.3f within the target, %.3f in the worst region; want at least 0.42 and 0.36", share, worst)
--- a/internal/kernel/backend/server.go
+++ b/internal/kernel/backend/server.go
@@ -14,8 +14,8 @@
 const (
 	// ejectionThreshold is the number of consecutive failures that eject a server.
 	ejectionThreshold = 3
-	// baseEjectionTime is how long the first ejection lasts. Each further one lasts twice as long as
-	// the one before, up to maxEjectionTime.
+	// baseEjectionTime is how long the first ejection lasts. Each further one lasts twice as long
+	// as the one before, up to maxEjectionTime.
 	baseEjectionTime = 500 * time.Millisecond
 	maxEjectionTime  = 10 * time.Second
 	// shedBackoff is how long a server that shed a request is skipped, if others can take the
--- a/internal/kernel/core/action.go
+++ b/internal/kernel/core/action.go
@@ -24,8 +24,8 @@
 	// Step is the next step in processing a request.
 	Step uint8
 
-	// Attempt identifies one dispatch. The serial number keeps a late response from being attributed
-	// to a newer attempt that reuses the handle.
+	// Attempt identifies one dispatch. The serial number keeps a late response from being
+	// attributed to a newer attempt that reuses the handle.
 	Attempt struct {
 		handle int
 		serial uint64
--- a/internal/kernel/core/request.go
+++ b/internal/kernel/core/request.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// ResponseGracePeriod is how long after the deadline the proxy still waits for the response to a
-	// non-idempotent request, so that it can report the outcome to a caller that retries.
+	// ResponseGracePeriod is how long after the deadline the proxy still waits for the response to
+	// a non-idempotent request, so that it can report the outcome to a caller that retries.
 	ResponseGracePeriod = 5 * time.Second
 	// startupPeriod is how long after its start a proxy may not have learned of every minter.
 	// During it, an unknown minter is not reported as gone.
@@ -307,8 +307,8 @@
 }
 
 // HandleDeadlineExceeded returns the result for a caller whose deadline passes while the attempt is
-// still running. The attempt of a non-idempotent request continues for up to ResponseGracePeriod, so
-// that its outcome can be recorded.
+// still running. The attempt of a non-idempotent request continues for up to ResponseGracePeriod,
+// so that its outcome can be recorded.
 func (k *Kernel) HandleDeadlineExceeded(now time.Time, a Attempt) caller.Result {
 	result := caller.Result{Outcome: caller.OutcomeUnknown, Reason: caller.ReasonDeadline, RetryAfter: forwardRetryAfter}
 	if inflight := k.requests.Get(a.handle); inflight != nil && inflight.serial == a.serial {
--- a/internal/kernel/peer/member.go
+++ b/internal/kernel/peer/member.go
@@ -19,8 +19,8 @@
 	// StateLeaving is the state of a proxy that only finishes its current requests. Lookups do not
 	// return it.
 	StateLeaving
-	// StateGone is the state of a proxy that has shut down gracefully. Its Successor holds its token
-	// records.
+	// StateGone is the state of a proxy that has shut down gracefully. Its Successor holds its
+	// token records.
 	StateGone
 	// StateSuspect is the state of a proxy that did not respond. The proxy may refute the
 	// suspicion.
@@ -88,8 +88,8 @@
 		entries     map[string]*memberEntry
 		digest      uint64
 		lastChanged time.Time
-		// gracefulShutdowns holds the successors of incarnations that shut down gracefully. They are
-		// kept apart from the entries because a restarted proxy reuses its name.
+		// gracefulShutdowns holds the successors of incarnations that shut down gracefully. They
+		// are kept apart from the entries because a restarted proxy reuses its name.
 		gracefulShutdowns map[caller.Minter]gracefulShutdown
 		sortedNames       []string
 	}
--- a/internal/kernel/peer/member_test.go
+++ b/internal/kernel/peer/member_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestTokenOwnerAfterChainOfGracefulShutdowns covers a minter that stops and hands its records over to a
-// peer, which later stops and hands them over in turn. A retry must find the last successor, even
-// if the minter's VM runs a new incarnation by then.
+// TestTokenOwnerAfterChainOfGracefulShutdowns covers a minter that stops and hands its records over
+// to a peer, which later stops and hands them over in turn. A retry must find the last successor,
+// even if the minter's VM runs a new incarnation by then.
 func TestTokenOwnerAfterChainOfGracefulShutdowns(t *testing.T) {
 	m := NewMembers(newMember("self", 1, StateLive), testTime)
 	first := newMember("a", 1, StateGone)
--- a/internal/kernel/steering/choose.go
+++ b/internal/kernel/steering/choose.go
@@ -26,8 +26,8 @@
 	// may still be considered busy rather than hung. Requests that meet the target on a warm server
 	// take longer on a cold run.
 	busyTargets = 2
-	// objectlessLoadFactor replaces placing.MaxLoadFactor for requests without an object. They do not
-	// run colder in another region, so each region gets a share in proportion to its slots.
+	// objectlessLoadFactor replaces placing.MaxLoadFactor for requests without an object. They do
+	// not run colder in another region, so each region gets a share in proportion to its slots.
 	objectlessLoadFactor = 1.0
 	// otherRegionPenalty is the extra cost for a request without an object in a region that was not
 	// drawn for it. It exceeds any wait, so that the request leaves the drawn region only if no
--- a/internal/kernel/steering/request.go
+++ b/internal/kernel/steering/request.go
@@ -16,7 +16,8 @@
 	ResultResponded Result = iota + 1
 	// ResultServerError means that the server's complete response reports a failure of the server.
 	ResultServerError
-	// ResultRejected means that the server rejected the request and reported that it did not run it.
+	// ResultRejected means that the server rejected the request and reported that it did not run
+	// it.
 	ResultRejected
 	// ResultWrongServer means that another server now has the address. The request has not run.
 	ResultWrongServer
--- a/internal/kernel/steering/server.go
+++ b/internal/kernel/steering/server.go
@@ -15,9 +15,9 @@
 	ejectAfterFailures = 3
 	ejectionBase       = 400 * time.Millisecond
 	maxEjection        = 5 * time.Second
-	// ejectAfterRejections is the number of consecutive rejections after which a server is ejected. A
-	// server that rejects 0.45 of its requests at random reaches it in 1 of 600 series; it is warm
-	// for its objects and worth trying again.
+	// ejectAfterRejections is the number of consecutive rejections after which a server is ejected.
+	// A server that rejects 0.45 of its requests at random reaches it in 1 of 600 series; it is
+	// warm for its objects and worth trying again.
 	ejectAfterRejections = 8
 	// fullServerPause is how long a server is skipped after it rejected a request because it was
 	// full.
--- a/internal/proxy/daemon/metrics.go
+++ b/internal/proxy/daemon/metrics.go
@@ -13,8 +13,8 @@
 
 type (
 
-	// processMetrics holds the metrics of the process. Names follow the Prometheus conventions: base
-	// units, and the suffix _total for counters.
+	// processMetrics holds the metrics of the process. Names follow the Prometheus conventions:
+	// base units, and the suffix _total for counters.
 	processMetrics struct {
 		set               *metrics.Set
 		peerSentBytes     *metrics.Counter
@@ -52,8 +52,8 @@
 
 func (m *processMetrics) observeRequest(service string, r caller.Result, took time.Duration) {
 	if r.Reason == caller.ReasonNoService {
-		// The caller chose a service name that does not exist. As a label value, such names would let
-		// any caller create time series without limit and exhaust the memory.
+		// The caller chose a service name that does not exist. As a label value, such names would
+		// let any caller create time series without limit and exhaust the memory.
 		service = ""
 	}
 	m.set.GetOrCreateCounter(fmt.Sprintf(
--- a/internal/proxy/daemon/process_test.go
+++ b/internal/proxy/daemon/process_test.go
@@ -83,8 +83,8 @@
 }
 
 // bundleWithFreePorts copies an example bundle and replaces its addresses by free ones. With the
-// addresses of the example, a demo or a concurrent test run may use the same ports. The fake backend
-// then exits, and its control port refuses connections.
+// addresses of the example, a demo or a concurrent test run may use the same ports. The fake
+// backend then exits, and its control port refuses connections.
 func (f *fleet) bundleWithFreePorts(example string) string {
 	f.t.Helper()
 	data, err := os.ReadFile(example)
--- a/internal/proxy/daemon/stop.go
+++ b/internal/proxy/daemon/stop.go
@@ -20,8 +20,8 @@
 )
 
 // stopGracefully performs a graceful shutdown. Lookup responses no longer name the proxy. It serves
-// until no cached lookup response names it, finishes all requests, hands its token records over to a
-// peer and releases its quota slots before the process exits.
+// until no cached lookup response names it, finishes all requests, hands its token records over to
+// a peer and releases its quota slots before the process exits.
 func (d *Daemon) stopGracefully(ctx context.Context) {
 	klog.InfoS("graceful shutdown started")
 	d.driver.WithKernel(func(k *core.Kernel, now time.Time) { k.BeginStop(now) })
--- a/internal/proxy/driver/driver.go
+++ b/internal/proxy/driver/driver.go
@@ -55,9 +55,9 @@
 
 // followWallClock advances the kernel's time to the wall clock if it lags, and never moves it back.
 // The monotonic clock does not advance while a VM is paused. Without the correction this process
-// would lag permanently after a pause: every deadline that it sends would be in the past, and backend
-// servers would reject all its requests. The kernel treats the jump as a freeze and uses no quota for
-// one window, so a wrongly set wall clock costs one second but no capacity.
+// would lag permanently after a pause: every deadline that it sends would be in the past, and
+// backend servers would reject all its requests. The kernel treats the jump as a freeze and uses no
+// quota for one window, so a wrongly set wall clock costs one second but no capacity.
 func (d *Driver) followWallClock() {
 	now := time.Now()
 	if now.Round(0).Sub(d.Now()) > core.ClockTolerance {
--- a/internal/proxy/driver/platform.go
+++ b/internal/proxy/driver/platform.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// watchLoop repeats one watch. After failures it retries with exponential backoff and jitter, so that
-// the relays do not all reconnect at once after an outage.
+// watchLoop repeats one watch. After failures it retries with exponential backoff and jitter, so
+// that the relays do not all reconnect at once after an outage.
 func (w *Watcher) watchLoop(ctx context.Context, watch func(context.Context) error) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -81,8 +81,8 @@
 	return relay
 }
 
-// watchKey returns a function that watches one key. apply is called with each new value, or with nil
-// data if the key is absent, and may return data to write in its place.
+// watchKey returns a function that watches one key. apply is called with each new value, or with
+// nil data if the key is absent, and may return data to write in its place.
 func (w *Watcher) watchKey(key kv.Key, apply func(time.Time, []byte) []byte) func(context.Context) error {
 	after := kv.Revision(0)
 	return func(ctx context.Context) error {
@@ -99,8 +99,8 @@
 		if repair == nil {
 			return nil
 		}
-		// The platform's value is older than the one in force here, because the platform was restored
-		// from a backup. Writing the newer value back keeps it in force.
+		// The platform's value is older than the one in force here, because the platform was
+		// restored from a backup. Writing the newer value back keeps it in force.
 		if _, err := w.platform.CompareAndSwap(ctx, key, value.Revision, repair); err != nil {
 			return errors.Wrap(err, "write back "+string(key))
 		}
@@ -146,9 +146,9 @@
 	}
 }
 
-// StoreAssignment performs the kernel's action: it reads the stored assignment, compares its version
-// and swaps it. apply is called with the assignment that is then stored, without waiting for the
-// watch.
+// StoreAssignment performs the kernel's action: it reads the stored assignment, compares its
+// version and swaps it. apply is called with the assignment that is then stored, without waiting
+// for the watch.
 func StoreAssignment(ctx context.Context, s kv.Store, a core.StoreAssignment, apply func(*kv.Assignment)) {
 	value, err := s.Get(ctx, kv.KeyAssignment)
 	if err != nil && !errors.Is(err, kv.ErrNotFound) {
--- a/internal/proxy/forward/crashalerts.go
+++ b/internal/proxy/forward/crashalerts.go
@@ -25,8 +25,8 @@
 	reportSize = 48
 )
 
-// quarantineReports returns the reports on requests that crash servers that are due to peers, or all
-// reports for a peer that knows none yet.
+// quarantineReports returns the reports on requests that crash servers that are due to peers, or
+// all reports for a peer that knows none yet.
 func (d *Daemon) quarantineReports(all bool) (list []quarantine.Report) {
 	d.withKernel(func(k *steering.Kernel, now time.Time) { list = k.QuarantineReports(now, all) })
 	return list
--- a/internal/proxy/forward/quotas.go
+++ b/internal/proxy/forward/quotas.go
@@ -38,8 +38,8 @@
 	maxLenders = 4
 	// maxFallbackPools bounds the other groups' pools that a request is tried at in turn.
 	maxFallbackPools = 2
-	// poolBackoff is how long a pool is skipped that didn't respond to maxUnansweredReports reports in
-	// a row. When a large fleet starts, pools and proxies are busy, and each change of the pool
+	// poolBackoff is how long a pool is skipped that didn't respond to maxUnansweredReports reports
+	// in a row. When a large fleet starts, pools and proxies are busy, and each change of the pool
 	// costs the proxy its share until the lease of the share ends.
 	poolBackoff          = 2 * time.Second
 	maxUnansweredReports = 3
--- a/internal/proxy/forward/slots.go
+++ b/internal/proxy/forward/slots.go
@@ -34,8 +34,9 @@
 	return &slotClient{daemon: d, waiting: make(map[uint64]chan steering.SlotReply)}
 }
 
-// acquire waits until a slot is granted or denied, at most until a.Last, after which it would be too
-// late. It reports false if the owner of the limiter doesn't respond or the context is canceled.
+// acquire waits until a slot is granted or denied, at most until a.Last, after which it would be
+// too late. It reports false if the owner of the limiter doesn't respond or the context is
+// canceled.
 func (p *slotClient) acquire(ctx context.Context, a steering.SlotRequest) (steering.SlotReply, bool) {
 	replies := p.register(a.ID)
 	defer p.forget(a.ID)
--- a/internal/proxy/forward/slots_test.go
+++ b/internal/proxy/forward/slots_test.go
@@ -9,8 +9,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// slotRequest is a request from one proxy of a fleet to another for a slot at the only server, whose
-// limiter allows one request at a time.
+// slotRequest is a request from one proxy of a fleet to another for a slot at the only server,
+// whose limiter allows one request at a time.
 func (f *fleet) slotRequest(from, owner int, id uint64) steering.SlotRequest {
 	d := f.daemons[from]
 	now := d.now()
--- a/internal/proxy/forward/storewatcher_test.go
+++ b/internal/proxy/forward/storewatcher_test.go
@@ -19,10 +19,10 @@
 	return d
 }
 
-// Hundreds of proxies start at once, before any has an entry. Each used to consider itself the first
-// of its region and followed the store, whose watches returned for each of the others' entries:
-// more calls in two seconds than in a minute of traffic. A proxy with a stale copy must follow the
-// store in any case, or a fleet without seeds would get no changes.
+// Hundreds of proxies start at once, before any has an entry. Each used to consider itself the
+// first of its region and followed the store, whose watches returned for each of the others'
+// entries: more calls in two seconds than in a minute of traffic. A proxy with a stale copy must
+// follow the store in any case, or a fleet without seeds would get no changes.
 func TestOnlySeedsFollowStoreBeforeMembersAreKnown(t *testing.T) {
 	for _, c := range []struct {
 		name         string
--- a/internal/proxy/logs/buffer_test.go
+++ b/internal/proxy/logs/buffer_test.go
@@ -18,8 +18,8 @@
 	return s.text.Write(p)
 }
 
-// If the reader of the log stops reading, requests must not block. Dropped lines must be counted, so
-// that a gap in the log is not mistaken for a period without events.
+// If the reader of the log stops reading, requests must not block. Dropped lines must be counted,
+// so that a gap in the log is not mistaken for a period without events.
 func TestWriteDoesNotBlockOnSlowWriter(t *testing.T) {
 	w := &blockedWriter{release: make(chan struct{})}
 	b := NewBuffer(w, 10)
--- a/internal/proxy/logs/logs.go
+++ b/internal/proxy/logs/logs.go
@@ -10,8 +10,8 @@
 	"k8s.io/klog/v2"
 )
 
-// Setup configures klog to write one JSON object per line to w. Verbosity 0 is for normal operation, 1
-// adds every failed call, and 2 more detail. The attributes are added to every line.
+// Setup configures klog to write one JSON object per line to w. Verbosity 0 is for normal
+// operation, 1 adds every failed call, and 2 more detail. The attributes are added to every line.
 func Setup(w io.Writer, verbosity int, attributes ...any) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
--- a/internal/proxy/recording/file_test.go
+++ b/internal/proxy/recording/file_test.go
@@ -13,8 +13,8 @@
 	"github.com/gypsumquay/gypsumquay/internal/kernel/steering"
 )
 
-// writeRecording records a kernel that dispatches two requests, of which the second finds no server,
-// and returns the path of the recording.
+// writeRecording records a kernel that dispatches two requests, of which the second finds no
+// server, and returns the path of the recording.
 func writeRecording(t *testing.T) string {
 	t.Helper()
 	directory, now := t.TempDir(), time.Unix(1_000_000, 0)
--- a/internal/proxy/runner/runner.go
+++ b/internal/proxy/runner/runner.go
@@ -216,7 +216,8 @@
 	return out
 }
 
-// bufferResponse buffers a streamed response for a peer. If the stream fails, the outcome is unknown.
+// bufferResponse buffers a streamed response for a peer. If the stream fails, the outcome is
+// unknown.
 func (r *Runner) bufferResponse(reply callerhttp.Reply) caller.Result {
 	var body boundedBuffer
 	if err := reply.Stream(&body); err != nil {
--- a/internal/proxy/settings/settings.go
+++ b/internal/proxy/settings/settings.go
@@ -54,8 +54,8 @@
 		MaxTotalBodyBytes int64 `json:"all-request-bodies-bytes"`
 	}
 
-	// TLSFiles are the paths of PEM files. If they are set, peers must present a certificate signed by
-	// the certificate authority, and the operators' listener serves HTTPS.
+	// TLSFiles are the paths of PEM files. If they are set, peers must present a certificate signed
+	// by the certificate authority, and the operators' listener serves HTTPS.
 	TLSFiles struct {
 		Certificate string `json:"certificate-file,omitempty"`
 		Key         string `json:"key-file,omitempty"`
--- a/internal/proxy/settings/tls.go
+++ b/internal/proxy/settings/tls.go
@@ -83,8 +83,8 @@
 }
 
 // ServerConfig returns the TLS configuration of a listener. With mutual set, as for peers, clients
-// must present a certificate signed by the certificate authority. Operators need none, because their
-// bundles are signed.
+// must present a certificate signed by the certificate authority. Operators need none, because
+// their bundles are signed.
 func (i *Identity) ServerConfig(mutual bool) *tls.Config {
 	if i == nil {
 		return nil
@@ -103,8 +103,8 @@
 	}
 }
 
-// ClientConfig returns the TLS configuration for connections to peers. The certificate of a peer must
-// contain the IP address that the peer listens on.
+// ClientConfig returns the TLS configuration for connections to peers. The certificate of a peer
+// must contain the IP address that the peer listens on.
 func (i *Identity) ClientConfig() *tls.Config {
 	if i == nil {
 		return nil
