--- a/internal/kernel/admission/adaptive.go
+++ b/internal/kernel/admission/adaptive.go
@@ -36,13 +36,13 @@
 	// probeWeight is the weight of a response to a probe, of which there are few.
 	probeWeight = 1.0 / 4
 	// reductionFactor is the part of the current concurrency that is tried first when it is
-	// reduced. The slowdown of nearly full servers was always observed above it.
+	// reduced. Servers that slow down when nearly full do so only above that part of their slots.
 	reductionFactor = 0.67
 	// confirmSamples is the number of responses required at the highest level before the servers
 	// are known not to slow down and are no longer limited.
 	confirmSamples = 24
 	// minImprovement is the factor by which the throughput of a level must be higher to be
-	// preferred. Smaller differences are within the noise of 16 responses.
+	// preferred. An average of 16 responses varies by smaller factors by chance.
 	minImprovement = 1.08
 	// maxRatio bounds the contribution of one response to the average: a slower one waited for
 	// something unrelated.
--- a/internal/kernel/steering/quarantine.go
+++ b/internal/kernel/steering/quarantine.go
@@ -97,7 +97,7 @@
 	case ResultConnectionLost:
 		req.connectionsLost++
 		if s.isEligible() && s.absentUntil.IsZero() {
-			// A server that drains as planned may close the connections of its remaining requests.
+			// A draining server may close the connections of its remaining requests.
 			tracker.RecordConnectionLoss(now, req.Work, s.startID)
 		}
 	case ResultWrongServer:
